--- /dev/null
+++ b/forward/golden_test.go
@@ -0,0 +1,208 @@
+package forward
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/stretchr/testify/require"
+
+	"spanflow/choice"
+	"spanflow/internal/admin"
+	"spanflow/internal/backlog"
+	"spanflow/internal/golden"
+	"spanflow/internal/ledger"
+	"spanflow/internal/rota"
+	"spanflow/internal/terms"
+	"spanflow/seam"
+)
+
+// The folders in testdata were written by version 1 of the formats. Files that an earlier process left must be read,
+// and written, with the same bytes.
+const (
+	goldenLatencies  = "latencies"           // learned at one destination
+	goldenLatencies3 = "latencies-3"         // of three destinations, made by hand as they are written in any order
+	goldenRetryAfter = "retry-after"         // of one endpoint
+	goldenRetries    = "retry-after-several" // made by hand likewise
+	goldenDrains     = "drains"
+	goldenNoDrains   = "drains-none"
+	goldenSpool      = "command-spool"
+	goldenStored     = "stored" // a message of the write-ahead log as it goes to the backlog store
+
+	goldenNow         = 1_700_000_000 // seconds of the wall clock
+	goldenDestination = 3             // by which the checksum of the latencies begins with a zero
+	logLock           = "owner"       // holds the id of a process
+	storeLock         = "backlog.lock"
+)
+
+// goldenTimes are counts of calls by how long they took.
+func goldenTimes() []float64 {
+	times := make([]float64, 16)
+	times[0], times[3], times[9], times[15] = 0.25, 12345.678, 40, 1e-7
+	return times
+}
+
+// goldenLatencyOwner is an event loop with a folder and the shape of the golden latencies.
+func goldenLatencyOwner(t *testing.T, folder string) *owner {
+	t.Helper()
+	o, said := learning(folder)
+	require.Empty(t, said.String())
+	return o
+}
+
+func TestWritesSameLatenciesAsVersion1(t *testing.T) {
+	folder := t.TempDir()
+	o := goldenLatencyOwner(t, folder)
+	require.True(t, o.f.Remember(o.dest(goldenDestination), goldenTimes()))
+	o.keepLearnt()
+	golden.Compare(t, folder, goldenLatencies)
+}
+
+func TestReadsLatenciesWrittenByVersion1(t *testing.T) {
+	o := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies))
+	want := make([]float64, 16)
+	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11 // weighed by the scheduler, four digits each
+	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.learnt)
+
+	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).learnt
+	require.Len(t, several, 3)
+	require.Equal(t, 1.5, several[1][0])
+	require.Equal(t, 1e-7, several[1<<63][15])
+	require.Equal(t, 250.0, several[12][8])
+}
+
+func TestKeepsLatenciesOfUnheardDestinationAsVersion1(t *testing.T) {
+	folder := golden.Copy(t, goldenLatencies)
+	goldenLatencyOwner(t, folder).keepLearnt()
+	golden.Compare(t, folder, goldenLatencies)
+}
+
+// goldenEndpoints is an event loop with a folder and two listed endpoints.
+func goldenEndpoints(folder string) *owner {
+	o := listOwner()
+	o.order.Folder = folder
+	o.epoch = time.Unix(goldenNow, 0)
+	o.listed(&seam.List{Rev: 1, All: true, Targets: []seam.Target{
+		{UID: "endpoint-1", Endpoint: "127.0.0.1:1", Dest: 7, State: "active"},
+		{UID: "endpoint-2", Endpoint: "127.0.0.1:2", Dest: 8, State: "active"}}}, true)
+	return o
+}
+
+func TestWritesSameRetryAfterStateAsVersion1(t *testing.T) {
+	folder := t.TempDir()
+	o := goldenEndpoints(folder)
+	o.f.Close(o.byUID["endpoint-1"].module, goldenNow+12.3456)
+	o.f.Close(o.byUID["endpoint-2"].module, goldenNow-1) // over
+	o.keepWaits(goldenNow)
+	golden.Compare(t, folder, goldenRetryAfter)
+}
+
+func TestReadsRetryAfterStateWrittenByVersion1(t *testing.T) {
+	require.Equal(t, map[string]float64{"endpoint-1": goldenNow + 12.346}, readWaits(golden.Copy(t, goldenRetryAfter), goldenNow))
+	require.Equal(t, map[string]float64{"endpoint-2": goldenNow + 0.001, "unlisted": goldenNow + 3600},
+		readWaits(golden.Copy(t, goldenRetries), goldenNow))
+	require.Empty(t, readWaits(t.TempDir(), goldenNow))
+}
+
+func TestWritesSameDrainsAsVersion1(t *testing.T) {
+	folder := t.TempDir()
+	drains := rota.New(nil)
+	for _, id := range []string{"endpoint-2", "endpoint-10", "an id with spaces", "\u00e5"} {
+		drains.Detach(id, true)
+	}
+	require.NoError(t, keepOut(folder, drains.Kept()))
+	golden.Compare(t, folder, goldenDrains)
+	require.NoError(t, keepOut(folder, nil))
+	golden.Compare(t, folder, goldenNoDrains)
+}
+
+func TestReadsDrainsWrittenByVersion1(t *testing.T) {
+	drains := rota.New(readOut(golden.Copy(t, goldenDrains)))
+	require.Equal(t, []string{"an id with spaces", "endpoint-10", "endpoint-2", "\u00e5"}, drains.Kept())
+	require.Empty(t, readOut(golden.Copy(t, goldenNoDrains)))
+}
+
+var goldenCommands = []admin.Call{
+	{Do: admin.Detach, Name: "endpoint-1"},
+	{Do: admin.Detach, Name: "an id with spaces"},
+	{Do: admin.Attach, Name: "endpoint-1"},
+}
+
+func TestWritesSameCommandSpoolAsVersion1(t *testing.T) {
+	folder := t.TempDir()
+	for _, c := range goldenCommands {
+		require.NoError(t, lay(folder, c))
+	}
+	golden.Compare(t, folder, goldenSpool)
+}
+
+func TestReadsCommandSpoolWrittenByVersion1(t *testing.T) {
+	folder := golden.Copy(t, goldenSpool)
+	var commands []admin.Call
+	for _, name := range trayNames(folder) {
+		c, err := trayCall(folder, name)
+		require.NoError(t, err)
+		commands = append(commands, c)
+	}
+	require.Equal(t, goldenCommands, commands)
+
+	o := goldenEndpoints(folder)
+	require.True(t, o.emptyTray())
+	require.Equal(t, []string{"an id with spaces"}, o.rota.Kept())
+	require.Empty(t, trayNames(folder))
+}
+
+// goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
+func goldenStoreOwner() *owner {
+	order := &Order{Names: terms.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
+		Terms: choice.Terms{Types: []choice.DocType{{Repeat: choice.Replayable}, {Repeat: choice.Numbered, Memory: 600}, {Repeat: choice.Binding, InOrder: true}}}}
+	return newOwner(order, zerolog.Nop(), newExchange())
+}
+
+// goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
+func goldenEntries() []*ledger.Entry {
+	return []*ledger.Entry{
+		{Seq: 1, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000, Body: []byte("one")},
+		{Seq: 2, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent-with-key", ID: "id-2", Mark: "key-2", Expiry: 1_700_000_016_000_001,
+			Sent: 2, Body: []byte("two"), Front: "web"},
+		{Seq: 3, Key: 5, Dest: 7, Tenant: 2, Type: "at-most-once", ID: "id-3", Expiry: 1_700_000_016_000_002, Sent: 3,
+			Ran: 1_700_000_001_000_000, RanZone: 4, Body: []byte("three")},
+	}
+}
+
+var goldenStoreBounds = backlog.Bounds{Bytes: 64 << 10, SegmentBytes: 1 << 10}
+
+func TestStoresMessagesWithSameBytesAsVersion1(t *testing.T) {
+	folder := t.TempDir()
+	store, err := backlog.Open(backlog.OS{}, folder, goldenStoreBounds)
+	require.NoError(t, err)
+	o := goldenStoreOwner()
+	for _, e := range goldenEntries() {
+		require.NoError(t, store.Append(o.messageOf(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
+	}
+	require.NoError(t, store.Close())
+	golden.Compare(t, folder, goldenStored, storeLock)
+}
+
+func TestBringsBackMessagesStoredByVersion1(t *testing.T) {
+	store, err := backlog.Open(backlog.OS{}, golden.Copy(t, goldenStored), goldenStoreBounds)
+	require.NoError(t, err)
+	messages, err := store.Head(backlog.Lane{Destination: 7, Tenant: 2}, 10)
+	require.NoError(t, err)
+	var entries []*ledger.Entry
+	for _, m := range messages {
+		entries = append(entries, entryOf(m))
+	}
+	require.Equal(t, goldenEntries(), entries)
+	require.NoError(t, store.Close())
+}
+
+func TestGoldenFilesHaveTheNamesOfVersion1(t *testing.T) {
+	for folder, file := range map[string]string{goldenLatencies: "learnt", goldenRetryAfter: "waits", goldenDrains: "out-by-hand",
+		goldenSpool: filepath.Join("by-hand", "00000001")} {
+		_, err := os.Stat(filepath.Join("testdata", folder, file))
+		require.NoError(t, err)
+	}
+}
