--- a/forward/golden_test.go
+++ b/forward/golden_test.go
@@ -62,8 +62,8 @@
 
 func TestReadsLatenciesWrittenByVersion1(t *testing.T) {
 	o := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies))
-	want := make([]float64, 16)
-	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11 // weighed by the scheduler, four digits each
+	want := make([]float64, 16) // weighed by the scheduler, four digits each
+	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11
 	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.learnt)
 
 	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).learnt
@@ -100,7 +100,8 @@
 }
 
 func TestReadsRetryAfterStateWrittenByVersion1(t *testing.T) {
-	require.Equal(t, map[string]float64{"endpoint-1": goldenNow + 12.346}, readWaits(golden.Copy(t, goldenRetryAfter), goldenNow))
+	require.Equal(t, map[string]float64{"endpoint-1": goldenNow + 12.346},
+		readWaits(golden.Copy(t, goldenRetryAfter), goldenNow))
 	require.Equal(t, map[string]float64{"endpoint-2": goldenNow + 0.001, "unlisted": goldenNow + 3600},
 		readWaits(golden.Copy(t, goldenRetries), goldenNow))
 	require.Empty(t, readWaits(t.TempDir(), goldenNow))
@@ -157,16 +158,21 @@
 // goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
 func goldenStoreOwner() *owner {
 	order := &Order{Names: terms.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
-		Terms: choice.Terms{Types: []choice.DocType{{Repeat: choice.Replayable}, {Repeat: choice.Numbered, Memory: 600}, {Repeat: choice.Binding, InOrder: true}}}}
+		Terms: choice.Terms{Types: []choice.DocType{
+			{Repeat: choice.Replayable},
+			{Repeat: choice.Numbered, Memory: 600},
+			{Repeat: choice.Binding, InOrder: true},
+		}}}
 	return newOwner(order, zerolog.Nop(), newExchange())
 }
 
 // goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
 func goldenEntries() []*ledger.Entry {
 	return []*ledger.Entry{
-		{Seq: 1, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000, Body: []byte("one")},
-		{Seq: 2, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent-with-key", ID: "id-2", Mark: "key-2", Expiry: 1_700_000_016_000_001,
-			Sent: 2, Body: []byte("two"), Front: "web"},
+		{Seq: 1, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000,
+			Body: []byte("one")},
+		{Seq: 2, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent-with-key", ID: "id-2", Mark: "key-2",
+			Expiry: 1_700_000_016_000_001, Sent: 2, Body: []byte("two"), Front: "web"},
 		{Seq: 3, Key: 5, Dest: 7, Tenant: 2, Type: "at-most-once", ID: "id-3", Expiry: 1_700_000_016_000_002, Sent: 3,
 			Ran: 1_700_000_001_000_000, RanZone: 4, Body: []byte("three")},
 	}
@@ -200,8 +206,8 @@
 }
 
 func TestGoldenFilesHaveTheNamesOfVersion1(t *testing.T) {
-	for folder, file := range map[string]string{goldenLatencies: "learnt", goldenRetryAfter: "waits", goldenDrains: "out-by-hand",
-		goldenSpool: filepath.Join("by-hand", "00000001")} {
+	for folder, file := range map[string]string{goldenLatencies: "learnt", goldenRetryAfter: "waits",
+		goldenDrains: "out-by-hand", goldenSpool: filepath.Join("by-hand", "00000001")} {
 		_, err := os.Stat(filepath.Join("testdata", folder, file))
 		require.NoError(t, err)
 	}
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -26,7 +26,11 @@
 
 var (
 	goldenBounds = Bounds{Bytes: 64 << 10, SegmentBytes: 1 << 10}
-	goldenLanes  = []Lane{{Destination: 7, Tenant: 1}, {Destination: 7, Tenant: 2}, {Destination: 1 << 40, Tenant: 1 << 31}}
+	goldenLanes  = []Lane{
+		{Destination: 7, Tenant: 1},
+		{Destination: 7, Tenant: 2},
+		{Destination: 1 << 40, Tenant: 1 << 31},
+	}
 )
 
 // goldenKind is a type of message with what its idempotency leaves in a record.
@@ -79,7 +83,8 @@
 	require.NoError(t, s.Append(goldenMessage(goldenLanes[0], 5)), "older than all of its lane")
 	empty := &Message{Seq: 40, Lane: goldenLanes[2]}
 	require.NoError(t, s.Append(empty))
-	require.NoError(t, s.Release([]Ref{goldenRef(goldenLanes[0], 5), goldenRef(goldenLanes[0], 12), goldenRef(goldenLanes[1], 13)}))
+	require.NoError(t, s.Release([]Ref{
+		goldenRef(goldenLanes[0], 5), goldenRef(goldenLanes[0], 12), goldenRef(goldenLanes[1], 13)}))
 	require.NoError(t, s.Release([]Ref{goldenRef(goldenLanes[1], 35)}))
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -48,7 +48,8 @@
 	}
 	for _, file := range sortedNames(expected) {
 		if at := firstDifference(got[file], expected[file]); at >= 0 {
-			t.Errorf("%s/%s: differs at byte %d: got %d bytes, want %d bytes", name, file, at, len(got[file]), len(expected[file]))
+			t.Errorf("%s/%s: differs at byte %d: got %d bytes, want %d bytes",
+				name, file, at, len(got[file]), len(expected[file]))
 		}
 	}
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -26,7 +26,8 @@
 // goldenMessage is an owed message with fixed content. Its idempotency shows in its type and key alone: messages whose
 // repeat is known by a key have one, the others none.
 func goldenMessage(id, kind, key string, body []byte) *Entry {
-	return &Entry{Key: 0x1122334455667788, Dest: 7, Tenant: 3, Type: kind, ID: id, Mark: key, Expiry: 1_700_000_000_123_456, Body: body}
+	return &Entry{Key: 0x1122334455667788, Dest: 7, Tenant: 3, Type: kind, ID: id, Mark: key,
+		Expiry: 1_700_000_000_123_456, Body: body}
 }
 
 // writeGoldenLog writes each kind of record, and messages in each state.
@@ -110,7 +111,8 @@
 			owed = append(owed, e)
 		}
 	}
-	named, waiting := goldenMessage("named", "idempotent", "", []byte("body")), goldenMessage("waiting", "idempotent", "", []byte("body"))
+	named := goldenMessage("named", "idempotent", "", []byte("body"))
+	waiting := goldenMessage("waiting", "idempotent", "", []byte("body"))
 	named.Seq, named.Front = 25, "web"
 	waiting.Seq, waiting.Held = 26, true
 	restored := goldenMessage("restored", "at-most-once", "", []byte("second body"))
@@ -141,8 +143,8 @@
 	require.NoError(t, err)
 	require.Empty(t, v.Faults)
 	require.Len(t, v.Files, 1)
-	require.Equal(t, map[string]int{"document": 25, "document with front": 4, "transmission": 15, "end": 9, "over": 3, "answer": 6},
-		v.Files[0].Records)
+	require.Equal(t, map[string]int{"document": 25, "document with front": 4, "transmission": 15, "end": 9, "over": 3,
+		"answer": 6}, v.Files[0].Records)
 	requireOwed(t, goldenOwed(), v.Owed)
 }
 
@@ -179,7 +181,8 @@
 	require.Zero(t, l.Dropped)
 	for i, e := range l.Owed() {
 		n := i * compactedOwed
-		want := goldenMessage(fmt.Sprintf("id-%d", n), "idempotent-with-key", "k", bytes.Repeat([]byte{byte(n)}, compactedBody))
+		body := bytes.Repeat([]byte{byte(n)}, compactedBody)
+		want := goldenMessage(fmt.Sprintf("id-%d", n), "idempotent-with-key", "k", body)
 		want.Seq, want.Sent, want.Ran, want.RanZone, want.file = uint64(n+1), 1, int64(100+n), n%3, e.file
 		require.Equal(t, want, e)
 	}
