--- /dev/null
+++ b/forward/transcript_test.go
@@ -0,0 +1,232 @@
+package forward_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/forward"
+	"spanflow/internal/standin"
+	"spanflow/internal/transcript"
+)
+
+// transcriptConfig is a configuration file with places for the addresses of discovery and of the endpoint in the list
+// as last known.
+const transcriptConfig = `{"name":"n1","listen":"127.8.0.2:0","discovery":%q,"seed":"8c1f30d27a5be964","admin":%q,
+"limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},
+"known":{"rev":41,"all":true,"targets":[{"uid":"s1","endpoint":%q,"az":"a","model":"m","pod_group":7,"state":"active"}]},
+"settings":{"Azs":["a"],"Kinds":["m"],
+"Classes":[{"Name":"order","Idempotency":"fragile","Slo":3000,"HardLimit":24000},
+{"Name":"update","Idempotency":"dedup","Group":"all","Sequential":true,"Slo":3000,"HardLimit":24000,"MemorySpan":15000},
+{"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
+"Extra":{"CallsOut":1,"KindBatch":[1]},"Guarantees":{"Cold":10000,"ColdFrom":0.17,"FallMultiple":2,"KeyRest":100},
+"Limits":{"AttemptsCap":6,"MaxOpen":2,"RetryAfter":true,"MaxRetryAfter":1500,"ConnIdle":10000,"ConnectTimeout":1500},
+"Discovery":"ask","NInstances":1}}`
+
+const (
+	transcriptList = `{"rev":43,"all":true,"targets":[{"uid":"s1","endpoint":%q,"az":"a","model":"m","pod_group":7,"state":"active"},
+{"uid":"s2","endpoint":"127.8.0.4:9","az":"a","model":"m","pod_group":9,"state":"leaving"}]}`
+	transcriptOK    = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	transcriptError = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+)
+
+// wires is a forwarder whose discovery and whose endpoint are played by the test, with the transcript of all wires.
+type wires struct {
+	t                   *testing.T
+	script              transcript.Transcript
+	discovery, endpoint *transcript.Server
+	listen, admin       string
+	client              *standin.Client
+}
+
+func newWires(t *testing.T) *wires {
+	w := &wires{t: t, discovery: transcript.NewServer(t, "127.8.0.3"), endpoint: transcript.NewServer(t, "127.8.0.4")}
+	unused, err := net.Listen("tcp", "127.8.0.5:0")
+	require.NoError(t, err)
+	w.admin = unused.Addr().String()
+	require.NoError(t, unused.Close())
+	w.script.Mask(regexp.QuoteMeta(w.discovery.Addr), "DISCOVERY")
+	w.script.Mask(regexp.QuoteMeta(w.endpoint.Addr), "ENDPOINT")
+	w.script.Mask(`X-Remaining-Ms: \d+`, "X-Remaining-Ms: MS")
+	w.script.Mask(`Date: [^\r]*`, "Date: DATE")
+	folder := t.TempDir()
+	text := fmt.Sprintf(transcriptConfig, w.discovery.Addr, w.admin, w.endpoint.Addr)
+	order, err := forward.ReadOrder([]byte(text), func(name string) string {
+		return map[string]string{"PROXY_STATE": folder}[name]
+	})
+	require.NoError(t, err)
+	ctx, stop := context.WithCancel(context.Background())
+	ready, ended := make(chan string, 1), make(chan error, 1)
+	go func() {
+		ended <- forward.Run(ctx, order, nil, standin.NewLog(), func(addr string) { ready <- addr })
+	}()
+	t.Cleanup(func() {
+		stop()
+		require.NoError(t, <-ended)
+	})
+	select {
+	case w.listen = <-ready:
+	case err := <-ended:
+		t.Fatal(err)
+	}
+	w.connect()
+	return w
+}
+
+// connect opens a new connection of the client.
+func (w *wires) connect() {
+	w.t.Helper()
+	client, err := standin.NewClient(w.listen)
+	require.NoError(w.t, err)
+	w.t.Cleanup(func() { client.Close() })
+	w.client = client
+}
+
+// asks sends a command and adds it and its answer.
+func (w *wires) asks(what string, args ...string) {
+	w.t.Helper()
+	raw := transcript.Command(args...)
+	answer, err := w.client.Say(raw)
+	require.NoError(w.t, err)
+	w.script.Note("%s", what)
+	w.script.Bytes("client", []byte(raw))
+	w.script.Bytes("forwarder", []byte(answer))
+}
+
+// puts hands a message in for the endpoint's destination.
+func (w *wires) puts(what, id, options string) {
+	w.t.Helper()
+	w.asks(what, "MSG.PUT", "0000000000000000", id, options, "a body")
+}
+
+// requested adds the next request that a server gets.
+func (w *wires) requested(name string, server *transcript.Server) *transcript.Request {
+	w.t.Helper()
+	request := server.Next()
+	w.script.Note("%s gets a request on connection %d", name, request.Connection)
+	w.script.Bytes("forwarder", request.Raw)
+	return request
+}
+
+// adminAnswer makes a call to the admin address.
+func (w *wires) adminAnswer(request string) string {
+	w.t.Helper()
+	conn, err := net.Dial("tcp", w.admin)
+	require.NoError(w.t, err)
+	defer conn.Close()
+	require.NoError(w.t, conn.SetDeadline(time.Now().Add(15*time.Second)))
+	_, err = io.WriteString(conn, request+" HTTP/1.1\r\nHost: x\r\n\r\n")
+	require.NoError(w.t, err)
+	answer, err := io.ReadAll(conn)
+	require.NoError(w.t, err)
+	return string(answer)
+}
+
+// operates makes a call to the admin address and adds it and its answer.
+func (w *wires) operates(what, request string) {
+	w.t.Helper()
+	answer := w.adminAnswer(request)
+	w.script.Note("%s", what)
+	w.script.Line("operator", request)
+	w.script.Bytes("forwarder", []byte(answer))
+}
+
+// listHeard answers a question for the list and waits until the forwarder has taken it up.
+func (w *wires) listHeard(question *transcript.Request) {
+	w.t.Helper()
+	question.Answer("HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf(transcriptList, w.endpoint.Addr) + "\n")
+	require.Eventually(w.t, func() bool {
+		return strings.Contains(w.adminAnswer("GET /_vars"), "registry_entries:2|g")
+	}, 15*time.Second, 5*time.Millisecond)
+}
+
+func TestAnswersToClientsOfAWholeForwarder(t *testing.T) {
+	w := newWires(t)
+	question := w.requested("discovery", w.discovery)
+	w.asks("a sign of life", "PING")
+	w.puts("a destination that is not listed, before the list has come", "m1", "c=order,d=8000,dest=8")
+	w.listHeard(question)
+	w.puts("a destination that is not listed", "m1", "c=order,d=8000,dest=8")
+	w.puts("an unknown class", "m1", "c=other,d=8000,dest=7")
+	w.puts("a message without the idempotency key that its class needs", "m1", "c=update,d=8000,dest=7")
+	w.puts("no time left", "m1", "c=order,d=0,dest=7")
+	w.puts("taken on", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7,r=1,again=1")
+	first := w.requested("the endpoint", w.endpoint)
+	w.puts("the same id while the first is out", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
+	w.puts("a second", "m2", "c=status,d=8000,dest=7")
+	w.script.Note("it is returned, as the backlog is full")
+	w.requested("discovery", w.discovery).Answer("HTTP/1.1 204 No Content\r\n\r\n")
+	first.Answer(transcriptOK)
+	w.puts("the same id once the first is delivered", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
+	w.asks("an unknown command", "GET", "x")
+	w.operates("clients are sent away", "POST /_lameduck/on")
+	w.connect()
+	w.asks("a sign of life while clients are sent away", "PING")
+	w.script.Compare(t, "clients.txt")
+}
+
+func TestNoticesAndRepeatsOfAWholeForwarder(t *testing.T) {
+	w := newWires(t)
+	w.listHeard(w.requested("discovery", w.discovery))
+	w.puts("a message that may not run twice", "m1", "c=order,d=8000,dest=7")
+	broken := w.requested("the endpoint", w.endpoint)
+	w.script.Note("its connection breaks")
+	broken.Close()
+	w.requested("discovery", w.discovery).Answer("HTTP/1.1 204 No Content\r\n\r\n")
+	w.puts("a message that may run twice with its idempotency key", "m2", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
+	w.requested("the endpoint", w.endpoint).Answer(transcriptError)
+	w.script.Note("it has answered 500")
+	w.requested("the endpoint", w.endpoint).Answer(transcriptOK)
+	w.script.Compare(t, "notices.txt")
+}
+
+func TestTheListIsAskedForAgainAfterTheVersionThatIsHeld(t *testing.T) {
+	w := newWires(t)
+	question := w.requested("discovery", w.discovery)
+	w.listHeard(question)
+	w.script.Note("discovery has told version 43; the watch ends")
+	question.Close()
+	w.requested("discovery", w.discovery)
+	w.script.Compare(t, "list.txt")
+}
+
+func TestAnswersToOperatorsOfAWholeForwarder(t *testing.T) {
+	w := newWires(t)
+	w.listHeard(w.discovery.Next())
+	for _, call := range []struct{ what, request string }{
+		{"ready", "GET /_ready"},
+		{"figures", "GET /_vars"},
+		{"detach", "POST /_targets/detach?name=s1"},
+		{"detach once more", "POST /_targets/detach?name=s1"},
+		{"figures with an endpoint detached", "GET /_vars"},
+		{"attach", "POST /_targets/attach?name=s1"},
+		{"attach once more", "POST /_targets/attach?name=s1"},
+		{"detach an unknown endpoint", "POST /_targets/detach?name=s9"},
+		{"attach an unknown endpoint", "POST /_targets/attach?name=s9"},
+		{"detach a name that cannot be kept", "POST /_targets/detach?name=a%0Ab"},
+		{"attach a name that cannot be kept", "POST /_targets/attach?name=a%0Ab"},
+		{"detach without a name", "POST /_targets/detach"},
+		{"attach with an empty name", "POST /_targets/attach?name="},
+		{"send clients away", "POST /_lameduck/on"},
+		{"send clients away once more", "POST /_lameduck/on"},
+		{"let clients in", "POST /_lameduck/off"},
+		{"an unknown path", "GET /other"},
+		{"the root", "GET /"},
+		{"another method: ready", "POST /_ready"},
+		{"another method: figures", "DELETE /_vars"},
+		{"another method: detach", "GET /_targets/detach?name=s1"},
+		{"another method: attach", "PUT /_targets/attach?name=s1"},
+		{"another method: lameduck on", "GET /_lameduck/on"},
+		{"another method: lameduck off", "GET /_lameduck/off"},
+	} {
+		w.operates(call.what, call.request)
+	}
+	w.script.Compare(t, "operators.txt")
+}
--- /dev/null
+++ b/internal/admin/transcript_test.go
@@ -0,0 +1,73 @@
+package admin_test
+
+import (
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/admin"
+	"spanflow/internal/transcript"
+)
+
+// owner answers calls as the test has it.
+type owner struct {
+	ready  atomic.Bool
+	answer atomic.Pointer[admin.Answer] // nil: none comes
+}
+
+func (o *owner) Ready() bool { return o.ready.Load() }
+
+func (o *owner) Ask(_ admin.Call, reply func(admin.Answer)) {
+	if a := o.answer.Load(); a != nil {
+		reply(*a)
+	}
+}
+
+func TestAnswersOfTheAdminAddressForEachAnswerOfItsOwner(t *testing.T) {
+	const vars = "GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"
+	o := &owner{}
+	a, err := admin.Open("127.7.0.2:0", o)
+	require.NoError(t, err)
+	t.Cleanup(a.Stop)
+	var script transcript.Transcript
+	script.Mask(`Date: [^\r]*`, "Date: DATE")
+	ask := func(what, request string) {
+		conn, err := net.Dial("tcp", a.Addr())
+		require.NoError(t, err)
+		defer conn.Close()
+		require.NoError(t, conn.SetDeadline(time.Now().Add(15*time.Second)))
+		_, err = io.WriteString(conn, request)
+		require.NoError(t, err)
+		answer, err := io.ReadAll(conn)
+		require.NoError(t, err)
+		script.Note("%s", what)
+		script.Bytes("operator", []byte(request))
+		script.Bytes("forwarder", answer)
+	}
+	ask("not ready", "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	ask("the owner does not answer in time", vars)
+	for _, c := range []struct {
+		what   string
+		answer admin.Answer
+	}{
+		{"yes", admin.Answer{Yes: true, Text: "a line"}},
+		{"yes, with several lines", admin.Answer{Yes: true, Text: "a:1|c\nb:2|g\n"}},
+		{"yes, without a text", admin.Answer{Yes: true}},
+		{"no, with a status", admin.Answer{Status: 503, Text: "why"}},
+		{"no, without a status", admin.Answer{Text: "why"}},
+	} {
+		o.answer.Store(&c.answer)
+		ask(c.what, vars)
+	}
+	o.ready.Store(true)
+	ask("ready", "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	ask("HTTP/1.0", "GET /_ready HTTP/1.0\r\n\r\n")
+	ask("a connection that is to be kept is closed", "GET /_ready HTTP/1.1\r\nHost: x\r\nConnection: keep-alive\r\n\r\n")
+	ask("HEAD", "HEAD /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
+	ask("not HTTP", "what is this\r\n\r\n")
+	script.Compare(t, "answers.txt")
+}
--- /dev/null
+++ b/internal/directory/export_test.go
@@ -0,0 +1,8 @@
+package directory
+
+import "time"
+
+// SetAfterFunc puts another in the place of time.AfterFunc, for tests outside of the package.
+func (d *Directory) SetAfterFunc(afterFunc func(time.Duration, func()) *time.Timer) {
+	d.afterFunc = afterFunc
+}
--- /dev/null
+++ b/internal/intake/transcript_test.go
@@ -0,0 +1,173 @@
+package intake_test
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/intake"
+	"spanflow/internal/transcript"
+	"spanflow/seam"
+)
+
+// desk gives each request the answer that the test has laid out for it, or answers what could not be understood.
+type desk chan seam.Reply
+
+func (d desk) Withdraw(string) {}
+
+func (d desk) Ask(a seam.Asked) {
+	if a.Why != "" {
+		a.From.Answer(seam.Reply{Word: seam.Malformed, Why: a.Why, Last: a.Last})
+		return
+	}
+	a.From.Answer(<-d)
+}
+
+const ping = "*1\r\n$4\r\nPING\r\n"
+
+// clients is the transcript of what clients send and are answered.
+type clients struct {
+	t      *testing.T
+	desk   desk
+	addr   string
+	script transcript.Transcript
+}
+
+func newClients(t *testing.T, patience intake.Patience) *clients {
+	c := &clients{t: t, desk: make(desk, 9)}
+	in, err := intake.Open("127.6.0.2:0", 20, 24, patience, c.desk)
+	require.NoError(t, err)
+	t.Cleanup(in.Stop)
+	c.addr = in.Addr()
+	return c
+}
+
+// sends opens a connection and sends bytes on it.
+func (c *clients) sends(raw string) net.Conn {
+	c.t.Helper()
+	conn, err := net.Dial("tcp", c.addr)
+	require.NoError(c.t, err)
+	c.t.Cleanup(func() { conn.Close() })
+	require.NoError(c.t, conn.SetDeadline(time.Now().Add(15*time.Second)))
+	_, err = io.WriteString(conn, raw)
+	require.NoError(c.t, err)
+	return conn
+}
+
+const mostShown = 400 // bytes of a request that stand in the transcript
+
+// note adds what a client has sent to the transcript.
+func (c *clients) note(what, raw string) {
+	c.script.Note("%s", what)
+	if len(raw) > mostShown {
+		c.script.Note("%d bytes, of which the first %d", len(raw), mostShown)
+		raw = raw[:mostShown]
+	}
+	c.script.Bytes("client", []byte(raw))
+}
+
+// asks sends bytes on a connection of their own and adds the answer.
+func (c *clients) asks(what, raw string) {
+	c.t.Helper()
+	conn := c.sends(raw)
+	c.note(what, raw)
+	answer := make([]byte, 4096)
+	n, err := conn.Read(answer)
+	require.NoError(c.t, err)
+	c.script.Bytes("forwarder", answer[:n])
+	conn.Close()
+}
+
+// isClosed adds all that comes on a connection until the forwarder closes it.
+func (c *clients) isClosed(conn net.Conn, what, raw string) {
+	c.t.Helper()
+	c.note(what, raw)
+	answer, err := io.ReadAll(conn)
+	require.NoError(c.t, err)
+	c.script.Bytes("forwarder", answer)
+	c.script.Note("the connection is closed")
+}
+
+func TestAnswersToClients(t *testing.T) {
+	c := newClients(t, intake.Patience{Silent: 60, Quiet: 60})
+	for _, reply := range []struct {
+		what  string
+		reply seam.Reply
+	}{
+		{"taken on", seam.Reply{Word: seam.Taken}},
+		{"alive", seam.Reply{Word: seam.Alive}},
+		{"busy", seam.Reply{Word: seam.Busy}},
+		{"busy, with a time", seam.Reply{Word: seam.Busy, Wait: 250}},
+		{"busy, with the longest time", seam.Reply{Word: seam.Busy, Wait: 9_999_999}},
+		{"declined", seam.Reply{Word: seam.Declined, Why: "the reason"}},
+		{"malformed", seam.Reply{Word: seam.Malformed, Why: "ERR the reason"}},
+	} {
+		c.desk <- reply.reply
+		c.asks(reply.what, ping)
+	}
+	c.desk <- seam.Reply{Word: seam.Malformed, Why: "ERR the reason", Last: true}
+	c.isClosed(c.sends(ping), "malformed, and the connection ends", ping)
+	c.script.Compare(t, "answers.txt")
+}
+
+func TestAnswersToWhatCannotBeUnderstood(t *testing.T) {
+	c := newClients(t, intake.Patience{Silent: 60, Quiet: 60})
+	cases := []struct{ what, raw string }{
+		{"an inline command", "PING\r\n"},
+		{"an array of nothing", "*0\r\n"},
+		{"a string that is null", "*1\r\n$-1\r\n"},
+		{"a number that is none", "*x\r\n"},
+		{"a line's end without its carriage return", "*1\n"},
+		{"a string that goes on beyond its length", "*1\r\n$4\r\nPINGS\r\n"},
+		{"too many words", "*17\r\n"},
+		{"a word over the limit", "*2\r\n$4\r\nPING\r\n$69633\r\n"},
+	}
+	var conns []net.Conn // all at once: each is kept open for a while after its answer
+	for _, sent := range cases {
+		conns = append(conns, c.sends(sent.raw))
+	}
+	for i, sent := range cases {
+		c.isClosed(conns[i], sent.what, sent.raw)
+	}
+	c.script.Compare(t, "framing.txt")
+}
+
+func TestAnswersToCommandsThatAreNotCarriedOut(t *testing.T) {
+	c := newClients(t, intake.Patience{Silent: 60, Quiet: 60})
+	const options = "c=notice,d=8000,dest=7"
+	for _, command := range []struct {
+		what string
+		args []string
+	}{
+		{"an unknown command", []string{"GET", "x"}},
+		{"too few words", []string{"MSG.PUT", "0", "a", options}},
+		{"too many words", []string{"MSG.PUT", "0", "a", options, "body", "more"}},
+		{"no id", []string{"MSG.PUT", "0", "", options, ""}},
+		{"an id over the limit", []string{"MSG.PUT", "0", strings.Repeat("i", 129), options, ""}},
+		{"an id with a space", []string{"msg.put", "0", "a b", options, ""}},
+		{"a key that is no number", []string{"MSG.PUT", "key", "a", options, ""}},
+		{"a key that is too large", []string{"MSG.PUT", "10000000000000000", "a", options, ""}},
+		{"no time", []string{"MSG.PUT", "0", "a", "c=notice,dest=7", ""}},
+		{"no destination", []string{"MSG.PUT", "0", "a", "c=notice,d=8000", ""}},
+		{"a time that is no number", []string{"MSG.PUT", "0", "a", "c=notice,d=1e3,dest=7", ""}},
+		{"a time below zero", []string{"MSG.PUT", "0", "a", "c=notice,d=-1,dest=7", ""}},
+		{"a time over the limit", []string{"MSG.PUT", "0", "a", "c=notice,d=86400000,dest=7", ""}},
+		{"a destination that is no number", []string{"MSG.PUT", "0", "a", "c=notice,d=8000,dest=-7", ""}},
+		{"an idempotency key with a control character", []string{"MSG.PUT", "0", "a", options + ",k=x\ny", ""}},
+		{"an idempotency key over the limit", []string{"MSG.PUT", "0", "a", options + ",k=" + strings.Repeat("k", 129), ""}},
+		{"a body over the limit", []string{"MSG.PUT", "0", "a", options, strings.Repeat("x", 64<<10+1)}},
+	} {
+		c.asks(command.what, transcript.Command(command.args...))
+	}
+	c.script.Compare(t, "commands.txt")
+}
+
+func TestAnswerToACommandThatDoesNotGoOn(t *testing.T) {
+	c := newClients(t, intake.Patience{Silent: 0.3, Quiet: 60})
+	c.isClosed(c.sends(ping[:9]), "half a command", ping[:9])
+	c.script.Compare(t, "unfinished.txt")
+}
--- /dev/null
+++ b/internal/outlet/transcript_test.go
@@ -0,0 +1,125 @@
+package outlet_test
+
+import (
+	"bytes"
+	"crypto/sha256"
+	"regexp"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/dial"
+	"spanflow/internal/outlet"
+	"spanflow/internal/transcript"
+	"spanflow/seam"
+)
+
+// results takes the ends of calls.
+type results chan seam.Ended
+
+func (r results) CallEnded(e seam.Ended) { r <- e }
+
+const (
+	answer200      = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+	answer200Close = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	answer200Old   = "HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n"
+	answerPartial  = "HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nx"
+)
+
+// endpoint is an upstream client with one endpoint and the transcript of what it sends there.
+type endpoint struct {
+	t       *testing.T
+	script  transcript.Transcript
+	server  *transcript.Server
+	client  *outlet.Outlet
+	results results
+}
+
+func newEndpoint(t *testing.T) *endpoint {
+	dialer, err := dial.New("test", 8)
+	require.NoError(t, err)
+	t.Cleanup(dialer.Stop)
+	e := &endpoint{t: t, server: transcript.NewServer(t, "127.4.0.2"), results: make(results, 9)}
+	e.client = outlet.New(dialer, e.results, outlet.Terms{Connect: time.Minute, KeepIdle: time.Minute})
+	e.script.Mask(regexp.QuoteMeta(e.server.Addr), "ENDPOINT")
+	return e
+}
+
+// call sends one call and returns the request that came of it.
+func (e *endpoint) call(what string, allow time.Duration, messages ...seam.Paper) *transcript.Request {
+	e.t.Helper()
+	e.script.Note("%s", what)
+	e.client.Send(&seam.Call{Door: 1, Target: e.server.Addr, Papers: messages, Allow: allow})
+	request := e.server.Next()
+	e.script.Note("on connection %d", request.Connection)
+	return request
+}
+
+// answered answers a request and waits for the end of its call.
+func (e *endpoint) answered(request *transcript.Request, raw string) {
+	e.t.Helper()
+	e.script.Bytes("upstream", request.Raw)
+	request.Answer(raw)
+	<-e.results
+}
+
+// closed waits for the client to end a connection.
+func (e *endpoint) closed(request *transcript.Request) {
+	e.t.Helper()
+	ended := e.server.Ended()
+	require.Equal(e.t, request.Connection, ended)
+	e.script.Note("connection %d is closed", ended)
+}
+
+func TestRequestsToAnEndpoint(t *testing.T) {
+	e := newEndpoint(t)
+	body := []byte("a body\r\nof any bytes \x00\xff\n")
+	e.answered(e.call("one message with an idempotency key", 1500*time.Millisecond,
+		seam.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
+	e.answered(e.call("without a key, on the same connection; the time left in whole milliseconds", 1234567*time.Microsecond,
+		seam.Paper{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
+	e.answered(e.call("without a body", time.Hour, seam.Paper{ID: "9b1f03aa5c7e2d43"}), answer200)
+	e.answered(e.call("a batch: with a key, without, without a body", 2*time.Second,
+		seam.Paper{ID: "9b1f03aa5c7e2d44", Mark: "5c0f", Body: body}, seam.Paper{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
+		seam.Paper{ID: "9b1f03aa5c7e2d46"}), answer200)
+	e.answered(e.call("a batch whose ids and keys hold marks of JSON", 2*time.Second,
+		seam.Paper{ID: `a"b\c<d>&e`, Mark: `"\<>&`}, seam.Paper{ID: "f"}), answer200)
+	e.answered(e.call("the same message once more, in a call of its own: id and key again", 1500*time.Millisecond,
+		seam.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
+	large := e.call("the largest body, after its head", time.Minute, seam.Paper{ID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4096)})
+	head, rest, _ := bytes.Cut(large.Raw, []byte("\r\n\r\n"))
+	require.Len(t, rest, 64<<10)
+	e.script.Note("%x is the body's SHA-256", sha256.Sum256(rest))
+	large.Raw = append(head, "\r\n\r\n"...)
+	e.answered(large, answer200)
+	e.script.Compare(t, "requests.txt")
+}
+
+func TestConnectionsToAnEndpointAreReusedAndClosed(t *testing.T) {
+	e := newEndpoint(t)
+	message := seam.Paper{ID: "a", Body: []byte("b")}
+	e.answered(e.call("a first call", time.Minute, message), answer200)
+	last := e.call("a second on the same connection; the answer says that it closes", time.Minute, message)
+	e.answered(last, answer200Close)
+	e.closed(last)
+	last = e.call("a new connection; the answer is of HTTP/1.0", time.Minute, message)
+	e.answered(last, answer200Old)
+	e.closed(last)
+	idle := e.call("a new connection, which stays idle", time.Minute, message)
+	e.answered(idle, answer200)
+	e.script.Note("idle connections are to be closed")
+	e.client.CloseIdle(1)
+	e.closed(idle)
+	last = e.call("an answer that cannot be read", time.Minute, message)
+	e.answered(last, "what is this\r\n")
+	e.closed(last)
+	last = e.call("an answer that stops within its body: the time is over", 300*time.Millisecond, message)
+	e.answered(last, answerPartial)
+	e.closed(last)
+	last = e.call("no answer: the time is over", 300*time.Millisecond, message)
+	e.answered(last, "")
+	e.closed(last)
+	e.answered(e.call("a new connection", time.Minute, message), answer200)
+	e.script.Compare(t, "connections.txt")
+}
