--- a/cmd/spanflowctl/backlog_cases_test.go
+++ b/cmd/spanflowctl/backlog_cases_test.go
@@ -529,22 +529,66 @@
 	s.terminate()
 }
 
+// heldFailures is a destination that runs calls and answers all of them with an error, but none before so many messages
+// have come: until then the forwarder knows of no failure.
+type heldFailures struct {
+	record *record
+	all    int
+	answer chan struct{} // closed when all have come
+
+	mu   sync.Mutex
+	came map[string]bool // messages, by id
+}
+
+func newHeldFailures(r *record, all int) *heldFailures {
+	return &heldFailures{record: r, all: all, answer: make(chan struct{}), came: map[string]bool{}}
+}
+
+func (h *heldFailures) serve(c standin.Call) standin.Reply {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if before := len(h.came); before < h.all {
+		if h.came[c.ID] = true; len(h.came) == h.all {
+			close(h.answer)
+		}
+	}
+	return h.record.fail(c, standin.Reply{Status: 500, Hold: h.answer})
+}
+
+func (h *heldFailures) String() string {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return fmt.Sprintf("%d of %d messages came", len(h.came), h.all)
+}
+
 // What may have run and is stored keeps that with it, also beyond a kill: it does not run again once its number is
 // forgotten.
+//
+// All messages are tried before the first failure is known, so that whichever are stored have run: once a destination
+// counts as out, all but the window's one message would be stored untried. The oldest message, which stays in memory
+// for the window, may be repeated for minutes, so that no stored one comes back before the kill.
 func TestAStoredMessageThatMayHaveRunDoesNotRunOnceItsNumberIsForgotten(t *testing.T) {
-	const count = 20
+	const (
+		endpoints = 10
+		count     = 2 * endpoints // a new endpoint gets two calls at once
+	)
 	t.Parallel()
-	s := newScene(t, 1).write("disk = \"8MiB\"\nwindow = 1\nbehind = 20")
-	s.all(func(c standin.Call) standin.Reply { return s.record.fail(c, standin.Reply{Status: 500}) })
+	s := newScene(t, endpoints)
+	s.oneDestination = true
+	s.write("disk = \"8MiB\"\nwindow = 1\nbehind = 20")
+	failures := newHeldFailures(s.record, count)
+	s.all(failures.serve)
 	s.start()
-	for i := range count {
-		require.Equal(t, "+OK", s.put(s.client(), message{typ: "ticket", destination: 1, key: 1 + i}))
+	all := []message{{typ: "status", destination: 1, key: 1}}
+	for i := 1; i < count; i++ {
+		all = append(all, message{typ: "ticket", destination: 1, key: 1 + i})
 	}
+	s.putAll(all)
 	var out string
 	require.Eventually(t, func() bool {
 		out, _ = spanflow("backlog", "list", "-c", s.file, "--json", "--state", "may-have-run")
 		return out != ""
-	}, time.Minute, 20*time.Millisecond)
+	}, 10*time.Second, 20*time.Millisecond, "%v", failures)
 	s.kill()
 	time.Sleep(sceneMemory + 2*time.Second)
 	s.all(s.record.deliver)
--- a/cmd/spanflowctl/backlog_scene_test.go
+++ b/cmd/spanflowctl/backlog_scene_test.go
@@ -78,11 +78,13 @@
 	listen  string
 	ledger  string // its space
 	ear     *standin.Discovery
-	targets []*standin.Target // of destinations 1, 2, ...
+	targets []*standin.Target // of destinations 1, 2, ..., or all of destination 1
 	cmd     *exec.Cmd
 	log     *standin.Log
 	ended   chan error
 	record  *record
+
+	oneDestination bool // all targets are of destination 1
 }
 
 func newScene(t *testing.T, destinations int) *scene {
@@ -123,7 +125,11 @@
 	var text strings.Builder
 	fmt.Fprintf(&text, sceneForm, s.ledger, s.ear.Addr, s.listen)
 	for i, target := range s.targets {
-		fmt.Fprintf(&text, "[[targets]]\nuid = \"t%d\"\naddress = %q\nzone = \"a\"\ndest = %d\n", i+1, target.Addr, i+1)
+		destination := i + 1
+		if s.oneDestination {
+			destination = 1
+		}
+		fmt.Fprintf(&text, "[[targets]]\nuid = \"t%d\"\naddress = %q\nzone = \"a\"\ndest = %d\n", i+1, target.Addr, destination)
 	}
 	fmt.Fprintf(&text, "[backlog]\nfolder = \"stored\"\n%s\n", backlog)
 	require.NoError(s.t, os.WriteFile(s.file+".new", []byte(text.String()), 0o600))
