--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -37,11 +37,11 @@
 
 // Breach is a rule broken, with the document's history.
 type Breach struct {
-	Rule    Rule
-	At      float64
-	Doc     uint64
-	What    string
-	History []string
+	Rule    Rule     `json:"Rule"`
+	At      float64  `json:"At"`
+	Doc     uint64   `json:"Doc"`
+	What    string   `json:"What"`
+	History []string `json:"History"`
 }
 
 // Doc is what a client knows of one document.
