--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"spanflow/internal/wire"
+	"spanflow/internal/simproto"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simproto.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/cmd/spanlab/main.go
+++ b/cmd/spanflow-lab/main.go
@@ -7,11 +7,11 @@
 	"os/signal"
 	"syscall"
 
-	"spanflow/lab/command"
+	"spanflow/lab/commands"
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	os.Exit(command.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
+	os.Exit(commands.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
--- a/cmd/spanflow/daily_test.go
+++ b/cmd/spanflow/daily_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // Stories of the operators' days: their address, upgrades beside a running process, drains, bans and figures.
@@ -37,7 +37,7 @@
 // process is one forwarder of a stage started with an operators' address and perhaps a handed-down socket.
 type process struct {
 	cmd   *exec.Cmd
-	log   *standin.Log
+	log   *emulator.Log
 	admin string
 	ended chan error
 }
@@ -45,7 +45,7 @@
 // launch starts a forwarder of the stage with an operators' address of its own; socket, if not nil, is handed down.
 func (s *stage) launch(socket *os.File) *process {
 	s.t.Helper()
-	p := &process{log: standin.NewLog(), admin: freeAddress(s.t), ended: make(chan error, 1)}
+	p := &process{log: emulator.NewLog(), admin: freeAddress(s.t), ended: make(chan error, 1)}
 	p.cmd = exec.Command(program)
 	p.cmd.Env, p.cmd.Stderr = append(os.Environ(), append(s.order(), "PROXY_ADMIN="+p.admin)...), p.log
 	if socket != nil {
@@ -123,11 +123,11 @@
 	s := newStage(t, "single")
 	hold := make(chan struct{})
 	var once sync.Once
-	s.target.Do(func(c standin.Call) standin.Reply {
+	s.target.Do(func(c emulator.Call) emulator.Reply {
 		if c.ID == "d5" { // out while the first process is told to stop
-			return standin.Reply{Hold: hold}
+			return emulator.Reply{Hold: hold}
 		}
-		return standin.Reply{}
+		return emulator.Reply{}
 	})
 	socket := s.handedDown()
 	first := s.launch(socket)
@@ -136,7 +136,7 @@
 	sent := 0
 	put := func(n int) {
 		for range n {
-			c, err := standin.NewClient(s.listen)
+			c, err := emulator.NewClient(s.listen)
 			require.NoError(t, err)
 			got, err := c.Put(zero, fmt.Sprint("d", sent), "c=status,d=8000,dest=7", "b")
 			require.NoError(t, err)
@@ -184,7 +184,7 @@
 		{connected, "3", "PROXY_INHERITED_FD: descriptor 3 is a socket that does not listen"},
 		{nil, "199", "PROXY_INHERITED_FD: descriptor 199 is not a socket: bad file descriptor"},
 		{nil, "three", "PROXY_INHERITED_FD"}} {
-		log := standin.NewLog()
+		log := emulator.NewLog()
 		cmd := exec.Command(program)
 		cmd.Env, cmd.Stderr = append(os.Environ(), append(s.order(), "PROXY_INHERITED_FD="+x.value)...), log
 		if x.file != nil {
@@ -204,14 +204,14 @@
 	_, text, _ := strings.Cut(p.log.Await(t, `"message":"ready"`), `"listen":"`)
 	s.listen, _, _ = strings.Cut(text, `"`)
 	idle, midway := s.client(), s.client()
-	raw := standin.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", "body")
+	raw := emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", "body")
 	midway.Write([]byte(raw[:25]))
-	s.say(s.client(), standin.Command("PING"), "+PONG") // the piece has been read by now
+	s.say(s.client(), emulator.Command("PING"), "+PONG") // the piece has been read by now
 	code, said := ask(t, p.admin, "POST", "/_lameduck/on")
 	require.Equal(t, http.StatusOK, code, said)
-	asker, err := standin.NewClient(s.listen)
+	asker, err := emulator.NewClient(s.listen)
 	require.NoError(t, err)
-	s.say(asker, standin.Command("PING"), "-ERR lameduck: this forwarder is being emptied")
+	s.say(asker, emulator.Command("PING"), "-ERR lameduck: this forwarder is being emptied")
 	_, err = idle.Hear()
 	require.ErrorIs(t, err, io.EOF, "an idle client is let go")
 	s.say(midway, raw[25:], "+OK")
@@ -222,7 +222,7 @@
 	require.Equal(t, http.StatusOK, code, said)
 	c := s.client() // says +PONG
 	s.put(c, zero, "d2", "c=status,d=8000,dest=7", "+OK")
-	s.say(c, standin.Command("PING"), "+PONG") // and keeps its connection
+	s.say(c, emulator.Command("PING"), "+PONG") // and keeps its connection
 }
 
 // upgrade starts a second process on the same handed-down socket, waits for its yes and tells the first to stop; meanwhile
@@ -330,11 +330,11 @@
 func TestAWaitToldBeforeAnUpgradeIsHeededAfterIt(t *testing.T) {
 	s := newStage(t, "single")
 	var told atomic.Int64
-	s.target.Do(func(c standin.Call) standin.Reply {
+	s.target.Do(func(c emulator.Call) emulator.Reply {
 		if c.ID == "d1" && told.CompareAndSwap(0, time.Now().UnixNano()) {
-			return standin.Reply{Status: 429, Fields: map[string]string{"Retry-After": "3"}}
+			return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": "3"}}
 		}
-		return standin.Reply{}
+		return emulator.Reply{}
 	})
 	socket := s.handedDown()
 	first := s.launch(socket)
--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // Stories of many forwarders at once: what is harmless in one may be harmful in all.
@@ -48,16 +48,16 @@
 	hold := make(chan struct{})
 	var mu sync.Mutex
 	came, delivered := map[string]int{}, map[string]int{}
-	s.target.Do(func(c standin.Call) standin.Reply {
+	s.target.Do(func(c emulator.Call) emulator.Reply {
 		mu.Lock()
 		defer mu.Unlock()
 		came[c.ID]++
 		select {
 		case <-hold:
 			delivered[c.ID]++
-			return standin.Reply{}
+			return emulator.Reply{}
 		default:
-			return standin.Reply{Hold: hold} // whoever asked has gone by then, or hears it
+			return emulator.Reply{Hold: hold} // whoever asked has gone by then, or hears it
 		}
 	})
 	fleet := s.fleet(10)
--- a/cmd/spanflow/main.go
+++ b/cmd/spanflow/main.go
@@ -12,7 +12,7 @@
 	"path/filepath"
 	"syscall"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 )
 
 func main() {
@@ -33,12 +33,12 @@
 	defer stop()
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	order, err := forward.FromEnvironment(os.Getenv)
+	order, err := forwarder.FromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
 	order.Confine()
-	return forward.Run(ctx, order, again, os.Stderr, nil)
+	return forwarder.Run(ctx, order, again, os.Stderr, nil)
 }
 
 // become puts another program of the same build in this one's place, with its arguments.
--- a/cmd/spanflow/main_test.go
+++ b/cmd/spanflow/main_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // The tests start the built program and speak to it over sockets.
@@ -55,8 +55,8 @@
 // stage is a forwarder with those around it.
 type stage struct {
 	t         *testing.T
-	discovery *standin.Discovery
-	target    *standin.Target
+	discovery *emulator.Discovery
+	target    *emulator.Target
 	folder    string
 	file      string
 	listen    string
@@ -66,7 +66,7 @@
 	moved     []string // pairs: what the settings say, and what they say instead
 	socket    *os.File // of the clients, handed down
 	cmd       *exec.Cmd
-	log       *standin.Log
+	log       *emulator.Log
 	ended     chan error
 }
 
@@ -78,10 +78,10 @@
 func newStage(t *testing.T, kind string) *stage {
 	s := &stage{t: t, folder: t.TempDir(), room: 100, diskMB: 3, sockets: 256}
 	var err error
-	s.target, err = standin.NewTarget("", nil)
+	s.target, err = emulator.NewTarget("", nil)
 	require.NoError(t, err)
-	s.discovery, err = standin.NewDiscovery("", standin.Entry{UID: "s1", Endpoint: s.target.Addr, Zone: "a", Kind: kind, Dest: 7, State: "active"},
-		standin.Entry{UID: "s0", Endpoint: "127.0.0.1:9", Zone: "a", Kind: kind, Dest: 9, State: "leaving"})
+	s.discovery, err = emulator.NewDiscovery("", emulator.Entry{UID: "s1", Endpoint: s.target.Addr, Zone: "a", Kind: kind, Dest: 7, State: "active"},
+		emulator.Entry{UID: "s0", Endpoint: "127.0.0.1:9", Zone: "a", Kind: kind, Dest: 9, State: "leaving"})
 	require.NoError(t, err)
 	return s
 }
@@ -97,9 +97,9 @@
 	return []string{"PROXY_CONFIG=" + s.file, "PROXY_STATE=" + s.folder, "PROXY_DISCOVERY=" + s.discovery.Addr}
 }
 
-func (s *stage) start() *standin.Client {
+func (s *stage) start() *emulator.Client {
 	s.t.Helper()
-	s.log = standin.NewLog()
+	s.log = emulator.NewLog()
 	s.cmd = exec.Command(program)
 	s.cmd.Env, s.cmd.Stderr = append(os.Environ(), s.order()...), s.log
 	require.NoError(s.t, s.cmd.Start())
@@ -113,23 +113,23 @@
 	return s.client()
 }
 
-func (s *stage) client() *standin.Client {
-	c, err := standin.NewClient(s.listen)
+func (s *stage) client() *emulator.Client {
+	c, err := emulator.NewClient(s.listen)
 	require.NoError(s.t, err)
-	s.say(c, standin.Command("PING"), "+PONG")
+	s.say(c, emulator.Command("PING"), "+PONG")
 	return c
 }
 
-func (s *stage) say(c *standin.Client, raw, want string) {
+func (s *stage) say(c *emulator.Client, raw, want string) {
 	s.t.Helper()
 	got, err := c.Say(raw)
 	require.NoError(s.t, err)
 	require.Equal(s.t, want, got)
 }
 
-func (s *stage) put(c *standin.Client, key, id, names, want string) {
+func (s *stage) put(c *emulator.Client, key, id, names, want string) {
 	s.t.Helper()
-	s.say(c, standin.Command("MSG.PUT", key, id, names, "body of "+id), want)
+	s.say(c, emulator.Command("MSG.PUT", key, id, names, "body of "+id), want)
 }
 
 func (s *stage) kill() {
@@ -137,7 +137,7 @@
 	<-s.ended
 }
 
-func (s *stage) call() standin.Call {
+func (s *stage) call() emulator.Call {
 	s.t.Helper()
 	select {
 	case c := <-s.target.Calls:
@@ -148,7 +148,7 @@
 	panic("unreachable")
 }
 
-func (s *stage) notice() standin.Notice {
+func (s *stage) notice() emulator.Notice {
 	s.t.Helper()
 	select {
 	case n := <-s.discovery.Notices:
@@ -165,8 +165,8 @@
 	s := newStage(t, "single")
 	c := s.start()
 	body := "any\x00bytes\r\n\xff" + strings.Repeat("x", 60<<10)
-	s.say(c, standin.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", body), "+OK")
-	require.Equal(t, standin.Call{Target: s.target.Addr, ID: "d1", IDs: []string{"d1"}, Body: body, Path: "/hook"}, s.call())
+	s.say(c, emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", body), "+OK")
+	require.Equal(t, emulator.Call{Target: s.target.Addr, ID: "d1", IDs: []string{"d1"}, Body: body, Path: "/hook"}, s.call())
 	s.put(c, "5", "d2", "c=ticket,d=8000,dest=7,k=m2,r=1,again=1", "+OK")
 	require.Equal(t, "m2", s.call().Mark)
 }
@@ -174,10 +174,10 @@
 func TestCommandsMayComeInPiecesOrSeveralAtOnce(t *testing.T) {
 	s := newStage(t, "single")
 	c := s.start()
-	raw := standin.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", "b")
+	raw := emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", "b")
 	c.Write([]byte(raw[:20]))
-	s.say(s.client(), standin.Command("PING"), "+PONG") // the piece has been read by now
-	s.say(c, raw[20:]+standin.Command("PING")+standin.Command("NONSENSE"), "+OK")
+	s.say(s.client(), emulator.Command("PING"), "+PONG") // the piece has been read by now
+	s.say(c, raw[20:]+emulator.Command("PING")+emulator.Command("NONSENSE"), "+OK")
 	for _, want := range []string{"+PONG", "-ERR unknown command"} {
 		got, err := c.Hear()
 		require.NoError(t, err)
@@ -217,9 +217,9 @@
 	for range 30 {
 		s.client()
 	}
-	var fresh []*standin.Client
+	var fresh []*emulator.Client
 	for range 3 {
-		c, err := standin.NewClient(s.listen)
+		c, err := emulator.NewClient(s.listen)
 		require.NoError(t, err)
 		fresh = append(fresh, c)
 	}
@@ -235,9 +235,9 @@
 func TestThoseWhoSayNothingAreClosedAndLeaveRoom(t *testing.T) {
 	s := newStage(t, "single")
 	s.start()
-	var silent []*standin.Client
+	var silent []*emulator.Client
 	for i := range 150 {
-		q, err := standin.NewClient(s.listen)
+		q, err := emulator.NewClient(s.listen)
 		require.NoError(t, err)
 		if i == 149 {
 			q.Write([]byte("*5\r\n$7\r\nMSG"))
@@ -262,7 +262,7 @@
 func TestANewOrderMovesToAnotherDiscoveryAndDisturbsNothing(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	s.discovery.Deaf(true)
 	c := s.start()
 	s.put(c, zero, "out", "c=status,d=8000,dest=7", "+OK")
@@ -275,7 +275,7 @@
 		require.NoError(t, os.WriteFile(s.file, []byte(bad), 0o600))
 		s.again("order not taken up")
 	}
-	second, err := standin.NewDiscovery("", standin.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	second, err := emulator.NewDiscovery("", emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(s.file, []byte(strings.Replace(string(text), s.discovery.Addr, second.Addr, 1)), 0o600))
 	s.again("order taken up")
@@ -299,7 +299,7 @@
 func TestSeveralDocumentsTravelAsOneCallWithAnEndForEach(t *testing.T) {
 	s := newStage(t, "several")
 	hold := make(chan struct{})
-	s.target.Do(func(c standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(c emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := s.start()
 	var first []string
 	for i := range 2 { // both places of the target are taken
@@ -309,11 +309,11 @@
 	for i := range 3 {
 		s.put(c, zero, fmt.Sprint("e", i), "c=status,d=8000,dest=7", "+OK")
 	}
-	s.target.Do(func(c standin.Call) standin.Reply {
+	s.target.Do(func(c emulator.Call) emulator.Reply {
 		if len(c.IDs) < 3 {
-			return standin.Reply{}
+			return emulator.Reply{}
 		}
-		return standin.Reply{Body: `[{"id":"e0","state":"ok"},{"id":"e1","state":"later"},{"id":"e2","state":"gone"}]`}
+		return emulator.Reply{Body: `[{"id":"e0","state":"ok"},{"id":"e1","state":"later"},{"id":"e2","state":"gone"}]`}
 	})
 	close(hold)
 	require.Equal(t, []string{"d0", "d1"}, first)
@@ -323,14 +323,14 @@
 
 func TestWhatIsNotDeliveredEndsByANoticeSentUntilItIsAnswered(t *testing.T) {
 	s := newStage(t, "single")
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Break: true} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Break: true} })
 	s.discovery.Deaf(true)
 	c := s.start()
 	s.put(c, zero, "p1", "c=payment,d=8000,dest=7", "+OK") // it may have run and must not run twice
 	s.call()
 	s.await("notices not answered")
 	s.discovery.Deaf(false)
-	require.Equal(t, standin.Notice{ID: "p1", State: "failed"}, s.notice())
+	require.Equal(t, emulator.Notice{ID: "p1", State: "failed"}, s.notice())
 	s.put(c, zero, "s1", "c=status,d=300,dest=9", "+OK") // a destination whose only target is leaving
 	n := s.notice()
 	require.Equal(t, "returned", n.State)
@@ -339,7 +339,7 @@
 
 func TestAFullRoomAndAFullLedgerAreRefusals(t *testing.T) {
 	s := newStage(t, "single")
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: make(chan struct{})} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: make(chan struct{})} })
 	s.room, s.diskMB = 20, 1
 	c := s.start()
 	big, answers := strings.Repeat("x", 60<<10), map[string]int{}
@@ -365,7 +365,7 @@
 	s := newStage(t, "single")
 	s.sockets = 64 // clients get two thirds of what the program's own files leave
 	first := s.start()
-	var last *standin.Client
+	var last *emulator.Client
 	for range 40 {
 		last = s.client()
 	}
@@ -380,11 +380,11 @@
 func TestAKilledForwarderOwesWhatItHadTakenOn(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
-	s.target.Do(func(c standin.Call) standin.Reply {
+	s.target.Do(func(c emulator.Call) emulator.Reply {
 		if c.ID == "done" {
-			return standin.Reply{}
+			return emulator.Reply{}
 		}
-		return standin.Reply{Hold: hold}
+		return emulator.Reply{Hold: hold}
 	})
 	c := s.start()
 	s.put(c, zero, "done", "c=status,d=20000,dest=7", "+OK")
@@ -397,7 +397,7 @@
 	s.kill()
 	s.target.Do(nil)
 	s.start()
-	require.Equal(t, standin.Notice{ID: "pay", State: "failed"}, s.notice())
+	require.Equal(t, emulator.Notice{ID: "pay", State: "failed"}, s.notice())
 	require.Equal(t, []string{"k1", "k2"}, []string{s.call().ID, s.call().ID})
 	s.stop()
 	require.Empty(t, s.target.Calls)
@@ -415,7 +415,7 @@
 
 func TestAnAnswerThatWasNotHeardIsToldAgainByTheNextProcess(t *testing.T) {
 	s := newStage(t, "single")
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Break: true} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Break: true} })
 	s.discovery.Deaf(true)
 	c := s.start()
 	s.put(c, zero, "p1", "c=payment,d=20000,dest=7", "+OK")
@@ -424,14 +424,14 @@
 	s.kill()
 	s.discovery.Deaf(false)
 	s.start()
-	require.Equal(t, standin.Notice{ID: "p1", State: "failed"}, s.notice())
+	require.Equal(t, emulator.Notice{ID: "p1", State: "failed"}, s.notice())
 	require.Empty(t, s.target.Calls)
 }
 
 func TestAStoppingForwarderServesFinishesAndKeepsTheRest(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
-	s.target.Do(func(c standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(c emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := s.start()
 	s.put(c, zero, "out", "c=status,d=20000,dest=7", "+OK")
 	s.call()
@@ -446,7 +446,7 @@
 	require.Error(t, err, "the client is to go elsewhere")
 	require.NoError(t, <-s.ended)
 	require.True(t, s.log.Has(`"owed":1`), s.log.String())
-	s.discovery.Set(standin.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
 	s.start()
 	require.Equal(t, "far", s.call().ID)
 }
@@ -464,7 +464,7 @@
 	s.stop()
 	s.moved = []string{`"NInstances":1`, `"NInstances":218`, `"CallsOut":8`, `"CallsOut":3,"Decay":"halves"`,
 		`"WeightKind":"silent"`, `"WeightKind":"nominal"`, `"RetryAfter":true`, `"RetryAfter":false,"SecondCopies":true`}
-	s.discovery.Set(standin.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
 	c = s.start()
 	s.await("learnt figures taken up")
 	began := time.Now()
@@ -483,7 +483,7 @@
 	s := newStage(t, "single")
 	c := s.start()
 	s.put(c, zero, "d1", "c=status,d=20000,dest=9", "+OK")
-	s.discovery.Set(standin.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
 	require.Equal(t, "d1", s.call().ID)
 }
 
@@ -503,7 +503,7 @@
 	s.kill()
 	s.discovery.Addr = up
 	s.start()
-	require.Equal(t, standin.Notice{ID: "d2", State: "returned", AfterMs: 2000}, s.notice())
+	require.Equal(t, emulator.Notice{ID: "d2", State: "returned", AfterMs: 2000}, s.notice())
 }
 
 func TestAWrongOrderIsOnePlainLineBeforeAnythingListens(t *testing.T) {
@@ -530,7 +530,7 @@
 	calls  int
 }
 
-func (w *witness) call(c standin.Call) standin.Reply {
+func (w *witness) call(c emulator.Call) emulator.Reply {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls++
@@ -548,19 +548,19 @@
 	}
 	switch w.dice.IntN(12) {
 	case 0:
-		return standin.Reply{Status: 429, Fields: map[string]string{"Retry-After": "0.05"}}
+		return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": "0.05"}}
 	case 1:
 		w.ran(c, false)
-		return standin.Reply{Status: 500}
+		return emulator.Reply{Status: 500}
 	case 2:
 		w.ran(c, false)
-		return standin.Reply{Break: true}
+		return emulator.Reply{Break: true}
 	}
 	w.ran(c, true)
-	return standin.Reply{}
+	return emulator.Reply{}
 }
 
-func (w *witness) ran(c standin.Call, over bool) {
+func (w *witness) ran(c emulator.Call, over bool) {
 	for _, id := range c.IDs {
 		w.mayRun[id] = true
 		w.over[id] = w.over[id] || over
@@ -571,7 +571,7 @@
 	s := newStage(t, "several")
 	w := &witness{dice: rand.New(rand.NewPCG(3, 4)), over: map[string]bool{}, mayRun: map[string]bool{}}
 	s.target.Do(w.call)
-	s.discovery.Hear = func(n standin.Notice) {
+	s.discovery.Hear = func(n emulator.Notice) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.over[n.ID] = true
--- a/cmd/spanflow/restart_test.go
+++ b/cmd/spanflow/restart_test.go
@@ -7,13 +7,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 func TestWhatARestartFindsUntriedIsCalledAndCounted(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := s.start()
 	ids := map[string]bool{}
 	for i := range 20 { // of these some are out, and the others wait behind them
@@ -39,8 +39,8 @@
 
 func TestARestartEndsTheWaits(t *testing.T) {
 	s := newStage(t, "single")
-	s.target.Do(func(standin.Call) standin.Reply {
-		return standin.Reply{Status: 429, Fields: map[string]string{"Retry-After": "3600"}}
+	s.target.Do(func(emulator.Call) emulator.Reply {
+		return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": "3600"}}
 	})
 	c := s.start()
 	s.put(c, zero, "told", "c=status,d=20000,dest=7", "+OK")
@@ -49,7 +49,7 @@
 	s.put(c, zero, "untried", "c=status,d=20000,dest=9", "+OK") // it has no target yet
 	require.NoError(t, <-s.ended)
 	require.True(t, strings.Contains(s.log.String(), `"owed":`))
-	s.discovery.Set(standin.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
 	s.target.Do(nil)
 	s.start()
 	for s.call().ID != "untried" {
@@ -62,7 +62,7 @@
 func TestSignalsOneUponTheOtherStopTheProcessOnceAndLoseNothing(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := s.start()
 	s.put(c, zero, "out", "c=status,d=20000,dest=7", "+OK")
 	require.Equal(t, "out", s.call().ID)
--- a/cmd/spanflow/stall_test.go
+++ b/cmd/spanflow/stall_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // standstill is how long the forwarder is held: longer than any of its calls may take, shorter than most messages live.
@@ -25,13 +25,13 @@
 	notices map[string][]string
 }
 
-func (r *records) called(call standin.Call) {
+func (r *records) called(call emulator.Call) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls[call.ID]++
 }
 
-func (r *records) noticed(n standin.Notice) {
+func (r *records) noticed(n emulator.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.notices[n.ID] = append(r.notices[n.ID], n.State)
@@ -66,14 +66,14 @@
 	s.moved = []string{`"CallsOut":8`, `"CallsOut":4`}
 	destinations := []int{7, 10, 11, 12}
 	for _, dest := range destinations[1:] {
-		s.discovery.Set(standin.Entry{UID: fmt.Sprint("s", dest), Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: dest, State: "active"})
+		s.discovery.Set(emulator.Entry{UID: fmt.Sprint("s", dest), Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: dest, State: "active"})
 	}
 	r := &records{calls: map[string]int{}, notices: map[string][]string{}}
 	s.discovery.Hear = r.noticed
 	hold := make(chan struct{})
-	held := func(call standin.Call) standin.Reply {
+	held := func(call emulator.Call) emulator.Reply {
 		r.called(call)
-		return standin.Reply{Hold: hold}
+		return emulator.Reply{Hold: hold}
 	}
 	s.target.Do(held)
 	c := s.start()
@@ -103,12 +103,12 @@
 	process := s.cmd.Process
 	require.NoError(t, process.Signal(syscall.SIGSTOP))
 	require.Eventually(t, func() bool { return stopped(t, process.Pid) }, 10*time.Second, time.Millisecond)
-	s.target.Do(func(call standin.Call) standin.Reply {
+	s.target.Do(func(call emulator.Call) emulator.Reply {
 		r.called(call)
-		return standin.Reply{}
+		return emulator.Reply{}
 	})
 	close(hold) // the four are answered
-	_, err := c.Write([]byte(standin.Command("MSG.PUT", zero, "meanwhile", "c=status,d=20000,dest=7", "body")))
+	_, err := c.Write([]byte(emulator.Command("MSG.PUT", zero, "meanwhile", "c=status,d=20000,dest=7", "body")))
 	require.NoError(t, err)
 	time.Sleep(standstill)
 	require.True(t, stopped(t, process.Pid))
--- a/cmd/spanflowctl/backlog_cases_test.go
+++ b/cmd/spanflowctl/backlog_cases_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/backlog"
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // The larger sizes of these tests are asked for by the environment.
@@ -39,7 +39,7 @@
 // load hands messages in for one destination, of two tenants with keys of their own and of all types, over connections
 // that are made again when the forwarder is killed, until it is told to end.
 func (s *scene) load(destination int, end <-chan struct{}) {
-	var c *standin.Client
+	var c *emulator.Client
 	for round := 0; ; round++ {
 		for i, m := range []message{{typ: "status", key: 1}, {typ: "ticket", key: 2}, {typ: "status", key: 3}, {typ: "payment"}} {
 			if i < 3 {
@@ -59,7 +59,7 @@
 				case <-time.After(2 * time.Millisecond):
 				}
 				if c == nil {
-					if c, _ = standin.NewClient(s.listen); c == nil {
+					if c, _ = emulator.NewClient(s.listen); c == nil {
 						continue
 					}
 				}
@@ -79,12 +79,12 @@
 
 // outages has each destination go down and return at random, in different ways, until it is told to end.
 func (s *scene) outages(dice *rand.Rand, end <-chan struct{}) {
-	ways := []func(standin.Call) standin.Reply{
-		func(standin.Call) standin.Reply {
-			return standin.Reply{Status: 429, Fields: map[string]string{"Retry-After": "0.1"}}
+	ways := []func(emulator.Call) emulator.Reply{
+		func(emulator.Call) emulator.Reply {
+			return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": "0.1"}}
 		},
-		func(c standin.Call) standin.Reply { return s.record.fail(c, standin.Reply{Status: 500}) },
-		func(c standin.Call) standin.Reply { return s.record.fail(c, standin.Reply{Break: true}) },
+		func(c emulator.Call) emulator.Reply { return s.record.fail(c, emulator.Reply{Status: 500}) },
+		func(c emulator.Call) emulator.Reply { return s.record.fail(c, emulator.Reply{Break: true}) },
 		s.record.deliver,
 		s.record.deliver,
 	}
@@ -251,7 +251,7 @@
 	onTheWay    = toldWait / 2 // calls that were out when the wait was told have come by then
 )
 
-func (l *limited) serve(c standin.Call) standin.Reply {
+func (l *limited) serve(c emulator.Call) emulator.Reply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -267,7 +267,7 @@
 			l.waits++
 		}
 		left := strconv.FormatFloat(l.until.Sub(now).Seconds(), 'f', 3, 64)
-		return standin.Reply{Status: 429, Fields: map[string]string{"Retry-After": left}}
+		return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": left}}
 	}
 	return l.s.record.deliver(c)
 }
@@ -402,7 +402,7 @@
 }
 
 // full hands messages in until one is turned away, and gives how many were taken.
-func (s *scene) full(c *standin.Client, m message, most int) (taken int, answer string) {
+func (s *scene) full(c *emulator.Client, m message, most int) (taken int, answer string) {
 	for ; taken < most; taken++ {
 		m.number++
 		if answer = s.put(c, m); answer != "+OK" {
@@ -544,7 +544,7 @@
 	return &heldFailures{record: r, all: all, answer: make(chan struct{}), came: map[string]bool{}}
 }
 
-func (h *heldFailures) serve(c standin.Call) standin.Reply {
+func (h *heldFailures) serve(c emulator.Call) emulator.Reply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if before := len(h.came); before < h.all {
@@ -552,7 +552,7 @@
 			close(h.answer)
 		}
 	}
-	return h.record.fail(c, standin.Reply{Status: 500, Hold: h.answer})
+	return h.record.fail(c, emulator.Reply{Status: 500, Hold: h.answer})
 }
 
 func (h *heldFailures) String() string {
--- a/cmd/spanflowctl/backlog_scene_test.go
+++ b/cmd/spanflowctl/backlog_scene_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 const (
@@ -77,10 +77,10 @@
 	file    string
 	listen  string
 	ledger  string // its space
-	ear     *standin.Discovery
-	targets []*standin.Target // of destinations 1, 2, ..., or all of destination 1
+	ear     *emulator.Discovery
+	targets []*emulator.Target // of destinations 1, 2, ..., or all of destination 1
 	cmd     *exec.Cmd
-	log     *standin.Log
+	log     *emulator.Log
 	ended   chan error
 	record  *record
 
@@ -91,12 +91,12 @@
 	folder := t.TempDir()
 	s := &scene{t: t, folder: folder, file: filepath.Join(folder, "c.toml"), listen: address(t), ledger: "8MB", record: newRecord()}
 	var err error
-	s.ear, err = standin.NewDiscovery("")
+	s.ear, err = emulator.NewDiscovery("")
 	require.NoError(t, err)
 	s.ear.Hear = s.record.notice
 	go drop(s.ear.Notices)
 	for range destinations {
-		target, err := standin.NewTarget("", s.record.deliver)
+		target, err := emulator.NewTarget("", s.record.deliver)
 		require.NoError(t, err)
 		go drop(target.Calls)
 		s.targets = append(s.targets, target)
@@ -139,7 +139,7 @@
 
 func (s *scene) start() {
 	s.t.Helper()
-	s.log = standin.NewLog()
+	s.log = emulator.NewLog()
 	cmd := exec.Command(filepath.Join(dir, "spanflow"), "run", "--config", s.file)
 	cmd.Stderr = s.log
 	require.NoError(s.t, cmd.Start())
@@ -176,25 +176,25 @@
 func (s *scene) stored() string { return filepath.Join(s.folder, "stored") }
 
 // all alters what all targets do.
-func (s *scene) all(how func(standin.Call) standin.Reply) {
+func (s *scene) all(how func(emulator.Call) emulator.Reply) {
 	for _, target := range s.targets {
 		target.Do(how)
 	}
 }
 
 // refuse turns a call away unseen.
-func refuse(standin.Call) standin.Reply { return standin.Reply{Status: 503} }
+func refuse(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} }
 
-func (s *scene) client() *standin.Client {
+func (s *scene) client() *emulator.Client {
 	s.t.Helper()
-	c, err := standin.NewClient(s.listen)
+	c, err := emulator.NewClient(s.listen)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
 	return c
 }
 
 // put hands a message in over a connection and notes it as taken if it is.
-func (s *scene) put(c *standin.Client, m message) string {
+func (s *scene) put(c *emulator.Client, m message) string {
 	s.t.Helper()
 	answer, err := c.Say(m.command())
 	require.NoError(s.t, err)
@@ -266,7 +266,7 @@
 	if body == "" {
 		body = "hello"
 	}
-	return standin.Command("MSG.PUT", fmt.Sprintf("%016x", m.key), m.id(), names, body)
+	return emulator.Command("MSG.PUT", fmt.Sprintf("%016x", m.key), m.id(), names, body)
 }
 
 // course is what is known of one message.
@@ -319,7 +319,7 @@
 }
 
 // effect notes that a call runs. Nothing earlier of its key, as far as its client knows it as taken, may be open.
-func (r *record) effect(c standin.Call, delivered bool) {
+func (r *record) effect(c emulator.Call, delivered bool) {
 	r.calls++
 	key, number := r.place(c.ID)
 	for all := r.keys[key]; r.done[key] < len(all) && all[r.done[key]].over(); {
@@ -353,22 +353,22 @@
 	return key, number
 }
 
-func (r *record) deliver(c standin.Call) standin.Reply {
+func (r *record) deliver(c emulator.Call) emulator.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.effect(c, true)
-	return standin.Reply{}
+	return emulator.Reply{}
 }
 
 // fail runs a call and answers with an error or not at all.
-func (r *record) fail(c standin.Call, reply standin.Reply) standin.Reply {
+func (r *record) fail(c emulator.Call, reply emulator.Reply) emulator.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.effect(c, false)
 	return reply
 }
 
-func (r *record) notice(n standin.Notice) {
+func (r *record) notice(n emulator.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.course(n.ID)
--- a/cmd/spanflowctl/backlog_test.go
+++ b/cmd/spanflowctl/backlog_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/backlog"
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // The store of a running process is looked at by another one.
@@ -60,7 +60,7 @@
 	s.write("[backlog]\nfolder = \"stored\"\nwindow = 2\nbehind = 4\n")
 	s.start()
 	hold := make(chan struct{})
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	const documents = 30
 	for i := range documents {
 		s.put(fmt.Sprintf("a%02d", i), fmt.Sprintf("c=ticket,k=%d,d=20000,dest=7", i))
--- a/cmd/spanflowctl/main.go
+++ b/cmd/spanflowctl/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"spanflow/internal/command"
+	"spanflow/internal/commands"
 )
 
-func main() { os.Exit(command.Main(os.Args[1:], os.Environ(), os.Stdout, os.Stderr)) }
+func main() { os.Exit(commands.Main(os.Args[1:], os.Environ(), os.Stdout, os.Stderr)) }
--- a/cmd/spanflowctl/main_test.go
+++ b/cmd/spanflowctl/main_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // The tests start the built programs, spanflow with spanflowctl beside it, and speak to them over sockets.
@@ -80,10 +80,10 @@
 	t      *testing.T
 	file   string
 	listen string
-	ear    *standin.Discovery
-	target *standin.Target
+	ear    *emulator.Discovery
+	target *emulator.Target
 	cmd    *exec.Cmd
-	log    *standin.Log
+	log    *emulator.Log
 	ended  chan error
 }
 
@@ -102,9 +102,9 @@
 func newStage(t *testing.T) *stage {
 	s := &stage{t: t, file: filepath.Join(t.TempDir(), "c.toml"), listen: free(t)}
 	var err error
-	s.ear, err = standin.NewDiscovery("")
+	s.ear, err = emulator.NewDiscovery("")
 	require.NoError(t, err)
-	s.target, err = standin.NewTarget("", nil)
+	s.target, err = emulator.NewTarget("", nil)
 	require.NoError(t, err)
 	s.write("")
 	return s
@@ -118,7 +118,7 @@
 
 func (s *stage) start(flags ...string) *stage {
 	s.t.Helper()
-	s.log = standin.NewLog()
+	s.log = emulator.NewLog()
 	cmd := exec.Command(filepath.Join(dir, "spanflow"), append([]string{"run", "--config", s.file}, flags...)...)
 	cmd.Stderr = s.log
 	require.NoError(s.t, cmd.Start())
@@ -132,7 +132,7 @@
 
 func (s *stage) put(id, names string) {
 	s.t.Helper()
-	c, err := standin.NewClient(s.listen)
+	c, err := emulator.NewClient(s.listen)
 	require.NoError(s.t, err)
 	defer c.Close()
 	answer, err := c.Put("0000000000000005", id, names, "hello")
@@ -144,7 +144,7 @@
 	s := newStage(t).start()
 	s.put("a", "c=status,d=5000,dest=7")
 	require.Equal(t, "a", (<-s.target.Calls).ID)
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Status: 503} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
 	s.put("b", "c=status,d=500,dest=7")
 	n := <-s.ear.Notices
 	require.Equal(t, []string{"b", "returned"}, []string{n.ID, n.State})
@@ -155,7 +155,7 @@
 func TestASecondProcessOnAFolderIsRefusedAndAKilledOnesIsTakenOver(t *testing.T) {
 	s := newStage(t).start()
 	hold := make(chan struct{})
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	s.put("a", "c=ticket,k=1,d=20000,dest=7")
 	<-s.target.Calls
 	out, code := spanflow("run", "--config", s.file, "--set", "fronts.resp.listen=127.0.0.1:0")
@@ -193,7 +193,7 @@
 
 func TestSIGHUPTakesUpWhatMayChangeAndNothingOfWhatIsWrong(t *testing.T) {
 	s := newStage(t).start()
-	other, err := standin.NewTarget("", nil)
+	other, err := emulator.NewTarget("", nil)
 	require.NoError(t, err)
 	extra := fmt.Sprintf("[[targets]]\nuid = \"t2\"\naddress = %q\ndest = 8\n", other.Addr)
 	s.write(extra + "zone = \"z\"\n")
@@ -212,7 +212,7 @@
 	s := newStage(t).start()
 	hold := make(chan struct{})
 	defer close(hold)
-	s.target.Do(func(standin.Call) standin.Reply { return standin.Reply{Hold: hold} })
+	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	s.put("a", "c=status,d=20000,dest=7")
 	s.put("b", "c=status,d=20000,dest=7")
 	out, code := spanflow("ledger", "verify", "-c", s.file)
--- a/example/toy/main.go
+++ b/example/demo/main.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 const (
@@ -44,15 +44,15 @@
 
 // serve plays targets and ear; each document that ends is told to ended, if not nil.
 func serve(ended chan<- string) error {
-	d, err := standin.NewDiscovery(discovery)
+	d, err := emulator.NewDiscovery(discovery)
 	if err != nil {
 		return err
 	}
-	takes, err := standin.NewTarget(good, nil)
+	takes, err := emulator.NewTarget(good, nil)
 	if err != nil {
 		return err
 	}
-	away, err := standin.NewTarget(shut, func(standin.Call) standin.Reply { return standin.Reply{Status: 503} })
+	away, err := emulator.NewTarget(shut, func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
 	if err != nil {
 		return err
 	}
@@ -79,7 +79,7 @@
 }
 
 func handIn(dest, body string) (string, error) {
-	c, err := standin.NewClient(forwarder)
+	c, err := emulator.NewClient(forwarder)
 	if err != nil {
 		return "", err
 	}
@@ -112,7 +112,7 @@
 	gone := make(chan error, 1)
 	go func() { gone <- f.Wait() }()
 	for {
-		if c, err := standin.NewClient(forwarder); err == nil {
+		if c, err := emulator.NewClient(forwarder); err == nil {
 			c.Close()
 			break
 		}
--- a/forward/admin.go
+++ b/forwarder/admin.go
@@ -1,12 +1,12 @@
-package forward
+package forwarder
 
 import (
 	"net/http"
 	"sync/atomic"
 
-	"spanflow/choice"
 	"spanflow/internal/admin"
-	"spanflow/internal/rota"
+	"spanflow/internal/drains"
+	"spanflow/scheduler"
 )
 
 // adminRequests is the operators' way to the owner: their calls are news in the Exchange like any other.
@@ -63,7 +63,7 @@
 		c.reply(admin.Answer{Yes: true, Text: c.Do.String()})
 	case admin.Detach, admin.Attach:
 		t := o.byUID[c.Name]
-		c.reply(o.byHand(c.Call, t != nil && t.line.Standing != choice.Gone))
+		c.reply(o.byHand(c.Call, t != nil && t.line.Standing != scheduler.Gone))
 	}
 }
 
@@ -84,24 +84,24 @@
 // byHand takes a target out or puts it back; listed tells that somebody has it.
 func (o *owner) byHand(c admin.Call, listed bool) admin.Answer {
 	verdict, change := call(o.rota, c, listed)
-	if change == rota.Same {
+	if change == drains.Same {
 		return answerOf(c, verdict)
 	}
 	if err := keepOut(o.order.Folder, o.rota.Kept()); err != nil {
-		o.rota = rota.New(readOut(o.order.Folder))
+		o.rota = drains.New(readOut(o.order.Folder))
 		return notKept(err)
 	}
-	o.log.Info().Str("target", c.Name).Bool("out", change == rota.TakenOut).Int("out_by_hand", o.rota.Len()).Msg("target by hand")
+	o.log.Info().Str("target", c.Name).Bool("out", change == drains.TakenOut).Int("out_by_hand", o.rota.Len()).Msg("target by hand")
 	if t := o.byUID[c.Name]; t != nil {
 		line := t.line
-		line.Standing, line.Cold = o.rota.Standing(t.uid, line.Standing), change == rota.Returned
-		o.f.List(false, []choice.Listing{line}) // before this turn's Settle: nothing new goes to it from here on
+		line.Standing, line.Cold = o.rota.Standing(t.uid, line.Standing), change == drains.Returned
+		o.f.List(false, []scheduler.Listing{line}) // before this turn's Settle: nothing new goes to it from here on
 	}
 	return answerOf(c, verdict)
 }
 
 // call makes a call out or back on a set of targets out by hand.
-func call(r *rota.Rota, c admin.Call, listed bool) (rota.Verdict, rota.Change) {
+func call(r *drains.Rota, c admin.Call, listed bool) (drains.Verdict, drains.Change) {
 	if c.Do == admin.Attach {
 		return r.Attach(c.Name, listed)
 	}
@@ -112,11 +112,11 @@
 	return admin.Answer{Status: http.StatusInternalServerError, Text: "not kept in the folder: " + err.Error()}
 }
 
-func answerOf(c admin.Call, v rota.Verdict) admin.Answer {
+func answerOf(c admin.Call, v drains.Verdict) admin.Answer {
 	switch v {
-	case rota.Yes:
+	case drains.Yes:
 		return admin.Answer{Yes: true, Text: c.Do.String() + " " + c.Name}
-	case rota.Unknown:
+	case drains.Unknown:
 		return admin.Answer{Status: http.StatusNotFound, Text: "name: " + v.String()}
 	}
 	return admin.Answer{Status: http.StatusBadRequest, Text: "name: " + v.String()}
--- a/forward/admission.go
+++ b/forwarder/admission.go
@@ -1,34 +1,34 @@
-package forward
+package forwarder
 
 import (
 	"time"
 
-	"spanflow/choice"
-	"spanflow/internal/ledger"
-	"spanflow/seam"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // asked carries out what a caller wants.
 func (o *owner) asked(a *asked) {
 	switch {
 	case a.Alive && o.lame: // clients are sent elsewhere: their front asks, and takes this for a no
-		a.From.Answer(seam.Reply{Word: seam.Declined, Why: "lameduck: this forwarder is being emptied"})
+		a.From.Answer(transport.Reply{Word: transport.Declined, Why: "lameduck: this forwarder is being emptied"})
 	case a.Alive:
-		a.From.Answer(seam.Reply{Word: seam.Alive})
+		a.From.Answer(transport.Reply{Word: transport.Alive})
 	case a.Paper != nil:
 		reply := o.handedIn(a)
 		o.meter.Asked(a.front.front, reply.Word)
-		if typ, known := o.types[a.Paper.Type]; known && reply.Word == seam.Busy {
+		if typ, known := o.types[a.Paper.Type]; known && reply.Word == transport.Busy {
 			o.figures.count(&o.figures.throttled, typ)
 		}
-		if reply.Word != seam.Taken && !a.From.Gone() {
+		if reply.Word != transport.Taken && !a.From.Gone() {
 			a.From.Answer(reply)
 		}
 	default:
 		if o.mayLog("bad command") {
 			o.log.Warn().Str("answer", a.Why).Msg("bad command")
 		}
-		a.From.Answer(seam.Reply{Word: seam.Malformed, Why: a.Why, Last: a.Last})
+		a.From.Answer(transport.Reply{Word: transport.Malformed, Why: a.Why, Last: a.Last})
 	}
 }
 
@@ -38,10 +38,10 @@
 	mostNames  = 16          // unknown names that get a line
 )
 
-func declined(why string) seam.Reply { return seam.Reply{Word: seam.Declined, Why: why} }
+func declined(why string) transport.Reply { return transport.Reply{Word: transport.Declined, Why: why} }
 
 // handedIn takes a document on, if the module will, and answers its caller then; any other answer it returns.
-func (o *owner) handedIn(a *asked) seam.Reply {
+func (o *owner) handedIn(a *asked) transport.Reply {
 	in := a.Paper
 	typ, known := o.types[in.Type]
 	if !known {
@@ -51,7 +51,7 @@
 		return reply
 	}
 	if a.From.Gone() { // nobody hears the answer: whatever happened to it would count for nothing
-		return seam.Reply{Word: seam.Busy}
+		return transport.Reply{Word: transport.Busy}
 	}
 	e := o.entry(a)
 	left := in.Left - time.Since(in.Came).Seconds()
@@ -61,37 +61,37 @@
 	}
 	if taken, back := o.f.Admit(e.Size(), left); !taken {
 		o.counts.refused++
-		return seam.Reply{Word: seam.Busy, Wait: min(int(back*1000), refuseMost)}
+		return transport.Reply{Word: transport.Busy, Wait: min(int(back*1000), refuseMost)}
 	}
 	if err := o.ledger.Take(e); err != nil {
 		o.logLedgerError(err)
-		return seam.Reply{Word: seam.Busy}
+		return transport.Reply{Word: transport.Busy}
 	}
 	o.take(a, e, typ, left)
-	return seam.Reply{Word: seam.Taken}
+	return transport.Reply{Word: transport.Taken}
 }
 
 // refused tells if a document is turned away for what it says, and with which answer.
-func (o *owner) refused(in *seam.Handed, typ int) (reply seam.Reply, refused bool) {
+func (o *owner) refused(in *transport.Handed, typ int) (reply transport.Reply, refused bool) {
 	_, listed := o.dests[in.Dest]
 	switch {
 	case o.byID[in.ID] != nil || o.recentIDs.has(in.ID) || o.stored.knows(in.ID):
 		return declined("a document with this id was taken on"), true
-	case o.order.Terms.Types[typ].Repeat == choice.Numbered && in.Mark == "":
+	case o.order.Terms.Types[typ].Repeat == scheduler.Numbered && in.Mark == "":
 		return declined("k is missing, by which a repeat is known"), true
 	case !listed && o.heard:
 		return declined("unknown destination"), true
 	case !listed: // the list may be old
-		return seam.Reply{Word: seam.Busy, Wait: int(1000 * min(lateList.Seconds(), o.order.Terms.ComeBackMost))}, true
+		return transport.Reply{Word: transport.Busy, Wait: int(1000 * min(lateList.Seconds(), o.order.Terms.ComeBackMost))}, true
 	}
-	return seam.Reply{}, false
+	return transport.Reply{}, false
 }
 
 // entry is what the ledger keeps of a document.
-func (o *owner) entry(a *asked) *ledger.Entry {
+func (o *owner) entry(a *asked) *wal.Entry {
 	in := a.Paper
-	_, held := a.From.(seam.Holder)
-	return &ledger.Entry{
+	_, held := a.From.(transport.Holder)
+	return &wal.Entry{
 		Key:    in.Key,
 		Dest:   in.Dest,
 		Tenant: index(o.order.Names.Tenants, in.Tenant),
@@ -114,15 +114,15 @@
 }
 
 // take gives the module a document that the ledger has, and answers its caller.
-func (o *owner) take(a *asked, e *ledger.Entry, typ int, left float64) {
+func (o *owner) take(a *asked, e *wal.Entry, typ int, left float64) {
 	in := a.Paper
 	p := o.paper(e, typ)
-	p.holder, _ = a.From.(seam.Holder)
+	p.holder, _ = a.From.(transport.Holder)
 	p.came = in.Came
 	p.doc.Noticed = p.doc.Noticed && p.holder == nil
 	o.f.Take(p.doc, typ, left)
 	o.inMemory(p)
-	if !a.From.Answer(seam.Reply{Word: seam.Taken}) { // not heard: its caller hands it in again under another id
+	if !a.From.Answer(transport.Reply{Word: transport.Taken}) { // not heard: its caller hands it in again under another id
 		o.f.Withdrawn(p.doc)
 		o.recordDone(p)
 		o.removeIfDone(p)
--- a/forward/attempts.go
+++ b/forwarder/attempts.go
@@ -1,15 +1,15 @@
-package forward
+package forwarder
 
 import (
-	"spanflow/choice"
-	"spanflow/seam"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // ended takes in the end of a call.
-func (o *owner) ended(e seam.Ended) {
+func (o *owner) ended(e transport.Ended) {
 	for pass := range 2 { // delivered ones first: the module judges a call by the first end
 		for i, p := range e.Call.Papers {
-			if (e.Ends[i] == seam.Took) == (pass == 0) {
+			if (e.Ends[i] == transport.Took) == (pass == 0) {
 				o.end(p.Door, e.Ends[i], &e)
 			}
 		}
@@ -21,7 +21,7 @@
 }
 
 // end takes in the end of one document's transmission.
-func (o *owner) end(door uint64, end seam.End, e *seam.Ended) {
+func (o *owner) end(door uint64, end transport.End, e *transport.Ended) {
 	o.counts.ends[end]++
 	o.meter.End(end, e.Took)
 	p := o.docs[door]
@@ -35,7 +35,7 @@
 	if end.Written() {
 		o.figures.relayed++
 	}
-	o.f.Ended(p.doc, choice.Ending{Outcome: outcome, Over: over, Took: e.Took.Seconds(), Wait: e.Wait, Most: e.Most,
+	o.f.Ended(p.doc, scheduler.Ending{Outcome: outcome, Over: over, Took: e.Took.Seconds(), Wait: e.Wait, Most: e.Most,
 		Left: e.Left})
 	switch {
 	case over && p.doc.Telling(): // owed until that is heard, so it stays recorded
@@ -51,15 +51,15 @@
 }
 
 // finish records and tells the final answer of a document whose last transmission gave it.
-func (o *owner) finish(p *paper, outcome choice.Outcome) {
+func (o *owner) finish(p *paper, outcome scheduler.Outcome) {
 	o.recordDone(p)
-	final := seam.Abandoned
-	if outcome == choice.Delivered {
-		final = seam.Delivered
+	final := transport.Abandoned
+	if outcome == scheduler.Delivered {
+		final = transport.Delivered
 		o.counts.delivered++
 	}
 	o.final(p, final)
 	if p.holder != nil && !p.withdrawn {
-		p.holder.Tell(seam.Final{Door: p.Door, ID: p.ID, Outcome: final})
+		p.holder.Tell(transport.Final{Door: p.Door, ID: p.ID, Outcome: final})
 	}
 }
--- a/forward/backlog.go
+++ b/forwarder/backlog.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"container/list"
@@ -7,11 +7,11 @@
 	"path/filepath"
 	"time"
 
-	"spanflow/choice"
 	"spanflow/internal/backlog"
 	"spanflow/internal/backlog/policy"
-	"spanflow/internal/ledger"
-	"spanflow/seam"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // Backlog is what an order says of the store in which messages wait for destinations that are out or far behind.
@@ -129,7 +129,7 @@
 }
 
 // backlogLog makes the ledger the log that messages are moved from and to.
-type backlogLog struct{ ledger *ledger.Ledger }
+type backlogLog struct{ ledger *wal.Ledger }
 
 // Restore records a message whole under its number.
 func (l backlogLog) Restore(m *backlog.Message) error { return l.ledger.Restore(entryOf(m)) }
@@ -138,7 +138,7 @@
 func (l backlogLog) Forget(seq uint64) error { return l.ledger.Over(seq) }
 
 // laneOf is the lane of a document.
-func laneOf(e *ledger.Entry) backlog.Lane {
+func laneOf(e *wal.Entry) backlog.Lane {
 	return backlog.Lane{Destination: e.Dest, Tenant: uint32(e.Tenant)}
 }
 
@@ -147,21 +147,21 @@
 }
 
 // laneOfDoc is the lane of a document that the module has.
-func laneOfDoc(d *choice.Doc) backlog.Lane {
+func laneOfDoc(d *scheduler.Doc) backlog.Lane {
 	return backlog.Lane{Destination: d.Dest.Door, Tenant: uint32(d.Tenant)}
 }
 
 // keepsOrder tells if a document's type keeps the order of its key. One of an unknown type counts as of the first, as
 // for the module.
-func (o *owner) keepsOrder(e *ledger.Entry) bool { return o.order.Terms.Types[o.types[e.Type]].InOrder }
+func (o *owner) keepsOrder(e *wal.Entry) bool { return o.order.Terms.Types[o.types[e.Type]].InOrder }
 
 // keyElsewhere tells if a document has to go after one of its ordering key that is stored in another lane.
-func (o *owner) keyElsewhere(e *ledger.Entry) bool {
+func (o *owner) keyElsewhere(e *wal.Entry) bool {
 	return o.keepsOrder(e) && o.stored.store.KeyElsewhere(e.Key, laneOf(e))
 }
 
 // messageOf is what the store keeps of a document.
-func (o *owner) messageOf(e *ledger.Entry, taken time.Time) *backlog.Message {
+func (o *owner) messageOf(e *wal.Entry, taken time.Time) *backlog.Message {
 	return &backlog.Message{
 		Seq:              e.Seq,
 		Lane:             laneOf(e),
@@ -181,8 +181,8 @@
 }
 
 // entryOf is the document that the store kept.
-func entryOf(m *backlog.Message) *ledger.Entry {
-	return &ledger.Entry{
+func entryOf(m *backlog.Message) *wal.Entry {
+	return &wal.Entry{
 		Seq:     m.Seq,
 		Key:     m.Key,
 		Dest:    m.Lane.Destination,
@@ -263,7 +263,7 @@
 }
 
 // noteOutage tells the policy whether a destination answers.
-func (o *owner) noteOutage(d *choice.Destination) {
+func (o *owner) noteOutage(d *scheduler.Destination) {
 	if o.stored != nil {
 		o.stored.policy.Out(d.Door, o.f.Dark(d))
 	}
@@ -271,9 +271,9 @@
 
 // toBacklog decides whether a document that is handed in waits in the store, and stores it. done is false for one that
 // goes to memory.
-func (o *owner) toBacklog(a *asked, e *ledger.Entry, left float64) (reply seam.Reply, done bool) {
+func (o *owner) toBacklog(a *asked, e *wal.Entry, left float64) (reply transport.Reply, done bool) {
 	if o.stored == nil {
-		return seam.Reply{}, false
+		return transport.Reply{}, false
 	}
 	now := time.Now()
 	m := o.messageOf(e, a.Paper.Came)
@@ -283,7 +283,7 @@
 	fits, _ := o.f.Admit(e.Size(), left)
 	decision := o.stored.policy.DecideWithin(policyLane(m.Lane), int64(m.Size()), time.Duration(left*float64(time.Second)), fits, now)
 	if decision.Place == policy.Memory {
-		return seam.Reply{}, false
+		return transport.Reply{}, false
 	}
 	if e.Held && decision.Place == policy.Store { // its caller does not wait for hours
 		decision = o.stored.policy.Refuse(policy.NoBound, int64(m.Size()), now)
@@ -296,10 +296,10 @@
 	}
 	o.counts.taken++
 	o.stored.counts.stored++
-	if !a.From.Answer(seam.Reply{Word: seam.Taken}) { // not heard: its caller hands it in again under another id
+	if !a.From.Answer(transport.Reply{Word: transport.Taken}) { // not heard: its caller hands it in again under another id
 		o.unstore(m)
 	}
-	return seam.Reply{Word: seam.Taken}, true
+	return transport.Reply{Word: transport.Taken}, true
 }
 
 // store stores a new message, or tells that the disk has no room for it.
@@ -325,7 +325,7 @@
 	o.stored.policy.Discarded(policyLane(m.Lane), int64(m.Size()))
 }
 
-func (o *owner) refuseForBacklog(d policy.Decision) seam.Reply {
+func (o *owner) refuseForBacklog(d policy.Decision) transport.Reply {
 	o.counts.refused++
 	o.stored.counts.refused++
 	if o.mayLog("backlog refused") {
@@ -333,7 +333,7 @@
 		o.log.Warn().Stringer("bound", d.Bound).Int("messages", messages).Int64("bytes", bytes).Msg("backlog refused")
 	}
 	wait := min(d.RetryAfter.Seconds(), o.order.Terms.ComeBackMost)
-	return seam.Reply{Word: seam.Busy, Wait: min(int(wait*1000), refuseMost)}
+	return transport.Reply{Word: transport.Busy, Wait: min(int(wait*1000), refuseMost)}
 }
 
 // logBacklogError logs that the store cannot be read or written.
--- a/forward/backlog_faults_test.go
+++ b/forwarder/backlog_faults_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/backlog"
-	"spanflow/internal/ledger"
+	"spanflow/internal/wal"
 )
 
 // A message is in the log and in the store, as its process was killed while it came back, and the store cannot be
@@ -31,10 +31,10 @@
 	require.NoError(t, err)
 	require.Len(t, head, 3)
 	require.NoError(t, store.Close())
-	log, err := ledger.Open(r.state, 64e6)
+	log, err := wal.Open(r.state, 64e6)
 	require.NoError(t, err)
 	for _, m := range head {
-		require.NoError(t, log.Restore(&ledger.Entry{Seq: m.Seq, Key: m.Key, Type: m.Type, ID: m.ID, Expiry: m.Expiry, Body: m.Body}))
+		require.NoError(t, log.Restore(&wal.Entry{Seq: m.Seq, Key: m.Key, Type: m.Type, ID: m.ID, Expiry: m.Expiry, Body: m.Body}))
 	}
 	require.NoError(t, log.Close())
 	segments, err := filepath.Glob(filepath.Join(r.store, "*.backlog"))
@@ -43,13 +43,13 @@
 	require.NoError(t, os.MkdirAll(filepath.Join(obstacle, "full"), 0o700))
 
 	text := fmt.Appendf(nil, backlogOrder, r.discovery.Addr, r.state, r.discovery.Known(), r.life.Milliseconds())
-	order, err := forward.ReadOrder(text, func(string) string { return "" })
+	order, err := forwarder.ReadOrder(text, func(string) string { return "" })
 	require.NoError(t, err)
-	order.Backlog = &forward.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
+	order.Backlog = &forwarder.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
 	r.targets[0].Do(r.serve)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- forward.Run(t.Context(), order, nil, io.Discard, func(string) { ended <- nil })
+		ended <- forwarder.Run(t.Context(), order, nil, io.Discard, func(string) { ended <- nil })
 	}()
 	require.ErrorContains(t, <-ended, "backlog: open "+obstacle)
 	require.Zero(t, r.delivered())
@@ -93,7 +93,7 @@
 	const count = 1900
 	r := newBacklogRig(t)
 	r.life = 6 * time.Second
-	r.change = func(b *forward.Backlog) { b.Window, b.Behind = 1800, 1800 }
+	r.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 1800, 1800 }
 	r.targets[0].Do(failing)
 	r.discovery.Deaf(true)
 	r.start()
--- a/forward/backlog_figures.go
+++ b/forwarder/backlog_figures.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"sync/atomic"
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"spanflow/internal/backlog"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // backlogCounts are what has happened since the start, for the log.
@@ -62,12 +62,12 @@
 }
 
 // backlogGauges are the store's figures that are read when they are asked for.
-func (o *owner) backlogGauges() []seam.Level {
+func (o *owner) backlogGauges() []transport.Level {
 	if o.stored == nil {
 		return nil
 	}
 	l := &o.stored.levels
-	gauges := []seam.Level{
+	gauges := []transport.Level{
 		{Name: "backlog_messages", Read: func() float64 { return float64(l.messages.Load()) }},
 		{Name: "backlog_bytes", Read: func() float64 { return float64(l.bytes.Load()) }},
 		{Name: "backlog_disk_bytes", Read: func() float64 { return float64(l.onDisk.Load()) }},
@@ -80,7 +80,7 @@
 		}},
 	}
 	for i, state := range backlogStates {
-		gauges = append(gauges, seam.Level{Name: "backlog_state_messages", Labels: []string{"state", state.String()},
+		gauges = append(gauges, transport.Level{Name: "backlog_state_messages", Labels: []string{"state", state.String()},
 			Read: func() float64 { return float64(l.states[i].Load()) }})
 	}
 	return gauges
--- a/forward/backlog_keys_test.go
+++ b/forwarder/backlog_keys_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"slices"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/backlog"
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // delivery gives the ids of messages that were delivered, in order.
@@ -21,7 +21,7 @@
 // A key may be used with several destinations: its messages still go one after another.
 func TestAKeyOfSeveralDestinationsKeepsItsOrderWhileOneIsStored(t *testing.T) {
 	r := newBacklogRig(t)
-	r.targets[0].Do(func(standin.Call) standin.Reply { return standin.Reply{Status: 503} })
+	r.targets[0].Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
 	r.start()
 	r.fill(0, 0, 100)
 	const key = 50
@@ -49,7 +49,7 @@
 	const key, first, second, count = 50, 12, 13, 18
 	r := newBacklogRig(t)
 	gate := make(chan struct{})
-	r.targets[0].Do(func(c standin.Call) standin.Reply {
+	r.targets[0].Do(func(c emulator.Call) emulator.Reply {
 		<-gate
 		return failing(c)
 	})
@@ -84,7 +84,7 @@
 	r := newBacklogRig(t)
 	r.discovery.Deaf(true)
 	gate := make(chan struct{})
-	r.targets[0].Do(func(c standin.Call) standin.Reply {
+	r.targets[0].Do(func(c emulator.Call) emulator.Reply {
 		<-gate
 		return failing(c)
 	})
@@ -123,7 +123,7 @@
 	r := newBacklogRig(t)
 	r.targets[1].Do(failing)
 	gate := make(chan struct{})
-	r.targets[0].Do(func(c standin.Call) standin.Reply {
+	r.targets[0].Do(func(c emulator.Call) emulator.Reply {
 		<-gate
 		return failing(c)
 	})
--- a/forward/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"container/list"
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"spanflow/choice"
 	"spanflow/internal/backlog"
 	"spanflow/internal/backlog/policy"
-	"spanflow/internal/ledger"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
 )
 
 const (
@@ -150,7 +150,7 @@
 
 // logMoveError logs why messages could not be brought back, unless it is that the ledger has no room for them now.
 func (o *owner) logMoveError(err error) {
-	if err != nil && !errors.Is(err, ledger.ErrFull) {
+	if err != nil && !errors.Is(err, wal.ErrFull) {
 		o.logBacklogError(err)
 	}
 }
@@ -167,7 +167,7 @@
 		p := o.paper(e, typ)
 		p.came = time.UnixMicro(m.Taken)
 		left := float64(e.Expiry)/1e6 - o.clock(now)
-		past := choice.Past{Sent: e.Sent, Ran: float64(e.Ran) / 1e6, Zone: e.RanZone}
+		past := scheduler.Past{Sent: e.Sent, Ran: float64(e.Ran) / 1e6, Zone: e.RanZone}
 		o.enterLane(p)
 		if batch.Expired {
 			o.stored.counts.expired++
--- a/forward/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/backlog"
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 const backlogOrder = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964","state":%q,
@@ -27,14 +27,14 @@
 // backlogRig is a forwarder with a backlog store, two destinations with a target each, and a client.
 type backlogRig struct {
 	t         *testing.T
-	discovery *standin.Discovery
-	targets   [2]*standin.Target
+	discovery *emulator.Discovery
+	targets   [2]*emulator.Target
 	state     string
 	store     string
 	life      time.Duration
-	change    func(*forward.Backlog)
+	change    func(*forwarder.Backlog)
 	addr      string
-	client    *standin.Client
+	client    *emulator.Client
 	end       func()
 
 	mu    sync.Mutex
@@ -44,35 +44,35 @@
 
 func newBacklogRig(t *testing.T) *backlogRig {
 	r := &backlogRig{t: t, state: t.TempDir(), store: filepath.Join(t.TempDir(), "backlog"), life: 5 * time.Minute, calls: map[string]int{}}
-	var list []standin.Entry
+	var list []emulator.Entry
 	for i := range r.targets {
-		target, err := standin.NewTarget("", r.serve)
+		target, err := emulator.NewTarget("", r.serve)
 		require.NoError(t, err)
 		go func() {
 			for range target.Calls {
 			}
 		}()
 		r.targets[i] = target
-		list = append(list, standin.Entry{UID: fmt.Sprint("t", i), Endpoint: target.Addr, Zone: "a", Kind: "k", Dest: i, State: "active"})
+		list = append(list, emulator.Entry{UID: fmt.Sprint("t", i), Endpoint: target.Addr, Zone: "a", Kind: "k", Dest: i, State: "active"})
 	}
 	var err error
-	r.discovery, err = standin.NewDiscovery("", list...)
+	r.discovery, err = emulator.NewDiscovery("", list...)
 	require.NoError(t, err)
 	t.Cleanup(func() { r.stop() })
 	return r
 }
 
 // serve answers a call and counts it.
-func (r *backlogRig) serve(c standin.Call) standin.Reply {
+func (r *backlogRig) serve(c emulator.Call) emulator.Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.calls[c.ID]++; r.calls[c.ID] == 1 {
 		r.order = append(r.order, c.ID)
 	}
-	return standin.Reply{}
+	return emulator.Reply{}
 }
 
-func failing(standin.Call) standin.Reply { return standin.Reply{Status: 500} }
+func failing(emulator.Call) emulator.Reply { return emulator.Reply{Status: 500} }
 
 func (r *backlogRig) delivered() int {
 	r.mu.Lock()
@@ -82,15 +82,15 @@
 
 func (r *backlogRig) start() {
 	text := fmt.Appendf(nil, backlogOrder, r.discovery.Addr, r.state, r.discovery.Known(), r.life.Milliseconds())
-	order, err := forward.ReadOrder(text, func(string) string { return "" })
+	order, err := forwarder.ReadOrder(text, func(string) string { return "" })
 	require.NoError(r.t, err)
-	order.Backlog = &forward.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
+	order.Backlog = &forwarder.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
 	if r.change != nil {
 		r.change(order.Backlog)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ready, ended := make(chan string, 1), make(chan error, 1)
-	go func() { ended <- forward.Run(ctx, order, nil, io.Discard, func(addr string) { ready <- addr }) }()
+	go func() { ended <- forwarder.Run(ctx, order, nil, io.Discard, func(addr string) { ready <- addr }) }()
 	select {
 	case addr := <-ready:
 		r.addr = addr
@@ -123,7 +123,7 @@
 	for range 3 {
 		if r.client == nil {
 			var err error
-			r.client, err = standin.NewClient(r.addr)
+			r.client, err = emulator.NewClient(r.addr)
 			require.NoError(r.t, err)
 		}
 		answer, err := r.client.Put(fmt.Sprintf("%016x", key), messageID(number),
@@ -207,7 +207,7 @@
 
 func TestABoundOfTheStoreTurnsAwayWithATimeToComeBack(t *testing.T) {
 	r := newBacklogRig(t)
-	r.change = func(b *forward.Backlog) { b.DestinationBytes = 20_000 }
+	r.change = func(b *forwarder.Backlog) { b.DestinationBytes = 20_000 }
 	r.targets[0].Do(failing)
 	r.targets[1].Do(failing)
 	r.start()
@@ -257,11 +257,11 @@
 func TestWindowsThatAStartFindsAreNoReasonToTryOften(t *testing.T) {
 	const count = 400
 	r := newBacklogRig(t)
-	r.change = func(b *forward.Backlog) { b.Window, b.Behind = 200, 200 }
+	r.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 200, 200 }
 	var tries atomic.Int64
-	r.targets[0].Do(func(standin.Call) standin.Reply {
+	r.targets[0].Do(func(emulator.Call) emulator.Reply {
 		tries.Add(1)
-		return standin.Reply{Status: 500}
+		return emulator.Reply{Status: 500}
 	})
 	r.start()
 	r.fill(0, 0, count)
--- a/forward/bench_test.go
+++ b/forwarder/bench_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
-	"spanflow/internal/standin"
+	"spanflow/forwarder"
+	"spanflow/internal/emulator"
 )
 
 const benchOrder = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964","state":%q,
@@ -31,22 +31,22 @@
 // its next one when the one before has its answer, up to 128 under way. A returned document fails the run. cpu-ns/op is of the whole process, clients and targets included.
 func BenchmarkDocument(b *testing.B) {
 	delivered := make(chan struct{}, 4096)
-	var list []standin.Entry
+	var list []emulator.Entry
 	for dest := range 8 {
-		list = append(list, standin.Entry{UID: fmt.Sprint("t", dest), Endpoint: target(b, delivered), Zone: "a", Kind: "k", Dest: dest, State: "active"})
+		list = append(list, emulator.Entry{UID: fmt.Sprint("t", dest), Endpoint: target(b, delivered), Zone: "a", Kind: "k", Dest: dest, State: "active"})
 	}
-	d, err := standin.NewDiscovery("", list...)
+	d, err := emulator.NewDiscovery("", list...)
 	require.NoError(b, err)
-	order, err := forward.ReadOrder(fmt.Appendf(nil, benchOrder, d.Addr, b.TempDir(), d.Known()), func(string) string { return "" })
+	order, err := forwarder.ReadOrder(fmt.Appendf(nil, benchOrder, d.Addr, b.TempDir(), d.Known()), func(string) string { return "" })
 	require.NoError(b, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ready, ended := make(chan string), make(chan error)
-	go func() { ended <- forward.Run(ctx, order, nil, io.Discard, func(addr string) { ready <- addr }) }()
+	go func() { ended <- forwarder.Run(ctx, order, nil, io.Discard, func(addr string) { ready <- addr }) }()
 	addr := <-ready
 	body := strings.Repeat("x", 400)
-	var clients []*standin.Client
+	var clients []*emulator.Client
 	for range 16 {
-		c, err := standin.NewClient(addr)
+		c, err := emulator.NewClient(addr)
 		require.NoError(b, err)
 		clients = append(clients, c)
 	}
--- a/forward/config.go
+++ b/forwarder/config.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"encoding/json"
@@ -10,28 +10,28 @@
 
 	"github.com/rs/zerolog"
 
-	"spanflow/choice"
-	"spanflow/internal/terms"
-	"spanflow/seam"
+	"spanflow/internal/settings"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // Order is what a forwarder is told before it starts.
 type Order struct {
 	Name      string
 	Fronts    []Front
-	Discovery string     // its address; empty: the list is Static
-	Static    *seam.List // a list of the order's own
-	Folder    string     // the folder that lasts
+	Discovery string          // its address; empty: the list is Static
+	Static    *transport.List // a list of the order's own
+	Folder    string          // the folder that lasts
 	Seed      uint64
 	SeedDrawn bool // at random, not told
 	MemoryMB  int
 	Sockets   int
 	DiskMB    int
 	Cores     float64
-	Known     seam.List // the list as last known
-	ListBytes int       // of one object of discovery's watch at most; 0: the usual
-	Terms     choice.Terms
-	Names     terms.Names
+	Known     transport.List // the list as last known
+	ListBytes int            // of one object of discovery's watch at most; 0: the usual
+	Terms     scheduler.Terms
+	Names     settings.Names
 
 	Outlets    []Outlet          // beside the usual, named http
 	KindOutlet map[string]string // by which outlet targets of a kind are reached, if not by the usual
@@ -42,7 +42,7 @@
 	TokenFile  string // what readers of metrics have to show stands there
 
 	// Meter makes what serves metrics at an address; nil: there is none.
-	Meter func(addr, forwarder string, fronts []string, levels []seam.Level) (seam.Meter, error)
+	Meter func(addr, forwarder string, fronts []string, levels []transport.Level) (transport.Meter, error)
 
 	Protocols map[string]Protocol // of a program's own, beside those that come with this one
 	Carriages map[string]Carriage
@@ -113,7 +113,7 @@
 			Sockets  int
 			DiskMB   int `json:"disk_mb"`
 		}
-		Known    seam.List
+		Known    transport.List
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
@@ -169,7 +169,7 @@
 	if len(c.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if o.Terms, o.Names, err = terms.Read(c.Settings); err != nil {
+	if o.Terms, o.Names, err = settings.Read(c.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return o, nil
--- a/forward/connect.go
+++ b/forwarder/connect.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"time"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/directory"
-	"spanflow/seam"
+	"spanflow/internal/discovery"
+	"spanflow/transport"
 )
 
 const (
@@ -37,7 +37,7 @@
 		Limit:    order.Names.Limit,
 		Left:     order.Names.Left,
 	}
-	o.outlets = map[string]seam.Outlet{}
+	o.outlets = map[string]transport.Outlet{}
 	for _, w := range append(slices.Clone(order.Outlets), Outlet{Name: usualCarriage, Protocol: usualCarriage}) {
 		if o.outlets[w.Name] != nil { // the order's own in place of the usual
 			continue
@@ -64,7 +64,7 @@
 func (o *owner) connectSource(dialer *dial.Dialer, connect time.Duration) {
 	order, x := o.order, o.exchange
 	if order.Discovery != "" {
-		d := directory.New(dialer, order.Discovery, connect, x)
+		d := discovery.New(dialer, order.Discovery, connect, x)
 		d.MostLine = order.ListBytes
 		o.source, o.moves = d, d
 		if order.toldNotices == "" {
@@ -79,7 +79,7 @@
 		o.source = o.own
 	}
 	if order.toldNotices != "" {
-		d := directory.New(dialer, order.toldNotices, connect, x)
+		d := discovery.New(dialer, order.toldNotices, connect, x)
 		o.teller, o.notices = d, d
 	}
 }
--- a/forward/counts.go
+++ b/forwarder/counts.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
@@ -8,13 +8,13 @@
 	"github.com/rs/zerolog"
 
 	"spanflow/internal/dial"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // counts are for the log.
 type counts struct {
 	taken, refused, delivered, returned, abandoned, recovered, withdrawn int
-	ends                                                                 [seam.Recalled + 1]int
+	ends                                                                 [transport.Recalled + 1]int
 }
 
 func (c *counts) write(e *zerolog.Event) *zerolog.Event {
@@ -25,15 +25,15 @@
 	}
 	for i, n := range c.ends {
 		if n > 0 {
-			e = e.Int(fmt.Sprintf("end_%s", strings.ReplaceAll(seam.End(i).String(), " ", "_")), n)
+			e = e.Int(fmt.Sprintf("end_%s", strings.ReplaceAll(transport.End(i).String(), " ", "_")), n)
 		}
 	}
 	return e
 }
 
 // levels are the figures that are read when they are asked for.
-func (o *owner) levels(dialer *dial.Dialer) []seam.Level {
-	levels := []seam.Level{
+func (o *owner) levels(dialer *dial.Dialer) []transport.Level {
+	levels := []transport.Level{
 		{Name: "held_documents", Read: func() float64 { return float64(o.held.Load()) }},
 		{Name: "ledger_bytes", Read: func() float64 { return float64(o.onDisk.Load()) }},
 		{Name: "outgoing_connections", Read: func() float64 { return float64(dialer.Open()) }},
@@ -58,7 +58,7 @@
 	}
 }
 
-func tally(e *zerolog.Event, c seam.Tally) *zerolog.Event {
+func tally(e *zerolog.Event, c transport.Tally) *zerolog.Event {
 	return e.Int("clients", c.Now).Int("most_clients", c.Most).
 		Int("clients_came", c.Came).Int("clients_turned_away", c.Turned).Ints("clients_closed_for_room", c.ForRoom[:]).
 		Int("clients_silent", c.Silent).Int("clients_quiet", c.Quiet).Int("clients_stuck", c.Stuck)
@@ -67,9 +67,9 @@
 // noMeter counts nothing.
 type noMeter struct{}
 
-func (noMeter) Asked(string, seam.Word)           {}
-func (noMeter) End(seam.End, time.Duration)       {}
-func (noMeter) Final(seam.Outcome, time.Duration) {}
-func (noMeter) Turn(int, time.Duration)           {}
-func (noMeter) Addr() string                      { return "" }
-func (noMeter) Stop()                             {}
+func (noMeter) Asked(string, transport.Word)           {}
+func (noMeter) End(transport.End, time.Duration)       {}
+func (noMeter) Final(transport.Outcome, time.Duration) {}
+func (noMeter) Turn(int, time.Duration)                {}
+func (noMeter) Addr() string                           { return "" }
+func (noMeter) Stop()                                  {}
--- a/forward/exchange.go
+++ b/forwarder/exchange.go
@@ -1,11 +1,11 @@
-package forward
+package forwarder
 
 import (
 	"slices"
 	"sync"
 	"time"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // Exchange is where fronts, outlets and sources leave their news for the one goroutine that owns the module. They
@@ -44,7 +44,7 @@
 
 // asked is what a front's caller wants, with the front's name.
 type asked struct {
-	seam.Asked
+	transport.Asked
 	front *gate
 }
 
@@ -175,7 +175,7 @@
 }
 
 // Ask is what a caller wants. It waits while too much of its front lies here.
-func (g *gate) Ask(a seam.Asked) {
+func (g *gate) Ask(a transport.Asked) {
 	x := g.x
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -195,13 +195,13 @@
 func (g *gate) Withdraw(id string) { g.x.leave(withdrawn(id)) }
 
 // CallEnded is the end of a call.
-func (x *Exchange) CallEnded(e seam.Ended) { x.leave(e) }
+func (x *Exchange) CallEnded(e transport.Ended) { x.leave(e) }
 
 // Listed is news of the list.
-func (x *Exchange) Listed(l *seam.List) { x.leave(l) }
+func (x *Exchange) Listed(l *transport.List) { x.leave(l) }
 
 // WatchEnded says that the list stopped coming.
-func (x *Exchange) WatchEnded(why string, how seam.WatchEnd) { x.leave(watchEnded{why, how}) }
+func (x *Exchange) WatchEnded(why string, how transport.WatchEnd) { x.leave(watchEnded{why, how}) }
 
 // NoticesLost says that notices will be sent once more.
 func (x *Exchange) NoticesLost(why string) { x.leave(noticesLost(why)) }
@@ -212,7 +212,7 @@
 type (
 	watchEnded struct {
 		why string
-		how seam.WatchEnd
+		how transport.WatchEnd
 	}
 	noticesLost string
 	told        []uint64
--- a/forward/exchange_test.go
+++ b/forwarder/exchange_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"strings"
@@ -7,27 +7,27 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 func TestAFullGateHoldsUpItsOwnFrontAlone(t *testing.T) {
 	x := newExchange()
 	flood, other := x.gate("flood", "flood", 1000, 1<<20), x.gate("other", "other", 10, 100)
 	for range 1000 {
-		flood.Ask(seam.Asked{Alive: true})
+		flood.Ask(transport.Asked{Alive: true})
 	}
 	held := make(chan struct{})
 	go func() {
-		flood.Ask(seam.Asked{Why: "the last"})
+		flood.Ask(transport.Asked{Why: "the last"})
 		close(held)
 	}()
-	other.Ask(seam.Asked{Paper: &seam.Handed{Body: make([]byte, 100)}}) // its bytes are full with it
-	x.CallEnded(seam.Ended{})
+	other.Ask(transport.Asked{Paper: &transport.Handed{Body: make([]byte, 100)}}) // its bytes are full with it
+	x.CallEnded(transport.Ended{})
 	news, _ := x.take()
 	require.Len(t, news, 1+turnShare+1, "an end, a share of the flood, all of the other")
 	require.Same(t, other, news[len(news)-1].(*asked).front)
 	<-held // there is room again
-	other.Ask(seam.Asked{Alive: true})
+	other.Ask(transport.Asked{Alive: true})
 	other.Withdraw("x")
 	n := 0
 	for n < 1000-turnShare+1 {
@@ -46,10 +46,10 @@
 func TestAFrontThatHasEndedIsHeldUpByNothing(t *testing.T) {
 	x := newExchange()
 	g := x.gate("a", "a", 1, 0)
-	g.Ask(seam.Asked{Alive: true})
+	g.Ask(transport.Asked{Alive: true})
 	ended := make(chan struct{})
 	go func() {
-		g.Ask(seam.Asked{Alive: true})
+		g.Ask(transport.Asked{Alive: true})
 		close(ended)
 	}()
 	x.shutGate(g)
@@ -60,7 +60,7 @@
 	require.Equal(t, []int{mostWaiting, waitingBytes}, []int{g.most, g.mostBytes})
 	x.close()
 	for range mostWaiting + 1 { // nobody takes news any more
-		g.Ask(seam.Asked{Alive: true})
+		g.Ask(transport.Asked{Alive: true})
 	}
 }
 
@@ -131,7 +131,7 @@
 	for _, g := range []*gate{few, small} {
 		go func() {
 			for range each {
-				g.Ask(seam.Asked{Paper: &seam.Handed{Body: make([]byte, 60)}})
+				g.Ask(transport.Asked{Paper: &transport.Handed{Body: make([]byte, 60)}})
 			}
 		}()
 	}
--- a/forward/figures.go
+++ b/forwarder/figures.go
@@ -1,12 +1,12 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"spanflow/choice"
-	"spanflow/seam"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // figures are the counts that the operators read at /_vars, each process from 0, kept by the owner as things happen.
@@ -19,11 +19,11 @@
 
 // final counts a document's final answer, once, where it is decided: the one source of the operators' figures and of
 // the metrics.
-func (o *owner) final(p *paper, outcome seam.Outcome) {
+func (o *owner) final(p *paper, outcome transport.Outcome) {
 	switch outcome {
-	case seam.Delivered:
+	case transport.Delivered:
 		o.figures.count(&o.figures.fulfilled, p.typ)
-	case seam.Returned:
+	case transport.Returned:
 		o.figures.count(&o.figures.throttled, p.typ)
 	default:
 		o.figures.count(&o.figures.faulted, p.typ)
@@ -42,10 +42,10 @@
 func (o *owner) vars() string {
 	listed, avoided := 0, 0
 	for _, t := range o.targets {
-		if t.line.Standing == choice.Gone {
+		if t.line.Standing == scheduler.Gone {
 			continue
 		}
-		if listed++; t.line.Standing == choice.Ready && (o.rota.Out(t.uid) || t.module.Sick()) {
+		if listed++; t.line.Standing == scheduler.Ready && (o.rota.Out(t.uid) || t.module.Sick()) {
 			avoided++
 		}
 	}
--- a/forward/follow.go
+++ b/forwarder/follow.go
@@ -1,13 +1,13 @@
-package forward
+package forwarder
 
 import (
 	"context"
 	"io"
 	"time"
 
-	"spanflow/choice"
 	"spanflow/internal/dial"
-	"spanflow/internal/rota"
+	"spanflow/internal/drains"
+	"spanflow/scheduler"
 )
 
 // Follower is what Follow works with beside an order.
@@ -25,12 +25,12 @@
 	order = &own
 	order.askForList()
 	o := newOwner(order, order.Log.to(by.LogTo, order.Name), newExchange())
-	o.rota = rota.New(nil)
+	o.rota = drains.New(nil)
 	if err := o.connect(by.Dialer); err != nil {
 		return err
 	}
 	defer o.source.Stop()
-	o.f = choice.New(order.Terms, order.Seed, o.clock(o.epoch), o)
+	o.f = scheduler.New(order.Terms, order.Seed, o.clock(o.epoch), o)
 	o.listed(&order.Known, true)
 	o.f.Settle()
 	timer := time.NewTimer(0)
--- a/forward/follow_test.go
+++ b/forwarder/follow_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/dial"
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 // A follower tells each version once it is in force, also the one that it knew, once discovery has confirmed it.
 func TestAFollowerTellsWhatIsInForce(t *testing.T) {
-	entry := standin.Entry{UID: "t1", Endpoint: "127.0.0.1:1", Zone: "a", Kind: "k", Dest: 1, State: "active"}
-	discovery, err := standin.NewDiscovery("", entry)
+	entry := emulator.Entry{UID: "t1", Endpoint: "127.0.0.1:1", Zone: "a", Kind: "k", Dest: 1, State: "active"}
+	discovery, err := emulator.NewDiscovery("", entry)
 	require.NoError(t, err)
-	order, err := forward.ReadOrder(fmt.Appendf(nil, benchOrder, discovery.Addr, t.TempDir(), discovery.Known()),
+	order, err := forwarder.ReadOrder(fmt.Appendf(nil, benchOrder, discovery.Addr, t.TempDir(), discovery.Known()),
 		func(string) string { return "" })
 	require.NoError(t, err)
 	dialer, err := dial.New("test", 4)
@@ -26,9 +26,9 @@
 	defer dialer.Stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	inForce, ended := make(chan int64, 9), make(chan error, 1)
-	logged := standin.NewLog()
+	logged := emulator.NewLog()
 	go func() {
-		ended <- forward.Follow(ctx, order, forward.Follower{Dialer: dialer, LogTo: logged, InForce: func(rev int64) { inForce <- rev }})
+		ended <- forwarder.Follow(ctx, order, forwarder.Follower{Dialer: dialer, LogTo: logged, InForce: func(rev int64) { inForce <- rev }})
 	}()
 	require.EqualValues(t, order.Known.Rev, <-inForce)
 	entry.State = "leaving"
--- a/forward/forward.go
+++ b/forwarder/forward.go
@@ -3,7 +3,7 @@
 // One goroutine, the owner, has the module of package choice to itself. Fronts, outlets and the list's source (package
 // seam says what each is) leave their news in the Exchange; the owner takes them in batches, lets the module settle
 // once, and carries out what it decides. It knows no wire.
-package forward
+package forwarder
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 
 	"spanflow/internal/admin"
 	"spanflow/internal/dial"
-	"spanflow/internal/ledger"
-	"spanflow/internal/rota"
+	"spanflow/internal/drains"
+	"spanflow/internal/wal"
 )
 
 // Confine makes the whole process keep to the order's limits and its log lines bear times a person can read. A program
@@ -77,7 +77,7 @@
 	order.Terms.Keep, order.Terms.Confirmed = led.Room(), true
 	order.askForList()
 	o := newOwner(order, log, x)
-	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, rota.New(readOut(order.Folder)), logTo
+	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, drains.New(readOut(order.Folder)), logTo
 	if err := o.openBacklog(); err != nil {
 		return err
 	}
@@ -113,15 +113,15 @@
 }
 
 // openLedger opens the folder. A process that replaces another waits until that one has left it.
-func openLedger(ctx context.Context, order *Order, log zerolog.Logger) (*ledger.Ledger, error) {
+func openLedger(ctx context.Context, order *Order, log zerolog.Logger) (*wal.Ledger, error) {
 	wait := time.Duration(0)
 	if order.Inherited > 0 {
 		wait = handOverWait
-		if pid := ledger.Owner(order.Folder); pid != 0 {
+		if pid := wal.Owner(order.Folder); pid != 0 {
 			log.Info().Int("pid", pid).Msg("waiting for the folder")
 		}
 	}
-	led, err := ledger.OpenWaiting(ctx, order.Folder, int64(order.DiskMB)*1_000_000, wait)
+	led, err := wal.OpenWaiting(ctx, order.Folder, int64(order.DiskMB)*1_000_000, wait)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_STATE: %w", err)
 	}
--- a/forward/golden_test.go
+++ b/forwarder/golden_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"os"
@@ -9,14 +9,14 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
 	"spanflow/internal/admin"
 	"spanflow/internal/backlog"
+	"spanflow/internal/drains"
 	"spanflow/internal/golden"
-	"spanflow/internal/ledger"
-	"spanflow/internal/rota"
-	"spanflow/internal/terms"
-	"spanflow/seam"
+	"spanflow/internal/settings"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // The folders in testdata were written by version 1 of the formats. Files that an earlier process left must be read,
@@ -84,7 +84,7 @@
 	o := listOwner()
 	o.order.Folder = folder
 	o.epoch = time.Unix(goldenNow, 0)
-	o.listed(&seam.List{Rev: 1, All: true, Targets: []seam.Target{
+	o.listed(&transport.List{Rev: 1, All: true, Targets: []transport.Target{
 		{UID: "endpoint-1", Endpoint: "127.0.0.1:1", Dest: 7, State: "active"},
 		{UID: "endpoint-2", Endpoint: "127.0.0.1:2", Dest: 8, State: "active"}}}, true)
 	return o
@@ -109,7 +109,7 @@
 
 func TestWritesSameDrainsAsVersion1(t *testing.T) {
 	folder := t.TempDir()
-	drains := rota.New(nil)
+	drains := drains.New(nil)
 	for _, id := range []string{"endpoint-2", "endpoint-10", "an id with spaces", "\u00e5"} {
 		drains.Detach(id, true)
 	}
@@ -120,7 +120,7 @@
 }
 
 func TestReadsDrainsWrittenByVersion1(t *testing.T) {
-	drains := rota.New(readOut(golden.Copy(t, goldenDrains)))
+	drains := drains.New(readOut(golden.Copy(t, goldenDrains)))
 	require.Equal(t, []string{"an id with spaces", "endpoint-10", "endpoint-2", "\u00e5"}, drains.Kept())
 	require.Empty(t, readOut(golden.Copy(t, goldenNoDrains)))
 }
@@ -157,18 +157,18 @@
 
 // goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
 func goldenStoreOwner() *owner {
-	order := &Order{Names: terms.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
-		Terms: choice.Terms{Types: []choice.DocType{
-			{Repeat: choice.Replayable},
-			{Repeat: choice.Numbered, Memory: 600},
-			{Repeat: choice.Binding, InOrder: true},
+	order := &Order{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
+		Terms: scheduler.Terms{Types: []scheduler.DocType{
+			{Repeat: scheduler.Replayable},
+			{Repeat: scheduler.Numbered, Memory: 600},
+			{Repeat: scheduler.Binding, InOrder: true},
 		}}}
 	return newOwner(order, zerolog.Nop(), newExchange())
 }
 
 // goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
-func goldenEntries() []*ledger.Entry {
-	return []*ledger.Entry{
+func goldenEntries() []*wal.Entry {
+	return []*wal.Entry{
 		{Seq: 1, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000,
 			Body: []byte("one")},
 		{Seq: 2, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent-with-key", ID: "id-2", Mark: "key-2",
@@ -197,7 +197,7 @@
 	require.NoError(t, err)
 	messages, err := store.Head(backlog.Lane{Destination: 7, Tenant: 2}, 10)
 	require.NoError(t, err)
-	var entries []*ledger.Entry
+	var entries []*wal.Entry
 	for _, m := range messages {
 		entries = append(entries, entryOf(m))
 	}
--- a/forward/host.go
+++ b/forwarder/host.go
@@ -1,17 +1,17 @@
-package forward
+package forwarder
 
 import (
 	"time"
 
-	"spanflow/choice"
-	"spanflow/internal/ledger"
-	"spanflow/seam"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // pending is a call that is being made up.
 type pending struct {
-	by   seam.Outlet
-	call *seam.Call
+	by   transport.Outlet
+	call *transport.Call
 }
 
 // flush sends the calls that the module has decided on.
@@ -26,12 +26,12 @@
 // Transmit, Reject, Abandon, Recall, CloseIdle, Release, Wake, Watch and Log make an owner the choice.Host.
 
 // Transmit adds a document to the call that is being made up for the target, as far as one call carries them.
-func (o *owner) Transmit(d *choice.Doc, to *choice.Target, timeout float64) {
+func (o *owner) Transmit(d *scheduler.Doc, to *scheduler.Target, timeout float64) {
 	p, t := o.docs[d.Door], o.targets[to.Door]
 	if err := o.ledger.Out(d.Door, micros(o.clock(time.Now())), t.zone); err != nil {
 		o.logLedgerError(err)
-		c := &seam.Call{Door: to.Door, Target: t.addr, Papers: []seam.Paper{p.Paper}}
-		o.exchange.CallEnded(seam.Ended{Call: c, Ends: []seam.End{seam.Unsent}})
+		c := &transport.Call{Door: to.Door, Target: t.addr, Papers: []transport.Paper{p.Paper}}
+		o.exchange.CallEnded(transport.Ended{Call: c, Ends: []transport.End{transport.Unsent}})
 		return
 	}
 	o.noLongerUntried(p, true)
@@ -47,28 +47,28 @@
 			return
 		}
 	}
-	call := &seam.Call{Door: to.Door, Target: t.addr, Papers: []seam.Paper{p.Paper}, Allow: allow}
+	call := &transport.Call{Door: to.Door, Target: t.addr, Papers: []transport.Paper{p.Paper}, Allow: allow}
 	o.calls = append(o.calls, pending{t.outlet, call})
 }
 
-func (o *owner) Reject(d *choice.Doc, comeBack float64) {
+func (o *owner) Reject(d *scheduler.Doc, comeBack float64) {
 	o.counts.returned++
-	o.answer(o.docs[d.Door], ledger.Returned, int(comeBack*1000))
+	o.answer(o.docs[d.Door], wal.Returned, int(comeBack*1000))
 }
 
-func (o *owner) Abandon(d *choice.Doc) {
+func (o *owner) Abandon(d *scheduler.Doc) {
 	o.counts.abandoned++
-	o.answer(o.docs[d.Door], ledger.Abandoned, 0)
+	o.answer(o.docs[d.Door], wal.Abandoned, 0)
 }
 
 // answer records a final answer and tells it.
-func (o *owner) answer(p *paper, a ledger.Answer, after int) {
+func (o *owner) answer(p *paper, a wal.Answer, after int) {
 	if err := o.ledger.Answer(p.Door, a, after); err != nil {
 		o.logLedgerError(err)
 	}
-	outcome := seam.Abandoned
-	if a == ledger.Returned {
-		outcome = seam.Returned
+	outcome := transport.Abandoned
+	if a == wal.Returned {
+		outcome = transport.Returned
 	}
 	o.final(p, outcome)
 	o.leftMemory(p) // its notice may stay unheard for long
@@ -77,8 +77,8 @@
 
 // tell takes a final answer to whom it is for: to the caller that waits for it, or else to the teller. Where there is
 // neither it stands in the log.
-func (o *owner) tell(p *paper, outcome seam.Outcome, after int) {
-	f := seam.Final{Door: p.Door, ID: p.ID, Outcome: outcome, AfterMs: after}
+func (o *owner) tell(p *paper, outcome transport.Outcome, after int) {
+	f := transport.Final{Door: p.Door, ID: p.ID, Outcome: outcome, AfterMs: after}
 	if p.traced {
 		o.log.Info().Str("id", p.ID).Stringer("outcome", outcome).Int("after_ms", after).Msg("trace: final answer")
 	}
@@ -95,13 +95,13 @@
 	}
 }
 
-func (o *owner) Recall(t *choice.Target) {
+func (o *owner) Recall(t *scheduler.Target) {
 	if known := o.targets[t.Door]; known != nil {
 		known.outlet.Recall(t.Door)
 	}
 }
 
-func (o *owner) CloseIdle(t *choice.Target) {
+func (o *owner) CloseIdle(t *scheduler.Target) {
 	o.flush() // what was decided before takes the connections first
 	if known := o.targets[t.Door]; known != nil {
 		known.outlet.CloseIdle(t.Door)
@@ -109,7 +109,7 @@
 }
 
 // Release lets go of a target that is gone: of what names it here, and of its connections.
-func (o *owner) Release(t *choice.Target) {
+func (o *owner) Release(t *scheduler.Target) {
 	o.CloseIdle(t)
 	if known := o.targets[t.Door]; known != nil {
 		delete(o.targets, t.Door)
--- a/forward/learnt_test.go
+++ b/forwarder/learnt_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"bytes"
@@ -10,29 +10,29 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
-	"spanflow/internal/terms"
+	"spanflow/internal/settings"
+	"spanflow/scheduler"
 )
 
 type silentHost struct{}
 
-func (silentHost) Transmit(*choice.Doc, *choice.Target, float64) {}
-func (silentHost) Reject(*choice.Doc, float64)                   {}
-func (silentHost) Abandon(*choice.Doc)                           {}
-func (silentHost) Recall(*choice.Target)                         {}
-func (silentHost) CloseIdle(*choice.Target)                      {}
-func (silentHost) Release(*choice.Target)                        {}
-func (silentHost) Wake(float64)                                  {}
-func (silentHost) Watch()                                        {}
-func (silentHost) Log(string)                                    {}
+func (silentHost) Transmit(*scheduler.Doc, *scheduler.Target, float64) {}
+func (silentHost) Reject(*scheduler.Doc, float64)                      {}
+func (silentHost) Abandon(*scheduler.Doc)                              {}
+func (silentHost) Recall(*scheduler.Target)                            {}
+func (silentHost) CloseIdle(*scheduler.Target)                         {}
+func (silentHost) Release(*scheduler.Target)                           {}
+func (silentHost) Wake(float64)                                        {}
+func (silentHost) Watch()                                              {}
+func (silentHost) Log(string)                                          {}
 
 // learning is an owner with a module and a folder, no sockets.
 func learning(folder string) (*owner, *bytes.Buffer) {
 	var said bytes.Buffer
-	order := &Order{Folder: folder, Names: terms.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
-	order.Terms = choice.Terms{Types: []choice.DocType{{Agreed: 3, Life: 16}}, Forwarders: 200, Slots: 3, Room: 19}
-	o := &owner{order: order, log: zerolog.New(&said), dests: map[uint64]*choice.Destination{}, sweepAt: leastSweep}
-	o.f = choice.New(order.Terms, 7, 100, silentHost{})
+	order := &Order{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
+	order.Terms = scheduler.Terms{Types: []scheduler.DocType{{Agreed: 3, Life: 16}}, Forwarders: 200, Slots: 3, Room: 19}
+	o := &owner{order: order, log: zerolog.New(&said), dests: map[uint64]*scheduler.Destination{}, sweepAt: leastSweep}
+	o.f = scheduler.New(order.Terms, 7, 100, silentHost{})
 	o.learnt = readLearnt(folder, order.shape(), &o.log)
 	return o, &said
 }
--- a/forward/list.go
+++ b/forwarder/list.go
@@ -1,8 +1,8 @@
-package forward
+package forwarder
 
 import (
-	"spanflow/choice"
-	"spanflow/seam"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // target is what the list says of one, as far as carrying out needs it.
@@ -10,15 +10,15 @@
 	uid, addr   string
 	dest        uint64
 	zone, batch int
-	outlet      seam.Outlet
-	module      *choice.Target
-	line        choice.Listing // as the list has it last
+	outlet      transport.Outlet
+	module      *scheduler.Target
+	line        scheduler.Listing // as the list has it last
 }
 
 // listed takes up a list of targets: all of them, or changes.
-func (o *owner) listed(l *seam.List, whole bool) {
+func (o *owner) listed(l *transport.List, whole bool) {
 	o.rev = l.Rev
-	lines := make([]choice.Listing, 0, len(l.Targets))
+	lines := make([]scheduler.Listing, 0, len(l.Targets))
 	for i := range l.Targets {
 		e := &l.Targets[i]
 		kind := index(o.order.Names.Kinds, e.Kind)
@@ -26,7 +26,7 @@
 		if t == nil {
 			continue
 		}
-		t.line = choice.Listing{Target: t.module, Dest: o.dest(e.Dest), Kind: kind, Zone: t.zone, Rate: e.Rate,
+		t.line = scheduler.Listing{Target: t.module, Dest: o.dest(e.Dest), Kind: kind, Zone: t.zone, Rate: e.Rate,
 			Standing: o.standing(e)}
 		line := t.line
 		line.Standing = o.rota.Standing(t.uid, line.Standing)
@@ -41,14 +41,14 @@
 
 // targetOf is the target that a line of the list speaks of, as the line has it; nil for one heard of only as it goes.
 // kind is the number of the line's kind.
-func (o *owner) targetOf(e *seam.Target, kind int) *target {
+func (o *owner) targetOf(e *transport.Target, kind int) *target {
 	t := o.byUID[e.UID]
 	if t == nil {
 		if e.State == "left" {
 			return nil
 		}
 		o.lastDoor++
-		t = &target{uid: e.UID, dest: e.Dest, outlet: o.outletOf(e.Kind), module: &choice.Target{Door: o.lastDoor}}
+		t = &target{uid: e.UID, dest: e.Dest, outlet: o.outletOf(e.Kind), module: &scheduler.Target{Door: o.lastDoor}}
 		o.targets[o.lastDoor], o.byUID[e.UID] = t, t
 	}
 	t.zone, t.batch = index(o.order.Names.Zones, e.Zone), 1
@@ -62,22 +62,22 @@
 }
 
 // standing is what the list says of a target. A state that is not known here lets its calls end and begins none.
-func (o *owner) standing(e *seam.Target) choice.Standing {
+func (o *owner) standing(e *transport.Target) scheduler.Standing {
 	switch e.State {
 	case "active":
-		return choice.Ready
+		return scheduler.Ready
 	case "leaving":
-		return choice.Draining
+		return scheduler.Draining
 	case "left":
-		return choice.Gone
+		return scheduler.Gone
 	default:
 		o.log.Warn().Str("target", e.UID).Str("state", e.State).Msg("unknown state in the list")
-		return choice.Draining
+		return scheduler.Draining
 	}
 }
 
 // outletOf is the outlet by which targets of a kind are reached.
-func (o *owner) outletOf(kind string) seam.Outlet {
+func (o *owner) outletOf(kind string) transport.Outlet {
 	if by := o.outlets[o.order.KindOutlet[kind]]; by != nil {
 		return by
 	}
@@ -87,7 +87,7 @@
 const leastSweep = 64 // destinations
 
 // dest is the module's destination of a number, a new one if there is none.
-func (o *owner) dest(number uint64) *choice.Destination {
+func (o *owner) dest(number uint64) *scheduler.Destination {
 	if d := o.dests[number]; d != nil {
 		return d
 	}
--- a/forward/list_test.go
+++ b/forwarder/list_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
@@ -7,23 +7,23 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
-	"spanflow/internal/rota"
-	"spanflow/seam"
+	"spanflow/internal/drains"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // listOwner is an event loop that hears of lists alone.
 func listOwner() *owner {
-	order := &Order{Terms: choice.Terms{Types: []choice.DocType{{Life: 20, Agreed: 3}}, Slots: 4, Room: 40, Forwarders: 1}}
+	order := &Order{Terms: scheduler.Terms{Types: []scheduler.DocType{{Life: 20, Agreed: 3}}, Slots: 4, Room: 40, Forwarders: 1}}
 	o := newOwner(order, zerolog.Nop(), newExchange())
-	o.rota = rota.New(nil)
-	o.f = choice.New(order.Terms, 1, 100, &wakeHost{})
+	o.rota = drains.New(nil)
+	o.f = scheduler.New(order.Terms, 1, 100, &wakeHost{})
 	return o
 }
 
-func manyTargets(from, to int) (targets []seam.Target) {
+func manyTargets(from, to int) (targets []transport.Target) {
 	for n := from; n < to; n++ {
-		targets = append(targets, seam.Target{UID: fmt.Sprint("t", n), Endpoint: "127.0.0.1:1", Dest: uint64(n), State: "active"})
+		targets = append(targets, transport.Target{UID: fmt.Sprint("t", n), Endpoint: "127.0.0.1:1", Dest: uint64(n), State: "active"})
 	}
 	return targets
 }
@@ -32,11 +32,11 @@
 func TestAFirstListOfManyDestinationsIsKeptWhole(t *testing.T) {
 	const count = 10 * leastSweep
 	o := listOwner()
-	o.listed(&seam.List{Rev: 1, All: true, Targets: manyTargets(0, count)}, true)
+	o.listed(&transport.List{Rev: 1, All: true, Targets: manyTargets(0, count)}, true)
 	o.f.Settle()
 	require.Len(t, o.dests, count)
 	kept := o.dests[0]
-	o.listed(&seam.List{Rev: 2, Targets: manyTargets(count, 3*count)}, false)
+	o.listed(&transport.List{Rev: 2, Targets: manyTargets(count, 3*count)}, false)
 	require.Len(t, o.dests, 3*count)
 	require.Same(t, kept, o.dests[0])
 }
@@ -45,12 +45,12 @@
 	const count = 10 * leastSweep
 	o := listOwner()
 	for round := range 20 {
-		o.listed(&seam.List{Rev: int64(round + 1), All: true, Targets: manyTargets(round*count, (round+1)*count)}, true)
+		o.listed(&transport.List{Rev: int64(round + 1), All: true, Targets: manyTargets(round*count, (round+1)*count)}, true)
 		o.f.Settle()
 	}
 	// Each list leaves the ones before until their targets are let go of, and a sweep waits until there are twice as many.
 	require.Less(t, len(o.dests), 6*count)
 }
 
-func (h *wakeHost) Release(*choice.Target)   {}
-func (h *wakeHost) CloseIdle(*choice.Target) {}
+func (h *wakeHost) Release(*scheduler.Target)   {}
+func (h *wakeHost) CloseIdle(*scheduler.Target) {}
--- a/forward/messages.go
+++ b/forwarder/messages.go
@@ -1,23 +1,23 @@
-package forward
+package forwarder
 
 import (
 	"container/list"
 	"time"
 
-	"spanflow/choice"
 	"spanflow/internal/backlog"
-	"spanflow/internal/ledger"
-	"spanflow/seam"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // paper is a document that is owed or was until just now.
 type paper struct {
-	seam.Paper
-	doc       *choice.Doc
+	transport.Paper
+	doc       *scheduler.Doc
 	typ       int
 	lane      backlog.Lane
-	inLane    *list.Element // nil while no backlog store is used
-	holder    seam.Holder   // whom the final answer is for; nil: the teller
+	inLane    *list.Element    // nil while no backlog store is used
+	holder    transport.Holder // whom the final answer is for; nil: the teller
 	came      time.Time
 	traced    bool
 	untried   bool // an earlier process took it on, and no call has begun yet
@@ -25,15 +25,15 @@
 }
 
 // paper makes the module's document of an entry.
-func (o *owner) paper(e *ledger.Entry, typ int) *paper {
+func (o *owner) paper(e *wal.Entry, typ int) *paper {
 	p := &paper{
-		Paper:  seam.Paper{Door: e.Seq, ID: e.ID, Mark: e.Mark, Body: e.Body},
+		Paper:  transport.Paper{Door: e.Seq, ID: e.ID, Mark: e.Mark, Body: e.Body},
 		typ:    typ,
 		lane:   laneOf(e),
 		came:   time.Now(),
 		traced: o.trace.picks(e.ID, e.Key),
 	}
-	p.doc = &choice.Doc{Door: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Dest), Size: e.Size(), Noticed: o.teller != nil}
+	p.doc = &scheduler.Doc{Door: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Dest), Size: e.Size(), Noticed: o.teller != nil}
 	o.docs[e.Seq], o.byID[e.ID] = p, p
 	return p
 }
--- a/forward/owner.go
+++ b/forwarder/owner.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"io"
@@ -7,20 +7,20 @@
 
 	"github.com/rs/zerolog"
 
-	"spanflow/choice"
-	"spanflow/internal/ledger"
-	"spanflow/internal/rota"
-	"spanflow/seam"
+	"spanflow/internal/drains"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // owner is what the one goroutine that owns the module works with.
 type owner struct {
 	order    *Order
-	asRead   choice.Terms // as the order has them
+	asRead   scheduler.Terms // as the order has them
 	exchange *Exchange
-	ledger   *ledger.Ledger
+	ledger   *wal.Ledger
 	stored   *stored // nil: messages wait in memory alone
-	f        *choice.Forwarder
+	f        *scheduler.Forwarder
 	epoch    time.Time // the module's clock is seconds of the wall clock at the start, and from there on even
 	wakeAt   time.Time // zero: none set
 	stopping bool      // told to stop
@@ -34,12 +34,12 @@
 	untried   int             // recovered documents for which no call has begun yet
 
 	// Destinations and targets
-	dests    map[uint64]*choice.Destination
+	dests    map[uint64]*scheduler.Destination
 	sweepAt  int                // so many destinations are looked through for those that clients alone have named
 	targets  map[uint64]*target // by number
 	lastDoor uint64             // number of the latest target
 	byUID    map[string]*target
-	rota     *rota.Rota           // targets out by hand
+	rota     *drains.Rota         // targets out by hand
 	waits    map[string]float64   // of an earlier process, for targets not listed yet
 	learnt   map[uint64][]float64 // call times that an earlier process measured, for destinations not heard of yet
 
@@ -50,24 +50,24 @@
 	lame      bool // clients are sent elsewhere, by the operators' word
 
 	// Outlets
-	outlets map[string]seam.Outlet
+	outlets map[string]transport.Outlet
 	calls   []pending
 
 	// Discovery and notices
-	source  seam.Source
-	moves   seam.Mover // the source, if it is discovery
-	own     *static    // the source, if it is the order's own list
+	source  transport.Source
+	moves   transport.Mover // the source, if it is discovery
+	own     *static         // the source, if it is the order's own list
 	rev     int64
-	heard   bool        // discovery has told its list since the start
-	teller  seam.Teller // nil: the log alone
-	notices seam.Mover  // the teller, if it is not the same
+	heard   bool             // discovery has told its list since the start
+	teller  transport.Teller // nil: the log alone
+	notices transport.Mover  // the teller, if it is not the same
 
 	// Log and meter
 	log        zerolog.Logger
 	logTo      io.Writer
 	lastLogged map[string]time.Time // when lines that may come in floods were last written
 	trace      trace
-	meter      seam.Meter
+	meter      transport.Meter
 	metered    bool
 	counts     counts
 	figures    figures
@@ -94,7 +94,7 @@
 		targets:    map[uint64]*target{},
 		byUID:      map[string]*target{},
 		types:      map[string]int{},
-		dests:      map[uint64]*choice.Destination{},
+		dests:      map[uint64]*scheduler.Destination{},
 		unknown:    map[string]bool{},
 		trace:      newTrace(order.Log),
 		meter:      noMeter{},
@@ -148,9 +148,9 @@
 		o.asked(n)
 	case withdrawn:
 		o.withdraw(string(n))
-	case seam.Ended:
+	case transport.Ended:
 		o.ended(n)
-	case *seam.List:
+	case *transport.List:
 		o.heard = true
 		o.listed(n, n.All)
 	case noticesLost:
@@ -172,9 +172,9 @@
 func (o *owner) watchEnded(n watchEnded) {
 	o.log.Warn().Str("why", n.why).Msg("watch ended")
 	switch n.how {
-	case seam.WatchSilent:
+	case transport.WatchSilent:
 		o.f.ListSilent()
-	case seam.WatchLate:
+	case transport.WatchLate:
 		o.f.ListFailed()
 	default:
 		o.f.ListBroken()
--- a/forward/recovery.go
+++ b/forwarder/recovery.go
@@ -1,16 +1,16 @@
-package forward
+package forwarder
 
 import (
 	"time"
 
-	"spanflow/choice"
-	"spanflow/internal/ledger"
-	"spanflow/seam"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // begin gives the module the known list and what an earlier process owed.
 func (o *owner) begin(now time.Time) {
-	o.f = choice.New(o.order.Terms, o.order.Seed, o.clock(now), o)
+	o.f = scheduler.New(o.order.Terms, o.order.Seed, o.clock(now), o)
 	if o.order.Inherited > 0 { // this process and the one before are one forwarder; a restart ends the waits
 		o.waits = readWaits(o.order.Folder, o.clock(now))
 	}
@@ -30,7 +30,7 @@
 
 // recover takes up a document that an earlier process owed. One that would overtake stored ones is answered without a
 // call.
-func (o *owner) recover(e *ledger.Entry, now time.Time, overtaking bool) {
+func (o *owner) recover(e *wal.Entry, now time.Time, overtaking bool) {
 	typ, known := o.types[e.Type]
 	if !known {
 		o.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("recovered document of an unknown type")
@@ -41,10 +41,10 @@
 	switch {
 	case e.Held: // its caller's connection died with that process: told to nobody
 		o.counts.withdrawn++
-	case e.Answer == ledger.Returned:
-		o.tell(p, seam.Returned, e.After)
-	case e.Answer == ledger.Abandoned:
-		o.tell(p, seam.Abandoned, 0)
+	case e.Answer == wal.Returned:
+		o.tell(p, transport.Returned, e.After)
+	case e.Answer == wal.Abandoned:
+		o.tell(p, transport.Abandoned, 0)
 	}
 	left := float64(e.Expiry)/1e6 - o.clock(now)
 	if overtaking && !past.Answered && !past.Left {
@@ -78,17 +78,17 @@
 
 // pastOf is what the module is told of a document's earlier transmissions. One that was out when that process ended
 // counts as ended with it, and may have run.
-func (o *owner) pastOf(e *ledger.Entry) choice.Past {
+func (o *owner) pastOf(e *wal.Entry) scheduler.Past {
 	if e.Out > 0 {
 		if err := o.ledger.Back(e.Seq, true); err != nil {
 			o.logLedgerError(err)
 		}
 	}
-	return choice.Past{
+	return scheduler.Past{
 		Sent:     e.Sent,
 		Ran:      float64(e.Ran) / 1e6,
 		Zone:     e.RanZone,
-		Answered: e.Answer != ledger.None,
+		Answered: e.Answer != wal.None,
 		Left:     e.Held,
 	}
 }
--- a/forward/standby.go
+++ b/forwarder/standby.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"spanflow/internal/admin"
-	"spanflow/internal/rota"
+	"spanflow/internal/drains"
 )
 
 // While the new process of an upgrade waits for the folder, operators may call it already. What they ask of targets it
@@ -75,7 +75,7 @@
 	}
 	_, listed := s.known[c.Name]
 	verdict, change := call(s.out(), c, listed)
-	if change != rota.Same {
+	if change != drains.Same {
 		if err := lay(s.folder, c); err != nil {
 			return notKept(err), true
 		}
@@ -84,8 +84,8 @@
 }
 
 // out is the set of targets out by hand as it is once the tray is taken up.
-func (s *standby) out() *rota.Rota {
-	r := rota.New(readOut(s.folder))
+func (s *standby) out() *drains.Rota {
+	r := drains.New(readOut(s.folder))
 	for _, name := range trayNames(s.folder) {
 		if c, err := trayCall(s.folder, name); err == nil {
 			call(r, c, true)
--- a/forward/transcript_test.go
+++ b/forwarder/transcript_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
-	"spanflow/internal/standin"
+	"spanflow/forwarder"
+	"spanflow/internal/emulator"
 	"spanflow/internal/transcript"
 )
 
@@ -43,7 +43,7 @@
 	script              transcript.Transcript
 	discovery, endpoint *transcript.Server
 	listen, admin       string
-	client              *standin.Client
+	client              *emulator.Client
 }
 
 func newWires(t *testing.T) *wires {
@@ -58,14 +58,14 @@
 	w.script.Mask(`Date: [^\r]*`, "Date: DATE")
 	folder := t.TempDir()
 	text := fmt.Sprintf(transcriptConfig, w.discovery.Addr, w.admin, w.endpoint.Addr)
-	order, err := forward.ReadOrder([]byte(text), func(name string) string {
+	order, err := forwarder.ReadOrder([]byte(text), func(name string) string {
 		return map[string]string{"PROXY_STATE": folder}[name]
 	})
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ready, ended := make(chan string, 1), make(chan error, 1)
 	go func() {
-		ended <- forward.Run(ctx, order, nil, standin.NewLog(), func(addr string) { ready <- addr })
+		ended <- forwarder.Run(ctx, order, nil, emulator.NewLog(), func(addr string) { ready <- addr })
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -83,7 +83,7 @@
 // connect opens a new connection of the client.
 func (w *wires) connect() {
 	w.t.Helper()
-	client, err := standin.NewClient(w.listen)
+	client, err := emulator.NewClient(w.listen)
 	require.NoError(w.t, err)
 	w.t.Cleanup(func() { client.Close() })
 	w.client = client
--- a/forward/seam_test.go
+++ b/forwarder/transport_test.go
@@ -1,4 +1,4 @@
-package forward_test
+package forwarder_test
 
 import (
 	"context"
@@ -14,96 +14,96 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/dial"
-	"spanflow/internal/ledger"
-	"spanflow/internal/standin"
-	"spanflow/internal/terms"
-	"spanflow/seam"
+	"spanflow/internal/emulator"
+	"spanflow/internal/settings"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // A front and an outlet of the tests' own stand beside those of the program: nothing but a name in the order wires them.
 
 // memory is a front without sockets.
 type memory struct {
-	desk seam.Desk
+	desk transport.Desk
 	name string
 }
 
-func (m *memory) Addr() string      { return "memory" }
-func (m *memory) Tally() seam.Tally { return seam.Tally{} }
-func (m *memory) Clients() int      { return 0 }
-func (m *memory) Leave()            {}
-func (m *memory) Stay()             {}
-func (m *memory) Shut()             {}
-func (m *memory) Halt()             {}
-func (m *memory) Stop()             {}
+func (m *memory) Addr() string           { return "memory" }
+func (m *memory) Tally() transport.Tally { return transport.Tally{} }
+func (m *memory) Clients() int           { return 0 }
+func (m *memory) Leave()                 {}
+func (m *memory) Stay()                  {}
+func (m *memory) Shut()                  {}
+func (m *memory) Halt()                  {}
+func (m *memory) Stop()                  {}
 
 // caller waits for its final answer.
 type caller struct {
-	door  chan seam.Reply
-	final chan seam.Final
+	door  chan transport.Reply
+	final chan transport.Final
 	gone  atomic.Bool
 }
 
-func (c *caller) Gone() bool               { return c.gone.Load() }
-func (c *caller) Answer(r seam.Reply) bool { c.door <- r; return true }
-func (c *caller) Tell(f seam.Final)        { c.final <- f }
+func (c *caller) Gone() bool                    { return c.gone.Load() }
+func (c *caller) Answer(r transport.Reply) bool { c.door <- r; return true }
+func (c *caller) Tell(f transport.Final)        { c.final <- f }
 
-func (m *memory) hand(h seam.Handed) *caller {
-	c := &caller{door: make(chan seam.Reply, 1), final: make(chan seam.Final, 1)}
+func (m *memory) hand(h transport.Handed) *caller {
+	c := &caller{door: make(chan transport.Reply, 1), final: make(chan transport.Final, 1)}
 	h.Came, h.Left = time.Now(), 10
-	m.desk.Ask(seam.Asked{From: c, Paper: &h})
+	m.desk.Ask(transport.Asked{From: c, Paper: &h})
 	return c
 }
 
 // hands is an outlet whose calls a test carries out.
 type hands struct {
-	counter seam.Counter
-	calls   chan *seam.Call
+	counter transport.Counter
+	calls   chan *transport.Call
 }
 
-func (h *hands) Send(c *seam.Call) { h.calls <- c }
-func (h *hands) Recall(uint64)     {}
-func (h *hands) CloseIdle(uint64)  {}
-func (h *hands) Idle() int         { return 0 }
+func (h *hands) Send(c *transport.Call) { h.calls <- c }
+func (h *hands) Recall(uint64)          {}
+func (h *hands) CloseIdle(uint64)       {}
+func (h *hands) Idle() int              { return 0 }
 
-func (h *hands) end(c *seam.Call, end seam.End) {
-	ends := make([]seam.End, len(c.Papers))
+func (h *hands) end(c *transport.Call, end transport.End) {
+	ends := make([]transport.End, len(c.Papers))
 	for i := range ends {
 		ends[i] = end
 	}
-	h.counter.CallEnded(seam.Ended{Call: c, Ends: ends, Took: time.Millisecond})
+	h.counter.CallEnded(transport.Ended{Call: c, Ends: ends, Took: time.Millisecond})
 }
 
 // house is a forwarder in this process with such a front and outlet, and one of the program's own beside them.
 type house struct {
 	t      *testing.T
-	order  *forward.Order
+	order  *forwarder.Order
 	fronts map[string]*memory
 	hands  *hands
 	again  chan os.Signal
-	log    *standin.Log
+	log    *emulator.Log
 	addr   string
 	stop   func()
 }
 
-func newHouse(t *testing.T, fronts ...forward.Front) *house {
-	h := &house{t: t, fronts: map[string]*memory{}, hands: &hands{calls: make(chan *seam.Call, 100)}, again: make(chan os.Signal, 1)}
-	h.order = &forward.Order{Name: "n1", Folder: t.TempDir(), MemoryMB: 64, Sockets: 256, DiskMB: 3, Cores: 1, Seed: 7, Movable: true,
-		Fronts: append([]forward.Front{{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:0"}, {Name: "inner", Protocol: "memory"}}, fronts...),
-		Static: &seam.List{All: true, Targets: []seam.Target{{UID: "t1", Endpoint: "127.0.0.1:9", Kind: "k", Dest: 7, State: "active"}}},
-		Terms: choice.Terms{Types: []choice.DocType{{Repeat: choice.Replayable, Agreed: 3, Life: 20}, {Repeat: choice.Binding, InOrder: true, Agreed: 3, Life: 20}},
+func newHouse(t *testing.T, fronts ...forwarder.Front) *house {
+	h := &house{t: t, fronts: map[string]*memory{}, hands: &hands{calls: make(chan *transport.Call, 100)}, again: make(chan os.Signal, 1)}
+	h.order = &forwarder.Order{Name: "n1", Folder: t.TempDir(), MemoryMB: 64, Sockets: 256, DiskMB: 3, Cores: 1, Seed: 7, Movable: true,
+		Fronts: append([]forwarder.Front{{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:0"}, {Name: "inner", Protocol: "memory"}}, fronts...),
+		Static: &transport.List{All: true, Targets: []transport.Target{{UID: "t1", Endpoint: "127.0.0.1:9", Kind: "k", Dest: 7, State: "active"}}},
+		Terms: scheduler.Terms{Types: []scheduler.DocType{{Repeat: scheduler.Replayable, Agreed: 3, Life: 20}, {Repeat: scheduler.Binding, InOrder: true, Agreed: 3, Life: 20}},
 			KindBatch: []int{1}, Forwarders: 1, Slots: 8, Room: 100, Transmissions: 6, KeyRest: 0.05, ColdFrom: 0.2, ColdFor: 10, IdleLife: 10, FallMultiple: 2, ComeBackMost: 2},
-		Names:      terms.Names{Types: []string{"status", "payment"}, Kinds: []string{"k"}, Zones: []string{""}, Connect: 1},
-		Outlets:    []forward.Outlet{{Name: "by-hand", Protocol: "hands"}},
+		Names:      settings.Names{Types: []string{"status", "payment"}, Kinds: []string{"k"}, Zones: []string{""}, Connect: 1},
+		Outlets:    []forwarder.Outlet{{Name: "by-hand", Protocol: "hands"}},
 		KindOutlet: map[string]string{"k": "by-hand"},
-		Protocols: map[string]forward.Protocol{"memory": func(f forward.Front, _ int, desk seam.Desk) (seam.Front, error) {
+		Protocols: map[string]forwarder.Protocol{"memory": func(f forwarder.Front, _ int, desk transport.Desk) (transport.Front, error) {
 			h.fronts[f.Name] = &memory{desk, f.Name}
 			return h.fronts[f.Name], nil
 		}},
-		Carriages: map[string]forward.Carriage{"hands": func(_ *dial.Dialer, _ forward.Carrier, counter seam.Counter) seam.Outlet {
+		Carriages: map[string]forwarder.Carriage{"hands": func(_ *dial.Dialer, _ forwarder.Carrier, counter transport.Counter) transport.Outlet {
 			h.hands.counter = counter
 			return h.hands
 		}}}
@@ -113,10 +113,10 @@
 func (h *house) start() *house {
 	h.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	h.log = standin.NewLog()
+	h.log = emulator.NewLog()
 	ready, ended := make(chan string, 1), make(chan error, 1)
 	go func() {
-		ended <- forward.Run(ctx, h.order, h.again, h.log, func(addr string) { ready <- addr })
+		ended <- forwarder.Run(ctx, h.order, h.again, h.log, func(addr string) { ready <- addr })
 	}()
 	select {
 	case h.addr = <-ready:
@@ -131,8 +131,8 @@
 	return h
 }
 
-func (h *house) client() *standin.Client {
-	c, err := standin.NewClient(h.addr)
+func (h *house) client() *emulator.Client {
+	c, err := emulator.NewClient(h.addr)
 	require.NoError(h.t, err)
 	h.t.Cleanup(func() { c.Close() })
 	return c
@@ -140,19 +140,19 @@
 
 func TestACallerThatWaitsIsToldTheFinalAnswerOnce(t *testing.T) {
 	h := newHouse(t).start()
-	c := h.fronts["inner"].hand(seam.Handed{ID: "a", Type: "status", Dest: 7, Body: []byte("b")})
-	require.Equal(t, seam.Reply{Word: seam.Taken}, <-c.door)
-	h.hands.end(<-h.hands.calls, seam.Took)
+	c := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 7, Body: []byte("b")})
+	require.Equal(t, transport.Reply{Word: transport.Taken}, <-c.door)
+	h.hands.end(<-h.hands.calls, transport.Took)
 	f := <-c.final
-	require.Equal(t, []any{"a", seam.Delivered}, []any{f.ID, f.Outcome})
-	c = h.fronts["inner"].hand(seam.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7})
+	require.Equal(t, []any{"a", transport.Delivered}, []any{f.ID, f.Outcome})
+	c = h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7})
 	<-c.door
-	h.hands.end(<-h.hands.calls, seam.Broken) // may have run, and must not run twice
-	require.Equal(t, seam.Abandoned, (<-c.final).Outcome)
-	c = h.fronts["inner"].hand(seam.Handed{ID: "b", Type: "payment", Dest: 7})
-	require.Equal(t, seam.Declined, (<-c.door).Word, "an id that was taken on")
+	h.hands.end(<-h.hands.calls, transport.Broken) // may have run, and must not run twice
+	require.Equal(t, transport.Abandoned, (<-c.final).Outcome)
+	c = h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "payment", Dest: 7})
+	require.Equal(t, transport.Declined, (<-c.door).Word, "an id that was taken on")
 	h.stop()
-	v, err := ledger.Look(h.order.Folder)
+	v, err := wal.Look(h.order.Folder)
 	require.NoError(t, err)
 	require.Empty(t, v.Owed)
 }
@@ -160,9 +160,9 @@
 func TestWhatAnAbandonedCallHandedInIsNotTransmitted(t *testing.T) {
 	h := newHouse(t).start()
 	in := h.fronts["inner"]
-	first := in.hand(seam.Handed{ID: "a", Type: "payment", Key: 5, Dest: 7})
-	second := in.hand(seam.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7}) // waits for the first
-	third := in.hand(seam.Handed{ID: "c", Type: "payment", Key: 5, Dest: 7})
+	first := in.hand(transport.Handed{ID: "a", Type: "payment", Key: 5, Dest: 7})
+	second := in.hand(transport.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7}) // waits for the first
+	third := in.hand(transport.Handed{ID: "c", Type: "payment", Key: 5, Dest: 7})
 	<-first.door
 	<-second.door
 	<-third.door
@@ -172,10 +172,10 @@
 		in.desk.Withdraw(id)
 	}
 	in.desk.Withdraw("nobody")
-	h.hands.end(out, seam.TurnedAway) // not sent again: its caller has gone
+	h.hands.end(out, transport.TurnedAway) // not sent again: its caller has gone
 	require.Equal(t, "c", (<-h.hands.calls).Papers[0].ID)
 	h.log.Await(t, "ready")
-	v, err := ledger.Look(h.order.Folder)
+	v, err := wal.Look(h.order.Folder)
 	require.NoError(t, err)
 	require.Len(t, v.Owed, 1)
 }
@@ -183,10 +183,10 @@
 // The old process's callers are gone with it: what they waited for is withdrawn, and a key rests where it may still run.
 func TestWhatCallersOfAnEarlierProcessWaitedForIsWithdrawn(t *testing.T) {
 	h := newHouse(t)
-	l, err := ledger.Open(h.order.Folder, 3_000_000)
+	l, err := wal.Open(h.order.Folder, 3_000_000)
 	require.NoError(t, err)
 	at := time.Now().Add(10 * time.Second).UnixMicro()
-	for _, e := range []*ledger.Entry{{ID: "ran", Key: 5, Dest: 7, Type: "payment", Expiry: at, Front: "inner", Held: true},
+	for _, e := range []*wal.Entry{{ID: "ran", Key: 5, Dest: 7, Type: "payment", Expiry: at, Front: "inner", Held: true},
 		{ID: "not sent", Dest: 7, Type: "status", Expiry: at, Front: "gone from the order", Held: true},
 		{ID: "owed", Key: 5, Dest: 7, Type: "payment", Expiry: at, Front: "inner"}} {
 		require.NoError(t, l.Take(e))
@@ -198,17 +198,17 @@
 	call := <-h.hands.calls
 	require.Equal(t, "owed", call.Papers[0].ID)
 	require.GreaterOrEqual(t, time.Since(began), 50*time.Millisecond, "the rest of its key")
-	h.hands.end(call, seam.Took)
+	h.hands.end(call, transport.Took)
 	h.stop()
 	require.Contains(t, h.log.String(), `"withdrawn":2`)
-	v, err := ledger.Look(h.order.Folder)
+	v, err := wal.Look(h.order.Folder)
 	require.NoError(t, err)
 	require.Empty(t, v.Owed)
 }
 
 // One front's callers flood without reading their answers; another's and the platform's go on being served.
 func TestAFrontThatFloodsStarvesNoOther(t *testing.T) {
-	h := newHouse(t, forward.Front{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
+	h := newHouse(t, forwarder.Front{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
 	end, flooded := make(chan struct{}), make(chan struct{})
 	var asked atomic.Int64
 	go func() {
@@ -219,14 +219,14 @@
 			case <-end:
 				return
 			default:
-				h.fronts["flood"].desk.Ask(seam.Asked{From: c, Paper: &seam.Handed{ID: fmt.Sprint("f", i), Type: "none", Dest: 7}})
+				h.fronts["flood"].desk.Ask(transport.Asked{From: c, Paper: &transport.Handed{ID: fmt.Sprint("f", i), Type: "none", Dest: 7}})
 				asked.Add(1)
 			}
 		}
 	}()
 	mute := h.client() // sends and never reads
 	go func() {
-		ping := []byte(strings.Repeat(standin.Command("PING"), 1000))
+		ping := []byte(strings.Repeat(emulator.Command("PING"), 1000))
 		for {
 			if _, err := mute.Write(ping); err != nil {
 				return
@@ -235,12 +235,12 @@
 	}()
 	c := h.client()
 	for i := range 200 {
-		answer, err := c.Say(standin.Command("PING"))
+		answer, err := c.Say(emulator.Command("PING"))
 		require.NoError(t, err)
 		require.Equal(t, "+PONG", answer)
-		in := h.fronts["inner"].hand(seam.Handed{ID: fmt.Sprint(i), Type: "status", Dest: 7})
-		require.Equal(t, seam.Taken, (<-in.door).Word)
-		h.hands.end(<-h.hands.calls, seam.Took)
+		in := h.fronts["inner"].hand(transport.Handed{ID: fmt.Sprint(i), Type: "status", Dest: 7})
+		require.Equal(t, transport.Taken, (<-in.door).Word)
+		h.hands.end(<-h.hands.calls, transport.Took)
 		<-in.final
 	}
 	close(end)
@@ -251,8 +251,8 @@
 // deaf hears no answer.
 type deaf struct{}
 
-func (*deaf) Gone() bool             { return false }
-func (*deaf) Answer(seam.Reply) bool { return true }
+func (*deaf) Gone() bool                  { return false }
+func (*deaf) Answer(transport.Reply) bool { return true }
 
 func free(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -265,7 +265,7 @@
 	h := newHouse(t)
 	next := *h.order
 	var fail error
-	h.order.Reread = func() (*forward.Order, error) { o := next; return &o, fail }
+	h.order.Reread = func() (*forwarder.Order, error) { o := next; return &o, fail }
 	h.start()
 	c := h.client()
 	for _, id := range []string{"1", "2"} {
@@ -277,26 +277,26 @@
 	require.NoError(t, err)
 	defer taken.Close()
 	reload := func(listen, says string) {
-		next.Fronts = append([]forward.Front{{Name: "resp", Protocol: "resp", Listen: listen}}, h.order.Fronts[1:]...)
+		next.Fronts = append([]forwarder.Front{{Name: "resp", Protocol: "resp", Listen: listen}}, h.order.Fronts[1:]...)
 		h.again <- os.Interrupt
 		h.log.Await(t, says)
 	}
 	reload(taken.Addr().String(), "order not taken up") // an address that cannot be had changes nothing
-	answer, err := c.Say(standin.Command("PING"))
+	answer, err := c.Say(emulator.Command("PING"))
 	require.True(t, err == nil && answer == "+PONG", answer)
 	addr := free(t)
 	reload(addr, "order taken up")
 	require.Contains(t, h.log.String(), addr)
-	_, err = standin.NewClient(h.addr)
+	_, err = emulator.NewClient(h.addr)
 	require.Error(t, err, "nobody listens at the old address")
 	old := h.addr
 	h.addr = addr
-	answer, err = h.client().Say(standin.Command("PING"))
+	answer, err = h.client().Say(emulator.Command("PING"))
 	require.True(t, err == nil && answer == "+PONG", answer)
 	_, err = c.Hear()
 	require.Error(t, err, "a caller of the old address goes elsewhere once it is answered")
-	h.hands.end(<-h.hands.calls, seam.Took)
-	h.hands.end(<-h.hands.calls, seam.Took)
+	h.hands.end(<-h.hands.calls, transport.Took)
+	h.hands.end(<-h.hands.calls, transport.Took)
 	fail = fmt.Errorf("limits.memory: c.toml:5: wrong")
 	h.again <- os.Interrupt
 	h.log.Await(t, "c.toml:5")
@@ -306,20 +306,20 @@
 func TestTargetsOfAnOrdersOwnListComeAndGoAtAReload(t *testing.T) {
 	h := newHouse(t)
 	next := *h.order
-	h.order.Reread = func() (*forward.Order, error) { o := next; return &o, nil }
+	h.order.Reread = func() (*forwarder.Order, error) { o := next; return &o, nil }
 	h.start()
-	unknown := h.fronts["inner"].hand(seam.Handed{ID: "a", Type: "status", Dest: 8})
-	require.Equal(t, seam.Declined, (<-unknown.door).Word)
-	next.Static = &seam.List{All: true, Targets: []seam.Target{{UID: "t2", Endpoint: "127.0.0.1:8", Kind: "k", Dest: 8, State: "active"}}}
+	unknown := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 8})
+	require.Equal(t, transport.Declined, (<-unknown.door).Word)
+	next.Static = &transport.List{All: true, Targets: []transport.Target{{UID: "t2", Endpoint: "127.0.0.1:8", Kind: "k", Dest: 8, State: "active"}}}
 	next.MemoryMB = 128
 	h.again <- os.Interrupt
 	text := h.log.Await(t, "order taken up")
 	require.Contains(t, text, `"at_next_start":["limits"]`)
-	c := h.fronts["inner"].hand(seam.Handed{ID: "b", Type: "status", Dest: 8})
-	require.Equal(t, seam.Taken, (<-c.door).Word)
+	c := h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "status", Dest: 8})
+	require.Equal(t, transport.Taken, (<-c.door).Word)
 	call := <-h.hands.calls
 	require.Equal(t, "127.0.0.1:8", call.Target)
-	h.hands.end(call, seam.Took)
+	h.hands.end(call, transport.Took)
 }
 
 func TestTheCourseOfPickedDocumentsIsLogged(t *testing.T) {
@@ -327,9 +327,9 @@
 	h.order.Log.Keys = []uint64{5}
 	h.start()
 	for i, key := range []uint64{5, 6} {
-		c := h.fronts["inner"].hand(seam.Handed{ID: fmt.Sprint("doc", i), Key: key, Type: "payment", Dest: 7})
+		c := h.fronts["inner"].hand(transport.Handed{ID: fmt.Sprint("doc", i), Key: key, Type: "payment", Dest: 7})
 		<-c.door
-		h.hands.end(<-h.hands.calls, seam.Took)
+		h.hands.end(<-h.hands.calls, transport.Took)
 		<-c.final
 	}
 	h.stop()
@@ -347,12 +347,12 @@
 // finals is a meter that keeps the final answers it is told.
 type finals struct {
 	mu   sync.Mutex
-	seen []seam.Outcome
+	seen []transport.Outcome
 }
 
-func (f *finals) Asked(string, seam.Word)     {}
-func (f *finals) End(seam.End, time.Duration) {}
-func (f *finals) Final(o seam.Outcome, _ time.Duration) {
+func (f *finals) Asked(string, transport.Word)     {}
+func (f *finals) End(transport.End, time.Duration) {}
+func (f *finals) Final(o transport.Outcome, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen = append(f.seen, o)
@@ -366,16 +366,16 @@
 	h := newHouse(t)
 	m := &finals{}
 	h.order.Metrics = "in the test"
-	h.order.Meter = func(string, string, []string, []seam.Level) (seam.Meter, error) { return m, nil }
+	h.order.Meter = func(string, string, []string, []transport.Level) (transport.Meter, error) { return m, nil }
 	h.start()
-	for _, end := range []seam.End{seam.Took, seam.Gone} {
-		c := h.fronts["inner"].hand(seam.Handed{ID: end.String(), Type: "status", Dest: 7})
-		require.Equal(t, seam.Taken, (<-c.door).Word)
+	for _, end := range []transport.End{transport.Took, transport.Gone} {
+		c := h.fronts["inner"].hand(transport.Handed{ID: end.String(), Type: "status", Dest: 7})
+		require.Equal(t, transport.Taken, (<-c.door).Word)
 		h.hands.end(<-h.hands.calls, end)
 		<-c.final
 	}
 	h.stop()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	require.Equal(t, []seam.Outcome{seam.Delivered, seam.Abandoned}, m.seen)
+	require.Equal(t, []transport.Outcome{transport.Delivered, transport.Abandoned}, m.seen)
 }
--- a/forward/waits.go
+++ b/forwarder/waits.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
--- a/forward/watch_test.go
+++ b/forwarder/watch_test.go
@@ -1,4 +1,4 @@
-package forward
+package forwarder
 
 import (
 	"testing"
@@ -6,13 +6,13 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
-	"spanflow/seam"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // wakeHost notes in how many seconds the module wants to be woken, and how often it asks for the list.
 type wakeHost struct {
-	choice.Host
+	scheduler.Host
 	in   float64
 	asks int
 }
@@ -24,11 +24,11 @@
 // The time until the next question for the list goes by how the watch ended.
 func TestAWatchsEndDecidesHowLongTheNextQuestionWaits(t *testing.T) {
 	const askWithin, failures, seeds = 100, 8, 20
-	longest := func(how seam.WatchEnd) (wait float64) {
+	longest := func(how transport.WatchEnd) (wait float64) {
 		for seed := range uint64(seeds) {
 			host, now := &wakeHost{}, 100.0
-			terms := choice.Terms{Types: []choice.DocType{{Life: 20, Agreed: 3}}, Slots: 4, Room: 40, Forwarders: 3, AskList: true, AskWithin: askWithin}
-			o := &owner{f: choice.New(terms, seed, now, host), log: zerolog.Nop()}
+			terms := scheduler.Terms{Types: []scheduler.DocType{{Life: 20, Agreed: 3}}, Slots: 4, Room: 40, Forwarders: 3, AskList: true, AskWithin: askWithin}
+			o := &owner{f: scheduler.New(terms, seed, now, host), log: zerolog.Nop()}
 			o.f.Clock(now)
 			o.f.Settle()
 			require.Equal(t, 1, host.asks)
@@ -46,7 +46,7 @@
 		}
 		return wait
 	}
-	require.Less(t, longest(seam.WatchSilent), 1.0, "what it missed counts as told six seconds after it fell silent")
-	require.Less(t, longest(seam.WatchBroken), 3.6, "six seconds after discovery could be reached")
-	require.Greater(t, longest(seam.WatchLate), 8.0, "discovery has more questions than it can answer")
+	require.Less(t, longest(transport.WatchSilent), 1.0, "what it missed counts as told six seconds after it fell silent")
+	require.Less(t, longest(transport.WatchBroken), 3.6, "six seconds after discovery could be reached")
+	require.Greater(t, longest(transport.WatchLate), 8.0, "discovery has more questions than it can answer")
 }
--- a/forward/wiring.go
+++ b/forwarder/wiring.go
@@ -1,15 +1,15 @@
-package forward
+package forwarder
 
 import (
 	"fmt"
 	"net"
 	"time"
 
-	"spanflow/choice"
 	"spanflow/internal/dial"
-	"spanflow/internal/intake"
-	"spanflow/internal/outlet"
-	"spanflow/seam"
+	"spanflow/internal/respserver"
+	"spanflow/internal/upstream"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // Front is what an order says of one front.
@@ -31,10 +31,10 @@
 }
 
 // Protocol opens a front that leaves what its callers want at the desk. most is the bound of its connections.
-type Protocol func(f Front, most int, desk seam.Desk) (seam.Front, error)
+type Protocol func(f Front, most int, desk transport.Desk) (transport.Front, error)
 
 // Carriage makes an outlet that reports to the counter.
-type Carriage func(d *dial.Dialer, t Carrier, counter seam.Counter) seam.Outlet
+type Carriage func(d *dial.Dialer, t Carrier, counter transport.Counter) transport.Outlet
 
 // Carrier is what an outlet is told.
 type Carrier struct {
@@ -51,15 +51,15 @@
 	carriages = map[string]Carriage{"http": newHTTP}
 )
 
-func openRESP(f Front, most int, desk seam.Desk) (seam.Front, error) {
+func openRESP(f Front, most int, desk transport.Desk) (transport.Front, error) {
 	if f.Listener != nil {
-		return intake.OpenOn(f.Listener, most-spareClients, most, intake.Patience{Silent: choice.KeepSilent, Quiet: choice.KeepQuiet}, desk)
+		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Patience{Silent: scheduler.KeepSilent, Quiet: scheduler.KeepQuiet}, desk)
 	}
-	return intake.Open(f.Listen, most-spareClients, most, intake.Patience{Silent: choice.KeepSilent, Quiet: choice.KeepQuiet}, desk)
+	return respserver.Open(f.Listen, most-spareClients, most, respserver.Patience{Silent: scheduler.KeepSilent, Quiet: scheduler.KeepQuiet}, desk)
 }
 
-func newHTTP(d *dial.Dialer, t Carrier, counter seam.Counter) seam.Outlet {
-	return outlet.New(d, counter, outlet.Terms{Connect: t.Connect, KeepIdle: t.KeepIdle, Limit: t.Limit, Left: t.Left})
+func newHTTP(d *dial.Dialer, t Carrier, counter transport.Counter) transport.Outlet {
+	return upstream.New(d, counter, upstream.Terms{Connect: t.Connect, KeepIdle: t.KeepIdle, Limit: t.Limit, Left: t.Left})
 }
 
 // Protocols and Carriages name what an order may ask for.
@@ -120,7 +120,7 @@
 // listener is an open front with its way in.
 type listener struct {
 	terms Front
-	seam.Front
+	transport.Front
 	gate *gate
 }
 
@@ -174,8 +174,8 @@
 
 // static is a list that an order has itself: nothing is watched.
 type static struct {
-	board seam.Board
-	list  seam.List
+	board transport.Board
+	list  transport.List
 }
 
 // Watch tells the whole list.
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/golden"
-	"spanflow/internal/ledger"
+	"spanflow/internal/wal"
 )
 
 // The folders in testdata were written by version 1 of the format. A store written by an earlier release must be read,
@@ -206,14 +206,14 @@
 	return m
 }
 
-func openMoved(t *testing.T, dir string) (*ledger.Ledger, *Store) {
+func openMoved(t *testing.T, dir string) (*wal.Ledger, *Store) {
 	t.Helper()
-	log, err := ledger.Open(dir, ledgerBytes)
+	log, err := wal.Open(dir, ledgerBytes)
 	require.NoError(t, err)
 	return log, openGolden(t, filepath.Join(dir, goldenStoreName))
 }
 
-func closeMoved(t *testing.T, log *ledger.Ledger, s *Store) {
+func closeMoved(t *testing.T, log *wal.Ledger, s *Store) {
 	t.Helper()
 	require.NoError(t, s.Close())
 	require.NoError(t, log.Close())
--- a/internal/backlog/move_ledger_test.go
+++ b/internal/backlog/move_ledger_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/ledger"
+	"spanflow/internal/wal"
 )
 
 const (
@@ -26,18 +26,18 @@
 )
 
 // ledgerLog is the write-ahead log as the mover needs it.
-type ledgerLog struct{ *ledger.Ledger }
+type ledgerLog struct{ *wal.Ledger }
 
 func (l ledgerLog) Restore(m *Message) error { return l.Ledger.Restore(entryOf(m)) }
 func (l ledgerLog) Forget(seq uint64) error  { return l.Over(seq) }
 
-func entryOf(m *Message) *ledger.Entry {
-	return &ledger.Entry{Seq: m.Seq, Key: m.Key, Dest: m.Lane.Destination, Tenant: int(m.Lane.Tenant), Type: m.Type, ID: m.ID,
+func entryOf(m *Message) *wal.Entry {
+	return &wal.Entry{Seq: m.Seq, Key: m.Key, Dest: m.Lane.Destination, Tenant: int(m.Lane.Tenant), Type: m.Type, ID: m.ID,
 		Mark: m.DeduplicationKey, Expiry: m.Expiry, Sent: int(m.Attempts), Ran: m.MayHaveRun, RanZone: int(m.MayHaveRunZone),
 		Body: m.Body, Front: m.Frontend, Held: m.CallerWaits}
 }
 
-func messageOf(e *ledger.Entry) *Message {
+func messageOf(e *wal.Entry) *Message {
 	return &Message{Seq: e.Seq, Key: e.Key, Lane: Lane{e.Dest, uint32(e.Tenant)}, Type: e.Type, ID: e.ID, DeduplicationKey: e.Mark,
 		Expiry: e.Expiry, Attempts: uint32(e.Sent), MayHaveRun: e.Ran, MayHaveRunZone: uint32(e.RanZone), Body: e.Body,
 		Frontend: e.Front, CallerWaits: e.Held}
@@ -52,7 +52,7 @@
 
 // forwarder takes messages on, moves them between the real write-ahead log and the store, and ends them in order.
 type forwarder struct {
-	log   *ledger.Ledger
+	log   *wal.Ledger
 	store *Store
 	mover *Mover
 	held  map[Lane][]*Message
@@ -63,7 +63,7 @@
 func startForwarder(dir string, out io.Writer) (*forwarder, error) {
 	f := &forwarder{held: map[Lane][]*Message{}, out: out}
 	var err error
-	if f.log, err = ledger.Open(dir, ledgerBytes); err != nil {
+	if f.log, err = wal.Open(dir, ledgerBytes); err != nil {
 		return nil, err
 	}
 	if f.store, err = Open(OS{}, filepath.Join(dir, "backlog"), killBounds); err != nil {
@@ -153,7 +153,7 @@
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), 1))
 	for {
-		if err := f.operate(rng); err != nil && !errors.Is(err, ErrFull) && !errors.Is(err, ledger.ErrFull) {
+		if err := f.operate(rng); err != nil && !errors.Is(err, ErrFull) && !errors.Is(err, wal.ErrFull) {
 			return err
 		}
 	}
--- a/internal/shell/shell.go
+++ b/internal/cli/shell.go
@@ -1,5 +1,5 @@
 // Package shell is what the command lines share: exit codes, and the telling of errors.
-package shell
+package cli
 
 import (
 	"encoding/json"
--- a/internal/command/backlog.go
+++ b/internal/commands/backlog.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"cmp"
@@ -12,11 +12,11 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/backlog"
+	"spanflow/internal/cli"
 	"spanflow/internal/config"
-	"spanflow/internal/ledger"
-	"spanflow/internal/shell"
+	"spanflow/internal/wal"
 )
 
 // mostReads is how often a store that is written to meanwhile is read anew without a message having been read.
@@ -27,7 +27,7 @@
 
 // backlogPlace is where a configuration has the backlog store.
 var backlogPlace = place{
-	byOrder: func(o *forward.Order) string {
+	byOrder: func(o *forwarder.Order) string {
 		if o.Backlog == nil {
 			return ""
 		}
@@ -39,7 +39,7 @@
 const storeLock = "backlog.lock" // in a store's folder
 
 // storeOwner tells which running process has a store's folder, 0 if none is known.
-func storeOwner(folder string) int { return ledger.Holder(filepath.Join(folder, storeLock)) }
+func storeOwner(folder string) int { return wal.Holder(filepath.Join(folder, storeLock)) }
 
 func (s *session) backlogCommand() *cobra.Command {
 	c := &cobra.Command{Use: "backlog", Short: "Look at what is stored for destinations that are out or far behind", Args: cobra.NoArgs,
@@ -53,10 +53,10 @@
 		Long: `Lists documents by destination and tenant, and within them in the order of their taking on. States: untried (not
 transmitted yet), tried (transmitted, surely never run), may-have-run.`,
 		Example: "  spanflow backlog list -f /var/lib/spanflow-backlog --dest 7 --limit 20\n  spanflow backlog list -c spanflow.toml --expires-within 1m --json",
-		RunE:    shell.Run(func([]string) error { return s.listBacklog(l) })})
+		RunE:    cli.Run(func([]string) error { return s.listBacklog(l) })})
 	show := add(&cobra.Command{Use: "show ID", Short: "Show one stored document with its body", Args: cobra.ExactArgs(1),
 		Long: `Shows the stored document with a client's id. The store is read until it is found; --dest and --tenant shorten that.`,
-		RunE: shell.Run(func(args []string) error { return s.showBacklog(l, args[0]) })})
+		RunE: cli.Run(func(args []string) error { return s.showBacklog(l, args[0]) })})
 	for _, c := range []*cobra.Command{list, show} {
 		c.Flags().StringVar(&l.dest, "dest", "", "only for this destination")
 		c.Flags().StringVar(&l.tenant, "tenant", "", "only of this tenant, by number, or by name with a configuration")
@@ -68,11 +68,11 @@
 	must(list.RegisterFlagCompletionFunc("state", cobra.FixedCompletions(backlogStates(), cobra.ShellCompDirectiveNoFileComp)))
 	c.AddCommand(list, show,
 		add(&cobra.Command{Use: "stat", Short: "Sum up what is stored, by state, destination and tenant", Args: cobra.NoArgs,
-			RunE: shell.Run(func([]string) error { return s.statBacklog(l) })}),
+			RunE: cli.Run(func([]string) error { return s.statBacklog(l) })}),
 		add(&cobra.Command{Use: "verify", Short: "Read every record and tell what is damaged", Args: cobra.NoArgs,
 			Long: `Reads every segment on its own. A torn end, left by a process that was killed while writing or is writing now, is told
 and is no damage. Anything else that cannot be read is damage: then the exit code is 1.`,
-			RunE: shell.Run(func([]string) error { return s.verifyBacklog(l) })}))
+			RunE: cli.Run(func([]string) error { return s.verifyBacklog(l) })}))
 	return c
 }
 
@@ -300,7 +300,7 @@
 		return err
 	}
 	if s.json {
-		return shell.Print(s.out, sums)
+		return cli.Print(s.out, sums)
 	}
 	t := newColumns(s.out)
 	fmt.Fprintf(t, "folder\t%s\nowner\t%s\nsegments\t%d, %d bytes on disk\nstored\t%d documents in %d lanes, %d bytes\n", sums.Folder, owner(sums.Owner),
@@ -366,7 +366,7 @@
 	}
 	damaged := slices.ContainsFunc(reports, func(r segmentReport) bool { return r.Fault != nil })
 	if s.json {
-		err = shell.Print(s.out, struct {
+		err = cli.Print(s.out, struct {
 			Folder   string          `json:"folder"`
 			Damaged  bool            `json:"damaged"`
 			Segments []segmentReport `json:"segments"`
--- a/internal/command/command.go
+++ b/internal/commands/command.go
@@ -1,5 +1,5 @@
 // Package command is spanflow's command line.
-package command
+package commands
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
+	"spanflow/internal/cli"
 	"spanflow/internal/config"
-	"spanflow/internal/ledger"
-	"spanflow/internal/shell"
+	"spanflow/internal/wal"
 )
 
 // session is what the commands work with.
@@ -34,7 +34,7 @@
 // Main runs a command line and returns the exit code.
 func Main(args, environ []string, out, errOut io.Writer) int {
 	s := &session{environ: environ, out: out, err: errOut}
-	return shell.Main(s.root(), args, out, errOut)
+	return cli.Main(s.root(), args, out, errOut)
 }
 
 func (s *session) getenv(name string) string {
@@ -87,7 +87,7 @@
 }
 
 // order reads the configuration, whichever form it has.
-func (s *session) order() (*forward.Order, error) {
+func (s *session) order() (*forwarder.Order, error) {
 	path, platform, err := s.file()
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	if len(s.set) > 0 {
 		return nil, errors.New("--set has no use with the platform's form")
 	}
-	return forward.FromEnvironment(func(name string) string {
+	return forwarder.FromEnvironment(func(name string) string {
 		if name == "PROXY_CONFIG" {
 			return path
 		}
@@ -113,7 +113,7 @@
 SIGTERM ends it: it finishes what it can for up to 3.2 s, the rest stays owed in the ledger's folder. SIGHUP makes it
 read its configuration again; 'spanflow config show' tells which fields are taken up then and which at a restart.`,
 		Example: "  spanflow run --config example/spanflow.toml\n  spanflow run -c spanflow.toml --set log.format=console",
-		RunE: shell.Run(func([]string) error {
+		RunE: cli.Run(func([]string) error {
 			order, err := s.order()
 			if err != nil {
 				return s.problems(err)
@@ -123,7 +123,7 @@
 			again := make(chan os.Signal, 1)
 			signal.Notify(again, syscall.SIGHUP)
 			order.Confine()
-			return forward.Run(ctx, order, again, s.err, nil)
+			return forwarder.Run(ctx, order, again, s.err, nil)
 		})})
 }
 
@@ -136,7 +136,7 @@
 	for _, p := range wrong {
 		fmt.Fprintln(s.err, p)
 	}
-	return shell.ErrFound
+	return cli.ErrFound
 }
 
 func (s *session) checkCommand() *cobra.Command {
@@ -144,7 +144,7 @@
 		Long: `Reads everything a run would read, without opening a port or the ledger, and prints what would run. Each thing that is
 wrong is named by file, line and field; then the exit code is 1.`,
 		Example: "  spanflow check --config deploy/spanflow.toml",
-		RunE:    shell.Run(func([]string) error { return s.check() })})
+		RunE:    cli.Run(func([]string) error { return s.check() })})
 }
 
 // plan is what would run.
@@ -184,7 +184,7 @@
 		return err
 	}
 	var p plan
-	var order *forward.Order
+	var order *forwarder.Order
 	if platform {
 		order, err = s.order()
 	} else {
@@ -211,20 +211,20 @@
 		}
 	}
 	if s.json {
-		err = shell.Print(s.out, p)
+		err = cli.Print(s.out, p)
 	} else {
 		p.write(s.out)
 	}
 	if err == nil && !p.Fine {
-		err = shell.ErrFound
+		err = cli.ErrFound
 	}
 	return err
 }
 
-func (p *plan) of(o *forward.Order) {
+func (p *plan) of(o *forwarder.Order) {
 	p.Name, p.Folder, p.Calls, p.Metrics = o.Name, o.Folder, o.Terms.Slots, o.Metrics
-	p.Lines = o.Sockets - 32 - forward.Clients(o.Sockets)
-	p.Owner = ledger.Owner(o.Folder)
+	p.Lines = o.Sockets - 32 - forwarder.Clients(o.Sockets)
+	p.Owner = wal.Owner(o.Folder)
 	if b := o.Backlog; b != nil {
 		p.Backlog = &planBacklog{Folder: b.Folder, Bytes: b.Bytes, Owner: storeOwner(b.Folder)}
 	}
@@ -273,8 +273,8 @@
 		Long: `Shows each field with its value, its source (default, file with line, variable, flag) and whether a running forwarder
 takes a change up when it reads its configuration again (reload) or at the next start (restart). Secrets stand in files
 of their own; only the paths of those are shown.`,
-		RunE: shell.Run(func([]string) error { return s.show() })}),
-		&cobra.Command{Use: "schema", Short: "Print the form as JSON Schema", Args: cobra.NoArgs, RunE: shell.Run(func([]string) error {
+		RunE: cli.Run(func([]string) error { return s.show() })}),
+		&cobra.Command{Use: "schema", Short: "Print the form as JSON Schema", Args: cobra.NoArgs, RunE: cli.Run(func([]string) error {
 			b, err := config.Schema()
 			if err == nil {
 				_, err = fmt.Fprintf(s.out, "%s\n", b)
@@ -320,7 +320,7 @@
 		}
 	}
 	if s.json {
-		return shell.Print(s.out, all)
+		return cli.Print(s.out, all)
 	}
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "FIELD\tVALUE\tSOURCE\tCHANGE")
@@ -331,7 +331,7 @@
 }
 
 // platformShown is what the platform's form and its variables say.
-func (s *session) platformShown(o *forward.Order, path string) []shown {
+func (s *session) platformShown(o *forwarder.Order, path string) []shown {
 	from := func(variable string) string {
 		if s.getenv(variable) != "" {
 			return "variable " + variable
@@ -346,7 +346,7 @@
 }
 
 func (s *session) versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, RunE: shell.Run(func([]string) error {
+	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, RunE: cli.Run(func([]string) error {
 		v := struct {
 			Version  string `json:"version"`
 			Go       string `json:"go"`
@@ -368,7 +368,7 @@
 			}
 		}
 		if s.json {
-			return shell.Print(s.out, v)
+			return cli.Print(s.out, v)
 		}
 		_, err := fmt.Fprintln(s.out, strings.TrimSpace(fmt.Sprintf("spanflow %s %s %s", v.Version, v.Go, v.Revision)))
 		return err
--- a/internal/command/ledger.go
+++ b/internal/commands/ledger.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"cmp"
@@ -9,10 +9,10 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
+	"spanflow/internal/cli"
 	"spanflow/internal/config"
-	"spanflow/internal/ledger"
-	"spanflow/internal/shell"
+	"spanflow/internal/wal"
 )
 
 func (s *session) ledgerCommand() *cobra.Command {
@@ -26,7 +26,7 @@
 		Long: `Lists documents in the order of their taking on. States: held (not transmitted yet), tried (transmitted, surely never
 run), out (a transmission is out), may-have-run, returned and abandoned (answered; the answer is not confirmed yet).`,
 		Example: "  spanflow ledger list -f /var/lib/spanflow --dest 7 --state may-have-run\n  spanflow ledger list -f state --expired-for 10s --json",
-		RunE:    shell.Run(func([]string) error { return s.list(l) })})
+		RunE:    cli.Run(func([]string) error { return s.list(l) })})
 	f := list.Flags()
 	f.StringVar(&l.dest, "dest", "", "only for this destination")
 	f.StringVar(&l.tenant, "tenant", "", "only of this tenant, by number, or by name with a configuration")
@@ -39,18 +39,18 @@
 	f.IntVar(&l.most, "limit", 0, "so many at most")
 	c.AddCommand(list,
 		add(&cobra.Command{Use: "show ID", Short: "Show one document with its body", Args: cobra.ExactArgs(1),
-			RunE: shell.Run(func(args []string) error { return s.showEntry(l, args[0]) })}),
+			RunE: cli.Run(func(args []string) error { return s.showEntry(l, args[0]) })}),
 		add(&cobra.Command{Use: "stat", Short: "Sum up what is owed, by state and destination", Args: cobra.NoArgs,
-			RunE: shell.Run(func([]string) error { return s.stat(l) })}),
+			RunE: cli.Run(func([]string) error { return s.stat(l) })}),
 		add(&cobra.Command{Use: "verify", Short: "Read every record and tell what is damaged", Args: cobra.NoArgs,
 			Long: `Reads every record. A torn end, left by a process that was killed while writing or is writing now, is told and is no
 damage. Anything else that cannot be read is damage: then the exit code is 1.`,
-			RunE: shell.Run(func([]string) error { return s.verify(l) })}))
+			RunE: cli.Run(func([]string) error { return s.verify(l) })}))
 	return c
 }
 
 // filter reads the flags.
-func (l *looking) filter(tenants []string) (f ledger.Filter, err error) {
+func (l *looking) filter(tenants []string) (f wal.Filter, err error) {
 	f.Dest, f.Tenant, err = l.lane(tenants)
 	if l.key != "" && err == nil {
 		f.Key, err = flagNumber("key", l.key, 16, 64)
@@ -72,29 +72,29 @@
 	if l.expired > 0 && l.within > 0 && err == nil {
 		err = fmt.Errorf("--expired-for and --expires-within: one of them")
 	}
-	if known := ledger.States(); l.state != "" && !slices.Contains(known, l.state) && err == nil {
+	if known := wal.States(); l.state != "" && !slices.Contains(known, l.state) && err == nil {
 		err = fmt.Errorf("--state: %q is none of %q", l.state, known)
 	}
 	return f, err
 }
 
 // look reads the folder that is asked for; the names of tenants come with a configuration, if there is one.
-func (s *session) look(l *looking) (*ledger.View, []string, error) {
+func (s *session) look(l *looking) (*wal.View, []string, error) {
 	folder, tenants, err := s.folder(l.folder, ledgerPlace)
 	if err != nil {
 		return nil, nil, err
 	}
-	v, err := ledger.Look(folder)
+	v, err := wal.Look(folder)
 	return v, tenants, err
 }
 
 // ledgerPlace is where a configuration has the ledger.
 var ledgerPlace = place{
-	byOrder: func(o *forward.Order) string { return o.Folder },
+	byOrder: func(o *forwarder.Order) string { return o.Folder },
 	byFile:  func(l *config.Loaded) string { return l.Folder() },
 }
 
-func rowOf(e *ledger.Entry, tenants []string) row {
+func rowOf(e *wal.Entry, tenants []string) row {
 	return row{ID: e.ID, State: e.State(), Dest: e.Dest, Type: e.Type, Tenant: tenantName(e.Tenant, tenants), Key: fmt.Sprintf("%016x", e.Key), Mark: e.Mark,
 		Front: frontName(e.Front), Held: e.Held, Sent: e.Sent, Expiry: moment(e.Expiry), Ran: moment(e.Ran), Out: moment(e.Out), Seq: e.Seq, Bytes: len(e.Body), AfterMs: e.After}
 }
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	i := slices.IndexFunc(v.Owed, func(e *ledger.Entry) bool { return e.ID == id })
+	i := slices.IndexFunc(v.Owed, func(e *wal.Entry) bool { return e.ID == id })
 	if i < 0 {
 		return fmt.Errorf("%s owes no document with the id %q", v.Dir, id)
 	}
@@ -184,14 +184,14 @@
 	}
 	slices.SortFunc(sum.Dests, func(a, b destSum) int { return cmp.Or(cmp.Compare(b.Owed, a.Owed), cmp.Compare(a.Dest, b.Dest)) })
 	if s.json {
-		return shell.Print(s.out, sum)
+		return cli.Print(s.out, sum)
 	}
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "folder\t%s\nowner\t%s\nfiles\t%d, %d bytes on disk\nowed\t%d documents, %d bytes\n", sum.Folder, owner(sum.Owner), sum.Files, sum.Bytes, sum.Owed, sum.Live)
 	if sum.Owed > 0 {
 		fmt.Fprintf(t, "first expiry\t%s\n", sum.Oldest.Format(time.RFC3339))
 	}
-	for _, state := range ledger.States() {
+	for _, state := range wal.States() {
 		if n := sum.States[state]; n > 0 {
 			fmt.Fprintf(t, "%s\t%d\n", state, n)
 		}
@@ -209,12 +209,12 @@
 	}
 	damaged := v.Damaged()
 	if s.json {
-		err = shell.Print(s.out, struct {
-			Folder  string            `json:"folder"`
-			Damaged bool              `json:"damaged"`
-			Owed    int               `json:"owed"`
-			Files   []ledger.FileView `json:"files"`
-			Faults  []ledger.Fault    `json:"faults"`
+		err = cli.Print(s.out, struct {
+			Folder  string         `json:"folder"`
+			Damaged bool           `json:"damaged"`
+			Owed    int            `json:"owed"`
+			Files   []wal.FileView `json:"files"`
+			Faults  []wal.Fault    `json:"faults"`
 		}{v.Dir, damaged, len(v.Owed), v.Files, v.Faults})
 	} else {
 		for _, f := range v.Files {
--- a/internal/command/looking.go
+++ b/internal/commands/looking.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"encoding/json"
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
+	"spanflow/internal/cli"
 	"spanflow/internal/config"
-	"spanflow/internal/shell"
 )
 
 // looking are the flags of the commands that look at the ledger or the backlog store.
@@ -33,7 +33,7 @@
 
 // place tells where a configuration of either form has a folder; empty: it has none.
 type place struct {
-	byOrder func(*forward.Order) string
+	byOrder func(*forwarder.Order) string
 	byFile  func(*config.Loaded) string
 }
 
@@ -183,7 +183,7 @@
 // printRow prints one document with its body.
 func (s *session) printRow(r *row) error {
 	if s.json {
-		return shell.Print(s.out, r)
+		return cli.Print(s.out, r)
 	}
 	t := newColumns(s.out)
 	line := func(name string, value any) { fmt.Fprintf(t, "%s\t%v\n", name, value) }
--- a/internal/config/backlog.go
+++ b/internal/config/backlog.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 	"strings"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 )
 
 const (
@@ -20,7 +20,7 @@
 func (l *Loaded) BacklogFolder() string { return l.beside(l.Backlog.Folder) }
 
 // backlogOrder is the order for the store, nil if there is none.
-func (l *Loaded) backlogOrder() (*forward.Backlog, error) {
+func (l *Loaded) backlogOrder() (*forwarder.Backlog, error) {
 	b := &l.Backlog
 	if b.Folder == "" {
 		return nil, nil
@@ -29,7 +29,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &forward.Backlog{Folder: folder, Bytes: int64(b.Disk), DestinationBytes: int64(b.Destination), TenantBytes: int64(b.Tenant),
+	return &forwarder.Backlog{Folder: folder, Bytes: int64(b.Disk), DestinationBytes: int64(b.Destination), TenantBytes: int64(b.Tenant),
 		Window: b.Window, Behind: b.Behind}, nil
 }
 
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/backlog"
 	"spanflow/internal/backlog/policy"
 )
@@ -55,7 +55,7 @@
 	o, err := Order(path, nil, nil)
 	require.NoError(t, err)
 	folder := filepath.Join(filepath.Dir(path), "stored")
-	require.Equal(t, &forward.Backlog{Folder: folder, Bytes: 64e6, DestinationBytes: 16e6, TenantBytes: 32e6, Window: 32, Behind: 500}, o.Backlog)
+	require.Equal(t, &forwarder.Backlog{Folder: folder, Bytes: 64e6, DestinationBytes: 16e6, TenantBytes: 32e6, Window: 32, Behind: 500}, o.Backlog)
 	require.NoDirExists(t, folder, "who opens the store makes it")
 	next, err := o.Reread()
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 
 	o, err = Order(file(t, whole+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
 	require.NoError(t, err)
-	require.Equal(t, &forward.Backlog{Folder: "/var/none/stored", Bytes: 256e6, Window: 64, Behind: 1000}, o.Backlog, "the defaults")
+	require.Equal(t, &forwarder.Backlog{Folder: "/var/none/stored", Bytes: 256e6, Window: 64, Behind: 1000}, o.Backlog, "the defaults")
 }
 
 func TestWhatIsWrongWithTheBacklogStoreIsNamedByField(t *testing.T) {
@@ -129,14 +129,14 @@
 
 // What passes the check is taken by the packages that the order goes to: the bounds here are those there.
 func TestTheStoreAndItsPolicyTakeWhatPassesTheCheck(t *testing.T) {
-	check := func(flags ...string) (*forward.Backlog, error) {
+	check := func(flags ...string) (*forwarder.Backlog, error) {
 		o, err := Order(file(t, whole+stored), nil, flags)
 		if err != nil {
 			return nil, err
 		}
 		return o.Backlog, nil
 	}
-	use := func(b *forward.Backlog) error {
+	use := func(b *forwarder.Backlog) error {
 		store, err := backlog.Open(backlog.OS{}, t.TempDir(), backlog.Bounds{Bytes: b.Bytes})
 		if err != nil {
 			return err
@@ -161,12 +161,12 @@
 	}
 	sound, err := check()
 	require.NoError(t, err)
-	for flag, spoil := range map[string]func(*forward.Backlog){
-		fmt.Sprintf("backlog.disk=%dB", leastBacklog-1): func(b *forward.Backlog) { b.Bytes = leastBacklog - 1 },
-		"backlog.destination=65MB":                      func(b *forward.Backlog) { b.DestinationBytes = 65e6 },
-		"backlog.tenant=65MB":                           func(b *forward.Backlog) { b.TenantBytes = 65e6 },
-		"backlog.window=0":                              func(b *forward.Backlog) { b.Window = 0 },
-		"backlog.behind=31":                             func(b *forward.Backlog) { b.Behind = 31 },
+	for flag, spoil := range map[string]func(*forwarder.Backlog){
+		fmt.Sprintf("backlog.disk=%dB", leastBacklog-1): func(b *forwarder.Backlog) { b.Bytes = leastBacklog - 1 },
+		"backlog.destination=65MB":                      func(b *forwarder.Backlog) { b.DestinationBytes = 65e6 },
+		"backlog.tenant=65MB":                           func(b *forwarder.Backlog) { b.TenantBytes = 65e6 },
+		"backlog.window=0":                              func(b *forwarder.Backlog) { b.Window = 0 },
+		"backlog.behind=31":                             func(b *forwarder.Backlog) { b.Behind = 31 },
 	} {
 		_, err := check(flag)
 		require.Error(t, err, flag)
@@ -207,13 +207,13 @@
 
 func TestTheBoundsOfTheBacklogStoreChangeByReloadAndItsFolderAtAStart(t *testing.T) {
 	for _, name := range keys(reflect.TypeFor[Backlog](), nil) {
-		want := forward.AtOnce
+		want := forwarder.AtOnce
 		if name == "folder" {
-			want = forward.AtStart
+			want = forwarder.AtStart
 		}
 		require.Equal(t, want, Reload("backlog."+name), name)
 		in := 0
-		for _, p := range forward.Parts {
+		for _, p := range forwarder.Parts {
 			for _, key := range p.Keys {
 				if key == "backlog."+name {
 					in++
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -13,7 +13,7 @@
 
 	"github.com/rs/zerolog"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 )
 
 // The least limits with which a forwarder runs.
@@ -84,7 +84,7 @@
 }
 
 func (c *checker) address(field, value string) {
-	if !forward.IsAddress(value) {
+	if !forwarder.IsAddress(value) {
 		c.bad(field, "%q is not an address with a port", value)
 	}
 }
@@ -225,7 +225,7 @@
 			c.bad(at("name"), "fronts[%d] has this name too", first)
 		}
 		names[f.Name] = i
-		if !forward.KnowsProtocol(f.Protocol) {
+		if !forwarder.KnowsProtocol(f.Protocol) {
 			c.bad(at("protocol"), "unknown protocol %q", f.Protocol)
 		}
 		c.address(at("listen"), f.Listen)
@@ -246,7 +246,7 @@
 			waiting += 4 << 20
 		}
 	}
-	if all := forward.Clients(c.Limits.Descriptors); total+even*8 > all {
+	if all := forwarder.Clients(c.Limits.Descriptors); total+even*8 > all {
 		c.bad("fronts", "their connections, %d and at least 8 for each other one, are more than the %d that limits.descriptors allows", total, all)
 	}
 	if waiting > c.Limits.Memory/2 {
@@ -307,7 +307,7 @@
 			c.bad(at("name"), "%q is not made of up to 63 small letters, digits and hyphens, or used before", o.Name)
 		}
 		outlets[o.Name] = true
-		if !forward.KnowsCarriage(o.Protocol) {
+		if !forwarder.KnowsCarriage(o.Protocol) {
 			c.bad(at("protocol"), "unknown protocol %q", o.Protocol)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 )
 
 const whole = `name = "n1"
@@ -65,7 +65,7 @@
 	require.NoError(t, err)
 	require.Equal(t, []any{"n1", 48, 1024, 1, 7, 1},
 		[]any{o.Name, o.MemoryMB, o.Sockets, o.Terms.Zone, int(o.Static.Targets[0].Dest), len(o.Fronts)})
-	require.Equal(t, forward.Front{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Fronts[0])
+	require.Equal(t, forwarder.Front{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Fronts[0])
 	y := o.Terms.Types[0]
 	require.Equal(t, []any{true, 3.0, 24.0, 15.0}, []any{y.InOrder, y.Agreed, y.Life, y.Memory})
 	require.Equal(t, []float64{2.5}, o.Terms.TenantQuota)
@@ -207,7 +207,7 @@
 	for _, name := range keys(reflect.TypeFor[File](), nil) {
 		require.Contains(t, s.Properties, name)
 		known := false
-		for _, p := range forward.Parts {
+		for _, p := range forwarder.Parts {
 			for _, k := range p.Keys {
 				known = known || k == name || strings.HasPrefix(k, name+".")
 			}
@@ -215,8 +215,8 @@
 		require.True(t, known || name == "seed", "%s stands in no part of an order", name)
 	}
 	require.Equal(t, false, s.Additional)
-	require.Equal(t, forward.AtOnce, Reload("fronts[0].listen"))
-	require.Equal(t, forward.AtStart, Reload("limits.memory"))
+	require.Equal(t, forwarder.AtOnce, Reload("fronts[0].listen"))
+	require.Equal(t, forwarder.AtStart, Reload("limits.memory"))
 }
 
 func TestUnitsAreReadAndWritten(t *testing.T) {
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -11,11 +11,11 @@
 
 	"github.com/rs/zerolog"
 
-	"spanflow/choice"
-	"spanflow/forward"
-	"spanflow/internal/meter"
-	"spanflow/internal/terms"
-	"spanflow/seam"
+	"spanflow/forwarder"
+	"spanflow/internal/metrics"
+	"spanflow/internal/settings"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 const mostToken = 4 << 10
@@ -47,7 +47,7 @@
 }
 
 // Order makes the forwarder's order of a configuration that has been checked, with a reload that reads it anew.
-func Order(path string, environ, flags []string) (*forward.Order, error) {
+func Order(path string, environ, flags []string) (*forwarder.Order, error) {
 	o, err := order(path, environ, flags)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, err
 	}
-	o.Reread = func() (*forward.Order, error) {
+	o.Reread = func() (*forwarder.Order, error) {
 		next, err := order(path, environ, flags)
 		if err == nil && next.SeedDrawn {
 			next.Seed = o.Seed
@@ -65,7 +65,7 @@
 	return o, nil
 }
 
-func order(path string, environ, flags []string) (*forward.Order, error) {
+func order(path string, environ, flags []string) (*forwarder.Order, error) {
 	l, err := Load(path, environ, flags)
 	if err != nil {
 		return nil, err
@@ -77,12 +77,12 @@
 }
 
 // Order makes an order of a configuration in which Check found nothing wrong. It makes no folder and reads nothing again.
-func (l *Loaded) Order() (*forward.Order, error) {
+func (l *Loaded) Order() (*forwarder.Order, error) {
 	folder, err := filepath.Abs(l.Folder())
 	if err != nil {
 		return nil, err
 	}
-	o := &forward.Order{Name: l.Name, Discovery: l.Discovery.Address, Folder: folder,
+	o := &forwarder.Order{Name: l.Name, Discovery: l.Discovery.Address, Folder: folder,
 		MemoryMB: int(l.Limits.Memory / 1e6), Sockets: l.Limits.Descriptors, DiskMB: int(l.Ledger.Disk / 1e6), Cores: l.Limits.Cores,
 		KindOutlet: map[string]string{}, Metrics: l.Metrics.Listen, TokenFile: l.Metrics.TokenFile, Movable: true,
 		Admin: l.Admin}
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	for _, f := range l.Fronts {
-		o.Fronts = append(o.Fronts, forward.Front{Name: f.Name, Protocol: f.Protocol, Listen: f.Listen, Connections: f.Connections,
+		o.Fronts = append(o.Fronts, forwarder.Front{Name: f.Name, Protocol: f.Protocol, Listen: f.Listen, Connections: f.Connections,
 			Waiting: f.Waiting, WaitingBytes: int(f.WaitingBytes)})
 	}
 	if o.Backlog, err = l.backlogOrder(); err != nil {
@@ -101,15 +101,15 @@
 	}
 	o.Terms, o.Names = l.terms()
 	for _, w := range l.Outlets {
-		o.Outlets = append(o.Outlets, forward.Outlet{Name: w.Name, Protocol: w.Protocol, Connect: float64(w.Connect)})
+		o.Outlets = append(o.Outlets, forwarder.Outlet{Name: w.Name, Protocol: w.Protocol, Connect: float64(w.Connect)})
 	}
 	for _, k := range l.Kinds {
 		o.KindOutlet[k.Name] = k.Outlet
 	}
 	if o.Discovery == "" {
-		o.Static = &seam.List{All: true}
+		o.Static = &transport.List{All: true}
 		for _, t := range l.Targets {
-			o.Static.Targets = append(o.Static.Targets, seam.Target{UID: t.UID, Endpoint: t.Address, Zone: t.Zone, Kind: t.Kind,
+			o.Static.Targets = append(o.Static.Targets, transport.Target{UID: t.UID, Endpoint: t.Address, Zone: t.Zone, Kind: t.Kind,
 				Dest: t.Dest, State: t.State, Rate: t.PerSecond})
 		}
 	}
@@ -129,20 +129,20 @@
 		return nil, err
 	}
 	if o.Metrics != "" {
-		o.Meter = func(addr, forwarder string, fronts []string, levels []seam.Level) (seam.Meter, error) {
-			return meter.New(addr, token, forwarder, fronts, levels)
+		o.Meter = func(addr, forwarder string, fronts []string, levels []transport.Level) (transport.Meter, error) {
+			return metrics.New(addr, token, forwarder, fronts, levels)
 		}
 	}
 	return o, nil
 }
 
 // terms are what the module is told, and the names behind its numbers.
-func (l *Loaded) terms() (choice.Terms, terms.Names) {
+func (l *Loaded) terms() (scheduler.Terms, settings.Names) {
 	d := &l.Dispatch
-	t := choice.Terms{AskList: true, Forwarders: d.Forwarders, Slots: d.Slots, Room: d.Room, Transmissions: d.Transmissions, KeyRest: float64(d.KeyRest), AskWithin: float64(d.AskWithin),
+	t := scheduler.Terms{AskList: true, Forwarders: d.Forwarders, Slots: d.Slots, Room: d.Room, Transmissions: d.Transmissions, KeyRest: float64(d.KeyRest), AskWithin: float64(d.AskWithin),
 		ColdFrom: d.ColdFrom, ColdFor: float64(d.ColdFor), FallMultiple: d.FallMultiple, IdleLife: float64(d.IdleLife),
 		Halves: d.Late == "halves", ComeBackMost: float64(d.ComeBack), RoughRate: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
-	n := terms.Names{Zones: l.Zones, LimitAt: -1, Limit: d.ReportLimit, LeftAt: -1, Left: d.ReportLeft, Connect: float64(d.Connect)}
+	n := settings.Names{Zones: l.Zones, LimitAt: -1, Limit: d.ReportLimit, LeftAt: -1, Left: d.ReportLeft, Connect: float64(d.Connect)}
 	for i, z := range l.Zones {
 		if z == l.Zone {
 			t.Zone = i
@@ -156,9 +156,9 @@
 		t.TenantQuota = append(t.TenantQuota, q.PerSecond)
 		n.Tenants = append(n.Tenants, q.Name)
 	}
-	words := map[string]choice.Repeat{"replayable": choice.Replayable, "numbered": choice.Numbered, "binding": choice.Binding}
+	words := map[string]scheduler.Repeat{"replayable": scheduler.Replayable, "numbered": scheduler.Numbered, "binding": scheduler.Binding}
 	for _, y := range l.Types {
-		t.Types = append(t.Types, choice.DocType{Repeat: words[y.Repeat], ZoneGroup: y.Group == "zone", InOrder: y.InOrder,
+		t.Types = append(t.Types, scheduler.DocType{Repeat: words[y.Repeat], ZoneGroup: y.Group == "zone", InOrder: y.InOrder,
 			Agreed: float64(y.Agreed), Life: float64(y.Life), Memory: float64(y.Memory), Value: y.Value, LateShare: y.LateShare})
 		n.Types = append(n.Types, y.Name)
 	}
@@ -167,13 +167,13 @@
 
 // Reload tells for a field whether a running forwarder takes a change of it up when it reads its order again. It goes
 // by the table that the reload itself uses.
-func Reload(field string) forward.Change {
-	for _, p := range forward.Parts {
+func Reload(field string) forwarder.Change {
+	for _, p := range forwarder.Parts {
 		for _, k := range p.Keys {
 			if field == k || len(field) > len(k) && field[:len(k)] == k && (field[len(k)] == '.' || field[len(k)] == '[') {
 				return p.When
 			}
 		}
 	}
-	return forward.AtStart
+	return forwarder.AtStart
 }
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 type heard struct {
@@ -86,15 +86,15 @@
 	cut := make(chan bool, 1)
 	l.mu.Lock()
 	go func() { cut <- l.Cut() }()
-	standin.AwaitAtLock(t, "dial.(*Line).Cut(")
+	emulator.AwaitAtLock(t, "dial.(*Line).Cut(")
 	close(up)
-	standin.AwaitAtLock(t, "dial.(*Line).connected(")
+	emulator.AwaitAtLock(t, "dial.(*Line).connected(")
 	time.Sleep(starvedAfter)
 	l.mu.Unlock()
 	l.mu.Lock() // mostly the cut, which was woken, finds it taken again: from then on the lock is handed on in turn
 	if inOrder = !l.over && !l.up; inOrder {
-		standin.AwaitAtLock(t, "dial.(*Line).Cut(")
-		standin.AwaitAtLock(t, "dial.(*Line).connected(")
+		emulator.AwaitAtLock(t, "dial.(*Line).Cut(")
+		emulator.AwaitAtLock(t, "dial.(*Line).connected(")
 	}
 	l.mu.Unlock()
 	sent := <-cut
--- a/internal/directory/directory.go
+++ b/internal/discovery/directory.go
@@ -1,5 +1,5 @@
 // Package directory speaks with discovery: the list, the watch on its changes, and the notices.
-package directory
+package discovery
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"spanflow/internal/dial"
 	"spanflow/internal/http1"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 const (
@@ -29,8 +29,8 @@
 
 // Desk is where the directory's news go.
 type Desk interface {
-	seam.Board
-	seam.Ear
+	transport.Board
+	transport.Ear
 }
 
 // Directory holds the connections to discovery.
@@ -45,8 +45,8 @@
 	mu      sync.Mutex
 	watch   *watch
 	out     *report
-	waiting []seam.Final // not in a call
-	watched bool         // the list was asked for: not where only notices go
+	waiting []transport.Final // not in a call
+	watched bool              // the list was asked for: not where only notices go
 	stopped bool
 	lost    int // calls with notices in a row that were not answered in time
 
@@ -150,9 +150,9 @@
 	w.dir.mu.Lock()
 	defer w.dir.mu.Unlock()
 	if w.turn == turn { // else a line came while this waited for the lock
-		how := seam.WatchLate
+		how := transport.WatchLate
 		if w.told {
-			how = seam.WatchSilent
+			how = transport.WatchSilent
 		}
 		w.ended("silent", how)
 	}
@@ -165,14 +165,14 @@
 }
 
 // failed tells how a watch ended that did not fall silent: late if its question waited for an answer and got none.
-func (w *watch) failed(cause error) seam.WatchEnd {
+func (w *watch) failed(cause error) transport.WatchEnd {
 	if w.told || w.code == 200 || errors.Is(cause, dial.ErrNeverUp) || w.dir.now().Sub(w.asked) < promptly {
-		return seam.WatchBroken
+		return transport.WatchBroken
 	}
-	return seam.WatchLate
+	return transport.WatchLate
 }
 
-func (w *watch) ended(why string, how seam.WatchEnd) {
+func (w *watch) ended(why string, how transport.WatchEnd) {
 	if w.over {
 		return
 	}
@@ -226,7 +226,7 @@
 		}
 		line := bytes.TrimSpace(w.rest)
 		if len(line) > 0 {
-			l := &seam.List{}
+			l := &transport.List{}
 			if err := json.Unmarshal(line, l); err != nil {
 				return fmt.Errorf("a line of the list cannot be read: %w", err)
 			}
@@ -287,7 +287,7 @@
 }
 
 // Notify sends a notice, again and again until it is answered.
-func (d *Directory) Notify(n seam.Final) {
+func (d *Directory) Notify(n transport.Final) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waiting = append(d.waiting, n)
@@ -300,7 +300,7 @@
 	line   *dial.Line
 	reader http1.Reader
 	code   int
-	out    []seam.Final
+	out    []transport.Final
 	timer  *time.Timer
 	turn   int // counts its calls, so that a late timer is known as one
 }
@@ -324,7 +324,7 @@
 		id, _ := json.Marshal(n.ID)
 		body = append(append(body, `{"id":`...), id...)
 		switch {
-		case n.Outcome != seam.Returned:
+		case n.Outcome != transport.Returned:
 			body = append(body, `,"state":"failed"`...)
 		case n.AfterMs > 0:
 			body = append(body, `,"state":"returned","after_ms":`...)
--- a/internal/directory/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import (
 	"context"
@@ -11,22 +11,22 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/standin"
-	"spanflow/seam"
+	"spanflow/internal/emulator"
+	"spanflow/transport"
 )
 
 type desk struct {
-	lists  chan *seam.List
+	lists  chan *transport.List
 	ended  chan string
-	how    chan seam.WatchEnd // the same ends
+	how    chan transport.WatchEnd // the same ends
 	lost   chan string
 	told   chan []uint64
 	timers chan scriptedTimer // that the directory started, in their order
 }
 
-func (d *desk) Listed(l *seam.List) { d.lists <- l }
-func (d *desk) WatchEnded(why string, how seam.WatchEnd) {
-	if how == seam.WatchSilent {
+func (d *desk) Listed(l *transport.List) { d.lists <- l }
+func (d *desk) WatchEnded(why string, how transport.WatchEnd) {
+	if how == transport.WatchSilent {
 		why += ", having told"
 	}
 	d.how <- how
@@ -71,7 +71,7 @@
 	dialer, err := dial.New("test", 8)
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close(); dialer.Stop() })
-	k := &desk{make(chan *seam.List, 9), make(chan string, 9), make(chan seam.WatchEnd, 9), make(chan string, 9),
+	k := &desk{make(chan *transport.List, 9), make(chan string, 9), make(chan transport.WatchEnd, 9), make(chan string, 9),
 		make(chan []uint64, 9), make(chan scriptedTimer, 99)}
 	d := New(dialer, ln.Addr().String(), time.Second, k)
 	d.afterFunc = k.afterFunc
@@ -106,7 +106,7 @@
 	c.Write([]byte(open + "1\r\n\n\r\n" + "1a\r\n{\"rev\":43,\"all\":false,\"tar\r\n"))
 	c.Write([]byte("2d\r\ngets\":[{\"uid\":\"s1\",\"state\":\"left\"}]}\n{\"rev\":\r\n"))
 	l := <-k.lists
-	require.Equal(t, seam.List{Rev: 43, Targets: []seam.Target{{UID: "s1", State: "left"}}}, *l)
+	require.Equal(t, transport.List{Rev: 43, Targets: []transport.Target{{UID: "s1", State: "left"}}}, *l)
 	c.Close()
 	<-k.ended
 }
@@ -126,11 +126,11 @@
 
 func TestNoticesAreSentAgainUntilAnswered(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Returned, AfterMs: 500})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Returned, AfterMs: 500})
 	c, said := accept()
 	require.Contains(t, said, `{"id":"a","state":"returned","after_ms":500}`+"\n")
 	require.Equal(t, noticeIn, next(t, k.timers).wait)
-	d.Notify(seam.Final{Door: 2, ID: "b", Outcome: seam.Abandoned}) // while a call is out
+	d.Notify(transport.Final{Door: 2, ID: "b", Outcome: transport.Abandoned}) // while a call is out
 	c.Close()
 	next(t, k.lost)
 	again := next(t, k.timers)
@@ -144,7 +144,7 @@
 
 func TestANoticeOnASilentConnectionIsSentOnANewOne(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
 	accept() // and no word
 	next(t, k.timers).fire()
 	require.Equal(t, "no answer", next(t, k.lost))
@@ -157,7 +157,7 @@
 	d, k, _ := scene(t) // nobody accepts, and so nobody answers
 	d.afterFunc = time.AfterFunc
 	begun := time.Now()
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
 	require.Equal(t, "no answer", next(t, k.lost))
 	require.GreaterOrEqual(t, time.Since(begun), noticeIn)
 }
@@ -174,7 +174,7 @@
 func TestWhereOnlyNoticesGoTheListIsNotAskedForAfterAMove(t *testing.T) {
 	d, k, accept := scene(t)
 	d.Move(d.addr, 7)
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
 	c, said := accept()
 	require.Contains(t, said, "POST /v1/notices")
 	c.Write([]byte("HTTP/1.1 204 None\r\n\r\n"))
@@ -191,7 +191,7 @@
 	for i := range list { // cut anywhere
 		c.Write([]byte(list[i : i+1]))
 	}
-	require.Equal(t, seam.List{Rev: 7, All: true, Targets: []seam.Target{{UID: `a}"{`, State: "active"}}}, *<-k.lists)
+	require.Equal(t, transport.List{Rev: 7, All: true, Targets: []transport.Target{{UID: `a}"{`, State: "active"}}}, *<-k.lists)
 	c.Write([]byte(`{"rev":8,"all":false,"targets":[]}` + "\n" + `{"rev":9,"all":false,"targets":[]}` + "\n"))
 	require.Equal(t, []int64{8, 9}, []int64{(<-k.lists).Rev, (<-k.lists).Rev})
 }
@@ -247,7 +247,7 @@
 
 func TestATimerThatFiredWhileANoticeWasAnsweredSendsNothingAgain(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
 	c, _ := accept()
 	d.mu.Lock()
 	r := d.out
@@ -255,7 +255,7 @@
 	d.mu.Unlock()
 	c.Write([]byte("HTTP/1.1 204 None\r\n\r\n"))
 	<-k.told
-	d.Notify(seam.Final{Door: 2, ID: "b", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 2, ID: "b", Outcome: transport.Abandoned})
 	r.silent(late)
 	require.Empty(t, k.lost)
 	b := make([]byte, 4000)
@@ -267,7 +267,7 @@
 func TestANoticeAtExpiryOnADeadConnectionIsInTime(t *testing.T) {
 	require.Less(t, 2*noticeIn, 300*time.Millisecond, "so long after its expiry a document is lost")
 	d, k, accept := scene(t)
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
 	for i := range 3 { // each is waited for longer: the way may be a long one
 		accept()
 		timer := next(t, k.timers)
@@ -322,7 +322,7 @@
 	c, _ := accept()
 	d.mu.Lock()
 	c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"rev\":2,\"all\":true,\"targets\":[]}\n"))
-	standin.AwaitAtLock(t, "directory.(*watch).Data(")
+	emulator.AwaitAtLock(t, "discovery.(*watch).Data(")
 	d.watch.close() // what Watch and Move do first, with the lock held
 	d.mu.Unlock()
 	d.Watch(1)
@@ -337,13 +337,13 @@
 // its own number: nothing else counts as heard.
 func TestANoticeAnsweredLateOnTheOldConnectionIsHeardOnTheNew(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(seam.Final{Door: 1, ID: "a", Outcome: seam.Returned})
+	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Returned})
 	old, _ := accept()
 	next(t, k.timers).fire()
 	require.Equal(t, "no answer", next(t, k.lost))
 	c, said := accept()
 	require.Contains(t, said, `{"id":"a","state":"returned"}`)
-	d.Notify(seam.Final{Door: 2, ID: "b", Outcome: seam.Returned})
+	d.Notify(transport.Final{Door: 2, ID: "b", Outcome: transport.Returned})
 	old.Write([]byte("HTTP/1.1 204 None\r\n\r\n")) // nobody listens there any more
 	c.Write([]byte("HTTP/1.1 204 None\r\n\r\n"))
 	require.Equal(t, []uint64{1}, <-k.told)
@@ -357,13 +357,13 @@
 	for name, c := range map[string]struct {
 		waited time.Duration // for the answer
 		answer string        // then the connection ends
-		want   seam.WatchEnd
+		want   transport.WatchEnd
 	}{
-		"turned away at once":      {0, busy, seam.WatchBroken},
-		"turned away after a wait": {2 * time.Second, busy, seam.WatchLate},
-		"reset at once":            {0, "", seam.WatchBroken},
-		"reset after a wait":       {2 * time.Second, "", seam.WatchLate},
-		"ended having told":        {2 * time.Second, told, seam.WatchBroken},
+		"turned away at once":      {0, busy, transport.WatchBroken},
+		"turned away after a wait": {2 * time.Second, busy, transport.WatchLate},
+		"reset at once":            {0, "", transport.WatchBroken},
+		"reset after a wait":       {2 * time.Second, "", transport.WatchLate},
+		"ended having told":        {2 * time.Second, told, transport.WatchBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d, k, accept := scene(t)
@@ -390,13 +390,13 @@
 			return nil, syscall.ETIMEDOUT
 		}
 		d.Watch(1)
-		require.Equal(t, seam.WatchBroken, next(t, k.how))
+		require.Equal(t, transport.WatchBroken, next(t, k.how))
 	})
 	t.Run("no answer in time", func(t *testing.T) {
 		d, k, accept := scene(t)
 		d.Watch(1)
 		accept()
 		next(t, k.timers).fire()
-		require.Equal(t, seam.WatchLate, next(t, k.how))
+		require.Equal(t, transport.WatchLate, next(t, k.how))
 	})
 }
--- a/internal/directory/export_test.go
+++ b/internal/discovery/export_test.go
@@ -1,4 +1,4 @@
-package directory
+package discovery
 
 import "time"
 
--- a/internal/directory/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -1,4 +1,4 @@
-package directory_test
+package discovery_test
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/directory"
+	"spanflow/internal/discovery"
 	"spanflow/internal/transcript"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // listener takes the news of discovery.
@@ -19,10 +19,10 @@
 	news chan string
 }
 
-func (l listener) Listed(list *seam.List)           { l.news <- fmt.Sprint("list ", list.Rev) }
-func (l listener) WatchEnded(string, seam.WatchEnd) { l.news <- "watch ended" }
-func (l listener) NoticesLost(string)               { l.news <- "notices lost" }
-func (l listener) Told(doors []uint64)              { l.news <- fmt.Sprint("notices answered ", doors) }
+func (l listener) Listed(list *transport.List)           { l.news <- fmt.Sprint("list ", list.Rev) }
+func (l listener) WatchEnded(string, transport.WatchEnd) { l.news <- "watch ended" }
+func (l listener) NoticesLost(string)                    { l.news <- "notices lost" }
+func (l listener) Told(doors []uint64)                   { l.news <- fmt.Sprint("notices answered ", doors) }
 func (l listener) awaits(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
@@ -35,20 +35,20 @@
 	}
 }
 
-// discovery is a client of a discovery service and the transcript of what it sends there.
-type discovery struct {
-	*directory.Directory
+// discoveryServer is a client of a discovery service and the transcript of what it sends there.
+type discoveryServer struct {
+	*discovery.Directory
 	listener
 	script transcript.Transcript
 	server *transcript.Server
 }
 
-func newDiscovery(t *testing.T) *discovery {
+func newDiscovery(t *testing.T) *discoveryServer {
 	dialer, err := dial.New("test", 8)
 	require.NoError(t, err)
 	t.Cleanup(dialer.Stop)
-	d := &discovery{listener: listener{make(chan string, 9)}, server: transcript.NewServer(t, "127.5.0.2")}
-	d.Directory = directory.New(dialer, d.server.Addr, time.Minute, d.listener)
+	d := &discoveryServer{listener: listener{make(chan string, 9)}, server: transcript.NewServer(t, "127.5.0.2")}
+	d.Directory = discovery.New(dialer, d.server.Addr, time.Minute, d.listener)
 	d.SetAfterFunc(onlyPauses)
 	t.Cleanup(d.Stop)
 	d.script.Mask(regexp.QuoteMeta(d.server.Addr), "DISCOVERY")
@@ -65,7 +65,7 @@
 }
 
 // next adds the next request to the transcript.
-func (d *discovery) next(what string) *transcript.Request {
+func (d *discoveryServer) next(what string) *transcript.Request {
 	request := d.server.Next()
 	d.script.Note("%s, on connection %d", what, request.Connection)
 	d.script.Bytes("forwarder", request.Raw)
@@ -73,7 +73,7 @@
 }
 
 // ended adds the end of a connection to the transcript.
-func (d *discovery) ended(why string) {
+func (d *discoveryServer) ended(why string) {
 	d.script.Note("%s: connection %d is closed", why, d.server.Ended())
 }
 
@@ -113,13 +113,13 @@
 
 func TestNoticesToThePlatform(t *testing.T) {
 	d := newDiscovery(t)
-	d.Notify(seam.Final{Door: 1, ID: "9b1f03aa5c7e2d41", Outcome: seam.Abandoned})
+	d.Notify(transport.Final{Door: 1, ID: "9b1f03aa5c7e2d41", Outcome: transport.Abandoned})
 	failed := d.next("failed")
-	for n, notice := range []seam.Final{
-		{ID: "9b1f03aa5c7e2d42", Outcome: seam.Returned, AfterMs: 500},
-		{ID: "9b1f03aa5c7e2d43", Outcome: seam.Returned},
-		{ID: `a"b\c<d>&e`, Outcome: seam.Abandoned, AfterMs: 500},
-		{ID: "9b1f03aa5c7e2d44", Outcome: seam.Delivered},
+	for n, notice := range []transport.Final{
+		{ID: "9b1f03aa5c7e2d42", Outcome: transport.Returned, AfterMs: 500},
+		{ID: "9b1f03aa5c7e2d43", Outcome: transport.Returned},
+		{ID: `a"b\c<d>&e`, Outcome: transport.Abandoned, AfterMs: 500},
+		{ID: "9b1f03aa5c7e2d44", Outcome: transport.Delivered},
 	} {
 		notice.Door = uint64(n + 2)
 		d.Notify(notice)
@@ -130,7 +130,7 @@
 	several.Answer(answerCloses)
 	d.awaits(t, "notices answered [2 3 4 5]")
 	d.ended("the answer says that it closes")
-	d.Notify(seam.Final{Door: 6, ID: "f", Outcome: seam.Returned, AfterMs: 1})
+	d.Notify(transport.Final{Door: 6, ID: "f", Outcome: transport.Returned, AfterMs: 1})
 	d.next("a new connection").Answer(answer503)
 	d.awaits(t, "notices lost")
 	d.ended("the notice was turned away")
--- a/internal/rota/rota.go
+++ b/internal/drains/rota.go
@@ -3,13 +3,13 @@
 //
 // A target taken out stays out until it is put back, whatever the list says, over restarts and upgrades. Two calls
 // out need one call back. An id that nobody has is owed a no: neither listed now nor out by hand.
-package rota
+package drains
 
 import (
 	"slices"
 	"strings"
 
-	"spanflow/choice"
+	"spanflow/scheduler"
 )
 
 // Most is the number of targets that may be out by hand at once. Guards against a caller that names ids without end,
@@ -101,9 +101,9 @@
 }
 
 // Standing is what the module is told of a listed target: a target out by hand drains, whatever the list says.
-func (r *Rota) Standing(id string, listed choice.Standing) choice.Standing {
-	if listed == choice.Ready && r.Out(id) {
-		return choice.Draining
+func (r *Rota) Standing(id string, listed scheduler.Standing) scheduler.Standing {
+	if listed == scheduler.Ready && r.Out(id) {
+		return scheduler.Draining
 	}
 	return listed
 }
--- a/internal/rota/rota_test.go
+++ b/internal/drains/rota_test.go
@@ -1,4 +1,4 @@
-package rota
+package drains
 
 import (
 	"strings"
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
+	"spanflow/scheduler"
 )
 
 func TestATargetOutByHandDrainsWhateverTheListSays(t *testing.T) {
@@ -14,9 +14,9 @@
 	v, c := r.Detach("s1", true)
 	require.Equal(t, Yes, v)
 	require.Equal(t, TakenOut, c)
-	require.Equal(t, choice.Draining, r.Standing("s1", choice.Ready))
-	require.Equal(t, choice.Gone, r.Standing("s1", choice.Gone))
-	require.Equal(t, choice.Ready, r.Standing("s2", choice.Ready))
+	require.Equal(t, scheduler.Draining, r.Standing("s1", scheduler.Ready))
+	require.Equal(t, scheduler.Gone, r.Standing("s1", scheduler.Gone))
+	require.Equal(t, scheduler.Ready, r.Standing("s2", scheduler.Ready))
 }
 
 func TestTwoCallsOutNeedOneCallBack(t *testing.T) {
--- a/internal/standin/hold.go
+++ b/internal/emulator/hold.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"runtime"
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// AwaitAtLock waits until a goroutine with a call of a function on its stack ("outlet.(*trunk).Data(") stands at a lock. A
+// AwaitAtLock waits until a goroutine with a call of a function on its stack ("upstream.(*trunk).Data(") stands at a lock. A
 // test that holds the lock has the program between the two lines before and behind it, and lets it go at its word.
 func AwaitAtLock(t Test, function string) {
 	t.Helper()
--- a/internal/standin/log.go
+++ b/internal/emulator/log.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"strings"
--- a/internal/standin/standin.go
+++ b/internal/emulator/standin.go
@@ -1,6 +1,6 @@
 // Package standin plays those whom a forwarder speaks with, after the protocol's pages: discovery, targets and a
 // client. It serves the integration tests and the example, not the program.
-package standin
+package emulator
 
 import (
 	"bufio"
--- a/internal/meter/meter.go
+++ b/internal/metrics/meter.go
@@ -1,6 +1,6 @@
 // Package meter counts what a forwarder does and serves the figures over HTTP. It is no part of the
 // platform's program, whose memory it would raise by half: a program that wants it gives it to its Order.
-package meter
+package metrics
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // Meter has its figures in a set of its own, so that several forwarders in a process keep apart. Labels take only
@@ -22,9 +22,9 @@
 	set    *metrics.Set
 	asked  map[string]*[len(words)]*metrics.Counter // by front
 	of     string                                   // the forwarder's label
-	ends   [seam.Recalled + 1]*metrics.Counter
+	ends   [transport.Recalled + 1]*metrics.Counter
 	took   *metrics.PrometheusHistogram
-	finals [seam.Abandoned + 1]*metrics.Counter
+	finals [transport.Abandoned + 1]*metrics.Counter
 	life   *metrics.PrometheusHistogram
 	turn   *metrics.PrometheusHistogram
 	news   *metrics.Counter
@@ -32,11 +32,11 @@
 	addr   string
 }
 
-var words = [...]string{seam.Taken: "taken", seam.Busy: "busy", seam.Declined: "declined"}
+var words = [...]string{transport.Taken: "taken", transport.Busy: "busy", transport.Declined: "declined"}
 
 // New makes a meter with the given fronts and levels, and serves it at an address under /metrics, to readers
 // that show the token as their bearer, if there is one.
-func New(addr, token, forwarder string, fronts []string, levels []seam.Level) (seam.Meter, error) {
+func New(addr, token, forwarder string, fronts []string, levels []transport.Level) (transport.Meter, error) {
 	m := &Meter{set: metrics.NewSet(), asked: map[string]*[len(words)]*metrics.Counter{}, of: fmt.Sprintf("forwarder=%q", forwarder)}
 	for _, f := range fronts {
 		m.asked[f] = &[len(words)]*metrics.Counter{}
@@ -45,10 +45,10 @@
 		}
 	}
 	for i := range m.ends {
-		m.ends[i] = m.set.NewCounter(m.name("transmission_ends_total", "end", strings.ReplaceAll(seam.End(i).String(), " ", "_")))
+		m.ends[i] = m.set.NewCounter(m.name("transmission_ends_total", "end", strings.ReplaceAll(transport.End(i).String(), " ", "_")))
 	}
 	for i := range m.finals {
-		m.finals[i] = m.set.NewCounter(m.name("final_answers_total", "outcome", seam.Outcome(i).String()))
+		m.finals[i] = m.set.NewCounter(m.name("final_answers_total", "outcome", transport.Outcome(i).String()))
 	}
 	m.took = m.set.NewPrometheusHistogramExt(m.name("transmission_seconds"), metrics.ExponentialBuckets(0.001, 2, 15))
 	m.life = m.set.NewPrometheusHistogramExt(m.name("document_seconds"), metrics.ExponentialBuckets(0.001, 2, 17))
@@ -104,20 +104,20 @@
 }
 
 // Asked counts a document's answer at the door.
-func (m *Meter) Asked(front string, word seam.Word) {
+func (m *Meter) Asked(front string, word transport.Word) {
 	if f := m.asked[front]; f != nil {
 		f[word].Inc()
 	}
 }
 
 // End counts a transmission.
-func (m *Meter) End(end seam.End, took time.Duration) {
+func (m *Meter) End(end transport.End, took time.Duration) {
 	m.ends[end].Inc()
 	m.took.Update(took.Seconds())
 }
 
 // Final counts a final answer, so long after the document was handed in.
-func (m *Meter) Final(outcome seam.Outcome, after time.Duration) {
+func (m *Meter) Final(outcome transport.Outcome, after time.Duration) {
 	m.finals[outcome].Inc()
 	m.life.Update(after.Seconds())
 }
--- a/internal/meter/meter_test.go
+++ b/internal/metrics/meter_test.go
@@ -1,4 +1,4 @@
-package meter
+package metrics
 
 import (
 	"io"
@@ -7,11 +7,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 func TestALevelIsServedWithItsLabels(t *testing.T) {
-	levels := []seam.Level{{Name: "plain", Read: func() float64 { return 1 }},
+	levels := []transport.Level{{Name: "plain", Read: func() float64 { return 1 }},
 		{Name: "backlog_documents", Labels: []string{"state", "untried"}, Read: func() float64 { return 2 }},
 		{Name: "backlog_documents", Labels: []string{"state", "tried"}, Read: func() float64 { return 3 }}}
 	m, err := New("127.0.0.1:0", "", "n1", []string{"resp"}, levels)
--- a/internal/intake/client.go
+++ b/internal/respserver/client.go
@@ -1,4 +1,4 @@
-package intake
+package respserver
 
 import (
 	"sync"
@@ -8,7 +8,7 @@
 	"github.com/lesismal/nbio"
 
 	"spanflow/internal/resp"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // Client is one connection.
@@ -59,7 +59,7 @@
 func (c *Client) refuse(why string) {
 	if c.refused.CompareAndSwap(false, true) {
 		c.unanswered.Add(1)
-		c.intake.desk.Ask(seam.Asked{From: c, Why: why, Last: true})
+		c.intake.desk.Ask(transport.Asked{From: c, Why: why, Last: true})
 	}
 }
 
@@ -67,7 +67,7 @@
 func (c *Client) Gone() bool { return c.gone.Load() }
 
 // Answer writes the answer to the oldest command without one. It tells if the connection stood.
-func (c *Client) Answer(r seam.Reply) bool {
+func (c *Client) Answer(r transport.Reply) bool {
 	_, err := c.conn.Write(line(r))
 	c.unanswered.Add(-1)
 	c.intake.mu.Lock()
--- a/internal/intake/command.go
+++ b/internal/respserver/command.go
@@ -1,4 +1,4 @@
-package intake
+package respserver
 
 import (
 	"bytes"
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // command makes a request of a command's words.
-func command(c *Client, args [][]byte) seam.Asked {
-	a := seam.Asked{From: c}
+func command(c *Client, args [][]byte) transport.Asked {
+	a := transport.Asked{From: c}
 	switch name := strings.ToUpper(string(args[0])); name {
 	case "PING":
 		a.Alive = true
@@ -48,7 +48,7 @@
 var errPut = errors.New("MSG.PUT takes a key, an id, names with values, and a body")
 
 // put reads the words of MSG.PUT: its name, a key, an id, names with values, and a body.
-func put(args [][]byte) (*seam.Handed, error) {
+func put(args [][]byte) (*transport.Handed, error) {
 	if len(args) != putWords || len(args[2]) == 0 || len(args[2]) > maxIDBytes {
 		return nil, errPut
 	}
@@ -62,7 +62,7 @@
 	if !plain(string(args[2])) {
 		return nil, errors.New("the id holds bytes that it may not")
 	}
-	p := &seam.Handed{Key: key, ID: string(args[2]), Body: bytes.Clone(args[4]), Came: time.Now()}
+	p := &transport.Handed{Key: key, ID: string(args[2]), Body: bytes.Clone(args[4]), Came: time.Now()}
 	if err := putOptions(p, string(args[3])); err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 }
 
 // putOptions reads names with values, "c=notice,d=8000,dest=7". Of those that are not known one is kept, for the log.
-func putOptions(p *seam.Handed, text string) error {
+func putOptions(p *transport.Handed, text string) error {
 	left, dest := false, false
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
--- a/internal/intake/crossing_test.go
+++ b/internal/respserver/crossing_test.go
@@ -1,4 +1,4 @@
-package intake
+package respserver
 
 import (
 	"errors"
@@ -10,19 +10,19 @@
 
 	"github.com/stretchr/testify/require"
 
+	"spanflow/internal/emulator"
 	"spanflow/internal/resp"
-	"spanflow/internal/standin"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // Crossings of a command with the close of its connection. A test holds the reader at its lock, where it stands between
 // the read of the socket and the count of the commands that are owed an answer.
 
 // table is a desk whose commands a test answers.
-type table chan seam.Asked
+type table chan transport.Asked
 
-func (t table) Ask(a seam.Asked) { t <- a }
-func (t table) Withdraw(string)  {}
+func (t table) Ask(a transport.Asked) { t <- a }
+func (t table) Withdraw(string)       {}
 
 type scene struct {
 	t     *testing.T
@@ -40,14 +40,14 @@
 }
 
 // served connects a client whose first command has had its answer.
-func (s *scene) served() (*standin.Client, *Client) {
-	c, err := standin.NewClient(s.in.Addr())
+func (s *scene) served() (*emulator.Client, *Client) {
+	c, err := emulator.NewClient(s.in.Addr())
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
-	_, err = io.WriteString(c, standin.Command("PING"))
+	_, err = io.WriteString(c, emulator.Command("PING"))
 	require.NoError(s.t, err)
 	from := (<-s.table).From.(*Client)
-	from.Answer(seam.Reply{Word: seam.Alive})
+	from.Answer(transport.Reply{Word: transport.Alive})
 	line, err := c.Hear()
 	require.NoError(s.t, err)
 	require.Equal(s.t, "+PONG", line)
@@ -55,11 +55,11 @@
 }
 
 // answered has a command reach the desk and its answer the client.
-func (s *scene) answered(c *standin.Client) {
+func (s *scene) answered(c *emulator.Client) {
 	s.t.Helper()
 	a := <-s.table
 	require.True(s.t, a.Alive)
-	require.True(s.t, a.From.Answer(seam.Reply{Word: seam.Alive}))
+	require.True(s.t, a.From.Answer(transport.Reply{Word: transport.Alive}))
 	line, err := c.Hear()
 	require.NoError(s.t, err)
 	require.Equal(s.t, "+PONG", line)
@@ -80,9 +80,9 @@
 			s := newScene(t, 1, 1800)
 			c, from := s.served()
 			from.reading.Lock() // read, and not counted yet
-			_, err := io.WriteString(c, standin.Command("PING"))
+			_, err := io.WriteString(c, emulator.Command("PING"))
 			require.NoError(t, err)
-			standin.AwaitAtLock(t, "intake.(*Intake).read(")
+			emulator.AwaitAtLock(t, "respserver.(*Intake).read(")
 			close(s, from)
 			require.False(t, from.gone.Load())
 			from.reading.Unlock()
@@ -94,7 +94,7 @@
 func TestACommandWhoseRestIsBeingReadIsNotRefusedAsStuck(t *testing.T) {
 	s := newScene(t, 9, 1800)
 	c, from := s.served()
-	whole := standin.Command("PING")
+	whole := emulator.Command("PING")
 	_, err := io.WriteString(c, whole[:5])
 	require.NoError(t, err)
 	require.Eventually(t, from.partial.Load, 5*time.Second, time.Millisecond)
@@ -113,9 +113,9 @@
 	c, from := s.served()
 	from.reading.Lock()
 	s.in.Leave()
-	_, err := io.WriteString(c, standin.Command("PING"))
+	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
-	standin.AwaitAtLock(t, "intake.(*Intake).read(") // else the sweep may close it before it has anything to read
+	emulator.AwaitAtLock(t, "respserver.(*Intake).read(") // else the sweep may close it before it has anything to read
 	from.reading.Unlock()
 	s.answered(c)
 	_, err = c.Hear()
@@ -126,7 +126,7 @@
 	s := newScene(t, 9, 1800)
 	c, from := s.served()
 	s.in.Halt()
-	_, err := io.WriteString(c, standin.Command("PING"))
+	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
 	from.conn.Close()
 	_, err = c.Hear()
@@ -148,7 +148,7 @@
 		t.Fatal("halted, while a command may have been read that nobody has counted")
 	default:
 	}
-	s.in.data(from, []byte(standin.Command("PING"))) // what had been read
+	s.in.data(from, []byte(emulator.Command("PING"))) // what had been read
 	from.reading.Unlock()
 	<-halted
 	s.answered(c)
@@ -157,7 +157,7 @@
 func TestHalfACommandKeepsItsConnectionWhileClientsAreSentAway(t *testing.T) {
 	s := newScene(t, 9, 1800)
 	c, from := s.served()
-	whole := standin.Command("PING")
+	whole := emulator.Command("PING")
 	_, err := io.WriteString(c, whole[:5])
 	require.NoError(t, err)
 	require.Eventually(t, from.partial.Load, 5*time.Second, time.Millisecond)
@@ -174,21 +174,21 @@
 		require.NoError(t, err)
 		raw.(*net.TCPConn).SetLinger(0)
 		for range 3 {
-			io.WriteString(raw, standin.Command("PING"))
+			io.WriteString(raw, emulator.Command("PING"))
 		}
 		for range 3 {
-			(<-s.table).From.Answer(seam.Reply{Word: seam.Alive})
+			(<-s.table).From.Answer(transport.Reply{Word: transport.Alive})
 		}
 		raw.Close()
 	}
 	require.Eventually(t, func() bool { return s.in.Clients() == 0 }, 5*time.Second, time.Millisecond)
-	huge, err := standin.NewClient(s.in.Addr())
+	huge, err := emulator.NewClient(s.in.Addr())
 	require.NoError(t, err)
 	go io.WriteString(huge, "*2\r\n$99999999\r\n"+string(make([]byte, 1<<20)))
 	a := <-s.table
 	require.True(t, a.Last)
 	require.Contains(t, a.Why, resp.ErrSize.Error())
-	a.From.Answer(seam.Reply{Word: seam.Malformed, Why: a.Why, Last: true})
+	a.From.Answer(transport.Reply{Word: transport.Malformed, Why: a.Why, Last: true})
 	line, err := huge.Hear()
 	require.NoError(t, err)
 	require.Contains(t, line, "over the limit")
