--- a/internal/intake/intake.go
+++ b/internal/respserver/intake.go
@@ -1,5 +1,5 @@
 // Package intake serves clients: it reads their commands and writes the answers. It chooses nothing.
-package intake
+package respserver
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"github.com/lesismal/nbio"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // Patience is how long connections without an open command are kept, in seconds.
@@ -23,7 +23,7 @@
 // Intake holds the clients' connections.
 type Intake struct {
 	engine    *nbio.Engine
-	desk      seam.Desk
+	desk      transport.Desk
 	patience  Patience
 	softLimit int // from here on one without a command, else the longest idle one, is closed for each new one
 	hardLimit int // from here on new ones are turned away unread, so that descriptors do not run out
@@ -32,7 +32,7 @@
 	leaving   bool
 	halted    bool // nothing more is read
 	stop      chan struct{}
-	counts    seam.Tally
+	counts    transport.Tally
 	ln        net.Listener
 }
 
@@ -49,19 +49,19 @@
 
 // Open listens at an address. For each connection over softLimit an idle one is closed, if there is one; over
 // hardLimit they are turned away.
-func Open(addr string, softLimit, hardLimit int, patience Patience, desk seam.Desk) (*Intake, error) {
+func Open(addr string, softLimit, hardLimit int, patience Patience, desk transport.Desk) (*Intake, error) {
 	return open(addr, net.Listen, softLimit, hardLimit, patience, desk)
 }
 
 // OpenOn takes connections by a socket that listens already, such as one handed down by the platform, which other
 // processes may share: the connections are taken from the time of the call on.
-func OpenOn(l net.Listener, softLimit, hardLimit int, patience Patience, desk seam.Desk) (*Intake, error) {
+func OpenOn(l net.Listener, softLimit, hardLimit int, patience Patience, desk transport.Desk) (*Intake, error) {
 	listen := func(string, string) (net.Listener, error) { return l, nil }
 	return open(l.Addr().String(), listen, softLimit, hardLimit, patience, desk)
 }
 
 func open(addr string, listen func(network, addr string) (net.Listener, error), softLimit, hardLimit int,
-	patience Patience, desk seam.Desk) (*Intake, error) {
+	patience Patience, desk transport.Desk) (*Intake, error) {
 	in := &Intake{
 		desk:      desk,
 		patience:  patience,
@@ -148,7 +148,7 @@
 }
 
 // Tally tells what became of connections.
-func (in *Intake) Tally() seam.Tally {
+func (in *Intake) Tally() transport.Tally {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.counts.Now = len(in.clients)
--- a/internal/intake/intake_test.go
+++ b/internal/respserver/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package respserver
 
 import (
 	"strings"
@@ -6,10 +6,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
-func ask(args ...string) seam.Asked {
+func ask(args ...string) transport.Asked {
 	var b [][]byte
 	for _, a := range args {
 		b = append(b, []byte(a))
--- a/internal/intake/read.go
+++ b/internal/respserver/read.go
@@ -1,4 +1,4 @@
-package intake
+package respserver
 
 import (
 	"errors"
--- a/internal/intake/reply.go
+++ b/internal/respserver/reply.go
@@ -1,8 +1,8 @@
-package intake
+package respserver
 
 import (
 	"spanflow/internal/resp"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 var (
@@ -11,15 +11,15 @@
 )
 
 // line is an answer as it goes over the wire.
-func line(r seam.Reply) []byte {
+func line(r transport.Reply) []byte {
 	switch r.Word {
-	case seam.Taken:
+	case transport.Taken:
 		return taken
-	case seam.Alive:
+	case transport.Alive:
 		return alive
-	case seam.Busy:
+	case transport.Busy:
 		return resp.Busy(r.Wait)
-	case seam.Declined:
+	case transport.Declined:
 		return resp.Failure("ERR " + r.Why)
 	default:
 		return resp.Failure(r.Why)
--- a/internal/intake/transcript_test.go
+++ b/internal/respserver/transcript_test.go
@@ -1,4 +1,4 @@
-package intake_test
+package respserver_test
 
 import (
 	"io"
@@ -9,19 +9,19 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/intake"
+	"spanflow/internal/respserver"
 	"spanflow/internal/transcript"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 // desk gives each request the answer that the test has laid out for it, or answers what could not be understood.
-type desk chan seam.Reply
+type desk chan transport.Reply
 
 func (d desk) Withdraw(string) {}
 
-func (d desk) Ask(a seam.Asked) {
+func (d desk) Ask(a transport.Asked) {
 	if a.Why != "" {
-		a.From.Answer(seam.Reply{Word: seam.Malformed, Why: a.Why, Last: a.Last})
+		a.From.Answer(transport.Reply{Word: transport.Malformed, Why: a.Why, Last: a.Last})
 		return
 	}
 	a.From.Answer(<-d)
@@ -37,9 +37,9 @@
 	script transcript.Transcript
 }
 
-func newClients(t *testing.T, patience intake.Patience) *clients {
+func newClients(t *testing.T, patience respserver.Patience) *clients {
 	c := &clients{t: t, desk: make(desk, 9)}
-	in, err := intake.Open("127.6.0.2:0", 20, 24, patience, c.desk)
+	in, err := respserver.Open("127.6.0.2:0", 20, 24, patience, c.desk)
 	require.NoError(t, err)
 	t.Cleanup(in.Stop)
 	c.addr = in.Addr()
@@ -93,29 +93,29 @@
 }
 
 func TestAnswersToClients(t *testing.T) {
-	c := newClients(t, intake.Patience{Silent: 60, Quiet: 60})
+	c := newClients(t, respserver.Patience{Silent: 60, Quiet: 60})
 	for _, reply := range []struct {
 		what  string
-		reply seam.Reply
+		reply transport.Reply
 	}{
-		{"taken on", seam.Reply{Word: seam.Taken}},
-		{"alive", seam.Reply{Word: seam.Alive}},
-		{"busy", seam.Reply{Word: seam.Busy}},
-		{"busy, with a time", seam.Reply{Word: seam.Busy, Wait: 250}},
-		{"busy, with the longest time", seam.Reply{Word: seam.Busy, Wait: 9_999_999}},
-		{"declined", seam.Reply{Word: seam.Declined, Why: "the reason"}},
-		{"malformed", seam.Reply{Word: seam.Malformed, Why: "ERR the reason"}},
+		{"taken on", transport.Reply{Word: transport.Taken}},
+		{"alive", transport.Reply{Word: transport.Alive}},
+		{"busy", transport.Reply{Word: transport.Busy}},
+		{"busy, with a time", transport.Reply{Word: transport.Busy, Wait: 250}},
+		{"busy, with the longest time", transport.Reply{Word: transport.Busy, Wait: 9_999_999}},
+		{"declined", transport.Reply{Word: transport.Declined, Why: "the reason"}},
+		{"malformed", transport.Reply{Word: transport.Malformed, Why: "ERR the reason"}},
 	} {
 		c.desk <- reply.reply
 		c.asks(reply.what, ping)
 	}
-	c.desk <- seam.Reply{Word: seam.Malformed, Why: "ERR the reason", Last: true}
+	c.desk <- transport.Reply{Word: transport.Malformed, Why: "ERR the reason", Last: true}
 	c.isClosed(c.sends(ping), "malformed, and the connection ends", ping)
 	c.script.Compare(t, "answers.txt")
 }
 
 func TestAnswersToWhatCannotBeUnderstood(t *testing.T) {
-	c := newClients(t, intake.Patience{Silent: 60, Quiet: 60})
+	c := newClients(t, respserver.Patience{Silent: 60, Quiet: 60})
 	cases := []struct{ what, raw string }{
 		{"an inline command", "PING\r\n"},
 		{"an array of nothing", "*0\r\n"},
@@ -137,7 +137,7 @@
 }
 
 func TestAnswersToCommandsThatAreNotCarriedOut(t *testing.T) {
-	c := newClients(t, intake.Patience{Silent: 60, Quiet: 60})
+	c := newClients(t, respserver.Patience{Silent: 60, Quiet: 60})
 	const options = "c=notice,d=8000,dest=7"
 	for _, command := range []struct {
 		what string
@@ -167,7 +167,7 @@
 }
 
 func TestAnswerToACommandThatDoesNotGoOn(t *testing.T) {
-	c := newClients(t, intake.Patience{Silent: 0.3, Quiet: 60})
+	c := newClients(t, respserver.Patience{Silent: 0.3, Quiet: 60})
 	c.isClosed(c.sends(ping[:9]), "half a command", ping[:9])
 	c.script.Compare(t, "unfinished.txt")
 }
--- a/internal/terms/terms.go
+++ b/internal/settings/terms.go
@@ -1,5 +1,5 @@
 // Package terms turns the operators' settings into what the decision module is told at its start.
-package terms
+package settings
 
 import (
 	"encoding/json"
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"spanflow/choice"
+	"spanflow/scheduler"
 )
 
 // settings names the figures read here as the operators write them; times in milliseconds.
@@ -60,23 +60,23 @@
 const limit, left = "x1", "x0"
 
 // Read decodes settings.
-func Read(text []byte) (choice.Terms, Names, error) {
+func Read(text []byte) (scheduler.Terms, Names, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return choice.Terms{}, Names{}, err
+		return scheduler.Terms{}, Names{}, err
 	}
 	switch {
 	case len(s.Classes) == 0:
-		return choice.Terms{}, Names{}, errors.New("no document type in Classes")
+		return scheduler.Terms{}, Names{}, errors.New("no document type in Classes")
 	case s.Extra.CallsOut < 1:
-		return choice.Terms{}, Names{}, errors.New("Extra.CallsOut is not a number of slots")
+		return scheduler.Terms{}, Names{}, errors.New("Extra.CallsOut is not a number of slots")
 	case s.NInstances < 1:
-		return choice.Terms{}, Names{}, errors.New("NInstances is not a number of forwarders")
+		return scheduler.Terms{}, Names{}, errors.New("NInstances is not a number of forwarders")
 	}
 	if err := s.check(); err != nil {
-		return choice.Terms{}, Names{}, err
+		return scheduler.Terms{}, Names{}, err
 	}
-	t := choice.Terms{KindBatch: s.Extra.KindBatch, KindApart: s.Extra.SeparateRoutes, Forwarders: s.NInstances,
+	t := scheduler.Terms{KindBatch: s.Extra.KindBatch, KindApart: s.Extra.SeparateRoutes, Forwarders: s.NInstances,
 		Slots: s.Extra.CallsOut, Room: s.Limits.MaxOpen, Transmissions: s.Limits.AttemptsCap, Zone: s.MyZone,
 		KeyRest: s.Guarantees.KeyRest / 1000, ColdFrom: s.Guarantees.ColdFrom, ColdFor: s.Guarantees.Cold / 1000,
 		FallMultiple: s.Guarantees.FallMultiple, IdleLife: s.Limits.ConnIdle / 1000,
@@ -98,20 +98,20 @@
 		f.Tenants = append(f.Tenants, q.Name)
 	}
 	for i, c := range s.Classes {
-		d := choice.DocType{ZoneGroup: c.Group == "zone", InOrder: c.Sequential, Agreed: c.Slo / 1000,
+		d := scheduler.DocType{ZoneGroup: c.Group == "zone", InOrder: c.Sequential, Agreed: c.Slo / 1000,
 			Life: c.HardLimit / 1000, Memory: c.MemorySpan / 1000, Value: 1, LateShare: c.LateShare}
 		if c.Worth != nil {
 			d.Value = *c.Worth
 		}
 		switch c.Idempotency {
 		case "retryable":
-			d.Repeat = choice.Replayable
+			d.Repeat = scheduler.Replayable
 		case "dedup":
-			d.Repeat = choice.Numbered
+			d.Repeat = scheduler.Numbered
 		case "fragile":
-			d.Repeat = choice.Binding
+			d.Repeat = scheduler.Binding
 		default:
-			return choice.Terms{}, Names{}, fmt.Errorf("Classes[%d].Idempotency: unknown word %q", i, c.Idempotency)
+			return scheduler.Terms{}, Names{}, fmt.Errorf("Classes[%d].Idempotency: unknown word %q", i, c.Idempotency)
 		}
 		t.Types = append(t.Types, d)
 		f.Types = append(f.Types, c.Name)
--- a/internal/terms/terms_test.go
+++ b/internal/settings/terms_test.go
@@ -1,4 +1,4 @@
-package terms
+package settings
 
 import (
 	"strings"
--- a/internal/wire/transcript_test.go
+++ b/internal/simproto/transcript_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package simproto_test
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 
+	"spanflow/internal/simproto"
 	"spanflow/internal/transcript"
-	"spanflow/internal/wire"
 )
 
 // The frames of a batch as the simulator writes them: little-endian, without gaps.
@@ -115,7 +115,7 @@
 	fromServer, out := io.Pipe()
 	ended := make(chan error, 1)
 	go func() {
-		err := wire.Serve(in, out)
+		err := simproto.Serve(in, out)
 		out.Close()
 		ended <- err
 	}()
--- a/internal/wire/wire.go
+++ b/internal/simproto/wire.go
@@ -1,5 +1,5 @@
 // Package wire speaks the simulator's frames and translates them to the words of package choice.
-package wire
+package simproto
 
 import (
 	"bufio"
@@ -10,8 +10,8 @@
 	"math"
 	"runtime/debug"
 
-	"spanflow/choice"
-	"spanflow/internal/terms"
+	"spanflow/internal/settings"
+	"spanflow/scheduler"
 )
 
 const (
@@ -150,10 +150,10 @@
 type instance struct {
 	host    *Host
 	number  uint16
-	f       *choice.Forwarder
-	docs    map[uint32]*choice.Doc
-	dests   map[uint32]*choice.Destination
-	targets map[uint64]*choice.Target
+	f       *scheduler.Forwarder
+	docs    map[uint32]*scheduler.Doc
+	dests   map[uint32]*scheduler.Destination
+	targets map[uint64]*scheduler.Target
 	limitAt int // place of the limit in a load report
 	leftAt  int // and of the share of it that is left
 	dirty   bool
@@ -271,19 +271,19 @@
 }
 
 func (h *Host) provision(number uint16, seed uint64, text []byte, now float64) error {
-	t, fronts, err := terms.Read(text)
+	t, fronts, err := settings.Read(text)
 	if err != nil {
 		return fmt.Errorf("settings of instance %d: %w", number, err)
 	}
-	in := &instance{host: h, number: number, limitAt: fronts.LimitAt, leftAt: fronts.LeftAt, docs: map[uint32]*choice.Doc{},
-		dests: map[uint32]*choice.Destination{}, targets: map[uint64]*choice.Target{}}
-	in.f = choice.New(t, seed, now, in)
+	in := &instance{host: h, number: number, limitAt: fronts.LimitAt, leftAt: fronts.LeftAt, docs: map[uint32]*scheduler.Doc{},
+		dests: map[uint32]*scheduler.Destination{}, targets: map[uint64]*scheduler.Target{}}
+	in.f = scheduler.New(t, seed, now, in)
 	h.instances[number] = in
 	in.touch()
 	return nil
 }
 
-func (in *instance) dest(number uint32) *choice.Destination {
+func (in *instance) dest(number uint32) *scheduler.Destination {
 	d := in.dests[number]
 	if d == nil {
 		d = in.f.NewDestination(uint64(number))
@@ -344,16 +344,16 @@
 	}
 }
 
-func (in *instance) listings(entries []entry) []choice.Listing {
-	lines := make([]choice.Listing, 0, len(entries))
+func (in *instance) listings(entries []entry) []scheduler.Listing {
+	lines := make([]scheduler.Listing, 0, len(entries))
 	for _, e := range entries {
 		t := in.targets[e.address]
 		if t == nil {
-			t = &choice.Target{Door: e.address}
+			t = &scheduler.Target{Door: e.address}
 			in.targets[e.address] = t
 		}
-		lines = append(lines, choice.Listing{Target: t, Dest: in.dest(uint32(e.dest)), Kind: int(e.kind),
-			Zone: int(e.zone), Rate: e.rate, Standing: [3]choice.Standing{choice.Gone, choice.Ready, choice.Draining}[e.status]})
+		lines = append(lines, scheduler.Listing{Target: t, Dest: in.dest(uint32(e.dest)), Kind: int(e.kind),
+			Zone: int(e.zone), Rate: e.rate, Standing: [3]scheduler.Standing{scheduler.Gone, scheduler.Ready, scheduler.Draining}[e.status]})
 	}
 	return lines
 }
@@ -370,28 +370,28 @@
 		return nil, fmt.Errorf("document type %d is not in the settings", kind)
 	}
 	return func() {
-		d := &choice.Doc{Door: uint64(id), Tenant: int(tenant), Key: key, Dest: in.dest(uint32(dest))}
+		d := &scheduler.Doc{Door: uint64(id), Tenant: int(tenant), Key: key, Dest: in.dest(uint32(dest))}
 		in.docs[id] = d
 		in.f.Take(d, int(kind), left)
 	}, nil
 }
 
-var outcomes = map[uint16]choice.Outcome{200: choice.Delivered, 502: choice.Errored, 429: choice.Full,
-	408: choice.TimedOut, 521: choice.NoConnection, 520: choice.Reset, 444: choice.Cancelled, 409: choice.Moot}
+var outcomes = map[uint16]scheduler.Outcome{200: scheduler.Delivered, 502: scheduler.Errored, 429: scheduler.Full,
+	408: scheduler.TimedOut, 521: scheduler.NoConnection, 520: scheduler.Reset, 444: scheduler.Cancelled, 409: scheduler.Moot}
 
 func (in *instance) ended(r *reader) (func(), error) {
 	id := r.u32()
 	r.address()
-	e := choice.Ending{Over: r.u8() != 0, Took: r.f64() / 1000}
+	e := scheduler.Ending{Over: r.u8() != 0, Took: r.f64() / 1000}
 	note := r.u32()
 	r.u16() // which transmission: only one is ever out
 	reason := r.u16()
 	for i := range int(r.u8()) {
 		switch v := r.f32(); i {
 		case in.limitAt:
-			e.Most = choice.Limit(v)
+			e.Most = scheduler.Limit(v)
 		case in.leftAt:
-			e.Left = choice.Limit(v)
+			e.Left = scheduler.Limit(v)
 		}
 	}
 	outcome, known := outcomes[reason]
@@ -399,7 +399,7 @@
 		return nil, fmt.Errorf("unknown outcome %d", reason)
 	}
 	e.Outcome = outcome
-	if outcome == choice.Full {
+	if outcome == scheduler.Full {
 		e.Wait = float64(note) / 1000
 	}
 	return func() {
@@ -411,7 +411,7 @@
 }
 
 // release forgets a document of which nothing more can be heard.
-func (in *instance) release(d *choice.Doc) {
+func (in *instance) release(d *scheduler.Doc) {
 	if d.Over() {
 		delete(in.docs, uint32(d.Door))
 	}
@@ -419,7 +419,7 @@
 
 // Transmit, Reject, Abandon, Recall, CloseIdle, Wake, Watch and Log make this the choice.Host.
 
-func (in *instance) Transmit(d *choice.Doc, t *choice.Target, timeout float64) {
+func (in *instance) Transmit(d *scheduler.Doc, t *scheduler.Target, timeout float64) {
 	w := &in.host.out
 	w.record(0, in.number)
 	w.u32(uint32(d.Door))
@@ -427,7 +427,7 @@
 	w.ms(timeout)
 }
 
-func (in *instance) Reject(d *choice.Doc, comeBack float64) {
+func (in *instance) Reject(d *scheduler.Doc, comeBack float64) {
 	w := &in.host.out
 	w.record(1, in.number)
 	w.u32(uint32(d.Door))
@@ -435,7 +435,7 @@
 	in.release(d)
 }
 
-func (in *instance) Abandon(d *choice.Doc) {
+func (in *instance) Abandon(d *scheduler.Doc) {
 	w := &in.host.out
 	w.record(2, in.number)
 	w.u32(uint32(d.Door))
@@ -443,11 +443,11 @@
 }
 
 // Recall has nothing to do: on this wire a call counts as sent when it is decided on.
-func (in *instance) Recall(*choice.Target) {}
+func (in *instance) Recall(*scheduler.Target) {}
 
-func (in *instance) Release(t *choice.Target) { delete(in.targets, t.Door) }
+func (in *instance) Release(t *scheduler.Target) { delete(in.targets, t.Door) }
 
-func (in *instance) CloseIdle(t *choice.Target) {
+func (in *instance) CloseIdle(t *scheduler.Target) {
 	w := &in.host.out
 	w.record(6, in.number)
 	w.address(t.Door)
--- a/internal/wire/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simproto
 
 import (
 	"bytes"
--- a/internal/outlet/call.go
+++ b/internal/upstream/call.go
@@ -1,4 +1,4 @@
-package outlet
+package upstream
 
 import (
 	"encoding/base64"
@@ -6,13 +6,13 @@
 	"strconv"
 	"strings"
 
-	"spanflow/choice"
 	"spanflow/internal/http1"
-	"spanflow/seam"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // request writes a call in its form of HTTP.
-func request(c *seam.Call) []byte {
+func request(c *transport.Call) []byte {
 	left := strconv.FormatInt(c.Allow.Milliseconds(), 10)
 	if len(c.Papers) == 1 {
 		p := &c.Papers[0]
@@ -86,8 +86,8 @@
 }
 
 // ends tells what an answer means for each paper of a call.
-func (a *answer) ends(c *seam.Call) []seam.End {
-	ends := make([]seam.End, len(c.Papers))
+func (a *answer) ends(c *transport.Call) []transport.End {
+	ends := make([]transport.End, len(c.Papers))
 	for i := range ends {
 		ends[i] = a.end()
 	}
@@ -105,43 +105,43 @@
 	for i, p := range c.Papers {
 		switch told[p.ID] {
 		case "ok":
-			ends[i] = seam.Took
+			ends[i] = transport.Took
 		case "later":
-			ends[i] = seam.TurnedAway
+			ends[i] = transport.TurnedAway
 			if a.wait > 0 {
-				ends[i] = seam.Waiting
+				ends[i] = transport.Waiting
 			}
 		case "gone":
-			ends[i] = seam.Gone
+			ends[i] = transport.Gone
 		case "exhausted":
-			ends[i] = seam.Spent
+			ends[i] = transport.Spent
 		default: // not told, or told in a word unknown here: it may have run
-			ends[i] = seam.Failed
+			ends[i] = transport.Failed
 		}
 	}
 	return ends
 }
 
 // end tells what the status alone means.
-func (a *answer) end() seam.End {
+func (a *answer) end() transport.End {
 	switch a.code {
 	case 200:
-		return seam.Took
+		return transport.Took
 	case 429:
-		return seam.Waiting
+		return transport.Waiting
 	case 503:
 		if a.busy {
-			return seam.LineBusy
+			return transport.LineBusy
 		}
-		return seam.TurnedAway
+		return transport.TurnedAway
 	case 504:
-		return seam.Spent
+		return transport.Spent
 	case 410:
-		return seam.Gone
+		return transport.Gone
 	case 400, 413:
-		return seam.Unread
+		return transport.Unread
 	default:
-		return seam.Failed
+		return transport.Failed
 	}
 }
 
@@ -150,7 +150,7 @@
 	for pair := range strings.SplitSeq(report, ",") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name == field {
 			if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v < 1e9 {
-				return choice.Limit(v)
+				return scheduler.Limit(v)
 			}
 		}
 	}
--- a/internal/outlet/outlet.go
+++ b/internal/upstream/outlet.go
@@ -1,5 +1,5 @@
 // Package outlet carries calls to targets: connections, their reuse, and how each call ended. It chooses nothing.
-package outlet
+package upstream
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	"spanflow/internal/dial"
 	"spanflow/internal/http1"
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 const (
@@ -29,7 +29,7 @@
 // Outlet holds the connections to all targets.
 type Outlet struct {
 	dialer *dial.Dialer
-	desk   seam.Counter
+	desk   transport.Counter
 	terms  Terms
 	mu     sync.Mutex
 	idle   map[uint64][]*trunk // by the target's number; the latest used last
@@ -37,7 +37,7 @@
 }
 
 // New has no connections yet.
-func New(d *dial.Dialer, desk seam.Counter, terms Terms) *Outlet {
+func New(d *dial.Dialer, desk transport.Counter, terms Terms) *Outlet {
 	if terms.Proof == 0 {
 		terms.Proof = usualProof
 	}
@@ -51,7 +51,7 @@
 	line   *dial.Line
 	reader http1.Reader
 	answer answer
-	call   *seam.Call
+	call   *transport.Call
 	began  time.Time
 	rested time.Time   // since when it is idle
 	timer  *time.Timer // ends the call, or while idle the connection
@@ -64,7 +64,7 @@
 const usualProof = 3 * time.Millisecond
 
 // Send begins a call, on the idle connection used last if there is one.
-func (o *Outlet) Send(c *seam.Call) {
+func (o *Outlet) Send(c *transport.Call) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.rested(c.Door)
@@ -103,7 +103,7 @@
 }
 
 // fresh begins a connection for a call.
-func (o *Outlet) fresh(c *seam.Call) *trunk {
+func (o *Outlet) fresh(c *transport.Call) *trunk {
 	if o.dialer.Full() {
 		o.shed()
 	}
@@ -158,7 +158,7 @@
 		} else if !t.line.CloseUnlessUp() {
 			continue
 		}
-		t.finish(t.same(seam.Recalled), "")
+		t.finish(t.same(transport.Recalled), "")
 	}
 }
 
@@ -219,12 +219,12 @@
 	if !t.unsent && t.answered(turn) {
 		return
 	}
-	end, why, sent := seam.GivenUp, "", t.line.Cut()
+	end, why, sent := transport.GivenUp, "", t.line.Cut()
 	switch {
 	case t.unsent || !sent:
-		end = seam.GivenUpEarly
+		end = transport.GivenUpEarly
 	case t.reader.Begun():
-		end, why = seam.Garbled, "the answer never ended"
+		end, why = transport.Garbled, "the answer never ended"
 	}
 	t.finish(t.cut(end), why)
 }
@@ -273,14 +273,14 @@
 	switch {
 	case err != nil:
 		t.line.Close()
-		t.finish(t.broken(seam.Garbled), err.Error())
+		t.finish(t.broken(transport.Garbled), err.Error())
 	case whole:
 		keep := !t.reader.Close && used == len(b) && t.line.Sent()
 		if !keep {
 			t.line.Close()
 		}
 		if t.answer.code == 200 && !keep && !t.line.Sent() { // who has not had the call whole has not run it
-			t.finish(t.same(seam.BrokenEarly), "an answer before the call was written")
+			t.finish(t.same(transport.BrokenEarly), "an answer before the call was written")
 			return
 		}
 		t.finish(t.answer.ends(t.call), "")
@@ -303,11 +303,11 @@
 	case t.reader.Ended():
 		t.finish(t.answer.ends(t.call), "")
 	case errors.Is(cause, dial.ErrNeverUp):
-		t.finish(t.same(seam.NeverUp), "")
+		t.finish(t.same(transport.NeverUp), "")
 	case !t.line.Up():
-		t.finish(t.same(seam.Refused), text(cause))
+		t.finish(t.same(transport.Refused), text(cause))
 	default:
-		t.finish(t.broken(seam.Broken), text(cause))
+		t.finish(t.broken(transport.Broken), text(cause))
 	}
 }
 
@@ -319,9 +319,9 @@
 }
 
 // broken is end if the call was written whole, else that it was cut before.
-func (t *trunk) broken(end seam.End) []seam.End {
+func (t *trunk) broken(end transport.End) []transport.End {
 	if !t.line.Sent() {
-		end = seam.BrokenEarly
+		end = transport.BrokenEarly
 	}
 	return t.cut(end)
 }
@@ -329,15 +329,15 @@
 // cut is end for each paper, but for a single one whose answer began with 200: that holds from its line on, if the call
 // was written whole. Any other status counts only with the whole answer, as one that is spoilt or cut may stand for a
 // document that has run. The line is closed.
-func (t *trunk) cut(end seam.End) []seam.End {
+func (t *trunk) cut(end transport.End) []transport.End {
 	if t.answer.code == 200 && len(t.call.Papers) == 1 && t.line.Sent() {
-		end = seam.Took
+		end = transport.Took
 	}
 	return t.same(end)
 }
 
-func (t *trunk) same(end seam.End) []seam.End {
-	ends := make([]seam.End, len(t.call.Papers))
+func (t *trunk) same(end transport.End) []transport.End {
+	ends := make([]transport.End, len(t.call.Papers))
 	for i := range ends {
 		ends[i] = end
 	}
@@ -345,10 +345,10 @@
 }
 
 // finish reports the call's end; the lock is held.
-func (t *trunk) finish(ends []seam.End, why string) {
+func (t *trunk) finish(ends []transport.End, why string) {
 	t.timer.Stop()
-	e := seam.Ended{Call: t.call, Ends: ends, Took: time.Since(t.began), Why: why}
-	if ends[0] != seam.Garbled { // a head that came before the connection broke holds
+	e := transport.Ended{Call: t.call, Ends: ends, Took: time.Since(t.began), Why: why}
+	if ends[0] != transport.Garbled { // a head that came before the connection broke holds
 		terms := &t.outlet.terms
 		e.Wait, e.Most, e.Left = t.answer.wait, limit(t.answer.report, terms.Limit), limit(t.answer.report, terms.Left)
 	}
--- a/internal/outlet/outlet_test.go
+++ b/internal/upstream/outlet_test.go
@@ -1,4 +1,4 @@
-package outlet
+package upstream
 
 import (
 	"context"
@@ -10,30 +10,30 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/standin"
-	"spanflow/seam"
+	"spanflow/internal/emulator"
+	"spanflow/transport"
 )
 
 func TestAnswersMeanWhatTheProtocolSays(t *testing.T) {
-	one, two := &seam.Call{Papers: make([]seam.Paper, 1)}, &seam.Call{Papers: []seam.Paper{{ID: "a"}, {ID: "b"}}}
-	for code, want := range map[int]seam.End{200: seam.Took, 500: seam.Failed, 502: seam.Failed, 429: seam.Waiting, 503: seam.TurnedAway, 504: seam.Spent, 410: seam.Gone, 400: seam.Unread, 413: seam.Unread} {
-		require.Equal(t, []seam.End{want}, (&answer{code: code}).ends(one))
+	one, two := &transport.Call{Papers: make([]transport.Paper, 1)}, &transport.Call{Papers: []transport.Paper{{ID: "a"}, {ID: "b"}}}
+	for code, want := range map[int]transport.End{200: transport.Took, 500: transport.Failed, 502: transport.Failed, 429: transport.Waiting, 503: transport.TurnedAway, 504: transport.Spent, 410: transport.Gone, 400: transport.Unread, 413: transport.Unread} {
+		require.Equal(t, []transport.End{want}, (&answer{code: code}).ends(one))
 	}
-	require.Equal(t, []seam.End{seam.LineBusy}, (&answer{code: 503, busy: true}).ends(one))
-	require.Equal(t, []seam.End{seam.Waiting, seam.Waiting}, (&answer{code: 429}).ends(two))
-	for body, want := range map[string][]seam.End{
-		`[{"id":"b","state":"ok"},{"id":"a","state":"error"}]`:   {seam.Failed, seam.Took},
-		`[{"id":"a","state":"gone"},{"id":"b","state":"later"}]`: {seam.Gone, seam.TurnedAway},
-		`[{"id":"a","state":"exhausted"}]`:                       {seam.Spent, seam.Failed}, // b is not told: it may have run
-		`[{"id":`:                                                {seam.Failed, seam.Failed}} {
+	require.Equal(t, []transport.End{transport.LineBusy}, (&answer{code: 503, busy: true}).ends(one))
+	require.Equal(t, []transport.End{transport.Waiting, transport.Waiting}, (&answer{code: 429}).ends(two))
+	for body, want := range map[string][]transport.End{
+		`[{"id":"b","state":"ok"},{"id":"a","state":"error"}]`:   {transport.Failed, transport.Took},
+		`[{"id":"a","state":"gone"},{"id":"b","state":"later"}]`: {transport.Gone, transport.TurnedAway},
+		`[{"id":"a","state":"exhausted"}]`:                       {transport.Spent, transport.Failed}, // b is not told: it may have run
+		`[{"id":`:                                                {transport.Failed, transport.Failed}} {
 		require.Equal(t, want, (&answer{code: 200, body: []byte(body)}).ends(two), body)
 	}
 }
 
 // desk hands a test the ends of its calls.
-type desk chan seam.Ended
+type desk chan transport.Ended
 
-func (d desk) CallEnded(e seam.Ended) { d <- e }
+func (d desk) CallEnded(e transport.Ended) { d <- e }
 
 type scene struct {
 	*Outlet
@@ -61,7 +61,7 @@
 }
 
 func (s *scene) send(allow time.Duration, body string) {
-	s.Send(&seam.Call{Door: s.door, Target: s.ln.Addr().String(), Papers: []seam.Paper{{ID: "a", Body: []byte(body)}}, Allow: allow})
+	s.Send(&transport.Call{Door: s.door, Target: s.ln.Addr().String(), Papers: []transport.Paper{{ID: "a", Body: []byte(body)}}, Allow: allow})
 }
 
 // accepts reads the head of a call on a new connection.
@@ -80,10 +80,10 @@
 	require.True(s.t, strings.HasPrefix(string(b[:n]), "POST /hook"))
 }
 
-func (s *scene) ends(want seam.End) seam.Ended {
+func (s *scene) ends(want transport.End) transport.Ended {
 	s.t.Helper()
 	e := <-s.desk
-	require.Equal(s.t, []seam.End{want}, e.Ends)
+	require.Equal(s.t, []transport.End{want}, e.Ends)
 	return e
 }
 
@@ -94,12 +94,12 @@
 	s.send(time.Minute, "b")
 	c := s.accepts()
 	c.Write([]byte("HTTP/1.1 429 Full\r\nRetry-After: 0.25\r\nX-Pressure: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n"))
-	e := s.ends(seam.Waiting)
+	e := s.ends(transport.Waiting)
 	require.Equal(t, []any{0.25, 25.0, 0.4}, []any{e.Wait, e.Most, e.Left})
 	s.send(time.Minute, "b")
 	s.hears(c)
 	c.Write([]byte(ok))
-	require.Zero(t, s.ends(seam.Took).Wait)
+	require.Zero(t, s.ends(transport.Took).Wait)
 	s.CloseIdle(1)
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"))
@@ -111,16 +111,16 @@
 	s.send(time.Minute, "b")
 	c := s.accepts()
 	c.Write([]byte(ok))
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 	s.mu.Lock()
 	c.Write([]byte(ok)) // once more: read from the socket, and not heard yet
-	standin.AwaitAtLock(t, "outlet.(*trunk).Data(")
+	emulator.AwaitAtLock(t, "upstream.(*trunk).Data(")
 	used := s.rested(s.door)
 	s.mu.Unlock()
 	require.Nil(t, used, "a call on it would be taken for done")
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
-	s.ends(seam.Failed)
+	s.ends(transport.Failed)
 }
 
 // waiting is the connection that carries a call with such a body, and the number of that call; the outlet's lock is held.
@@ -146,13 +146,13 @@
 	late := s.accepts()
 	s.mu.Lock()
 	other.Write([]byte(emptyAnswer))
-	standin.AwaitAtLock(t, "outlet.(*trunk).Data(")
+	emulator.AwaitAtLock(t, "upstream.(*trunk).Data(")
 	late.Write([]byte(emptyAnswer))
 	trunk, turn := s.waiting("late")
 	trunk.timeOver(turn)
 	s.mu.Unlock()
-	s.ends(seam.Took)
-	s.ends(seam.Took)
+	s.ends(transport.Took)
+	s.ends(transport.Took)
 }
 
 func TestAnAnswerOnItsWayToTheOutletEndsTheCallWhoseTimeIsOver(t *testing.T) {
@@ -162,37 +162,37 @@
 	s.mu.Lock()
 	trunk, turn := s.waiting("late")
 	late.Write([]byte(emptyAnswer))
-	standin.AwaitAtLock(t, "outlet.(*trunk).Data(")
+	emulator.AwaitAtLock(t, "upstream.(*trunk).Data(")
 	trunk.timeOver(turn)
 	require.NotNil(t, trunk.call, "its answer is told by Data")
 	s.mu.Unlock()
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 }
 
 func TestBrokenConnectionsAreToldApartByWhetherTheCallWasWrittenWhole(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "b")
 	s.accepts().Close()
-	s.ends(seam.Broken)
+	s.ends(transport.Broken)
 	huge := strings.Repeat("x", 32<<20) // more than the sockets take
 	s.send(time.Minute, huge)
 	s.accepts().Close()
-	s.ends(seam.BrokenEarly)
+	s.ends(transport.BrokenEarly)
 	s.send(100*time.Millisecond, huge)
 	c := s.accepts()
-	s.ends(seam.GivenUpEarly)
+	s.ends(transport.GivenUpEarly)
 	c.Close()
 	s.send(time.Second, "b")
 	c = s.accepts()
-	s.ends(seam.GivenUp)
+	s.ends(transport.GivenUp)
 	_, err := c.Read(make([]byte, 1))
 	require.Error(t, err, "a call given up closes its connection")
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte("what is this\r\n"))
-	require.NotEmpty(t, s.ends(seam.Garbled).Why)
+	require.NotEmpty(t, s.ends(transport.Garbled).Why)
 	s.ln.Close()
 	s.send(time.Minute, "b")
-	s.ends(seam.Refused)
+	s.ends(transport.Refused)
 }
 
 func TestAStatusHoldsFromItsLineOn(t *testing.T) {
@@ -201,10 +201,10 @@
 	c := s.accepts()
 	c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Le"))
 	c.Close()
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 	s.send(time.Minute, strings.Repeat("x", 32<<20))
 	s.accepts().Write([]byte("HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n")) // before the call was written whole
-	s.ends(seam.Unread)
+	s.ends(transport.Unread)
 	require.Zero(t, s.Idle())
 }
 
@@ -216,7 +216,7 @@
 		c := s.accepts()
 		c.Write([]byte(text))
 		c.(*net.TCPConn).CloseWrite() // it reads no more of it
-		s.ends(seam.BrokenEarly)
+		s.ends(transport.BrokenEarly)
 		c.Close()
 	}
 }
@@ -230,7 +230,7 @@
 	}
 	for _, c := range lines {
 		c.Write([]byte(ok))
-		s.ends(seam.Took)
+		s.ends(transport.Took)
 	}
 	other, err := net.Listen("tcp", "127.4.0.1:0")
 	require.NoError(t, err)
@@ -238,7 +238,7 @@
 	s.ln, s.door = other, 2
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 	_, err = lines[0].Read(make([]byte, 1))
 	require.Error(t, err)
 	require.Equal(t, 8, s.Idle())
@@ -252,13 +252,13 @@
 	}
 	s := newSceneBy(t, Terms{Connect: 20 * time.Millisecond, KeepIdle: time.Minute}, never)
 	s.send(time.Hour, "b")
-	s.ends(seam.NeverUp)
+	s.ends(transport.NeverUp)
 	s = newSceneBy(t, Terms{Connect: time.Hour, KeepIdle: time.Minute}, never)
 	s.send(20*time.Millisecond, "b")
-	s.ends(seam.GivenUpEarly)
+	s.ends(transport.GivenUpEarly)
 	s.send(time.Hour, "b")
 	s.Recall(1)
-	s.ends(seam.Recalled)
+	s.ends(transport.Recalled)
 }
 
 const head = "HTTP/1.1 200 OK\r\n"
@@ -266,15 +266,15 @@
 // A document whose answer is spoilt has run, whatever a piece of the answer says; but one's own 200 is true.
 func TestASpoiltAnswerMayStandForADocumentThatRan(t *testing.T) {
 	s := newScene(t)
-	for text, want := range map[string]seam.End{
-		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                seam.Garbled,
-		"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: -1\r\n\r\n":                seam.Garbled,
-		"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): seam.Garbled,
-		"HTTP/1.1 504 Spent\r\nA: " + strings.Repeat("x", 9000):                            seam.Garbled,
-		"\x00\xff noise": seam.Garbled, // and nothing after
-		head + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): seam.Took,
-		head + "Content-Length: 90\r\n\r\nshort":                             seam.Took,
-		head + "no colon\r\n":                                                seam.Took} {
+	for text, want := range map[string]transport.End{
+		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                transport.Garbled,
+		"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: -1\r\n\r\n":                transport.Garbled,
+		"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.Garbled,
+		"HTTP/1.1 504 Spent\r\nA: " + strings.Repeat("x", 9000):                            transport.Garbled,
+		"\x00\xff noise": transport.Garbled, // and nothing after
+		head + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.Took,
+		head + "Content-Length: 90\r\n\r\nshort":                             transport.Took,
+		head + "no colon\r\n":                                                transport.Took} {
 		s.send(time.Second, "b")
 		c := s.accepts()
 		c.Write([]byte(text))
@@ -283,13 +283,13 @@
 		require.Error(t, err, "the connection is not used again")
 	}
 	require.Zero(t, s.Idle())
-	s.Send(&seam.Call{Door: s.door, Target: s.ln.Addr().String(), Papers: []seam.Paper{{ID: "a"}, {ID: "b"}}, Allow: time.Minute})
+	s.Send(&transport.Call{Door: s.door, Target: s.ln.Addr().String(), Papers: []transport.Paper{{ID: "a"}, {ID: "b"}}, Allow: time.Minute})
 	s.accepts().Write([]byte(head + "Content-Length: 9\r\n\r\n[{\"id\":\"a\""))
 	s.send(time.Minute, "b")
 	c := s.accepts()
 	c.Write([]byte("HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort")) // and its connection breaks
 	c.Close()
-	require.ElementsMatch(t, [][]seam.End{{seam.Failed, seam.Failed}, {seam.Broken}}, [][]seam.End{(<-s.desk).Ends, (<-s.desk).Ends})
+	require.ElementsMatch(t, [][]transport.End{{transport.Failed, transport.Failed}, {transport.Broken}}, [][]transport.End{(<-s.desk).Ends, (<-s.desk).Ends})
 }
 
 // A second copy of an answer comes while the next call waits for the connection to be proven clean: the call goes on a new
@@ -300,12 +300,12 @@
 		s.send(time.Hour, "b")
 		c := s.accepts()
 		c.Write([]byte(ok))
-		s.ends(seam.Took)
+		s.ends(transport.Took)
 		s.send(time.Hour, "b")
 		c.Write([]byte(ok))
 		c = s.accepts()
 		c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"))
-		s.ends(seam.TurnedAway)
+		s.ends(transport.TurnedAway)
 		s.CloseIdle(s.door)
 	}
 }
@@ -315,23 +315,23 @@
 	s := newSceneBy(t, Terms{Connect: time.Minute, KeepIdle: time.Minute, Proof: time.Hour}, nil)
 	s.send(time.Hour, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 	require.Equal(t, 1, s.Idle())
 	s.send(time.Hour, "b")
 	require.Zero(t, s.Idle(), "it has taken the connection")
 	s.Recall(1)
-	s.ends(seam.Recalled)
+	s.ends(transport.Recalled)
 }
 
 func TestATargetDoesNotInheritTheConnectionsOfOneThatHadItsAddress(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 	s.door = 2
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(seam.Took)
+	s.ends(transport.Took)
 	require.Equal(t, 2, s.Idle())
 }
 
--- a/internal/outlet/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -1,4 +1,4 @@
-package outlet_test
+package upstream_test
 
 import (
 	"bytes"
@@ -10,15 +10,15 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/outlet"
 	"spanflow/internal/transcript"
-	"spanflow/seam"
+	"spanflow/internal/upstream"
+	"spanflow/transport"
 )
 
 // results takes the ends of calls.
-type results chan seam.Ended
+type results chan transport.Ended
 
-func (r results) CallEnded(e seam.Ended) { r <- e }
+func (r results) CallEnded(e transport.Ended) { r <- e }
 
 const (
 	answer200      = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -32,7 +32,7 @@
 	t       *testing.T
 	script  transcript.Transcript
 	server  *transcript.Server
-	client  *outlet.Outlet
+	client  *upstream.Outlet
 	results results
 }
 
@@ -41,16 +41,16 @@
 	require.NoError(t, err)
 	t.Cleanup(dialer.Stop)
 	e := &endpoint{t: t, server: transcript.NewServer(t, "127.4.0.2"), results: make(results, 9)}
-	e.client = outlet.New(dialer, e.results, outlet.Terms{Connect: time.Minute, KeepIdle: time.Minute})
+	e.client = upstream.New(dialer, e.results, upstream.Terms{Connect: time.Minute, KeepIdle: time.Minute})
 	e.script.Mask(regexp.QuoteMeta(e.server.Addr), "ENDPOINT")
 	return e
 }
 
 // call sends one call and returns the request that came of it.
-func (e *endpoint) call(what string, allow time.Duration, messages ...seam.Paper) *transcript.Request {
+func (e *endpoint) call(what string, allow time.Duration, messages ...transport.Paper) *transcript.Request {
 	e.t.Helper()
 	e.script.Note("%s", what)
-	e.client.Send(&seam.Call{Door: 1, Target: e.server.Addr, Papers: messages, Allow: allow})
+	e.client.Send(&transport.Call{Door: 1, Target: e.server.Addr, Papers: messages, Allow: allow})
 	request := e.server.Next()
 	e.script.Note("on connection %d", request.Connection)
 	return request
@@ -76,18 +76,18 @@
 	e := newEndpoint(t)
 	body := []byte("a body\r\nof any bytes \x00\xff\n")
 	e.answered(e.call("one message with an idempotency key", 1500*time.Millisecond,
-		seam.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
+		transport.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
 	e.answered(e.call("without a key, on the same connection; the time left in whole milliseconds", 1234567*time.Microsecond,
-		seam.Paper{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
-	e.answered(e.call("without a body", time.Hour, seam.Paper{ID: "9b1f03aa5c7e2d43"}), answer200)
+		transport.Paper{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
+	e.answered(e.call("without a body", time.Hour, transport.Paper{ID: "9b1f03aa5c7e2d43"}), answer200)
 	e.answered(e.call("a batch: with a key, without, without a body", 2*time.Second,
-		seam.Paper{ID: "9b1f03aa5c7e2d44", Mark: "5c0f", Body: body}, seam.Paper{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
-		seam.Paper{ID: "9b1f03aa5c7e2d46"}), answer200)
+		transport.Paper{ID: "9b1f03aa5c7e2d44", Mark: "5c0f", Body: body}, transport.Paper{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
+		transport.Paper{ID: "9b1f03aa5c7e2d46"}), answer200)
 	e.answered(e.call("a batch whose ids and keys hold marks of JSON", 2*time.Second,
-		seam.Paper{ID: `a"b\c<d>&e`, Mark: `"\<>&`}, seam.Paper{ID: "f"}), answer200)
+		transport.Paper{ID: `a"b\c<d>&e`, Mark: `"\<>&`}, transport.Paper{ID: "f"}), answer200)
 	e.answered(e.call("the same message once more, in a call of its own: id and key again", 1500*time.Millisecond,
-		seam.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
-	large := e.call("the largest body, after its head", time.Minute, seam.Paper{ID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4096)})
+		transport.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
+	large := e.call("the largest body, after its head", time.Minute, transport.Paper{ID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4096)})
 	head, rest, _ := bytes.Cut(large.Raw, []byte("\r\n\r\n"))
 	require.Len(t, rest, 64<<10)
 	e.script.Note("%x is the body's SHA-256", sha256.Sum256(rest))
@@ -98,7 +98,7 @@
 
 func TestConnectionsToAnEndpointAreReusedAndClosed(t *testing.T) {
 	e := newEndpoint(t)
-	message := seam.Paper{ID: "a", Body: []byte("b")}
+	message := transport.Paper{ID: "a", Body: []byte("b")}
 	e.answered(e.call("a first call", time.Minute, message), answer200)
 	last := e.call("a second on the same connection; the answer says that it closes", time.Minute, message)
 	e.answered(last, answer200Close)
--- a/internal/ledger/ledger.go
+++ b/internal/wal/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger keeps on disk what a forwarder owes: the documents that it has taken on, their transmissions and
 // ends. It is a row of files that are only appended to; the oldest is freed by writing what it still owes anew.
-package ledger
+package wal
 
 import (
 	"cmp"
--- a/internal/ledger/record.go
+++ b/internal/wal/record.go
@@ -1,4 +1,4 @@
-package ledger
+package wal
 
 import (
 	"encoding/binary"
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"spanflow/lab/partner"
+	"spanflow/lab/receiver"
 )
 
 // Rule is one of the rules a forwarder keeps.
@@ -77,12 +77,12 @@
 
 // Log is what is written down on a day. It is a partner.Record.
 type Log struct {
-	Clock partner.Clock
+	Clock receiver.Clock
 	Slack Slack
 	docs  map[uint64]*Doc
 	order []*Doc
 	came  []came
-	runs  []partner.Run
+	runs  []receiver.Run
 	gone  map[[2]int]float64 // targets that were told to be leaving, by when
 	waits map[[3]int]wait    // by destination, target or -1, forwarder
 	apart func(dest int) bool
@@ -96,7 +96,7 @@
 type wait struct{ told, until float64 }
 
 // New begins a day. apart tells which destinations have routes apart; rest is the rest of a key.
-func New(clock partner.Clock, apart func(dest int) bool, rest float64) *Log {
+func New(clock receiver.Clock, apart func(dest int) bool, rest float64) *Log {
 	return &Log{Clock: clock, Slack: DefaultSlack, docs: map[uint64]*Doc{}, gone: map[[2]int]float64{}, waits: map[[3]int]wait{}, apart: apart,
 		open: map[uint64]bool{}, cut: map[uint64]float64{}, rest: rest, stood: map[int]float64{}}
 }
@@ -156,7 +156,7 @@
 
 // Came, Ran, Fell, Told and Back make a log the partners' record.
 
-func (l *Log) Came(dest, target, from int, docs []partner.Doc) {
+func (l *Log) Came(dest, target, from int, docs []receiver.Doc) {
 	now := l.Clock.Now()
 	for _, d := range docs {
 		l.came = append(l.came, came{now, dest, target, from, d.ID})
@@ -190,7 +190,7 @@
 	}
 }
 
-func (l *Log) Ran(r partner.Run) { l.runs = append(l.runs, r) }
+func (l *Log) Ran(r receiver.Run) { l.runs = append(l.runs, r) }
 
 // mostWise is the share of what pushed a destination over from which on those are to blame who knew of its outage.
 const mostWise = 2.0 / 3
--- a/lab/capacity/hollow/list.go
+++ b/lab/capacity/hollow/list.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"fmt"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 const (
@@ -58,10 +58,10 @@
 }
 
 // knownList is the list of the first revision as a forwarder that has been told it knows it.
-func knownList(destinations int) seam.List {
-	list := seam.List{Rev: firstRevision, All: true}
+func knownList(destinations int) transport.List {
+	list := transport.List{Rev: firstRevision, All: true}
 	for _, e := range makeList(destinations) {
-		list.Targets = append(list.Targets, seam.Target{UID: e.UID, Endpoint: e.Endpoint, Zone: e.Zone, Kind: e.Kind,
+		list.Targets = append(list.Targets, transport.Target{UID: e.UID, Endpoint: e.Endpoint, Zone: e.Zone, Kind: e.Kind,
 			Dest: uint64(e.Destination), State: e.State, Rate: e.CapacityHint})
 	}
 	return list
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -15,10 +15,10 @@
 	"github.com/lesismal/nbio"
 	"github.com/lesismal/nbio/logging"
 
-	"spanflow/forward"
+	"spanflow/forwarder"
 	"spanflow/internal/dial"
-	"spanflow/internal/terms"
-	"spanflow/seam"
+	"spanflow/internal/settings"
+	"spanflow/transport"
 )
 
 const (
@@ -29,9 +29,9 @@
 	otherReasons    = "other reasons"
 )
 
-// settings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders are put
+// schedulerSettings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders are put
 // in. Discovery is asked, and at least every ten seconds, as in the protocol's own example.
-const settings = `{"Azs":["zone-1","zone-2","zone-3","zone-4","zone-5","zone-6"],"MyZone":%d,"Kinds":["partner"],
+const schedulerSettings = `{"Azs":["zone-1","zone-2","zone-3","zone-4","zone-5","zone-6"],"MyZone":%d,"Kinds":["partner"],
 "Classes":[{"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
 "Extra":{"CallsOut":64,"KindBatch":[1]},"Guarantees":{"AskWithin":10000,"Cold":10000,"ColdFrom":0.2,"FallMultiple":2,
 "KeyRest":100},"Limits":{"AttemptsCap":6,"MaxOpen":4000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,
@@ -41,7 +41,7 @@
 type worker struct {
 	ctx     context.Context
 	start   startRequest
-	known   seam.List
+	known   transport.List
 	members []*member
 	used    usage // by members that were ended; CPU is not counted here
 	before  memoryUsage
@@ -121,11 +121,11 @@
 // launch starts a forwarder.
 func (w *worker) launch(index int) (*member, error) {
 	zone := index % zoneCount
-	read, names, err := terms.Read(fmt.Appendf(nil, settings, zone, w.start.Fleet))
+	read, names, err := settings.Read(fmt.Appendf(nil, schedulerSettings, zone, w.start.Fleet))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	order := &forward.Order{Name: fmt.Sprint("hollow-", index), Discovery: w.start.Addresses[zone], Terms: read, Names: names,
+	order := &forwarder.Order{Name: fmt.Sprint("hollow-", index), Discovery: w.start.Addresses[zone], Terms: read, Names: names,
 		Seed: w.start.Seed + uint64(index), Known: w.known, ListBytes: w.start.ListBytes}
 	dialer, err := dial.New(order.Name, linesEach)
 	if err != nil {
@@ -135,7 +135,7 @@
 	m := &member{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(m.ended)
-		m.err = forward.Follow(ctx, order, forward.Follower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.note(m, revision) }})
+		m.err = forwarder.Follow(ctx, order, forwarder.Follower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.note(m, revision) }})
 	}()
 	return m, nil
 }
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"spanflow/seam"
+	"spanflow/transport"
 )
 
 const (
@@ -27,9 +27,9 @@
 func newDiscoveryServer(destinations int) (*discoveryServer, error) {
 	d := &discoveryServer{}
 	for first := 1; first <= destinations; first += linesAtOnce {
-		list := seam.List{Rev: int64(len(d.objects) + 1), All: first == 1}
+		list := transport.List{Rev: int64(len(d.objects) + 1), All: first == 1}
 		for n := first; n < first+linesAtOnce && n <= destinations; n++ {
-			list.Targets = append(list.Targets, seam.Target{UID: fmt.Sprintf(endpointName, n), Endpoint: discardPort, Zone: "a", Kind: "partners",
+			list.Targets = append(list.Targets, transport.Target{UID: fmt.Sprintf(endpointName, n), Endpoint: discardPort, Zone: "a", Kind: "partners",
 				Dest: uint64(n), State: "active"})
 		}
 		text, err := json.Marshal(list)
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"math"
 
-	"spanflow/choice"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
+	"spanflow/scheduler"
 )
 
 var (
@@ -34,7 +34,7 @@
 }
 
 func (t *trial) outage(forwarders int) error {
-	day, err := scene.Parse("down.toml", downScene)
+	day, err := scenario.Parse("down.toml", downScene)
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 }
 
 // allowedCalls is how many calls a destination of the scene that has just returned stands in a second.
-func allowedCalls(day *scene.Scene) float64 {
+func allowedCalls(day *scenario.Scene) float64 {
 	p := &day.Partners[0]
 	capacity := float64(p.Places*p.Targets) / float64(p.Mean)
 	if p.Rate > 0 {
@@ -85,12 +85,12 @@
 }
 
 // policy is the scheduler, with its calls counted.
-func (o *outageCount) policy(terms choice.Terms, seed uint64, now float64, to choice.Host) sim.Policy {
+func (o *outageCount) policy(terms scheduler.Terms, seed uint64, now float64, to scheduler.Host) sim.Policy {
 	if o.begins == 0 {
 		o.begins = now // the first forwarder starts with the day
 	}
 	counting := &countingHost{Host: to, count: o, now: now}
-	return &countedScheduler{Forwarder: choice.New(terms, seed, now, counting), host: counting}
+	return &countedScheduler{Forwarder: scheduler.New(terms, seed, now, counting), host: counting}
 }
 
 // sent counts a call.
@@ -105,7 +105,7 @@
 
 // countedScheduler is a scheduler whose host knows the time.
 type countedScheduler struct {
-	*choice.Forwarder
+	*scheduler.Forwarder
 	host *countingHost
 }
 
@@ -117,13 +117,13 @@
 
 // countingHost passes on what the scheduler decides, and counts calls.
 type countingHost struct {
-	choice.Host
+	scheduler.Host
 	count *outageCount
 	now   float64
 }
 
 // Transmit counts a call; the scene's destinations take one message in each.
-func (h *countingHost) Transmit(d *choice.Doc, t *choice.Target, timeout float64) {
+func (h *countingHost) Transmit(d *scheduler.Doc, t *scheduler.Target, timeout float64) {
 	h.count.sent(h.now)
 	h.Host.Transmit(d, t, timeout)
 }
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"spanflow/choice"
-	"spanflow/internal/ledger"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
 )
 
 var (
@@ -43,7 +43,7 @@
 
 func (t *trial) heldInScheduler(size int) error {
 	before := t.heap()
-	var s *scheduler
+	var s *measuredScheduler
 	taken, err := t.best(func() (float64, error) {
 		var took float64
 		s = nil
@@ -91,7 +91,7 @@
 
 // hold makes a scheduler with two destinations, of which the second has told a wait and has so many messages, and
 // returns the processor time in seconds of taking these in one turn.
-func (t *trial) hold(size int) (*scheduler, float64) {
+func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
 	s.know(2)
 	s.shut(s.destinations[1])
@@ -152,7 +152,7 @@
 
 // endFirst ends the call that has been out for longest, after which another goes out, and counts down how many there
 // are yet. It tells if there was one.
-func (s *scheduler) endFirst(left *int) bool {
+func (s *measuredScheduler) endFirst(left *int) bool {
 	if *left <= 0 || len(s.host.out) == 0 {
 		return false
 	}
@@ -160,7 +160,7 @@
 	d := s.host.out[0]
 	s.host.out = s.host.out[1:]
 	s.pass(0.001)
-	s.Ended(d, choice.Ending{Outcome: choice.Delivered, Over: true, Took: callTook})
+	s.Ended(d, scheduler.Ending{Outcome: scheduler.Delivered, Over: true, Took: callTook})
 	s.Settle()
 	return true
 }
@@ -193,8 +193,8 @@
 func logLimit(size int) int64 { return 1<<21 + int64(size)*(bodyBytes+200)*5/2 }
 
 // fill writes so many messages to a log in a folder; they expire in a day.
-func (t *trial) fill(folder string, size int) (*ledger.Ledger, error) {
-	log, err := ledger.Open(folder, logLimit(size))
+func (t *trial) fill(folder string, size int) (*wal.Ledger, error) {
+	log, err := wal.Open(folder, logLimit(size))
 	if err != nil {
 		return nil, err
 	}
@@ -204,7 +204,7 @@
 			log.Close()
 			return nil, t.ctx.Err()
 		}
-		e := &ledger.Entry{Dest: heldDestination, Type: heldType, ID: fmt.Sprintf("%016x", i), Expiry: expiry,
+		e := &wal.Entry{Dest: heldDestination, Type: heldType, ID: fmt.Sprintf("%016x", i), Expiry: expiry,
 			Body: bytes.Repeat([]byte("x"), bodyBytes)}
 		if err := log.Take(e); err != nil {
 			log.Close()
--- a/lab/capacity/measure/idle.go
+++ b/lab/capacity/measure/idle.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"sync"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 var (
@@ -54,14 +54,14 @@
 }
 
 // connect makes so many connections, each of which has asked for a sign of life.
-func connect(address string, number int) ([]*standin.Client, error) {
-	clients := make([]*standin.Client, number)
+func connect(address string, number int) ([]*emulator.Client, error) {
+	clients := make([]*emulator.Client, number)
 	places := make([]int, number)
 	for i := range places {
 		places[i] = i
 	}
 	err := each(places, func(i int) error {
-		c, err := standin.NewClient(address)
+		c, err := emulator.NewClient(address)
 		if err != nil {
 			return err
 		}
@@ -77,8 +77,8 @@
 	return made, err
 }
 
-func alive(c *standin.Client) error {
-	answer, err := c.Say(standin.Command("PING"))
+func alive(c *emulator.Client) error {
+	answer, err := c.Say(emulator.Command("PING"))
 	if err == nil && answer != "+PONG" {
 		err = fmt.Errorf("a client was answered %q", answer)
 	}
--- a/lab/capacity/measure/known.go
+++ b/lab/capacity/measure/known.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"spanflow/choice"
+	"spanflow/scheduler"
 )
 
 var (
@@ -54,7 +54,7 @@
 }
 
 // wholeList is the processor time of a whole list that changes nothing, told in one turn.
-func (s *scheduler) wholeList(lines []choice.Listing) float64 {
+func (s *measuredScheduler) wholeList(lines []scheduler.Listing) float64 {
 	s.pass(1)
 	return withoutCollection(func() {
 		s.List(true, lines)
@@ -63,7 +63,7 @@
 }
 
 // changes is the processor time of a change of the list: a destination's target is replaced.
-func (s *scheduler) changes() float64 {
+func (s *measuredScheduler) changes() float64 {
 	return withoutCollection(func() {
 		for i := range listChanges {
 			s.replace(i * len(s.destinations) / listChanges)
@@ -72,12 +72,12 @@
 }
 
 // replace tells that a destination's target has gone and another has come.
-func (s *scheduler) replace(n int) {
+func (s *measuredScheduler) replace(n int) {
 	s.pass(0.01)
-	gone, fresh := s.targets[n], &choice.Target{Door: uint64(n)}
+	gone, fresh := s.targets[n], &scheduler.Target{Door: uint64(n)}
 	s.targets[n] = fresh
-	s.List(false, []choice.Listing{{Target: gone, Dest: s.destinations[n], Standing: choice.Gone},
-		{Target: fresh, Dest: s.destinations[n], Standing: choice.Ready}})
+	s.List(false, []scheduler.Listing{{Target: gone, Dest: s.destinations[n], Standing: scheduler.Gone},
+		{Target: fresh, Dest: s.destinations[n], Standing: scheduler.Ready}})
 	s.Settle()
 }
 
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
 	"spanflow/lab/capacity"
-	"spanflow/seam"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // Small versions of the measurements. They judge shapes, bytes and counts, never a time. Where processor time is judged
@@ -119,8 +119,8 @@
 func TestARestartGivesBackAllThatIsOwed(t *testing.T) {
 	m := small(t, "restart", 2000)
 	require.NoError(t, m.openLog(2000))
-	require.NoError(t, m.recover(2000, recoverUntried, choice.Past{}))
-	require.NoError(t, m.recover(2000, recoverTried, choice.Past{Sent: 1}))
+	require.NoError(t, m.recover(2000, recoverUntried, scheduler.Past{}))
+	require.NoError(t, m.recover(2000, recoverTried, scheduler.Past{Sent: 1}))
 	require.NoError(t, m.restartForwarder(2000))
 	for _, q := range []quantity{openTime, openMemory, recoverUntried, recoverTried, readyAfter, readyWithMemory} {
 		require.Positive(t, m.of(t, q).Points[0].Value, q.name)
@@ -194,7 +194,7 @@
 	require.Len(t, d.objects, 3)
 	known := 0
 	for i, o := range d.objects {
-		var list seam.List
+		var list transport.List
 		require.NoError(t, json.Unmarshal(o, &list))
 		require.Equal(t, i == 0, list.All)
 		require.EqualValues(t, i+1, list.Rev)
--- a/lab/capacity/measure/process.go
+++ b/lab/capacity/measure/process.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 const (
@@ -85,7 +85,7 @@
 // process is a running forwarder.
 type process struct {
 	command    *exec.Cmd
-	log        *standin.Log
+	log        *emulator.Log
 	ended      chan struct{}
 	folder     string // of its configuration, removed at its end
 	file       string // its configuration
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &process{log: standin.NewLog(), ended: make(chan struct{}), folder: folder, file: filepath.Join(folder, "spanflow.toml")}
+	p := &process{log: emulator.NewLog(), ended: make(chan struct{}), folder: folder, file: filepath.Join(folder, "spanflow.toml")}
 	if p.state = c.folder; p.state == "" {
 		p.state = filepath.Join(folder, "state")
 	}
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 )
 
 var (
@@ -150,7 +150,7 @@
 
 // handIn hands a message in on a connection of its own and returns the answer.
 func (t *trial) handIn(p *process, destination int) (string, error) {
-	c, err := standin.NewClient(p.listen)
+	c, err := emulator.NewClient(p.listen)
 	if err != nil {
 		return "", err
 	}
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -5,8 +5,8 @@
 	"os"
 	"time"
 
-	"spanflow/choice"
-	"spanflow/internal/ledger"
+	"spanflow/internal/wal"
+	"spanflow/scheduler"
 )
 
 var (
@@ -27,8 +27,8 @@
 		measure func(size int) error
 	}{
 		{"the write-ahead log", 0.2, linearly, t.openLog},
-		{"the scheduler, none tried", 0.2, quadratically, func(size int) error { return t.recover(size, recoverUntried, choice.Past{}) }},
-		{"the scheduler, all tried once", 0.2, quadratically, func(size int) error { return t.recover(size, recoverTried, choice.Past{Sent: 1}) }},
+		{"the scheduler, none tried", 0.2, quadratically, func(size int) error { return t.recover(size, recoverUntried, scheduler.Past{}) }},
+		{"the scheduler, all tried once", 0.2, quadratically, func(size int) error { return t.recover(size, recoverTried, scheduler.Past{Sent: 1}) }},
 		{"the forwarder", 0.4, linearly, t.restartForwarder},
 	} {
 		if err := t.sweep(s.what, s.share, s.growth, sizes(t.Largest), s.measure); err != nil {
@@ -47,7 +47,7 @@
 	opened, memory := 0.0, 0.0
 	opened, err = t.best(func() (float64, error) {
 		before, start := t.heap(), time.Now()
-		log, err := ledger.Open(folder, logLimit(size))
+		log, err := wal.Open(folder, logLimit(size))
 		took := time.Since(start).Seconds()
 		if err != nil {
 			return 0, err
@@ -85,10 +85,10 @@
 
 // recover measures from the scheduler's start until it has settled all that an earlier process owed. The destination's
 // wait outlasts the start, so that all of it stays held.
-func (t *trial) recover(size int, q quantity, past choice.Past) error {
+func (t *trial) recover(size int, q quantity, past scheduler.Past) error {
 	took, err := t.best(func() (float64, error) {
 		t.heap()
-		var s *scheduler
+		var s *measuredScheduler
 		took := withoutCollection(func() { s = recovered(2*size+100, size, past, t.Seed) })
 		if s.host.ended > 0 || len(s.host.out) > 0 {
 			return 0, fmt.Errorf("of %d messages %d were given up and %d sent, within a wait", size, s.host.ended, len(s.host.out))
@@ -103,12 +103,12 @@
 }
 
 // recovered starts a scheduler with what an earlier process owed to a destination that told a wait.
-func recovered(capacity, size int, past choice.Past, seed uint64) *scheduler {
+func recovered(capacity, size int, past scheduler.Past, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.know(2)
 	s.Close(s.targets[1], s.now+toldWait)
 	for i := range size {
-		s.Recover(&choice.Doc{Door: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageLife, past)
+		s.Recover(&scheduler.Doc{Door: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageLife, past)
 	}
 	s.Settle()
 	return s
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -1,6 +1,6 @@
 package measure
 
-import "spanflow/choice"
+import "spanflow/scheduler"
 
 const (
 	startsAt    = 100.0 // the scheduler's clock at its start; 0 stands for never
@@ -12,54 +12,54 @@
 
 // host carries out nothing and counts what the scheduler decides.
 type host struct {
-	out      []*choice.Doc
+	out      []*scheduler.Doc
 	ended    int // messages that were rejected or given up
 	released int // targets
 }
 
-func (h *host) Transmit(d *choice.Doc, _ *choice.Target, _ float64) { h.out = append(h.out, d) }
-func (h *host) Reject(*choice.Doc, float64)                         { h.ended++ }
-func (h *host) Abandon(*choice.Doc)                                 { h.ended++ }
-func (h *host) Recall(*choice.Target)                               {}
-func (h *host) CloseIdle(*choice.Target)                            {}
-func (h *host) Release(*choice.Target)                              { h.released++ }
-func (h *host) Wake(float64)                                        {}
-func (h *host) Watch()                                              {}
-func (h *host) Log(string)                                          {}
+func (h *host) Transmit(d *scheduler.Doc, _ *scheduler.Target, _ float64) { h.out = append(h.out, d) }
+func (h *host) Reject(*scheduler.Doc, float64)                            { h.ended++ }
+func (h *host) Abandon(*scheduler.Doc)                                    { h.ended++ }
+func (h *host) Recall(*scheduler.Target)                                  {}
+func (h *host) CloseIdle(*scheduler.Target)                               {}
+func (h *host) Release(*scheduler.Target)                                 { h.released++ }
+func (h *host) Wake(float64)                                              {}
+func (h *host) Watch()                                                    {}
+func (h *host) Log(string)                                                {}
 
-// scheduler is the decision module with a clock of its own.
-type scheduler struct {
-	*choice.Forwarder
+// measuredScheduler is the decision module with a clock of its own.
+type measuredScheduler struct {
+	*scheduler.Forwarder
 	host         *host
 	now          float64
-	destinations []*choice.Destination
-	targets      []*choice.Target
+	destinations []*scheduler.Destination
+	targets      []*scheduler.Target
 }
 
 // newScheduler starts a scheduler that holds up to so many messages.
-func newScheduler(capacity int, seed uint64) *scheduler {
-	terms := choice.Terms{
-		Types:     []choice.DocType{{Repeat: choice.Replayable, Agreed: 3, Life: messageLife, Value: 1}},
+func newScheduler(capacity int, seed uint64) *measuredScheduler {
+	terms := scheduler.Terms{
+		Types:     []scheduler.DocType{{Repeat: scheduler.Replayable, Agreed: 3, Life: messageLife, Value: 1}},
 		KindBatch: []int{1}, KindApart: []bool{false}, Forwarders: 1, Slots: 256, Room: capacity, Transmissions: 6, KeyRest: 0.1,
 		ColdFrom: 0.2, ColdFor: 10, IdleLife: 10, FallMultiple: 2, ComeBackMost: 2,
 	}
-	s := &scheduler{host: &host{}, now: startsAt}
-	s.Forwarder = choice.New(terms, seed, s.now, s.host)
+	s := &measuredScheduler{host: &host{}, now: startsAt}
+	s.Forwarder = scheduler.New(terms, seed, s.now, s.host)
 	s.Clock(s.now)
 	return s
 }
 
 // listing makes a destination with one target and returns its line of the list.
-func (s *scheduler) listing() choice.Listing {
+func (s *measuredScheduler) listing() scheduler.Listing {
 	number := uint64(len(s.destinations))
-	d, t := s.NewDestination(number), &choice.Target{Door: number}
+	d, t := s.NewDestination(number), &scheduler.Target{Door: number}
 	s.destinations, s.targets = append(s.destinations, d), append(s.targets, t)
-	return choice.Listing{Target: t, Dest: d, Standing: choice.Ready}
+	return scheduler.Listing{Target: t, Dest: d, Standing: scheduler.Ready}
 }
 
 // know makes so many destinations known, by a whole list, and returns the list.
-func (s *scheduler) know(destinations int) []choice.Listing {
-	lines := make([]choice.Listing, 0, destinations)
+func (s *measuredScheduler) know(destinations int) []scheduler.Listing {
+	lines := make([]scheduler.Listing, 0, destinations)
 	for range destinations {
 		lines = append(lines, s.listing())
 	}
@@ -69,33 +69,33 @@
 }
 
 // pass lets time go by.
-func (s *scheduler) pass(seconds float64) {
+func (s *measuredScheduler) pass(seconds float64) {
 	s.now += seconds
 	s.Clock(s.now)
 }
 
-func (s *scheduler) take(d *choice.Destination, number int) {
-	s.Take(&choice.Doc{Door: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
+func (s *measuredScheduler) take(d *scheduler.Destination, number int) {
+	s.Take(&scheduler.Doc{Door: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
 }
 
 // deliver takes a message and ends its call well: all decisions of one message.
-func (s *scheduler) deliver(to *choice.Destination) {
+func (s *measuredScheduler) deliver(to *scheduler.Destination) {
 	s.pass(0.001)
 	s.take(to, 0)
 	s.Settle()
 	for _, d := range s.host.out {
-		s.Ended(d, choice.Ending{Outcome: choice.Delivered, Over: true, Took: callTook})
+		s.Ended(d, scheduler.Ending{Outcome: scheduler.Delivered, Over: true, Took: callTook})
 	}
 	s.host.out = s.host.out[:0]
 	s.Settle()
 }
 
 // shut makes a destination tell a wait that is shorter than a message's life.
-func (s *scheduler) shut(d *choice.Destination) {
+func (s *measuredScheduler) shut(d *scheduler.Destination) {
 	s.take(d, 0)
 	s.Settle()
 	for _, out := range s.host.out {
-		s.Ended(out, choice.Ending{Outcome: choice.Full, Took: callTook, Wait: toldWait})
+		s.Ended(out, scheduler.Ending{Outcome: scheduler.Full, Took: callTook, Wait: toldWait})
 	}
 	s.host.out = s.host.out[:0]
 	s.Settle()
--- a/lab/capacity/page/failures.go
+++ b/lab/capacity/page/failures.go
@@ -108,7 +108,7 @@
 			PerSecond.Format(t.eventsPerForwarder()*more) + " each.",
 		noticedBy: "clients; each forwarder for itself by its failing calls; watches within 3 s if discovery was there",
 		within:    "a few calls to each endpoint; the list when discovery tells it",
-		takesOver: "endpoints in other zones (`place` in `choice` prefers near ones, then takes others). Nobody tells a forwarder " +
+		takesOver: "endpoints in other zones (`place` in `scheduler` prefers near ones, then takes others). Nobody tells a forwarder " +
 			"that a zone is gone: each finds out by destination. Shared knowledge of outages: " + missing,
 	}
 }
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -33,7 +33,7 @@
 	inForceWithin  = &budget{name: "in force within", value: func(t *Target) float64 { return float64(t.Changes.InForceWithin) }}
 
 	// watchLine is a bound of today's text and not of the operators.
-	watchLine = &budget{name: "the bound of `internal/directory` on a line", value: func(*Target) float64 { return mostWatchLine }}
+	watchLine = &budget{name: "the bound of `internal/discovery` on a line", value: func(*Target) float64 { return mostWatchLine }}
 )
 
 // mostWatchLine is mostLine of internal/directory, in bytes.
@@ -109,28 +109,28 @@
 	}
 	return []*figure{
 		ofTarget("state: messages owed", Count, owedAtTarget, "`load.backlog_per_forwarder`",
-			"`choice`, `forward`, `internal/ledger`; beyond memory `internal/backlog`, where `[backlog]` is set"),
+			"`scheduler`, `forwarder`, `internal/wal`; beyond memory `internal/backlog`, where `[backlog]` is set"),
 		ofTarget("messages taken a second", PerSecond, eventsAtTarget,
-			"`load.events_per_second` over `fleet.forwarders`, × `load.forwarder_skew`", "`internal/resp`, `internal/intake`, `forward`"),
+			"`load.events_per_second` over `fleet.forwarders`, × `load.forwarder_skew`", "`internal/resp`, `internal/respserver`, `forwarder`"),
 		ofTarget("messages a second for destinations that are down", PerSecond,
-			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownShare }, "× `load.down_share`", "`choice`, `internal/ledger`"),
+			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownShare }, "× `load.down_share`", "`scheduler`, `internal/wal`"),
 		ofCurve("bytes between clients and a forwarder", BytesPerSecond, carried("bytes between client and forwarder for a message"), nil,
-			"`internal/resp`, `internal/intake`"),
+			"`internal/resp`, `internal/respserver`"),
 		ofCurve("bytes between a forwarder and destinations", BytesPerSecond, carried("bytes between forwarder and target for a message"), nil,
-			"`internal/http1`, `internal/outlet`"),
-		ofCurve("processor time, nothing held", Cores, path, forwarderCores, "`forward`, `choice`, `internal/ledger`, `internal/outlet`"),
-		ofCurve("processor time of fresh messages beside the backlog", Cores, beside, forwarderCores, "`choice`"),
-		ofCurve("processor time of draining the backlog at the stated rate", Cores, draining, forwarderCores, "`choice`"),
-		ofCurve("processor time of a backlog that is given up in one turn", Seconds, held("processor time of giving all up in one turn", Seconds), nil, "`choice`"),
-		ofCurve("memory of the backlog in the scheduler", Bytes, held("memory in the scheduler", Bytes), forwarderBytes, "`choice`"),
-		ofCurve("memory of the backlog in the write-ahead log", Bytes, held("memory in the write-ahead log", Bytes), forwarderBytes, "`internal/ledger`"),
-		ofCurve("disk of the backlog", Bytes, held("bytes on disk", Bytes), nil, "`internal/ledger`"),
+			"`internal/http1`, `internal/upstream`"),
+		ofCurve("processor time, nothing held", Cores, path, forwarderCores, "`forwarder`, `scheduler`, `internal/wal`, `internal/upstream`"),
+		ofCurve("processor time of fresh messages beside the backlog", Cores, beside, forwarderCores, "`scheduler`"),
+		ofCurve("processor time of draining the backlog at the stated rate", Cores, draining, forwarderCores, "`scheduler`"),
+		ofCurve("processor time of a backlog that is given up in one turn", Seconds, held("processor time of giving all up in one turn", Seconds), nil, "`scheduler`"),
+		ofCurve("memory of the backlog in the scheduler", Bytes, held("memory in the scheduler", Bytes), forwarderBytes, "`scheduler`"),
+		ofCurve("memory of the backlog in the write-ahead log", Bytes, held("memory in the write-ahead log", Bytes), forwarderBytes, "`internal/wal`"),
+		ofCurve("disk of the backlog", Bytes, held("bytes on disk", Bytes), nil, "`internal/wal`"),
 		ofCurve("restart: time until ready", Seconds,
 			curveUse{ref: restartCurve, unit: Seconds, size: owedAtTarget, sizeIs: allOwed}, readyWithin,
-			"`internal/ledger`, `forward`"),
+			"`internal/wal`, `forwarder`"),
 		ofCurve("memory of a forwarder that is ready with its backlog", Bytes,
 			curveUse{ref: curveRef{"restart", "memory of the forwarder when ready"}, unit: Bytes, size: owedAtTarget, sizeIs: allOwed},
-			forwarderBytes, "`internal/ledger`, `forward`, `choice`"),
+			forwarderBytes, "`internal/wal`, `forwarder`, `scheduler`"),
 		ofCurve("stored backlog: processor time of fresh messages beside it", Cores, storedBeside, forwarderCores, storedBy),
 		ofCurve("stored backlog: processor time of draining it at the stated rate", Cores, storedDraining, forwarderCores, storedBy),
 		ofCurve("stored backlog: disk", Bytes, ofStored("backlog-restart", "bytes of the store on disk", Bytes), nil, "`internal/backlog`"),
@@ -142,7 +142,7 @@
 }
 
 // storedBy is what carries a backlog in the store.
-const storedBy = "`internal/backlog`, `forward`, where `[backlog]` is set"
+const storedBy = "`internal/backlog`, `forwarder`, where `[backlog]` is set"
 
 // ofStored is the use of a curve over the messages in the backlog store.
 func ofStored(role, quantity string, unit Unit) curveUse {
@@ -156,44 +156,44 @@
 	change := known("processor time of a list change", Seconds)
 	change.times, change.timesIs = changesAtTarget, allChanges
 	return []*figure{
-		ofTarget("state: destinations known", Count, destinationsAtTarget, "`load.destinations`", "`choice`, `forward`, `internal/directory`"),
+		ofTarget("state: destinations known", Count, destinationsAtTarget, "`load.destinations`", "`scheduler`, `forwarder`, `internal/discovery`"),
 		ofTarget("changes a second", PerSecond, changesAtTarget, "`changes.per_day`",
-			"`internal/directory` (changes of the list); of settings, without a restart: "+missing),
+			"`internal/discovery` (changes of the list); of settings, without a restart: "+missing),
 		ofCurve("memory of the known destinations in the scheduler", Bytes, known("memory in the scheduler", Bytes), controlMemory,
-			"`choice`, `forward`; destinations that nobody sends to, kept cheaper: "+missing),
-		ofCurve("memory of a forwarder without messages", Bytes, known("memory of the forwarder", Bytes), forwarderBytes, "`forward`"),
-		ofCurve("processor time of a whole list, told in one turn", Seconds, known("processor time of a whole list", Seconds), nil, "`choice`"),
-		ofCurve("processor time of changes in the scheduler", Cores, change, controlCores, "`choice`"),
+			"`scheduler`, `forwarder`; destinations that nobody sends to, kept cheaper: "+missing),
+		ofCurve("memory of a forwarder without messages", Bytes, known("memory of the forwarder", Bytes), forwarderBytes, "`forwarder`"),
+		ofCurve("processor time of a whole list, told in one turn", Seconds, known("processor time of a whole list", Seconds), nil, "`scheduler`"),
+		ofCurve("processor time of changes in the scheduler", Cores, change, controlCores, "`scheduler`"),
 		ofCurve("start without a list: time until all is known", Seconds, known("time until a started forwarder knows all", Seconds), readyWithin,
-			"`internal/config`, `forward`"),
+			"`internal/config`, `forwarder`"),
 		ofTrial("a change in force everywhere", Seconds, trialUse{changeScenario, lastInForce, "the last forwarder", fleetReached, nil}, inForceWithin,
-			"`internal/directory`, `forward`"),
+			"`internal/discovery`, `forwarder`"),
 		ofTrial("a change in force everywhere, a third restarted beside it", Seconds,
-			trialUse{thirdScenario, lastInForce, "the last forwarder", fleetReached, nil}, inForceWithin, "`internal/directory`, `forward`"),
+			trialUse{thirdScenario, lastInForce, "the last forwarder", fleetReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
 		ofTrial("a change in force everywhere, after discovery was away", Seconds,
-			trialUse{awayScenario, lastInForce, "the last forwarder, from the return", fleetReached, nil}, inForceWithin, "`internal/directory`, `choice`"),
+			trialUse{awayScenario, lastInForce, "the last forwarder, from the return", fleetReached, nil}, inForceWithin, "`internal/discovery`, `scheduler`"),
 		ofTrial("a change in force everywhere, after a zone was cut off", Seconds,
-			trialUse{zoneScenario, lastInForce, "the last forwarder, from the return", fleetReached, nil}, inForceWithin, "`internal/directory`, `choice`"),
+			trialUse{zoneScenario, lastInForce, "the last forwarder, from the return", fleetReached, nil}, inForceWithin, "`internal/discovery`, `scheduler`"),
 		ofTrial("processor time, idle", Cores, trialUse{idleScenario, idleCores, "of one forwarder", destinationsReached, nil}, controlCores,
-			"`internal/directory`"),
+			"`internal/discovery`"),
 		ofTrial("processor time of changes", Cores, trialUse{changeScenario, changeCores, "a change × " + allChanges, destinationsReached, nil},
-			controlCores, "`internal/directory`, `forward`, `choice`"),
+			controlCores, "`internal/discovery`, `forwarder`, `scheduler`"),
 		ofTrial("bytes, idle", BytesPerSecond, trialUse{idleScenario, idleBytes, "of one forwarder", destinationsReached, nil}, controlBytes,
-			"`internal/directory`"),
+			"`internal/discovery`"),
 		ofTrial("bytes of changes", BytesPerSecond, trialUse{changeScenario, changeBytes, "a change × " + allChanges, destinationsReached, nil},
-			controlBytes, "`internal/directory`"),
+			controlBytes, "`internal/discovery`"),
 		ofTrial("memory of a hollow forwarder", Bytes, trialUse{idleScenario, hollowMemory, "live, of one forwarder", destinationsReached, nil},
-			controlMemory, "`forward`, `choice`"),
+			controlMemory, "`forwarder`, `scheduler`"),
 		ofTrial("memory of a hollow forwarder that was told a whole list", Bytes,
-			trialUse{wholeScenario, hollowMemory, "live, of one forwarder", destinationsReached, nobodyMissed}, controlMemory, "`forward`, `choice`"),
+			trialUse{wholeScenario, hollowMemory, "live, of one forwarder", destinationsReached, nobodyMissed}, controlMemory, "`forwarder`, `scheduler`"),
 		ofTrial("a whole list: bytes until it is in force", Bytes,
 			trialUse{wholeScenario, bytesPerChange, wholeAttempts, destinationsReached, nobodyMissed}, watchLine,
-			"`internal/directory`; a list in parts: "+missing),
+			"`internal/discovery`; a list in parts: "+missing),
 		ofTrial("a whole list: processor time until it is in force", Seconds,
 			trialUse{wholeScenario, secondsPerChange, wholeAttempts, destinationsReached, nobodyMissed}, nil,
-			"`internal/directory`, `forward`, `choice`"),
+			"`internal/discovery`, `forwarder`, `scheduler`"),
 		ofTrial("a whole list in force at forwarders that start without one", Seconds,
-			trialUse{wholeScenario, lastInForce, "the last forwarder", destinationsReached, nil}, inForceWithin, "`internal/directory`, `forward`"),
+			trialUse{wholeScenario, lastInForce, "the last forwarder", destinationsReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
 	}
 }
 
@@ -276,15 +276,15 @@
 	returnCalls := &budget{name: "a cold destination's", curve: &returnBudget}
 	return []*figure{
 		ofTarget("messages a second", PerSecond, func(t *Target) float64 { return t.eventsPerDestination() },
-			"`load.events_per_second` over `load.destinations`, × `load.destination_skew`", "`choice`, `internal/outlet`"),
+			"`load.events_per_second` over `load.destinations`, × `load.destination_skew`", "`scheduler`, `internal/upstream`"),
 		ofTarget("bytes of bodies a second", BytesPerSecond, func(t *Target) float64 { return t.eventsPerDestination() * float64(t.Load.Body) },
-			"× `load.body`", "`internal/outlet`"),
+			"× `load.body`", "`internal/upstream`"),
 		ofTarget("state: messages that wait for one that is down", Count, func(t *Target) float64 { return t.Load.BacklogEvents / t.destinationsDown() },
-			"`load.backlog_events` over `load.destinations` × `load.down_share`", "`choice`, `internal/ledger`"),
+			"`load.backlog_events` over `load.destinations` × `load.down_share`", "`scheduler`, `internal/wal`"),
 		ofCurve("calls in a minute of an outage, all in vain", Calls, ofOutage("calls to a destination that is down for a minute"), nil,
-			"`choice` at each forwarder; knowledge shared among forwarders: "+missing),
+			"`scheduler` at each forwarder; knowledge shared among forwarders: "+missing),
 		ofCurve("calls in the first second of a return", Calls, ofOutage("calls in the first second of its return"), returnCalls,
-			"`choice` at each forwarder; knowledge shared among forwarders: "+missing),
+			"`scheduler` at each forwarder; knowledge shared among forwarders: "+missing),
 	}
 }
 
@@ -293,9 +293,9 @@
 		return curveUse{ref: curveRef{"idle-client", quantity}, unit: unit}
 	}
 	return []*figure{
-		ofTarget("messages a second, all clients of a forwarder", PerSecond, eventsAtTarget, "as the message path", "`internal/resp`, `internal/intake`"),
-		ofCurve("memory of a forwarder with idle connections", Bytes, idle("memory of the forwarder", Bytes), forwarderBytes, "`internal/intake`"),
-		ofCurve("descriptors of a forwarder with idle connections", "descriptors", idle("descriptors of the forwarder", "descriptors"), nil, "`internal/intake`"),
+		ofTarget("messages a second, all clients of a forwarder", PerSecond, eventsAtTarget, "as the message path", "`internal/resp`, `internal/respserver`"),
+		ofCurve("memory of a forwarder with idle connections", Bytes, idle("memory of the forwarder", Bytes), forwarderBytes, "`internal/respserver`"),
+		ofCurve("descriptors of a forwarder with idle connections", "descriptors", idle("descriptors of the forwarder", "descriptors"), nil, "`internal/respserver`"),
 	}
 }
 
@@ -312,11 +312,11 @@
 		ofCurve("a scrape of the metrics: bytes", Bytes, scrape("bytes of a scrape", Bytes), nil, "`internal/meter`"),
 		ofCurve("a reload (SIGHUP): until a changed list of the configuration is in force", Seconds,
 			reload("time until a changed list of the configuration is in force"), inForceWithin,
-			"`internal/config`, `forward`"),
+			"`internal/config`, `forwarder`"),
 		ofCurve("a reload (SIGHUP): processor time of a changed list of the configuration", Seconds,
-			reload("processor time of a reload that changes the configuration's list"), nil, "`internal/config`, `forward`"),
+			reload("processor time of a reload that changes the configuration's list"), nil, "`internal/config`, `forwarder`"),
 		ofCurve("a reload (SIGHUP): time, the list left to discovery", Seconds, reload("time of a reload that leaves the list to discovery"), nil,
-			"`internal/config`, `forward`"),
-		unmeasured("`spanflow ledger list` or `stat` of a whole backlog: time and memory (it reads the folder whole)", "`internal/ledger`, `internal/command`"),
+			"`internal/config`, `forwarder`"),
+		unmeasured("`spanflow ledger list` or `stat` of a whole backlog: time and memory (it reads the folder whole)", "`internal/wal`, `internal/command`"),
 	}
 }
--- a/lab/command/capacity.go
+++ b/lab/commands/capacity.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import "github.com/spf13/cobra"
 
--- a/lab/command/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/internal/shell"
+	"spanflow/internal/cli"
 	"spanflow/lab/capacity"
 	"spanflow/lab/capacity/hollow"
 )
@@ -36,7 +36,7 @@
 The number of forwarders is reduced, and the note says so, where the memory that one was measured to need does not allow
 them all. Interrupted, it ends all processes and prints what was finished.`,
 		Example: "  spanlab capacity hollow change --forwarders 500 --processes 4 --destinations 1700 --into docs/capacity/measured.json",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			self, err := os.Executable()
 			if err != nil {
 				return err
@@ -77,7 +77,7 @@
 
 func (s *session) printFleets(trials []capacity.FleetTrial) error {
 	if s.json {
-		return shell.Print(s.out, trials)
+		return cli.Print(s.out, trials)
 	}
 	if len(trials) == 0 {
 		return nil
@@ -101,7 +101,7 @@
 // hollowProcessCommand is what 'spanlab capacity hollow' starts.
 func (s *session) hollowProcessCommand() *cobra.Command {
 	return &cobra.Command{Use: hollowProcess + " ROLE", Hidden: true, Args: cobra.ExactArgs(1), Short: "A process of 'hollow'",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			return hollow.Serve(s.ctx, hollow.Role(args[0]), os.Stdin, s.out)
 		})}
 }
--- a/lab/command/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/dustin/go-humanize"
 	"github.com/spf13/cobra"
 
-	"spanflow/internal/shell"
+	"spanflow/internal/cli"
 	"spanflow/lab/capacity"
 	"spanflow/lab/capacity/measure"
 )
@@ -34,7 +34,7 @@
 			}
 			return nil
 		},
-		RunE: shell.Run(func(names []string) error {
+		RunE: cli.Run(func(names []string) error {
 			bytes, err := humanize.ParseBytes(memory)
 			if err != nil {
 				return fmt.Errorf("--memory: %w", err)
@@ -64,7 +64,7 @@
 				}
 			}
 			if s.json {
-				return shell.Print(s.out, curves)
+				return cli.Print(s.out, curves)
 			}
 			return s.curves(curves)
 		})}
--- a/lab/command/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/internal/shell"
+	"spanflow/internal/cli"
 	"spanflow/lab/capacity/page"
 )
 
@@ -33,7 +33,7 @@
 
 With --check nothing is written: it ends with 1 and names the tables that are not current.`,
 		Example: "  spanlab capacity page --check"}
-	c.RunE = shell.Run(func(args []string) error {
+	c.RunE = cli.Run(func(args []string) error {
 		file := append(args, capacityPage)[0]
 		report, err := renderPage(file, target, measured, check)
 		if err != nil {
@@ -90,7 +90,7 @@
 func tellPage(c *cobra.Command, report *pageReport, check bool) error {
 	asJSON, _ := c.Flags().GetBool("json")
 	if asJSON {
-		if err := shell.Print(c.OutOrStdout(), report); err != nil {
+		if err := cli.Print(c.OutOrStdout(), report); err != nil {
 			return err
 		}
 	}
--- a/lab/command/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/shell"
+	"spanflow/internal/cli"
 )
 
 // The capacity page's files, from this folder.
@@ -45,21 +45,21 @@
 func TestPageCheckNamesTheTableThatDiffersAndWritesNothing(t *testing.T) {
 	file, spoilt, _ := spoiltPage(t)
 	code, _, errOut := runPage("--check", file)
-	require.Equal(t, shell.Failed, code)
+	require.Equal(t, cli.Failed, code)
 	require.Contains(t, errOut, "not current: target;")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	require.Equal(t, spoilt, string(text))
 
 	code, out, errOut := runPage("--check", repositoryPage)
-	require.Equal(t, shell.Fine, code, errOut)
+	require.Equal(t, cli.Fine, code, errOut)
 	require.Contains(t, out, "tables are current")
 }
 
 func TestPageWritesTheTablesAnewInPlace(t *testing.T) {
 	file, _, current := spoiltPage(t)
 	code, out, errOut := runPage(file)
-	require.Equal(t, shell.Fine, code, errOut)
+	require.Equal(t, cli.Fine, code, errOut)
 	require.Contains(t, out, "written anew: target\n")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -72,14 +72,14 @@
 	require.Len(t, beside, 1, "nothing is left beside the page")
 
 	code, out, _ = runPage(file)
-	require.Equal(t, shell.Fine, code)
+	require.Equal(t, cli.Fine, code)
 	require.Contains(t, out, "tables are current")
 }
 
 func TestPageTellsProgramsInJSON(t *testing.T) {
 	file, _, _ := spoiltPage(t)
 	code, out, _ := runPage("--check", "--json", file)
-	require.Equal(t, shell.Failed, code)
+	require.Equal(t, cli.Failed, code)
 	var report pageReport
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
 	require.Equal(t, []string{"target"}, report.Differs)
@@ -94,14 +94,14 @@
 		code int
 		says string
 	}{
-		{[]string{"no-such-page.md"}, shell.Failed, "no-such-page.md"},
-		{[]string{"--target", "no-such-target.toml", repositoryPage}, shell.Failed, "no-such-target.toml"},
-		{[]string{"--measured", "no-such.json", repositoryPage}, shell.Failed, "no-such.json"},
-		{[]string{"--target", broken, repositoryPage}, shell.Failed, "colour: unknown key"},
-		{[]string{"--measured", broken, repositoryPage}, shell.Failed, broken},
-		{[]string{broken}, shell.Failed, broken + `: table "assumptions" is not on the page`},
-		{[]string{"--checks"}, shell.Usage, "unknown flag"},
-		{[]string{"one", "two"}, shell.Usage, "accepts at most 1"},
+		{[]string{"no-such-page.md"}, cli.Failed, "no-such-page.md"},
+		{[]string{"--target", "no-such-target.toml", repositoryPage}, cli.Failed, "no-such-target.toml"},
+		{[]string{"--measured", "no-such.json", repositoryPage}, cli.Failed, "no-such.json"},
+		{[]string{"--target", broken, repositoryPage}, cli.Failed, "colour: unknown key"},
+		{[]string{"--measured", broken, repositoryPage}, cli.Failed, broken},
+		{[]string{broken}, cli.Failed, broken + `: table "assumptions" is not on the page`},
+		{[]string{"--checks"}, cli.Usage, "unknown flag"},
+		{[]string{"one", "two"}, cli.Usage, "accepts at most 1"},
 	} {
 		code, _, errOut := runPage(c.args...)
 		require.Equal(t, c.code, code, "%v: %s", c.args, errOut)
--- a/lab/command/command.go
+++ b/lab/commands/command.go
@@ -1,5 +1,5 @@
 // Package command is the laboratory's command line.
-package command
+package commands
 
 import (
 	"context"
@@ -19,11 +19,11 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/internal/shell"
+	"spanflow/internal/cli"
 	"spanflow/lab/experiment"
 	"spanflow/lab/load"
 	"spanflow/lab/report"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
 )
 
@@ -41,7 +41,7 @@
 // Main runs a command line and returns the exit code.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	s := &session{ctx: ctx, out: out, err: errOut}
-	return shell.Main(s.root(), args, out, errOut)
+	return cli.Main(s.root(), args, out, errOut)
 }
 
 func (s *session) root() *cobra.Command {
@@ -76,7 +76,7 @@
 }
 
 func (s *session) arm(name string) (experiment.Arm, error) {
-	sc, err := scene.Read(name)
+	sc, err := scenario.Read(name)
 	if err != nil {
 		return experiment.Arm{}, err
 	}
@@ -84,7 +84,7 @@
 	return experiment.Arm{Name: sc.Name, Scene: sc, Make: m}, err
 }
 
-func (s *session) from(sc *scene.Scene) []uint64 {
+func (s *session) from(sc *scenario.Scene) []uint64 {
 	from := s.seed
 	if from == 0 {
 		from = sc.Seed
@@ -112,18 +112,18 @@
 
 func (s *session) scenes() *cobra.Command {
 	return &cobra.Command{Use: "scenes", Short: "List the scenes that come with the laboratory, and the troubles there are", Args: cobra.NoArgs,
-		RunE: shell.Run(func([]string) error {
+		RunE: cli.Run(func([]string) error {
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
-			for _, name := range scene.Kept() {
-				sc, err := scene.Read(name)
+			for _, name := range scenario.Kept() {
+				sc, err := scenario.Read(name)
 				if err != nil {
 					return err
 				}
 				fmt.Fprintf(t, "%s\t%s\n", name, sc.About)
 			}
 			fmt.Fprintln(t, "\t")
-			for _, k := range slices.Sorted(maps.Keys(scene.Kinds)) {
-				fmt.Fprintf(t, "%s\t%s\n", k, scene.Kinds[k])
+			for _, k := range slices.Sorted(maps.Keys(scenario.Kinds)) {
+				fmt.Fprintf(t, "%s\t%s\n", k, scenario.Kinds[k])
 			}
 			return t.Flush()
 		})}
@@ -133,7 +133,7 @@
 	html := ""
 	c := s.played(&cobra.Command{Use: "run SCENE", Short: "Play a scene, simulated", Args: cobra.ExactArgs(1),
 		Example: "  spanlab run one-partner-hangs --seeds 8\n  spanlab run my.toml --html report.html",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
 			if err != nil {
 				return err
@@ -150,7 +150,7 @@
 				}
 			}
 			if s.json {
-				if err := shell.Print(s.out, results); err != nil {
+				if err := cli.Print(s.out, results); err != nil {
 					return err
 				}
 			} else {
@@ -191,7 +191,7 @@
 		Long: `Plays two scenes with one policy, or one scene with --policy and --with, each pair with the same seed. The differences of
 the pairs are resampled; where the middle 95% hold 0 it says that no difference is seen.`,
 		Example: "  spanlab compare returns-cold --policy backoff --with module --seeds 32",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			a, err := s.arm(args[0])
 			if err != nil {
 				return err
@@ -213,7 +213,7 @@
 			seeds := s.from(a.Scene)
 			r := experiment.Compare(a, b, seeds, s.progress(2*len(seeds)))
 			if s.json {
-				return shell.Print(s.out, r)
+				return cli.Print(s.out, r)
 			}
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(t, "ARM\tMEAN G\tWORST G\tMEAN P99\tRULES BROKEN")
@@ -232,7 +232,7 @@
 	axis, values := "", ""
 	c := s.played(&cobra.Command{Use: "sweep SCENE", Short: "Play a scene along an axis", Args: cobra.ExactArgs(1),
 		Example: "  spanlab sweep monday-morning --axis load --values 0.5,1,2,4 --seeds 4",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
 			if err != nil {
 				return err
@@ -255,7 +255,7 @@
 				steps = append(steps, step{x, experiment.SumUp(v, experiment.Play(at, seeds, s.progress(len(seeds))))})
 			}
 			if s.json {
-				return shell.Print(s.out, steps)
+				return cli.Print(s.out, steps)
 			}
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			fmt.Fprintf(t, "%s\tMEAN G\tWORST G\tMEAN P99\tRULES BROKEN\n", strings.ToUpper(axis))
@@ -274,7 +274,7 @@
 	c := s.played(&cobra.Command{Use: "search [SCENE]", Short: "Draw scenes in which the policy does badly, and shrink the worst", Args: cobra.MaximumNArgs(1),
 		Long: `Draws sizes, load and troubles on the partners of a scene (calm, if none is named). A broken rule counts most, then what
 the best baseline that keeps the rules delivers more. The worst are shrunk as long as three quarters of the loss stay.`,
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(append(args, "calm")[0])
 			if err != nil {
 				return err
@@ -329,8 +329,8 @@
 real time; then the same seed simulated. Beyond loopback without privileges, and left out: reap and list; silence is a
 partner that takes calls and says nothing.`,
 		Example: "  spanlab real forwarders-restart-in-a-wave --program bin/spanflow --logs logs",
-		RunE: shell.Run(func(args []string) error {
-			sc, err := scene.Read(args[0])
+		RunE: cli.Run(func(args []string) error {
+			sc, err := scenario.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -364,7 +364,7 @@
 				}
 			}
 			if s.json {
-				return shell.Print(s.out, []*sim.Result{result, twin})
+				return cli.Print(s.out, []*sim.Result{result, twin})
 			}
 			fmt.Fprintln(s.out, "on sockets, then simulated:")
 			s.results([]*sim.Result{result, twin})
@@ -396,7 +396,7 @@
 A shape is a list of SECOND:SHARE points of --rate, joined by straight lines: 0:1,10:1,20:4. A trace is JSON lines
 (.jsonl) or CSV with a head (.csv): at (seconds), dest, type, and if told tenant, key, number, life, bytes.`,
 		Example: "  spanlab load 127.0.0.1:6379 --rate 200 --for 30 --shape 0:1,10:3 --types status-update\n  spanlab load 127.0.0.1:6379 --trace monday.jsonl --speed 10",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			r.Addr, r.Life = args[0], life
 			if !s.quiet && !s.json {
 				r.Progress = func(sent, open int) { fmt.Fprintf(s.err, "\r%d sent, %d open   ", sent, open) }
@@ -447,7 +447,7 @@
 				return t.Err
 			}
 			if s.json {
-				return shell.Print(s.out, rep)
+				return cli.Print(s.out, rep)
 			}
 			fmt.Fprintf(s.out, "\n%d sent in %.1f s: %v; the tool itself late by %.3f s at most\n", rep.Sent, rep.Lasted, rep.Answers, rep.MostLate)
 			w := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
--- a/lab/command/hunt.go
+++ b/lab/commands/hunt.go
@@ -1,4 +1,4 @@
-package command
+package commands
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"spanflow/internal/shell"
+	"spanflow/internal/cli"
 	"spanflow/lab/experiment"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 )
 
 func (s *session) hunt() *cobra.Command {
@@ -24,7 +24,7 @@
 shrunk as long as the same rule breaks. Started again with the folder it goes on with seeds not tried. The files are
 the same for the same seeds on any number of cores. Interrupted, it finishes what it has begun and keeps it.`,
 		Example: "  spanlab hunt --out hunted --lasts 10m\n  spanlab hunt --out hunted --from 1 --most 5000 --lasts 1h",
-		RunE: shell.Run(func([]string) error {
+		RunE: cli.Run(func([]string) error {
 			if folder == "" {
 				return errors.New("--out: a folder is needed, that keeps which seeds were tried")
 			}
@@ -48,7 +48,7 @@
 				return err
 			}
 			if s.json {
-				err = shell.Print(s.out, h)
+				err = cli.Print(s.out, h)
 			} else {
 				err = s.hunted(h)
 			}
@@ -78,7 +78,7 @@
 			fmt.Fprintf(t, "%s\t%d\n", k, part.n[k])
 		}
 	}
-	all := len(scene.Kinds) * (len(scene.Kinds) - 1) / 2
+	all := len(scenario.Kinds) * (len(scenario.Kinds) - 1) / 2
 	least, which := 0, ""
 	for _, k := range slices.Sorted(maps.Keys(h.Pairs)) {
 		if which == "" || h.Pairs[k] < least {
@@ -97,9 +97,9 @@
 	seeds := 1
 	c := &cobra.Command{Use: "findings [SCENE...]", Short: "Play kept findings: rules hold and each delivers at least its floor", Args: cobra.ArbitraryArgs,
 		Example: "  spanlab findings\n  spanlab findings hunted/*.toml --seeds 8",
-		RunE: shell.Run(func(args []string) error {
+		RunE: cli.Run(func(args []string) error {
 			if len(args) == 0 {
-				args = scene.Found()
+				args = scenario.Found()
 			}
 			var arms []experiment.Arm
 			for _, name := range args {
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -11,14 +11,14 @@
 	"sync"
 
 	"spanflow/internal/config"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
 )
 
 // Arm is one side of a comparison.
 type Arm struct {
 	Name  string
-	Scene *scene.Scene
+	Scene *scenario.Scene
 	Make  sim.Maker
 }
 
@@ -144,27 +144,27 @@
 }
 
 // Axes are what a sweep can vary: a scene with one figure set.
-var Axes = map[string]func(s *scene.Scene, x float64){
-	"forwarders": func(s *scene.Scene, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
-	"slots":      func(s *scene.Scene, x float64) { s.Dispatch.Slots = max(1, int(x)) },
-	"load":       func(s *scene.Scene, x float64) { s.Load.PerSecond *= x },
-	"trouble": func(s *scene.Scene, x float64) { // how long each lasts, times
+var Axes = map[string]func(s *scenario.Scene, x float64){
+	"forwarders": func(s *scenario.Scene, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
+	"slots":      func(s *scenario.Scene, x float64) { s.Dispatch.Slots = max(1, int(x)) },
+	"load":       func(s *scenario.Scene, x float64) { s.Load.PerSecond *= x },
+	"trouble": func(s *scenario.Scene, x float64) { // how long each lasts, times
 		s.Troubles = slices.Clone(s.Troubles)
 		for i := range s.Troubles {
 			s.Troubles[i].For *= config.Span(x)
 		}
 	},
-	"destinations": func(s *scene.Scene, x float64) {
+	"destinations": func(s *scenario.Scene, x float64) {
 		s.Partners = slices.Clone(s.Partners)
 		for i := range s.Partners {
 			s.Partners[i].Count = max(1, int(float64(s.Partners[i].Count)*x))
 		}
-		s.Troubles = slices.DeleteFunc(slices.Clone(s.Troubles), func(t scene.Trouble) bool { return len(t.Dest) > 0 && x < 1 })
+		s.Troubles = slices.DeleteFunc(slices.Clone(s.Troubles), func(t scenario.Trouble) bool { return len(t.Dest) > 0 && x < 1 })
 	},
 }
 
 // Vary is a scene with one figure of an axis set.
-func Vary(s *scene.Scene, axis string, x float64) (*scene.Scene, error) {
+func Vary(s *scenario.Scene, axis string, x float64) (*scenario.Scene, error) {
 	set := Axes[axis]
 	if set == nil {
 		return nil, fmt.Errorf("unknown axis %q", axis)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -9,14 +9,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
 	"spanflow/lab/report"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
+	"spanflow/scheduler"
 )
 
 func arm(t *testing.T, name string, make sim.Maker) Arm {
-	s, err := scene.Read(name)
+	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	s.Length, s.Drain = 30, 20
 	return Arm{name, s, make}
@@ -68,7 +68,7 @@
 
 func TestASearchFindsWhereAPolicyDoesBadlyAndShrinksIt(t *testing.T) {
 	a := arm(t, "calm", nil)
-	bad := func(terms choice.Terms, seed uint64, now float64, h choice.Host) sim.Policy {
+	bad := func(terms scheduler.Terms, seed uint64, now float64, h scheduler.Host) sim.Policy {
 		return &shut{Policy: sim.Module(terms, seed, now, h), began: now}
 	}
 	found := Search(context.Background(), a.Scene, bad, 1, 16, 1, nil)
@@ -81,7 +81,7 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "f.toml")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
-	s, err := scene.Read(path)
+	s, err := scenario.Read(path)
 	require.NoError(t, err, string(text))
 	again := judge(s, f.Seed, bad)
 	require.Equal(t, []any{f.G, f.Rules}, []any{again.G, again.Rules}, "the kept scene shows it still")
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -13,7 +13,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"spanflow/internal/config"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
 )
 
@@ -152,7 +152,7 @@
 			results[i] = sim.Play(scenes[i], from+uint64(i), make)
 		})
 		var found []*Break
-		var shown []*scene.Scene
+		var shown []*scenario.Scene
 		for i, r := range results {
 			h.cover(scenes[i])
 			rules := map[string]bool{}
@@ -170,7 +170,7 @@
 			}
 		}
 		for i, b := range found {
-			shown[i], b.Steps = shrink(shown[i], func(s *scene.Scene) bool { return breaks(s, b.Seed, b.Rule, make) != "" })
+			shown[i], b.Steps = shrink(shown[i], func(s *scenario.Scene) bool { return breaks(s, b.Seed, b.Rule, make) != "" })
 			b.What = breaks(shown[i], b.Seed, b.Rule, make)
 			b.File = fmt.Sprintf("hunted-%d-rule-%c.toml", b.Seed, b.Rule[0])
 			s := *shown[i]
@@ -199,11 +199,11 @@
 	return nil
 }
 
-func findScenes(n int) []*scene.Scene { return make([]*scene.Scene, n) }
-func findResults(n int) []*sim.Result { return make([]*sim.Result, n) }
+func findScenes(n int) []*scenario.Scene { return make([]*scenario.Scene, n) }
+func findResults(n int) []*sim.Result    { return make([]*sim.Result, n) }
 
 // breaks is how a rule is broken in a scene, empty if it is kept.
-func breaks(s *scene.Scene, seed uint64, rule string, make sim.Maker) string {
+func breaks(s *scenario.Scene, seed uint64, rule string, make sim.Maker) string {
 	for _, b := range sim.Play(s, seed, make).Breaches {
 		if string(b.Rule) == rule {
 			return b.What
@@ -213,7 +213,7 @@
 }
 
 // cover counts what a scene covers.
-func (h *Hunt) cover(s *scene.Scene) {
+func (h *Hunt) cover(s *scenario.Scene) {
 	seen := map[string]bool{}
 	for i, a := range s.Troubles {
 		seen[a.Kind] = true
@@ -224,7 +224,7 @@
 		}
 	}
 	for name := range seen {
-		if scene.Kinds[name] != "" {
+		if scenario.Kinds[name] != "" {
 			h.Kinds[name]++
 		} else {
 			h.Pairs[name]++
@@ -260,13 +260,13 @@
 
 // DrawAny draws a scene in all its dimensions: 1 to 300 forwarders and targets, limits, kinds of document, one to four
 // troubles that mostly overlap.
-func DrawAny(seed uint64) *scene.Scene {
+func DrawAny(seed uint64) *scenario.Scene {
 	dice := rand.New(rand.NewPCG(seed, 29))
 	between := func(low, high float64) float64 { return low + (high-low)*dice.Float64() }
 	log := func(low, high float64) float64 { return low * math.Pow(high/low, dice.Float64()) }
 	odds := func(share float64) bool { return dice.Float64() < share }
-	s := &scene.Scene{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), Rest: ms(log(0.001, 0.05)),
-		Dispatch: config.Defaults().Dispatch, Load: scene.Load{Arrive: "poisson"}, ComesAgain: odds(0.8)}
+	s := &scenario.Scene{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), Rest: ms(log(0.001, 0.05)),
+		Dispatch: config.Defaults().Dispatch, Load: scenario.Load{Arrive: "poisson"}, ComesAgain: odds(0.8)}
 	d := &s.Dispatch
 	d.Forwarders = int(log(1, hugest+0.99))
 	d.Slots, d.Room, d.Transmissions = int(log(3, 64.99)), int(log(20, 600)), 3+dice.IntN(6)
@@ -280,7 +280,7 @@
 		s.ListLag = ms(between(0.1, 2))
 	}
 	for i := range 1 + dice.IntN(3) {
-		t := scene.Type{Name: fmt.Sprint("type-", i), Repeat: []string{"replayable", "numbered", "binding"}[dice.IntN(3)], Group: "all",
+		t := scenario.Type{Name: fmt.Sprint("type-", i), Repeat: []string{"replayable", "numbered", "binding"}[dice.IntN(3)], Group: "all",
 			Agreed: ms(between(1, 5)), Part: between(0.3, 3), Value: 1, Keys: int(log(5, 1000)), InOrder: odds(0.4)}
 		t.Life = t.Agreed + ms(between(3, 18))
 		if t.Repeat == "numbered" {
@@ -292,11 +292,11 @@
 		s.Types = append(s.Types, t)
 	}
 	for i := range dice.IntN(4) {
-		s.Tenants = append(s.Tenants, scene.Tenant{Name: fmt.Sprint("store-", i), PerSecond: log(2, 50), Part: between(0.2, 3)})
+		s.Tenants = append(s.Tenants, scenario.Tenant{Name: fmt.Sprint("store-", i), PerSecond: log(2, 50), Part: between(0.2, 3)})
 	}
 	left, dests, capacity := int(log(1, hugest+0.99)), 0, 0.0
 	for i := 0; left > 0 && i < 5; i++ {
-		p := scene.Partner{Name: fmt.Sprint("group-", i), Targets: 1 + dice.IntN(min(4, left)), Batch: 1, Apart: odds(0.25),
+		p := scenario.Partner{Name: fmt.Sprint("group-", i), Targets: 1 + dice.IntN(min(4, left)), Batch: 1, Apart: odds(0.25),
 			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[dice.IntN(4)], Mean: ms(log(0.02, 0.5)), Places: int(log(1, 8.99)),
 			Queue: dice.IntN(17), Tells: odds(0.5), Shows: odds(0.3), Skew: between(0, 0.3), FallsFor: ms(between(3, 10)),
 			FallSpan: ms(between(1, 2))}
@@ -328,16 +328,16 @@
 	}
 	s.Load.PerSecond = math.Max(1, math.Min(mostDocs/float64(s.Length), capacity*between(0.1, 1.1)))
 	for range dice.IntN(3) {
-		s.Load.Clumps = append(s.Load.Clumps, scene.Clump{At: ms(between(2, 36)), Count: int(log(5, 200)), Dest: dice.IntN(dests)})
+		s.Load.Clumps = append(s.Load.Clumps, scenario.Clump{At: ms(between(2, 36)), Count: int(log(5, 200)), Dest: dice.IntN(dests)})
 	}
 	var kinds []string
-	for k := range scene.Kinds {
+	for k := range scenario.Kinds {
 		kinds = append(kinds, k)
 	}
 	sort.Strings(kinds)
 	first := between(3, 20)
 	for range 1 + dice.IntN(4) {
-		t := scene.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: ms(first + between(0, 4)), For: ms(log(0.5, 16)), Share: between(0.1, 1), By: log(2, 20),
+		t := scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: ms(first + between(0, 4)), For: ms(log(0.5, 16)), Share: between(0.1, 1), By: log(2, 20),
 			Odd: odds(0.2)}
 		if odds(0.3) {
 			t.At = ms(between(3, 30))
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -10,13 +10,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
+	"spanflow/scheduler"
 )
 
 // rampless is the module with the ramp after an outage off: what it believes a cold destination stands is without end.
-func rampless(terms choice.Terms, seed uint64, now float64, h choice.Host) sim.Policy {
+func rampless(terms scheduler.Terms, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	terms.FallMultiple, terms.ColdFrom = 1e6, 1
 	return sim.Module(terms, seed, now, h)
 }
@@ -47,7 +47,7 @@
 	require.NotEmpty(t, h.Breaks)
 	b := h.Breaks[0]
 	require.Contains(t, b.Rule, "returns not pushed over")
-	s, err := scene.Read(filepath.Join(dir, b.File))
+	s, err := scenario.Read(filepath.Join(dir, b.File))
 	require.NoError(t, err)
 	require.Equal(t, b.What, breaks(s, s.Seed, b.Rule, rampless), "the kept scene shows it still")
 	require.NotZero(t, b.Steps)
@@ -100,9 +100,9 @@
 
 // The scenes that searches and hunts have left: the rules hold, and each delivers what it states.
 func TestKeptFindingsHold(t *testing.T) {
-	require.NotEmpty(t, scene.Found())
-	for _, name := range scene.Found() {
-		s, err := scene.Read(name)
+	require.NotEmpty(t, scenario.Found())
+	for _, name := range scenario.Found() {
+		s, err := scenario.Read(name)
 		require.NoError(t, err)
 		require.NotZero(t, s.Floor, "%s states no floor", name)
 		r := sim.Play(s, s.Seed, sim.Module)
--- a/lab/partner/partner_test.go
+++ b/lab/receiver/partner_test.go
@@ -1,4 +1,4 @@
-package partner_test
+package receiver_test
 
 import (
 	"math"
@@ -9,8 +9,8 @@
 
 	"spanflow/lab/clock"
 	"spanflow/lab/load"
-	"spanflow/lab/partner"
-	"spanflow/seam"
+	"spanflow/lab/receiver"
+	"spanflow/transport"
 )
 
 // notes is a record that sums up waits.
@@ -20,11 +20,11 @@
 	fell   int
 	wise   float64
 	told   []float64
-	all    []partner.Run
+	all    []receiver.Run
 }
 
-func (n *notes) Came(int, int, int, []partner.Doc) {}
-func (n *notes) Ran(r partner.Run) {
+func (n *notes) Came(int, int, int, []receiver.Doc) {}
+func (n *notes) Ran(r receiver.Run) {
 	n.runs++
 	n.waited += r.Began - r.Came
 	if len(n.all) < 10_000 {
@@ -36,10 +36,10 @@
 func (n *notes) Back(int, int)                  {}
 
 // feed sends calls by a rate and returns how each ended.
-func feed(terms partner.Terms, rate float64, calls int, even bool) (*notes, map[seam.End]int) {
-	q, n, ends := &clock.Queue{}, &notes{}, map[seam.End]int{}
+func feed(terms receiver.Terms, rate float64, calls int, even bool) (*notes, map[transport.End]int) {
+	q, n, ends := &clock.Queue{}, &notes{}, map[transport.End]int{}
 	dice := rand.New(rand.NewPCG(1, 2))
-	d := partner.New(0, terms, 1, 1, q, dice, n)
+	d := receiver.New(0, terms, 1, 1, q, dice, n)
 	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
 	if even {
 		arrivals = load.Even(load.Shape{{Rate: rate}}, math.Inf(1))
@@ -49,7 +49,7 @@
 	next = func() {
 		at, _ := arrivals.Next()
 		q.At(at, func() {
-			d.Targets[0].Take(&partner.Call{Docs: []partner.Doc{{ID: uint64(left)}}, Answer: func(a partner.Answer) { ends[a.End]++ }})
+			d.Targets[0].Take(&receiver.Call{Docs: []receiver.Doc{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.End]++ }})
 			if left--; left > 0 {
 				next()
 			}
@@ -80,10 +80,10 @@
 		b := erlangB(c.places, a)
 		erlangC := b / (1 - c.busy*(1-b))
 		want := erlangC * mean / (float64(c.places) * (1 - c.busy))
-		n, _ := feed(partner.Terms{Service: partner.Dist{Form: "exponential", Mean: mean}, Places: c.places, Queue: 1 << 30}, a/mean, calls, false)
+		n, _ := feed(receiver.Terms{Service: receiver.Dist{Form: "exponential", Mean: mean}, Places: c.places, Queue: 1 << 30}, a/mean, calls, false)
 		require.InEpsilon(t, want, n.waited/float64(n.runs), 0.03, "M/M/%d", c.places)
 	}
-	n, _ := feed(partner.Terms{Service: partner.Dist{Form: "fixed", Mean: mean}, Places: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
+	n, _ := feed(receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: mean}, Places: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
 	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.waited/float64(n.runs), 0.03, "M/D/1")
 }
 
@@ -92,18 +92,18 @@
 		places int
 		a      float64
 	}{{1, 0.5}, {4, 3}, {10, 9}} {
-		_, ends := feed(partner.Terms{Service: partner.Dist{Form: "exponential", Mean: 0.1}, Places: c.places}, c.a/0.1, 400_000, false)
-		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[seam.TurnedAway])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
+		_, ends := feed(receiver.Terms{Service: receiver.Dist{Form: "exponential", Mean: 0.1}, Places: c.places}, c.a/0.1, 400_000, false)
+		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.TurnedAway])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
 	}
 }
 
 func TestALimitLetsInExactlyWhatItSays(t *testing.T) {
-	quick := partner.Dist{Form: "fixed", Mean: 0.001}
-	_, ends := feed(partner.Terms{Service: quick, Places: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
-	require.InDelta(t, 5+10*10, ends[seam.Took], 1, "what it saved up and ten a second")
-	n, ends := feed(partner.Terms{Service: quick, Places: 100, Count: 7, Span: 2, Tells: true}, 100, 1000, true)
-	require.Equal(t, 7*5, ends[seam.Took], "seven in any two seconds")
-	require.Equal(t, 1000-35, ends[seam.Waiting])
+	quick := receiver.Dist{Form: "fixed", Mean: 0.001}
+	_, ends := feed(receiver.Terms{Service: quick, Places: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
+	require.InDelta(t, 5+10*10, ends[transport.Took], 1, "what it saved up and ten a second")
+	n, ends := feed(receiver.Terms{Service: quick, Places: 100, Count: 7, Span: 2, Tells: true}, 100, 1000, true)
+	require.Equal(t, 7*5, ends[transport.Took], "seven in any two seconds")
+	require.Equal(t, 1000-35, ends[transport.Waiting])
 	for i := range n.all[7:] {
 		require.GreaterOrEqual(t, n.all[i+7].Came-n.all[i].Came, 2-1e-6)
 	}
@@ -113,7 +113,7 @@
 // Warm it does 40 a second; at its return it stands twice a quarter of that, 20 a second, as a budget for any second and a
 // half: a call beyond 31 within that time pushes it over, a short burst does not.
 func TestAColdTargetFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
-	terms := partner.Terms{Service: partner.Dist{Form: "fixed", Mean: 0.1}, Places: 4, Queue: 1000, ColdFrom: 0.25, ColdFor: 10, Fall: 2, FallSpan: 1.5, FallFor: 5}
+	terms := receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.1}, Places: 4, Queue: 1000, ColdFrom: 0.25, ColdFor: 10, Fall: 2, FallSpan: 1.5, FallFor: 5}
 	for _, c := range []struct {
 		rate  float64
 		calls int
@@ -121,7 +121,7 @@
 		fell  bool
 	}{{15, 60, 1, false}, {30, 60, 1, true}, {30, 60, 0.5, true}, {30, 30, 1, false}} {
 		q, n := &clock.Queue{}, &notes{}
-		d := partner.New(0, terms, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+		d := receiver.New(0, terms, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 		target := d.Targets[0]
 		target.Learned(1) // before the outage: of no account
 		target.Down()
@@ -134,7 +134,7 @@
 				if float64(i%2) >= 2*c.wise {
 					from = 1
 				}
-				target.Take(&partner.Call{From: from, Answer: func(partner.Answer) {}})
+				target.Take(&receiver.Call{From: from, Answer: func(receiver.Answer) {}})
 			})
 		}
 		for q.Step(4) {
@@ -148,10 +148,10 @@
 
 func TestANumberIsKnownForItsMemoryAndTakesEffectOnce(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
-	d := partner.New(0, partner.Terms{Service: partner.Dist{Form: "fixed", Mean: 0.01}, Places: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	d := receiver.New(0, receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Places: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	for i, at := range []float64{0, 1, 4.9, 5.5} {
 		q.At(at, func() {
-			d.Targets[i%2].Take(&partner.Call{Docs: []partner.Doc{{ID: uint64(i), Mark: 9, Memory: 5}}, Answer: func(partner.Answer) {}})
+			d.Targets[i%2].Take(&receiver.Call{Docs: []receiver.Doc{{ID: uint64(i), Mark: 9, Memory: 5}}, Answer: func(receiver.Answer) {}})
 		})
 	}
 	for q.Step(100) {
@@ -161,15 +161,15 @@
 
 func TestTroublesDoWhatTheySay(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
-	d := partner.New(0, partner.Terms{Service: partner.Dist{Form: "fixed", Mean: 0.01}, Places: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	d := receiver.New(0, receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Places: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	target := d.Targets[0]
-	var ends []seam.End
-	call := func() *partner.Call {
-		c := &partner.Call{Docs: []partner.Doc{{ID: 1}}, Answer: func(a partner.Answer) { ends = append(ends, a.End) }}
+	var ends []transport.End
+	call := func() *receiver.Call {
+		c := &receiver.Call{Docs: []receiver.Doc{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.End) }}
 		target.Take(c)
 		return c
 	}
-	run := func() []seam.End {
+	run := func() []transport.End {
 		ends = nil
 		for q.Step(math.Inf(1)) {
 		}
@@ -182,27 +182,27 @@
 	require.Empty(t, run())
 	waiting.Cancel() // waits in line: never runs
 	target.Resume()
-	require.Equal(t, []seam.End{seam.Took, seam.Took}, run())
+	require.Equal(t, []transport.End{transport.Took, transport.Took}, run())
 	require.Equal(t, 2, n.runs)
 	target.Trouble.Silent = 1
 	call()
 	require.Empty(t, run())
-	target.Trouble = partner.Trouble{Lose: 1}
+	target.Trouble = receiver.Trouble{Lose: 1}
 	call()
 	require.Empty(t, run())
 	require.Equal(t, 3, n.runs, "ran, though nobody heard")
-	target.Trouble = partner.Trouble{Err: 1, Every: 2}
+	target.Trouble = receiver.Trouble{Err: 1, Every: 2}
 	call()
 	call()
-	require.ElementsMatch(t, []seam.End{seam.Took, seam.Failed}, run())
-	target.Trouble, ends = partner.Trouble{Draining: true}, nil
+	require.ElementsMatch(t, []transport.End{transport.Took, transport.Failed}, run())
+	target.Trouble, ends = receiver.Trouble{Draining: true}, nil
 	call()
-	require.Equal(t, []seam.End{seam.TurnedAway}, ends)
-	target.Trouble = partner.Trouble{}
+	require.Equal(t, []transport.End{transport.TurnedAway}, ends)
+	target.Trouble = receiver.Trouble{}
 	call()
 	ends = nil
 	target.Down()
-	require.Equal(t, []seam.End{seam.Broken}, ends, "what it works on breaks")
+	require.Equal(t, []transport.End{transport.Broken}, ends, "what it works on breaks")
 	refused, _ := target.Up()
 	require.True(t, refused)
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 	"spanflow/lab/sim"
 )
 
@@ -30,18 +30,18 @@
 
 // day is a result with the scene it was played from.
 type day struct {
-	Scene  *scene.Scene
+	Scene  *scenario.Scene
 	Result *sim.Result
 }
 
 // Write writes a page for the results of one scene, one for each seed.
-func Write(w io.Writer, s *scene.Scene, results []*sim.Result) error {
+func Write(w io.Writer, s *scenario.Scene, results []*sim.Result) error {
 	type shown struct {
 		Result                  *sim.Result
 		Value, Held, Heat, Ends template.HTML
 	}
 	page := struct {
-		Scene *scene.Scene
+		Scene *scenario.Scene
 		Days  []shown
 		JSON  template.JS
 	}{Scene: s}
--- a/lab/scene/scene.go
+++ b/lab/scenario/scene.go
@@ -1,6 +1,6 @@
 // Package scene reads scenes: what partners, forwarders and load are like, and what befalls them when. A scene is TOML,
 // checked as a whole like any configuration.
-package scene
+package scenario
 
 import (
 	"embed"
@@ -9,10 +9,10 @@
 	"slices"
 	"strings"
 
-	"spanflow/choice"
 	"spanflow/internal/config"
 	"spanflow/lab/load"
-	"spanflow/lab/partner"
+	"spanflow/lab/receiver"
+	"spanflow/scheduler"
 )
 
 // Scene is one day in small.
@@ -327,9 +327,9 @@
 }
 
 // Terms are what the module is told: the same for every forwarder but for its zone.
-func (s *Scene) Terms(forwarder int) choice.Terms {
+func (s *Scene) Terms(forwarder int) scheduler.Terms {
 	d := &s.Dispatch
-	t := choice.Terms{Forwarders: d.Forwarders, Slots: d.Slots, Room: d.Room, Transmissions: d.Transmissions, Zone: forwarder % s.Zones,
+	t := scheduler.Terms{Forwarders: d.Forwarders, Slots: d.Slots, Room: d.Room, Transmissions: d.Transmissions, Zone: forwarder % s.Zones,
 		KeyRest: float64(d.KeyRest), ColdFrom: d.ColdFrom, ColdFor: float64(d.ColdFor), FallMultiple: d.FallMultiple,
 		IdleLife: float64(d.IdleLife), ComeBackMost: float64(d.ComeBack), RoughRate: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
 	for _, p := range s.Partners {
@@ -338,17 +338,17 @@
 	for _, q := range s.Tenants {
 		t.TenantQuota = append(t.TenantQuota, q.PerSecond)
 	}
-	words := map[string]choice.Repeat{"replayable": choice.Replayable, "numbered": choice.Numbered, "binding": choice.Binding}
+	words := map[string]scheduler.Repeat{"replayable": scheduler.Replayable, "numbered": scheduler.Numbered, "binding": scheduler.Binding}
 	for _, y := range s.Types {
-		t.Types = append(t.Types, choice.DocType{Repeat: words[y.Repeat], ZoneGroup: y.Group == "zone", InOrder: y.InOrder,
+		t.Types = append(t.Types, scheduler.DocType{Repeat: words[y.Repeat], ZoneGroup: y.Group == "zone", InOrder: y.InOrder,
 			Agreed: float64(y.Agreed), Life: float64(y.Life), Memory: float64(y.Memory)})
 	}
 	return t
 }
 
 // Model is what a destination of a group is like.
-func (s *Scene) Model(p *Partner) partner.Terms {
-	return partner.Terms{Service: partner.Dist{Form: p.Service, Mean: float64(p.Mean), Wide: p.Wide}, Places: p.Places, Queue: p.Queue,
+func (s *Scene) Model(p *Partner) receiver.Terms {
+	return receiver.Terms{Service: receiver.Dist{Form: p.Service, Mean: float64(p.Mean), Wide: p.Wide}, Places: p.Places, Queue: p.Queue,
 		Rate: p.Rate, Burst: p.Burst, Count: p.Calls, Span: float64(p.Window), Apart: p.Apart, Tells: p.Tells, Shows: p.Shows,
 		ColdFrom: s.Dispatch.ColdFrom, ColdFor: float64(s.Dispatch.ColdFor), Fall: s.Dispatch.FallMultiple,
 		FallSpan: float64(p.FallSpan), FallFor: float64(p.FallsFor)}
--- a/lab/scene/scene_test.go
+++ b/lab/scenario/scene_test.go
@@ -1,4 +1,4 @@
-package scene
+package scenario
 
 import (
 	"os"
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -4,29 +4,29 @@
 	"math"
 	"slices"
 
-	"spanflow/choice"
+	"spanflow/scheduler"
 )
 
 // Baselines to compare the module with. They are for the laboratory only. The oracle sees the true state of all targets
 // and is a ceiling that may be out of reach.
 var Baselines = map[string]Maker{
-	"fifo": func(t choice.Terms, seed uint64, now float64, h choice.Host) Policy { return newPlain(t, now, h) },
-	"backoff": func(t choice.Terms, seed uint64, now float64, h choice.Host) Policy {
+	"fifo": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy { return newPlain(t, now, h) },
+	"backoff": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.backoff = true
 		return p
 	},
-	"bucket": func(t choice.Terms, seed uint64, now float64, h choice.Host) Policy {
+	"bucket": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.backoff, p.bucket = true, true
 		return p
 	},
-	"oracle": func(t choice.Terms, seed uint64, now float64, h choice.Host) Policy {
+	"oracle": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.seer = true
 		return p
 	},
-	"least-loaded": func(t choice.Terms, seed uint64, now float64, h choice.Host) Policy {
+	"least-loaded": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.backoff, p.least = true, true
 		return p
@@ -36,8 +36,8 @@
 // plain sends documents in the order of their coming and repeats what may be repeated. It heeds waits, drains, the order
 // of keys and what must not run twice; of cold returns and limits it knows nothing.
 type plain struct {
-	terms   choice.Terms
-	host    choice.Host
+	terms   scheduler.Terms
+	host    scheduler.Host
 	now     float64
 	held    []*plainDoc
 	byDoor  map[uint64]*plainDoc
@@ -77,8 +77,8 @@
 }
 
 type plainTarget struct {
-	is       *choice.Target
-	standing choice.Standing
+	is       *scheduler.Target
+	standing scheduler.Standing
 	out      int
 	zone     int
 	until    float64 // told to wait
@@ -89,8 +89,8 @@
 }
 
 type plainDoc struct {
-	is      *choice.Doc
-	typ     *choice.DocType
+	is      *scheduler.Doc
+	typ     *scheduler.DocType
 	expiry  float64
 	out     int
 	sent    int
@@ -104,16 +104,16 @@
 
 const plainTimeout = 2.0
 
-func newPlain(t choice.Terms, now float64, h choice.Host) *plain {
+func newPlain(t scheduler.Terms, now float64, h scheduler.Host) *plain {
 	return &plain{terms: t, host: h, now: now, byDoor: map[uint64]*plainDoc{}, dests: map[uint64]*plainDest{}}
 }
 
-func (p *plain) NewDestination(door uint64) *choice.Destination {
+func (p *plain) NewDestination(door uint64) *scheduler.Destination {
 	p.dests[door] = &plainDest{keys: map[uint64][]*plainDoc{}, rate: 5, filled: p.now}
-	return &choice.Destination{Door: door}
+	return &scheduler.Destination{Door: door}
 }
 
-func (p *plain) List(whole bool, lines []choice.Listing) {
+func (p *plain) List(whole bool, lines []scheduler.Listing) {
 	for _, l := range lines {
 		d := p.dests[l.Dest.Door]
 		var t *plainTarget
@@ -140,7 +140,7 @@
 	return len(p.held) < p.terms.Room && left > 0.1, math.Min(1, p.terms.ComeBackMost)
 }
 
-func (p *plain) Take(d *choice.Doc, typ int, left float64) {
+func (p *plain) Take(d *scheduler.Doc, typ int, left float64) {
 	x := &plainDoc{is: d, typ: &p.terms.Types[typ], expiry: p.now + left}
 	p.held = append(p.held, x)
 	p.byDoor[d.Door] = x
@@ -150,7 +150,7 @@
 	}
 }
 
-func (p *plain) Recover(d *choice.Doc, typ int, left float64, past choice.Past) {
+func (p *plain) Recover(d *scheduler.Doc, typ int, left float64, past scheduler.Past) {
 	p.Take(d, typ, left)
 	x := p.byDoor[d.Door]
 	x.sent, x.ran, x.zone = past.Sent, past.Ran, past.Zone
@@ -160,7 +160,7 @@
 func (p *plain) Clock(now float64) { p.now = now }
 func (p *plain) Woken()            { p.woken = false }
 
-func (p *plain) Ended(d *choice.Doc, e choice.Ending) {
+func (p *plain) Ended(d *scheduler.Doc, e scheduler.Ending) {
 	x := p.byDoor[d.Door]
 	if x == nil {
 		return
@@ -176,14 +176,14 @@
 			}
 		}
 	}
-	if e.Outcome == choice.Delivered {
+	if e.Outcome == scheduler.Delivered {
 		p.dests[d.Dest.Door].rate++
 	}
 	if x.done {
 		return
 	}
 	switch e.Outcome {
-	case choice.Errored, choice.TimedOut, choice.Reset, choice.Cancelled:
+	case scheduler.Errored, scheduler.TimedOut, scheduler.Reset, scheduler.Cancelled:
 		if x.ran == 0 {
 			x.ran, x.zone = p.now-e.Took, x.to.zone
 		}
@@ -231,10 +231,10 @@
 func (p *plain) hopeless(x *plainDoc) (over, again bool) {
 	switch {
 	case p.now >= x.expiry-0.05 || x.sent >= p.terms.Transmissions:
-		return true, x.ran == 0 || x.typ.Repeat == choice.Replayable
-	case x.ran == 0 || x.typ.Repeat == choice.Replayable:
+		return true, x.ran == 0 || x.typ.Repeat == scheduler.Replayable
+	case x.ran == 0 || x.typ.Repeat == scheduler.Replayable:
 		return false, false
-	case x.typ.Repeat == choice.Binding:
+	case x.typ.Repeat == scheduler.Binding:
 		return p.fault != repeatsBinding, false
 	}
 	return p.now > x.ran+x.typ.Memory-plainTimeout-0.5, false
@@ -301,10 +301,10 @@
 	least := 0
 	for i := range d.targets {
 		t := d.targets[(d.next+i)%len(d.targets)]
-		if t.standing != choice.Ready && p.fault != callsDraining || t.standing == choice.Gone || p.now < t.until+0.005 && p.fault != ignoresWaits {
+		if t.standing != scheduler.Ready && p.fault != callsDraining || t.standing == scheduler.Gone || p.now < t.until+0.005 && p.fault != ignoresWaits {
 			continue
 		}
-		if x.ran > 0 && x.typ.Repeat == choice.Numbered && x.typ.ZoneGroup && t.zone != x.zone {
+		if x.ran > 0 && x.typ.Repeat == scheduler.Numbered && x.typ.ZoneGroup && t.zone != x.zone {
 			continue
 		}
 		if p.joins(t) {
--- a/lab/sim/befall.go
+++ b/lab/sim/befall.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"spanflow/lab/partner"
-	"spanflow/lab/scene"
+	"spanflow/lab/receiver"
+	"spanflow/lab/scenario"
 )
 
 // befall puts the scene's troubles on the time line.
@@ -55,8 +55,8 @@
 }
 
 // hit is the targets that a trouble befalls.
-func (d *day) hit(t *scene.Trouble) []*partner.Target {
-	var all []*partner.Target
+func (d *day) hit(t *scenario.Trouble) []*receiver.Target {
+	var all []*receiver.Target
 	for i, dest := range d.dests {
 		if len(t.Dest) > 0 && !slices.Contains(t.Dest, i) || len(t.Dest) == 0 && t.Part != "" && d.scene.Partners[d.group[i]].Name != t.Part {
 			continue
@@ -71,7 +71,7 @@
 	return all
 }
 
-func begin(to *partner.Target, t *scene.Trouble, s *scene.Scene) {
+func begin(to *receiver.Target, t *scenario.Trouble, s *scenario.Scene) {
 	r := &to.Trouble
 	switch t.Kind {
 	case "refuse":
@@ -104,7 +104,7 @@
 	r.Odd = r.Odd || t.Odd
 }
 
-func finish(to *partner.Target, t *scene.Trouble) {
+func finish(to *receiver.Target, t *scenario.Trouble) {
 	r := &to.Trouble
 	if failed := r.MostlyFails(); failed {
 		defer func() {
@@ -141,7 +141,7 @@
 }
 
 // replace lets targets go and others come in their place: drained first, with the list's word, or at once.
-func (d *day) replace(t *scene.Trouble) {
+func (d *day) replace(t *scenario.Trouble) {
 	hit := d.hit(t)
 	if t.Kind == "drain" {
 		for _, target := range hit {
@@ -154,13 +154,13 @@
 	d.leave(hit, float64(t.For))
 }
 
-func (d *day) leave(hit []*partner.Target, comes float64) {
+func (d *day) leave(hit []*receiver.Target, comes float64) {
 	for _, target := range hit {
 		target.Trouble.Left = true
 	}
 	d.list(hit)
 	d.After(comes, func() {
-		var fresh []*partner.Target
+		var fresh []*receiver.Target
 		for _, target := range hit {
 			fresh = append(fresh, target.Dest.Add(target.Zone))
 		}
@@ -169,7 +169,7 @@
 }
 
 // list tells all forwarders of changed targets, after the list's lag.
-func (d *day) list(targets []*partner.Target) {
+func (d *day) list(targets []*receiver.Target) {
 	d.After(float64(d.scene.ListLag)+float64(d.scene.Rest), func() {
 		if d.noList > 0 { // it comes with the next change of the list, or when it comes again
 			d.After(1, func() { d.list(targets) })
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 
-	"spanflow/choice"
 	"spanflow/lab/audit"
-	"spanflow/lab/partner"
-	"spanflow/seam"
+	"spanflow/lab/receiver"
+	"spanflow/scheduler"
+	"spanflow/transport"
 )
 
 // node is one forwarder: the policy, and what an owner, a ledger and an outlet are to it.
@@ -18,7 +18,7 @@
 	up      bool
 	stalled float64 // until when it stands still
 	policy  Policy
-	dests   []*choice.Destination
+	dests   []*scheduler.Destination
 	targets [][]*target
 	byDoor  map[uint64]*target
 	docs    map[uint64]*handing
@@ -33,10 +33,10 @@
 
 // target is a partner's target as a forwarder knows it.
 type target struct {
-	is     *partner.Target
-	module *choice.Target
+	is     *receiver.Target
+	module *scheduler.Target
 	idle   []float64 // connections, by when each was last used
-	listed choice.Standing
+	listed scheduler.Standing
 }
 
 type call struct {
@@ -46,7 +46,7 @@
 	docs    []*handing
 	allow   float64
 	began   float64
-	at      *partner.Call
+	at      *receiver.Call
 	arrived bool
 	done    bool
 	back    bool // taken back before its first byte
@@ -68,7 +68,7 @@
 		}
 	}
 	n.dests, n.targets = nil, make([][]*target, len(d.dests))
-	var lines []choice.Listing
+	var lines []scheduler.Listing
 	for i, dest := range d.dests {
 		n.dests = append(n.dests, n.policy.NewDestination(uint64(i)))
 		for _, t := range dest.Targets {
@@ -98,26 +98,26 @@
 }
 
 // line is the list's line of a target, which the forwarder knows from then on.
-func (n *node) line(t *partner.Target) choice.Listing {
+func (n *node) line(t *receiver.Target) scheduler.Listing {
 	d := t.Dest.Number
 	for len(n.targets[d]) <= t.Number {
 		n.targets[d] = append(n.targets[d], nil)
 	}
 	k := n.targets[d][t.Number]
 	if k == nil {
-		k = &target{is: t, module: &choice.Target{Door: uint64(d)<<32 | uint64(t.Number)}}
+		k = &target{is: t, module: &scheduler.Target{Door: uint64(d)<<32 | uint64(t.Number)}}
 		n.targets[d][t.Number] = k
 		n.byDoor[k.module.Door] = k
 	}
-	l := choice.Listing{Target: k.module, Dest: n.dests[d], Kind: n.day.group[d], Zone: t.Zone}
+	l := scheduler.Listing{Target: k.module, Dest: n.dests[d], Kind: n.day.group[d], Zone: t.Zone}
 	if n.day.scene.Dispatch.ListedRates != "none" {
 		l.Rate = t.Dest.Terms.Rate
 	}
 	switch {
 	case t.Trouble.Left:
-		l.Standing = choice.Gone
+		l.Standing = scheduler.Gone
 	case t.Trouble.Draining:
-		l.Standing = choice.Draining
+		l.Standing = scheduler.Draining
 	}
 	k.listed = l.Standing
 	return l
@@ -125,7 +125,7 @@
 
 func (n *node) keep(h *handing) {
 	h.node = n
-	h.doc = &choice.Doc{Door: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
+	h.doc = &scheduler.Doc{Door: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
 	n.docs[h.id] = h
 	n.owed = append(n.owed, h)
 	if len(n.owed) > 64 && len(n.owed) > 4*len(n.docs) {
@@ -221,7 +221,7 @@
 }
 
 // ended takes the end of a call.
-func (n *node) ended(c *call, a partner.Answer) {
+func (n *node) ended(c *call, a receiver.Answer) {
 	d := n.day
 	if c.done || c.life != n.life {
 		return
@@ -229,11 +229,11 @@
 	c.done = true
 	n.out = slices.DeleteFunc(n.out, func(o *call) bool { return o == c })
 	switch a.End {
-	case seam.Took, seam.Failed, seam.Waiting, seam.TurnedAway:
+	case transport.Took, transport.Failed, transport.Waiting, transport.TurnedAway:
 		c.to.idle = append(c.to.idle, d.Now())
 	}
 	out, over := a.End.Outcome()
-	if out != choice.Delivered && out != choice.Moot {
+	if out != scheduler.Delivered && out != scheduler.Moot {
 		c.to.is.Learned(n.number)
 	}
 	n.policy.Clock(d.Now())
@@ -244,12 +244,12 @@
 		}
 		h.out = 0
 		if over {
-			if out == choice.Delivered && !h.over { // else its client has been answered, at expiry say
+			if out == scheduler.Delivered && !h.over { // else its client has been answered, at expiry say
 				d.log.Final(h.id, "delivered")
 			}
 			h.over = true
 		}
-		n.policy.Ended(h.doc, choice.Ending{Outcome: out, Over: over, Took: d.Now() - c.began, Wait: a.Wait, Most: a.Most,
+		n.policy.Ended(h.doc, scheduler.Ending{Outcome: out, Over: over, Took: d.Now() - c.began, Wait: a.Wait, Most: a.Most,
 			Left: a.Left})
 		if h.over {
 			delete(n.docs, h.id)
@@ -289,11 +289,11 @@
 		return
 	case silent && fresh:
 		d.After(min(c.allow, float64(d.scene.Dispatch.Connect)), func() {
-			n.do(func() { n.ended(c, partner.Answer{End: seam.NeverUp}) })
+			n.do(func() { n.ended(c, receiver.Answer{End: transport.NeverUp}) })
 		})
 		return
 	case refused:
-		d.After(2*rest, func() { n.do(func() { n.ended(c, partner.Answer{End: seam.Refused}) }) })
+		d.After(2*rest, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.Refused}) }) })
 		return
 	}
 	d.After(way, func() {
@@ -302,12 +302,12 @@
 			return
 		}
 		c.arrived = true
-		docs := make([]partner.Doc, len(c.docs))
+		docs := make([]receiver.Doc, len(c.docs))
 		for i, h := range c.docs {
-			docs[i] = partner.Doc{ID: h.id, Mark: h.of.mark, Memory: float64(h.of.typ.Memory), Zoned: h.of.typ.Group == "zone",
+			docs[i] = receiver.Doc{ID: h.id, Mark: h.of.mark, Memory: float64(h.of.typ.Memory), Zoned: h.of.typ.Group == "zone",
 				Tenant: h.of.tenant}
 		}
-		c.at = &partner.Call{From: n.number, Docs: docs, Answer: func(a partner.Answer) {
+		c.at = &receiver.Call{From: n.number, Docs: docs, Answer: func(a receiver.Answer) {
 			for _, doc := range docs {
 				d.log.Closed(doc.ID, told(a.End))
 			}
@@ -318,9 +318,9 @@
 }
 
 // told tells that an end says what became of the document.
-func told(e seam.End) bool {
+func told(e transport.End) bool {
 	out, _ := e.Outcome()
-	return out != choice.Reset && out != choice.TimedOut
+	return out != scheduler.Reset && out != scheduler.TimedOut
 }
 
 // cut ends a call from the forwarder's side.
@@ -341,11 +341,11 @@
 		return
 	}
 	c.cut()
-	end := seam.GivenUp
+	end := transport.GivenUp
 	if !c.arrived {
-		end = seam.GivenUpEarly
+		end = transport.GivenUpEarly
 	}
-	c.node.ended(c, partner.Answer{End: end})
+	c.node.ended(c, receiver.Answer{End: end})
 }
 
 // kill ends the process; it starts again on what it owed.
@@ -380,7 +380,7 @@
 
 // Transmit, Reject, Abandon, Recall, CloseIdle, Release, Wake, Watch and Log make a node a choice.Host.
 
-func (n *node) Transmit(doc *choice.Doc, to *choice.Target, timeout float64) {
+func (n *node) Transmit(doc *scheduler.Doc, to *scheduler.Target, timeout float64) {
 	h, t := n.day.handed[doc.Door], n.byDoor[to.Door]
 	h.past.Sent++
 	h.out, h.outTo = n.day.Now(), t.is.Zone
@@ -397,10 +397,10 @@
 	n.calls = append(n.calls, &call{node: n, life: n.life, to: t, docs: []*handing{h}, allow: timeout})
 }
 
-func (n *node) Reject(doc *choice.Doc, comeBack float64) { n.answer(doc, "returned", comeBack) }
-func (n *node) Abandon(doc *choice.Doc)                  { n.answer(doc, "abandoned", 0) }
+func (n *node) Reject(doc *scheduler.Doc, comeBack float64) { n.answer(doc, "returned", comeBack) }
+func (n *node) Abandon(doc *scheduler.Doc)                  { n.answer(doc, "abandoned", 0) }
 
-func (n *node) answer(doc *choice.Doc, what string, comeBack float64) {
+func (n *node) answer(doc *scheduler.Doc, what string, comeBack float64) {
 	h := n.day.handed[doc.Door]
 	h.over = true
 	if h.out == 0 {
@@ -410,22 +410,22 @@
 	n.day.tell(h, what, comeBack)
 }
 
-func (n *node) Recall(to *choice.Target) {
+func (n *node) Recall(to *scheduler.Target) {
 	for _, c := range n.out {
 		if c.to.module == to && !c.arrived && !c.done {
 			c.back = true // its way ends here
-			n.day.After(0, func() { n.do(func() { n.ended(c, partner.Answer{End: seam.Recalled}) }) })
+			n.day.After(0, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.Recalled}) }) })
 		}
 	}
 }
 
-func (n *node) CloseIdle(to *choice.Target) {
+func (n *node) CloseIdle(to *scheduler.Target) {
 	if t := n.byDoor[to.Door]; t != nil {
 		t.idle = nil
 	}
 }
 
-func (n *node) Release(to *choice.Target) { delete(n.byDoor, to.Door) }
+func (n *node) Release(to *scheduler.Target) { delete(n.byDoor, to.Door) }
 
 func (n *node) Wake(in float64) {
 	n.wake++
@@ -446,10 +446,10 @@
 func (n *node) Log(line string) { n.day.result.Modes++ }
 
 // listed tells a forwarder of changed targets.
-func (n *node) listed(targets []*partner.Target) {
+func (n *node) listed(targets []*receiver.Target) {
 	n.do(func() {
 		n.policy.Clock(n.day.Now())
-		var lines []choice.Listing
+		var lines []scheduler.Listing
 		for _, t := range targets {
 			lines = append(lines, n.line(t))
 			if t.Trouble.Draining || t.Trouble.Left {
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 	"spanflow/lab/audit"
-	"spanflow/lab/partner"
-	"spanflow/lab/scene"
+	"spanflow/lab/receiver"
+	"spanflow/lab/scenario"
 )
 
 // Real plays a scene on real sockets: built forwarders as processes, partners, discovery and clients on loopback. The
@@ -26,8 +26,8 @@
 	Real
 	mu        sync.Mutex
 	epoch     time.Time
-	scene     *scene.Scene
-	dests     []*partner.Destination
+	scene     *scenario.Scene
+	dests     []*receiver.Destination
 	group     []int
 	log       *audit.Log
 	result    *Result
@@ -37,8 +37,8 @@
 	from      map[uint64]int           // the forwarder that a document was handed in at
 	lastID    uint64
 	dice      *rand.Rand
-	disc      *standin.Discovery
-	endpoints map[*partner.Target]*endpoint
+	disc      *emulator.Discovery
+	endpoints map[*receiver.Target]*endpoint
 	nodes     []*process
 	failed    error // of a forwarder that could not be started again
 	wg        sync.WaitGroup
@@ -57,19 +57,19 @@
 }
 
 // Play plays a scene with a seed; it takes as long as the scene.
-func (r Real) Play(ctx context.Context, s *scene.Scene, seed uint64) (*Result, error) {
+func (r Real) Play(ctx context.Context, s *scenario.Scene, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := &realDay{Real: r, epoch: time.Now(), scene: s, result: newResult(s, seed), effects: map[uint64]*effect{}, from: map[uint64]int{}, heard: map[uint64]bool{}, tails: map[uint64]chan struct{}{},
-		dice: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*partner.Target]*endpoint{}, ctx: ctx}
+		dice: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Target]*endpoint{}, ctx: ctx}
 	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyRest))
 	d.log.Slack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
 	partners := rand.New(rand.NewPCG(seed, 3))
-	var list []standin.Entry
+	var list []emulator.Entry
 	for g := range s.Partners {
 		p := &s.Partners[g]
 		for range p.Count {
-			dest := partner.New(len(d.dests), s.Model(p), p.Targets, s.Zones, d, partners, &realRecorder{d.log, d})
+			dest := receiver.New(len(d.dests), s.Model(p), p.Targets, s.Zones, d, partners, &realRecorder{d.log, d})
 			d.dests, d.group = append(d.dests, dest), append(d.group, g)
 			for _, t := range dest.Targets {
 				if err := d.open(t); err != nil {
@@ -85,7 +85,7 @@
 		}
 	}()
 	var err error
-	if d.disc, err = standin.NewDiscovery("", list...); err != nil {
+	if d.disc, err = emulator.NewDiscovery("", list...); err != nil {
 		return nil, err
 	}
 	d.disc.Hear = d.notice
@@ -139,7 +139,7 @@
 	day *realDay
 }
 
-func (r *realRecorder) Ran(run partner.Run) {
+func (r *realRecorder) Ran(run receiver.Run) {
 	r.Log.Ran(run)
 	if e := r.day.effects[run.Doc.ID]; e != nil && run.Effect && !e.done {
 		e.done = true
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -11,12 +11,12 @@
 	"strings"
 	"time"
 
-	"spanflow/internal/standin"
+	"spanflow/internal/emulator"
 	"spanflow/lab/audit"
 )
 
 // notice takes a final answer that a forwarder tells.
-func (d *realDay) notice(n standin.Notice) {
+func (d *realDay) notice(n emulator.Notice) {
 	id, err := strconv.ParseUint(n.ID, 16, 64)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -124,7 +124,7 @@
 	if len(p.day.scene.Tenants) > 0 {
 		names += ",t=" + p.day.scene.Tenants[e.tenant].Name
 	}
-	command := standin.Command("MSG.PUT", fmt.Sprintf("%016x", e.key), fmt.Sprintf("%016x", id), names, strings.Repeat("x", 300))
+	command := emulator.Command("MSG.PUT", fmt.Sprintf("%016x", e.key), fmt.Sprintf("%016x", id), names, strings.Repeat("x", 300))
 	for range 2 {
 		var c net.Conn
 		kept := true
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -12,14 +12,14 @@
 	"sync"
 	"time"
 
-	"spanflow/lab/partner"
-	"spanflow/seam"
+	"spanflow/lab/receiver"
+	"spanflow/transport"
 )
 
 // endpoint is a target's listener. While the target refuses connections nobody listens there.
 type endpoint struct {
 	day    *realDay
-	target *partner.Target
+	target *receiver.Target
 	addr   string
 	mu     sync.Mutex
 	ln     net.Listener
@@ -29,7 +29,7 @@
 
 const listenCheckInterval = 10 * time.Millisecond
 
-func (d *realDay) open(t *partner.Target) error {
+func (d *realDay) open(t *receiver.Target) error {
 	ep := &endpoint{day: d, target: t, conns: map[net.Conn]struct{}{}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -119,13 +119,13 @@
 			ids, marks = append(ids, m.ID), append(marks, m.Key)
 		}
 	}
-	answer := make(chan partner.Answer, 1)
-	call := &partner.Call{Answer: func(a partner.Answer) { answer <- a }}
+	answer := make(chan receiver.Answer, 1)
+	call := &receiver.Call{Answer: func(a receiver.Answer) { answer <- a }}
 	d.mu.Lock()
 	for i, id := range ids {
 		n, _ := strconv.ParseUint(id, 16, 64)
 		mark, _ := strconv.ParseUint(marks[i], 16, 64)
-		doc := partner.Doc{ID: n, Mark: mark}
+		doc := receiver.Doc{ID: n, Mark: mark}
 		if e := d.effects[n]; e != nil {
 			doc.Tenant, doc.Memory, doc.Zoned = e.tenant, float64(e.typ.Memory), e.typ.Group == "zone"
 			call.From = d.from[n]
@@ -134,7 +134,7 @@
 	}
 	ep.target.Take(call)
 	d.mu.Unlock()
-	var a partner.Answer
+	var a receiver.Answer
 	select {
 	case a = <-answer:
 	case <-r.Context().Done():
@@ -148,10 +148,10 @@
 	d.mu.Lock()
 	d.closed(call, told(a.End))
 	d.result.Ends[a.End.String()] += len(call.Docs)
-	if a.End != seam.Took {
+	if a.End != transport.Took {
 		ep.target.Learned(call.From)
 	}
-	if a.End == seam.Took {
+	if a.End == transport.Took {
 		for _, doc := range call.Docs {
 			if d.effects[doc.ID] != nil && !d.log.Answered(doc.ID) { // a notice may have crossed it, which does no harm
 				d.log.Final(doc.ID, "delivered")
@@ -164,7 +164,7 @@
 		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.Left), max(0, a.Most)))
 	}
 	switch a.End {
-	case seam.Took:
+	case transport.Took:
 		if len(ids) > 1 {
 			var b strings.Builder
 			for i, id := range ids {
@@ -174,14 +174,14 @@
 			return
 		}
 		w.WriteHeader(http.StatusOK)
-	case seam.Waiting:
+	case transport.Waiting:
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.Wait, 'f', 3, 64))
 		w.WriteHeader(http.StatusTooManyRequests)
-	case seam.TurnedAway:
+	case transport.TurnedAway:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case seam.Failed:
+	case transport.Failed:
 		w.WriteHeader(http.StatusInternalServerError)
-	case seam.Garbled:
+	case transport.Garbled:
 		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			io.WriteString(c, "HTP/1.1 2oo what\r\n\r\n")
 			c.Close()
@@ -191,7 +191,7 @@
 	}
 }
 
-func (d *realDay) closed(c *partner.Call, known bool) {
+func (d *realDay) closed(c *receiver.Call, known bool) {
 	for _, doc := range c.Docs {
 		d.log.Closed(doc.ID, known)
 	}
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -3,12 +3,12 @@
 import (
 	"fmt"
 
-	"spanflow/internal/standin"
-	"spanflow/lab/partner"
+	"spanflow/internal/emulator"
+	"spanflow/lab/receiver"
 )
 
-func (d *realDay) entry(t *partner.Target) standin.Entry {
-	e := standin.Entry{UID: fmt.Sprintf("d%d-%d", t.Dest.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
+func (d *realDay) entry(t *receiver.Target) emulator.Entry {
+	e := emulator.Entry{UID: fmt.Sprintf("d%d-%d", t.Dest.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
 		Kind: fmt.Sprint("k", d.group[t.Dest.Number]), Dest: t.Dest.Number, State: "active"}
 	switch {
 	case t.Trouble.Left:
@@ -66,7 +66,7 @@
 	}
 }
 
-func (d *realDay) mark(targets []*partner.Target, draining, left bool) {
+func (d *realDay) mark(targets []*receiver.Target, draining, left bool) {
 	for _, t := range targets {
 		t.Trouble.Draining, t.Trouble.Left = draining, left
 	}
@@ -78,7 +78,7 @@
 	})
 }
 
-func (d *realDay) leave(hit []*partner.Target, comes float64) {
+func (d *realDay) leave(hit []*receiver.Target, comes float64) {
 	d.mark(hit, false, true)
 	d.After(comes, func() {
 		for _, t := range hit {
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -11,8 +11,8 @@
 	"syscall"
 	"time"
 
-	"spanflow/internal/standin"
-	"spanflow/lab/scene"
+	"spanflow/internal/emulator"
+	"spanflow/lab/scenario"
 )
 
 // process is one forwarder.
@@ -61,7 +61,7 @@
 }
 
 // settings are a scene's terms in the platform's form.
-func settings(s *scene.Scene, n int) map[string]any {
+func settings(s *scenario.Scene, n int) map[string]any {
 	ms := func(seconds float64) float64 { return seconds * 1000 }
 	var classes, tenants []map[string]any
 	words := map[string]string{"replayable": "retryable", "numbered": "dedup", "binding": "fragile"}
@@ -109,8 +109,8 @@
 // ready waits until the forwarder answers a sign of life.
 func (p *process) ready(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		if c, err := standin.NewClient(p.listen); err == nil {
-			answer, err := c.Say(standin.Command("PING"))
+		if c, err := emulator.NewClient(p.listen); err == nil {
+			answer, err := c.Say(emulator.Command("PING"))
 			c.Close()
 			if err == nil && answer == "+PONG" {
 				return nil
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"spanflow/lab/audit"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
 )
 
 // Result is what became of a day. Its JSON is the same to the byte for the same scene and seed.
@@ -52,7 +52,7 @@
 
 const mostByDest = 64
 
-func newResult(s *scene.Scene, seed uint64) *Result {
+func newResult(s *scenario.Scene, seed uint64) *Result {
 	r := &Result{Scene: s.Name, Seed: seed, Ends: map[string]int{}, Finals: map[string]int{}, times: hdrhistogram.New(1, 3_600_000_000, 3)}
 	r.Seconds = make([]Second, int(s.Length+s.Drain))
 	return r
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -7,33 +7,33 @@
 	"math/rand/v2"
 	"slices"
 
-	"spanflow/choice"
 	"spanflow/lab/audit"
 	"spanflow/lab/clock"
 	"spanflow/lab/load"
-	"spanflow/lab/partner"
-	"spanflow/lab/scene"
+	"spanflow/lab/receiver"
+	"spanflow/lab/scenario"
+	"spanflow/scheduler"
 )
 
 // Policy decides for one forwarder. The decision module is one; so are the baselines.
 type Policy interface {
-	NewDestination(door uint64) *choice.Destination
-	List(whole bool, lines []choice.Listing)
+	NewDestination(door uint64) *scheduler.Destination
+	List(whole bool, lines []scheduler.Listing)
 	Admit(size int, left float64) (taken bool, comeBack float64)
-	Take(d *choice.Doc, typ int, left float64)
-	Recover(d *choice.Doc, typ int, left float64, past choice.Past)
-	Ended(d *choice.Doc, e choice.Ending)
+	Take(d *scheduler.Doc, typ int, left float64)
+	Recover(d *scheduler.Doc, typ int, left float64, past scheduler.Past)
+	Ended(d *scheduler.Doc, e scheduler.Ending)
 	Clock(now float64)
 	Woken()
 	Settle()
 }
 
 // Maker makes the policy of a forwarder.
-type Maker func(terms choice.Terms, seed uint64, now float64, host choice.Host) Policy
+type Maker func(terms scheduler.Terms, seed uint64, now float64, host scheduler.Host) Policy
 
 // Module is the decision module.
-func Module(terms choice.Terms, seed uint64, now float64, host choice.Host) Policy {
-	return choice.New(terms, seed, now, host)
+func Module(terms scheduler.Terms, seed uint64, now float64, host scheduler.Host) Policy {
+	return scheduler.New(terms, seed, now, host)
 }
 
 const (
@@ -48,7 +48,7 @@
 // effect is what a client wants done, whatever number of documents it takes.
 type effect struct {
 	id      uint64
-	typ     *scene.Type
+	typ     *scenario.Type
 	typeNo  int
 	handed  float64 // the intended moment
 	expiry  float64
@@ -65,9 +65,9 @@
 type handing struct {
 	id     uint64
 	of     *effect
-	doc    *choice.Doc
+	doc    *scheduler.Doc
 	node   *node
-	past   choice.Past
+	past   scheduler.Past
 	out    float64 // begin of the transmission that is out
 	outTo  int     // the zone of its target
 	expiry float64
@@ -76,12 +76,12 @@
 
 type day struct {
 	clock.Queue
-	scene   *scene.Scene
+	scene   *scenario.Scene
 	make    Maker
 	dice    *rand.Rand // of the load
 	net     *rand.Rand // of clients and network
 	log     *audit.Log
-	dests   []*partner.Destination
+	dests   []*receiver.Destination
 	group   []int // of each destination
 	nodes   []*node
 	effects map[uint64]*effect // by the id of a document
@@ -93,7 +93,7 @@
 }
 
 // Play plays a scene with a seed.
-func Play(s *scene.Scene, seed uint64, make Maker) *Result {
+func Play(s *scenario.Scene, seed uint64, make Maker) *Result {
 	d := &day{scene: s, make: make, dice: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, handed: map[uint64]*handing{}}
 	d.Set(begins)
 	d.result = newResult(s, seed)
@@ -102,7 +102,7 @@
 	for g := range s.Partners {
 		p := &s.Partners[g]
 		for range p.Count {
-			d.dests = append(d.dests, partner.New(len(d.dests), s.Model(p), p.Targets, s.Zones, d, partners, &recorder{d.log, d}))
+			d.dests = append(d.dests, receiver.New(len(d.dests), s.Model(p), p.Targets, s.Zones, d, partners, &recorder{d.log, d}))
 			d.group = append(d.group, g)
 		}
 	}
@@ -131,7 +131,7 @@
 	day *day
 }
 
-func (r *recorder) Ran(run partner.Run) {
+func (r *recorder) Ran(run receiver.Run) {
 	r.Log.Ran(run)
 	if e := r.day.effects[run.Doc.ID]; e != nil && run.Effect && !e.done {
 		e.done = true
@@ -150,7 +150,7 @@
 }
 
 // plan draws what clients want on a day.
-func plan(s *scene.Scene, dice *rand.Rand) []*effect {
+func plan(s *scenario.Scene, dice *rand.Rand) []*effect {
 	shape := s.Shape()
 	for i := range shape {
 		shape[i].At += begins
@@ -271,7 +271,7 @@
 }
 
 // comesAgain tells if a client hands an effect in anew, after what time, and with what expiry.
-func (e *effect) comesAgain(s *scene.Scene, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
+func (e *effect) comesAgain(s *scenario.Scene, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
 	if expiry = e.expiry; e.mark != 0 {
 		expiry = min(expiry, e.handed+float64(e.typ.Memory))
 	}
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -13,14 +13,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
 	"spanflow/internal/config"
 	"spanflow/lab/audit"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
+	"spanflow/scheduler"
 )
 
-func kept(t *testing.T, name string) *scene.Scene {
-	s, err := scene.Read(name)
+func kept(t *testing.T, name string) *scenario.Scene {
+	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	return s
 }
@@ -34,7 +34,7 @@
 }
 
 func TestTheModuleKeepsTheRulesInEachKeptScene(t *testing.T) {
-	for _, name := range scene.Kept() {
+	for _, name := range scenario.Kept() {
 		r := Play(kept(t, name), 1, Module)
 		require.Empty(t, r.Breaches, name)
 		require.Greater(t, r.G, 0.6, name)
@@ -70,15 +70,15 @@
 	}{{overlaps, "calm", audit.NoDouble}, {disorders, "one-partner-hangs", audit.Order}, {ignoresWaits, "limits-cut", audit.Waits},
 		{callsDraining, "drains", audit.Drains}, {answersTwice, "one-partner-hangs", audit.OneAnswer}, {neverAnswers, "one-partner-hangs", audit.OneAnswer},
 		{answersLate, "one-partner-hangs", audit.OneAnswer}, {repeatsBinding, "several-at-once", audit.NoDouble}, {sound, "returns-cold", audit.Returns}} {
-		var s *scene.Scene
+		var s *scenario.Scene
 		if c.scene == "drains" {
 			s = kept(t, "calm")
-			s.Troubles = []scene.Trouble{{Kind: "drain", At: 10, For: 5, Dest: []int{0, 1}, Target: []int{0}}}
+			s.Troubles = []scenario.Trouble{{Kind: "drain", At: 10, For: 5, Dest: []int{0, 1}, Target: []int{0}}}
 		} else {
 			s = kept(t, c.scene)
 		}
 		make := func(fault fault) Maker {
-			return func(terms choice.Terms, _ uint64, now float64, h choice.Host) Policy {
+			return func(terms scheduler.Terms, _ uint64, now float64, h scheduler.Host) Policy {
 				p := newPlain(terms, now, h)
 				p.fault = fault
 				return p
@@ -94,7 +94,7 @@
 
 // The oracle is a ceiling: in no kept scene does the module or a baseline deliver much more.
 func TestTheOracleIsACeiling(t *testing.T) {
-	for _, name := range scene.Kept() {
+	for _, name := range scenario.Kept() {
 		s := kept(t, name)
 		top := Play(s, 1, Baselines["oracle"])
 		module := Play(s, 1, Module)
@@ -125,14 +125,14 @@
 }
 
 // random draws a scene: some partners, some troubles.
-func random(base *scene.Scene, seed uint64) *scene.Scene {
+func random(base *scenario.Scene, seed uint64) *scenario.Scene {
 	dice := rand.New(rand.NewPCG(seed, 9))
 	s := *base
 	s.Length, s.Drain, s.Zones = 20, 20, 1+dice.IntN(2)
 	s.Dispatch.Forwarders = 1 + dice.IntN(4)
 	s.Dispatch.Slots = 4 + dice.IntN(20)
 	s.Load.PerSecond = 5 + 60*dice.Float64()
-	s.Partners = append([]scene.Partner(nil), base.Partners...)
+	s.Partners = append([]scenario.Partner(nil), base.Partners...)
 	for i := range s.Partners {
 		p := &s.Partners[i]
 		p.Targets, p.Apart, p.Shows = 1+dice.IntN(3), dice.IntN(3) == 0, dice.IntN(2) == 0
@@ -143,7 +143,7 @@
 	kinds := []string{"refuse", "hang", "silent", "slow", "err", "reset", "lose", "spoil", "reap", "cut", "drain", "stall", "restart", "move"}
 	s.Troubles = nil
 	for range dice.IntN(4) {
-		s.Troubles = append(s.Troubles, scene.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: config.Span(4 + 8*dice.Float64()), For: config.Span(1 + 7*dice.Float64()),
+		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: config.Span(4 + 8*dice.Float64()), For: config.Span(1 + 7*dice.Float64()),
 			Dest: []int{dice.IntN(8)}, Share: 0.2 + 0.6*dice.Float64(), By: 3})
 	}
 	return &s
@@ -173,7 +173,7 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range [][2]int{{50, 80}, {260, 320}, {1000, 1000}} {
 		b.Run(fmt.Sprintf("%dx%d", size[0], size[1]), func(b *testing.B) {
-			s, err := scene.Read("one-partner-hangs")
+			s, err := scenario.Read("one-partner-hangs")
 			require.NoError(b, err)
 			s.Dispatch.Forwarders = size[0]
 			s.Partners[0].Count, s.Partners[1].Count = size[1]*3/8, size[1]/8
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -5,13 +5,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spanflow/choice"
 	"spanflow/internal/config"
-	"spanflow/lab/scene"
+	"spanflow/lab/scenario"
+	"spanflow/scheduler"
 )
 
 // standstill is the kept scene in which the forwarder, with four slots, stands still for ten seconds while it restarts.
-func standstill(t *testing.T) *scene.Scene { return kept(t, "stands-still-while-it-restarts") }
+func standstill(t *testing.T) *scenario.Scene { return kept(t, "stands-still-while-it-restarts") }
 
 // A forwarder that is killed shortly before, at the beginning of, within or at the end of a standstill loses no end of a
 // call: its slots are free again and every message is answered.
@@ -40,7 +40,7 @@
 	count       int
 }
 
-func (c *startsInStandstill) make(terms choice.Terms, seed uint64, now float64, host choice.Host) Policy {
+func (c *startsInStandstill) make(terms scheduler.Terms, seed uint64, now float64, host scheduler.Host) Policy {
 	if now > begins+c.from && now < begins+c.until {
 		c.count++
 	}
--- a/choice/due.go
+++ b/scheduler/due.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 import (
 	"cmp"
--- a/choice/heap.go
+++ b/scheduler/heap.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 const shrinkFrom = 64 // members; the array of a smaller heap is kept when it empties
 
--- a/choice/port.go
+++ b/scheduler/port.go
@@ -1,4 +1,4 @@
-package choice
+package scheduler
 
 // Repeat says what a second transmission of a document would do.
 type Repeat uint8
--- a/choice/choice.go
+++ b/scheduler/scheduler.go
@@ -12,7 +12,7 @@
 //  4. time-outs from observed times (timeout)
 //  5. early answers: what cannot arrive, or what crowds the holding room (review, crowd, over)
 //  6. closing retries: one that is about to become impossible goes before fresh work (pick)
-package choice
+package scheduler
 
 import (
 	"math"
--- a/seam/end.go
+++ b/transport/end.go
@@ -1,6 +1,6 @@
-package seam
+package transport
 
-import "spanflow/choice"
+import "spanflow/scheduler"
 
 // End is the way in which a connection ended for one document: by an answer, or by what befell the connection.
 type End uint8
@@ -43,23 +43,23 @@
 }
 
 // Outcome is the one place where an end becomes a word of the module; over: the document is over by it.
-func (e End) Outcome() (o choice.Outcome, over bool) {
+func (e End) Outcome() (o scheduler.Outcome, over bool) {
 	switch e {
 	case Took:
-		return choice.Delivered, true
+		return scheduler.Delivered, true
 	case Failed, Garbled: // who answers nonsense is there, and has run the call
-		return choice.Errored, false
+		return scheduler.Errored, false
 	case Waiting, TurnedAway:
-		return choice.Full, false
+		return scheduler.Full, false
 	case LineBusy, Spent, Unread, Unsent, Recalled:
-		return choice.Moot, false
+		return scheduler.Moot, false
 	case Gone:
-		return choice.Moot, true
+		return scheduler.Moot, true
 	case Refused, NeverUp, BrokenEarly, GivenUpEarly:
-		return choice.NoConnection, false
+		return scheduler.NoConnection, false
 	case GivenUp:
-		return choice.TimedOut, false
+		return scheduler.TimedOut, false
 	default:
-		return choice.Reset, false
+		return scheduler.Reset, false
 	}
 }
--- a/seam/seam.go
+++ b/transport/seam.go
@@ -2,7 +2,7 @@
 // documents handed in and tells each caller the answer at the door and, where the caller waits for it, the final one.
 // An outlet carries out calls to targets and reports one End for each document. A source brings the list of targets, a
 // teller takes the final answers that no caller waits for. None of them knows another, and none chooses.
-package seam
+package transport
 
 import "time"
 
