--- a/cmd/spanflow/lobby_test.go
+++ b/cmd/spanflow/lobby_test.go
@@ -60,7 +60,7 @@
 }
 
 // The old process hangs and is killed before it looked into the tray: the new one takes the call up itself, before it
-// sends anything. Sent away clients stay so.
+// sends anything. Attempts away clients stay so.
 func TestACallThatTheOldProcessNeverTookUpBindsTheNewOne(t *testing.T) {
 	s := newStage(t, "single")
 	s.socket = s.handedDown()
--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -77,12 +77,12 @@
 	switch {
 	case o.byID[in.ID] != nil || o.recentIDs.has(in.ID) || o.stored.knows(in.ID):
 		return declined("a document with this id was taken on"), true
-	case o.order.Terms.Types[typ].Repeat == scheduler.Numbered && in.Mark == "":
+	case o.order.Terms.Types[typ].Idempotency == scheduler.IdempotentWithKey && in.Mark == "":
 		return declined("k is missing, by which a repeat is known"), true
 	case !listed && o.heard:
 		return declined("unknown destination"), true
 	case !listed: // the list may be old
-		return transport.Reply{Word: transport.Busy, Wait: int(1000 * min(lateList.Seconds(), o.order.Terms.ComeBackMost))}, true
+		return transport.Reply{Word: transport.Busy, Wait: int(1000 * min(lateList.Seconds(), o.order.Terms.MaxRetryAfter))}, true
 	}
 	return transport.Reply{}, false
 }
@@ -119,7 +119,7 @@
 	p := o.paper(e, typ)
 	p.holder, _ = a.From.(transport.Holder)
 	p.came = in.Came
-	p.doc.Noticed = p.doc.Noticed && p.holder == nil
+	p.doc.AnsweredByNotice = p.doc.AnsweredByNotice && p.holder == nil
 	o.f.Take(p.doc, typ, left)
 	o.inMemory(p)
 	if !a.From.Answer(transport.Reply{Word: transport.Taken}) { // not heard: its caller hands it in again under another id
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -38,7 +38,7 @@
 	o.f.Ended(p.doc, scheduler.Ending{Outcome: outcome, Over: over, Took: e.Took.Seconds(), Wait: e.Wait, Most: e.Most,
 		Left: e.Left})
 	switch {
-	case over && p.doc.Telling(): // owed until that is heard, so it stays recorded
+	case over && p.doc.AwaitingAcknowledgement(): // owed until that is heard, so it stays recorded
 	case over:
 		o.finish(p, outcome)
 	default:
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -65,7 +65,7 @@
 	if asked == nil {
 		return nil
 	}
-	decisions, err := policy.New(asked.policyBounds(o.order.Terms.Room))
+	decisions, err := policy.New(asked.policyBounds(o.order.Terms.QueueCapacity))
 	if err != nil {
 		return fmt.Errorf("backlog: %w", err)
 	}
@@ -108,7 +108,7 @@
 
 // setBacklogBounds takes up other bounds while the forwarder runs. What is stored beyond lower ones stays.
 func (o *owner) setBacklogBounds(asked *Backlog) error {
-	bounds := asked.policyBounds(o.order.Terms.Room)
+	bounds := asked.policyBounds(o.order.Terms.QueueCapacity)
 	if err := bounds.Check(); err != nil {
 		return fmt.Errorf("backlog: %w", err)
 	}
@@ -147,7 +147,7 @@
 }
 
 // laneOfDoc is the lane of a document that the module has.
-func laneOfDoc(d *scheduler.Doc) backlog.Lane {
+func laneOfDoc(d *scheduler.Message) backlog.Lane {
 	return backlog.Lane{Destination: d.Dest.Door, Tenant: uint32(d.Tenant)}
 }
 
@@ -332,7 +332,7 @@
 		messages, bytes := o.stored.policy.Amount()
 		o.log.Warn().Stringer("bound", d.Bound).Int("messages", messages).Int64("bytes", bytes).Msg("backlog refused")
 	}
-	wait := min(d.RetryAfter.Seconds(), o.order.Terms.ComeBackMost)
+	wait := min(d.RetryAfter.Seconds(), o.order.Terms.MaxRetryAfter)
 	return transport.Reply{Word: transport.Busy, Wait: min(int(wait*1000), refuseMost)}
 }
 
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -30,7 +30,7 @@
 	Cores     float64
 	Known     transport.List // the list as last known
 	ListBytes int            // of one object of discovery's watch at most; 0: the usual
-	Terms     scheduler.Terms
+	Terms     scheduler.Settings
 	Names     settings.Names
 
 	Outlets    []Outlet          // beside the usual, named http
--- a/forwarder/figures.go
+++ b/forwarder/figures.go
@@ -51,7 +51,7 @@
 	}
 	open := 0
 	for _, p := range o.docs {
-		if !p.doc.Over() {
+		if !p.doc.Finished() {
 			open++
 		}
 	}
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer dialer.Stop()
-	order.Terms.Keep, order.Terms.Confirmed = led.Room(), true
+	order.Terms.MaxStoredBytes, order.Terms.AwaitAcknowledgement = led.Room(), true
 	order.askForList()
 	o := newOwner(order, log, x)
 	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, drains.New(readOut(order.Folder)), logTo
@@ -130,8 +130,8 @@
 
 // askForList tells the module that the list comes by a watch that is asked for, whatever discovery is like.
 func (o *Order) askForList() {
-	o.Terms.Agent = !o.Terms.AskList && o.Discovery != ""
-	o.Terms.AskList = true
+	o.Terms.LocalAgent = !o.Terms.PollEndpoints && o.Discovery != ""
+	o.Terms.PollEndpoints = true
 }
 
 // openMeter starts to serve the metrics, if the order asks for them.
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -158,10 +158,10 @@
 // goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
 func goldenStoreOwner() *owner {
 	order := &Order{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
-		Terms: scheduler.Terms{Types: []scheduler.DocType{
-			{Repeat: scheduler.Replayable},
-			{Repeat: scheduler.Numbered, Memory: 600},
-			{Repeat: scheduler.Binding, InOrder: true},
+		Terms: scheduler.Settings{Types: []scheduler.MessageType{
+			{Idempotency: scheduler.Idempotent},
+			{Idempotency: scheduler.IdempotentWithKey, DeduplicationWindow: 600},
+			{Idempotency: scheduler.AtMostOnce, InOrder: true},
 		}}}
 	return newOwner(order, zerolog.Nop(), newExchange())
 }
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -26,9 +26,9 @@
 // Transmit, Reject, Abandon, Recall, CloseIdle, Release, Wake, Watch and Log make an owner the choice.Host.
 
 // Transmit adds a document to the call that is being made up for the target, as far as one call carries them.
-func (o *owner) Transmit(d *scheduler.Doc, to *scheduler.Target, timeout float64) {
-	p, t := o.docs[d.Door], o.targets[to.Door]
-	if err := o.ledger.Out(d.Door, micros(o.clock(time.Now())), t.zone); err != nil {
+func (o *owner) Transmit(d *scheduler.Message, to *scheduler.Target, timeout float64) {
+	p, t := o.docs[d.ID], o.targets[to.Door]
+	if err := o.ledger.Out(d.ID, micros(o.clock(time.Now())), t.zone); err != nil {
 		o.logLedgerError(err)
 		c := &transport.Call{Door: to.Door, Target: t.addr, Papers: []transport.Paper{p.Paper}}
 		o.exchange.CallEnded(transport.Ended{Call: c, Ends: []transport.End{transport.Unsent}})
@@ -51,14 +51,14 @@
 	o.calls = append(o.calls, pending{t.outlet, call})
 }
 
-func (o *owner) Reject(d *scheduler.Doc, comeBack float64) {
+func (o *owner) Reject(d *scheduler.Message, comeBack float64) {
 	o.counts.returned++
-	o.answer(o.docs[d.Door], wal.Returned, int(comeBack*1000))
+	o.answer(o.docs[d.ID], wal.Returned, int(comeBack*1000))
 }
 
-func (o *owner) Abandon(d *scheduler.Doc) {
+func (o *owner) Abandon(d *scheduler.Message) {
 	o.counts.abandoned++
-	o.answer(o.docs[d.Door], wal.Abandoned, 0)
+	o.answer(o.docs[d.ID], wal.Abandoned, 0)
 }
 
 // answer records a final answer and tells it.
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -63,7 +63,7 @@
 func TestAnUnlistedDestinationIsToldNoTimeToComeBackWhereNoneIsAllowed(t *testing.T) {
 	for most, want := range map[float64]int{0: 0, 2: 1000} {
 		h := newHouse(t)
-		h.order.Terms.ComeBackMost = most
+		h.order.Terms.MaxRetryAfter = most
 		silent, err := emulator.NewTarget("", func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: make(chan struct{})} })
 		require.NoError(t, err)
 		h.order.Static, h.order.Discovery = nil, silent.Addr // it never tells its list
--- a/forwarder/learnt_test.go
+++ b/forwarder/learnt_test.go
@@ -16,21 +16,21 @@
 
 type silentHost struct{}
 
-func (silentHost) Transmit(*scheduler.Doc, *scheduler.Target, float64) {}
-func (silentHost) Reject(*scheduler.Doc, float64)                      {}
-func (silentHost) Abandon(*scheduler.Doc)                              {}
-func (silentHost) Recall(*scheduler.Target)                            {}
-func (silentHost) CloseIdle(*scheduler.Target)                         {}
-func (silentHost) Release(*scheduler.Target)                           {}
-func (silentHost) Wake(float64)                                        {}
-func (silentHost) Watch()                                              {}
-func (silentHost) Log(string)                                          {}
+func (silentHost) Transmit(*scheduler.Message, *scheduler.Target, float64) {}
+func (silentHost) Reject(*scheduler.Message, float64)                      {}
+func (silentHost) Abandon(*scheduler.Message)                              {}
+func (silentHost) Recall(*scheduler.Target)                                {}
+func (silentHost) CloseIdle(*scheduler.Target)                             {}
+func (silentHost) Release(*scheduler.Target)                               {}
+func (silentHost) Wake(float64)                                            {}
+func (silentHost) Watch()                                                  {}
+func (silentHost) Log(string)                                              {}
 
 // learning is an owner with a module and a folder, no sockets.
 func learning(folder string) (*owner, *bytes.Buffer) {
 	var said bytes.Buffer
 	order := &Order{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
-	order.Terms = scheduler.Terms{Types: []scheduler.DocType{{Agreed: 3, Life: 16}}, Forwarders: 200, Slots: 3, Room: 19}
+	order.Terms = scheduler.Settings{Types: []scheduler.MessageType{{LatencyObjective: 3, TimeToLive: 16}}, Forwarders: 200, ConcurrencyLimit: 3, QueueCapacity: 19}
 	o := &owner{order: order, log: zerolog.New(&said), dests: map[uint64]*scheduler.Destination{}, sweepAt: leastSweep}
 	o.f = scheduler.New(order.Terms, 7, 100, silentHost{})
 	o.learnt = readLearnt(folder, order.shape(), &o.log)
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -55,8 +55,8 @@
 	if e.Endpoint != "" {
 		t.addr = e.Endpoint
 	}
-	if kind < len(o.order.Terms.KindBatch) {
-		t.batch = max(1, o.order.Terms.KindBatch[kind])
+	if kind < len(o.order.Terms.KindBatchSize) {
+		t.batch = max(1, o.order.Terms.KindBatchSize[kind])
 	}
 	return t
 }
--- a/forwarder/list_test.go
+++ b/forwarder/list_test.go
@@ -14,7 +14,7 @@
 
 // listOwner is an event loop that hears of lists alone.
 func listOwner() *owner {
-	order := &Order{Terms: scheduler.Terms{Types: []scheduler.DocType{{Life: 20, Agreed: 3}}, Slots: 4, Room: 40, Forwarders: 1}}
+	order := &Order{Terms: scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 1}}
 	o := newOwner(order, zerolog.Nop(), newExchange())
 	o.rota = drains.New(nil)
 	o.f = scheduler.New(order.Terms, 1, 100, &wakeHost{})
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -13,7 +13,7 @@
 // paper is a document that is owed or was until just now.
 type paper struct {
 	transport.Paper
-	doc       *scheduler.Doc
+	doc       *scheduler.Message
 	typ       int
 	lane      backlog.Lane
 	inLane    *list.Element    // nil while no backlog store is used
@@ -33,7 +33,7 @@
 		came:   time.Now(),
 		traced: o.trace.picks(e.ID, e.Key),
 	}
-	p.doc = &scheduler.Doc{Door: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Dest), Size: e.Size(), Noticed: o.teller != nil}
+	p.doc = &scheduler.Message{ID: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Dest), Size: e.Size(), AnsweredByNotice: o.teller != nil}
 	o.docs[e.Seq], o.byID[e.ID] = p, p
 	return p
 }
@@ -59,7 +59,7 @@
 
 // removeIfDone lets go of a document if nothing more can be heard of it.
 func (o *owner) removeIfDone(p *paper) {
-	if p.doc.Over() {
+	if p.doc.Finished() {
 		o.noLongerUntried(p, false)
 		if p.withdrawn {
 			o.recordDone(p)
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -16,7 +16,7 @@
 // owner is what the one goroutine that owns the module works with.
 type owner struct {
 	order    *Order
-	asRead   scheduler.Terms // as the order has them
+	asRead   scheduler.Settings // as the order has them
 	exchange *Exchange
 	ledger   *wal.Ledger
 	stored   *stored // nil: messages wait in memory alone
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -47,7 +47,7 @@
 		o.tell(p, transport.Abandoned, 0)
 	}
 	left := float64(e.Expiry)/1e6 - o.clock(now)
-	if overtaking && !past.Answered && !past.Left {
+	if overtaking && !past.Answered && !past.CallerGone {
 		o.f.GiveUp(p.doc, typ, left, past)
 	} else {
 		o.f.Recover(p.doc, typ, left, past)
@@ -57,7 +57,7 @@
 		o.inMemory(p)
 	}
 	o.counts.recovered++
-	if p.untried = past.Sent == 0 && !past.Answered && !past.Left; p.untried {
+	if p.untried = past.Attempts == 0 && !past.Answered && !past.CallerGone; p.untried {
 		if o.figures.untried++; left <= 0 {
 			o.figures.expired++
 		}
@@ -78,18 +78,18 @@
 
 // pastOf is what the module is told of a document's earlier transmissions. One that was out when that process ended
 // counts as ended with it, and may have run.
-func (o *owner) pastOf(e *wal.Entry) scheduler.Past {
+func (o *owner) pastOf(e *wal.Entry) scheduler.RecoveredState {
 	if e.Out > 0 {
 		if err := o.ledger.Back(e.Seq, true); err != nil {
 			o.logLedgerError(err)
 		}
 	}
-	return scheduler.Past{
-		Sent:     e.Sent,
-		Ran:      float64(e.Ran) / 1e6,
-		Zone:     e.RanZone,
-		Answered: e.Answer != wal.None,
-		Left:     e.Held,
+	return scheduler.RecoveredState{
+		Attempts:   e.Sent,
+		FirstRanAt: float64(e.Ran) / 1e6,
+		Zone:       e.RanZone,
+		Answered:   e.Answer != wal.None,
+		CallerGone: e.Held,
 	}
 }
 
--- a/forwarder/watch_test.go
+++ b/forwarder/watch_test.go
@@ -27,7 +27,7 @@
 	longest := func(how transport.WatchEnd) (wait float64) {
 		for seed := range uint64(seeds) {
 			host, now := &wakeHost{}, 100.0
-			terms := scheduler.Terms{Types: []scheduler.DocType{{Life: 20, Agreed: 3}}, Slots: 4, Room: 40, Forwarders: 3, AskList: true, AskWithin: askWithin}
+			terms := scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 3, PollEndpoints: true, PollWithin: askWithin}
 			o := &owner{f: scheduler.New(terms, seed, now, host), log: zerolog.Nop()}
 			o.f.Clock(now)
 			o.f.Settle()
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -53,9 +53,9 @@
 
 func openRESP(f Front, most int, desk transport.Desk) (transport.Front, error) {
 	if f.Listener != nil {
-		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Patience{Silent: scheduler.KeepSilent, Quiet: scheduler.KeepQuiet}, desk)
+		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
 	}
-	return respserver.Open(f.Listen, most-spareClients, most, respserver.Patience{Silent: scheduler.KeepSilent, Quiet: scheduler.KeepQuiet}, desk)
+	return respserver.Open(f.Listen, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
 }
 
 func newHTTP(d *dial.Dialer, t Carrier, counter transport.Counter) transport.Outlet {
--- a/internal/backlog/policy/memory.go
+++ b/internal/backlog/policy/memory.go
@@ -11,7 +11,7 @@
 	expiryBatch  = 512  // messages that are answered at the end of their time in one turn of the event loop
 	expiryLead   = 3 * time.Second
 	fewHeld      = 4   // messages of a lane that find room in the reserve
-	reserveParts = 12  // the reserve is this part of Memory, beyond it
+	reserveParts = 12  // the reserve is this part of DeduplicationWindow, beyond it
 	mostLooked   = 256 // lanes that are looked at for moves in one turn of the event loop
 )
 
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -25,7 +25,7 @@
 	// Behind is how many messages of a lane stay in memory while its destination serves it and none is stored; more
 	// means that it is far behind.
 	Behind int
-	// Memory is how many messages of all lanes together stay in memory before new ones are stored; 0: no bound.
+	// DeduplicationWindow is how many messages of all lanes together stay in memory before new ones are stored; 0: no bound.
 	Memory int
 	// Batch is how many messages come back in one turn of the event loop, over all lanes.
 	Batch int
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -1,5 +1,5 @@
 // Package backlog keeps messages on disk that wait for a destination that is out or far behind, so that they do not
-// take memory: a queue for each lane (destination and tenant) over shared segments that are only appended to. Memory
+// take memory: a queue for each lane (destination and tenant) over shared segments that are only appended to. DeduplicationWindow
 // holds a fixed-size entry for each message, no text. What is stored when, and brought back when, is decided in package
 // backlog/policy; how a message moves between the write-ahead log and the store is in move.go.
 //
--- a/internal/commands/command.go
+++ b/internal/commands/command.go
@@ -222,7 +222,7 @@
 }
 
 func (p *plan) of(o *forwarder.Order) {
-	p.Name, p.Folder, p.Calls, p.Metrics = o.Name, o.Folder, o.Terms.Slots, o.Metrics
+	p.Name, p.Folder, p.Calls, p.Metrics = o.Name, o.Folder, o.Terms.ConcurrencyLimit, o.Metrics
 	p.Lines = o.Sockets - 32 - forwarder.Clients(o.Sockets)
 	p.Owner = wal.Owner(o.Folder)
 	if b := o.Backlog; b != nil {
@@ -342,7 +342,7 @@
 		{"discovery", o.Discovery, from("PROXY_DISCOVERY"), "reload"}, {"state", o.Folder, from("PROXY_STATE"), "restart"},
 		{"limits.cores", o.Cores, path, "restart"}, {"limits.memory_mb", o.MemoryMB, path, "restart"},
 		{"limits.sockets", o.Sockets, path, "restart"}, {"limits.disk_mb", o.DiskMB, path, "restart"},
-		{"settings", fmt.Sprintf("%d document types, %d slots", len(o.Terms.Types), o.Terms.Slots), path, "restart"}}
+		{"settings", fmt.Sprintf("%d document types, %d slots", len(o.Terms.Types), o.Terms.ConcurrencyLimit), path, "restart"}}
 }
 
 func (s *session) versionCommand() *cobra.Command {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -67,8 +67,8 @@
 		[]any{o.Name, o.MemoryMB, o.Sockets, o.Terms.Zone, int(o.Static.Targets[0].Dest), len(o.Fronts)})
 	require.Equal(t, forwarder.Front{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Fronts[0])
 	y := o.Terms.Types[0]
-	require.Equal(t, []any{true, 3.0, 24.0, 15.0}, []any{y.InOrder, y.Agreed, y.Life, y.Memory})
-	require.Equal(t, []float64{2.5}, o.Terms.TenantQuota)
+	require.Equal(t, []any{true, 3.0, 24.0, 15.0}, []any{y.InOrder, y.LatencyObjective, y.TimeToLive, y.DeduplicationWindow})
+	require.Equal(t, []float64{2.5}, o.Terms.TenantRate)
 	require.Equal(t, filepath.Join(filepath.Dir(path), "state"), o.Folder)
 	require.DirExists(t, o.Folder)
 	next, err := o.Reread()
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -137,11 +137,11 @@
 }
 
 // terms are what the module is told, and the names behind its numbers.
-func (l *Loaded) terms() (scheduler.Terms, settings.Names) {
+func (l *Loaded) terms() (scheduler.Settings, settings.Names) {
 	d := &l.Dispatch
-	t := scheduler.Terms{AskList: true, Forwarders: d.Forwarders, Slots: d.Slots, Room: d.Room, Transmissions: d.Transmissions, KeyRest: float64(d.KeyRest), AskWithin: float64(d.AskWithin),
-		ColdFrom: d.ColdFrom, ColdFor: float64(d.ColdFor), FallMultiple: d.FallMultiple, IdleLife: float64(d.IdleLife),
-		Halves: d.Late == "halves", ComeBackMost: float64(d.ComeBack), RoughRate: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
+	t := scheduler.Settings{PollEndpoints: true, Forwarders: d.Forwarders, ConcurrencyLimit: d.Slots, QueueCapacity: d.Room, MaxAttempts: d.Transmissions, KeyCooldown: float64(d.KeyRest), PollWithin: float64(d.AskWithin),
+		SlowStartShare: d.ColdFrom, SlowStartDuration: float64(d.ColdFor), OverloadMultiple: d.FallMultiple, IdleTimeout: float64(d.IdleLife),
+		HalvingValue: d.Late == "halves", MaxRetryAfter: float64(d.ComeBack), ListedRateTolerance: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
 	n := settings.Names{Zones: l.Zones, LimitAt: -1, Limit: d.ReportLimit, LeftAt: -1, Left: d.ReportLeft, Connect: float64(d.Connect)}
 	for i, z := range l.Zones {
 		if z == l.Zone {
@@ -149,17 +149,17 @@
 		}
 	}
 	for _, k := range l.Kinds {
-		t.KindBatch, t.KindApart = append(t.KindBatch, k.Batch), append(t.KindApart, k.RoutesApart)
+		t.KindBatchSize, t.KindEndpointLimits = append(t.KindBatchSize, k.Batch), append(t.KindEndpointLimits, k.RoutesApart)
 		n.Kinds = append(n.Kinds, k.Name)
 	}
 	for _, q := range l.Tenants {
-		t.TenantQuota = append(t.TenantQuota, q.PerSecond)
+		t.TenantRate = append(t.TenantRate, q.PerSecond)
 		n.Tenants = append(n.Tenants, q.Name)
 	}
-	words := map[string]scheduler.Repeat{"replayable": scheduler.Replayable, "numbered": scheduler.Numbered, "binding": scheduler.Binding}
+	words := map[string]scheduler.Idempotency{"replayable": scheduler.Idempotent, "numbered": scheduler.IdempotentWithKey, "binding": scheduler.AtMostOnce}
 	for _, y := range l.Types {
-		t.Types = append(t.Types, scheduler.DocType{Repeat: words[y.Repeat], ZoneGroup: y.Group == "zone", InOrder: y.InOrder,
-			Agreed: float64(y.Agreed), Life: float64(y.Life), Memory: float64(y.Memory), Value: y.Value, LateShare: y.LateShare})
+		t.Types = append(t.Types, scheduler.MessageType{Idempotency: words[y.Repeat], DeduplicatedPerZone: y.Group == "zone", InOrder: y.InOrder,
+			LatencyObjective: float64(y.Agreed), TimeToLive: float64(y.Life), DeduplicationWindow: float64(y.Memory), Value: y.Value, LateValueShare: y.LateShare})
 		n.Types = append(n.Types, y.Name)
 	}
 	return t, n
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -251,7 +251,7 @@
 	return n, false
 }
 
-// Sent tells if the socket took the last byte of all that was to be written. On a line that stands this may be so a moment
+// Attempts tells if the socket took the last byte of all that was to be written. On a line that stands this may be so a moment
 // later; to act on its not being so, Cut the line.
 func (l *Line) Sent() bool {
 	l.mu.Lock()
--- a/internal/respserver/accept.go
+++ b/internal/respserver/accept.go
@@ -64,7 +64,7 @@
 	return rankUnused
 }
 
-// opened takes a connection on. Over the bound it makes room by closing another.
+// opened takes a connection on. Finished the bound it makes room by closing another.
 func (in *Intake) opened(conn *nbio.Conn) {
 	now := time.Now()
 	c := &Client{intake: in, conn: conn, openedAt: now, lastReadAt: now}
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -60,58 +60,58 @@
 const limit, left = "x1", "x0"
 
 // Read decodes settings.
-func Read(text []byte) (scheduler.Terms, Names, error) {
+func Read(text []byte) (scheduler.Settings, Names, error) {
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return scheduler.Terms{}, Names{}, err
+		return scheduler.Settings{}, Names{}, err
 	}
 	switch {
 	case len(s.Classes) == 0:
-		return scheduler.Terms{}, Names{}, errors.New("no document type in Classes")
+		return scheduler.Settings{}, Names{}, errors.New("no document type in Classes")
 	case s.Extra.CallsOut < 1:
-		return scheduler.Terms{}, Names{}, errors.New("Extra.CallsOut is not a number of slots")
+		return scheduler.Settings{}, Names{}, errors.New("Extra.CallsOut is not a number of slots")
 	case s.NInstances < 1:
-		return scheduler.Terms{}, Names{}, errors.New("NInstances is not a number of forwarders")
+		return scheduler.Settings{}, Names{}, errors.New("NInstances is not a number of forwarders")
 	}
 	if err := s.check(); err != nil {
-		return scheduler.Terms{}, Names{}, err
+		return scheduler.Settings{}, Names{}, err
 	}
-	t := scheduler.Terms{KindBatch: s.Extra.KindBatch, KindApart: s.Extra.SeparateRoutes, Forwarders: s.NInstances,
-		Slots: s.Extra.CallsOut, Room: s.Limits.MaxOpen, Transmissions: s.Limits.AttemptsCap, Zone: s.MyZone,
-		KeyRest: s.Guarantees.KeyRest / 1000, ColdFrom: s.Guarantees.ColdFrom, ColdFor: s.Guarantees.Cold / 1000,
-		FallMultiple: s.Guarantees.FallMultiple, IdleLife: s.Limits.ConnIdle / 1000,
-		Halves: s.Extra.Decay == "halves", AskList: s.Discovery == "ask", AskWithin: s.Guarantees.AskWithin / 1000}
+	t := scheduler.Settings{KindBatchSize: s.Extra.KindBatch, KindEndpointLimits: s.Extra.SeparateRoutes, Forwarders: s.NInstances,
+		ConcurrencyLimit: s.Extra.CallsOut, QueueCapacity: s.Limits.MaxOpen, MaxAttempts: s.Limits.AttemptsCap, Zone: s.MyZone,
+		KeyCooldown: s.Guarantees.KeyRest / 1000, SlowStartShare: s.Guarantees.ColdFrom, SlowStartDuration: s.Guarantees.Cold / 1000,
+		OverloadMultiple: s.Guarantees.FallMultiple, IdleTimeout: s.Limits.ConnIdle / 1000,
+		HalvingValue: s.Extra.Decay == "halves", PollEndpoints: s.Discovery == "ask", PollWithin: s.Guarantees.AskWithin / 1000}
 	if s.Limits.RetryAfter {
-		t.ComeBackMost = s.Limits.MaxRetryAfter / 1000
+		t.MaxRetryAfter = s.Limits.MaxRetryAfter / 1000
 	}
 	switch s.WeightKind {
 	case "nominal":
-		t.RoughRate = 1
+		t.ListedRateTolerance = 1
 	case "rough":
-		t.RoughRate = 1.5
+		t.ListedRateTolerance = 1.5
 	}
 	f := Names{Zones: s.Azs, Kinds: s.Kinds, LimitAt: slices.Index(s.Report.Fields, limit), Limit: limit,
 		LeftAt: slices.Index(s.Report.Fields, left), Left: left,
 		Connect: s.Limits.ConnectTimeout / 1000}
 	for _, q := range s.Tenants {
-		t.TenantQuota = append(t.TenantQuota, q.QuotaRps)
+		t.TenantRate = append(t.TenantRate, q.QuotaRps)
 		f.Tenants = append(f.Tenants, q.Name)
 	}
 	for i, c := range s.Classes {
-		d := scheduler.DocType{ZoneGroup: c.Group == "zone", InOrder: c.Sequential, Agreed: c.Slo / 1000,
-			Life: c.HardLimit / 1000, Memory: c.MemorySpan / 1000, Value: 1, LateShare: c.LateShare}
+		d := scheduler.MessageType{DeduplicatedPerZone: c.Group == "zone", InOrder: c.Sequential, LatencyObjective: c.Slo / 1000,
+			TimeToLive: c.HardLimit / 1000, DeduplicationWindow: c.MemorySpan / 1000, Value: 1, LateValueShare: c.LateShare}
 		if c.Worth != nil {
 			d.Value = *c.Worth
 		}
 		switch c.Idempotency {
 		case "retryable":
-			d.Repeat = scheduler.Replayable
+			d.Idempotency = scheduler.Idempotent
 		case "dedup":
-			d.Repeat = scheduler.Numbered
+			d.Idempotency = scheduler.IdempotentWithKey
 		case "fragile":
-			d.Repeat = scheduler.Binding
+			d.Idempotency = scheduler.AtMostOnce
 		default:
-			return scheduler.Terms{}, Names{}, fmt.Errorf("Classes[%d].Idempotency: unknown word %q", i, c.Idempotency)
+			return scheduler.Settings{}, Names{}, fmt.Errorf("Classes[%d].Idempotency: unknown word %q", i, c.Idempotency)
 		}
 		t.Types = append(t.Types, d)
 		f.Types = append(f.Types, c.Name)
--- a/internal/settings/terms_test.go
+++ b/internal/settings/terms_test.go
@@ -15,17 +15,17 @@
 func TestTheSettingsOfTheMoveReachTheModule(t *testing.T) {
 	got, _, err := Read([]byte(moved))
 	require.NoError(t, err)
-	require.True(t, got.Halves)
-	require.Equal(t, 1.0, got.RoughRate)
-	require.Zero(t, got.ComeBackMost, "a rejection may not say when to come back")
+	require.True(t, got.HalvingValue)
+	require.Equal(t, 1.0, got.ListedRateTolerance)
+	require.Zero(t, got.MaxRetryAfter, "a rejection may not say when to come back")
 	require.Equal(t, []float64{1, 2}, []float64{got.Types[0].Value, got.Types[1].Value})
-	require.Equal(t, 0.5, got.Types[1].LateShare)
+	require.Equal(t, 0.5, got.Types[1].LateValueShare)
 }
 
 func TestWhereNothingIsSaidAllAreWorthTheSameAndFallEvenly(t *testing.T) {
 	got, _, err := Read([]byte(`{"Classes":[{"Idempotency":"retryable","Slo":1,"HardLimit":2}],"Extra":{"CallsOut":1},"NInstances":1}`))
 	require.NoError(t, err)
-	require.False(t, got.Halves)
+	require.False(t, got.HalvingValue)
 	require.Equal(t, 1.0, got.Types[0].Value)
 }
 
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -151,7 +151,7 @@
 	host    *Host
 	number  uint16
 	f       *scheduler.Forwarder
-	docs    map[uint32]*scheduler.Doc
+	docs    map[uint32]*scheduler.Message
 	dests   map[uint32]*scheduler.Destination
 	targets map[uint64]*scheduler.Target
 	limitAt int // place of the limit in a load report
@@ -275,7 +275,7 @@
 	if err != nil {
 		return fmt.Errorf("settings of instance %d: %w", number, err)
 	}
-	in := &instance{host: h, number: number, limitAt: fronts.LimitAt, leftAt: fronts.LeftAt, docs: map[uint32]*scheduler.Doc{},
+	in := &instance{host: h, number: number, limitAt: fronts.LimitAt, leftAt: fronts.LeftAt, docs: map[uint32]*scheduler.Message{},
 		dests: map[uint32]*scheduler.Destination{}, targets: map[uint64]*scheduler.Target{}}
 	in.f = scheduler.New(t, seed, now, in)
 	h.instances[number] = in
@@ -370,7 +370,7 @@
 		return nil, fmt.Errorf("document type %d is not in the settings", kind)
 	}
 	return func() {
-		d := &scheduler.Doc{Door: uint64(id), Tenant: int(tenant), Key: key, Dest: in.dest(uint32(dest))}
+		d := &scheduler.Message{ID: uint64(id), Tenant: int(tenant), Key: key, Dest: in.dest(uint32(dest))}
 		in.docs[id] = d
 		in.f.Take(d, int(kind), left)
 	}, nil
@@ -411,34 +411,34 @@
 }
 
 // release forgets a document of which nothing more can be heard.
-func (in *instance) release(d *scheduler.Doc) {
-	if d.Over() {
-		delete(in.docs, uint32(d.Door))
+func (in *instance) release(d *scheduler.Message) {
+	if d.Finished() {
+		delete(in.docs, uint32(d.ID))
 	}
 }
 
 // Transmit, Reject, Abandon, Recall, CloseIdle, Wake, Watch and Log make this the choice.Host.
 
-func (in *instance) Transmit(d *scheduler.Doc, t *scheduler.Target, timeout float64) {
+func (in *instance) Transmit(d *scheduler.Message, t *scheduler.Target, timeout float64) {
 	w := &in.host.out
 	w.record(0, in.number)
-	w.u32(uint32(d.Door))
+	w.u32(uint32(d.ID))
 	w.address(t.Door)
 	w.ms(timeout)
 }
 
-func (in *instance) Reject(d *scheduler.Doc, comeBack float64) {
+func (in *instance) Reject(d *scheduler.Message, comeBack float64) {
 	w := &in.host.out
 	w.record(1, in.number)
-	w.u32(uint32(d.Door))
+	w.u32(uint32(d.ID))
 	w.ms(comeBack)
 	in.release(d)
 }
 
-func (in *instance) Abandon(d *scheduler.Doc) {
+func (in *instance) Abandon(d *scheduler.Message) {
 	w := &in.host.out
 	w.record(2, in.number)
-	w.u32(uint32(d.Door))
+	w.u32(uint32(d.ID))
 	in.release(d)
 }
 
--- a/internal/upstream/outlet.go
+++ b/internal/upstream/outlet.go
@@ -17,7 +17,7 @@
 	handover     = time.Millisecond // in which what was read reaches the trunk
 )
 
-// Terms are the outlet's bounds.
+// Settings are the outlet's bounds.
 type Terms struct {
 	Connect  time.Duration // a connection that takes longer never comes up
 	KeepIdle time.Duration // an idle connection is closed after so long
--- a/internal/wal/ledger.go
+++ b/internal/wal/ledger.go
@@ -174,7 +174,7 @@
 	return filepath.Join(dir, fmt.Sprintf("%08d%s", number, suffix))
 }
 
-// Room is how many bytes of entries the ledger holds at most: half of the space beside what compacting needs, so
+// QueueCapacity is how many bytes of entries the ledger holds at most: half of the space beside what compacting needs, so
 // that writing anew always frees more than it takes.
 func (l *Ledger) Room() int { return int((l.limit - 3*l.reserve()) / 2) }
 
@@ -297,7 +297,7 @@
 	return l.append(binary.LittleEndian.AppendUint32(b, uint32(after)))
 }
 
-// Over records that nothing more is owed for a document.
+// Finished records that nothing more is owed for a document.
 func (l *Ledger) Over(seq uint64) error {
 	e := l.entries[seq]
 	if e == nil {
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -248,7 +248,7 @@
 // orders finds documents of a key that were sent before an earlier one was over: it has its final answer, and since a
 // transmission of it ended in a time-out, a reset or a cut, the key has rested. What such a transmission still does
 // later is beyond a forwarder, as the operators' page has it ("the attempt may still be executing; later requests for
-// that key shall therefore wait a further KeyRest").
+// that key shall therefore wait a further KeyCooldown").
 func (l *Log) orders() {
 	byKey := map[uint64][]*Doc{}
 	var keys []uint64
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -85,7 +85,7 @@
 }
 
 // policy is the scheduler, with its calls counted.
-func (o *outageCount) policy(terms scheduler.Terms, seed uint64, now float64, to scheduler.Host) sim.Policy {
+func (o *outageCount) policy(terms scheduler.Settings, seed uint64, now float64, to scheduler.Host) sim.Policy {
 	if o.begins == 0 {
 		o.begins = now // the first forwarder starts with the day
 	}
@@ -123,7 +123,7 @@
 }
 
 // Transmit counts a call; the scene's destinations take one message in each.
-func (h *countingHost) Transmit(d *scheduler.Doc, t *scheduler.Target, timeout float64) {
+func (h *countingHost) Transmit(d *scheduler.Message, t *scheduler.Target, timeout float64) {
 	h.count.sent(h.now)
 	h.Host.Transmit(d, t, timeout)
 }
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -119,8 +119,8 @@
 func TestARestartGivesBackAllThatIsOwed(t *testing.T) {
 	m := small(t, "restart", 2000)
 	require.NoError(t, m.openLog(2000))
-	require.NoError(t, m.recover(2000, recoverUntried, scheduler.Past{}))
-	require.NoError(t, m.recover(2000, recoverTried, scheduler.Past{Sent: 1}))
+	require.NoError(t, m.recover(2000, recoverUntried, scheduler.RecoveredState{}))
+	require.NoError(t, m.recover(2000, recoverTried, scheduler.RecoveredState{Attempts: 1}))
 	require.NoError(t, m.restartForwarder(2000))
 	for _, q := range []quantity{openTime, openMemory, recoverUntried, recoverTried, readyAfter, readyWithMemory} {
 		require.Positive(t, m.of(t, q).Points[0].Value, q.name)
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -27,8 +27,8 @@
 		measure func(size int) error
 	}{
 		{"the write-ahead log", 0.2, linearly, t.openLog},
-		{"the scheduler, none tried", 0.2, quadratically, func(size int) error { return t.recover(size, recoverUntried, scheduler.Past{}) }},
-		{"the scheduler, all tried once", 0.2, quadratically, func(size int) error { return t.recover(size, recoverTried, scheduler.Past{Sent: 1}) }},
+		{"the scheduler, none tried", 0.2, quadratically, func(size int) error { return t.recover(size, recoverUntried, scheduler.RecoveredState{}) }},
+		{"the scheduler, all tried once", 0.2, quadratically, func(size int) error { return t.recover(size, recoverTried, scheduler.RecoveredState{Attempts: 1}) }},
 		{"the forwarder", 0.4, linearly, t.restartForwarder},
 	} {
 		if err := t.sweep(s.what, s.share, s.growth, sizes(t.Largest), s.measure); err != nil {
@@ -85,7 +85,7 @@
 
 // recover measures from the scheduler's start until it has settled all that an earlier process owed. The destination's
 // wait outlasts the start, so that all of it stays held.
-func (t *trial) recover(size int, q quantity, past scheduler.Past) error {
+func (t *trial) recover(size int, q quantity, past scheduler.RecoveredState) error {
 	took, err := t.best(func() (float64, error) {
 		t.heap()
 		var s *measuredScheduler
@@ -103,12 +103,12 @@
 }
 
 // recovered starts a scheduler with what an earlier process owed to a destination that told a wait.
-func recovered(capacity, size int, past scheduler.Past, seed uint64) *measuredScheduler {
+func recovered(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.know(2)
 	s.Close(s.targets[1], s.now+toldWait)
 	for i := range size {
-		s.Recover(&scheduler.Doc{Door: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageLife, past)
+		s.Recover(&scheduler.Message{ID: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageLife, past)
 	}
 	s.Settle()
 	return s
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -12,20 +12,22 @@
 
 // host carries out nothing and counts what the scheduler decides.
 type host struct {
-	out      []*scheduler.Doc
+	out      []*scheduler.Message
 	ended    int // messages that were rejected or given up
 	released int // targets
 }
 
-func (h *host) Transmit(d *scheduler.Doc, _ *scheduler.Target, _ float64) { h.out = append(h.out, d) }
-func (h *host) Reject(*scheduler.Doc, float64)                            { h.ended++ }
-func (h *host) Abandon(*scheduler.Doc)                                    { h.ended++ }
-func (h *host) Recall(*scheduler.Target)                                  {}
-func (h *host) CloseIdle(*scheduler.Target)                               {}
-func (h *host) Release(*scheduler.Target)                                 { h.released++ }
-func (h *host) Wake(float64)                                              {}
-func (h *host) Watch()                                                    {}
-func (h *host) Log(string)                                                {}
+func (h *host) Transmit(d *scheduler.Message, _ *scheduler.Target, _ float64) {
+	h.out = append(h.out, d)
+}
+func (h *host) Reject(*scheduler.Message, float64) { h.ended++ }
+func (h *host) Abandon(*scheduler.Message)         { h.ended++ }
+func (h *host) Recall(*scheduler.Target)           {}
+func (h *host) CloseIdle(*scheduler.Target)        {}
+func (h *host) Release(*scheduler.Target)          { h.released++ }
+func (h *host) Wake(float64)                       {}
+func (h *host) Watch()                             {}
+func (h *host) Log(string)                         {}
 
 // measuredScheduler is the decision module with a clock of its own.
 type measuredScheduler struct {
@@ -38,10 +40,10 @@
 
 // newScheduler starts a scheduler that holds up to so many messages.
 func newScheduler(capacity int, seed uint64) *measuredScheduler {
-	terms := scheduler.Terms{
-		Types:     []scheduler.DocType{{Repeat: scheduler.Replayable, Agreed: 3, Life: messageLife, Value: 1}},
-		KindBatch: []int{1}, KindApart: []bool{false}, Forwarders: 1, Slots: 256, Room: capacity, Transmissions: 6, KeyRest: 0.1,
-		ColdFrom: 0.2, ColdFor: 10, IdleLife: 10, FallMultiple: 2, ComeBackMost: 2,
+	terms := scheduler.Settings{
+		Types:         []scheduler.MessageType{{Idempotency: scheduler.Idempotent, LatencyObjective: 3, TimeToLive: messageLife, Value: 1}},
+		KindBatchSize: []int{1}, KindEndpointLimits: []bool{false}, Forwarders: 1, ConcurrencyLimit: 256, QueueCapacity: capacity, MaxAttempts: 6, KeyCooldown: 0.1,
+		SlowStartShare: 0.2, SlowStartDuration: 10, IdleTimeout: 10, OverloadMultiple: 2, MaxRetryAfter: 2,
 	}
 	s := &measuredScheduler{host: &host{}, now: startsAt}
 	s.Forwarder = scheduler.New(terms, seed, s.now, s.host)
@@ -75,7 +77,7 @@
 }
 
 func (s *measuredScheduler) take(d *scheduler.Destination, number int) {
-	s.Take(&scheduler.Doc{Door: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
+	s.Take(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
 }
 
 // deliver takes a message and ends its call well: all decisions of one message.
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -68,7 +68,7 @@
 
 func TestASearchFindsWhereAPolicyDoesBadlyAndShrinksIt(t *testing.T) {
 	a := arm(t, "calm", nil)
-	bad := func(terms scheduler.Terms, seed uint64, now float64, h scheduler.Host) sim.Policy {
+	bad := func(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 		return &shut{Policy: sim.Module(terms, seed, now, h), began: now}
 	}
 	found := Search(context.Background(), a.Scene, bad, 1, 16, 1, nil)
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -16,8 +16,8 @@
 )
 
 // rampless is the module with the ramp after an outage off: what it believes a cold destination stands is without end.
-func rampless(terms scheduler.Terms, seed uint64, now float64, h scheduler.Host) sim.Policy {
-	terms.FallMultiple, terms.ColdFrom = 1e6, 1
+func rampless(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
+	terms.OverloadMultiple, terms.SlowStartShare = 1e6, 1
 	return sim.Module(terms, seed, now, h)
 }
 
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -11,7 +11,7 @@
 
 func exp(x float64) float64 { return math.Exp(x) }
 
-// Terms are what one destination is like.
+// Settings are what one destination is like.
 type Terms struct {
 	Service Dist
 	Places  int // calls that a target works on at once
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -326,22 +326,22 @@
 	return shape
 }
 
-// Terms are what the module is told: the same for every forwarder but for its zone.
-func (s *Scene) Terms(forwarder int) scheduler.Terms {
+// Settings are what the module is told: the same for every forwarder but for its zone.
+func (s *Scene) Terms(forwarder int) scheduler.Settings {
 	d := &s.Dispatch
-	t := scheduler.Terms{Forwarders: d.Forwarders, Slots: d.Slots, Room: d.Room, Transmissions: d.Transmissions, Zone: forwarder % s.Zones,
-		KeyRest: float64(d.KeyRest), ColdFrom: d.ColdFrom, ColdFor: float64(d.ColdFor), FallMultiple: d.FallMultiple,
-		IdleLife: float64(d.IdleLife), ComeBackMost: float64(d.ComeBack), RoughRate: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
+	t := scheduler.Settings{Forwarders: d.Forwarders, ConcurrencyLimit: d.Slots, QueueCapacity: d.Room, MaxAttempts: d.Transmissions, Zone: forwarder % s.Zones,
+		KeyCooldown: float64(d.KeyRest), SlowStartShare: d.ColdFrom, SlowStartDuration: float64(d.ColdFor), OverloadMultiple: d.FallMultiple,
+		IdleTimeout: float64(d.IdleLife), MaxRetryAfter: float64(d.ComeBack), ListedRateTolerance: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
 	for _, p := range s.Partners {
-		t.KindBatch, t.KindApart = append(t.KindBatch, p.Batch), append(t.KindApart, p.Apart)
+		t.KindBatchSize, t.KindEndpointLimits = append(t.KindBatchSize, p.Batch), append(t.KindEndpointLimits, p.Apart)
 	}
 	for _, q := range s.Tenants {
-		t.TenantQuota = append(t.TenantQuota, q.PerSecond)
+		t.TenantRate = append(t.TenantRate, q.PerSecond)
 	}
-	words := map[string]scheduler.Repeat{"replayable": scheduler.Replayable, "numbered": scheduler.Numbered, "binding": scheduler.Binding}
+	words := map[string]scheduler.Idempotency{"replayable": scheduler.Idempotent, "numbered": scheduler.IdempotentWithKey, "binding": scheduler.AtMostOnce}
 	for _, y := range s.Types {
-		t.Types = append(t.Types, scheduler.DocType{Repeat: words[y.Repeat], ZoneGroup: y.Group == "zone", InOrder: y.InOrder,
-			Agreed: float64(y.Agreed), Life: float64(y.Life), Memory: float64(y.Memory)})
+		t.Types = append(t.Types, scheduler.MessageType{Idempotency: words[y.Repeat], DeduplicatedPerZone: y.Group == "zone", InOrder: y.InOrder,
+			LatencyObjective: float64(y.Agreed), TimeToLive: float64(y.Life), DeduplicationWindow: float64(y.Memory)})
 	}
 	return t
 }
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -10,23 +10,25 @@
 // Baselines to compare the module with. They are for the laboratory only. The oracle sees the true state of all targets
 // and is a ceiling that may be out of reach.
 var Baselines = map[string]Maker{
-	"fifo": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy { return newPlain(t, now, h) },
-	"backoff": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
+	"fifo": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
+		return newPlain(t, now, h)
+	},
+	"backoff": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.backoff = true
 		return p
 	},
-	"bucket": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
+	"bucket": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.backoff, p.bucket = true, true
 		return p
 	},
-	"oracle": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
+	"oracle": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.seer = true
 		return p
 	},
-	"least-loaded": func(t scheduler.Terms, seed uint64, now float64, h scheduler.Host) Policy {
+	"least-loaded": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
 		p := newPlain(t, now, h)
 		p.backoff, p.least = true, true
 		return p
@@ -36,7 +38,7 @@
 // plain sends documents in the order of their coming and repeats what may be repeated. It heeds waits, drains, the order
 // of keys and what must not run twice; of cold returns and limits it knows nothing.
 type plain struct {
-	terms   scheduler.Terms
+	terms   scheduler.Settings
 	host    scheduler.Host
 	now     float64
 	held    []*plainDoc
@@ -89,8 +91,8 @@
 }
 
 type plainDoc struct {
-	is      *scheduler.Doc
-	typ     *scheduler.DocType
+	is      *scheduler.Message
+	typ     *scheduler.MessageType
 	expiry  float64
 	out     int
 	sent    int
@@ -104,7 +106,7 @@
 
 const plainTimeout = 2.0
 
-func newPlain(t scheduler.Terms, now float64, h scheduler.Host) *plain {
+func newPlain(t scheduler.Settings, now float64, h scheduler.Host) *plain {
 	return &plain{terms: t, host: h, now: now, byDoor: map[uint64]*plainDoc{}, dests: map[uint64]*plainDest{}}
 }
 
@@ -123,12 +125,12 @@
 			}
 		}
 		if t == nil {
-			t = &plainTarget{is: l.Target, zone: l.Zone, apart: l.Kind < len(p.terms.KindApart) && p.terms.KindApart[l.Kind]}
+			t = &plainTarget{is: l.Target, zone: l.Zone, apart: l.Kind < len(p.terms.KindEndpointLimits) && p.terms.KindEndpointLimits[l.Kind]}
 			d.targets = append(d.targets, t)
 		}
 		t.standing, t.batch = l.Standing, 1
-		if l.Kind < len(p.terms.KindBatch) {
-			t.batch = max(1, p.terms.KindBatch[l.Kind])
+		if l.Kind < len(p.terms.KindBatchSize) {
+			t.batch = max(1, p.terms.KindBatchSize[l.Kind])
 		}
 	}
 }
@@ -137,31 +139,31 @@
 func (p *plain) joins(t *plainTarget) bool { return p.seer && t.began == p.now && t.riders < t.batch }
 
 func (p *plain) Admit(size int, left float64) (bool, float64) {
-	return len(p.held) < p.terms.Room && left > 0.1, math.Min(1, p.terms.ComeBackMost)
+	return len(p.held) < p.terms.QueueCapacity && left > 0.1, math.Min(1, p.terms.MaxRetryAfter)
 }
 
-func (p *plain) Take(d *scheduler.Doc, typ int, left float64) {
+func (p *plain) Take(d *scheduler.Message, typ int, left float64) {
 	x := &plainDoc{is: d, typ: &p.terms.Types[typ], expiry: p.now + left}
 	p.held = append(p.held, x)
-	p.byDoor[d.Door] = x
+	p.byDoor[d.ID] = x
 	if x.typ.InOrder && d.Key != 0 {
 		dest := p.dests[d.Dest.Door]
 		dest.keys[d.Key] = append(dest.keys[d.Key], x)
 	}
 }
 
-func (p *plain) Recover(d *scheduler.Doc, typ int, left float64, past scheduler.Past) {
+func (p *plain) Recover(d *scheduler.Message, typ int, left float64, past scheduler.RecoveredState) {
 	p.Take(d, typ, left)
-	x := p.byDoor[d.Door]
-	x.sent, x.ran, x.zone = past.Sent, past.Ran, past.Zone
-	x.next = p.now + p.terms.KeyRest
+	x := p.byDoor[d.ID]
+	x.sent, x.ran, x.zone = past.Attempts, past.FirstRanAt, past.Zone
+	x.next = p.now + p.terms.KeyCooldown
 }
 
 func (p *plain) Clock(now float64) { p.now = now }
 func (p *plain) Woken()            { p.woken = false }
 
-func (p *plain) Ended(d *scheduler.Doc, e scheduler.Ending) {
-	x := p.byDoor[d.Door]
+func (p *plain) Ended(d *scheduler.Message, e scheduler.Ending) {
+	x := p.byDoor[d.ID]
 	if x == nil {
 		return
 	}
@@ -187,7 +189,7 @@
 		if x.ran == 0 {
 			x.ran, x.zone = p.now-e.Took, x.to.zone
 		}
-		x.restTil = p.now + p.terms.KeyRest + 0.01
+		x.restTil = p.now + p.terms.KeyCooldown + 0.01
 	}
 	if e.Over {
 		p.end(x)
@@ -230,20 +232,20 @@
 // hopeless tells that a document must not be transmitted any more, and whether it may be handed in again.
 func (p *plain) hopeless(x *plainDoc) (over, again bool) {
 	switch {
-	case p.now >= x.expiry-0.05 || x.sent >= p.terms.Transmissions:
-		return true, x.ran == 0 || x.typ.Repeat == scheduler.Replayable
-	case x.ran == 0 || x.typ.Repeat == scheduler.Replayable:
+	case p.now >= x.expiry-0.05 || x.sent >= p.terms.MaxAttempts:
+		return true, x.ran == 0 || x.typ.Idempotency == scheduler.Idempotent
+	case x.ran == 0 || x.typ.Idempotency == scheduler.Idempotent:
 		return false, false
-	case x.typ.Repeat == scheduler.Binding:
+	case x.typ.Idempotency == scheduler.AtMostOnce:
 		return p.fault != repeatsBinding, false
 	}
-	return p.now > x.ran+x.typ.Memory-plainTimeout-0.5, false
+	return p.now > x.ran+x.typ.DeduplicationWindow-plainTimeout-0.5, false
 }
 
 func (p *plain) Settle() {
 	all := append([]*plainDoc(nil), p.held...)
 	if p.seer { // those that can be in time still, before those that are late already
-		late := func(x *plainDoc) bool { return p.now > x.expiry-x.typ.Life+x.typ.Agreed }
+		late := func(x *plainDoc) bool { return p.now > x.expiry-x.typ.TimeToLive+x.typ.LatencyObjective }
 		slices.SortStableFunc(all, func(a, b *plainDoc) int {
 			switch la, lb := late(a), late(b); {
 			case la == lb:
@@ -265,14 +267,14 @@
 			p.end(x)
 			for range 1 + map[bool]int{true: 1}[p.fault == answersTwice] {
 				if again {
-					p.host.Reject(x.is, math.Min(1, p.terms.ComeBackMost))
+					p.host.Reject(x.is, math.Min(1, p.terms.MaxRetryAfter))
 				} else {
 					p.host.Abandon(x.is)
 				}
 			}
 			continue
 		}
-		if p.now < x.next || p.out >= p.terms.Slots {
+		if p.now < x.next || p.out >= p.terms.ConcurrencyLimit {
 			continue
 		}
 		d := p.dests[x.is.Dest.Door]
@@ -304,7 +306,7 @@
 		if t.standing != scheduler.Ready && p.fault != callsDraining || t.standing == scheduler.Gone || p.now < t.until+0.005 && p.fault != ignoresWaits {
 			continue
 		}
-		if x.ran > 0 && x.typ.Repeat == scheduler.Numbered && x.typ.ZoneGroup && t.zone != x.zone {
+		if x.ran > 0 && x.typ.Idempotency == scheduler.IdempotentWithKey && x.typ.DeduplicatedPerZone && t.zone != x.zone {
 			continue
 		}
 		if p.joins(t) {
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -86,8 +86,8 @@
 			continue
 		}
 		if h.out > 0 { // it was out when that process ended
-			if h.past.Ran == 0 {
-				h.past.Ran, h.past.Zone = h.out, h.outTo
+			if h.past.FirstRanAt == 0 {
+				h.past.FirstRanAt, h.past.Zone = h.out, h.outTo
 			}
 			h.out = 0
 		}
@@ -125,7 +125,7 @@
 
 func (n *node) keep(h *handing) {
 	h.node = n
-	h.doc = &scheduler.Doc{Door: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
+	h.doc = &scheduler.Message{ID: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
 	n.docs[h.id] = h
 	n.owed = append(n.owed, h)
 	if len(n.owed) > 64 && len(n.owed) > 4*len(n.docs) {
@@ -239,8 +239,8 @@
 	n.policy.Clock(d.Now())
 	for _, h := range c.docs {
 		d.result.Ends[a.End.String()]++
-		if a.End.Ran() && h.past.Ran == 0 {
-			h.past.Ran, h.past.Zone = h.out, h.outTo
+		if a.End.Ran() && h.past.FirstRanAt == 0 {
+			h.past.FirstRanAt, h.past.Zone = h.out, h.outTo
 		}
 		h.out = 0
 		if over {
@@ -380,9 +380,9 @@
 
 // Transmit, Reject, Abandon, Recall, CloseIdle, Release, Wake, Watch and Log make a node a choice.Host.
 
-func (n *node) Transmit(doc *scheduler.Doc, to *scheduler.Target, timeout float64) {
-	h, t := n.day.handed[doc.Door], n.byDoor[to.Door]
-	h.past.Sent++
+func (n *node) Transmit(doc *scheduler.Message, to *scheduler.Target, timeout float64) {
+	h, t := n.day.handed[doc.ID], n.byDoor[to.Door]
+	h.past.Attempts++
 	h.out, h.outTo = n.day.Now(), t.is.Zone
 	n.day.result.Transmissions++
 	batch := n.day.scene.Partners[n.day.group[t.is.Dest.Number]].Batch
@@ -397,11 +397,11 @@
 	n.calls = append(n.calls, &call{node: n, life: n.life, to: t, docs: []*handing{h}, allow: timeout})
 }
 
-func (n *node) Reject(doc *scheduler.Doc, comeBack float64) { n.answer(doc, "returned", comeBack) }
-func (n *node) Abandon(doc *scheduler.Doc)                  { n.answer(doc, "abandoned", 0) }
+func (n *node) Reject(doc *scheduler.Message, comeBack float64) { n.answer(doc, "returned", comeBack) }
+func (n *node) Abandon(doc *scheduler.Message)                  { n.answer(doc, "abandoned", 0) }
 
-func (n *node) answer(doc *scheduler.Doc, what string, comeBack float64) {
-	h := n.day.handed[doc.Door]
+func (n *node) answer(doc *scheduler.Message, what string, comeBack float64) {
+	h := n.day.handed[doc.ID]
 	h.over = true
 	if h.out == 0 {
 		delete(n.docs, h.id)
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -20,19 +20,19 @@
 	NewDestination(door uint64) *scheduler.Destination
 	List(whole bool, lines []scheduler.Listing)
 	Admit(size int, left float64) (taken bool, comeBack float64)
-	Take(d *scheduler.Doc, typ int, left float64)
-	Recover(d *scheduler.Doc, typ int, left float64, past scheduler.Past)
-	Ended(d *scheduler.Doc, e scheduler.Ending)
+	Take(d *scheduler.Message, typ int, left float64)
+	Recover(d *scheduler.Message, typ int, left float64, past scheduler.RecoveredState)
+	Ended(d *scheduler.Message, e scheduler.Ending)
 	Clock(now float64)
 	Woken()
 	Settle()
 }
 
 // Maker makes the policy of a forwarder.
-type Maker func(terms scheduler.Terms, seed uint64, now float64, host scheduler.Host) Policy
+type Maker func(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
 
 // Module is the decision module.
-func Module(terms scheduler.Terms, seed uint64, now float64, host scheduler.Host) Policy {
+func Module(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	return scheduler.New(terms, seed, now, host)
 }
 
@@ -65,9 +65,9 @@
 type handing struct {
 	id     uint64
 	of     *effect
-	doc    *scheduler.Doc
+	doc    *scheduler.Message
 	node   *node
-	past   scheduler.Past
+	past   scheduler.RecoveredState
 	out    float64 // begin of the transmission that is out
 	outTo  int     // the zone of its target
 	expiry float64
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -78,7 +78,7 @@
 			s = kept(t, c.scene)
 		}
 		make := func(fault fault) Maker {
-			return func(terms scheduler.Terms, _ uint64, now float64, h scheduler.Host) Policy {
+			return func(terms scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
 				p := newPlain(terms, now, h)
 				p.fault = fault
 				return p
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -40,7 +40,7 @@
 	count       int
 }
 
-func (c *startsInStandstill) make(terms scheduler.Terms, seed uint64, now float64, host scheduler.Host) Policy {
+func (c *startsInStandstill) make(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	if now > begins+c.from && now < begins+c.until {
 		c.count++
 	}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -6,23 +6,23 @@
 )
 
 // bare is a host that keeps only what is to be answered.
-type bare struct{ out []*Doc }
+type bare struct{ out []*Message }
 
-func (b *bare) Transmit(d *Doc, _ *Target, _ float64) { b.out = append(b.out, d) }
-func (b *bare) Reject(*Doc, float64)                  {}
-func (b *bare) Abandon(*Doc)                          {}
-func (b *bare) Recall(*Target)                        {}
-func (b *bare) CloseIdle(*Target)                     {}
-func (b *bare) Release(*Target)                       {}
-func (b *bare) Wake(float64)                          {}
-func (b *bare) Watch()                                {}
-func (b *bare) Log(string)                            {}
+func (b *bare) Transmit(d *Message, _ *Target, _ float64) { b.out = append(b.out, d) }
+func (b *bare) Reject(*Message, float64)                  {}
+func (b *bare) Abandon(*Message)                          {}
+func (b *bare) Recall(*Target)                            {}
+func (b *bare) CloseIdle(*Target)                         {}
+func (b *bare) Release(*Target)                           {}
+func (b *bare) Wake(float64)                              {}
+func (b *bare) Watch()                                    {}
+func (b *bare) Log(string)                                {}
 
 const benchLife = 1e6 // seconds
 
-func benchTerms(room int) Terms {
+func benchTerms(room int) Settings {
 	t := terms
-	t.Types, t.Slots, t.Room = []DocType{{Repeat: Replayable, Agreed: 3, Life: benchLife}}, 256, room
+	t.Types, t.ConcurrencyLimit, t.QueueCapacity = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchLife}}, 256, room
 	return t
 }
 
@@ -30,7 +30,7 @@
 func decide(f *Forwarder, h *bare, now *float64, to *Destination) {
 	*now += 0.001
 	f.Clock(*now)
-	f.Take(&Doc{Dest: to, Tenant: 9}, 0, benchLife)
+	f.Take(&Message{Dest: to, Tenant: 9}, 0, benchLife)
 	f.Settle()
 	for _, d := range h.out {
 		f.Ended(d, Ending{Outcome: Delivered, Over: true, Took: 0.05})
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -18,10 +18,10 @@
 	t.Helper()
 	const step, wellFor, downFor, watchedFor = 0.02, 20.0, 10.0, 14.0
 	terms := onSockets()
-	terms.Forwarders, terms.Room, terms.Slots = forwarders, 4000, 40
+	terms.Forwarders, terms.QueueCapacity, terms.ConcurrencyLimit = forwarders, 4000, 40
 	var nodes []*fake
 	for i := range forwarders {
-		h := &fake{now: 100, done: map[*Doc]string{}, back: map[*Doc]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 		h.Forwarder = New(terms, uint64(1000*forwarders+i), h.now, h)
 		h.receiver(0, 0)
 		nodes = append(nodes, h)
@@ -66,7 +66,7 @@
 	back := 100 + wellFor + downFor
 	worst = math.Inf(-1)
 	for i, from := range calls {
-		if from.at+coldWindow > back+terms.ColdFor {
+		if from.at+coldWindow > back+terms.SlowStartDuration {
 			break
 		}
 		n, knew := 0, 0
@@ -76,8 +76,8 @@
 			}
 			n++
 		}
-		warm := min(1, terms.ColdFrom+(1-terms.ColdFrom)*(from.at-back)/terms.ColdFor)
-		allowed := terms.FallMultiple * capacity * warm * coldWindow
+		warm := min(1, terms.SlowStartShare+(1-terms.SlowStartShare)*(from.at-back)/terms.SlowStartDuration)
+		allowed := terms.OverloadMultiple * capacity * warm * coldWindow
 		beyond := float64(n) - allowed - 2*math.Sqrt(allowed) - 2
 		if knew*3 > 2*n {
 			worst = math.Max(worst, beyond)
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -52,7 +52,7 @@
 func TestForwardersStartAtDifferentTargetsAndStayThere(t *testing.T) {
 	first := map[uint64]int{}
 	for seed := range uint64(40) {
-		h := &fake{now: 100, done: map[*Doc]string{}, back: map[*Doc]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 		h.Forwarder = New(terms, seed, h.now, h)
 		d := h.receiver(0, 0, 0)
 		for range 3 {
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -13,7 +13,7 @@
 	h.pass(22)
 	require.Empty(t, h.done)
 	h.pass(4)
-	require.Equal(t, map[*Doc]string{doc: "rejected"}, h.done)
+	require.Equal(t, map[*Message]string{doc: "rejected"}, h.done)
 	require.Positive(t, h.back[doc])
 	require.Empty(t, h.sent)
 }
@@ -24,7 +24,7 @@
 	h.pass(20.5)
 	require.Equal(t, "abandoned", h.done[doc])
 	h.ends(doc, TimedOut, 0)
-	require.True(t, doc.Over())
+	require.True(t, doc.Finished())
 }
 
 // A long line in which each document is transmitted just too late would make a good target look sick.
@@ -42,7 +42,7 @@
 	h.pass(0.1)
 	require.Len(t, h.sent, sent)
 	require.Equal(t, "rejected", h.done[late])
-	fresh := &Doc{Dest: d}
+	fresh := &Message{Dest: d}
 	h.Take(fresh, status, 0.5)
 	h.settle()
 	require.Equal(t, fresh, h.sent[sent].doc, "handed in with little time, it is tried at once")
@@ -52,7 +52,7 @@
 	h := start(terms)
 	d := h.receiver(0, 0)
 	first, long := h.take(d, status, 0), h.take(d, status, 0)
-	short := &Doc{Dest: d, Tenant: 9}
+	short := &Message{Dest: d, Tenant: 9}
 	h.Take(short, status, 4)
 	h.settle()
 	h.ends(first, Full, 9)
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -8,7 +8,7 @@
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
 	asks := terms
-	asks.AskList = true
+	asks.PollEndpoints = true
 	h := start(asks)
 	h.settle()
 	require.Equal(t, 1, h.asks)
@@ -22,7 +22,7 @@
 // failed come back ever later; asked again within a second, most never were.
 func TestManyForwardersThatAskAtOnceAreAllServed(t *testing.T) {
 	asks := terms
-	asks.AskList, asks.AskWithin, asks.Forwarders = true, 10, 36
+	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 36
 	type call struct {
 		of   *fake
 		came float64
@@ -31,7 +31,7 @@
 	var line []call
 	asked, served := map[*fake]int{}, map[*fake]bool{}
 	for seed := range asks.Forwarders {
-		h := &fake{now: 100, done: map[*Doc]string{}, back: map[*Doc]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 		h.Forwarder = New(asks, uint64(seed), h.now, h)
 		h.receiver(0, 0)
 		fleet = append(fleet, h)
@@ -64,7 +64,7 @@
 
 func TestAForwarderWithoutAListAsksAtOnce(t *testing.T) {
 	asks := terms
-	asks.AskList, asks.AskWithin, asks.Forwarders = true, 10, 300
+	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	h := start(asks)
 	h.settle()
 	require.Equal(t, 1, h.asks)
@@ -73,23 +73,23 @@
 	h.receiver(0, 0) // known from before
 	h.settle()
 	require.Zero(t, h.asks)
-	h.pass(asks.AskWithin / 2)
+	h.pass(asks.PollWithin / 2)
 	require.Equal(t, 1, h.asks)
 }
 
 func TestQuestionsForTheListStayWithinWhatTheRulesWant(t *testing.T) {
 	asks := terms
-	asks.AskList, asks.AskWithin, asks.Forwarders = true, 10, 300
+	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	h := start(asks)
 	h.settle()
 	for range 20 { // four times the time is theirs after a failure
 		was := h.asks
 		h.ListFailed()
-		h.pass(1.4 * asks.AskWithin)
+		h.pass(1.4 * asks.PollWithin)
 		require.Greater(t, h.asks, was)
 	}
 	h.List(true, nil)
 	h.ListFailed()
-	h.pass(1.3*asks.AskWithin/2 + 0.1) // the first failure after a list counts as the first
+	h.pass(1.3*asks.PollWithin/2 + 0.1) // the first failure after a list counts as the first
 	require.Equal(t, 22, h.asks)
 }
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -30,29 +30,29 @@
 
 // dueMessages is where a review finds what it has to look at.
 type dueMessages struct {
-	flying     []*Doc         // those that calls carry, a heap by expiry
-	timers     []*Doc         // those that wait, a heap by their timers
+	flying     []*Message     // those that calls carry, a heap by expiry
+	timers     []*Message     // those that wait, a heap by their timers
 	late       []*Destination // a heap by the time at which their first waiting message is late
 	touched    []*Destination // with news since the last review
-	candidates []*Doc
-	reviewed   []*Doc // the candidates of the latest review
-	fired      []*Doc // of this review
+	candidates []*Message
+	reviewed   []*Message // the candidates of the latest review
+	fired      []*Message // of this review
 }
 
 // expiries is the waiting messages of one destination, each in one heap by expiry.
 type expiries struct {
-	young, aged, owed []*Doc
-	fading            []*Doc // whose numbers are soon forgotten; those that do not wait any more are removed later
+	young, aged, owed []*Message
+	fading            []*Message // whose numbers are soon forgotten; those that do not wait any more are removed later
 }
 
 var (
-	byExpiry = ordering[*Doc]{
-		before:   func(a, b *Doc) bool { return a.expiry < b.expiry },
-		position: func(d *Doc) *int32 { return &d.expiryAt },
+	byExpiry = ordering[*Message]{
+		before:   func(a, b *Message) bool { return a.expiry < b.expiry },
+		position: func(d *Message) *int32 { return &d.expiryAt },
 	}
-	byTimer = ordering[*Doc]{
-		before:   func(a, b *Doc) bool { return a.timer < b.timer },
-		position: func(d *Doc) *int32 { return &d.timerAt },
+	byTimer = ordering[*Message]{
+		before:   func(a, b *Message) bool { return a.timer < b.timer },
+		position: func(d *Message) *int32 { return &d.timerAt },
 	}
 	byLate = ordering[*Destination]{
 		before:   func(a, b *Destination) bool { return a.lateAt < b.lateAt },
@@ -61,14 +61,14 @@
 )
 
 // agesAt is when a message can be late first, however slow its destination: see short.
-func (d *Doc) agesAt() float64 { return d.expiry - math.Max(lastCall, d.time/8) }
+func (d *Message) agesAt() float64 { return d.expiry - math.Max(lastCall, d.time/8) }
 
 // fadesAt is when a repeat of a message is given up if nothing answers, and forgottenAt when it is in any case.
-func (d *Doc) fadesAt() float64     { return d.ranFrom + d.typ.Memory*2/3 }
-func (d *Doc) forgottenAt() float64 { return d.ranFrom + d.typ.Memory - 0.05 }
+func (d *Message) fadesAt() float64     { return d.ranFrom + d.typ.DeduplicationWindow*2/3 }
+func (d *Message) forgottenAt() float64 { return d.ranFrom + d.typ.DeduplicationWindow - 0.05 }
 
 // await keeps a message that waits for a call, from its taking or from the end of a call on.
-func (f *Forwarder) await(d *Doc) {
+func (f *Forwarder) await(d *Message) {
 	f.unstage(d)
 	f.due.consider(d)
 	f.due.touch(d.Dest)
@@ -88,14 +88,14 @@
 }
 
 // depart keeps a message that a call carries from now on.
-func (f *Forwarder) depart(d *Doc) {
+func (f *Forwarder) depart(d *Message) {
 	f.unstage(d)
 	d.stage = stageOut
 	byExpiry.push(&f.due.flying, d)
 }
 
 // unstage takes a message out of all that tells when it is due.
-func (f *Forwarder) unstage(d *Doc) {
+func (f *Forwarder) unstage(d *Message) {
 	byTimer.remove(&f.due.timers, d)
 	if d.stage == stageOut {
 		byExpiry.remove(&f.due.flying, d)
@@ -105,7 +105,7 @@
 	d.stage = stageNone
 }
 
-func (d *Destination) stage(doc *Doc, s stage) {
+func (d *Destination) stage(doc *Message, s stage) {
 	if d.expiries == nil {
 		d.expiries = &expiries{}
 	}
@@ -114,7 +114,7 @@
 }
 
 // heap is where messages of a stage are, nil for those that are in none of the destination's.
-func (d *Destination) heap(s stage) *[]*Doc {
+func (d *Destination) heap(s stage) *[]*Message {
 	switch s {
 	case stageYoung:
 		return &d.expiries.young
@@ -128,13 +128,13 @@
 }
 
 // setTimer sets a waiting message's timer to the next time at which it may be due or changes its stage.
-func (f *Forwarder) setTimer(d *Doc) {
+func (f *Forwarder) setTimer(d *Message) {
 	byTimer.remove(&f.due.timers, d)
 	d.timer = math.Inf(1)
 	if d.stage == stageYoung || d.stage == stageFresh {
 		d.timer = d.agesAt()
 	}
-	if d.ranFrom > 0 && d.typ.Repeat == Numbered {
+	if d.ranFrom > 0 && d.typ.Idempotency == IdempotentWithKey {
 		for _, at := range [...]float64{d.fadesAt(), d.forgottenAt()} {
 			if !(f.now > at) {
 				d.timer = math.Min(d.timer, at)
@@ -147,7 +147,7 @@
 }
 
 // consider has the next review look at a message.
-func (u *dueMessages) consider(d *Doc) {
+func (u *dueMessages) consider(d *Message) {
 	if !d.considered {
 		d.considered = true
 		u.candidates = append(u.candidates, d)
@@ -163,10 +163,10 @@
 }
 
 // collectDue is the messages that the review has to look at, in the order of taking. They are valid until the next call.
-func (f *Forwarder) collectDue() []*Doc {
+func (f *Forwarder) collectDue() []*Message {
 	u := &f.due
 	limit := f.now + timerSlack
-	visit(u.flying, func(d *Doc) bool { return d.expiry+overdue <= limit }, u.consider)
+	visit(u.flying, func(d *Message) bool { return d.expiry+overdue <= limit }, u.consider)
 	f.fireTimers(limit)
 	visit(u.late, func(d *Destination) bool { return d.lateAt <= limit }, u.touch)
 	for _, d := range u.touched {
@@ -180,12 +180,12 @@
 	for _, d := range found {
 		d.considered = false
 	}
-	slices.SortFunc(found, func(a, b *Doc) int { return cmp.Compare(a.taking, b.taking) })
+	slices.SortFunc(found, func(a, b *Message) int { return cmp.Compare(a.taking, b.taking) })
 	return found
 }
 
 // scratch is the array of the latest review's candidates, emptied, unless it is large.
-func (u *dueMessages) scratch() []*Doc {
+func (u *dueMessages) scratch() []*Message {
 	if cap(u.reviewed) > scratchMost {
 		return nil
 	}
@@ -196,8 +196,8 @@
 // fireTimers moves on the messages whose timers have fired.
 func (f *Forwarder) fireTimers(limit float64) {
 	u := &f.due
-	within := func(d *Doc) bool { return d.timer <= limit }
-	visit(u.timers, within, func(d *Doc) { u.fired = append(u.fired, d) })
+	within := func(d *Message) bool { return d.timer <= limit }
+	visit(u.timers, within, func(d *Message) { u.fired = append(u.fired, d) })
 	for _, d := range u.fired {
 		u.consider(d)
 		f.fire(d, limit)
@@ -206,7 +206,7 @@
 }
 
 // fire carries out what the time has brought to a waiting message.
-func (f *Forwarder) fire(d *Doc, limit float64) {
+func (f *Forwarder) fire(d *Message, limit float64) {
 	if limit >= d.agesAt() {
 		f.age(d)
 	}
@@ -215,15 +215,15 @@
 }
 
 // fade enters a message whose number is soon forgotten among those that are given up if nothing answers.
-func (f *Forwarder) fade(d *Doc, limit float64) {
-	if d.ranFrom > 0 && d.typ.Repeat == Numbered && !d.fading && limit >= d.fadesAt() {
+func (f *Forwarder) fade(d *Message, limit float64) {
+	if d.ranFrom > 0 && d.typ.Idempotency == IdempotentWithKey && !d.fading && limit >= d.fadesAt() {
 		d.fading = true
 		d.Dest.expiries.fading = append(d.Dest.expiries.fading, d)
 	}
 }
 
 // age makes a message one that may be late.
-func (f *Forwarder) age(d *Doc) {
+func (f *Forwarder) age(d *Message) {
 	next := stageAged
 	switch d.stage {
 	case stageYoung:
@@ -245,14 +245,14 @@
 		return
 	}
 	shut := d.shutUntil()
-	outlasted := func(doc *Doc) bool { return doc.expiry <= shut }
+	outlasted := func(doc *Message) bool { return doc.expiry <= shut }
 	visit(e.young, outlasted, f.due.consider)
 	visit(e.aged, outlasted, f.due.consider)
 	margin := math.Max(lastCall, d.took.slow)
-	late := func(doc *Doc) bool { return doc.expiry-margin <= limit }
+	late := func(doc *Message) bool { return doc.expiry-margin <= limit }
 	visit(e.aged, late, f.due.consider)
 	visit(e.owed, late, f.due.consider)
-	e.fading = slices.DeleteFunc(e.fading, func(doc *Doc) bool {
+	e.fading = slices.DeleteFunc(e.fading, func(doc *Message) bool {
 		doc.fading = doc.queued
 		return !doc.queued
 	})
@@ -271,7 +271,7 @@
 func (f *Forwarder) scheduleLate(d *Destination, margin float64) {
 	byLate.remove(&f.due.late, d)
 	first := math.Inf(1)
-	for _, heap := range [...][]*Doc{d.expiries.aged, d.expiries.owed} {
+	for _, heap := range [...][]*Message{d.expiries.aged, d.expiries.owed} {
 		if len(heap) > 0 {
 			first = math.Min(first, heap[0].expiry)
 		}
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -11,22 +11,22 @@
 )
 
 // missed is the first message that a review should have answered and did not, found by a walk over all that is held.
-func missed(f *Forwarder) (d *Doc, why string) {
+func missed(f *Forwarder) (d *Message, why string) {
 	for d := range f.held.all() {
-		mayRun := d.ranFrom > 0 && d.typ.Repeat != Replayable
+		mayRun := d.ranFrom > 0 && d.typ.Idempotency != Idempotent
 		switch {
 		case d.call != nil && f.now < d.expiry+overdue:
 		case d.call != nil:
 			return d, "its call is overdue"
-		case mayRun && d.typ.Repeat == Binding:
+		case mayRun && d.typ.Idempotency == AtMostOnce:
 			return d, "it may have run and must not run twice"
 		case mayRun && f.now > d.forgottenAt():
 			return d, "its number is forgotten"
-		case mayRun && !d.typ.ZoneGroup && f.now > d.fadesAt() && f.dark(d.Dest):
+		case mayRun && !d.typ.DeduplicatedPerZone && f.now > d.fadesAt() && f.dark(d.Dest):
 			return d, "its number is soon forgotten and nothing answers"
 		case f.short(d):
 			return d, "its time is too short"
-		case f.terms.Transmissions > 0 && d.sent >= f.terms.Transmissions:
+		case f.terms.MaxAttempts > 0 && d.sent >= f.terms.MaxAttempts:
 			return d, "it has no call left"
 		}
 	}
@@ -65,26 +65,26 @@
 func randomDay(seed uint64, check func(*Forwarder)) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	day := terms
-	day.Forwarders, day.Slots, day.Room = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
-	day.Halves, day.Confirmed, day.TenantQuota = random.IntN(2) == 0, random.IntN(2) == 0, []float64{5, 20}
+	day.Forwarders, day.ConcurrencyLimit, day.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
+	day.HalvingValue, day.AwaitAcknowledgement, day.TenantRate = random.IntN(2) == 0, random.IntN(2) == 0, []float64{5, 20}
 	h := start(day)
 	var dests []*Destination
 	for kind := range 3 {
 		dests = append(dests, h.receiver(kind, 0, 1))
 	}
 	for range 30 {
-		doc := &Doc{Dest: dests[random.IntN(3)], Key: uint64(random.IntN(4))}
+		doc := &Message{Dest: dests[random.IntN(3)], Key: uint64(random.IntN(4))}
 		typ := random.IntN(len(day.Types))
-		h.Recover(doc, typ, random.Float64()*day.Types[typ].Life, Past{Sent: random.IntN(3), Ran: h.now - 20*random.Float64()})
+		h.Recover(doc, typ, random.Float64()*day.Types[typ].TimeToLive, RecoveredState{Attempts: random.IntN(3), FirstRanAt: h.now - 20*random.Float64()})
 	}
-	answered := map[*Doc]bool{}
+	answered := map[*Message]bool{}
 	for range 1500 {
 		h.now += 0.03 * random.ExpFloat64()
 		h.Clock(h.now)
-		if doc := (&Doc{Dest: dests[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}); random.IntN(3) > 0 {
+		if doc := (&Message{Dest: dests[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}); random.IntN(3) > 0 {
 			typ := random.IntN(len(day.Types))
-			if taken, _ := h.Admit(0, day.Types[typ].Life); taken {
-				h.Take(doc, typ, day.Types[typ].Life*random.Float64())
+			if taken, _ := h.Admit(0, day.Types[typ].TimeToLive); taken {
+				h.Take(doc, typ, day.Types[typ].TimeToLive*random.Float64())
 			}
 		}
 		for _, s := range h.sent {
@@ -95,7 +95,7 @@
 		}
 		h.sent = slices.DeleteFunc(h.sent, func(s transmission) bool { return s.doc.call == nil })
 		for doc := range h.done {
-			if doc.Telling() && !answered[doc] && random.IntN(3) == 0 {
+			if doc.AwaitingAcknowledgement() && !answered[doc] && random.IntN(3) == 0 {
 				answered[doc] = true
 				h.Told(doc)
 			}
@@ -160,12 +160,12 @@
 		dests = append(dests, d)
 	}
 	f.Clock(now)
-	f.Take(&Doc{Dest: dests[1], Tenant: 9}, 0, benchLife)
+	f.Take(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
 	f.Settle()
 	f.Ended(h.out[0], Ending{Outcome: Full, Took: 0.05, Wait: benchLife / 10})
 	h.out = h.out[:0]
 	for range n {
-		f.Take(&Doc{Dest: dests[1], Tenant: 9}, 0, benchLife)
+		f.Take(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
 	}
 	f.Settle()
 	return f, h, now, dests[0]
@@ -177,7 +177,7 @@
 		now += 0.02
 		f.Clock(now)
 		f.Woken()
-		f.Take(&Doc{Dest: other, Tenant: 9}, 0, benchLife)
+		f.Take(&Message{Dest: other, Tenant: 9}, 0, benchLife)
 		require.LessOrEqual(t, len(f.collectDue()), 3, "the fresh message alone, not those that wait")
 		f.Settle()
 		require.Len(t, h.out, 1)
@@ -220,7 +220,7 @@
 		f := New(day, 7, 100, &bare{})
 		d := f.NewDestination(1)
 		for range n {
-			f.Take(&Doc{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
+			f.Take(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
 		}
 		f.Settle()
 		f.Clock(100 + 2*benchLife)
@@ -234,7 +234,7 @@
 		f := New(benchTerms(10*n), 7, 100, &bare{})
 		d := f.NewDestination(1)
 		for i := range n {
-			f.Recover(&Doc{Dest: d, Tenant: 9}, 0, benchLife, Past{Sent: i % 2})
+			f.Recover(&Message{Dest: d, Tenant: 9}, 0, benchLife, RecoveredState{Attempts: i % 2})
 		}
 		f.Settle()
 		require.Equal(t, n, f.held.count)
@@ -247,7 +247,7 @@
 		f := New(benchTerms(10*n), 7, now, h)
 		d := f.NewDestination(1)
 		for range n {
-			f.Take(&Doc{Dest: d, Tenant: 9}, 0, benchLife)
+			f.Take(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 		}
 		f.List(false, []Listing{{Target: &Target{}, Dest: d, Standing: Ready}})
 		for f.held.count > 0 {
@@ -268,10 +268,10 @@
 		f := New(day, 7, 100, &bare{})
 		d := f.NewDestination(1)
 		for range n / 2 {
-			f.Take(&Doc{Dest: d, Tenant: 9}, 0, benchLife)
+			f.Take(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 		}
 		for range n {
-			f.Take(&Doc{Dest: d, Tenant: 9}, 0, benchLife)
+			f.Take(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 			f.Settle()
 		}
 		require.LessOrEqual(t, float64(f.held.count), roomFull*float64(n))
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -19,20 +19,20 @@
 	seen        []int   // transmissions of each node that were taken note of
 	late        []due
 	calls, full int
-	took        map[*Doc]int
+	took        map[*Message]int
 }
 
 type due struct {
 	at   float64
 	node *fake
-	doc  *Doc
+	doc  *Message
 	end  Ending
 }
 
 func newFleet(n int, limit float64) *fleet {
 	t := terms
 	t.Forwarders = n
-	f := &fleet{now: 100, limit: limit, room: limit / 2, debt: 1, seen: make([]int, n), took: map[*Doc]int{}}
+	f := &fleet{now: 100, limit: limit, room: limit / 2, debt: 1, seen: make([]int, n), took: map[*Message]int{}}
 	for i := range n {
 		h := start(t)
 		h.Forwarder = New(t, uint64(i+1), 100, h)
@@ -70,7 +70,7 @@
 	return f.calls, f.full
 }
 
-func (f *fleet) call(h *fake, doc *Doc) {
+func (f *fleet) call(h *fake, doc *Message) {
 	f.calls++
 	e := Ending{Outcome: Delivered, Over: true, Took: 0.1, Most: f.limit, Left: Limit(max(0, (f.room-1)/(f.limit/2)))}
 	if f.room--; f.hung || f.room < 0 {
@@ -92,7 +92,7 @@
 	f := newFleet(100, 10)
 	f.mute, f.debt = true, 5
 	for i, h := range f.nodes {
-		h.terms.RoughRate, h.dests[0].listed = 1, 10
+		h.terms.ListedRateTolerance, h.dests[0].listed = 1, 10
 		if i%4 == 0 { // two and a half seconds of the limit, all at once
 			h.flood(h.dests[0], status, 1+i%8/4*2)
 		}
@@ -134,12 +134,12 @@
 	f := newFleet(60, 20)
 	f.pass(5, 6)
 	again := newFleet(60, 20)
-	owed := map[*Doc]bool{}
+	owed := map[*Message]bool{}
 	for i, h := range f.nodes {
 		for d := range h.held.all() {
 			n := again.nodes[i]
-			doc := &Doc{Door: d.Door, Dest: n.dests[0], Tenant: 9}
-			n.Recover(doc, status, 15, Past{Sent: d.sent, Ran: d.ranFrom})
+			doc := &Message{ID: d.ID, Dest: n.dests[0], Tenant: 9}
+			n.Recover(doc, status, 15, RecoveredState{Attempts: d.sent, FirstRanAt: d.ranFrom})
 			owed[doc] = true
 		}
 		for range 3 { // and what was handed in meanwhile
@@ -162,7 +162,7 @@
 	f := newFleet(200, 20)
 	f.mute, f.hung = true, true
 	for _, h := range f.nodes {
-		h.terms.RoughRate, h.dests[0].listed = 1, 20
+		h.terms.ListedRateTolerance, h.dests[0].listed = 1, 20
 	}
 	f.pass(10, 20)
 	calls, _ := f.pass(2, 0) // as it returns
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -7,11 +7,11 @@
 
 // heldList is the messages of a forwarder that are not answered, in the order of taking.
 type heldList struct {
-	first, last *Doc
+	first, last *Message
 	count       int
 }
 
-func (l *heldList) add(d *Doc) {
+func (l *heldList) add(d *Message) {
 	d.previous = l.last
 	if l.last == nil {
 		l.first = d
@@ -22,7 +22,7 @@
 	l.count++
 }
 
-func (l *heldList) remove(d *Doc) {
+func (l *heldList) remove(d *Message) {
 	if d.previous == nil {
 		l.first = d.next
 	} else {
@@ -37,8 +37,8 @@
 	l.count--
 }
 
-func (l *heldList) all() iter.Seq[*Doc] {
-	return func(yield func(*Doc) bool) {
+func (l *heldList) all() iter.Seq[*Message] {
+	return func(yield func(*Message) bool) {
 		for d := l.first; d != nil; d = d.next {
 			if !yield(d) {
 				return
@@ -50,13 +50,13 @@
 // class is a destination's held messages of one type that are alike in being beyond their tenant's share or not, in
 // the order of taking: what may have to make room for others. Messages that a restart found untried are in none.
 type class struct {
-	docType     *DocType
+	docType     *MessageType
 	surplus     bool
-	first, last *Doc
+	first, last *Message
 }
 
 // classify enters a message that was just taken in its class.
-func (d *Destination) classify(doc *Doc) {
+func (d *Destination) classify(doc *Message) {
 	c := d.class(doc)
 	doc.class, doc.classPrevious = c, c.last
 	if c.last == nil {
@@ -67,7 +67,7 @@
 	c.last = doc
 }
 
-func (d *Destination) class(doc *Doc) *class {
+func (d *Destination) class(doc *Message) *class {
 	for _, c := range d.classes {
 		if c.docType == doc.typ && c.surplus == doc.surplus {
 			return c
@@ -79,7 +79,7 @@
 }
 
 // declassify takes a message out of its class.
-func (doc *Doc) declassify() {
+func (doc *Message) declassify() {
 	c := doc.class
 	if c == nil {
 		return
@@ -98,7 +98,7 @@
 }
 
 // oldest is the first message of a class that waits for a call, nil if none does.
-func (c *class) oldest() *Doc {
+func (c *class) oldest() *Message {
 	doc := c.first
 	for doc != nil && !doc.queued {
 		doc = doc.classNext
@@ -108,8 +108,8 @@
 
 // cheapest is the message of a class that waits, surely has not run and is worth least now; of several the latest.
 // While value does not change with age the search ends at the first one from the end of the class.
-func (f *Forwarder) cheapest(c *class) *Doc {
-	var least *Doc
+func (f *Forwarder) cheapest(c *class) *Message {
+	var least *Message
 	for doc := c.last; doc != nil; doc = doc.classPrevious {
 		if !doc.queued || doc.ranFrom != 0 {
 			continue
@@ -117,7 +117,7 @@
 		if least == nil || f.worth(doc) < f.worth(least) {
 			least = doc
 		}
-		if !f.terms.Halves {
+		if !f.terms.HalvingValue {
 			break
 		}
 	}
@@ -126,11 +126,11 @@
 
 // victim is the waiting message of a destination that makes room for others: of those that surely have not run the one
 // worth least, of several the latest; the oldest one if only it is worth less or nothing else waits. Nil: none waits.
-func (f *Forwarder) victim(d *Destination) *Doc {
+func (f *Forwarder) victim(d *Destination) *Message {
 	if d == nil {
 		return nil
 	}
-	var oldest, least *Doc
+	var oldest, least *Message
 	for _, c := range d.classes {
 		if doc := c.oldest(); doc != nil && (oldest == nil || doc.taking < oldest.taking) {
 			oldest = doc
@@ -151,12 +151,12 @@
 
 // chain is the messages of one ordering key that are not over, in the order of taking.
 type chain struct {
-	first, last *Doc
+	first, last *Message
 	rest        float64 // nothing new before
 }
 
 // chain puts a message behind the earlier ones of its key.
-func (f *Forwarder) chain(d *Doc) {
+func (f *Forwarder) chain(d *Message) {
 	if !d.typ.InOrder || d.Key == 0 {
 		return
 	}
@@ -188,8 +188,8 @@
 }
 
 // unchain lets go of a message of which nothing more can be heard. The next one of its key may be sent then.
-func (f *Forwarder) unchain(d *Doc) {
-	if !d.Over() {
+func (f *Forwarder) unchain(d *Message) {
+	if !d.Finished() {
 		return
 	}
 	if !d.freed {
@@ -212,7 +212,7 @@
 	}
 }
 
-func (c *chain) remove(d *Doc) {
+func (c *chain) remove(d *Message) {
 	if d.chainPrevious == nil {
 		c.first = d.chainNext
 	} else {
@@ -228,10 +228,10 @@
 
 // NextOfKey is the next message of the same ordering key that is not over, in the order of taking; nil if there is none
 // or the message's type does not keep the order of keys.
-func (d *Doc) NextOfKey() *Doc { return d.chainNext }
+func (d *Message) NextOfKey() *Message { return d.chainNext }
 
 // Waiting tells that a message waits for a call: it may be taken back by Withdrawn without a trace.
-func (d *Doc) Waiting() bool { return d.queued }
+func (d *Message) Waiting() bool { return d.queued }
 
 // Dark tells that no target of a destination answers.
 func (f *Forwarder) Dark(d *Destination) bool { return f.dark(d) }
@@ -248,8 +248,8 @@
 }
 
 // TakeBack takes a message that was kept elsewhere, with its history, before anything newer of its key.
-func (f *Forwarder) TakeBack(d *Doc, typ int, left float64, past Past) {
-	if past.Sent > 0 {
+func (f *Forwarder) TakeBack(d *Message, typ int, left float64, past RecoveredState) {
+	if past.Attempts > 0 {
 		f.Recover(d, typ, left, past)
 	} else {
 		f.Take(d, typ, left)
@@ -257,7 +257,7 @@
 }
 
 // GiveUp takes a message that was kept elsewhere, with its history, and has the next settling answer it without a call.
-func (f *Forwarder) GiveUp(d *Doc, typ int, left float64, past Past) {
+func (f *Forwarder) GiveUp(d *Message, typ int, left float64, past RecoveredState) {
 	f.Recover(d, typ, left, past)
 	f.Uncount(d.Dest)
 	if !d.answered {
--- a/scheduler/host_test.go
+++ b/scheduler/host_test.go
@@ -7,8 +7,8 @@
 	*Forwarder
 	now  float64
 	sent []transmission
-	done map[*Doc]string
-	back map[*Doc]float64
+	done map[*Message]string
+	back map[*Message]float64
 	asks int
 
 	recalled []*Target
@@ -17,17 +17,17 @@
 }
 
 type transmission struct {
-	doc     *Doc
+	doc     *Message
 	target  *Target
 	at      float64
 	timeout float64
 }
 
-var terms = Terms{Types: []DocType{{Repeat: Numbered, InOrder: true, Agreed: 3, Life: 24, Memory: 15},
-	{Repeat: Replayable, Agreed: 3, Life: 20}, {Repeat: Binding, Agreed: 3, Life: 20},
-	{Repeat: Numbered, ZoneGroup: true, Agreed: 3, Life: 20, Memory: 5}},
-	KindBatch: []int{1, 10}, KindApart: []bool{false, false, true}, Forwarders: 2, Slots: 8, Room: 40,
-	Transmissions: 6, KeyRest: 0.1, ColdFrom: 0.2, ColdFor: 10, IdleLife: 10, FallMultiple: 2, ComeBackMost: 2}
+var terms = Settings{Types: []MessageType{{Idempotency: IdempotentWithKey, InOrder: true, LatencyObjective: 3, TimeToLive: 24, DeduplicationWindow: 15},
+	{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: 20}, {Idempotency: AtMostOnce, LatencyObjective: 3, TimeToLive: 20},
+	{Idempotency: IdempotentWithKey, DeduplicatedPerZone: true, LatencyObjective: 3, TimeToLive: 20, DeduplicationWindow: 5}},
+	KindBatchSize: []int{1, 10}, KindEndpointLimits: []bool{false, false, true}, Forwarders: 2, ConcurrencyLimit: 8, QueueCapacity: 40,
+	MaxAttempts: 6, KeyCooldown: 0.1, SlowStartShare: 0.2, SlowStartDuration: 10, IdleTimeout: 10, OverloadMultiple: 2, MaxRetryAfter: 2}
 
 const (
 	ticket = iota
@@ -36,8 +36,8 @@
 	zoned
 )
 
-func start(t Terms) *fake {
-	h := &fake{now: 100, done: map[*Doc]string{}, back: map[*Doc]float64{}}
+func start(t Settings) *fake {
+	h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 	h.Forwarder = New(t, 7, h.now, h)
 	return h
 }
@@ -57,9 +57,9 @@
 	h.List(false, []Listing{{Target: t, Dest: t.dest, Kind: t.dest.kind, Zone: t.zone, Standing: s}})
 }
 
-func (h *fake) take(d *Destination, typ int, key uint64) *Doc {
-	doc := &Doc{Door: uint64(h.held.count), Key: key, Dest: d, Tenant: 9}
-	h.Take(doc, typ, h.terms.Types[typ].Life)
+func (h *fake) take(d *Destination, typ int, key uint64) *Message {
+	doc := &Message{ID: uint64(h.held.count), Key: key, Dest: d, Tenant: 9}
+	h.Take(doc, typ, h.terms.Types[typ].TimeToLive)
 	return doc
 }
 
@@ -91,7 +91,7 @@
 func (h *fake) settle() { h.Clock(h.now); h.Settle() }
 
 // ends gives the transmission that is out for a document its ending.
-func (h *fake) ends(d *Doc, o Outcome, wait float64) {
+func (h *fake) ends(d *Message, o Outcome, wait float64) {
 	h.Ended(d, Ending{Outcome: o, Over: o == Delivered, Took: 0.1, Wait: wait})
 }
 
@@ -105,20 +105,20 @@
 }
 
 // out1 takes a document and has it transmitted.
-func (h *fake) out1(d *Destination) *Doc {
+func (h *fake) out1(d *Destination) *Message {
 	doc := h.take(d, status, 0)
 	h.pass(0.1)
 	return doc
 }
 
-func (h *fake) Transmit(d *Doc, t *Target, timeout float64) {
+func (h *fake) Transmit(d *Message, t *Target, timeout float64) {
 	h.sent = append(h.sent, transmission{d, t, h.now, timeout})
 }
-func (h *fake) Reject(d *Doc, comeBack float64) { h.done[d] += "rejected"; h.back[d] = comeBack }
-func (h *fake) Abandon(d *Doc)                  { h.done[d] += "abandoned" }
-func (h *fake) Recall(t *Target)                { h.recalled = append(h.recalled, t) }
-func (h *fake) CloseIdle(t *Target)             { h.log = append(h.log, fmt.Sprint("close ", t.Door)) }
-func (h *fake) Release(t *Target)               { h.released = append(h.released, t) }
-func (h *fake) Wake(float64)                    {}
-func (h *fake) Watch()                          { h.asks++ }
-func (h *fake) Log(line string)                 { h.log = append(h.log, line) }
+func (h *fake) Reject(d *Message, comeBack float64) { h.done[d] += "rejected"; h.back[d] = comeBack }
+func (h *fake) Abandon(d *Message)                  { h.done[d] += "abandoned" }
+func (h *fake) Recall(t *Target)                    { h.recalled = append(h.recalled, t) }
+func (h *fake) CloseIdle(t *Target)                 { h.log = append(h.log, fmt.Sprint("close ", t.Door)) }
+func (h *fake) Release(t *Target)                   { h.released = append(h.released, t) }
+func (h *fake) Wake(float64)                        {}
+func (h *fake) Watch()                              { h.asks++ }
+func (h *fake) Log(line string)                     { h.log = append(h.log, line) }
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -14,7 +14,7 @@
 	h.ends(ran, TimedOut, 0)
 	h.ends(never, NoConnection, 0)
 	h.settle()
-	require.Equal(t, map[*Doc]string{ran: "abandoned"}, h.done)
+	require.Equal(t, map[*Message]string{ran: "abandoned"}, h.done)
 	h.pass(4)
 	require.Equal(t, never, h.sent[len(h.sent)-1].doc)
 }
@@ -65,7 +65,7 @@
 	h.pass(0.3)
 	require.Len(t, h.sent, 2)
 	again := h.sent[1]
-	require.LessOrEqual(t, again.at+again.timeout, first.at+h.terms.Types[zoned].Memory+1e-9, "sent at %.2f for %.2f",
+	require.LessOrEqual(t, again.at+again.timeout, first.at+h.terms.Types[zoned].DeduplicationWindow+1e-9, "sent at %.2f for %.2f",
 		again.at-first.at, again.timeout)
 }
 
@@ -84,11 +84,11 @@
 			require.Empty(t, h.done[doc], "%d", o)
 			require.Greater(t, len(h.sent), 1, "it surely never ran")
 		}
-		next, again := start(terms), &Doc{Tenant: 9} // the process ended, and the next one recovers it
+		next, again := start(terms), &Message{Tenant: 9} // the process ended, and the next one recovers it
 		again.Dest = next.receiver(0, 0)
-		past := Past{Sent: 1}
+		past := RecoveredState{Attempts: 1}
 		if may {
-			past.Ran = 100
+			past.FirstRanAt = 100
 		}
 		next.Recover(again, payment, 15, past)
 		next.pass(2)
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -12,24 +12,24 @@
 
 // typeQueue is the messages of one type in a lane that no other of their key is before: a heap in the order of taking.
 type typeQueue struct {
-	docType *DocType
-	docs    []*Doc
+	docType *MessageType
+	docs    []*Message
 }
 
 // retryLane is a destination's messages that wait for a further call, without those behind others of their key.
 type retryLane struct {
-	docs    []*Doc // heap in the order of coming back
-	closing []*Doc // the same messages, a heap by the time from which they go before fresh ones
+	docs    []*Message // heap in the order of coming back
+	closing []*Message // the same messages, a heap by the time from which they go before fresh ones
 }
 
 var (
-	byRank = ordering[*Doc]{
-		before:   func(a, b *Doc) bool { return a.rank < b.rank },
-		position: func(d *Doc) *int32 { return &d.queueAt },
+	byRank = ordering[*Message]{
+		before:   func(a, b *Message) bool { return a.rank < b.rank },
+		position: func(d *Message) *int32 { return &d.queueAt },
 	}
-	byClosing = ordering[*Doc]{
-		before:   func(a, b *Doc) bool { return a.closesAt() < b.closesAt() },
-		position: func(d *Doc) *int32 { return &d.closingAt },
+	byClosing = ordering[*Message]{
+		before:   func(a, b *Message) bool { return a.closesAt() < b.closesAt() },
+		position: func(d *Message) *int32 { return &d.closingAt },
 	}
 )
 
@@ -39,7 +39,7 @@
 }
 
 // enqueue makes a message wait for a call, in its lane or, if it has none, among the retries.
-func (f *Forwarder) enqueue(d *Doc) {
+func (f *Forwarder) enqueue(d *Message) {
 	d.queued = true
 	d.Dest.waiting++
 	if d.lane != nil {
@@ -55,13 +55,13 @@
 }
 
 // retry makes a message wait for a further call.
-func (f *Forwarder) retry(d *Doc) {
+func (f *Forwarder) retry(d *Message) {
 	d.rank = f.nextRank()
 	f.enqueue(d)
 }
 
 // resume makes a message that a restart found wait as its history asks for: untried, or for a further call.
-func (f *Forwarder) resume(d *Doc) {
+func (f *Forwarder) resume(d *Message) {
 	if d.owed {
 		d.declassify() // it is not given up for room
 	} else {
@@ -72,7 +72,7 @@
 }
 
 // dequeue ends a message's waiting. It can come back only as a retry.
-func (f *Forwarder) dequeue(d *Doc) {
+func (f *Forwarder) dequeue(d *Message) {
 	if !d.queued {
 		return
 	}
@@ -90,7 +90,7 @@
 }
 
 // expose makes a waiting message that no other of its key is before visible to turns.
-func (d *Doc) expose() {
+func (d *Message) expose() {
 	if d.lane == nil {
 		d.Dest.retries.add(d)
 	} else {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (l *lane) add(d *Doc) {
+func (l *lane) add(d *Message) {
 	for i := range l.queues {
 		if l.queues[i].docType == d.typ {
 			byRank.push(&l.queues[i].docs, d)
@@ -110,7 +110,7 @@
 	l.queues = append(l.queues, q)
 }
 
-func (l *lane) remove(d *Doc) {
+func (l *lane) remove(d *Message) {
 	for i := range l.queues {
 		if l.queues[i].docType == d.typ {
 			byRank.remove(&l.queues[i].docs, d)
@@ -119,8 +119,8 @@
 }
 
 // first is the earliest message that is accepted, nil if none is.
-func (l *lane) first(accept func(*Doc) bool) *Doc {
-	var next *Doc
+func (l *lane) first(accept func(*Message) bool) *Message {
+	var next *Message
 	for _, q := range l.queues {
 		if d, found := byRank.first(q.docs, accept); found && (next == nil || d.rank < next.rank) {
 			next = d
@@ -131,15 +131,15 @@
 
 // dearestOf is the accepted message of a lane that is worth most now, of several the earliest. While value does not
 // change with age that is the first of a type; else all that waits in the lane is looked at.
-func (f *Forwarder) dearestOf(l *lane, accept func(*Doc) bool) *Doc {
-	var next *Doc
-	consider := func(d *Doc) {
+func (f *Forwarder) dearestOf(l *lane, accept func(*Message) bool) *Message {
+	var next *Message
+	consider := func(d *Message) {
 		if next == nil || f.dearer(d, next) || !f.dearer(next, d) && d.rank < next.rank {
 			next = d
 		}
 	}
 	for _, q := range l.queues {
-		if !f.terms.Halves {
+		if !f.terms.HalvingValue {
 			if d, found := byRank.first(q.docs, accept); found {
 				consider(d)
 			}
@@ -154,18 +154,18 @@
 	return next
 }
 
-func (r *retryLane) add(d *Doc) {
+func (r *retryLane) add(d *Message) {
 	byRank.push(&r.docs, d)
 	byClosing.push(&r.closing, d)
 }
 
-func (r *retryLane) remove(d *Doc) {
+func (r *retryLane) remove(d *Message) {
 	byRank.remove(&r.docs, d)
 	byClosing.remove(&r.closing, d)
 }
 
 // first is the earliest message that is accepted, nil if none is.
-func (r *retryLane) first(accept func(*Doc) bool) *Doc {
+func (r *retryLane) first(accept func(*Message) bool) *Message {
 	d, _ := byRank.first(r.docs, accept)
 	return d
 }
@@ -176,10 +176,10 @@
 }
 
 // closesAt is when a retry begins to go before fresh messages.
-func (d *Doc) closesAt() float64 {
-	at := d.expiry - d.typ.Life/2
-	if d.ranFrom > 0 && d.typ.Repeat == Numbered {
-		at = math.Min(at, d.ranFrom+d.typ.Memory/3)
+func (d *Message) closesAt() float64 {
+	at := d.expiry - d.typ.TimeToLive/2
+	if d.ranFrom > 0 && d.typ.Idempotency == IdempotentWithKey {
+		at = math.Min(at, d.ranFrom+d.typ.DeduplicationWindow/3)
 	}
 	return at
 }
--- a/scheduler/port.go
+++ b/scheduler/port.go
@@ -1,58 +1,58 @@
 package scheduler
 
-// Repeat says what a second transmission of a document would do.
-type Repeat uint8
+// Idempotency says what a second transmission of a document would do.
+type Idempotency uint8
 
 const (
-	Replayable Repeat = iota // may run again
-	Numbered                 // carries a mark by which a repeat is known
-	Binding                  // must never run twice
+	Idempotent        Idempotency = iota // may run again
+	IdempotentWithKey                    // carries a mark by which a repeat is known
+	AtMostOnce                           // must never run twice
 )
 
-// DocType is what the terms say of one document type; times in seconds.
-type DocType struct {
-	Repeat       Repeat
-	ZoneGroup    bool // numbered: only targets of one zone know the mark, not all of the destination
-	InOrder      bool
-	Agreed, Life float64
-	Value        float64 // of one document; types that state none are all worth the same
-	LateShare    float64 // of the value that is left at expiry
-	Memory       float64 // numbered: how long a mark is known, from the transmission on
+// MessageType is what the terms say of one document type; times in seconds.
+type MessageType struct {
+	Idempotency                  Idempotency
+	DeduplicatedPerZone          bool // numbered: only targets of one zone know the mark, not all of the destination
+	InOrder                      bool
+	LatencyObjective, TimeToLive float64
+	Value                        float64 // of one document; types that state none are all worth the same
+	LateValueShare               float64 // of the value that is left at expiry
+	DeduplicationWindow          float64 // numbered: how long a mark is known, from the transmission on
 }
 
-// Terms are what a forwarder is told at its start; times in seconds, rates in calls a second.
-type Terms struct {
-	Types         []DocType
-	TenantQuota   []float64 // documents a second, all forwarders together; empty without tenants
-	KindBatch     []int     // per kind of destination: documents in one call at most
-	KindApart     []bool    // per kind: targets are routes of their own
-	Forwarders    int
-	Slots, Room   int
-	Transmissions int
-	Zone          int
-	KeyRest       float64
-	ColdFrom      float64 // share of its capacity that a returning destination has at least
-	ColdFor       float64
-	IdleLife      float64 // how long an idle connection lasts
-	FallMultiple  float64
-	Halves        bool    // value falls by half with each further agreed time, to LateShare at most; else evenly
-	ComeBackMost  float64 // the longest time to come back that a rejection may name; 0: none
-	AskList       bool    // the list comes only after asking
-	Agent         bool    // what is asked for lies with an agent: it counts as told from the start on, heard or not
-	AskWithin     float64 // the rules want a question for the list so often while it does not come; 0: not stated
-	RoughRate     float64 // the listed rate may be this many times too high; 0: none is listed
-	Keep          int     // bytes of documents that can be kept beyond a restart; 0: no bound
-	Confirmed     bool    // an answer is given only once Told says so
+// Settings are what a forwarder is told at its start; times in seconds, rates in calls a second.
+type Settings struct {
+	Types                           []MessageType
+	TenantRate                      []float64 // documents a second, all forwarders together; empty without tenants
+	KindBatchSize                   []int     // per kind of destination: documents in one call at most
+	KindEndpointLimits              []bool    // per kind: targets are routes of their own
+	Forwarders                      int
+	ConcurrencyLimit, QueueCapacity int
+	MaxAttempts                     int
+	Zone                            int
+	KeyCooldown                     float64
+	SlowStartShare                  float64 // share of its capacity that a returning destination has at least
+	SlowStartDuration               float64
+	IdleTimeout                     float64 // how long an idle connection lasts
+	OverloadMultiple                float64
+	HalvingValue                    bool    // value falls by half with each further agreed time, to LateValueShare at most; else evenly
+	MaxRetryAfter                   float64 // the longest time to come back that a rejection may name; 0: none
+	PollEndpoints                   bool    // the list comes only after asking
+	LocalAgent                      bool    // what is asked for lies with an agent: it counts as told from the start on, heard or not
+	PollWithin                      float64 // the rules want a question for the list so often while it does not come; 0: not stated
+	ListedRateTolerance             float64 // the listed rate may be this many times too high; 0: none is listed
+	MaxStoredBytes                  int     // bytes of documents that can be kept beyond a restart; 0: no bound
+	AwaitAcknowledgement            bool    // an answer is given only once Told says so
 }
 
-// Past is what an earlier process of this forwarder did with a document; times on the clock of Clock.
-type Past struct {
-	Sent int     // transmissions spent
-	Ran  float64 // begin of the first that may have run; 0: surely none ran
-	Zone int     // of its target
+// RecoveredState is what an earlier process of this forwarder did with a document; times on the clock of Clock.
+type RecoveredState struct {
+	Attempts   int     // transmissions spent
+	FirstRanAt float64 // begin of the first that may have run; 0: surely none ran
+	Zone       int     // of its target
 
-	Answered bool // it has its final answer, of which Told has not spoken yet
-	Left     bool // its caller waited for the final answer, and went with that process
+	Answered   bool // it has its final answer, of which Told has not spoken yet
+	CallerGone bool // its caller waited for the final answer, and went with that process
 }
 
 // Outcome is how a transmission ended.
@@ -100,9 +100,9 @@
 
 // Host carries out what a forwarder decides. All calls are made from within Settle.
 type Host interface {
-	Transmit(d *Doc, t *Target, timeout float64)
-	Reject(d *Doc, comeBack float64)
-	Abandon(d *Doc)
+	Transmit(d *Message, t *Target, timeout float64)
+	Reject(d *Message, comeBack float64)
+	Abandon(d *Message)
 	Recall(t *Target) // ends the calls to a target of which nothing has been sent, as Moot
 	CloseIdle(t *Target)
 	Release(t *Target) // it is gone and nothing is heard of it any more
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -21,7 +21,7 @@
 	require.Len(t, h.sent, 1)
 	h.pass(0.1)
 	require.Equal(t, second, h.sent[1].doc)
-	require.True(t, first.Over())
+	require.True(t, first.Finished())
 }
 
 func TestFreshWorkGoesBeforeRetries(t *testing.T) {
@@ -40,11 +40,11 @@
 
 func TestTenantsTakeTurns(t *testing.T) {
 	with := terms
-	with.TenantQuota = []float64{9, 9}
+	with.TenantRate = []float64{9, 9}
 	h := start(with)
 	d := h.receiver(0, 0)
 	for i := range 6 {
-		doc := &Doc{Dest: d, Tenant: i / 5}
+		doc := &Message{Dest: d, Tenant: i / 5}
 		h.Take(doc, status, 20)
 	}
 	h.settle()
@@ -66,11 +66,11 @@
 
 func TestSurplusOfATenantWaitsAndIsCutFirst(t *testing.T) {
 	with := terms
-	with.TenantQuota = []float64{4, 4} // two a second at each of two forwarders
+	with.TenantRate = []float64{4, 4} // two a second at each of two forwarders
 	h := start(with)
 	d := h.receiver(0)
-	take := func(tenant int) *Doc {
-		doc := &Doc{Dest: d, Tenant: tenant}
+	take := func(tenant int) *Message {
+		doc := &Message{Dest: d, Tenant: tenant}
 		h.Take(doc, status, 20)
 		return doc
 	}
@@ -80,7 +80,7 @@
 	late := take(1)
 	h.List(false, []Listing{{Target: &Target{}, Dest: d, Standing: Ready}})
 	h.settle()
-	require.Contains(t, []*Doc{h.sent[0].doc, h.sent[1].doc}, late)
+	require.Contains(t, []*Message{h.sent[0].doc, h.sent[1].doc}, late)
 	for range 7 {
 		take(1)
 	}
@@ -110,8 +110,8 @@
 // twoValues is a forwarder with two slots and two types, the second worth twice as much.
 func twoValues(room int) (*fake, *Destination) {
 	two := terms
-	two.Types = []DocType{{Repeat: Binding, Agreed: 3, Life: 16, Value: 1}, {Repeat: Numbered, Agreed: 2, Life: 28, Memory: 7, Value: 2}}
-	two.Slots, two.Room = 2, room
+	two.Types = []MessageType{{Idempotency: AtMostOnce, LatencyObjective: 3, TimeToLive: 16, Value: 1}, {Idempotency: IdempotentWithKey, LatencyObjective: 2, TimeToLive: 28, DeduplicationWindow: 7, Value: 2}}
+	two.ConcurrencyLimit, two.QueueCapacity = 2, room
 	h := start(two)
 	return h, h.receiver(0, 0)
 }
@@ -162,15 +162,15 @@
 
 func TestWhereWorthHalvesWhatIsInTimeGoesFirst(t *testing.T) {
 	halves := terms
-	halves.Halves, halves.Slots = true, 2
-	halves.Types = []DocType{{}, {Repeat: Replayable, Agreed: 3, Life: 20, Value: 1, LateShare: 0.5}}
+	halves.HalvingValue, halves.ConcurrencyLimit = true, 2
+	halves.Types = []MessageType{{}, {Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: 20, Value: 1, LateValueShare: 0.5}}
 	h := start(halves)
 	d := h.receiver(0, 0)
-	late := &Doc{Dest: d, Tenant: 9}
+	late := &Message{Dest: d, Tenant: 9}
 	h.Take(late, status, 12) // of twenty seconds: five late
 	fresh := h.take(d, status, 0)
 	h.pass(0.1)
 	h.answers(d, Delivered)
 	h.pass(0.1)
-	require.Equal(t, []*Doc{fresh, late}, []*Doc{h.sent[0].doc, h.sent[1].doc})
+	require.Equal(t, []*Message{fresh, late}, []*Message{h.sent[0].doc, h.sent[1].doc})
 }
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -9,7 +9,7 @@
 
 func TestAnOutdatedLimitIsFoundByRefusalsInARow(t *testing.T) {
 	listed := terms
-	listed.RoughRate = 1.5
+	listed.ListedRateTolerance = 1.5
 	h := start(listed)
 	d := h.receiver(0, 0)
 	d.listed = 30 // it takes far less by now
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -14,8 +14,8 @@
 	slow := make([]float64, len(d.took.bins))
 	slow[d.took.bin(4)] = 5
 	require.True(t, h.Remember(d, slow))
-	owed, fresh := &Doc{Dest: d}, &Doc{Dest: d}
-	h.Recover(owed, status, 0.3, Past{})
+	owed, fresh := &Message{Dest: d}, &Message{Dest: d}
+	h.Recover(owed, status, 0.3, RecoveredState{})
 	h.Take(fresh, status, 0.3)
 	fresh.time = 20 // it waited here for most of its life
 	h.settle()
@@ -29,8 +29,8 @@
 func TestAWaitOfBeforeDoesNotGiveUpWhatARestartFoundUntried(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
-	owed := &Doc{Dest: d}
-	h.Recover(owed, status, 2, Past{})
+	owed := &Message{Dest: d}
+	h.Recover(owed, status, 2, RecoveredState{})
 	h.Close(d.targets[0], h.now+30)
 	h.settle()
 	require.Empty(t, h.done, "it is held as long as there is time: another target may come")
@@ -45,8 +45,8 @@
 func TestWhatARestartFoundIsNotSentTooLateInThePlaceOfOthers(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
-	owed := &Doc{Dest: d}
-	h.Recover(owed, status, 4, Past{})
+	owed := &Message{Dest: d}
+	h.Recover(owed, status, 4, RecoveredState{})
 	h.Close(d.targets[0], h.now+3.8)
 	h.pass(3.9) // calls take 0.9 s, as far as is known
 	require.Empty(t, h.sent)
@@ -56,11 +56,11 @@
 func TestACrowdedRoomKeepsWhatARestartFoundUntried(t *testing.T) {
 	h := start(onSockets())
 	d := h.NewDestination(1)
-	owed := map[*Doc]bool{}
-	for range h.terms.Room {
-		doc := &Doc{Dest: d}
+	owed := map[*Message]bool{}
+	for range h.terms.QueueCapacity {
+		doc := &Message{Dest: d}
 		owed[doc] = true
-		h.Recover(doc, status, 20, Past{})
+		h.Recover(doc, status, 20, RecoveredState{})
 	}
 	h.settle()
 	require.Empty(t, h.done)
@@ -69,9 +69,9 @@
 
 func TestAListThatFellSilentIsAskedForBeforeWhatItMissedCountsAsTold(t *testing.T) {
 	asks := terms
-	asks.AskList, asks.AskWithin, asks.Forwarders = true, 10, 300
+	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	for seed := range uint64(50) {
-		h := &fake{now: 100, done: map[*Doc]string{}, back: map[*Doc]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 		h.Forwarder = New(asks, seed, h.now, h)
 		h.settle()
 		require.Equal(t, 1, h.asks, "nothing known: at once")
@@ -84,7 +84,7 @@
 
 func TestAnAgentsListIsHeardBeforeAnythingIsSent(t *testing.T) {
 	told := onSockets()
-	told.AskList, told.Agent, told.Forwarders = true, true, 300
+	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
 	h := start(told)
 	d := h.receiver(0, 0) // as last known: by now it may drain
 	h.take(d, status, 0)
@@ -108,7 +108,7 @@
 
 func TestAnAgentIsAskedAgainAtOnceHoweverLongDiscoveryWasDown(t *testing.T) {
 	told := onSockets()
-	told.AskList, told.Agent, told.Forwarders = true, true, 300
+	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
 	h := start(told)
 	h.receiver(0, 0)
 	h.settle()
@@ -122,8 +122,8 @@
 func TestADeliveryOnTheEdgeOfItsTimeIsToldTooAndItsKeyWaits(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
-	onEdge := func(noticed bool, ends float64) *Doc {
-		doc := &Doc{Dest: d, Key: 5, Noticed: noticed}
+	onEdge := func(noticed bool, ends float64) *Message {
+		doc := &Message{Dest: d, Key: 5, AnsweredByNotice: noticed}
 		h.Take(doc, ticket, 1)
 		h.settle()
 		h.now += ends
@@ -150,12 +150,12 @@
 func TestTheListIsAskedForSoonAfterAnOutageOfDiscoveryHoweverLong(t *testing.T) {
 	const toldIn, failsIn = 6.0, 1.5
 	asks := terms
-	asks.AskList = true
+	asks.PollEndpoints = true
 	for _, within := range []float64{0, 2, 10} { // not stated, short, and long
 		for _, forwarders := range []int{1, 3, 30, 500} {
-			asks.AskWithin, asks.Forwarders = within, forwarders
+			asks.PollWithin, asks.Forwarders = within, forwarders
 			for seed := range uint64(20) {
-				h := &fake{now: 100, done: map[*Doc]string{}, back: map[*Doc]float64{}}
+				h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 				h.Forwarder = New(asks, seed, h.now, h)
 				h.settle()
 				for n := range 12 {
@@ -173,13 +173,13 @@
 func TestAWindowOfASecondIsKeptOverARestart(t *testing.T) {
 	const window, life = 1.0, 20.0
 	short := onSockets()
-	short.Types = append([]DocType{}, short.Types...)
-	short.Types[ticket].Memory = window
+	short.Types = append([]MessageType{}, short.Types...)
+	short.Types[ticket].DeduplicationWindow = window
 	for age := 0.0; age < 1.6; age += 0.04 { // of the call that was out when the process was killed
 		h := start(short)
 		d := h.receiver(0, 0, 0)
-		doc, ran := &Doc{Dest: d, Key: 5}, h.now-age
-		h.Recover(doc, ticket, life, Past{Sent: 1, Ran: ran})
+		doc, ran := &Message{Dest: d, Key: 5}, h.now-age
+		h.Recover(doc, ticket, life, RecoveredState{Attempts: 1, FirstRanAt: ran})
 		h.settle()
 		for h.now < 100+life {
 			h.pass(0.02)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -20,36 +20,36 @@
 )
 
 const (
-	capWell    = 0.75 // of the slots, a destination in good health
-	capIll     = 0.5  // one that failed lately or is silent
-	allIll     = 0.85 // of all slots, from here on none for a destination that failed lately
-	restored   = 3    // timely answers that restore the cap
-	turnSize   = 2    // documents a turn, more only where one call carries more
-	roomFull   = 0.97 // of the holding room: from here on the longest line is cut
-	overdue    = 0.01 // seconds after expiry: the call's end should have come
-	lookAgain  = 0.02 // seconds between looks at lines that wait
-	lastCall   = 0.04 // seconds before expiry: nothing is sent after, so that the end is told in time
-	edge       = 0.1  // seconds before expiry: a delivery may count as late by its client's clock
-	firstGuess = 0.9  // seconds a call takes before any was measured
-	blame      = 0.2  // weight of one failure in a target's share of failures, twice that if nothing was heard
-	mostFail   = 0.6  // share of failures from which on a target is sick
-	fewDocs    = 1.0  // documents a second for a destination: under it refusals teach no pace, two failures shut
-	shutWait   = 2.5  // seconds; a limit has room again sooner
-	manyLost   = 2.0  // losses on idle connections, a fifth of the calls on them, that end trust in them
-	fadeTime   = 8.0  // seconds in which a failure loses most of its weight in the choice between siblings
-	blip       = 3.0  // seconds of silence that are no outage
-	kept       = 5.0  // calls that an earlier process's times count as, at most
-	agentAsks  = 0.4  // seconds between questions to an agent: what it has counts as told, heard or not
-	asksAtOnce = 4.0  // questions a second for the list, all forwarders together
-	askWait    = 2.7  // seconds to the next question, 1.3 times that at most, where discovery was out of reach
-	KeepSilent = 2.7  // seconds in which a client has to bring a whole command: slow ones may ask after two
-	KeepQuiet  = 3.0  // seconds that it may be connected between two
+	capWell           = 0.75 // of the slots, a destination in good health
+	capIll            = 0.5  // one that failed lately or is silent
+	allIll            = 0.85 // of all slots, from here on none for a destination that failed lately
+	restored          = 3    // timely answers that restore the cap
+	turnSize          = 2    // documents a turn, more only where one call carries more
+	roomFull          = 0.97 // of the holding room: from here on the longest line is cut
+	overdue           = 0.01 // seconds after expiry: the call's end should have come
+	lookAgain         = 0.02 // seconds between looks at lines that wait
+	lastCall          = 0.04 // seconds before expiry: nothing is sent after, so that the end is told in time
+	edge              = 0.1  // seconds before expiry: a delivery may count as late by its client's clock
+	firstGuess        = 0.9  // seconds a call takes before any was measured
+	blame             = 0.2  // weight of one failure in a target's share of failures, twice that if nothing was heard
+	mostFail          = 0.6  // share of failures from which on a target is sick
+	fewDocs           = 1.0  // documents a second for a destination: under it refusals teach no pace, two failures shut
+	shutWait          = 2.5  // seconds; a limit has room again sooner
+	manyLost          = 2.0  // losses on idle connections, a fifth of the calls on them, that end trust in them
+	fadeTime          = 8.0  // seconds in which a failure loses most of its weight in the choice between siblings
+	blip              = 3.0  // seconds of silence that are no outage
+	kept              = 5.0  // calls that an earlier process's times count as, at most
+	agentAsks         = 0.4  // seconds between questions to an agent: what it has counts as told, heard or not
+	asksAtOnce        = 4.0  // questions a second for the list, all forwarders together
+	askWait           = 2.7  // seconds to the next question, 1.3 times that at most, where discovery was out of reach
+	CommandTimeout    = 2.7  // seconds in which a client has to bring a whole command: slow ones may ask after two
+	ClientIdleTimeout = 3.0  // seconds that it may be connected between two
 )
 
 // NewDestination is called by the adapter at the first mention of a destination.
 func (f *Forwarder) NewDestination(door uint64) *Destination {
 	d := &Destination{Door: door, shared: &Route{filled: f.now}, good: restored, mode: "well", seen: f.now,
-		byTenant: make([]lane, len(f.terms.TenantQuota)+1),
+		byTenant: make([]lane, len(f.terms.TenantRate)+1),
 		took:     newHist(0.02, 1.5, 100, 0.9, firstGuess, 1)}
 	f.dests = append(f.dests, d)
 	return d
@@ -68,7 +68,7 @@
 		if t.dest == nil {
 			// The first call goes anywhere: guards against all forwarders starting with the first target listed.
 			t.dest, t.places, t.route, t.standing, t.lastUsed = d, 2, d.shared, Gone, -f.dice.unit()
-			if l.Kind < len(f.terms.KindApart) && f.terms.KindApart[l.Kind] {
+			if l.Kind < len(f.terms.KindEndpointLimits) && f.terms.KindEndpointLimits[l.Kind] {
 				t.route = &Route{filled: f.now}
 			}
 			d.targets = append(d.targets, t)
@@ -84,8 +84,8 @@
 			t.next = math.Max(t.next, f.now+f.gap(t)*f.dice.unit())
 		}
 		t.zone, t.standing, d.batch, d.kind = l.Zone, l.Standing, 1, l.Kind
-		if l.Kind < len(f.terms.KindBatch) {
-			d.batch = max(1, f.terms.KindBatch[l.Kind])
+		if l.Kind < len(f.terms.KindBatchSize) {
+			d.batch = max(1, f.terms.KindBatchSize[l.Kind])
 		}
 		if l.Rate > 0 && l.Rate < 1e9 { // else it tells nothing
 			d.listed = l.Rate
@@ -104,12 +104,12 @@
 // ListFailed says that a question for the list went wrong or that the list stopped coming. Each failure in a
 // row doubles the time to the next question. Guards against all forwarders together keeping discovery's line
 // so long that nobody is served in time; hurts when it was down and is back.
-func (f *Forwarder) ListFailed() { f.askAgain(&f.unlisted, f.terms.AskWithin) }
+func (f *Forwarder) ListFailed() { f.askAgain(&f.unlisted, f.terms.PollWithin) }
 
 // ListBroken says that the list stopped coming, or that discovery is down or out of reach: no line of questions
 // is to be kept short. What it has counts as told six seconds after it could be reached, so that the next
 // question cannot wait longer. Guards against calls to what began to drain in an outage; costs questions in vain.
-func (f *Forwarder) ListBroken() { f.askAgain(&f.broken, math.Min(f.terms.AskWithin, askWait)) }
+func (f *Forwarder) ListBroken() { f.askAgain(&f.broken, math.Min(f.terms.PollWithin, askWait)) }
 
 func (f *Forwarder) askAgain(failures *int, most float64) {
 	wait := math.Min(math.Max(1, f.asking())*math.Pow(2, float64(*failures)), most)
@@ -123,15 +123,15 @@
 // asking is the span over which all forwarders that ask at the same moment spread: those of a fleet are
 // started, or lose discovery, together. At most half of the time in which the rules want a question.
 func (f *Forwarder) asking() float64 {
-	if f.terms.Agent { // nobody else asks it
+	if f.terms.LocalAgent { // nobody else asks it
 		return 0
 	}
-	return math.Min(float64(f.terms.Forwarders-1)/asksAtOnce, f.terms.AskWithin/2)
+	return math.Min(float64(f.terms.Forwarders-1)/asksAtOnce, f.terms.PollWithin/2)
 }
 
 // Admit tells if a document is taken on, or when to come back with it.
 func (f *Forwarder) Admit(size int, left float64) (taken bool, comeBack float64) {
-	if f.held.count >= f.terms.Room || f.terms.Keep > 0 && f.kept+size > f.terms.Keep || left <= lastCall {
+	if f.held.count >= f.terms.QueueCapacity || f.terms.MaxStoredBytes > 0 && f.kept+size > f.terms.MaxStoredBytes || left <= lastCall {
 		return false, f.comeBack()
 	}
 	return true, 0
@@ -139,19 +139,19 @@
 
 // Recover takes a document that an earlier process of this forwarder had taken on, in the order of taking.
 // What was out then may have run and is a retry now; what has no way left is answered by the next settling.
-func (f *Forwarder) Recover(d *Doc, typ int, left float64, past Past) {
+func (f *Forwarder) Recover(d *Message, typ int, left float64, past RecoveredState) {
 	f.Take(d, typ, left)
-	if past.Left { // Its caller may have come again with another document for the same effect. Guards against a
+	if past.CallerGone { // Its caller may have come again with another document for the same effect. Guards against a
 		// second effect; hurts a caller that relied on this one. One that may still run lets its key rest.
-		if past.Sent > 0 && d.chain != nil {
-			d.chain.rest = math.Max(d.chain.rest, f.now+f.terms.KeyRest+0.001)
+		if past.Attempts > 0 && d.chain != nil {
+			d.chain.rest = math.Max(d.chain.rest, f.now+f.terms.KeyCooldown+0.001)
 		}
 		f.finish(d)
 	} else if past.Answered { // and is not transmitted any more
 		d.telling = true
 		f.finish(d)
 	} else {
-		d.sent, d.ranFrom, d.ranZone, d.owed = past.Sent, past.Ran, past.Zone, past.Sent == 0
+		d.sent, d.ranFrom, d.ranZone, d.owed = past.Attempts, past.FirstRanAt, past.Zone, past.Attempts == 0
 		f.resume(d)
 	}
 }
@@ -168,7 +168,7 @@
 func (f *Forwarder) Done() bool { return f.until > 0 && f.out == 0 && f.held.count == 0 }
 
 // Take accepts a document of a type, with so much time left.
-func (f *Forwarder) Take(d *Doc, typ int, left float64) {
+func (f *Forwarder) Take(d *Message, typ int, left float64) {
 	d.typ, d.expiry, d.time = &f.terms.Types[typ], f.now+left, left
 	d.taking = f.nextRank()
 	d.rank = d.taking
@@ -179,7 +179,7 @@
 	f.chain(d)
 	dest := d.Dest
 	f.hear(dest)
-	d.lane = &dest.byTenant[min(d.Tenant, len(f.terms.TenantQuota))]
+	d.lane = &dest.byTenant[min(d.Tenant, len(f.terms.TenantRate))]
 	if d.surplus = f.over(d.Tenant); d.surplus {
 		d.lane = &dest.surplus
 	}
@@ -195,10 +195,10 @@
 // over tells if a tenant has had its share of late, as far as this forwarder's even part of it goes, and
 // counts one more document. Guards against a tenant's burst crowding out what others have a right to.
 func (f *Forwarder) over(tenant int) bool {
-	if tenant >= len(f.terms.TenantQuota) {
+	if tenant >= len(f.terms.TenantRate) {
 		return false
 	}
-	part := f.terms.TenantQuota[tenant] / float64(f.terms.Forwarders)
+	part := f.terms.TenantRate[tenant] / float64(f.terms.Forwarders)
 	at := math.Max(f.spent[tenant], f.now-1)
 	if part <= 0 || at > f.now {
 		return true
@@ -208,11 +208,11 @@
 }
 
 // Ended takes the end of the transmission that is out for a document.
-func (f *Forwarder) Ended(d *Doc, e Ending) {
+func (f *Forwarder) Ended(d *Message, e Ending) {
 	c := d.call
 	// On the edge of its time a delivery may be late by its client's clock, that is none. Guards against a
 	// document without an end; costs a needless notice.
-	if e.Over && e.Outcome == Delivered && d.Noticed && !d.answered && f.now > d.expiry-edge {
+	if e.Over && e.Outcome == Delivered && d.AnsweredByNotice && !d.answered && f.now > d.expiry-edge {
 		d.want, d.telling = wantAbandoned, true
 		f.changed = append(f.changed, d)
 	}
@@ -251,7 +251,7 @@
 	}
 	maybe := e.Outcome == TimedOut || e.Outcome == Reset || e.Outcome == Cancelled
 	if maybe && d.chain != nil {
-		d.chain.rest = math.Max(d.chain.rest, f.now+f.terms.KeyRest+0.001)
+		d.chain.rest = math.Max(d.chain.rest, f.now+f.terms.KeyCooldown+0.001)
 	}
 	if (maybe || e.Outcome == Errored) && d.ranFrom == 0 {
 		d.ranFrom, d.ranZone = c.began, t.zone
@@ -291,7 +291,7 @@
 			d.good = 0
 		} else {
 			d.good++
-			t.places = math.Min(t.places+1/t.places, math.Max(1, float64(f.terms.Slots)))
+			t.places = math.Min(t.places+1/t.places, math.Max(1, float64(f.terms.ConcurrencyLimit)))
 		}
 		d.took.add(e.Took)
 		if t.state == sick {
@@ -304,7 +304,7 @@
 					o.next = f.now + f.gap(o)
 				}
 			}
-		} else if t.state == back && f.now-t.since > f.terms.ColdFor {
+		} else if t.state == back && f.now-t.since > f.terms.SlowStartDuration {
 			t.state = well
 		}
 	case Errored, TimedOut, NoConnection, Reset:
@@ -394,11 +394,11 @@
 			peers++
 		}
 	}
-	cold := 1.2 * f.terms.FallMultiple * f.usual(t)
+	cold := 1.2 * f.terms.OverloadMultiple * f.usual(t)
 	if t.state == sick { // all sick targets of a route share its trials
-		return math.Max(cold*f.terms.ColdFrom, 1/float64(f.terms.Forwarders))
+		return math.Max(cold*f.terms.SlowStartShare, 1/float64(f.terms.Forwarders))
 	}
-	share := f.terms.ColdFrom + (1-f.terms.ColdFrom)*(f.now-t.since)/math.Max(0.1, f.terms.ColdFor)
+	share := f.terms.SlowStartShare + (1-f.terms.SlowStartShare)*(f.now-t.since)/math.Max(0.1, f.terms.SlowStartDuration)
 	return cold * math.Max(0.05, share) / float64(max(1, peers))
 }
 
@@ -420,8 +420,8 @@
 // known is this forwarder's even part of the rate that a route surely takes; at least one a second for all.
 func (f *Forwarder) known(t *Target) float64 {
 	rate := math.Max(1, t.route.most)
-	if f.terms.RoughRate > 0 {
-		rate = math.Max(rate, t.dest.listed/f.terms.RoughRate)
+	if f.terms.ListedRateTolerance > 0 {
+		rate = math.Max(rate, t.dest.listed/f.terms.ListedRateTolerance)
 	}
 	return rate / float64(f.terms.Forwarders)
 }
@@ -556,14 +556,14 @@
 		part = capIll
 	}
 	stops := f.blind || f.until > 0 && f.now+d.took.slow > f.until
-	if stops || f.out >= f.terms.Slots || d.out >= share(f.terms.Slots, part) {
+	if stops || f.out >= f.terms.ConcurrencyLimit || d.out >= share(f.terms.ConcurrencyLimit, part) {
 		return nil
 	}
 	// Departure: those that are slow or failed lately leave the last slots to the others, but for one call
 	// if none timed out. Guards against many of them filling all slots; hurts them while all else is idle.
 	long := d.took.slow > f.agreed/2
 	mute := slices.ContainsFunc(d.targets, func(t *Target) bool { return t.unheard > 0 })
-	if (mute || d.out > 0 && (part == capIll || long)) && f.out >= share(f.terms.Slots, allIll) {
+	if (mute || d.out > 0 && (part == capIll || long)) && f.out >= share(f.terms.ConcurrencyLimit, allIll) {
 		return nil
 	}
 	best, score := (*Target)(nil), math.Inf(1)
@@ -584,7 +584,7 @@
 			s += 0.5
 		}
 		// Guards against a forwarder of few calls opening a connection to each target in turn.
-		if f.now-t.lastUsed > f.terms.IdleLife {
+		if f.now-t.lastUsed > f.terms.IdleTimeout {
 			s += 0.01
 		}
 		if s < score || s == score && t.lastUsed < best.lastUsed {
@@ -595,35 +595,35 @@
 }
 
 // ready tells if a document may be sent to a target now by the rules of order and repetition.
-func (f *Forwarder) ready(d *Doc, t *Target) bool {
+func (f *Forwarder) ready(d *Message, t *Target) bool {
 	if d.chain != nil && (d.chain.first != d || d.chain.rest > f.now && d.sent == 0) {
 		return false
 	}
-	if d.ranFrom > 0 && d.typ.Repeat == Numbered {
-		return f.now < d.ranFrom+d.typ.Memory-0.01 && (!d.typ.ZoneGroup || d.ranZone == t.zone)
+	if d.ranFrom > 0 && d.typ.Idempotency == IdempotentWithKey {
+		return f.now < d.ranFrom+d.typ.DeduplicationWindow-0.01 && (!d.typ.DeduplicatedPerZone || d.ranZone == t.zone)
 	}
 	return true
 }
 
 // pick takes up to n documents for a call to a target: fresh ones from the tenants' ring, or retries.
-func (f *Forwarder) pick(d *Destination, t *Target, n int, retries bool) []*Doc {
-	var batch []*Doc
-	fresh := func(doc *Doc) bool { return f.ready(doc, t) && !slices.Contains(batch, doc) }
+func (f *Forwarder) pick(d *Destination, t *Target, n int, retries bool) []*Message {
+	var batch []*Message
+	fresh := func(doc *Message) bool { return f.ready(doc, t) && !slices.Contains(batch, doc) }
 	// Departure: to a target that is sick or back first go retries, which have least to lose, and elsewhere
 	// those that soon cannot be sent any more. Guards against losing what may have run; delays fresh work.
 	all := retries || t.state != well
-	again := func(doc *Doc) bool {
+	again := func(doc *Message) bool {
 		// Trials are not to use up one document's transmissions.
-		spared := t.state == sick && doc.ranFrom == 0 && doc.sent > f.terms.Transmissions/2
+		spared := t.state == sick && doc.ranFrom == 0 && doc.sent > f.terms.MaxAttempts/2
 		return !spared && (all || f.now > doc.closesAt()) && fresh(doc)
 	}
-	fill := func(next func() *Doc) {
+	fill := func(next func() *Message) {
 		for doc := next(); doc != nil && len(batch) < n; doc = next() {
 			batch = append(batch, doc)
 		}
 	}
 	if all || d.retries.anyClosing(f.now) {
-		fill(func() *Doc { return d.retries.first(again) })
+		fill(func() *Message { return d.retries.first(again) })
 	}
 	if retries {
 		return batch
@@ -633,7 +633,7 @@
 		d.lanes = d.lanes[1:]
 		idle++
 		// Every other time the dearest goes, else the first. Guards against it waiting behind a clump.
-		next := (*Doc)(nil)
+		next := (*Message)(nil)
 		if l.dearest = !l.dearest; l.dearest {
 			next = f.dearestOf(l, fresh)
 		} else {
@@ -647,12 +647,12 @@
 			d.lanes = append(d.lanes, l)
 		}
 	}
-	fill(func() *Doc { return d.surplus.first(fresh) })
+	fill(func() *Message { return d.surplus.first(fresh) })
 	// A call that leaves anyway takes along what waits below. Guards against a line of retries that starves
 	// while calls leave half empty, of a limit that counts calls; hurts by a little more work in each.
 	if len(batch) > 0 && len(batch) < n {
 		all = true
-		fill(func() *Doc { return d.retries.first(again) })
+		fill(func() *Message { return d.retries.first(again) })
 	}
 	return batch
 }
@@ -674,13 +674,13 @@
 	return released
 }
 
-func (f *Forwarder) send(t *Target, docs []*Doc) {
+func (f *Forwarder) send(t *Target, docs []*Message) {
 	d := t.dest
 	idle := f.now - t.lastUsed
-	reused := len(t.calls) == 0 && t.kept && idle > 0.5 && idle < f.terms.IdleLife
+	reused := len(t.calls) == 0 && t.kept && idle > 0.5 && idle < f.terms.IdleTimeout
 	c := &call{target: t, began: f.now, docs: len(docs), reused: reused}
 	t.calls = append(t.calls, c)
-	t.often, t.lastUsed = idle < f.terms.IdleLife, f.now
+	t.often, t.lastUsed = idle < f.terms.IdleTimeout, f.now
 	t.route.tokens--
 	t.route.rate += 0.5
 	d.out++
@@ -699,8 +699,8 @@
 		doc.call, doc.want, doc.to = c, wantOut, t
 		doc.sent++
 		doc.allow = math.Min(allow, doc.expiry-f.now)
-		if doc.ranFrom > 0 && doc.typ.Repeat == Numbered { // a repeat that begins while its mark is known
-			doc.allow = math.Min(doc.allow, doc.ranFrom+doc.typ.Memory-f.now)
+		if doc.ranFrom > 0 && doc.typ.Idempotency == IdempotentWithKey { // a repeat that begins while its mark is known
+			doc.allow = math.Min(doc.allow, doc.ranFrom+doc.typ.DeduplicationWindow-f.now)
 		}
 		f.changed = append(f.changed, doc)
 	}
@@ -711,7 +711,7 @@
 // and against calls cut off that a few quick answers made look late, each of which may have run.
 func (f *Forwarder) timeout(t *Target) float64 {
 	beyond := 3 + 3*5/(5+t.dest.took.total)
-	if f.out >= f.terms.Slots-1 && t.unheard == 0 && t.dest.good > 0 {
+	if f.out >= f.terms.ConcurrencyLimit-1 && t.unheard == 0 && t.dest.good > 0 {
 		beyond = 2
 	}
 	return math.Max(0.6, beyond*t.dest.took.slow) * math.Pow(2, float64(min(t.unheard, 3)))
@@ -740,7 +740,7 @@
 // are closed for. Guards against a long line sent just too late, each a time-out that makes its target look
 // sick, and against sitting on what cannot go out any more. Hurts quick ones. What a restart found untried is
 // held while there is time, whatever waits say; sent too late it would take the place of others.
-func (f *Forwarder) short(d *Doc) bool {
+func (f *Forwarder) short(d *Message) bool {
 	open := func(t *Target) bool { return t.standing != Ready || t.route.closed < d.expiry }
 	closed := len(d.Dest.targets) > 0 && !slices.ContainsFunc(d.Dest.targets, open)
 	late := d.expiry-f.now < math.Max(lastCall, math.Min(d.Dest.took.slow, d.time/8))
@@ -753,11 +753,11 @@
 		if d.answered || d.call != nil && f.now < d.expiry+overdue {
 			continue
 		}
-		mayRun := d.ranFrom > 0 && d.typ.Repeat != Replayable
-		lost := mayRun && (d.typ.Repeat == Binding || f.now > d.forgottenAt())
+		mayRun := d.ranFrom > 0 && d.typ.Idempotency != Idempotent
+		lost := mayRun && (d.typ.Idempotency == AtMostOnce || f.now > d.forgottenAt())
 		// While nothing answers, one whose mark is soon forgotten goes back; its client may still repeat it.
-		lost = lost || mayRun && !d.typ.ZoneGroup && f.now > d.fadesAt() && f.dark(d.Dest)
-		if lost || f.short(d) || f.terms.Transmissions > 0 && d.sent >= f.terms.Transmissions {
+		lost = lost || mayRun && !d.typ.DeduplicatedPerZone && f.now > d.fadesAt() && f.dark(d.Dest)
+		if lost || f.short(d) || f.terms.MaxAttempts > 0 && d.sent >= f.terms.MaxAttempts {
 			f.answer(d)
 		}
 	}
@@ -766,7 +766,7 @@
 // crowd cuts what is worth least of the longest line while the room is nearly full. Guards against a sick or
 // flooded destination turning away everybody's documents at the door; hurts when the flood would have passed.
 func (f *Forwarder) crowd() {
-	for float64(f.held.count) > roomFull*float64(f.terms.Room) {
+	for float64(f.held.count) > roomFull*float64(f.terms.QueueCapacity) {
 		last := f.victim(f.longest())
 		if last == nil {
 			return
@@ -776,14 +776,14 @@
 }
 
 // worth is what a document brings now. Where value falls evenly, one that is late loses no less by waiting.
-func (f *Forwarder) worth(d *Doc) float64 {
-	if late := f.now - d.expiry + d.typ.Life - d.typ.Agreed; late > 0 && f.terms.Halves {
-		return d.typ.Value * math.Max(d.typ.LateShare, math.Pow(2, -late/d.typ.Agreed))
+func (f *Forwarder) worth(d *Message) float64 {
+	if late := f.now - d.expiry + d.typ.TimeToLive - d.typ.LatencyObjective; late > 0 && f.terms.HalvingValue {
+		return d.typ.Value * math.Max(d.typ.LateValueShare, math.Pow(2, -late/d.typ.LatencyObjective))
 	}
 	return d.typ.Value
 }
 
-func (f *Forwarder) dearer(a, b *Doc) bool {
+func (f *Forwarder) dearer(a, b *Message) bool {
 	return b.surplus && !a.surplus || a.surplus == b.surplus && f.worth(a) > f.worth(b)
 }
 
@@ -791,21 +791,21 @@
 func line(d *Destination) float64 { return float64(d.waiting) * d.took.slow / float64(max(1, d.batch)) }
 
 // answer gives the final answer at once: a rejection where a second try is harmless, else an abandonment.
-func (f *Forwarder) answer(d *Doc) {
+func (f *Forwarder) answer(d *Message) {
 	ran := d.ranFrom > 0 || d.call != nil
-	forgotten := d.typ.ZoneGroup || f.now > d.ranFrom+d.typ.Memory
-	if d.want = wantRejected; ran && (d.typ.Repeat == Binding || d.typ.Repeat == Numbered && forgotten) {
+	forgotten := d.typ.DeduplicatedPerZone || f.now > d.ranFrom+d.typ.DeduplicationWindow
+	if d.want = wantRejected; ran && (d.typ.Idempotency == AtMostOnce || d.typ.Idempotency == IdempotentWithKey && forgotten) {
 		d.want = wantAbandoned
 	}
 	if d.ranFrom == 0 { // else its mark is soon forgotten
 		d.back = f.comeBack()
 	}
-	d.telling = f.terms.Confirmed
+	d.telling = f.terms.AwaitAcknowledgement
 	f.finish(d)
 	f.changed = append(f.changed, d)
 }
 
-func (f *Forwarder) comeBack() float64 { return math.Min(2, f.terms.ComeBackMost) }
+func (f *Forwarder) comeBack() float64 { return math.Min(2, f.terms.MaxRetryAfter) }
 
 // Settle decides all that follows from the news taken since the last time.
 func (f *Forwarder) Settle() {
@@ -857,4 +857,4 @@
 }
 
 // KeepIdle is how long an idle connection is kept: not so long that the other side's close crosses a call.
-func (t *Terms) KeepIdle() float64 { return t.IdleLife - math.Min(0.5, t.IdleLife/10) }
+func (t *Settings) KeepIdle() float64 { return t.IdleTimeout - math.Min(0.5, t.IdleTimeout/10) }
--- a/scheduler/socket_test.go
+++ b/scheduler/socket_test.go
@@ -8,9 +8,9 @@
 
 // Stories of what sockets add: the room at the door, restarts, stops, answers that must be heard.
 
-func onSockets() Terms {
+func onSockets() Settings {
 	t := terms
-	t.Keep, t.Confirmed = 1000, true
+	t.MaxStoredBytes, t.AwaitAcknowledgement = 1000, true
 	return t
 }
 
@@ -29,35 +29,35 @@
 	require.False(t, admits(h, 1001, 8), "no room on disk")
 	require.Equal(t, 2.0, h.back[nil])
 	require.False(t, admits(h, 10, 0.01), "no time")
-	doc := &Doc{Dest: d, Size: 600}
+	doc := &Message{Dest: d, Size: 600}
 	h.Take(doc, status, 8)
 	require.False(t, admits(h, 600, 8))
 	h.settle()
 	h.ends(doc, Delivered, 0)
 	require.True(t, admits(h, 600, 8))
-	h.flood(d, status, h.terms.Room)
+	h.flood(d, status, h.terms.QueueCapacity)
 	require.False(t, admits(h, 10, 8), "no room")
 }
 
 func TestRoomOnDiskIsFreeOnceTheAnswerIsHeard(t *testing.T) {
 	h := start(onSockets())
-	doc := &Doc{Dest: h.NewDestination(1), Size: 600}
+	doc := &Message{Dest: h.NewDestination(1), Size: 600}
 	h.Take(doc, status, 1)
 	h.pass(1.1)
 	require.Equal(t, "rejected", h.done[doc])
 	require.False(t, admits(h, 600, 8))
 	h.Told(doc)
-	require.True(t, doc.Over())
+	require.True(t, doc.Finished())
 	require.True(t, admits(h, 600, 8))
 }
 
 func TestTheNextOfAKeyWaitsUntilAnAnswerIsHeard(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
-	first := &Doc{Dest: d, Key: 5}
+	first := &Message{Dest: d, Key: 5}
 	h.Take(first, ticket, 0.5)
 	h.list(d.targets[0], Draining)
-	second := &Doc{Dest: d, Key: 5}
+	second := &Message{Dest: d, Key: 5}
 	h.Take(second, ticket, 20)
 	h.pass(0.6)
 	require.Equal(t, "rejected", h.done[first])
@@ -72,26 +72,26 @@
 func TestWhatWasOutWhenTheProcessEndedIsTreatedAsIfItHadRun(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0, 0)
-	recover := func(typ int, left float64, past Past) *Doc {
-		doc := &Doc{Dest: d, Key: 5}
+	recover := func(typ int, left float64, past RecoveredState) *Message {
+		doc := &Message{Dest: d, Key: 5}
 		h.Recover(doc, typ, left, past)
 		return doc
 	}
-	binding := recover(payment, 10, Past{Sent: 1, Ran: h.now - 2})
-	unsent := recover(payment, 10, Past{Sent: 1})
-	numbered := recover(ticket, 20, Past{Sent: 1, Ran: h.now - 2})
-	behind := recover(ticket, 20, Past{})
-	forgotten := recover(ticket, 20, Past{Sent: 1, Ran: h.now - 16})
-	spent := recover(status, 10, Past{Sent: 6})
-	late := recover(status, -1, Past{})
+	binding := recover(payment, 10, RecoveredState{Attempts: 1, FirstRanAt: h.now - 2})
+	unsent := recover(payment, 10, RecoveredState{Attempts: 1})
+	numbered := recover(ticket, 20, RecoveredState{Attempts: 1, FirstRanAt: h.now - 2})
+	behind := recover(ticket, 20, RecoveredState{})
+	forgotten := recover(ticket, 20, RecoveredState{Attempts: 1, FirstRanAt: h.now - 16})
+	spent := recover(status, 10, RecoveredState{Attempts: 6})
+	late := recover(status, -1, RecoveredState{})
 	h.settle()
-	require.Equal(t, map[*Doc]string{binding: "abandoned", forgotten: "abandoned", spent: "rejected", late: "rejected"}, h.done)
+	require.Equal(t, map[*Message]string{binding: "abandoned", forgotten: "abandoned", spent: "rejected", late: "rejected"}, h.done)
 	h.pass(0.1)
-	var sent []*Doc
+	var sent []*Message
 	for _, s := range h.sent {
 		sent = append(sent, s.doc)
 	}
-	require.ElementsMatch(t, []*Doc{unsent, numbered}, sent)
+	require.ElementsMatch(t, []*Message{unsent, numbered}, sent)
 	require.Equal(t, 2, numbered.sent)
 	h.ends(numbered, Delivered, 0)
 	h.pass(0.1)
@@ -101,10 +101,10 @@
 func TestWhatWasAnsweredBeforeARestartIsOnlyWaitedFor(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
-	doc := &Doc{Dest: d, Key: 5, Size: 10}
-	h.Recover(doc, ticket, 20, Past{Sent: 1, Answered: true})
-	behind := &Doc{Dest: d, Key: 5}
-	h.Recover(behind, ticket, 20, Past{})
+	doc := &Message{Dest: d, Key: 5, Size: 10}
+	h.Recover(doc, ticket, 20, RecoveredState{Attempts: 1, Answered: true})
+	behind := &Message{Dest: d, Key: 5}
+	h.Recover(behind, ticket, 20, RecoveredState{})
 	h.pass(1)
 	require.Empty(t, h.sent)
 	require.Empty(t, h.done)
@@ -204,9 +204,9 @@
 	for _, sent := range []int{0, 1} {
 		h := start(terms)
 		d := h.receiver(0, 0)
-		left := &Doc{Key: 5, Dest: d, Tenant: 9}
-		h.Recover(left, ticket, 20, Past{Sent: sent, Ran: h.now - 1, Left: true})
-		require.True(t, left.Over())
+		left := &Message{Key: 5, Dest: d, Tenant: 9}
+		h.Recover(left, ticket, 20, RecoveredState{Attempts: sent, FirstRanAt: h.now - 1, CallerGone: true})
+		require.True(t, left.Finished())
 		after := h.take(d, ticket, 5)
 		h.settle()
 		require.Equal(t, sent == 0, len(h.sent) == 1, "a key with nothing sent rests not")
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -8,7 +8,7 @@
 
 // Forwarder is one instance of the module.
 type Forwarder struct {
-	terms    Terms
+	terms    Settings
 	host     Host
 	dice     chance
 	now      float64
@@ -20,7 +20,7 @@
 	rank     uint64         // the latest number in the order of taking and of coming back as a retry
 	heard    []*Destination // with news since the last settling
 	due      dueMessages    // what the next review has to look at
-	changed  []*Doc         // whose wanted state may differ from the present one
+	changed  []*Message     // whose wanted state may differ from the present one
 	spent    []float64      // per tenant: up to when its share is used
 	recall   []*Target      // whose calls are not wanted any more unless they have begun to be sent
 	unplug   []*Target      // whose idle connections are not wanted
@@ -40,38 +40,38 @@
 }
 
 // New starts a forwarder.
-func New(terms Terms, seed uint64, now float64, host Host) *Forwarder {
+func New(terms Settings, seed uint64, now float64, host Host) *Forwarder {
 	f := &Forwarder{terms: terms, host: host, dice: newChance(seed), now: now, began: now,
 		chains: map[uint64]*chain{}, tight: map[int]float64{}, wake: math.Inf(1), askAt: math.Inf(1),
-		spent: make([]float64, len(terms.TenantQuota))}
-	if terms.AskList {
+		spent: make([]float64, len(terms.TenantRate))}
+	if terms.PollEndpoints {
 		f.askAt = now
 	}
-	f.blind = terms.Agent
-	if f.terms.AskWithin <= 0 {
-		f.terms.AskWithin = math.Inf(1)
+	f.blind = terms.LocalAgent
+	if f.terms.PollWithin <= 0 {
+		f.terms.PollWithin = math.Inf(1)
 	}
-	if f.terms.Agent {
-		f.terms.AskWithin = math.Min(f.terms.AskWithin, agentAsks)
+	if f.terms.LocalAgent {
+		f.terms.PollWithin = math.Min(f.terms.PollWithin, agentAsks)
 	}
 	f.agreed, f.life = math.Inf(1), math.Inf(1)
 	for _, typ := range terms.Types {
-		f.agreed, f.life = math.Min(f.agreed, typ.Agreed), math.Min(f.life, typ.Life)
+		f.agreed, f.life = math.Min(f.agreed, typ.LatencyObjective), math.Min(f.life, typ.TimeToLive)
 	}
 	return f
 }
 
-// Doc is one document held by a forwarder. The caller sets the fields in capitals, once.
-type Doc struct {
-	Door   uint64 // the adapter's id
+// Message is one document held by a forwarder. The caller sets the fields in capitals, once.
+type Message struct {
+	ID     uint64 // the adapter's id
 	Tenant int
 	Key    uint64
 	Dest   *Destination
 	Size   int // bytes that it takes where documents are kept
 
-	Noticed bool // its final answer, unless it is delivered in time, is a notice to who judges the time by another clock
+	AnsweredByNotice bool // its final answer, unless it is delivered in time, is a notice to who judges the time by another clock
 
-	typ      *DocType
+	typ      *MessageType
 	expiry   float64
 	time     float64 // that it had when it was taken
 	chain    *chain
@@ -87,12 +87,12 @@
 	freed    bool
 	owed     bool // a restart found it untried
 
-	taking                   uint64 // its number in the order of taking
-	rank                     uint64 // its place among those that wait
-	previous, next           *Doc   // in heldList
+	taking                   uint64   // its number in the order of taking
+	rank                     uint64   // its place among those that wait
+	previous, next           *Message // in heldList
 	class                    *class
-	classPrevious, classNext *Doc
-	chainPrevious, chainNext *Doc
+	classPrevious, classNext *Message
+	chainPrevious, chainNext *Message
 	queueAt, closingAt       int32 // positions in heaps: lane or retries, closing retries,
 	expiryAt, timerAt        int32 // expiries or calls that are out, timers
 	timer                    float64
@@ -105,11 +105,11 @@
 	back  float64
 }
 
-// Telling tells that its final answer is still to be heard.
-func (d *Doc) Telling() bool { return d.telling }
+// AwaitingAcknowledgement tells that its final answer is still to be heard.
+func (d *Message) AwaitingAcknowledgement() bool { return d.telling }
 
-// Over tells that nothing more can be heard of the document.
-func (d *Doc) Over() bool { return d.answered && d.call == nil && !d.telling }
+// Finished tells that nothing more can be heard of the document.
+func (d *Message) Finished() bool { return d.answered && d.call == nil && !d.telling }
 
 type answer uint8
 
@@ -211,7 +211,7 @@
 	reused bool // on a connection that had been idle, as far as can be told
 }
 
-// Limit is a reported figure as Ending.Most and Ending.Left have it: reports say 0 where there is none, or none left.
+// Limit is a reported figure as Ending.Most and Ending.CallerGone have it: reports say 0 where there is none, or none left.
 func Limit(reported float64) float64 {
 	if reported == 0 {
 		return -1
@@ -244,10 +244,10 @@
 func (f *Forwarder) Woken() { f.wake = math.Inf(1) }
 
 // Withdrawn says that the client does not want the document any more.
-func (f *Forwarder) Withdrawn(d *Doc) { f.finish(d) }
+func (f *Forwarder) Withdrawn(d *Message) { f.finish(d) }
 
 // finish ends the forwarder's duty for a document; a call that carries it may still be out.
-func (f *Forwarder) finish(d *Doc) {
+func (f *Forwarder) finish(d *Message) {
 	if d.answered {
 		return
 	}
@@ -271,7 +271,7 @@
 }
 
 // Told says that the final answer of a document has reached those whom it is for.
-func (f *Forwarder) Told(d *Doc) {
+func (f *Forwarder) Told(d *Message) {
 	d.telling = false
 	f.unchain(d)
 }
