--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -63,7 +63,7 @@
 		c.reply(admin.Answer{Yes: true, Text: c.Do.String()})
 	case admin.Detach, admin.Attach:
 		t := o.byUID[c.Name]
-		c.reply(o.byHand(c.Call, t != nil && t.line.Standing != scheduler.Gone))
+		c.reply(o.byHand(c.Call, t != nil && t.line.State != scheduler.Removed))
 	}
 }
 
@@ -94,8 +94,8 @@
 	o.log.Info().Str("target", c.Name).Bool("out", change == drains.TakenOut).Int("out_by_hand", o.rota.Len()).Msg("target by hand")
 	if t := o.byUID[c.Name]; t != nil {
 		line := t.line
-		line.Standing, line.Cold = o.rota.Standing(t.uid, line.Standing), change == drains.Returned
-		o.f.List(false, []scheduler.Listing{line}) // before this turn's Settle: nothing new goes to it from here on
+		line.State, line.WarmingUp = o.rota.Standing(t.uid, line.State), change == drains.Returned
+		o.f.UpdateEndpoints(false, []scheduler.EndpointUpdate{line}) // before this turn's Reconcile: nothing new goes to it from here on
 	}
 	return answerOf(c, verdict)
 }
--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -120,10 +120,10 @@
 	p.holder, _ = a.From.(transport.Holder)
 	p.came = in.Came
 	p.doc.AnsweredByNotice = p.doc.AnsweredByNotice && p.holder == nil
-	o.f.Take(p.doc, typ, left)
+	o.f.Accept(p.doc, typ, left)
 	o.inMemory(p)
 	if !a.From.Answer(transport.Reply{Word: transport.Taken}) { // not heard: its caller hands it in again under another id
-		o.f.Withdrawn(p.doc)
+		o.f.Withdraw(p.doc)
 		o.recordDone(p)
 		o.removeIfDone(p)
 		return
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -35,8 +35,8 @@
 	if end.Written() {
 		o.figures.relayed++
 	}
-	o.f.Ended(p.doc, scheduler.Ending{Outcome: outcome, Over: over, Took: e.Took.Seconds(), Wait: e.Wait, Most: e.Most,
-		Left: e.Left})
+	o.f.AttemptEnded(p.doc, scheduler.AttemptResult{Outcome: outcome, Final: over, Latency: e.Took.Seconds(), RetryAfter: e.Wait, ReportedLimit: e.Most,
+		ReportedShare: e.Left})
 	switch {
 	case over && p.doc.AwaitingAcknowledgement(): // owed until that is heard, so it stays recorded
 	case over:
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -148,7 +148,7 @@
 
 // laneOfDoc is the lane of a document that the module has.
 func laneOfDoc(d *scheduler.Message) backlog.Lane {
-	return backlog.Lane{Destination: d.Dest.Door, Tenant: uint32(d.Tenant)}
+	return backlog.Lane{Destination: d.Dest.ID, Tenant: uint32(d.Tenant)}
 }
 
 // keepsOrder tells if a document's type keeps the order of its key. One of an unknown type counts as of the first, as
@@ -265,7 +265,7 @@
 // noteOutage tells the policy whether a destination answers.
 func (o *owner) noteOutage(d *scheduler.Destination) {
 	if o.stored != nil {
-		o.stored.policy.Out(d.Door, o.f.Dark(d))
+		o.stored.policy.Out(d.ID, o.f.Dark(d))
 	}
 }
 
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -119,7 +119,7 @@
 	o.stored.policy.Spilled(policyLane(p.lane), size)
 	o.removeFromLane(p)
 	o.noLongerUntried(p, false)
-	o.f.Withdrawn(p.doc)
+	o.f.Withdraw(p.doc)
 	delete(o.docs, p.Door)
 	if o.byID[p.ID] == p {
 		delete(o.byID, p.ID)
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -206,7 +206,7 @@
 // NoticesLost says that notices will be sent once more.
 func (x *Exchange) NoticesLost(why string) { x.leave(noticesLost(why)) }
 
-// Told says which notices were answered.
+// NoticeAcknowledged says which notices were answered.
 func (x *Exchange) Told(doors []uint64) { x.leave(told(doors)) }
 
 type (
--- a/forwarder/figures.go
+++ b/forwarder/figures.go
@@ -42,10 +42,10 @@
 func (o *owner) vars() string {
 	listed, avoided := 0, 0
 	for _, t := range o.targets {
-		if t.line.Standing == scheduler.Gone {
+		if t.line.State == scheduler.Removed {
 			continue
 		}
-		if listed++; t.line.Standing == scheduler.Ready && (o.rota.Out(t.uid) || t.module.Sick()) {
+		if listed++; t.line.State == scheduler.Ready && (o.rota.Out(t.uid) || t.module.Ejected()) {
 			avoided++
 		}
 	}
--- a/forwarder/follow.go
+++ b/forwarder/follow.go
@@ -32,7 +32,7 @@
 	defer o.source.Stop()
 	o.f = scheduler.New(order.Terms, order.Seed, o.clock(o.epoch), o)
 	o.listed(&order.Known, true)
-	o.f.Settle()
+	o.f.Reconcile()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -55,7 +55,7 @@
 func TestWritesSameLatenciesAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	o := goldenLatencyOwner(t, folder)
-	require.True(t, o.f.Remember(o.dest(goldenDestination), goldenTimes()))
+	require.True(t, o.f.RestoreLatencies(o.dest(goldenDestination), goldenTimes()))
 	o.keepLearnt()
 	golden.Compare(t, folder, goldenLatencies)
 }
@@ -93,8 +93,8 @@
 func TestWritesSameRetryAfterStateAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	o := goldenEndpoints(folder)
-	o.f.Close(o.byUID["endpoint-1"].module, goldenNow+12.3456)
-	o.f.Close(o.byUID["endpoint-2"].module, goldenNow-1) // over
+	o.f.BlockUntil(o.byUID["endpoint-1"].module, goldenNow+12.3456)
+	o.f.BlockUntil(o.byUID["endpoint-2"].module, goldenNow-1) // over
 	o.keepWaits(goldenNow)
 	golden.Compare(t, folder, goldenRetryAfter)
 }
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -23,14 +23,14 @@
 	o.calls = o.calls[:0]
 }
 
-// Transmit, Reject, Abandon, Recall, CloseIdle, Release, Wake, Watch and Log make an owner the choice.Host.
+// Send, Reject, Fail, CancelUnsent, CloseIdle, ReleaseEndpoint, Wake, WatchEndpoints and Log make an owner the choice.Host.
 
-// Transmit adds a document to the call that is being made up for the target, as far as one call carries them.
-func (o *owner) Transmit(d *scheduler.Message, to *scheduler.Target, timeout float64) {
-	p, t := o.docs[d.ID], o.targets[to.Door]
+// Send adds a document to the call that is being made up for the target, as far as one call carries them.
+func (o *owner) Send(d *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
+	p, t := o.docs[d.ID], o.targets[to.ID]
 	if err := o.ledger.Out(d.ID, micros(o.clock(time.Now())), t.zone); err != nil {
 		o.logLedgerError(err)
-		c := &transport.Call{Door: to.Door, Target: t.addr, Papers: []transport.Paper{p.Paper}}
+		c := &transport.Call{Door: to.ID, Target: t.addr, Papers: []transport.Paper{p.Paper}}
 		o.exchange.CallEnded(transport.Ended{Call: c, Ends: []transport.End{transport.Unsent}})
 		return
 	}
@@ -41,13 +41,13 @@
 	}
 	allow := time.Duration(timeout * float64(time.Second))
 	for _, c := range o.calls {
-		if c := c.call; c.Door == to.Door && len(c.Papers) < t.batch {
+		if c := c.call; c.Door == to.ID && len(c.Papers) < t.batch {
 			c.Papers = append(c.Papers, p.Paper)
 			c.Allow = min(c.Allow, allow)
 			return
 		}
 	}
-	call := &transport.Call{Door: to.Door, Target: t.addr, Papers: []transport.Paper{p.Paper}, Allow: allow}
+	call := &transport.Call{Door: to.ID, Target: t.addr, Papers: []transport.Paper{p.Paper}, Allow: allow}
 	o.calls = append(o.calls, pending{t.outlet, call})
 }
 
@@ -56,7 +56,7 @@
 	o.answer(o.docs[d.ID], wal.Returned, int(comeBack*1000))
 }
 
-func (o *owner) Abandon(d *scheduler.Message) {
+func (o *owner) Fail(d *scheduler.Message) {
 	o.counts.abandoned++
 	o.answer(o.docs[d.ID], wal.Abandoned, 0)
 }
@@ -95,30 +95,30 @@
 	}
 }
 
-func (o *owner) Recall(t *scheduler.Target) {
-	if known := o.targets[t.Door]; known != nil {
-		known.outlet.Recall(t.Door)
+func (o *owner) CancelUnsent(t *scheduler.Endpoint) {
+	if known := o.targets[t.ID]; known != nil {
+		known.outlet.Recall(t.ID)
 	}
 }
 
-func (o *owner) CloseIdle(t *scheduler.Target) {
+func (o *owner) CloseIdle(t *scheduler.Endpoint) {
 	o.flush() // what was decided before takes the connections first
-	if known := o.targets[t.Door]; known != nil {
-		known.outlet.CloseIdle(t.Door)
+	if known := o.targets[t.ID]; known != nil {
+		known.outlet.CloseIdle(t.ID)
 	}
 }
 
-// Release lets go of a target that is gone: of what names it here, and of its connections.
-func (o *owner) Release(t *scheduler.Target) {
+// ReleaseEndpoint lets go of a target that is gone: of what names it here, and of its connections.
+func (o *owner) ReleaseEndpoint(t *scheduler.Endpoint) {
 	o.CloseIdle(t)
-	if known := o.targets[t.Door]; known != nil {
-		delete(o.targets, t.Door)
+	if known := o.targets[t.ID]; known != nil {
+		delete(o.targets, t.ID)
 		delete(o.byUID, known.uid)
 	}
 }
 
 func (o *owner) Wake(in float64) { o.wakeAt = time.Now().Add(time.Duration(in * float64(time.Second))) }
 
-func (o *owner) Watch() { o.source.Watch(o.rev) }
+func (o *owner) WatchEndpoints() { o.source.Watch(o.rev) }
 
 func (o *owner) Log(line string) { o.log.Info().Str("mode", line).Msg("module") }
--- a/forwarder/learnt.go
+++ b/forwarder/learnt.go
@@ -30,7 +30,7 @@
 	var b strings.Builder
 	lines := 0
 	for number, d := range o.dests {
-		times := d.Times()
+		times := d.Latencies()
 		if times == nil || lines == mostLearnt {
 			continue
 		}
--- a/forwarder/learnt_test.go
+++ b/forwarder/learnt_test.go
@@ -16,15 +16,15 @@
 
 type silentHost struct{}
 
-func (silentHost) Transmit(*scheduler.Message, *scheduler.Target, float64) {}
-func (silentHost) Reject(*scheduler.Message, float64)                      {}
-func (silentHost) Abandon(*scheduler.Message)                              {}
-func (silentHost) Recall(*scheduler.Target)                                {}
-func (silentHost) CloseIdle(*scheduler.Target)                             {}
-func (silentHost) Release(*scheduler.Target)                               {}
-func (silentHost) Wake(float64)                                            {}
-func (silentHost) Watch()                                                  {}
-func (silentHost) Log(string)                                              {}
+func (silentHost) Send(*scheduler.Message, *scheduler.Endpoint, float64) {}
+func (silentHost) Reject(*scheduler.Message, float64)                    {}
+func (silentHost) Fail(*scheduler.Message)                               {}
+func (silentHost) CancelUnsent(*scheduler.Endpoint)                      {}
+func (silentHost) CloseIdle(*scheduler.Endpoint)                         {}
+func (silentHost) ReleaseEndpoint(*scheduler.Endpoint)                   {}
+func (silentHost) Wake(float64)                                          {}
+func (silentHost) WatchEndpoints()                                       {}
+func (silentHost) Log(string)                                            {}
 
 // learning is an owner with a module and a folder, no sockets.
 func learning(folder string) (*owner, *bytes.Buffer) {
@@ -42,20 +42,20 @@
 	old, _ := learning(folder)
 	times := make([]float64, 16)
 	times[9] = 40
-	require.True(t, old.f.Remember(old.dest(7), times))
+	require.True(t, old.f.RestoreLatencies(old.dest(7), times))
 	old.dest(8) // nothing was measured there
 	old.keepLearnt()
 
 	fresh, _ := learning(folder)
 	require.Len(t, fresh.learnt, 1)
-	require.Equal(t, old.dests[7].Times(), fresh.dest(7).Times())
+	require.Equal(t, old.dests[7].Latencies(), fresh.dest(7).Latencies())
 	require.Empty(t, fresh.learnt, "given once")
-	require.Nil(t, fresh.dest(8).Times())
+	require.Nil(t, fresh.dest(8).Latencies())
 
 	unheard, _ := learning(folder) // a process that hears of no destination keeps what it was given
 	unheard.keepLearnt()
 	again, _ := learning(folder)
-	require.Equal(t, old.dests[7].Times(), again.dest(7).Times())
+	require.Equal(t, old.dests[7].Latencies(), again.dest(7).Latencies())
 
 	file := filepath.Join(folder, learntFile)
 	good, err := os.ReadFile(file)
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -11,14 +11,14 @@
 	dest        uint64
 	zone, batch int
 	outlet      transport.Outlet
-	module      *scheduler.Target
-	line        scheduler.Listing // as the list has it last
+	module      *scheduler.Endpoint
+	line        scheduler.EndpointUpdate // as the list has it last
 }
 
 // listed takes up a list of targets: all of them, or changes.
 func (o *owner) listed(l *transport.List, whole bool) {
 	o.rev = l.Rev
-	lines := make([]scheduler.Listing, 0, len(l.Targets))
+	lines := make([]scheduler.EndpointUpdate, 0, len(l.Targets))
 	for i := range l.Targets {
 		e := &l.Targets[i]
 		kind := index(o.order.Names.Kinds, e.Kind)
@@ -26,13 +26,13 @@
 		if t == nil {
 			continue
 		}
-		t.line = scheduler.Listing{Target: t.module, Dest: o.dest(e.Dest), Kind: kind, Zone: t.zone, Rate: e.Rate,
-			Standing: o.standing(e)}
+		t.line = scheduler.EndpointUpdate{Endpoint: t.module, Destination: o.dest(e.Dest), Kind: kind, Zone: t.zone, Rate: e.Rate,
+			State: o.standing(e)}
 		line := t.line
-		line.Standing = o.rota.Standing(t.uid, line.Standing)
+		line.State = o.rota.Standing(t.uid, line.State)
 		lines = append(lines, line)
 	}
-	o.f.List(whole, lines)
+	o.f.UpdateEndpoints(whole, lines)
 	o.forgetUnused()
 	if len(o.waits) > 0 {
 		o.heedWaits()
@@ -48,7 +48,7 @@
 			return nil
 		}
 		o.lastDoor++
-		t = &target{uid: e.UID, dest: e.Dest, outlet: o.outletOf(e.Kind), module: &scheduler.Target{Door: o.lastDoor}}
+		t = &target{uid: e.UID, dest: e.Dest, outlet: o.outletOf(e.Kind), module: &scheduler.Endpoint{ID: o.lastDoor}}
 		o.targets[o.lastDoor], o.byUID[e.UID] = t, t
 	}
 	t.zone, t.batch = index(o.order.Names.Zones, e.Zone), 1
@@ -62,14 +62,14 @@
 }
 
 // standing is what the list says of a target. A state that is not known here lets its calls end and begins none.
-func (o *owner) standing(e *transport.Target) scheduler.Standing {
+func (o *owner) standing(e *transport.Target) scheduler.EndpointState {
 	switch e.State {
 	case "active":
 		return scheduler.Ready
 	case "leaving":
 		return scheduler.Draining
 	case "left":
-		return scheduler.Gone
+		return scheduler.Removed
 	default:
 		o.log.Warn().Str("target", e.UID).Str("state", e.State).Msg("unknown state in the list")
 		return scheduler.Draining
@@ -94,7 +94,7 @@
 	d := o.f.NewDestination(number)
 	o.dests[number] = d
 	if times := o.learnt[number]; times != nil {
-		o.f.Remember(d, times)
+		o.f.RestoreLatencies(d, times)
 		delete(o.learnt, number)
 	}
 	return d
--- a/forwarder/list_test.go
+++ b/forwarder/list_test.go
@@ -33,7 +33,7 @@
 	const count = 10 * leastSweep
 	o := listOwner()
 	o.listed(&transport.List{Rev: 1, All: true, Targets: manyTargets(0, count)}, true)
-	o.f.Settle()
+	o.f.Reconcile()
 	require.Len(t, o.dests, count)
 	kept := o.dests[0]
 	o.listed(&transport.List{Rev: 2, Targets: manyTargets(count, 3*count)}, false)
@@ -46,11 +46,11 @@
 	o := listOwner()
 	for round := range 20 {
 		o.listed(&transport.List{Rev: int64(round + 1), All: true, Targets: manyTargets(round*count, (round+1)*count)}, true)
-		o.f.Settle()
+		o.f.Reconcile()
 	}
 	// Each list leaves the ones before until their targets are let go of, and a sweep waits until there are twice as many.
 	require.Less(t, len(o.dests), 6*count)
 }
 
-func (h *wakeHost) Release(*scheduler.Target)   {}
-func (h *wakeHost) CloseIdle(*scheduler.Target) {}
+func (h *wakeHost) ReleaseEndpoint(*scheduler.Endpoint) {}
+func (h *wakeHost) CloseIdle(*scheduler.Endpoint)       {}
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -46,7 +46,7 @@
 	}
 	o.counts.withdrawn++
 	p.withdrawn = true
-	o.f.Withdrawn(p.doc)
+	o.f.Withdraw(p.doc)
 	o.removeIfDone(p)
 }
 
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -20,7 +20,7 @@
 	exchange *Exchange
 	ledger   *wal.Ledger
 	stored   *stored // nil: messages wait in memory alone
-	f        *scheduler.Forwarder
+	f        *scheduler.Scheduler
 	epoch    time.Time // the module's clock is seconds of the wall clock at the start, and from there on even
 	wakeAt   time.Time // zero: none set
 	stopping bool      // told to stop
@@ -118,16 +118,16 @@
 func (o *owner) turn() bool {
 	news, since := o.exchange.take()
 	start := time.Now()
-	o.f.Clock(o.clock(start))
+	o.f.SetTime(o.clock(start))
 	for _, n := range news {
 		o.hear(n)
 	}
 	if !o.wakeAt.IsZero() && !start.Before(o.wakeAt) {
 		o.wakeAt = time.Time{}
-		o.f.Woken()
+		o.f.TimerFired()
 	}
 	o.moveBacklog(start)
-	o.f.Settle()
+	o.f.Reconcile()
 	o.flush()
 	end := time.Now()
 	if o.metered {
@@ -173,11 +173,11 @@
 	o.log.Warn().Str("why", n.why).Msg("watch ended")
 	switch n.how {
 	case transport.WatchSilent:
-		o.f.ListSilent()
+		o.f.WatchSilent()
 	case transport.WatchLate:
-		o.f.ListFailed()
+		o.f.PollTimedOut()
 	default:
-		o.f.ListBroken()
+		o.f.WatchBroken()
 	}
 }
 
@@ -186,7 +186,7 @@
 	for _, door := range doors {
 		if p := o.docs[door]; p != nil {
 			o.recordDone(p)
-			o.f.Told(p.doc)
+			o.f.NoticeAcknowledged(p.doc)
 			o.removeIfDone(p)
 		}
 	}
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -24,7 +24,7 @@
 	for _, e := range owed {
 		o.recover(e, now, overtaking[e.Seq])
 	}
-	o.f.Settle()
+	o.f.Reconcile()
 	o.flush()
 }
 
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -100,7 +100,7 @@
 	if s.handing = o.order.Inherited > 0; s.handing {
 		// Another process takes the clients from the shared socket and what is owed from the folder: its order goes on
 		// there once this one has its calls back.
-		o.log.Info().Int("held", len(o.docs)).Int("out", o.f.Out()).Msg("handing over")
+		o.log.Info().Int("held", len(o.docs)).Int("out", o.f.CallsInFlight()).Msg("handing over")
 		o.exchange.leave(stopping(0))
 		s.look = time.Tick(lookEvery)
 		return
@@ -120,7 +120,7 @@
 		o.gone()
 	}
 	done := o.turn()
-	if s.handing && !s.shut && o.f.Out() == 0 {
+	if s.handing && !s.shut && o.f.CallsInFlight() == 0 {
 		// Clients are taken and kept for the successor until the calls are back, so that the socket is without anybody
 		// who accepts for as short a time as can be: the successor starts once the folder is free.
 		s.shut = true
--- a/forwarder/waits.go
+++ b/forwarder/waits.go
@@ -21,7 +21,7 @@
 func (o *owner) keepWaits(now float64) {
 	var b strings.Builder
 	for _, t := range o.targets {
-		if until := t.module.Closed(); until > now {
+		if until := t.module.BlockedUntil(); until > now {
 			fmt.Fprintf(&b, "%s %.3f\n", t.uid, until)
 		}
 	}
@@ -54,7 +54,7 @@
 		if until < now {
 			delete(o.waits, uid)
 		} else if t := o.byUID[uid]; t != nil {
-			o.f.Close(t.module, until)
+			o.f.BlockUntil(t.module, until)
 			delete(o.waits, uid)
 		}
 	}
--- a/forwarder/watch_test.go
+++ b/forwarder/watch_test.go
@@ -18,7 +18,7 @@
 }
 
 func (h *wakeHost) Wake(in float64) { h.in = in }
-func (h *wakeHost) Watch()          { h.asks++ }
+func (h *wakeHost) WatchEndpoints() { h.asks++ }
 func (h *wakeHost) Log(string)      {}
 
 // The time until the next question for the list goes by how the watch ended.
@@ -29,18 +29,18 @@
 			host, now := &wakeHost{}, 100.0
 			terms := scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 3, PollEndpoints: true, PollWithin: askWithin}
 			o := &owner{f: scheduler.New(terms, seed, now, host), log: zerolog.Nop()}
-			o.f.Clock(now)
-			o.f.Settle()
+			o.f.SetTime(now)
+			o.f.Reconcile()
 			require.Equal(t, 1, host.asks)
 			for n := range failures {
-				o.f.Clock(now)
+				o.f.SetTime(now)
 				o.hear(watchEnded{"as the test has it", how})
-				o.f.Settle()
+				o.f.Reconcile()
 				wait = max(wait, host.in)
 				now += host.in + 0.001
-				o.f.Clock(now)
-				o.f.Woken()
-				o.f.Settle()
+				o.f.SetTime(now)
+				o.f.TimerFired()
+				o.f.Reconcile()
 				require.Equal(t, n+2, host.asks)
 			}
 		}
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -178,7 +178,7 @@
 	list  transport.List
 }
 
-// Watch tells the whole list.
+// WatchEndpoints tells the whole list.
 func (s *static) Watch(int64) {
 	list := s.list
 	s.board.Listed(&list)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -57,7 +57,7 @@
 	Ask(c Call, reply func(Answer))
 }
 
-// Times of a call. Callers that send nothing, or half a call, are cut off before an answer would be late; the owner
+// Latencies of a call. Callers that send nothing, or half a call, are cut off before an answer would be late; the owner
 // has what is left of the second.
 const (
 	Due         = time.Second
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -16,7 +16,7 @@
 type FS interface {
 	// MakeDir makes a folder with its parents unless it is there.
 	MakeDir(dir string) error
-	// List gives the names of the regular files in a folder.
+	// UpdateEndpoints gives the names of the regular files in a folder.
 	List(dir string) ([]string, error)
 	// Create makes a file for appending. It is an error if one has the name.
 	Create(name string) (File, error)
@@ -77,7 +77,7 @@
 // MakeDir makes a folder with its parents unless it is there.
 func (OS) MakeDir(dir string) error { return os.MkdirAll(dir, dirPerm) }
 
-// List gives the names of the regular files in a folder.
+// UpdateEndpoints gives the names of the regular files in a folder.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/backlog/inspect.go
+++ b/internal/backlog/inspect.go
@@ -110,7 +110,7 @@
 	return nil, ErrChanged
 }
 
-// Close ends the reading.
+// BlockUntil ends the reading.
 func (v *View) Close() error { return v.store.Close() }
 
 // Stats sums up what was stored when Look read it.
--- a/internal/backlog/keytable.go
+++ b/internal/backlog/keytable.go
@@ -14,7 +14,7 @@
 func (s keySlot) same(other keySlot) bool { return s.key == other.key && s.lane == other.lane }
 
 // hashKey spreads keys over the table. It is the finalizer of SplitMix64, a bijection that leaves 0 as it is: no two
-// keys have the same hash. Release records hold it.
+// keys have the same hash. ReleaseEndpoint records hold it.
 func hashKey(key uint64) uint64 {
 	key = (key ^ key>>30) * 0xBF58476D1CE4E5B9
 	key = (key ^ key>>27) * 0x94D049BB133111EB
--- a/internal/backlog/message.go
+++ b/internal/backlog/message.go
@@ -12,7 +12,7 @@
 	Tenant      uint32
 }
 
-// Message is a message that is owed its end, with its history. Times are in microseconds of the wall clock, 0 for none.
+// Message is a message that is owed its end, with its history. Latencies are in microseconds of the wall clock, 0 for none.
 type Message struct {
 	Seq  uint64 // its number in the write-ahead log: the order of taking
 	Lane Lane
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -225,7 +225,7 @@
 	p.consider(l)
 }
 
-// Ended says that a message of a lane has left memory, as it is over.
+// AttemptEnded says that a message of a lane has left memory, as it is over.
 func (p *Policy) Ended(lane Lane) {
 	l := p.lane(lane)
 	l.held--
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -96,7 +96,7 @@
 	messages, releases int // records that a replay found
 }
 
-// Store is open until Close. It is not safe for use by several goroutines.
+// Store is open until BlockUntil. It is not safe for use by several goroutines.
 type Store struct {
 	fs       FS
 	dir      string
@@ -155,7 +155,7 @@
 	return s, nil
 }
 
-// Close ends the use of the store. It stays as it is on disk.
+// BlockUntil ends the use of the store. It stays as it is on disk.
 func (s *Store) Close() error {
 	var errs []error
 	for _, r := range s.readers {
@@ -324,7 +324,7 @@
 	l.states[e.state()] += sign
 }
 
-// Release lets go of messages that are in the write-ahead log again or over. Those that are not stored are passed over.
+// ReleaseEndpoint lets go of messages that are in the write-ahead log again or over. Those that are not stored are passed over.
 // With an error none is released.
 func (s *Store) Release(refs []Ref) error {
 	if s.lock == nil {
@@ -384,7 +384,7 @@
 	return bytes
 }
 
-// Head reads the first n messages of a lane, in the order of taking. They stay stored until Release.
+// Head reads the first n messages of a lane, in the order of taking. They stay stored until ReleaseEndpoint.
 func (s *Store) Head(id Lane, n int) ([]*Message, error) {
 	l := s.lanes[id]
 	if l == nil {
@@ -414,7 +414,7 @@
 	return s.expiries[0].next().expiry, true
 }
 
-// Expired reads up to n messages whose time is over at a moment, in the order of expiry. They stay stored until Release.
+// Expired reads up to n messages whose time is over at a moment, in the order of expiry. They stay stored until ReleaseEndpoint.
 func (s *Store) Expired(now int64, n int) ([]*Message, error) {
 	var ms []*Message
 	walk := expiryWalk{}
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -98,7 +98,7 @@
 // Open tells how many lines there are.
 func (d *Dialer) Open() int { return int(d.open.Load()) }
 
-// Full tells that a further line finds no room.
+// Overloaded tells that a further line finds no room.
 func (d *Dialer) Full() bool { return d.open.Load() >= d.most }
 
 // Dial begins to open a line. What cannot even begin is told by Down like the rest, never from within this call.
@@ -267,7 +267,7 @@
 	return l.Sent()
 }
 
-// Close ends the line; Down is not called for it.
+// BlockUntil ends the line; Down is not called for it.
 func (l *Line) Close() { l.shut() }
 
 // CloseUnlessUp ends the line if nothing can have been sent on it yet, and tells if it did.
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -35,7 +35,7 @@
 
 // Directory holds the connections to discovery.
 type Directory struct {
-	// MostLine bounds one object of a watch, in bytes; 0: 4 MiB. Set before the first Watch.
+	// MostLine bounds one object of a watch, in bytes; 0: 4 MiB. Set before the first WatchEndpoints.
 	MostLine int
 
 	dialer  *dial.Dialer
@@ -118,7 +118,7 @@
 	over   bool
 }
 
-// Watch asks for the changes since a version, on a new connection.
+// WatchEndpoints asks for the changes since a version, on a new connection.
 func (d *Directory) Watch(rev int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -323,7 +323,7 @@
 	d.mu.Lock()
 	c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"rev\":2,\"all\":true,\"targets\":[]}\n"))
 	emulator.AwaitAtLock(t, "discovery.(*watch).Data(")
-	d.watch.close() // what Watch and Move do first, with the lock held
+	d.watch.close() // what WatchEndpoints and Move do first, with the lock held
 	d.mu.Unlock()
 	d.Watch(1)
 	c, _ = accept()
--- a/internal/drains/rota.go
+++ b/internal/drains/rota.go
@@ -12,7 +12,7 @@
 	"spanflow/scheduler"
 )
 
-// Most is the number of targets that may be out by hand at once. Guards against a caller that names ids without end,
+// ReportedLimit is the number of targets that may be out by hand at once. Guards against a caller that names ids without end,
 // which would grow the set and its file; hurts a fleet with more targets out than this, which then hears no.
 const Most = 1024
 
@@ -101,7 +101,7 @@
 }
 
 // Standing is what the module is told of a listed target: a target out by hand drains, whatever the list says.
-func (r *Rota) Standing(id string, listed scheduler.Standing) scheduler.Standing {
+func (r *Rota) Standing(id string, listed scheduler.EndpointState) scheduler.EndpointState {
 	if listed == scheduler.Ready && r.Out(id) {
 		return scheduler.Draining
 	}
--- a/internal/drains/rota_test.go
+++ b/internal/drains/rota_test.go
@@ -15,7 +15,7 @@
 	require.Equal(t, Yes, v)
 	require.Equal(t, TakenOut, c)
 	require.Equal(t, scheduler.Draining, r.Standing("s1", scheduler.Ready))
-	require.Equal(t, scheduler.Gone, r.Standing("s1", scheduler.Gone))
+	require.Equal(t, scheduler.Removed, r.Standing("s1", scheduler.Removed))
 	require.Equal(t, scheduler.Ready, r.Standing("s2", scheduler.Ready))
 }
 
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -104,7 +104,7 @@
 	return len(data) - len(b), true, nil
 }
 
-// Ended tells if the end of the connection completes the answer.
+// AttemptEnded tells if the end of the connection completes the answer.
 func (r *Reader) Ended() bool { return r.at == inOpen }
 
 // Begun tells if anything of an answer has come, interim ones aside.
--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Gone tells if the client does not hear an answer any more.
+// Removed tells if the client does not hear an answer any more.
 func (c *Client) Gone() bool { return c.gone.Load() }
 
 // Answer writes the answer to the oldest command without one. It tells if the connection stood.
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -150,10 +150,10 @@
 type instance struct {
 	host    *Host
 	number  uint16
-	f       *scheduler.Forwarder
+	f       *scheduler.Scheduler
 	docs    map[uint32]*scheduler.Message
 	dests   map[uint32]*scheduler.Destination
-	targets map[uint64]*scheduler.Target
+	targets map[uint64]*scheduler.Endpoint
 	limitAt int // place of the limit in a load report
 	leftAt  int // and of the share of it that is left
 	dirty   bool
@@ -181,7 +181,7 @@
 	for _, in := range h.touched {
 		if in.dirty && h.instances[in.number] == in {
 			in.dirty = false
-			in.guard(in.f.Settle)
+			in.guard(in.f.Reconcile)
 		}
 	}
 	binary.LittleEndian.PutUint32(h.out.b, uint32(len(h.out.b)))
@@ -237,7 +237,7 @@
 	}
 	in.touch()
 	in.guard(func() {
-		in.f.Clock(now)
+		in.f.SetTime(now)
 		step()
 	})
 	return nil
@@ -276,7 +276,7 @@
 		return fmt.Errorf("settings of instance %d: %w", number, err)
 	}
 	in := &instance{host: h, number: number, limitAt: fronts.LimitAt, leftAt: fronts.LeftAt, docs: map[uint32]*scheduler.Message{},
-		dests: map[uint32]*scheduler.Destination{}, targets: map[uint64]*scheduler.Target{}}
+		dests: map[uint32]*scheduler.Destination{}, targets: map[uint64]*scheduler.Endpoint{}}
 	in.f = scheduler.New(t, seed, now, in)
 	h.instances[number] = in
 	in.touch()
@@ -303,20 +303,20 @@
 			return nil, fmt.Errorf("unknown list scope %d", scope)
 		}
 		if scope == 3 {
-			return f.ListFailed, nil
+			return f.PollTimedOut, nil
 		}
 		entries, known := in.host.manifests[list]
 		if !known && r.err == nil {
 			return nil, fmt.Errorf("list %d was never conveyed", list)
 		}
-		return func() { f.List(scope != 0, in.listings(entries)) }, nil
+		return func() { f.UpdateEndpoints(scope != 0, in.listings(entries)) }, nil
 	case 1:
 		return in.ended(r)
 	case 2:
 		id := r.u32()
 		return func() {
 			if d := in.docs[id]; d != nil {
-				f.Withdrawn(d)
+				f.Withdraw(d)
 				in.release(d)
 			}
 		}, nil
@@ -338,22 +338,22 @@
 		return func() {}, nil
 	case 9:
 		r.u64()
-		return f.Woken, nil
+		return f.TimerFired, nil
 	default:
 		return in.demand(r)
 	}
 }
 
-func (in *instance) listings(entries []entry) []scheduler.Listing {
-	lines := make([]scheduler.Listing, 0, len(entries))
+func (in *instance) listings(entries []entry) []scheduler.EndpointUpdate {
+	lines := make([]scheduler.EndpointUpdate, 0, len(entries))
 	for _, e := range entries {
 		t := in.targets[e.address]
 		if t == nil {
-			t = &scheduler.Target{Door: e.address}
+			t = &scheduler.Endpoint{ID: e.address}
 			in.targets[e.address] = t
 		}
-		lines = append(lines, scheduler.Listing{Target: t, Dest: in.dest(uint32(e.dest)), Kind: int(e.kind),
-			Zone: int(e.zone), Rate: e.rate, Standing: [3]scheduler.Standing{scheduler.Gone, scheduler.Ready, scheduler.Draining}[e.status]})
+		lines = append(lines, scheduler.EndpointUpdate{Endpoint: t, Destination: in.dest(uint32(e.dest)), Kind: int(e.kind),
+			Zone: int(e.zone), Rate: e.rate, State: [3]scheduler.EndpointState{scheduler.Removed, scheduler.Ready, scheduler.Draining}[e.status]})
 	}
 	return lines
 }
@@ -366,32 +366,32 @@
 	if r.err == nil && !(dest >= 0 && dest <= 1<<24) {
 		return nil, fmt.Errorf("destination %v is no number of one", dest)
 	}
-	if r.err == nil && !in.f.KnowsType(int(kind)) {
+	if r.err == nil && !in.f.HasType(int(kind)) {
 		return nil, fmt.Errorf("document type %d is not in the settings", kind)
 	}
 	return func() {
 		d := &scheduler.Message{ID: uint64(id), Tenant: int(tenant), Key: key, Dest: in.dest(uint32(dest))}
 		in.docs[id] = d
-		in.f.Take(d, int(kind), left)
+		in.f.Accept(d, int(kind), left)
 	}, nil
 }
 
-var outcomes = map[uint16]scheduler.Outcome{200: scheduler.Delivered, 502: scheduler.Errored, 429: scheduler.Full,
-	408: scheduler.TimedOut, 521: scheduler.NoConnection, 520: scheduler.Reset, 444: scheduler.Cancelled, 409: scheduler.Moot}
+var outcomes = map[uint16]scheduler.Outcome{200: scheduler.Delivered, 502: scheduler.ServerError, 429: scheduler.Overloaded,
+	408: scheduler.TimedOut, 521: scheduler.NoConnection, 520: scheduler.Reset, 444: scheduler.Cancelled, 409: scheduler.NotSent}
 
 func (in *instance) ended(r *reader) (func(), error) {
 	id := r.u32()
 	r.address()
-	e := scheduler.Ending{Over: r.u8() != 0, Took: r.f64() / 1000}
+	e := scheduler.AttemptResult{Final: r.u8() != 0, Latency: r.f64() / 1000}
 	note := r.u32()
 	r.u16() // which transmission: only one is ever out
 	reason := r.u16()
 	for i := range int(r.u8()) {
 		switch v := r.f32(); i {
 		case in.limitAt:
-			e.Most = scheduler.Limit(v)
+			e.ReportedLimit = scheduler.ReportedValue(v)
 		case in.leftAt:
-			e.Left = scheduler.Limit(v)
+			e.ReportedShare = scheduler.ReportedValue(v)
 		}
 	}
 	outcome, known := outcomes[reason]
@@ -399,12 +399,12 @@
 		return nil, fmt.Errorf("unknown outcome %d", reason)
 	}
 	e.Outcome = outcome
-	if outcome == scheduler.Full {
-		e.Wait = float64(note) / 1000
+	if outcome == scheduler.Overloaded {
+		e.RetryAfter = float64(note) / 1000
 	}
 	return func() {
 		if d := in.docs[id]; d != nil {
-			in.f.Ended(d, e)
+			in.f.AttemptEnded(d, e)
 			in.release(d)
 		}
 	}, nil
@@ -417,13 +417,13 @@
 	}
 }
 
-// Transmit, Reject, Abandon, Recall, CloseIdle, Wake, Watch and Log make this the choice.Host.
+// Send, Reject, Fail, CancelUnsent, CloseIdle, Wake, WatchEndpoints and Log make this the choice.Host.
 
-func (in *instance) Transmit(d *scheduler.Message, t *scheduler.Target, timeout float64) {
+func (in *instance) Send(d *scheduler.Message, t *scheduler.Endpoint, timeout float64) {
 	w := &in.host.out
 	w.record(0, in.number)
 	w.u32(uint32(d.ID))
-	w.address(t.Door)
+	w.address(t.ID)
 	w.ms(timeout)
 }
 
@@ -435,22 +435,22 @@
 	in.release(d)
 }
 
-func (in *instance) Abandon(d *scheduler.Message) {
+func (in *instance) Fail(d *scheduler.Message) {
 	w := &in.host.out
 	w.record(2, in.number)
 	w.u32(uint32(d.ID))
 	in.release(d)
 }
 
-// Recall has nothing to do: on this wire a call counts as sent when it is decided on.
-func (in *instance) Recall(*scheduler.Target) {}
+// CancelUnsent has nothing to do: on this wire a call counts as sent when it is decided on.
+func (in *instance) CancelUnsent(*scheduler.Endpoint) {}
 
-func (in *instance) Release(t *scheduler.Target) { delete(in.targets, t.Door) }
+func (in *instance) ReleaseEndpoint(t *scheduler.Endpoint) { delete(in.targets, t.ID) }
 
-func (in *instance) CloseIdle(t *scheduler.Target) {
+func (in *instance) CloseIdle(t *scheduler.Endpoint) {
 	w := &in.host.out
 	w.record(6, in.number)
-	w.address(t.Door)
+	w.address(t.ID)
 }
 
 func (in *instance) Wake(after float64) {
@@ -460,7 +460,7 @@
 	w.ms(after)
 }
 
-func (in *instance) Watch() {
+func (in *instance) WatchEndpoints() {
 	in.host.out.record(10, in.number)
 	in.host.out.b = append(in.host.out.b, 1)
 }
--- a/internal/transcript/server.go
+++ b/internal/transcript/server.go
@@ -90,7 +90,7 @@
 	return await(s.tb, s.requests, "request")
 }
 
-// Ended waits for the next end of a connection and returns its number. What ends and what comes on another connection
+// AttemptEnded waits for the next end of a connection and returns its number. What ends and what comes on another connection
 // have no order among them.
 func (s *Server) Ended() int {
 	s.tb.Helper()
@@ -113,5 +113,5 @@
 	_, _ = io.WriteString(r.conn, raw) // a peer that has gone is seen by what it does next
 }
 
-// Close ends the connection that the request came by.
+// BlockUntil ends the connection that the request came by.
 func (r *Request) Close() { r.conn.Close() }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -150,7 +150,7 @@
 	for pair := range strings.SplitSeq(report, ",") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name == field {
 			if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v < 1e9 {
-				return scheduler.Limit(v)
+				return scheduler.ReportedValue(v)
 			}
 		}
 	}
--- a/internal/upstream/outlet.go
+++ b/internal/upstream/outlet.go
@@ -145,7 +145,7 @@
 	n.line.Write(request(n.call))
 }
 
-// Recall ends the calls to a target of which nothing has been sent because their connection is not up.
+// CancelUnsent ends the calls to a target of which nothing has been sent because their connection is not up.
 func (o *Outlet) Recall(target uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/wal/ledger.go
+++ b/internal/wal/ledger.go
@@ -84,7 +84,7 @@
 // from tells that an entry's record says by which front it came.
 func (e *Entry) from() bool { return e.Front != "" || e.Held }
 
-// Ledger is open until Close. It is not safe for use by several goroutines.
+// Ledger is open until BlockUntil. It is not safe for use by several goroutines.
 type Ledger struct {
 	dir     string
 	limit   int64
@@ -188,7 +188,7 @@
 	return slices.SortedFunc(maps.Values(l.entries), func(a, b *Entry) int { return cmp.Compare(a.Seq, b.Seq) })
 }
 
-// Close ends the writing.
+// BlockUntil ends the writing.
 func (l *Ledger) Close() error {
 	if l.lock != nil {
 		defer l.lock.Close()
@@ -211,7 +211,7 @@
 	return n
 }
 
-// Take records a document and gives it its number.
+// Accept records a document and gives it its number.
 func (l *Ledger) Take(e *Entry) error {
 	if l.live+e.Size() > l.Room() || e.Size() > mostEntry || len(e.Front) > mostFront {
 		return ErrFull
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// Came, Ran, Fell, Told and Back make a log the partners' record.
+// Came, Ran, Fell, NoticeAcknowledged and Back make a log the partners' record.
 
 func (l *Log) Came(dest, target, from int, docs []receiver.Doc) {
 	now := l.Clock.Now()
@@ -181,7 +181,7 @@
 	}
 }
 
-// Closed says that a transmission of a document is out no more: answered, or its connection has ended. Known tells that
+// BlockedUntil says that a transmission of a document is out no more: answered, or its connection has ended. Known tells that
 // its answer says what became of it; else it may still run.
 func (l *Log) Closed(id uint64, known bool) {
 	delete(l.open, id)
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -248,7 +248,7 @@
 	return t.hear(func(int) int64 { return back })
 }
 
-// cutOff cuts a zone off and makes a change. Times count from the change, in the zone from when it is back.
+// cutOff cuts a zone off and makes a change. Latencies count from the change, in the zone from when it is back.
 func (t *trial) cutOff() error {
 	if err := t.fleet.expect(t.revision + 1); err != nil {
 		return err
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -90,7 +90,7 @@
 		o.begins = now // the first forwarder starts with the day
 	}
 	counting := &countingHost{Host: to, count: o, now: now}
-	return &countedScheduler{Forwarder: scheduler.New(terms, seed, now, counting), host: counting}
+	return &countedScheduler{Scheduler: scheduler.New(terms, seed, now, counting), host: counting}
 }
 
 // sent counts a call.
@@ -105,14 +105,14 @@
 
 // countedScheduler is a scheduler whose host knows the time.
 type countedScheduler struct {
-	*scheduler.Forwarder
+	*scheduler.Scheduler
 	host *countingHost
 }
 
-// Clock tells both the time.
-func (c *countedScheduler) Clock(now float64) {
+// SetTime tells both the time.
+func (c *countedScheduler) SetTime(now float64) {
 	c.host.now = now
-	c.Forwarder.Clock(now)
+	c.Scheduler.SetTime(now)
 }
 
 // countingHost passes on what the scheduler decides, and counts calls.
@@ -122,8 +122,8 @@
 	now   float64
 }
 
-// Transmit counts a call; the scene's destinations take one message in each.
-func (h *countingHost) Transmit(d *scheduler.Message, t *scheduler.Target, timeout float64) {
+// Send counts a call; the scene's destinations take one message in each.
+func (h *countingHost) Send(d *scheduler.Message, t *scheduler.Endpoint, timeout float64) {
 	h.count.sent(h.now)
-	h.Host.Transmit(d, t, timeout)
+	h.Host.Send(d, t, timeout)
 }
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held.go
@@ -77,7 +77,7 @@
 			s, _ = t.hold(size)
 		}
 		s.pass(messageLife + 1)
-		took := withoutCollection(s.Settle)
+		took := withoutCollection(s.Reconcile)
 		if s.host.ended < size {
 			return 0, fmt.Errorf("%d of %d messages were given up at their time", s.host.ended, size)
 		}
@@ -99,7 +99,7 @@
 		for i := range size {
 			s.take(s.destinations[1], i)
 		}
-		s.Settle()
+		s.Reconcile()
 	})
 	return s, took
 }
@@ -126,16 +126,16 @@
 		t.heap()
 		s := newScheduler(2*size+100, t.Seed)
 		s.know(1)
-		s.Close(s.targets[0], s.now+toldWait)
+		s.BlockUntil(s.targets[0], s.now+toldWait)
 		for i := range size {
 			s.take(s.destinations[0], i)
 		}
-		s.Settle()
+		s.Reconcile()
 		if len(s.host.out) > 0 {
 			return 0, fmt.Errorf("%d messages were sent within a wait", len(s.host.out))
 		}
 		s.pass(toldWait + 1)
-		s.Settle()
+		s.Reconcile()
 		// So few that about as many are held at the end, and further ones go out at each end.
 		most := min(size-len(s.host.out), max(freshLeast, int(drainedShare*float64(size))))
 		each, err := t.fresh(func() bool { return s.endFirst(&most) })
@@ -160,8 +160,8 @@
 	d := s.host.out[0]
 	s.host.out = s.host.out[1:]
 	s.pass(0.001)
-	s.Ended(d, scheduler.Ending{Outcome: scheduler.Delivered, Over: true, Took: callTook})
-	s.Settle()
+	s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callTook})
+	s.Reconcile()
 	return true
 }
 
--- a/lab/capacity/measure/known.go
+++ b/lab/capacity/measure/known.go
@@ -54,11 +54,11 @@
 }
 
 // wholeList is the processor time of a whole list that changes nothing, told in one turn.
-func (s *measuredScheduler) wholeList(lines []scheduler.Listing) float64 {
+func (s *measuredScheduler) wholeList(lines []scheduler.EndpointUpdate) float64 {
 	s.pass(1)
 	return withoutCollection(func() {
-		s.List(true, lines)
-		s.Settle()
+		s.UpdateEndpoints(true, lines)
+		s.Reconcile()
 	})
 }
 
@@ -74,11 +74,11 @@
 // replace tells that a destination's target has gone and another has come.
 func (s *measuredScheduler) replace(n int) {
 	s.pass(0.01)
-	gone, fresh := s.targets[n], &scheduler.Target{Door: uint64(n)}
+	gone, fresh := s.targets[n], &scheduler.Endpoint{ID: uint64(n)}
 	s.targets[n] = fresh
-	s.List(false, []scheduler.Listing{{Target: gone, Dest: s.destinations[n], Standing: scheduler.Gone},
-		{Target: fresh, Dest: s.destinations[n], Standing: scheduler.Ready}})
-	s.Settle()
+	s.UpdateEndpoints(false, []scheduler.EndpointUpdate{{Endpoint: gone, Destination: s.destinations[n], State: scheduler.Removed},
+		{Endpoint: fresh, Destination: s.destinations[n], State: scheduler.Ready}})
+	s.Reconcile()
 }
 
 func (t *trial) knownInForwarder(size int) error {
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -112,7 +112,7 @@
 	}
 	require.Zero(t, s.host.ended)
 	s.pass(messageLife + 1)
-	s.Settle()
+	s.Reconcile()
 	require.GreaterOrEqual(t, s.host.ended, 100)
 }
 
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -106,11 +106,11 @@
 func recovered(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.know(2)
-	s.Close(s.targets[1], s.now+toldWait)
+	s.BlockUntil(s.targets[1], s.now+toldWait)
 	for i := range size {
 		s.Recover(&scheduler.Message{ID: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageLife, past)
 	}
-	s.Settle()
+	s.Reconcile()
 	return s
 }
 
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -17,25 +17,25 @@
 	released int // targets
 }
 
-func (h *host) Transmit(d *scheduler.Message, _ *scheduler.Target, _ float64) {
+func (h *host) Send(d *scheduler.Message, _ *scheduler.Endpoint, _ float64) {
 	h.out = append(h.out, d)
 }
-func (h *host) Reject(*scheduler.Message, float64) { h.ended++ }
-func (h *host) Abandon(*scheduler.Message)         { h.ended++ }
-func (h *host) Recall(*scheduler.Target)           {}
-func (h *host) CloseIdle(*scheduler.Target)        {}
-func (h *host) Release(*scheduler.Target)          { h.released++ }
-func (h *host) Wake(float64)                       {}
-func (h *host) Watch()                             {}
-func (h *host) Log(string)                         {}
+func (h *host) Reject(*scheduler.Message, float64)  { h.ended++ }
+func (h *host) Fail(*scheduler.Message)             { h.ended++ }
+func (h *host) CancelUnsent(*scheduler.Endpoint)    {}
+func (h *host) CloseIdle(*scheduler.Endpoint)       {}
+func (h *host) ReleaseEndpoint(*scheduler.Endpoint) { h.released++ }
+func (h *host) Wake(float64)                        {}
+func (h *host) WatchEndpoints()                     {}
+func (h *host) Log(string)                          {}
 
 // measuredScheduler is the decision module with a clock of its own.
 type measuredScheduler struct {
-	*scheduler.Forwarder
+	*scheduler.Scheduler
 	host         *host
 	now          float64
 	destinations []*scheduler.Destination
-	targets      []*scheduler.Target
+	targets      []*scheduler.Endpoint
 }
 
 // newScheduler starts a scheduler that holds up to so many messages.
@@ -46,59 +46,59 @@
 		SlowStartShare: 0.2, SlowStartDuration: 10, IdleTimeout: 10, OverloadMultiple: 2, MaxRetryAfter: 2,
 	}
 	s := &measuredScheduler{host: &host{}, now: startsAt}
-	s.Forwarder = scheduler.New(terms, seed, s.now, s.host)
-	s.Clock(s.now)
+	s.Scheduler = scheduler.New(terms, seed, s.now, s.host)
+	s.SetTime(s.now)
 	return s
 }
 
 // listing makes a destination with one target and returns its line of the list.
-func (s *measuredScheduler) listing() scheduler.Listing {
+func (s *measuredScheduler) listing() scheduler.EndpointUpdate {
 	number := uint64(len(s.destinations))
-	d, t := s.NewDestination(number), &scheduler.Target{Door: number}
+	d, t := s.NewDestination(number), &scheduler.Endpoint{ID: number}
 	s.destinations, s.targets = append(s.destinations, d), append(s.targets, t)
-	return scheduler.Listing{Target: t, Dest: d, Standing: scheduler.Ready}
+	return scheduler.EndpointUpdate{Endpoint: t, Destination: d, State: scheduler.Ready}
 }
 
 // know makes so many destinations known, by a whole list, and returns the list.
-func (s *measuredScheduler) know(destinations int) []scheduler.Listing {
-	lines := make([]scheduler.Listing, 0, destinations)
+func (s *measuredScheduler) know(destinations int) []scheduler.EndpointUpdate {
+	lines := make([]scheduler.EndpointUpdate, 0, destinations)
 	for range destinations {
 		lines = append(lines, s.listing())
 	}
-	s.List(true, lines)
-	s.Settle()
+	s.UpdateEndpoints(true, lines)
+	s.Reconcile()
 	return lines
 }
 
 // pass lets time go by.
 func (s *measuredScheduler) pass(seconds float64) {
 	s.now += seconds
-	s.Clock(s.now)
+	s.SetTime(s.now)
 }
 
 func (s *measuredScheduler) take(d *scheduler.Destination, number int) {
-	s.Take(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
+	s.Accept(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
 }
 
 // deliver takes a message and ends its call well: all decisions of one message.
 func (s *measuredScheduler) deliver(to *scheduler.Destination) {
 	s.pass(0.001)
 	s.take(to, 0)
-	s.Settle()
+	s.Reconcile()
 	for _, d := range s.host.out {
-		s.Ended(d, scheduler.Ending{Outcome: scheduler.Delivered, Over: true, Took: callTook})
+		s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callTook})
 	}
 	s.host.out = s.host.out[:0]
-	s.Settle()
+	s.Reconcile()
 }
 
 // shut makes a destination tell a wait that is shorter than a message's life.
 func (s *measuredScheduler) shut(d *scheduler.Destination) {
 	s.take(d, 0)
-	s.Settle()
+	s.Reconcile()
 	for _, out := range s.host.out {
-		s.Ended(out, scheduler.Ending{Outcome: scheduler.Full, Took: callTook, Wait: toldWait})
+		s.AttemptEnded(out, scheduler.AttemptResult{Outcome: scheduler.Overloaded, Latency: callTook, RetryAfter: toldWait})
 	}
 	s.host.out = s.host.out[:0]
-	s.Settle()
+	s.Reconcile()
 }
--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -54,7 +54,7 @@
 	return Estimate{Basis: Fitted, Value: value}
 }
 
-// Limit says where a budget is left.
+// ReportedValue says where a budget is left.
 type Limit struct {
 	Basis Basis   // NotMeasured, NotExtrapolated: it is not known; Measured: at a measured size; else by the line
 	Never bool    // kept at every size up to the one that was asked for
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -54,9 +54,9 @@
 	now, began float64
 }
 
-func (s *shut) Clock(now float64) {
+func (s *shut) SetTime(now float64) {
 	s.now = now
-	s.Policy.Clock(now)
+	s.Policy.SetTime(now)
 }
 
 func (s *shut) Admit(size int, left float64) (bool, float64) {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -57,7 +57,7 @@
 	intended, naive *hdrhistogram.Histogram
 }
 
-// Times are percentiles in seconds.
+// Latencies are percentiles in seconds.
 type Times struct {
 	P50  float64 `json:"p50"`
 	P90  float64 `json:"p90"`
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -58,7 +58,7 @@
 	file  io.Closer
 }
 
-// Open opens a trace: JSON lines (.jsonl) or CSV with a head (.csv), with the fields of Doc. Times are in seconds, in
+// Open opens a trace: JSON lines (.jsonl) or CSV with a head (.csv), with the fields of Doc. Latencies are in seconds, in
 // order, from any beginning.
 func Open(path string, speed float64) (*Trace, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
@@ -77,7 +77,7 @@
 	return t, nil
 }
 
-// Close lets go of the file.
+// BlockUntil lets go of the file.
 func (t *Trace) Close() error { return t.file.Close() }
 
 func read(r io.Reader, commas bool, speed float64) (*Trace, error) {
--- a/lab/receiver/clock.go
+++ b/lab/receiver/clock.go
@@ -4,7 +4,7 @@
 
 import "math/rand/v2"
 
-// Clock is the time in which a model lives, in seconds. On a simulated one After runs in order of time; on a real one
+// SetTime is the time in which a model lives, in seconds. On a simulated one After runs in order of time; on a real one
 // the model's calls have to be made under one lock, which After takes.
 type Clock interface {
 	Now() float64
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -87,7 +87,7 @@
 	End  transport.End
 	Wait float64
 	Most float64
-	Left float64 // the share of the limit that is left, as choice.Ending has it
+	Left float64 // the share of the limit that is left, as choice.AttemptResult has it
 }
 
 // Destination is one receiver.
@@ -104,7 +104,7 @@
 	wise    map[int]bool // forwarders that have heard of a call that failed or was refused in the latest outage
 }
 
-// Target is one endpoint of a destination.
+// Endpoint is one endpoint of a destination.
 type Target struct {
 	Dest    *Destination
 	Number  int
@@ -352,7 +352,7 @@
 // Busy is how many calls the target works on.
 func (t *Target) Busy() int { return t.busy }
 
-// Take takes a call whose last byte has come. Whoever calls has seen by Up that a connection stands.
+// Accept takes a call whose last byte has come. Whoever calls has seen by Up that a connection stands.
 func (t *Target) Take(c *Call) {
 	d := t.Dest
 	now := d.clock.Now()
@@ -417,7 +417,7 @@
 			if t.Dest.Terms.Apart {
 				l = &t.limit
 			}
-			a.Left = scheduler.Limit(l.left(&t.Dest.Terms, t.Trouble.Cut, t.Dest.clock.Now()))
+			a.Left = scheduler.ReportedValue(l.left(&t.Dest.Terms, t.Trouble.Cut, t.Dest.clock.Now()))
 		}
 	}
 	return a
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -79,8 +79,8 @@
 }
 
 type plainTarget struct {
-	is       *scheduler.Target
-	standing scheduler.Standing
+	is       *scheduler.Endpoint
+	standing scheduler.EndpointState
 	out      int
 	zone     int
 	until    float64 // told to wait
@@ -112,23 +112,23 @@
 
 func (p *plain) NewDestination(door uint64) *scheduler.Destination {
 	p.dests[door] = &plainDest{keys: map[uint64][]*plainDoc{}, rate: 5, filled: p.now}
-	return &scheduler.Destination{Door: door}
+	return &scheduler.Destination{ID: door}
 }
 
-func (p *plain) List(whole bool, lines []scheduler.Listing) {
+func (p *plain) UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate) {
 	for _, l := range lines {
-		d := p.dests[l.Dest.Door]
+		d := p.dests[l.Destination.ID]
 		var t *plainTarget
 		for _, o := range d.targets {
-			if o.is == l.Target {
+			if o.is == l.Endpoint {
 				t = o
 			}
 		}
 		if t == nil {
-			t = &plainTarget{is: l.Target, zone: l.Zone, apart: l.Kind < len(p.terms.KindEndpointLimits) && p.terms.KindEndpointLimits[l.Kind]}
+			t = &plainTarget{is: l.Endpoint, zone: l.Zone, apart: l.Kind < len(p.terms.KindEndpointLimits) && p.terms.KindEndpointLimits[l.Kind]}
 			d.targets = append(d.targets, t)
 		}
-		t.standing, t.batch = l.Standing, 1
+		t.standing, t.batch = l.State, 1
 		if l.Kind < len(p.terms.KindBatchSize) {
 			t.batch = max(1, p.terms.KindBatchSize[l.Kind])
 		}
@@ -142,27 +142,27 @@
 	return len(p.held) < p.terms.QueueCapacity && left > 0.1, math.Min(1, p.terms.MaxRetryAfter)
 }
 
-func (p *plain) Take(d *scheduler.Message, typ int, left float64) {
+func (p *plain) Accept(d *scheduler.Message, typ int, left float64) {
 	x := &plainDoc{is: d, typ: &p.terms.Types[typ], expiry: p.now + left}
 	p.held = append(p.held, x)
 	p.byDoor[d.ID] = x
 	if x.typ.InOrder && d.Key != 0 {
-		dest := p.dests[d.Dest.Door]
+		dest := p.dests[d.Dest.ID]
 		dest.keys[d.Key] = append(dest.keys[d.Key], x)
 	}
 }
 
 func (p *plain) Recover(d *scheduler.Message, typ int, left float64, past scheduler.RecoveredState) {
-	p.Take(d, typ, left)
+	p.Accept(d, typ, left)
 	x := p.byDoor[d.ID]
 	x.sent, x.ran, x.zone = past.Attempts, past.FirstRanAt, past.Zone
 	x.next = p.now + p.terms.KeyCooldown
 }
 
-func (p *plain) Clock(now float64) { p.now = now }
-func (p *plain) Woken()            { p.woken = false }
+func (p *plain) SetTime(now float64) { p.now = now }
+func (p *plain) TimerFired()         { p.woken = false }
 
-func (p *plain) Ended(d *scheduler.Message, e scheduler.Ending) {
+func (p *plain) AttemptEnded(d *scheduler.Message, e scheduler.AttemptResult) {
 	x := p.byDoor[d.ID]
 	if x == nil {
 		return
@@ -171,27 +171,27 @@
 		p.out--
 		x.to.out--
 	}
-	if e.Wait > 0 {
-		for _, t := range p.dests[d.Dest.Door].targets {
+	if e.RetryAfter > 0 {
+		for _, t := range p.dests[d.Dest.ID].targets {
 			if t == x.to || !t.apart {
-				t.until = math.Max(t.until, p.now+e.Wait)
+				t.until = math.Max(t.until, p.now+e.RetryAfter)
 			}
 		}
 	}
 	if e.Outcome == scheduler.Delivered {
-		p.dests[d.Dest.Door].rate++
+		p.dests[d.Dest.ID].rate++
 	}
 	if x.done {
 		return
 	}
 	switch e.Outcome {
-	case scheduler.Errored, scheduler.TimedOut, scheduler.Reset, scheduler.Cancelled:
+	case scheduler.ServerError, scheduler.TimedOut, scheduler.Reset, scheduler.Cancelled:
 		if x.ran == 0 {
-			x.ran, x.zone = p.now-e.Took, x.to.zone
+			x.ran, x.zone = p.now-e.Latency, x.to.zone
 		}
 		x.restTil = p.now + p.terms.KeyCooldown + 0.01
 	}
-	if e.Over {
+	if e.Final {
 		p.end(x)
 		return
 	}
@@ -212,7 +212,7 @@
 		}
 	}
 	if x.typ.InOrder && x.is.Key != 0 {
-		dest := p.dests[x.is.Dest.Door]
+		dest := p.dests[x.is.Dest.ID]
 		list := dest.keys[x.is.Key]
 		for i, o := range list {
 			if o == x {
@@ -242,7 +242,7 @@
 	return p.now > x.ran+x.typ.DeduplicationWindow-plainTimeout-0.5, false
 }
 
-func (p *plain) Settle() {
+func (p *plain) Reconcile() {
 	all := append([]*plainDoc(nil), p.held...)
 	if p.seer { // those that can be in time still, before those that are late already
 		late := func(x *plainDoc) bool { return p.now > x.expiry-x.typ.TimeToLive+x.typ.LatencyObjective }
@@ -269,7 +269,7 @@
 				if again {
 					p.host.Reject(x.is, math.Min(1, p.terms.MaxRetryAfter))
 				} else {
-					p.host.Abandon(x.is)
+					p.host.Fail(x.is)
 				}
 			}
 			continue
@@ -277,7 +277,7 @@
 		if p.now < x.next || p.out >= p.terms.ConcurrencyLimit {
 			continue
 		}
-		d := p.dests[x.is.Dest.Door]
+		d := p.dests[x.is.Dest.ID]
 		if x.typ.InOrder && x.is.Key != 0 && d.keys[x.is.Key][0] != x && p.fault != disorders {
 			continue
 		}
@@ -303,7 +303,7 @@
 	least := 0
 	for i := range d.targets {
 		t := d.targets[(d.next+i)%len(d.targets)]
-		if t.standing != scheduler.Ready && p.fault != callsDraining || t.standing == scheduler.Gone || p.now < t.until+0.005 && p.fault != ignoresWaits {
+		if t.standing != scheduler.Ready && p.fault != callsDraining || t.standing == scheduler.Removed || p.now < t.until+0.005 && p.fault != ignoresWaits {
 			continue
 		}
 		if x.ran > 0 && x.typ.Idempotency == scheduler.IdempotentWithKey && x.typ.DeduplicatedPerZone && t.zone != x.zone {
@@ -313,7 +313,7 @@
 			return t
 		}
 		if p.seer {
-			ready, busy := p.sees(t.is.Door)
+			ready, busy := p.sees(t.is.ID)
 			if ready && (best == nil || busy < least) {
 				best, least = t, busy
 			}
@@ -341,5 +341,5 @@
 	x.out++
 	x.sent++
 	x.next = p.now + 0.02
-	p.host.Transmit(x.is, t.is, math.Min(plainTimeout, x.expiry-p.now))
+	p.host.Send(x.is, t.is, math.Min(plainTimeout, x.expiry-p.now))
 }
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -34,9 +34,9 @@
 // target is a partner's target as a forwarder knows it.
 type target struct {
 	is     *receiver.Target
-	module *scheduler.Target
+	module *scheduler.Endpoint
 	idle   []float64 // connections, by when each was last used
-	listed scheduler.Standing
+	listed scheduler.EndpointState
 }
 
 type call struct {
@@ -68,7 +68,7 @@
 		}
 	}
 	n.dests, n.targets = nil, make([][]*target, len(d.dests))
-	var lines []scheduler.Listing
+	var lines []scheduler.EndpointUpdate
 	for i, dest := range d.dests {
 		n.dests = append(n.dests, n.policy.NewDestination(uint64(i)))
 		for _, t := range dest.Targets {
@@ -77,8 +77,8 @@
 			}
 		}
 	}
-	n.policy.Clock(d.Now())
-	n.policy.List(true, lines)
+	n.policy.SetTime(d.Now())
+	n.policy.UpdateEndpoints(true, lines)
 	owed := n.owed
 	n.owed = nil
 	for _, h := range owed {
@@ -98,28 +98,28 @@
 }
 
 // line is the list's line of a target, which the forwarder knows from then on.
-func (n *node) line(t *receiver.Target) scheduler.Listing {
+func (n *node) line(t *receiver.Target) scheduler.EndpointUpdate {
 	d := t.Dest.Number
 	for len(n.targets[d]) <= t.Number {
 		n.targets[d] = append(n.targets[d], nil)
 	}
 	k := n.targets[d][t.Number]
 	if k == nil {
-		k = &target{is: t, module: &scheduler.Target{Door: uint64(d)<<32 | uint64(t.Number)}}
+		k = &target{is: t, module: &scheduler.Endpoint{ID: uint64(d)<<32 | uint64(t.Number)}}
 		n.targets[d][t.Number] = k
-		n.byDoor[k.module.Door] = k
+		n.byDoor[k.module.ID] = k
 	}
-	l := scheduler.Listing{Target: k.module, Dest: n.dests[d], Kind: n.day.group[d], Zone: t.Zone}
+	l := scheduler.EndpointUpdate{Endpoint: k.module, Destination: n.dests[d], Kind: n.day.group[d], Zone: t.Zone}
 	if n.day.scene.Dispatch.ListedRates != "none" {
 		l.Rate = t.Dest.Terms.Rate
 	}
 	switch {
 	case t.Trouble.Left:
-		l.Standing = scheduler.Gone
+		l.State = scheduler.Removed
 	case t.Trouble.Draining:
-		l.Standing = scheduler.Draining
+		l.State = scheduler.Draining
 	}
-	k.listed = l.Standing
+	k.listed = l.State
 	return l
 }
 
@@ -170,7 +170,7 @@
 				what()
 			}
 			n.held = false
-			n.policy.Clock(n.day.Now())
+			n.policy.SetTime(n.day.Now())
 			n.settle()
 		}
 	})
@@ -181,7 +181,7 @@
 		return
 	}
 	n.inTurn = true
-	n.policy.Settle()
+	n.policy.Reconcile()
 	n.inTurn = false
 	calls := n.calls
 	n.calls = nil
@@ -192,7 +192,7 @@
 
 func (n *node) handedIn(e *effect, expiry float64) {
 	d := n.day
-	n.policy.Clock(d.Now())
+	n.policy.SetTime(d.Now())
 	left := expiry - d.Now()
 	d.lastID++
 	id := d.lastID
@@ -216,7 +216,7 @@
 	h := &handing{id: id, of: e, expiry: expiry}
 	d.handed[id] = h
 	n.keep(h)
-	n.policy.Take(h.doc, e.typeNo, left)
+	n.policy.Accept(h.doc, e.typeNo, left)
 	n.settle()
 }
 
@@ -233,10 +233,10 @@
 		c.to.idle = append(c.to.idle, d.Now())
 	}
 	out, over := a.End.Outcome()
-	if out != scheduler.Delivered && out != scheduler.Moot {
+	if out != scheduler.Delivered && out != scheduler.NotSent {
 		c.to.is.Learned(n.number)
 	}
-	n.policy.Clock(d.Now())
+	n.policy.SetTime(d.Now())
 	for _, h := range c.docs {
 		d.result.Ends[a.End.String()]++
 		if a.End.Ran() && h.past.FirstRanAt == 0 {
@@ -249,8 +249,8 @@
 			}
 			h.over = true
 		}
-		n.policy.Ended(h.doc, scheduler.Ending{Outcome: out, Over: over, Took: d.Now() - c.began, Wait: a.Wait, Most: a.Most,
-			Left: a.Left})
+		n.policy.AttemptEnded(h.doc, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.began, RetryAfter: a.Wait, ReportedLimit: a.Most,
+			ReportedShare: a.Left})
 		if h.over {
 			delete(n.docs, h.id)
 		}
@@ -378,10 +378,10 @@
 	n.start()
 }
 
-// Transmit, Reject, Abandon, Recall, CloseIdle, Release, Wake, Watch and Log make a node a choice.Host.
+// Send, Reject, Fail, CancelUnsent, CloseIdle, ReleaseEndpoint, Wake, WatchEndpoints and Log make a node a choice.Host.
 
-func (n *node) Transmit(doc *scheduler.Message, to *scheduler.Target, timeout float64) {
-	h, t := n.day.handed[doc.ID], n.byDoor[to.Door]
+func (n *node) Send(doc *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
+	h, t := n.day.handed[doc.ID], n.byDoor[to.ID]
 	h.past.Attempts++
 	h.out, h.outTo = n.day.Now(), t.is.Zone
 	n.day.result.Transmissions++
@@ -398,7 +398,7 @@
 }
 
 func (n *node) Reject(doc *scheduler.Message, comeBack float64) { n.answer(doc, "returned", comeBack) }
-func (n *node) Abandon(doc *scheduler.Message)                  { n.answer(doc, "abandoned", 0) }
+func (n *node) Fail(doc *scheduler.Message)                     { n.answer(doc, "abandoned", 0) }
 
 func (n *node) answer(doc *scheduler.Message, what string, comeBack float64) {
 	h := n.day.handed[doc.ID]
@@ -410,7 +410,7 @@
 	n.day.tell(h, what, comeBack)
 }
 
-func (n *node) Recall(to *scheduler.Target) {
+func (n *node) CancelUnsent(to *scheduler.Endpoint) {
 	for _, c := range n.out {
 		if c.to.module == to && !c.arrived && !c.done {
 			c.back = true // its way ends here
@@ -419,13 +419,13 @@
 	}
 }
 
-func (n *node) CloseIdle(to *scheduler.Target) {
-	if t := n.byDoor[to.Door]; t != nil {
+func (n *node) CloseIdle(to *scheduler.Endpoint) {
+	if t := n.byDoor[to.ID]; t != nil {
 		t.idle = nil
 	}
 }
 
-func (n *node) Release(to *scheduler.Target) { delete(n.byDoor, to.Door) }
+func (n *node) ReleaseEndpoint(to *scheduler.Endpoint) { delete(n.byDoor, to.ID) }
 
 func (n *node) Wake(in float64) {
 	n.wake++
@@ -435,28 +435,28 @@
 			return
 		}
 		n.do(func() {
-			n.policy.Clock(n.day.Now())
-			n.policy.Woken()
+			n.policy.SetTime(n.day.Now())
+			n.policy.TimerFired()
 			n.settle()
 		})
 	})
 }
 
-func (n *node) Watch()          {}
+func (n *node) WatchEndpoints() {}
 func (n *node) Log(line string) { n.day.result.Modes++ }
 
 // listed tells a forwarder of changed targets.
 func (n *node) listed(targets []*receiver.Target) {
 	n.do(func() {
-		n.policy.Clock(n.day.Now())
-		var lines []scheduler.Listing
+		n.policy.SetTime(n.day.Now())
+		var lines []scheduler.EndpointUpdate
 		for _, t := range targets {
 			lines = append(lines, n.line(t))
 			if t.Trouble.Draining || t.Trouble.Left {
 				n.targets[t.Dest.Number][t.Number].idle = nil
 			}
 		}
-		n.policy.List(false, lines)
+		n.policy.UpdateEndpoints(false, lines)
 		n.settle()
 	})
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -18,14 +18,14 @@
 // Policy decides for one forwarder. The decision module is one; so are the baselines.
 type Policy interface {
 	NewDestination(door uint64) *scheduler.Destination
-	List(whole bool, lines []scheduler.Listing)
+	UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate)
 	Admit(size int, left float64) (taken bool, comeBack float64)
-	Take(d *scheduler.Message, typ int, left float64)
+	Accept(d *scheduler.Message, typ int, left float64)
 	Recover(d *scheduler.Message, typ int, left float64, past scheduler.RecoveredState)
-	Ended(d *scheduler.Message, e scheduler.Ending)
-	Clock(now float64)
-	Woken()
-	Settle()
+	AttemptEnded(d *scheduler.Message, e scheduler.AttemptResult)
+	SetTime(now float64)
+	TimerFired()
+	Reconcile()
 }
 
 // Maker makes the policy of a forwarder.
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -8,15 +8,15 @@
 // bare is a host that keeps only what is to be answered.
 type bare struct{ out []*Message }
 
-func (b *bare) Transmit(d *Message, _ *Target, _ float64) { b.out = append(b.out, d) }
-func (b *bare) Reject(*Message, float64)                  {}
-func (b *bare) Abandon(*Message)                          {}
-func (b *bare) Recall(*Target)                            {}
-func (b *bare) CloseIdle(*Target)                         {}
-func (b *bare) Release(*Target)                           {}
-func (b *bare) Wake(float64)                              {}
-func (b *bare) Watch()                                    {}
-func (b *bare) Log(string)                                {}
+func (b *bare) Send(d *Message, _ *Endpoint, _ float64) { b.out = append(b.out, d) }
+func (b *bare) Reject(*Message, float64)                {}
+func (b *bare) Fail(*Message)                           {}
+func (b *bare) CancelUnsent(*Endpoint)                  {}
+func (b *bare) CloseIdle(*Endpoint)                     {}
+func (b *bare) ReleaseEndpoint(*Endpoint)               {}
+func (b *bare) Wake(float64)                            {}
+func (b *bare) WatchEndpoints()                         {}
+func (b *bare) Log(string)                              {}
 
 const benchLife = 1e6 // seconds
 
@@ -27,16 +27,16 @@
 }
 
 // decide takes a document, lets the module settle, ends the call and lets it settle: one document's decisions.
-func decide(f *Forwarder, h *bare, now *float64, to *Destination) {
+func decide(f *Scheduler, h *bare, now *float64, to *Destination) {
 	*now += 0.001
-	f.Clock(*now)
-	f.Take(&Message{Dest: to, Tenant: 9}, 0, benchLife)
-	f.Settle()
+	f.SetTime(*now)
+	f.Accept(&Message{Dest: to, Tenant: 9}, 0, benchLife)
+	f.Reconcile()
 	for _, d := range h.out {
-		f.Ended(d, Ending{Outcome: Delivered, Over: true, Took: 0.05})
+		f.AttemptEnded(d, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 	}
 	h.out = h.out[:0]
-	f.Settle()
+	f.Reconcile()
 }
 
 // BenchmarkDestinations is the cost of a document's decisions with so many destinations known, 100 of them in use.
@@ -48,10 +48,10 @@
 			var dests []*Destination
 			for i := range n {
 				d := f.NewDestination(uint64(i))
-				f.List(false, []Listing{{Target: &Target{Door: uint64(i)}, Dest: d, Standing: Ready}})
+				f.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
 				dests = append(dests, d)
 			}
-			f.Settle()
+			f.Reconcile()
 			i := 0
 			for b.Loop() {
 				decide(f, h, &now, dests[i%min(n, 100)*(n/min(n, 100))])
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -22,7 +22,7 @@
 	var nodes []*fake
 	for i := range forwarders {
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Forwarder = New(terms, uint64(1000*forwarders+i), h.now, h)
+		h.Scheduler = New(terms, uint64(1000*forwarders+i), h.now, h)
 		h.receiver(0, 0)
 		nodes = append(nodes, h)
 	}
@@ -39,22 +39,22 @@
 	told := make([]bool, forwarders)
 	for now := 100.0; now < 100+wellFor+downFor+watchedFor; now += step {
 		for len(late) > 0 && late[0].at <= now {
-			late[0].node.Ended(late[0].doc, late[0].end)
+			late[0].node.AttemptEnded(late[0].doc, late[0].end)
 			late = late[1:]
 		}
 		down := now > 100+wellFor && now <= 100+wellFor+downFor
 		for i, h := range nodes {
 			h.now = now
-			h.Clock(now)
+			h.SetTime(now)
 			for credit[i] += step * capacity * load / float64(forwarders); credit[i] >= 1; credit[i]-- {
 				h.take(h.dests[0], status, 0)
 			}
-			h.Woken()
-			h.Settle()
+			h.TimerFired()
+			h.Reconcile()
 			for ; seen[i] < len(h.sent); seen[i]++ {
-				end := Ending{Outcome: Delivered, Over: true, Took: 0.1}
+				end := AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1}
 				if down {
-					end = Ending{Outcome: Errored, Took: 0.1}
+					end = AttemptResult{Outcome: ServerError, Latency: 0.1}
 					told[i] = true
 				} else if now > 100+wellFor {
 					calls = append(calls, call{now, told[i]})
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -15,7 +15,7 @@
 	h.take(other, status, 0)
 	h.settle()
 	require.Equal(t, other, h.sent[6].doc.Dest)
-	h.answers(d, Errored)
+	h.answers(d, ServerError)
 	h.settle()
 	require.LessOrEqual(t, d.out, 4)
 }
@@ -42,7 +42,7 @@
 	fast, one, two := h.receiver(0, 0), h.receiver(0, 0, 0), h.receiver(0, 0, 0)
 	h.take(fast, status, 0)
 	h.pass(0.4)
-	h.answers(fast, Errored)
+	h.answers(fast, ServerError)
 	h.flood(one, status, 4)
 	h.flood(two, status, 4)
 	h.settle()
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -42,7 +42,7 @@
 	h.answers(d, Delivered)
 	h.take(quiet, status, 0)
 	h.settle()
-	require.Contains(t, h.log, "close "+string('0'+byte(doc.to.Door)))
+	require.Contains(t, h.log, "close "+string('0'+byte(doc.to.ID)))
 	h.log = nil
 	h.answers(quiet, Delivered)
 	h.settle()
@@ -53,14 +53,14 @@
 	first := map[uint64]int{}
 	for seed := range uint64(40) {
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Forwarder = New(terms, seed, h.now, h)
+		h.Scheduler = New(terms, seed, h.now, h)
 		d := h.receiver(0, 0, 0)
 		for range 3 {
 			h.take(d, status, 0)
 			h.pass(6) // the connection of the call before is still there
 			h.answers(d, Delivered)
 		}
-		first[h.sent[0].target.Door]++
+		first[h.sent[0].target.ID]++
 		require.Equal(t, h.sent[0].target, h.sent[1].target)
 		require.Equal(t, h.sent[0].target, h.sent[2].target)
 	}
@@ -70,7 +70,7 @@
 func TestAConnectionThatIsNotUsedAgainInTimeIsClosed(t *testing.T) {
 	h := start(terms)
 	seldom, often := h.receiver(0, 0), h.receiver(0, 0)
-	often.targets[0].Door = 9
+	often.targets[0].ID = 9
 	for range 4 {
 		h.take(seldom, status, 0)
 		for range 4 {
@@ -92,7 +92,7 @@
 func TestAFailedConnectTellsOfAllDestinationsOfTheKind(t *testing.T) {
 	h := start(terms)
 	full, same, other := h.receiver(0, 0), h.receiver(0, 0), h.receiver(1, 0)
-	same.targets[0].Door, other.targets[0].Door = 8, 9
+	same.targets[0].ID, other.targets[0].ID = 8, 9
 	round := func(o Outcome) {
 		for _, d := range []*Destination{full, same, other} {
 			h.take(d, status, 0)
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -32,7 +32,7 @@
 	h := start(terms)
 	d := h.receiver(0, 0)
 	for range 50 {
-		h.Ended(h.out1(d), Ending{Outcome: Delivered, Over: true, Took: 1})
+		h.AttemptEnded(h.out1(d), AttemptResult{Outcome: Delivered, Final: true, Latency: 1})
 	}
 	d.targets[0].standing = Draining
 	late := h.take(d, status, 0)
@@ -43,7 +43,7 @@
 	require.Len(t, h.sent, sent)
 	require.Equal(t, "rejected", h.done[late])
 	fresh := &Message{Dest: d}
-	h.Take(fresh, status, 0.5)
+	h.Accept(fresh, status, 0.5)
 	h.settle()
 	require.Equal(t, fresh, h.sent[sent].doc, "handed in with little time, it is tried at once")
 }
@@ -53,12 +53,12 @@
 	d := h.receiver(0, 0)
 	first, long := h.take(d, status, 0), h.take(d, status, 0)
 	short := &Message{Dest: d, Tenant: 9}
-	h.Take(short, status, 4)
+	h.Accept(short, status, 4)
 	h.settle()
-	h.ends(first, Full, 9)
+	h.ends(first, Overloaded, 9)
 	h.settle()
-	h.ends(long, Full, 0)
-	h.ends(short, Full, 0)
+	h.ends(long, Overloaded, 0)
+	h.ends(short, Overloaded, 0)
 	h.settle()
 	require.Equal(t, "rejected", h.done[short], "there is no way left before its end")
 	require.Empty(t, h.done[long])
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -12,7 +12,7 @@
 	h := start(asks)
 	h.settle()
 	require.Equal(t, 1, h.asks)
-	h.ListFailed()
+	h.PollTimedOut()
 	h.pass(2)
 	require.Equal(t, 2, h.asks)
 }
@@ -32,11 +32,11 @@
 	asked, served := map[*fake]int{}, map[*fake]bool{}
 	for seed := range asks.Forwarders {
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Forwarder = New(asks, uint64(seed), h.now, h)
+		h.Scheduler = New(asks, uint64(seed), h.now, h)
 		h.receiver(0, 0)
 		fleet = append(fleet, h)
 	}
-	news := []Listing{}
+	news := []EndpointUpdate{}
 	for tick := range 1500 {
 		now := 100 + float64(tick)*0.02
 		for _, h := range fleet {
@@ -49,13 +49,13 @@
 		if tick%8 == 7 && len(line) > 0 { // the next in turn is done, for somebody who may have given up long ago
 			if c := line[0]; now-c.came <= 2 {
 				served[c.of] = true
-				c.of.List(true, news)
+				c.of.UpdateEndpoints(true, news)
 			}
 			line = line[1:]
 		}
 		for _, c := range line {
 			if age := now - c.came; age > 2 && age < 2.02 {
-				c.of.ListFailed()
+				c.of.PollTimedOut()
 			}
 		}
 	}
@@ -84,12 +84,12 @@
 	h.settle()
 	for range 20 { // four times the time is theirs after a failure
 		was := h.asks
-		h.ListFailed()
+		h.PollTimedOut()
 		h.pass(1.4 * asks.PollWithin)
 		require.Greater(t, h.asks, was)
 	}
-	h.List(true, nil)
-	h.ListFailed()
+	h.UpdateEndpoints(true, nil)
+	h.PollTimedOut()
 	h.pass(1.3*asks.PollWithin/2 + 0.1) // the first failure after a list counts as the first
 	require.Equal(t, 22, h.asks)
 }
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -21,7 +21,7 @@
 
 const (
 	stageNone  stage = iota
-	stageOut         // a call carries it: in Forwarder.flying
+	stageOut         // a call carries it: in Scheduler.flying
 	stageYoung       // waits and cannot be late yet: in expiries.young
 	stageAged        // waits and is late once its destination is slow enough: in expiries.aged
 	stageOwed        // as stageAged, for one that a restart found untried: in expiries.owed
@@ -68,7 +68,7 @@
 func (d *Message) forgottenAt() float64 { return d.ranFrom + d.typ.DeduplicationWindow - 0.05 }
 
 // await keeps a message that waits for a call, from its taking or from the end of a call on.
-func (f *Forwarder) await(d *Message) {
+func (f *Scheduler) await(d *Message) {
 	f.unstage(d)
 	f.due.consider(d)
 	f.due.touch(d.Dest)
@@ -88,14 +88,14 @@
 }
 
 // depart keeps a message that a call carries from now on.
-func (f *Forwarder) depart(d *Message) {
+func (f *Scheduler) depart(d *Message) {
 	f.unstage(d)
 	d.stage = stageOut
 	byExpiry.push(&f.due.flying, d)
 }
 
 // unstage takes a message out of all that tells when it is due.
-func (f *Forwarder) unstage(d *Message) {
+func (f *Scheduler) unstage(d *Message) {
 	byTimer.remove(&f.due.timers, d)
 	if d.stage == stageOut {
 		byExpiry.remove(&f.due.flying, d)
@@ -128,7 +128,7 @@
 }
 
 // setTimer sets a waiting message's timer to the next time at which it may be due or changes its stage.
-func (f *Forwarder) setTimer(d *Message) {
+func (f *Scheduler) setTimer(d *Message) {
 	byTimer.remove(&f.due.timers, d)
 	d.timer = math.Inf(1)
 	if d.stage == stageYoung || d.stage == stageFresh {
@@ -163,7 +163,7 @@
 }
 
 // collectDue is the messages that the review has to look at, in the order of taking. They are valid until the next call.
-func (f *Forwarder) collectDue() []*Message {
+func (f *Scheduler) collectDue() []*Message {
 	u := &f.due
 	limit := f.now + timerSlack
 	visit(u.flying, func(d *Message) bool { return d.expiry+overdue <= limit }, u.consider)
@@ -194,7 +194,7 @@
 }
 
 // fireTimers moves on the messages whose timers have fired.
-func (f *Forwarder) fireTimers(limit float64) {
+func (f *Scheduler) fireTimers(limit float64) {
 	u := &f.due
 	within := func(d *Message) bool { return d.timer <= limit }
 	visit(u.timers, within, func(d *Message) { u.fired = append(u.fired, d) })
@@ -206,7 +206,7 @@
 }
 
 // fire carries out what the time has brought to a waiting message.
-func (f *Forwarder) fire(d *Message, limit float64) {
+func (f *Scheduler) fire(d *Message, limit float64) {
 	if limit >= d.agesAt() {
 		f.age(d)
 	}
@@ -215,7 +215,7 @@
 }
 
 // fade enters a message whose number is soon forgotten among those that are given up if nothing answers.
-func (f *Forwarder) fade(d *Message, limit float64) {
+func (f *Scheduler) fade(d *Message, limit float64) {
 	if d.ranFrom > 0 && d.typ.Idempotency == IdempotentWithKey && !d.fading && limit >= d.fadesAt() {
 		d.fading = true
 		d.Dest.expiries.fading = append(d.Dest.expiries.fading, d)
@@ -223,7 +223,7 @@
 }
 
 // age makes a message one that may be late.
-func (f *Forwarder) age(d *Message) {
+func (f *Scheduler) age(d *Message) {
 	next := stageAged
 	switch d.stage {
 	case stageYoung:
@@ -238,7 +238,7 @@
 }
 
 // examine finds what may be due at a destination: what its waits outlast, what is late, and what its silence ends.
-func (f *Forwarder) examine(d *Destination, limit float64) {
+func (f *Scheduler) examine(d *Destination, limit float64) {
 	e := d.expiries
 	if e == nil {
 		byLate.remove(&f.due.late, d)
@@ -268,7 +268,7 @@
 }
 
 // scheduleLate sets the time at which the first waiting message of a destination is late.
-func (f *Forwarder) scheduleLate(d *Destination, margin float64) {
+func (f *Scheduler) scheduleLate(d *Destination, margin float64) {
 	byLate.remove(&f.due.late, d)
 	first := math.Inf(1)
 	for _, heap := range [...][]*Message{d.expiries.aged, d.expiries.owed} {
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -11,7 +11,7 @@
 )
 
 // missed is the first message that a review should have answered and did not, found by a walk over all that is held.
-func missed(f *Forwarder) (d *Message, why string) {
+func missed(f *Scheduler) (d *Message, why string) {
 	for d := range f.held.all() {
 		mayRun := d.ranFrom > 0 && d.typ.Idempotency != Idempotent
 		switch {
@@ -34,7 +34,7 @@
 }
 
 // inconsistent is the first held message or destination that is not in just the structures that its state asks for.
-func inconsistent(f *Forwarder) (what any, why string) {
+func inconsistent(f *Scheduler) (what any, why string) {
 	waiting := map[*Destination]int{}
 	for d := range f.held.all() {
 		first := d.chain == nil || d.chain.first == d
@@ -62,7 +62,7 @@
 }
 
 // randomDay plays random messages, answers, lists and waits and calls check after each review.
-func randomDay(seed uint64, check func(*Forwarder)) {
+func randomDay(seed uint64, check func(*Scheduler)) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	day := terms
 	day.Forwarders, day.ConcurrencyLimit, day.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
@@ -80,41 +80,41 @@
 	answered := map[*Message]bool{}
 	for range 1500 {
 		h.now += 0.03 * random.ExpFloat64()
-		h.Clock(h.now)
+		h.SetTime(h.now)
 		if doc := (&Message{Dest: dests[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}); random.IntN(3) > 0 {
 			typ := random.IntN(len(day.Types))
 			if taken, _ := h.Admit(0, day.Types[typ].TimeToLive); taken {
-				h.Take(doc, typ, day.Types[typ].TimeToLive*random.Float64())
+				h.Accept(doc, typ, day.Types[typ].TimeToLive*random.Float64())
 			}
 		}
 		for _, s := range h.sent {
 			if s.doc.call != nil && random.IntN(4) == 0 {
-				outcome := Outcome(random.IntN(int(Moot) + 1))
-				h.Ended(s.doc, Ending{Outcome: outcome, Over: outcome == Delivered, Took: random.Float64(), Wait: max(0, 8*random.Float64()-6)})
+				outcome := Outcome(random.IntN(int(NotSent) + 1))
+				h.AttemptEnded(s.doc, AttemptResult{Outcome: outcome, Final: outcome == Delivered, Latency: random.Float64(), RetryAfter: max(0, 8*random.Float64()-6)})
 			}
 		}
 		h.sent = slices.DeleteFunc(h.sent, func(s transmission) bool { return s.doc.call == nil })
 		for doc := range h.done {
 			if doc.AwaitingAcknowledgement() && !answered[doc] && random.IntN(3) == 0 {
 				answered[doc] = true
-				h.Told(doc)
+				h.NoticeAcknowledged(doc)
 			}
 		}
 		if random.IntN(40) == 0 {
 			target := dests[random.IntN(3)].targets
 			if len(target) > 0 {
-				h.list(target[0], Standing(random.IntN(2)))
+				h.list(target[0], EndpointState(random.IntN(2)))
 			}
 		}
 		h.review()
-		check(h.Forwarder)
-		h.Settle()
+		check(h.Scheduler)
+		h.Reconcile()
 	}
 }
 
 func TestAReviewFindsAllThatIsDueWithoutAWalk(t *testing.T) {
 	for seed := range uint64(40) {
-		randomDay(seed, func(f *Forwarder) {
+		randomDay(seed, func(f *Scheduler) {
 			if d, why := missed(f); d != nil {
 				require.Fail(t, why, "seed %d: %+v", seed, d)
 			}
@@ -135,39 +135,39 @@
 	if closed == leaving {
 		closed = d.targets[1]
 	}
-	h.list(leaving, Gone) // its call is out, so that it is not let go of yet
+	h.list(leaving, Removed) // its call is out, so that it is not let go of yet
 	h.settle()
-	h.Close(closed, h.now+100)
+	h.BlockUntil(closed, h.now+100)
 	waits := h.take(d, status, 0)
 	h.settle()
 	require.Empty(t, h.done)
 	h.ends(out, Delivered, 0)
 	h.settle()
-	require.Equal(t, []*Target{leaving}, h.released)
+	require.Equal(t, []*Endpoint{leaving}, h.released)
 	h.settle()
 	require.Equal(t, "rejected", h.done[waits])
 }
 
 // heldFor makes a forwarder that holds n messages for a destination that told a wait shorter than their life, and has
 // another destination that answers.
-func heldFor(n int) (f *Forwarder, h *bare, now float64, other *Destination) {
+func heldFor(n int) (f *Scheduler, h *bare, now float64, other *Destination) {
 	h, now = &bare{}, 100.0
 	f = New(benchTerms(10*n), 7, now, h)
 	var dests []*Destination
 	for i := range 2 {
 		d := f.NewDestination(uint64(i))
-		f.List(false, []Listing{{Target: &Target{Door: uint64(i)}, Dest: d, Standing: Ready}})
+		f.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
 		dests = append(dests, d)
 	}
-	f.Clock(now)
-	f.Take(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
-	f.Settle()
-	f.Ended(h.out[0], Ending{Outcome: Full, Took: 0.05, Wait: benchLife / 10})
+	f.SetTime(now)
+	f.Accept(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
+	f.Reconcile()
+	f.AttemptEnded(h.out[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchLife / 10})
 	h.out = h.out[:0]
 	for range n {
-		f.Take(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
+		f.Accept(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
 	}
-	f.Settle()
+	f.Reconcile()
 	return f, h, now, dests[0]
 }
 
@@ -175,13 +175,13 @@
 	f, h, now, other := heldFor(20_000)
 	for range 20 {
 		now += 0.02
-		f.Clock(now)
-		f.Woken()
-		f.Take(&Message{Dest: other, Tenant: 9}, 0, benchLife)
+		f.SetTime(now)
+		f.TimerFired()
+		f.Accept(&Message{Dest: other, Tenant: 9}, 0, benchLife)
 		require.LessOrEqual(t, len(f.collectDue()), 3, "the fresh message alone, not those that wait")
-		f.Settle()
+		f.Reconcile()
 		require.Len(t, h.out, 1)
-		f.Ended(h.out[0], Ending{Outcome: Delivered, Over: true, Took: 0.05})
+		f.AttemptEnded(h.out[0], AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 		h.out = h.out[:0]
 	}
 	require.Equal(t, 20_001, f.held.count)
@@ -207,8 +207,8 @@
 func TestTakingAndGivingUpManyAtOnceIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		f, _, now, _ := heldFor(n)
-		f.Clock(now + 2*benchLife)
-		f.Settle()
+		f.SetTime(now + 2*benchLife)
+		f.Reconcile()
 		require.Zero(t, f.held.count)
 	})
 }
@@ -220,11 +220,11 @@
 		f := New(day, 7, 100, &bare{})
 		d := f.NewDestination(1)
 		for range n {
-			f.Take(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
+			f.Accept(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
 		}
-		f.Settle()
-		f.Clock(100 + 2*benchLife)
-		f.Settle()
+		f.Reconcile()
+		f.SetTime(100 + 2*benchLife)
+		f.Reconcile()
 		require.Zero(t, f.held.count)
 	})
 }
@@ -236,7 +236,7 @@
 		for i := range n {
 			f.Recover(&Message{Dest: d, Tenant: 9}, 0, benchLife, RecoveredState{Attempts: i % 2})
 		}
-		f.Settle()
+		f.Reconcile()
 		require.Equal(t, n, f.held.count)
 	})
 }
@@ -247,15 +247,15 @@
 		f := New(benchTerms(10*n), 7, now, h)
 		d := f.NewDestination(1)
 		for range n {
-			f.Take(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			f.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 		}
-		f.List(false, []Listing{{Target: &Target{}, Dest: d, Standing: Ready}})
+		f.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{}, Destination: d, State: Ready}})
 		for f.held.count > 0 {
 			now += 0.01
-			f.Clock(now)
-			f.Settle()
+			f.SetTime(now)
+			f.Reconcile()
 			for _, doc := range h.out {
-				f.Ended(doc, Ending{Outcome: Delivered, Over: true, Took: 0.05})
+				f.AttemptEnded(doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 			}
 			h.out = h.out[:0]
 		}
@@ -268,11 +268,11 @@
 		f := New(day, 7, 100, &bare{})
 		d := f.NewDestination(1)
 		for range n / 2 {
-			f.Take(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			f.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 		}
 		for range n {
-			f.Take(&Message{Dest: d, Tenant: 9}, 0, benchLife)
-			f.Settle()
+			f.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			f.Reconcile()
 		}
 		require.LessOrEqual(t, float64(f.held.count), roomFull*float64(n))
 	})
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -26,7 +26,7 @@
 	at   float64
 	node *fake
 	doc  *Message
-	end  Ending
+	end  AttemptResult
 }
 
 func newFleet(n int, limit float64) *fleet {
@@ -35,7 +35,7 @@
 	f := &fleet{now: 100, limit: limit, room: limit / 2, debt: 1, seen: make([]int, n), took: map[*Message]int{}}
 	for i := range n {
 		h := start(t)
-		h.Forwarder = New(t, uint64(i+1), 100, h)
+		h.Scheduler = New(t, uint64(i+1), 100, h)
 		h.receiver(0, 0)
 		f.nodes = append(f.nodes, h)
 	}
@@ -49,7 +49,7 @@
 		f.room = min(f.limit/2, f.room+0.02*f.limit)
 		for i, h := range f.nodes {
 			h.now = f.now
-			h.Clock(f.now)
+			h.SetTime(f.now)
 			if every > 0 && int(f.now/every+float64(i)/7) != int((f.now-0.02)/every+float64(i)/7) {
 				h.take(h.dests[0], status, 0)
 			}
@@ -57,11 +57,11 @@
 		for len(f.late) > 0 && f.late[0].at <= f.now {
 			a := f.late[0]
 			f.late = f.late[1:]
-			a.node.Ended(a.doc, a.end)
+			a.node.AttemptEnded(a.doc, a.end)
 		}
 		for i, h := range f.nodes {
-			h.Woken()
-			h.Settle()
+			h.TimerFired()
+			h.Reconcile()
 			for ; f.seen[i] < len(h.sent); f.seen[i]++ {
 				f.call(h, h.sent[f.seen[i]].doc)
 			}
@@ -72,16 +72,16 @@
 
 func (f *fleet) call(h *fake, doc *Message) {
 	f.calls++
-	e := Ending{Outcome: Delivered, Over: true, Took: 0.1, Most: f.limit, Left: Limit(max(0, (f.room-1)/(f.limit/2)))}
+	e := AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: f.limit, ReportedShare: ReportedValue(max(0, (f.room-1)/(f.limit/2)))}
 	if f.room--; f.hung || f.room < 0 {
 		f.full++
 		f.room = max(f.room, -f.debt) // refused calls use it up too
-		e = Ending{Outcome: Full, Took: 0.05, Most: f.limit, Left: -1}
+		e = AttemptResult{Outcome: Overloaded, Latency: 0.05, ReportedLimit: f.limit, ReportedShare: -1}
 	} else {
 		f.took[doc]++
 	}
 	if f.mute {
-		e.Most, e.Left = 0, 0
+		e.ReportedLimit, e.ReportedShare = 0, 0
 	}
 	f.late = append(f.late, due{f.now + 0.1, h, doc, e})
 }
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -9,13 +9,13 @@
 func TestNothingGoesToADrainingTarget(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0, 0)
-	h.List(false, []Listing{{Target: d.targets[0], Dest: d, Standing: Draining}})
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: d.targets[0], Destination: d, State: Draining}})
 	h.flood(d, status, 6)
 	h.settle()
 	for _, s := range h.sent {
 		require.Equal(t, d.targets[1], s.target)
 	}
-	h.List(true, nil) // a whole list without a target: it is gone
+	h.UpdateEndpoints(true, nil) // a whole list without a target: it is gone
 	h.flood(d, status, 1)
 	n := len(h.sent)
 	h.answers(d, Delivered)
@@ -65,12 +65,12 @@
 	h := start(terms)
 	d := h.receiver(0, 0, 0)
 	d.taken = 1e4 // it gets many documents
-	requireShutAfter(t, h, d, Errored, Full, Full)
+	requireShutAfter(t, h, d, ServerError, Overloaded, Overloaded)
 }
 
 func TestTwoFailuresInARowShutARouteThatGetsFewDocuments(t *testing.T) {
 	h := start(terms)
-	requireShutAfter(t, h, h.receiver(0, 0, 0), Errored, Full)
+	requireShutAfter(t, h, h.receiver(0, 0, 0), ServerError, Overloaded)
 }
 
 // requireShutAfter ends a document's calls so in turn: only the last end makes the targets sick.
@@ -96,7 +96,7 @@
 	doc := h.take(d, status, 0)
 	h.settle()
 	bad := h.sent[0].target
-	h.ends(doc, Errored, 0)
+	h.ends(doc, ServerError, 0)
 	for range 6 {
 		h.pass(0.4)
 		h.answers(d, Delivered)
@@ -126,7 +126,7 @@
 	h.ends(doc, TimedOut, 0)
 	h.pass(1)
 	require.Equal(t, 2, doc.sent)
-	h.Ended(doc, Ending{Outcome: NoConnection, Took: 1.5})
+	h.AttemptEnded(doc, AttemptResult{Outcome: NoConnection, Latency: 1.5})
 	require.Equal(t, []health{sick, sick}, []health{d.targets[0].state, d.targets[1].state})
 }
 
@@ -137,12 +137,12 @@
 		doc := h.take(d, status, 0)
 		h.pass(0.9)
 		if i%3 == 2 {
-			h.Ended(doc, Ending{Outcome: NoConnection, Took: 0.8}) // not up in time
-			require.False(t, d.targets[0].Sick())
+			h.AttemptEnded(doc, AttemptResult{Outcome: NoConnection, Latency: 0.8}) // not up in time
+			require.False(t, d.targets[0].Ejected())
 			h.pass(1.5)
 		}
 		for doc.call != nil {
-			h.Ended(doc, Ending{Outcome: Delivered, Over: true, Took: 0.75})
+			h.AttemptEnded(doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.75})
 		}
 	}
 }
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -108,7 +108,7 @@
 
 // cheapest is the message of a class that waits, surely has not run and is worth least now; of several the latest.
 // While value does not change with age the search ends at the first one from the end of the class.
-func (f *Forwarder) cheapest(c *class) *Message {
+func (f *Scheduler) cheapest(c *class) *Message {
 	var least *Message
 	for doc := c.last; doc != nil; doc = doc.classPrevious {
 		if !doc.queued || doc.ranFrom != 0 {
@@ -126,7 +126,7 @@
 
 // victim is the waiting message of a destination that makes room for others: of those that surely have not run the one
 // worth least, of several the latest; the oldest one if only it is worth less or nothing else waits. Nil: none waits.
-func (f *Forwarder) victim(d *Destination) *Message {
+func (f *Scheduler) victim(d *Destination) *Message {
 	if d == nil {
 		return nil
 	}
@@ -156,7 +156,7 @@
 }
 
 // chain puts a message behind the earlier ones of its key.
-func (f *Forwarder) chain(d *Message) {
+func (f *Scheduler) chain(d *Message) {
 	if !d.typ.InOrder || d.Key == 0 {
 		return
 	}
@@ -176,7 +176,7 @@
 }
 
 // forgetRestedKeys lets go of the keys whose last message ended while they rested, once there are many.
-func (f *Forwarder) forgetRestedKeys() {
+func (f *Scheduler) forgetRestedKeys() {
 	if len(f.chains) <= 2*f.held.count+64 {
 		return
 	}
@@ -188,7 +188,7 @@
 }
 
 // unchain lets go of a message of which nothing more can be heard. The next one of its key may be sent then.
-func (f *Forwarder) unchain(d *Message) {
+func (f *Scheduler) unchain(d *Message) {
 	if !d.Finished() {
 		return
 	}
@@ -230,34 +230,34 @@
 // or the message's type does not keep the order of keys.
 func (d *Message) NextOfKey() *Message { return d.chainNext }
 
-// Waiting tells that a message waits for a call: it may be taken back by Withdrawn without a trace.
+// Waiting tells that a message waits for a call: it may be taken back by Withdraw without a trace.
 func (d *Message) Waiting() bool { return d.queued }
 
 // Dark tells that no target of a destination answers.
-func (f *Forwarder) Dark(d *Destination) bool { return f.dark(d) }
+func (f *Scheduler) Dark(d *Destination) bool { return f.dark(d) }
 
 // Stored counts a message for a destination that is kept elsewhere from its taking on: it is asked for all the same.
-func (f *Forwarder) Stored(d *Destination) { d.taken++ }
+func (f *Scheduler) Stored(d *Destination) { d.taken++ }
 
 // Uncount takes a message off what a destination is asked for: it was counted before, or by an earlier process.
-func (f *Forwarder) Uncount(d *Destination) { d.taken-- }
+func (f *Scheduler) Uncount(d *Destination) { d.taken-- }
 
 // Answered tells that a destination has answered as it should since the start.
-func (f *Forwarder) Answered(d *Destination) bool {
-	return slices.ContainsFunc(d.targets, func(t *Target) bool { return t.lastGood > 0 })
+func (f *Scheduler) Answered(d *Destination) bool {
+	return slices.ContainsFunc(d.targets, func(t *Endpoint) bool { return t.lastGood > 0 })
 }
 
 // TakeBack takes a message that was kept elsewhere, with its history, before anything newer of its key.
-func (f *Forwarder) TakeBack(d *Message, typ int, left float64, past RecoveredState) {
+func (f *Scheduler) TakeBack(d *Message, typ int, left float64, past RecoveredState) {
 	if past.Attempts > 0 {
 		f.Recover(d, typ, left, past)
 	} else {
-		f.Take(d, typ, left)
+		f.Accept(d, typ, left)
 	}
 }
 
 // GiveUp takes a message that was kept elsewhere, with its history, and has the next settling answer it without a call.
-func (f *Forwarder) GiveUp(d *Message, typ int, left float64, past RecoveredState) {
+func (f *Scheduler) GiveUp(d *Message, typ int, left float64, past RecoveredState) {
 	f.Recover(d, typ, left, past)
 	f.Uncount(d.Dest)
 	if !d.answered {
--- a/scheduler/host_test.go
+++ b/scheduler/host_test.go
@@ -4,21 +4,21 @@
 
 // fake is a host that writes down what it is asked to do and plays the other side at the test's word.
 type fake struct {
-	*Forwarder
+	*Scheduler
 	now  float64
 	sent []transmission
 	done map[*Message]string
 	back map[*Message]float64
 	asks int
 
-	recalled []*Target
-	released []*Target
+	recalled []*Endpoint
+	released []*Endpoint
 	log      []string
 }
 
 type transmission struct {
 	doc     *Message
-	target  *Target
+	target  *Endpoint
 	at      float64
 	timeout float64
 }
@@ -38,7 +38,7 @@
 
 func start(t Settings) *fake {
 	h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-	h.Forwarder = New(t, 7, h.now, h)
+	h.Scheduler = New(t, 7, h.now, h)
 	return h
 }
 
@@ -46,20 +46,20 @@
 func (h *fake) receiver(kind int, zones ...int) *Destination {
 	d := h.NewDestination(uint64(len(h.dests)))
 	for i, z := range zones {
-		t := &Target{Door: uint64(i)}
-		h.List(false, []Listing{{Target: t, Dest: d, Kind: kind, Zone: z, Standing: Ready}})
+		t := &Endpoint{ID: uint64(i)}
+		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: t, Destination: d, Kind: kind, Zone: z, State: Ready}})
 	}
 	return d
 }
 
 // list tells a target's standing.
-func (h *fake) list(t *Target, s Standing) {
-	h.List(false, []Listing{{Target: t, Dest: t.dest, Kind: t.dest.kind, Zone: t.zone, Standing: s}})
+func (h *fake) list(t *Endpoint, s EndpointState) {
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: t, Destination: t.dest, Kind: t.dest.kind, Zone: t.zone, State: s}})
 }
 
 func (h *fake) take(d *Destination, typ int, key uint64) *Message {
 	doc := &Message{ID: uint64(h.held.count), Key: key, Dest: d, Tenant: 9}
-	h.Take(doc, typ, h.terms.Types[typ].TimeToLive)
+	h.Accept(doc, typ, h.terms.Types[typ].TimeToLive)
 	return doc
 }
 
@@ -82,17 +82,17 @@
 func (h *fake) pass(seconds float64) {
 	for end := h.now + seconds; h.now < end; {
 		h.now += 0.02
-		h.Clock(h.now)
-		h.Woken()
-		h.Settle()
+		h.SetTime(h.now)
+		h.TimerFired()
+		h.Reconcile()
 	}
 }
 
-func (h *fake) settle() { h.Clock(h.now); h.Settle() }
+func (h *fake) settle() { h.SetTime(h.now); h.Reconcile() }
 
 // ends gives the transmission that is out for a document its ending.
 func (h *fake) ends(d *Message, o Outcome, wait float64) {
-	h.Ended(d, Ending{Outcome: o, Over: o == Delivered, Took: 0.1, Wait: wait})
+	h.AttemptEnded(d, AttemptResult{Outcome: o, Final: o == Delivered, Latency: 0.1, RetryAfter: wait})
 }
 
 // answers ends all calls that are out to a destination in one way.
@@ -111,14 +111,14 @@
 	return doc
 }
 
-func (h *fake) Transmit(d *Message, t *Target, timeout float64) {
+func (h *fake) Send(d *Message, t *Endpoint, timeout float64) {
 	h.sent = append(h.sent, transmission{d, t, h.now, timeout})
 }
 func (h *fake) Reject(d *Message, comeBack float64) { h.done[d] += "rejected"; h.back[d] = comeBack }
-func (h *fake) Abandon(d *Message)                  { h.done[d] += "abandoned" }
-func (h *fake) Recall(t *Target)                    { h.recalled = append(h.recalled, t) }
-func (h *fake) CloseIdle(t *Target)                 { h.log = append(h.log, fmt.Sprint("close ", t.Door)) }
-func (h *fake) Release(t *Target)                   { h.released = append(h.released, t) }
+func (h *fake) Fail(d *Message)                     { h.done[d] += "abandoned" }
+func (h *fake) CancelUnsent(t *Endpoint)            { h.recalled = append(h.recalled, t) }
+func (h *fake) CloseIdle(t *Endpoint)               { h.log = append(h.log, fmt.Sprint("close ", t.ID)) }
+func (h *fake) ReleaseEndpoint(t *Endpoint)         { h.released = append(h.released, t) }
 func (h *fake) Wake(float64)                        {}
-func (h *fake) Watch()                              { h.asks++ }
+func (h *fake) WatchEndpoints()                     { h.asks++ }
 func (h *fake) Log(line string)                     { h.log = append(h.log, line) }
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -24,7 +24,7 @@
 	d := h.receiver(0, 0)
 	doc := h.take(d, zoned, 0)
 	h.settle()
-	d.targets[0].standing = Gone
+	d.targets[0].standing = Removed
 	h.pass(1)
 	h.ends(doc, Reset, 0)
 	h.pass(3.9)
@@ -59,9 +59,9 @@
 	h.settle()
 	first := h.sent[0]
 	h.ends(doc, Reset, 0)
-	h.List(false, []Listing{{Target: tgt, Dest: d, Standing: Draining}})
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Draining}})
 	h.pass(4.6)
-	h.List(false, []Listing{{Target: tgt, Dest: d, Standing: Ready}})
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Ready}})
 	h.pass(0.3)
 	require.Len(t, h.sent, 2)
 	again := h.sent[1]
@@ -70,7 +70,7 @@
 }
 
 func TestABindingDocumentOverEveryOutcomeAndARestart(t *testing.T) {
-	for o, may := range map[Outcome]bool{Errored: true, TimedOut: true, Reset: true, Cancelled: true, Full: false, NoConnection: false, Moot: false} {
+	for o, may := range map[Outcome]bool{ServerError: true, TimedOut: true, Reset: true, Cancelled: true, Overloaded: false, NoConnection: false, NotSent: false} {
 		h := start(terms)
 		d := h.receiver(0, 0)
 		doc := h.take(d, payment, 0)
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -33,13 +33,13 @@
 	}
 )
 
-func (f *Forwarder) nextRank() uint64 {
+func (f *Scheduler) nextRank() uint64 {
 	f.rank++
 	return f.rank
 }
 
 // enqueue makes a message wait for a call, in its lane or, if it has none, among the retries.
-func (f *Forwarder) enqueue(d *Message) {
+func (f *Scheduler) enqueue(d *Message) {
 	d.queued = true
 	d.Dest.waiting++
 	if d.lane != nil {
@@ -55,13 +55,13 @@
 }
 
 // retry makes a message wait for a further call.
-func (f *Forwarder) retry(d *Message) {
+func (f *Scheduler) retry(d *Message) {
 	d.rank = f.nextRank()
 	f.enqueue(d)
 }
 
 // resume makes a message that a restart found wait as its history asks for: untried, or for a further call.
-func (f *Forwarder) resume(d *Message) {
+func (f *Scheduler) resume(d *Message) {
 	if d.owed {
 		d.declassify() // it is not given up for room
 	} else {
@@ -72,7 +72,7 @@
 }
 
 // dequeue ends a message's waiting. It can come back only as a retry.
-func (f *Forwarder) dequeue(d *Message) {
+func (f *Scheduler) dequeue(d *Message) {
 	if !d.queued {
 		return
 	}
@@ -131,7 +131,7 @@
 
 // dearestOf is the accepted message of a lane that is worth most now, of several the earliest. While value does not
 // change with age that is the first of a type; else all that waits in the lane is looked at.
-func (f *Forwarder) dearestOf(l *lane, accept func(*Message) bool) *Message {
+func (f *Scheduler) dearestOf(l *lane, accept func(*Message) bool) *Message {
 	var next *Message
 	consider := func(d *Message) {
 		if next == nil || f.dearer(d, next) || !f.dearer(next, d) && d.rank < next.rank {
--- a/scheduler/port.go
+++ b/scheduler/port.go
@@ -42,16 +42,16 @@
 	PollWithin                      float64 // the rules want a question for the list so often while it does not come; 0: not stated
 	ListedRateTolerance             float64 // the listed rate may be this many times too high; 0: none is listed
 	MaxStoredBytes                  int     // bytes of documents that can be kept beyond a restart; 0: no bound
-	AwaitAcknowledgement            bool    // an answer is given only once Told says so
+	AwaitAcknowledgement            bool    // an answer is given only once NoticeAcknowledged says so
 }
 
-// RecoveredState is what an earlier process of this forwarder did with a document; times on the clock of Clock.
+// RecoveredState is what an earlier process of this forwarder did with a document; times on the clock of SetTime.
 type RecoveredState struct {
 	Attempts   int     // transmissions spent
 	FirstRanAt float64 // begin of the first that may have run; 0: surely none ran
 	Zone       int     // of its target
 
-	Answered   bool // it has its final answer, of which Told has not spoken yet
+	Answered   bool // it has its final answer, of which NoticeAcknowledged has not spoken yet
 	CallerGone bool // its caller waited for the final answer, and went with that process
 }
 
@@ -60,53 +60,53 @@
 
 const (
 	Delivered    Outcome = iota
-	Errored              // the destination's own error; may have run
-	Full                 // turned away unseen
+	ServerError          // the destination's own error; may have run
+	Overloaded           // turned away unseen
 	TimedOut             // may have run, may still run
 	NoConnection         // never ran
 	Reset                // may have run, may still run
 	Cancelled            // may have run, may still run
-	Moot                 // not sent
+	NotSent              // not sent
 )
 
-// Ending is the news of one transmission's end.
-type Ending struct {
-	Outcome    Outcome
-	Over       bool    // the document has its final answer
-	Took, Wait float64 // Wait: told to stay away so long, whatever the outcome; 0 if not told
-	Most       float64 // the reported limit in calls a second; 0 if nothing is told of it, under 0 if there is none
-	Left       float64 // the reported share of that limit that is left just now; 0 if not told, under 0 if none is
+// AttemptResult is the news of one transmission's end.
+type AttemptResult struct {
+	Outcome             Outcome
+	Final               bool    // the document has its final answer
+	Latency, RetryAfter float64 // RetryAfter: told to stay away so long, whatever the outcome; 0 if not told
+	ReportedLimit       float64 // the reported limit in calls a second; 0 if nothing is told of it, under 0 if there is none
+	ReportedShare       float64 // the reported share of that limit that is left just now; 0 if not told, under 0 if none is
 }
 
-// Standing is what the list says of a target.
-type Standing uint8
+// EndpointState is what the list says of a target.
+type EndpointState uint8
 
 const (
-	Ready Standing = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// Listing is one line of the list.
-type Listing struct {
-	Target   *Target
-	Dest     *Destination
-	Kind     int
-	Zone     int
-	Rate     float64 // calls a second that the destination takes; 0 unknown
-	Standing Standing
-	Cold     bool // ready again after it was restarted: it is paced as one that returns from an outage
+// EndpointUpdate is one line of the list.
+type EndpointUpdate struct {
+	Endpoint    *Endpoint
+	Destination *Destination
+	Kind        int
+	Zone        int
+	Rate        float64 // calls a second that the destination takes; 0 unknown
+	State       EndpointState
+	WarmingUp   bool // ready again after it was restarted: it is paced as one that returns from an outage
 }
 
-// Host carries out what a forwarder decides. All calls are made from within Settle.
+// Host carries out what a forwarder decides. All calls are made from within Reconcile.
 type Host interface {
-	Transmit(d *Message, t *Target, timeout float64)
+	Send(d *Message, t *Endpoint, timeout float64)
 	Reject(d *Message, comeBack float64)
-	Abandon(d *Message)
-	Recall(t *Target) // ends the calls to a target of which nothing has been sent, as Moot
-	CloseIdle(t *Target)
-	Release(t *Target) // it is gone and nothing is heard of it any more
+	Fail(d *Message)
+	CancelUnsent(t *Endpoint) // ends the calls to a target of which nothing has been sent, as NotSent
+	CloseIdle(t *Endpoint)
+	ReleaseEndpoint(t *Endpoint) // it is gone and nothing is heard of it any more
 	Wake(in float64)
-	Watch()
+	WatchEndpoints()
 	Log(line string)
 }
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -13,7 +13,7 @@
 	first, second := h.take(d, ticket, 5), h.take(d, ticket, 5)
 	h.pass(0.1)
 	require.Len(t, h.sent, 1)
-	h.Withdrawn(first) // its call is still out
+	h.Withdraw(first) // its call is still out
 	h.pass(0.1)
 	require.Len(t, h.sent, 1)
 	h.ends(first, TimedOut, 0)
@@ -45,7 +45,7 @@
 	d := h.receiver(0, 0)
 	for i := range 6 {
 		doc := &Message{Dest: d, Tenant: i / 5}
-		h.Take(doc, status, 20)
+		h.Accept(doc, status, 20)
 	}
 	h.settle()
 	require.Equal(t, []int{0, 1}, []int{h.sent[0].doc.Tenant, h.sent[1].doc.Tenant})
@@ -71,14 +71,14 @@
 	d := h.receiver(0)
 	take := func(tenant int) *Message {
 		doc := &Message{Dest: d, Tenant: tenant}
-		h.Take(doc, status, 20)
+		h.Accept(doc, status, 20)
 		return doc
 	}
 	for range 30 {
 		take(0)
 	}
 	late := take(1)
-	h.List(false, []Listing{{Target: &Target{}, Dest: d, Standing: Ready}})
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{}, Destination: d, State: Ready}})
 	h.settle()
 	require.Contains(t, []*Message{h.sent[0].doc, h.sent[1].doc}, late)
 	for range 7 {
@@ -96,7 +96,7 @@
 	d := h.receiver(1, 0)
 	h.flood(d, status, 6)
 	h.settle()
-	h.answers(d, Full)
+	h.answers(d, Overloaded)
 	h.take(d, status, 0)
 	h.pass(9)
 	n := 0
@@ -167,7 +167,7 @@
 	h := start(halves)
 	d := h.receiver(0, 0)
 	late := &Message{Dest: d, Tenant: 9}
-	h.Take(late, status, 12) // of twenty seconds: five late
+	h.Accept(late, status, 12) // of twenty seconds: five late
 	fresh := h.take(d, status, 0)
 	h.pass(0.1)
 	h.answers(d, Delivered)
--- a/scheduler/ramp_test.go
+++ b/scheduler/ramp_test.go
@@ -43,11 +43,11 @@
 		h := start(terms)
 		d := h.receiver(0, 0)
 		tgt := d.targets[0]
-		h.List(false, []Listing{{Target: tgt, Dest: d, Standing: Draining}})
+		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Draining}})
 		h.flood(d, status, 30)
 		h.pass(0.5)
 		require.Empty(t, h.sent)
-		h.List(false, []Listing{{Target: tgt, Dest: d, Standing: Ready, Cold: cold}})
+		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Ready, WarmingUp: cold}})
 		for range 25 { // a second, each call answered at once
 			h.pass(0.04)
 			h.answers(d, Delivered)
@@ -75,7 +75,7 @@
 				if i < done {
 					h.answers(d, Delivered)
 				} else {
-					h.answers(d, Full)
+					h.answers(d, Overloaded)
 				}
 			}
 		}
@@ -84,7 +84,7 @@
 			h.pass(0.08)
 			h.answers(d, NoConnection)
 		}
-		for d.targets[0].Sick() { // it is back: a trial succeeds
+		for d.targets[0].Ejected() { // it is back: a trial succeeds
 			h.take(d, payment, 0)
 			h.pass(0.08)
 			h.answers(d, Delivered)
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -17,7 +17,7 @@
 	h.flood(d, status, 12)
 	for range 60 {
 		h.pass(0.2)
-		h.answers(d, Full)
+		h.answers(d, Overloaded)
 	}
 	require.Less(t, d.shared.pace, 8.0)
 	require.Positive(t, d.shared.pace)
@@ -37,7 +37,7 @@
 	require.Equal(t, sick, d.targets[0].state)
 	for range 8 {
 		h.pass(3)
-		h.answers(d, Full)
+		h.answers(d, Overloaded)
 	}
 	require.Zero(t, d.shared.pace)
 	h.pass(3)
@@ -63,8 +63,8 @@
 		h.flood(d, status, n)
 		h.settle()
 		h.now += 0.1
-		h.Clock(h.now)
-		h.answers(d, Full)
+		h.SetTime(h.now)
+		h.answers(d, Overloaded)
 		return d.shared.pace
 	}
 	require.GreaterOrEqual(t, pace(6), pace(1))
@@ -80,7 +80,7 @@
 	}
 	h.flood(d, status, 3)
 	h.settle()
-	h.answers(d, Full)
+	h.answers(d, Overloaded)
 	h.settle()
 	require.Positive(t, d.shared.pace)
 	grown := func(seconds float64) float64 {
@@ -100,7 +100,7 @@
 		h.flood(d, status, 1)
 		h.pass(0.2)
 	}
-	h.answers(d, Full)
+	h.answers(d, Overloaded)
 	h.settle()
 	require.Less(t, grown(2), late, "a refusal begins it anew")
 }
@@ -119,8 +119,8 @@
 		h.settle()
 		require.Equal(t, out, d.out)
 		h.now += 0.05
-		h.Clock(h.now)
-		h.ends(h.sent[len(h.sent)-1].doc, Full, 0)
+		h.SetTime(h.now)
+		h.ends(h.sent[len(h.sent)-1].doc, Overloaded, 0)
 		return d.shared.pace
 	}
 	require.Greater(t, pace(6), 10.0, "six calls of a tenth of a second or so")
@@ -136,7 +136,7 @@
 		h.pass(1)
 		for _, s := range h.sent {
 			if s.doc.call != nil {
-				h.Ended(s.doc, Ending{Outcome: Delivered, Over: true, Took: 0.1, Most: 8, Left: left})
+				h.AttemptEnded(s.doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: 8, ReportedShare: left})
 			}
 		}
 	}
@@ -164,7 +164,7 @@
 			h.pass(5)
 			for _, s := range h.sent {
 				if s.doc.call != nil {
-					h.Ended(s.doc, Ending{Outcome: Delivered, Over: true, Took: 0.1, Most: most, Left: left})
+					h.AttemptEnded(s.doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: most, ReportedShare: left})
 				}
 			}
 		}
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -13,10 +13,10 @@
 	d := h.receiver(0, 0)
 	slow := make([]float64, len(d.took.bins))
 	slow[d.took.bin(4)] = 5
-	require.True(t, h.Remember(d, slow))
+	require.True(t, h.RestoreLatencies(d, slow))
 	owed, fresh := &Message{Dest: d}, &Message{Dest: d}
 	h.Recover(owed, status, 0.3, RecoveredState{})
-	h.Take(fresh, status, 0.3)
+	h.Accept(fresh, status, 0.3)
 	fresh.time = 20 // it waited here for most of its life
 	h.settle()
 	require.Equal(t, "rejected", h.done[fresh], "calls mostly take longer")
@@ -31,11 +31,11 @@
 	d := h.receiver(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 2, RecoveredState{})
-	h.Close(d.targets[0], h.now+30)
+	h.BlockUntil(d.targets[0], h.now+30)
 	h.settle()
 	require.Empty(t, h.done, "it is held as long as there is time: another target may come")
-	sibling := &Target{Door: 9}
-	h.List(false, []Listing{{Target: sibling, Dest: d, Kind: 0, Standing: Ready}})
+	sibling := &Endpoint{ID: 9}
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: sibling, Destination: d, Kind: 0, State: Ready}})
 	sibling.route = &Route{filled: h.now}
 	h.pass(0.4)
 	require.Equal(t, owed, h.sent[0].doc)
@@ -47,7 +47,7 @@
 	d := h.receiver(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 4, RecoveredState{})
-	h.Close(d.targets[0], h.now+3.8)
+	h.BlockUntil(d.targets[0], h.now+3.8)
 	h.pass(3.9) // calls take 0.9 s, as far as is known
 	require.Empty(t, h.sent)
 	require.Equal(t, "rejected", h.done[owed])
@@ -72,11 +72,11 @@
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	for seed := range uint64(50) {
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Forwarder = New(asks, seed, h.now, h)
+		h.Scheduler = New(asks, seed, h.now, h)
 		h.settle()
 		require.Equal(t, 1, h.asks, "nothing known: at once")
 		h.pass(5)
-		h.ListSilent()
+		h.WatchSilent()
 		h.pass(1.02)
 		require.Equal(t, 2, h.asks, "it was silent for three seconds when that was noticed, and six count as told")
 	}
@@ -93,7 +93,7 @@
 	require.Empty(t, h.sent)
 	h.now += 0.01
 	h.settle()
-	h.List(true, []Listing{{Target: d.targets[0], Dest: d, Kind: 0, Standing: Draining}})
+	h.UpdateEndpoints(true, []EndpointUpdate{{Endpoint: d.targets[0], Destination: d, Kind: 0, State: Draining}})
 	h.pass(1)
 	require.Empty(t, h.sent)
 
@@ -101,7 +101,7 @@
 	d = h.receiver(0, 0)
 	h.take(d, status, 0)
 	h.pass(0.02)
-	h.ListFailed() // discovery is down: the agent knows nothing either
+	h.PollTimedOut() // discovery is down: the agent knows nothing either
 	h.pass(0.02)
 	require.Len(t, h.sent, 1)
 }
@@ -114,7 +114,7 @@
 	h.settle()
 	for n := range 10 { // each question goes wrong at once
 		require.Equal(t, n+1, h.asks)
-		h.ListFailed()
+		h.PollTimedOut()
 		h.pass(0.56)
 	}
 }
@@ -124,10 +124,10 @@
 	d := h.receiver(0, 0)
 	onEdge := func(noticed bool, ends float64) *Message {
 		doc := &Message{Dest: d, Key: 5, AnsweredByNotice: noticed}
-		h.Take(doc, ticket, 1)
+		h.Accept(doc, ticket, 1)
 		h.settle()
 		h.now += ends
-		h.Clock(h.now)
+		h.SetTime(h.now)
 		h.ends(doc, Delivered, 0)
 		h.settle()
 		return doc
@@ -139,7 +139,7 @@
 	next := h.take(d, ticket, 5)
 	h.pass(0.2)
 	require.NotEqual(t, next, h.sent[len(h.sent)-1].doc, "the one before may count as open until its end is heard")
-	h.Told(first)
+	h.NoticeAcknowledged(first)
 	h.pass(0.04)
 	require.Equal(t, next, h.sent[len(h.sent)-1].doc)
 	require.Equal(t, "abandoned", h.done[first], "once")
@@ -156,11 +156,11 @@
 			asks.PollWithin, asks.Forwarders = within, forwarders
 			for seed := range uint64(20) {
 				h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-				h.Forwarder = New(asks, seed, h.now, h)
+				h.Scheduler = New(asks, seed, h.now, h)
 				h.settle()
 				for n := range 12 {
 					require.Equal(t, n+1, h.asks, "%d forwarders, asked within %v", forwarders, within)
-					h.ListBroken()
+					h.WatchBroken()
 					h.pass(toldIn - failsIn - 0.9) // what is left is for the answer
 				}
 			}
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -14,8 +14,8 @@
 	h.settle()
 	require.Len(t, h.sent, 2)
 	require.Equal(t, 1, h.out)
-	h.ends(a, Full, 0.2)
-	h.ends(b, Full, 1)
+	h.ends(a, Overloaded, 0.2)
+	h.ends(b, Overloaded, 1)
 	h.pass(0.98)
 	require.Len(t, h.sent, 2)
 	h.pass(2)
@@ -27,7 +27,7 @@
 	d := h.receiver(2, 0, 0)
 	doc := h.take(d, status, 0)
 	h.settle()
-	h.ends(doc, Full, 5)
+	h.ends(doc, Overloaded, 5)
 	h.pass(0.1)
 	require.Len(t, h.sent, 2)
 	require.NotEqual(t, h.sent[0].target, h.sent[1].target)
@@ -44,7 +44,7 @@
 	}
 	doc := h.take(d, status, 0)
 	h.settle()
-	h.ends(doc, Full, 0)
+	h.ends(doc, Overloaded, 0)
 	h.pass(1.5)
 	require.Equal(t, doc, h.sent[len(h.sent)-1].doc)
 	require.Equal(t, 2, doc.sent)
@@ -57,10 +57,10 @@
 	d := h.receiver(0, 0)
 	doc := h.take(d, status, 0)
 	h.settle()
-	h.ends(doc, Full, 0)
+	h.ends(doc, Overloaded, 0)
 	h.pass(9)
 	require.Equal(t, 2, doc.sent)
-	h.ends(doc, Full, 0)
+	h.ends(doc, Overloaded, 0)
 	h.pass(4)
 	require.Equal(t, 2, doc.sent)
 }
@@ -72,7 +72,7 @@
 		h.dice = newChance(seed)
 		doc := h.take(h.receiver(0, 0), status, 0)
 		h.settle()
-		h.ends(doc, Full, 0)
+		h.ends(doc, Overloaded, 0)
 		for doc.sent < 2 {
 			h.pass(0.02)
 		}
@@ -95,7 +95,7 @@
 		h.pass(0.02)
 		for _, s := range h.sent[n:] {
 			if s.doc.call != nil {
-				h.Ended(s.doc, Ending{Outcome: Full, Took: 0.02, Most: -1, Left: -1})
+				h.AttemptEnded(s.doc, AttemptResult{Outcome: Overloaded, Latency: 0.02, ReportedLimit: -1, ReportedShare: -1})
 			}
 		}
 	}
@@ -106,14 +106,14 @@
 	asked := 0
 	for seed := range uint64(60) { // each has one document more than the destination takes just then
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Forwarder = New(terms, seed, h.now, h)
+		h.Scheduler = New(terms, seed, h.now, h)
 		d := h.receiver(0, 0)
 		h.take(d, status, 0)
 		h.settle()
-		h.answers(d, Full)
+		h.answers(d, Overloaded)
 		for range 25 {
 			h.pass(0.2)
-			h.answers(d, Full)
+			h.answers(d, Overloaded)
 		}
 		asked += len(h.sent) - 1
 	}
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -256,7 +256,7 @@
 }
 
 // park has turns pass over a destination while none of its targets may take a call. News of it ends that.
-func (f *Forwarder) park(d *Destination) {
+func (f *Scheduler) park(d *Destination) {
 	until := math.Inf(1)
 	for _, t := range d.targets {
 		if t.standing != Ready {
@@ -274,7 +274,7 @@
 
 // longest is the destination whose waiting messages take the most time, of several the one whose turn is next; nil if
 // none waits.
-func (f *Forwarder) longest() *Destination {
+func (f *Scheduler) longest() *Destination {
 	var longest *Destination
 	f.ring.each(func(d *Destination) {
 		if d.waiting > 0 && (longest == nil || line(d) > line(longest)) {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,8 +1,8 @@
 // Package choice decides which document goes out when, to which target, and which is given up.
 //
-// How to call it: New at the start; then, for all that happens at one moment, Clock, then the news in the
-// order of arrival (List, ListFailed, ListBroken, ListSilent, Take, Recover, Ended, Told, Withdrawn, Woken, Stop), and
-// Settle once. Where the room at the door is the module's to mind, Admit comes before Take. The interface is
+// How to call it: New at the start; then, for all that happens at one moment, SetTime, then the news in the
+// order of arrival (UpdateEndpoints, PollTimedOut, WatchBroken, WatchSilent, Accept, Recover, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and
+// Reconcile once. Where the room at the door is the module's to mind, Admit comes before Accept. The interface is
 // in port.go, what is remembered in state.go. The ordinary path is that of docs/design.md.
 //
 // Mechanisms beside the design:
@@ -47,43 +47,43 @@
 )
 
 // NewDestination is called by the adapter at the first mention of a destination.
-func (f *Forwarder) NewDestination(door uint64) *Destination {
-	d := &Destination{Door: door, shared: &Route{filled: f.now}, good: restored, mode: "well", seen: f.now,
+func (f *Scheduler) NewDestination(door uint64) *Destination {
+	d := &Destination{ID: door, shared: &Route{filled: f.now}, good: restored, mode: "well", seen: f.now,
 		byTenant: make([]lane, len(f.terms.TenantRate)+1),
 		took:     newHist(0.02, 1.5, 100, 0.9, firstGuess, 1)}
 	f.dests = append(f.dests, d)
 	return d
 }
 
-// List takes news of the targets; whole means that all are named.
-func (f *Forwarder) List(whole bool, lines []Listing) {
-	named := map[*Target]bool{}
+// UpdateEndpoints takes news of the targets; whole means that all are named.
+func (f *Scheduler) UpdateEndpoints(whole bool, lines []EndpointUpdate) {
+	named := map[*Endpoint]bool{}
 	f.unlisted, f.broken, f.blind = 0, 0, f.blind && f.now == f.began
 	if f.now == f.began && f.askAt == f.now && len(lines) > 0 { // as last known: the question can wait
 		f.askAt += f.asking() * f.dice.unit()
 	}
 	for _, l := range lines {
-		t, d := l.Target, l.Dest
+		t, d := l.Endpoint, l.Destination
 		named[t] = true
 		if t.dest == nil {
 			// The first call goes anywhere: guards against all forwarders starting with the first target listed.
-			t.dest, t.places, t.route, t.standing, t.lastUsed = d, 2, d.shared, Gone, -f.dice.unit()
+			t.dest, t.places, t.route, t.standing, t.lastUsed = d, 2, d.shared, Removed, -f.dice.unit()
 			if l.Kind < len(f.terms.KindEndpointLimits) && f.terms.KindEndpointLimits[l.Kind] {
 				t.route = &Route{filled: f.now}
 			}
 			d.targets = append(d.targets, t)
 		}
-		if t.standing == Gone && l.Standing == Ready && f.now > f.began {
+		if t.standing == Removed && l.State == Ready && f.now > f.began {
 			t.next = f.now + f.dice.unit()*0.3 // all forwarders hear of a new target at about the same time
 		}
-		if f.hear(d); l.Standing != Ready && len(t.calls) > 0 {
+		if f.hear(d); l.State != Ready && len(t.calls) > 0 {
 			f.recall = append(f.recall, t)
 		}
-		if l.Cold && l.Standing == Ready {
+		if l.WarmingUp && l.State == Ready {
 			t.state, t.since, t.places = back, f.now, 1
 			t.next = math.Max(t.next, f.now+f.gap(t)*f.dice.unit())
 		}
-		t.zone, t.standing, d.batch, d.kind = l.Zone, l.Standing, 1, l.Kind
+		t.zone, t.standing, d.batch, d.kind = l.Zone, l.State, 1, l.Kind
 		if l.Kind < len(f.terms.KindBatchSize) {
 			d.batch = max(1, f.terms.KindBatchSize[l.Kind])
 		}
@@ -94,35 +94,35 @@
 	for i := 0; whole && i < len(f.dests); i++ {
 		for _, t := range f.dests[i].targets {
 			if !named[t] {
-				t.standing = Gone
+				t.standing = Removed
 				f.hear(t.dest)
 			}
 		}
 	}
 }
 
-// ListFailed says that a question for the list went wrong or that the list stopped coming. Each failure in a
+// PollTimedOut says that a question for the list went wrong or that the list stopped coming. Each failure in a
 // row doubles the time to the next question. Guards against all forwarders together keeping discovery's line
 // so long that nobody is served in time; hurts when it was down and is back.
-func (f *Forwarder) ListFailed() { f.askAgain(&f.unlisted, f.terms.PollWithin) }
+func (f *Scheduler) PollTimedOut() { f.askAgain(&f.unlisted, f.terms.PollWithin) }
 
-// ListBroken says that the list stopped coming, or that discovery is down or out of reach: no line of questions
+// WatchBroken says that the list stopped coming, or that discovery is down or out of reach: no line of questions
 // is to be kept short. What it has counts as told six seconds after it could be reached, so that the next
 // question cannot wait longer. Guards against calls to what began to drain in an outage; costs questions in vain.
-func (f *Forwarder) ListBroken() { f.askAgain(&f.broken, math.Min(f.terms.PollWithin, askWait)) }
+func (f *Scheduler) WatchBroken() { f.askAgain(&f.broken, math.Min(f.terms.PollWithin, askWait)) }
 
-func (f *Forwarder) askAgain(failures *int, most float64) {
+func (f *Scheduler) askAgain(failures *int, most float64) {
 	wait := math.Min(math.Max(1, f.asking())*math.Pow(2, float64(*failures)), most)
 	*failures, f.blind = min(*failures+1, 4), false
 	f.askAt = f.now + wait*(0.3+f.dice.unit())
 }
 
-// ListSilent says that the list fell silent. What it missed soon counts as told: the question cannot wait.
-func (f *Forwarder) ListSilent() { f.askAt = f.now + math.Min(1, f.asking())*f.dice.unit() }
+// WatchSilent says that the list fell silent. What it missed soon counts as told: the question cannot wait.
+func (f *Scheduler) WatchSilent() { f.askAt = f.now + math.Min(1, f.asking())*f.dice.unit() }
 
 // asking is the span over which all forwarders that ask at the same moment spread: those of a fleet are
 // started, or lose discovery, together. At most half of the time in which the rules want a question.
-func (f *Forwarder) asking() float64 {
+func (f *Scheduler) asking() float64 {
 	if f.terms.LocalAgent { // nobody else asks it
 		return 0
 	}
@@ -130,7 +130,7 @@
 }
 
 // Admit tells if a document is taken on, or when to come back with it.
-func (f *Forwarder) Admit(size int, left float64) (taken bool, comeBack float64) {
+func (f *Scheduler) Admit(size int, left float64) (taken bool, comeBack float64) {
 	if f.held.count >= f.terms.QueueCapacity || f.terms.MaxStoredBytes > 0 && f.kept+size > f.terms.MaxStoredBytes || left <= lastCall {
 		return false, f.comeBack()
 	}
@@ -139,8 +139,8 @@
 
 // Recover takes a document that an earlier process of this forwarder had taken on, in the order of taking.
 // What was out then may have run and is a retry now; what has no way left is answered by the next settling.
-func (f *Forwarder) Recover(d *Message, typ int, left float64, past RecoveredState) {
-	f.Take(d, typ, left)
+func (f *Scheduler) Recover(d *Message, typ int, left float64, past RecoveredState) {
+	f.Accept(d, typ, left)
 	if past.CallerGone { // Its caller may have come again with another document for the same effect. Guards against a
 		// second effect; hurts a caller that relied on this one. One that may still run lets its key rest.
 		if past.Attempts > 0 && d.chain != nil {
@@ -156,19 +156,21 @@
 	}
 }
 
-// Remember takes the call times that an earlier process measured, of all that it learnt the only figures that
+// RestoreLatencies takes the call times that an earlier process measured, of all that it learnt the only figures that
 // mean the same in a fleet of another size: paces, loads and health start afresh. They count as a few calls.
-func (f *Forwarder) Remember(d *Destination, times []float64) bool { return d.took.refill(times, kept) }
+func (f *Scheduler) RestoreLatencies(d *Destination, times []float64) bool {
+	return d.took.refill(times, kept)
+}
 
 // Stop says that the process ends after so long. No call begins that is likely to be out then: what is held
 // stays owed for the next process. Guards against cutting calls off. Hurts when no process follows.
-func (f *Forwarder) Stop(in float64) { f.until = f.now + in }
+func (f *Scheduler) Stop(in float64) { f.until = f.now + in }
 
 // Done tells a stopping process that nothing is left to wait for.
-func (f *Forwarder) Done() bool { return f.until > 0 && f.out == 0 && f.held.count == 0 }
+func (f *Scheduler) Done() bool { return f.until > 0 && f.out == 0 && f.held.count == 0 }
 
-// Take accepts a document of a type, with so much time left.
-func (f *Forwarder) Take(d *Message, typ int, left float64) {
+// Accept accepts a document of a type, with so much time left.
+func (f *Scheduler) Accept(d *Message, typ int, left float64) {
 	d.typ, d.expiry, d.time = &f.terms.Types[typ], f.now+left, left
 	d.taking = f.nextRank()
 	d.rank = d.taking
@@ -194,7 +196,7 @@
 
 // over tells if a tenant has had its share of late, as far as this forwarder's even part of it goes, and
 // counts one more document. Guards against a tenant's burst crowding out what others have a right to.
-func (f *Forwarder) over(tenant int) bool {
+func (f *Scheduler) over(tenant int) bool {
 	if tenant >= len(f.terms.TenantRate) {
 		return false
 	}
@@ -207,16 +209,16 @@
 	return false
 }
 
-// Ended takes the end of the transmission that is out for a document.
-func (f *Forwarder) Ended(d *Message, e Ending) {
+// AttemptEnded takes the end of the transmission that is out for a document.
+func (f *Scheduler) AttemptEnded(d *Message, e AttemptResult) {
 	c := d.call
 	// On the edge of its time a delivery may be late by its client's clock, that is none. Guards against a
 	// document without an end; costs a needless notice.
-	if e.Over && e.Outcome == Delivered && d.AnsweredByNotice && !d.answered && f.now > d.expiry-edge {
+	if e.Final && e.Outcome == Delivered && d.AnsweredByNotice && !d.answered && f.now > d.expiry-edge {
 		d.want, d.telling = wantAbandoned, true
 		f.changed = append(f.changed, d)
 	}
-	if e.Over {
+	if e.Final {
 		f.finish(d)
 	}
 	if c == nil {
@@ -237,13 +239,13 @@
 		}
 	}
 	// What is on its way while a wait is told, but not sent, comes too late: connecting can take long.
-	if e.Wait > 0 { // each document of a call may be told its own
+	if e.RetryAfter > 0 { // each document of a call may be told its own
 		for _, o := range t.dest.targets {
 			if o.route == t.route && len(o.calls) > 0 {
 				f.recall = append(f.recall, o)
 			}
 		}
-		t.route.closed = math.Max(t.route.closed, f.now+e.Wait+0.002+0.05*f.dice.unit())
+		t.route.closed = math.Max(t.route.closed, f.now+e.RetryAfter+0.002+0.05*f.dice.unit())
 	}
 	if !c.noted {
 		c.noted = true
@@ -253,13 +255,13 @@
 	if maybe && d.chain != nil {
 		d.chain.rest = math.Max(d.chain.rest, f.now+f.terms.KeyCooldown+0.001)
 	}
-	if (maybe || e.Outcome == Errored) && d.ranFrom == 0 {
+	if (maybe || e.Outcome == ServerError) && d.ranFrom == 0 {
 		d.ranFrom, d.ranZone = c.began, t.zone
 	}
 	if e.Outcome == Delivered && !t.dest.unfit {
 		t.dest.won++
 	}
-	if e.Over {
+	if e.Final {
 		f.finish(d)
 	}
 	f.unchain(d)
@@ -269,12 +271,12 @@
 	}
 }
 
-func (f *Forwarder) observe(t *Target, c *call, e Ending) {
+func (f *Scheduler) observe(t *Endpoint, c *call, e AttemptResult) {
 	d, r := t.dest, t.route
-	if e.Most != 0 && math.Abs(e.Most) < 1e9 { // what is no number, or none of calls, tells nothing
-		r.most = e.Most
+	if e.ReportedLimit != 0 && math.Abs(e.ReportedLimit) < 1e9 { // what is no number, or none of calls, tells nothing
+		r.most = e.ReportedLimit
 	}
-	if left := math.Min(1, e.Left); r.most > 0 && (left > 0 || left < 0) {
+	if left := math.Min(1, e.ReportedShare); r.most > 0 && (left > 0 || left < 0) {
 		f.share(t, math.Max(0, left))
 	}
 	switch e.Outcome {
@@ -287,13 +289,13 @@
 		t.unheard, t.lastGood, t.proof = 0, f.now, math.Max(t.proof, c.began)
 		t.failing *= 1 - blame
 		r.refused, r.amiss, r.quick, r.lastGood = 0, 0, false, f.now
-		if e.Took > 4*d.took.slow {
+		if e.Latency > 4*d.took.slow {
 			d.good = 0
 		} else {
 			d.good++
 			t.places = math.Min(t.places+1/t.places, math.Max(1, float64(f.terms.ConcurrencyLimit)))
 		}
-		d.took.add(e.Took)
+		d.took.add(e.Latency)
 		if t.state == sick {
 			if r.pace > 0 { // it was learned during the outage
 				r.pace = math.Max(r.pace, f.usual(t))
@@ -307,7 +309,7 @@
 		} else if t.state == back && f.now-t.since > f.terms.SlowStartDuration {
 			t.state = well
 		}
-	case Errored, TimedOut, NoConnection, Reset:
+	case ServerError, TimedOut, NoConnection, Reset:
 		d.good = 0
 		if e.Outcome == NoConnection {
 			f.tight[d.kind] = f.now + 30
@@ -324,15 +326,15 @@
 			weight *= 2
 		}
 		t.failing, t.failedAt, t.places = t.failing+weight*(1-t.failing), f.now, math.Max(1, t.places/2)
-		if e.Outcome != Errored {
+		if e.Outcome != ServerError {
 			f.unplug = append(f.unplug, t) // its connections may be dead, or too many
 			f.trust(c, true)
 		}
-		sibling := func(o *Target) bool { return o.standing == Ready && o.state == sick && o.route == t.route }
-		if r.amiss++; e.Outcome == NoConnection && e.Took > firstGuess {
+		sibling := func(o *Endpoint) bool { return o.standing == Ready && o.state == sick && o.route == t.route }
+		if r.amiss++; e.Outcome == NoConnection && e.Latency > firstGuess {
 			r.amiss++ // not even turned away: silence
 		}
-		r.quick = r.quick || e.Outcome == Errored || e.Outcome == NoConnection
+		r.quick = r.quick || e.Outcome == ServerError || e.Outcome == NoConnection
 		if t.failing > mostFail || weight > blame && slices.ContainsFunc(t.dest.targets, sibling) {
 			f.cool(t)
 		}
@@ -340,7 +342,7 @@
 			r.closed = math.Max(r.closed, f.now+f.rest(t)*f.dice.unit())
 		}
 		f.doubt(t)
-	case Full:
+	case Overloaded:
 		if r.amiss > 0 {
 			r.amiss++
 			f.doubt(t)
@@ -352,7 +354,7 @@
 // doubt shuts a route after three failures in a row, two where documents are few; refusals count after the first,
 // one is quick, and no answer came for a while. Guards against many forwarders with few calls that go on until
 // each is sure, and together push a destination over as it returns. Hurts after chance failures.
-func (f *Forwarder) doubt(t *Target) {
+func (f *Scheduler) doubt(t *Endpoint) {
 	r, enough := t.route, 3
 	if f.few(t.dest) {
 		enough = 2
@@ -366,7 +368,7 @@
 
 // trust counts how calls on connections that had been idle end; when many are lost none is kept for a while.
 // Guards against connections that go dead unseen while idle; hurts by handshakes when all else fails too.
-func (f *Forwarder) trust(c *call, lost bool) {
+func (f *Scheduler) trust(c *call, lost bool) {
 	if !c.reused {
 		return
 	}
@@ -377,17 +379,17 @@
 
 // cool begins or prolongs a target's sickness. Guards against pushing over a destination that returns cold,
 // and feeding one that is down, hung, shut or failing. Hurts after chance failures.
-func (f *Forwarder) cool(t *Target) {
+func (f *Scheduler) cool(t *Endpoint) {
 	t.state, t.places = sick, 1
 	t.next = math.Max(t.next, math.Max(f.now, t.route.closed)+f.gap(t)*f.dice.unit())
 }
 
 // gap is the random time between two calls to a target that is sick or back.
-func (f *Forwarder) gap(t *Target) float64 { return (0.7 + 0.6*f.dice.unit()) / f.pace(t) }
+func (f *Scheduler) gap(t *Endpoint) float64 { return (0.7 + 0.6*f.dice.unit()) / f.pace(t) }
 
 // pace is the calls a second that a target may get while it is sick or back, so that all forwarders
 // together, each judging by its own part, stay within what a cold destination stands.
-func (f *Forwarder) pace(t *Target) float64 {
+func (f *Scheduler) pace(t *Endpoint) float64 {
 	d, peers := t.dest, 0
 	for _, o := range d.targets {
 		if o.route == t.route && o.standing == Ready && o.state == t.state {
@@ -405,7 +407,7 @@
 // usual is the calls a second that this forwarder makes or may make to a target's destination as a rule: for
 // what it takes, but no more than the destination got done while it was well. Guards against a ramp that
 // pushes over one that was asked for more than it can do. Hurts where its best is not known yet.
-func (f *Forwarder) usual(t *Target) float64 {
+func (f *Scheduler) usual(t *Endpoint) float64 {
 	d := t.dest
 	rate := d.taken / (f.now - f.began + 2)
 	if d.won > 0 {
@@ -415,10 +417,10 @@
 }
 
 // rest is two calls' time, at most half a document's life.
-func (f *Forwarder) rest(t *Target) float64 { return math.Min(2/f.usual(t), f.life/2) }
+func (f *Scheduler) rest(t *Endpoint) float64 { return math.Min(2/f.usual(t), f.life/2) }
 
 // known is this forwarder's even part of the rate that a route surely takes; at least one a second for all.
-func (f *Forwarder) known(t *Target) float64 {
+func (f *Scheduler) known(t *Endpoint) float64 {
 	rate := math.Max(1, t.route.most)
 	if f.terms.ListedRateTolerance > 0 {
 		rate = math.Max(rate, t.dest.listed/f.terms.ListedRateTolerance)
@@ -430,7 +432,7 @@
 // together. Guards against many that each learn by refusals of their own, which use the limit up too, that
 // there is nothing left, and against an even part kept by those with little to send; hurts where reports come
 // late.
-func (f *Forwarder) share(t *Target, left float64) {
+func (f *Scheduler) share(t *Endpoint, left float64) {
 	r := t.route
 	dt := math.Min(1, f.now-r.told)
 	r.told = f.now
@@ -442,7 +444,7 @@
 }
 
 // refusal handles a call that was turned away unseen: above the limit, queue full, or shut.
-func (f *Forwarder) refusal(t *Target, c *call, e Ending) {
+func (f *Scheduler) refusal(t *Endpoint, c *call, e AttemptResult) {
 	r := t.route
 	// Calls that were out when the last one was turned away tell nothing new. Guards against a dozen refusals at
 	// once being taken for a dozen in a row; hurts where those that follow are turned away again.
@@ -453,10 +455,10 @@
 	// Departure: few documents teach no pace where no report tells what is left. Guards against hundreds that
 	// ask again soon and use the limit up with refusals; hurts after a chance refusal.
 	few := r.most == 0 && f.few(t.dest)
-	if r.refused++; r.refused == 1 || e.Wait > 0 && e.Wait < shutWait {
+	if r.refused++; r.refused == 1 || e.RetryAfter > 0 && e.RetryAfter < shutWait {
 		r.turned = f.now
 	}
-	if e.Wait == 0 {
+	if e.RetryAfter == 0 {
 		pause := 0.1 * math.Pow(2, float64(min(r.refused, 5)-1))
 		if few {
 			pause = math.Min(24, 6*math.Pow(2, float64(r.refused-1)))
@@ -486,7 +488,7 @@
 			}
 			cut = math.Max(cut, float64(out)/t.dest.took.slow)
 		}
-		if e.Left < 0 { // all is used up, by all together: an even part is what is likely to be let through
+		if e.ReportedShare < 0 { // all is used up, by all together: an even part is what is likely to be let through
 			cut = math.Min(cut, 1.5*f.known(t))
 		}
 		r.pace = math.Max(0.7*cut, f.known(t))
@@ -498,7 +500,7 @@
 		r.closed = math.Max(r.closed, f.now+f.rest(t)*(0.5+f.dice.unit()))
 	}
 	// Shut rather than above its limit: nothing let in for long, no short wait told, or a long one.
-	if r.refused >= 5 && f.now-r.turned > shutWait || e.Wait > shutWait {
+	if r.refused >= 5 && f.now-r.turned > shutWait || e.RetryAfter > shutWait {
 		for _, o := range t.dest.targets {
 			if o.route == r && o.state != sick {
 				f.cool(o)
@@ -508,7 +510,7 @@
 }
 
 // open tells if a route takes a call now: no wait, and within the pace that it seems to let through.
-func (f *Forwarder) open(r *Route) bool {
+func (f *Scheduler) open(r *Route) bool {
 	dt := f.now - r.filled
 	if dt > 0 {
 		r.filled = f.now
@@ -531,26 +533,26 @@
 
 // silent tells that a call has been out for far longer than usual and nothing was answered since it began.
 // Guards against a silent destination keeping its share until the time-out. Hurts when one call is slow.
-func (f *Forwarder) silent(t *Target) bool {
+func (f *Scheduler) silent(t *Endpoint) bool {
 	return len(t.calls) > 0 && t.lastGood < t.calls[0].began &&
 		f.now-t.calls[0].began > math.Max(0.4, 3*t.dest.took.slow)
 }
 
 // ill tells that the destination's cap is lowered.
-func (f *Forwarder) ill(d *Destination) bool {
+func (f *Scheduler) ill(d *Destination) bool {
 	return d.good < restored || slices.ContainsFunc(d.targets, f.silent)
 }
 
 // dark tells that no target of a destination answers.
-func (f *Forwarder) dark(d *Destination) bool {
-	alive := func(t *Target) bool { return t.standing == Ready && t.state != sick }
+func (f *Scheduler) dark(d *Destination) bool {
+	alive := func(t *Endpoint) bool { return t.standing == Ready && t.state != sick }
 	return !slices.ContainsFunc(d.targets, alive)
 }
 
 func share(slots int, part float64) int { return max(1, int(part*float64(slots))) }
 
 // place finds the target of a destination that has a place free for one more call, nil if there is none.
-func (f *Forwarder) place(d *Destination) *Target {
+func (f *Scheduler) place(d *Destination) *Endpoint {
 	part := capWell
 	if f.ill(d) {
 		part = capIll
@@ -562,11 +564,11 @@
 	// Departure: those that are slow or failed lately leave the last slots to the others, but for one call
 	// if none timed out. Guards against many of them filling all slots; hurts them while all else is idle.
 	long := d.took.slow > f.agreed/2
-	mute := slices.ContainsFunc(d.targets, func(t *Target) bool { return t.unheard > 0 })
+	mute := slices.ContainsFunc(d.targets, func(t *Endpoint) bool { return t.unheard > 0 })
 	if (mute || d.out > 0 && (part == capIll || long)) && f.out >= share(f.terms.ConcurrencyLimit, allIll) {
 		return nil
 	}
-	best, score := (*Target)(nil), math.Inf(1)
+	best, score := (*Endpoint)(nil), math.Inf(1)
 	for _, t := range d.targets {
 		if t.standing != Ready || f.now < t.next || !f.open(t.route) || f.silent(t) {
 			continue
@@ -595,7 +597,7 @@
 }
 
 // ready tells if a document may be sent to a target now by the rules of order and repetition.
-func (f *Forwarder) ready(d *Message, t *Target) bool {
+func (f *Scheduler) ready(d *Message, t *Endpoint) bool {
 	if d.chain != nil && (d.chain.first != d || d.chain.rest > f.now && d.sent == 0) {
 		return false
 	}
@@ -606,7 +608,7 @@
 }
 
 // pick takes up to n documents for a call to a target: fresh ones from the tenants' ring, or retries.
-func (f *Forwarder) pick(d *Destination, t *Target, n int, retries bool) []*Message {
+func (f *Scheduler) pick(d *Destination, t *Endpoint, n int, retries bool) []*Message {
 	var batch []*Message
 	fresh := func(doc *Message) bool { return f.ready(doc, t) && !slices.Contains(batch, doc) }
 	// Departure: to a target that is sick or back first go retries, which have least to lose, and elsewhere
@@ -657,7 +659,7 @@
 	return batch
 }
 
-func (f *Forwarder) turn(d *Destination, retries bool) (released int) {
+func (f *Scheduler) turn(d *Destination, retries bool) (released int) {
 	for released < turnSize {
 		t := f.place(d)
 		if t == nil {
@@ -674,7 +676,7 @@
 	return released
 }
 
-func (f *Forwarder) send(t *Target, docs []*Message) {
+func (f *Scheduler) send(t *Endpoint, docs []*Message) {
 	d := t.dest
 	idle := f.now - t.lastUsed
 	reused := len(t.calls) == 0 && t.kept && idle > 0.5 && idle < f.terms.IdleTimeout
@@ -709,7 +711,7 @@
 // timeout is how long a call is waited for: well beyond the slow ones of late, less so for the last slots,
 // and longer while a target answers none or few were measured. Guards against lost answers holding all slots,
 // and against calls cut off that a few quick answers made look late, each of which may have run.
-func (f *Forwarder) timeout(t *Target) float64 {
+func (f *Scheduler) timeout(t *Endpoint) float64 {
 	beyond := 3 + 3*5/(5+t.dest.took.total)
 	if f.out >= f.terms.ConcurrencyLimit-1 && t.unheard == 0 && t.dest.good > 0 {
 		beyond = 2
@@ -717,7 +719,7 @@
 	return math.Max(0.6, beyond*t.dest.took.slow) * math.Pow(2, float64(min(t.unheard, 3)))
 }
 
-func (f *Forwarder) release(retries bool) {
+func (f *Scheduler) release(retries bool) {
 	f.ring.wake(f.now)
 	for idle := 0; idle < f.ring.size(); {
 		d, passed := f.ring.next(f.ring.size() - idle)
@@ -740,15 +742,15 @@
 // are closed for. Guards against a long line sent just too late, each a time-out that makes its target look
 // sick, and against sitting on what cannot go out any more. Hurts quick ones. What a restart found untried is
 // held while there is time, whatever waits say; sent too late it would take the place of others.
-func (f *Forwarder) short(d *Message) bool {
-	open := func(t *Target) bool { return t.standing != Ready || t.route.closed < d.expiry }
+func (f *Scheduler) short(d *Message) bool {
+	open := func(t *Endpoint) bool { return t.standing != Ready || t.route.closed < d.expiry }
 	closed := len(d.Dest.targets) > 0 && !slices.ContainsFunc(d.Dest.targets, open)
 	late := d.expiry-f.now < math.Max(lastCall, math.Min(d.Dest.took.slow, d.time/8))
 	return late || closed && (!d.owed || d.sent > 0)
 }
 
 // review answers the documents that have no way left to arrive.
-func (f *Forwarder) review() {
+func (f *Scheduler) review() {
 	for _, d := range f.collectDue() {
 		if d.answered || d.call != nil && f.now < d.expiry+overdue {
 			continue
@@ -765,7 +767,7 @@
 
 // crowd cuts what is worth least of the longest line while the room is nearly full. Guards against a sick or
 // flooded destination turning away everybody's documents at the door; hurts when the flood would have passed.
-func (f *Forwarder) crowd() {
+func (f *Scheduler) crowd() {
 	for float64(f.held.count) > roomFull*float64(f.terms.QueueCapacity) {
 		last := f.victim(f.longest())
 		if last == nil {
@@ -776,14 +778,14 @@
 }
 
 // worth is what a document brings now. Where value falls evenly, one that is late loses no less by waiting.
-func (f *Forwarder) worth(d *Message) float64 {
+func (f *Scheduler) worth(d *Message) float64 {
 	if late := f.now - d.expiry + d.typ.TimeToLive - d.typ.LatencyObjective; late > 0 && f.terms.HalvingValue {
 		return d.typ.Value * math.Max(d.typ.LateValueShare, math.Pow(2, -late/d.typ.LatencyObjective))
 	}
 	return d.typ.Value
 }
 
-func (f *Forwarder) dearer(a, b *Message) bool {
+func (f *Scheduler) dearer(a, b *Message) bool {
 	return b.surplus && !a.surplus || a.surplus == b.surplus && f.worth(a) > f.worth(b)
 }
 
@@ -791,7 +793,7 @@
 func line(d *Destination) float64 { return float64(d.waiting) * d.took.slow / float64(max(1, d.batch)) }
 
 // answer gives the final answer at once: a rejection where a second try is harmless, else an abandonment.
-func (f *Forwarder) answer(d *Message) {
+func (f *Scheduler) answer(d *Message) {
 	ran := d.ranFrom > 0 || d.call != nil
 	forgotten := d.typ.DeduplicatedPerZone || f.now > d.ranFrom+d.typ.DeduplicationWindow
 	if d.want = wantRejected; ran && (d.typ.Idempotency == AtMostOnce || d.typ.Idempotency == IdempotentWithKey && forgotten) {
@@ -805,10 +807,10 @@
 	f.changed = append(f.changed, d)
 }
 
-func (f *Forwarder) comeBack() float64 { return math.Min(2, f.terms.MaxRetryAfter) }
+func (f *Scheduler) comeBack() float64 { return math.Min(2, f.terms.MaxRetryAfter) }
 
-// Settle decides all that follows from the news taken since the last time.
-func (f *Forwarder) Settle() {
+// Reconcile decides all that follows from the news taken since the last time.
+func (f *Scheduler) Reconcile() {
 	f.review()
 	f.release(false)
 	f.release(true)
@@ -818,18 +820,18 @@
 }
 
 // emit brings the present state to the wanted one: transmissions, answers, the list, the next wake-up.
-func (f *Forwarder) emit() {
+func (f *Scheduler) emit() {
 	for _, t := range f.recall {
-		f.host.Recall(t)
+		f.host.CancelUnsent(t)
 	}
 	for _, d := range f.changed {
 		switch d.want {
 		case wantOut:
-			f.host.Transmit(d, d.to, d.allow)
+			f.host.Send(d, d.to, d.allow)
 		case wantRejected:
 			f.host.Reject(d, d.back)
 		case wantAbandoned:
-			f.host.Abandon(d)
+			f.host.Fail(d)
 		}
 		d.want = wantHeld
 	}
@@ -840,7 +842,7 @@
 	f.changed, f.unplug, f.recall = f.changed[:0], f.unplug[:0], f.recall[:0]
 	if f.now >= f.askAt {
 		f.askAt = math.Inf(1)
-		f.host.Watch()
+		f.host.WatchEndpoints()
 	}
 	next := f.askAt
 	for d := range f.held.all() {
--- a/scheduler/socket_test.go
+++ b/scheduler/socket_test.go
@@ -30,7 +30,7 @@
 	require.Equal(t, 2.0, h.back[nil])
 	require.False(t, admits(h, 10, 0.01), "no time")
 	doc := &Message{Dest: d, Size: 600}
-	h.Take(doc, status, 8)
+	h.Accept(doc, status, 8)
 	require.False(t, admits(h, 600, 8))
 	h.settle()
 	h.ends(doc, Delivered, 0)
@@ -42,11 +42,11 @@
 func TestRoomOnDiskIsFreeOnceTheAnswerIsHeard(t *testing.T) {
 	h := start(onSockets())
 	doc := &Message{Dest: h.NewDestination(1), Size: 600}
-	h.Take(doc, status, 1)
+	h.Accept(doc, status, 1)
 	h.pass(1.1)
 	require.Equal(t, "rejected", h.done[doc])
 	require.False(t, admits(h, 600, 8))
-	h.Told(doc)
+	h.NoticeAcknowledged(doc)
 	require.True(t, doc.Finished())
 	require.True(t, admits(h, 600, 8))
 }
@@ -55,16 +55,16 @@
 	h := start(onSockets())
 	d := h.receiver(0, 0)
 	first := &Message{Dest: d, Key: 5}
-	h.Take(first, ticket, 0.5)
+	h.Accept(first, ticket, 0.5)
 	h.list(d.targets[0], Draining)
 	second := &Message{Dest: d, Key: 5}
-	h.Take(second, ticket, 20)
+	h.Accept(second, ticket, 20)
 	h.pass(0.6)
 	require.Equal(t, "rejected", h.done[first])
 	h.list(d.targets[0], Ready)
 	h.pass(1)
 	require.Empty(t, h.sent)
-	h.Told(first)
+	h.NoticeAcknowledged(first)
 	h.pass(0.1)
 	require.Equal(t, second, h.sent[0].doc)
 }
@@ -108,7 +108,7 @@
 	h.pass(1)
 	require.Empty(t, h.sent)
 	require.Empty(t, h.done)
-	h.Told(doc)
+	h.NoticeAcknowledged(doc)
 	h.pass(0.1)
 	require.Equal(t, behind, h.sent[0].doc)
 }
@@ -138,10 +138,10 @@
 	d := h.receiver(0, 0, 0)
 	first, other := h.take(d, status, 0), h.take(d, status, 0)
 	h.settle()
-	h.ends(first, Full, 1)
+	h.ends(first, Overloaded, 1)
 	h.settle()
-	require.Equal(t, []*Target{other.call.target}, h.recalled)
-	h.List(false, []Listing{{Target: other.call.target, Dest: d, Standing: Draining}})
+	require.Equal(t, []*Endpoint{other.call.target}, h.recalled)
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: other.call.target, Destination: d, State: Draining}})
 	h.settle()
 	require.Len(t, h.recalled, 2)
 }
@@ -165,7 +165,7 @@
 	for key := range 500 {
 		doc := h.take(d, ticket, uint64(key+1))
 		h.settle()
-		h.Ended(doc, Ending{Outcome: Cancelled, Over: true}) // its key rests on
+		h.AttemptEnded(doc, AttemptResult{Outcome: Cancelled, Final: true}) // its key rests on
 		h.pass(0.2)
 	}
 	require.Less(t, len(h.chains), 70)
@@ -173,7 +173,7 @@
 	doc := h.take(unheard, status, 0)
 	h.settle()
 	require.False(t, h.Forget(unheard))
-	h.Withdrawn(doc)
+	h.Withdraw(doc)
 	h.pass(0.1)
 	require.True(t, h.Forget(unheard))
 	require.False(t, h.Forget(d))
@@ -187,8 +187,8 @@
 	h.settle()
 	first := d.targets[0]
 	for range 1000 {
-		next := &Target{Door: d.targets[len(d.targets)-1].Door + 1}
-		h.List(true, []Listing{{Target: next, Dest: d, Standing: Ready}})
+		next := &Endpoint{ID: d.targets[len(d.targets)-1].ID + 1}
+		h.UpdateEndpoints(true, []EndpointUpdate{{Endpoint: next, Destination: d, State: Ready}})
 		h.settle()
 		require.Contains(t, d.targets, first, "a call to it is out")
 		require.LessOrEqual(t, len(d.targets), 2)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Forwarder is one instance of the module.
-type Forwarder struct {
+// Scheduler is one instance of the module.
+type Scheduler struct {
 	terms    Settings
 	host     Host
 	dice     chance
@@ -22,8 +22,8 @@
 	due      dueMessages    // what the next review has to look at
 	changed  []*Message     // whose wanted state may differ from the present one
 	spent    []float64      // per tenant: up to when its share is used
-	recall   []*Target      // whose calls are not wanted any more unless they have begun to be sent
-	unplug   []*Target      // whose idle connections are not wanted
+	recall   []*Endpoint    // whose calls are not wanted any more unless they have begun to be sent
+	unplug   []*Endpoint    // whose idle connections are not wanted
 	out      int
 	kept     int             // bytes of documents that are not over
 	until    float64         // when a stopping process ends; 0: it does not stop
@@ -40,8 +40,8 @@
 }
 
 // New starts a forwarder.
-func New(terms Settings, seed uint64, now float64, host Host) *Forwarder {
-	f := &Forwarder{terms: terms, host: host, dice: newChance(seed), now: now, began: now,
+func New(terms Settings, seed uint64, now float64, host Host) *Scheduler {
+	f := &Scheduler{terms: terms, host: host, dice: newChance(seed), now: now, began: now,
 		chains: map[uint64]*chain{}, tight: map[int]float64{}, wake: math.Inf(1), askAt: math.Inf(1),
 		spent: make([]float64, len(terms.TenantRate))}
 	if terms.PollEndpoints {
@@ -100,7 +100,7 @@
 	fading, considered       bool
 
 	want  answer // what is wanted of it; emit brings it about
-	to    *Target
+	to    *Endpoint
 	allow float64
 	back  float64
 }
@@ -120,14 +120,14 @@
 	wantAbandoned
 )
 
-// Target is one endpoint of a destination.
-type Target struct {
-	Door uint64 // the adapter's address
+// Endpoint is one endpoint of a destination.
+type Endpoint struct {
+	ID uint64 // the adapter's address
 
 	dest     *Destination
 	route    *Route
 	zone     int
-	standing Standing
+	standing EndpointState
 	places   float64 // calls it is given at once
 	calls    []*call
 	lastUsed float64
@@ -171,9 +171,9 @@
 
 // Destination is one receiver with all its targets.
 type Destination struct {
-	Door uint64 // the adapter's number
+	ID uint64 // the adapter's number
 
-	targets            []*Target
+	targets            []*Endpoint
 	shared             *Route
 	batch              int     // documents in one call at most
 	listed             float64 // calls a second as listed
@@ -204,27 +204,27 @@
 
 // call is one call, with one document or several.
 type call struct {
-	target *Target
+	target *Endpoint
 	began  float64
 	docs   int // documents without an ending yet
 	noted  bool
 	reused bool // on a connection that had been idle, as far as can be told
 }
 
-// Limit is a reported figure as Ending.Most and Ending.CallerGone have it: reports say 0 where there is none, or none left.
-func Limit(reported float64) float64 {
+// ReportedValue is a reported figure as AttemptResult.ReportedLimit and AttemptResult.CallerGone have it: reports say 0 where there is none, or none left.
+func ReportedValue(reported float64) float64 {
 	if reported == 0 {
 		return -1
 	}
 	return reported
 }
 
-// KnowsType tells if the terms state this document type.
-func (f *Forwarder) KnowsType(n int) bool { return n < len(f.terms.Types) }
+// HasType tells if the terms state this document type.
+func (f *Scheduler) HasType(n int) bool { return n < len(f.terms.Types) }
 
-func (f *Forwarder) Clock(now float64) { f.now = now }
+func (f *Scheduler) SetTime(now float64) { f.now = now }
 
-func (f *Forwarder) hear(d *Destination) {
+func (f *Scheduler) hear(d *Destination) {
 	f.due.touch(d)
 	f.ring.unpark(d.node)
 	if !d.unfit {
@@ -238,16 +238,16 @@
 }
 
 // few tells that a destination gets few documents.
-func (f *Forwarder) few(d *Destination) bool { return d.taken/(f.now-f.began+2) < fewDocs }
+func (f *Scheduler) few(d *Destination) bool { return d.taken/(f.now-f.began+2) < fewDocs }
 
-// Woken is a wake-up that was asked for.
-func (f *Forwarder) Woken() { f.wake = math.Inf(1) }
+// TimerFired is a wake-up that was asked for.
+func (f *Scheduler) TimerFired() { f.wake = math.Inf(1) }
 
-// Withdrawn says that the client does not want the document any more.
-func (f *Forwarder) Withdrawn(d *Message) { f.finish(d) }
+// Withdraw says that the client does not want the document any more.
+func (f *Scheduler) Withdraw(d *Message) { f.finish(d) }
 
 // finish ends the forwarder's duty for a document; a call that carries it may still be out.
-func (f *Forwarder) finish(d *Message) {
+func (f *Scheduler) finish(d *Message) {
 	if d.answered {
 		return
 	}
@@ -262,7 +262,7 @@
 
 // Forget lets go of a destination that no target is listed for and no document is held for, and tells if it did.
 // Clients may name any.
-func (f *Forwarder) Forget(d *Destination) bool {
+func (f *Scheduler) Forget(d *Destination) bool {
 	if len(d.targets) > 0 || d.held > 0 || d.ringed || d.heard {
 		return false
 	}
@@ -270,25 +270,25 @@
 	return true
 }
 
-// Told says that the final answer of a document has reached those whom it is for.
-func (f *Forwarder) Told(d *Message) {
+// NoticeAcknowledged says that the final answer of a document has reached those whom it is for.
+func (f *Scheduler) NoticeAcknowledged(d *Message) {
 	d.telling = false
 	f.unchain(d)
 }
 
 // letGo ends the memory of targets that are gone, once no call to them is out: new ones come all day.
-func (f *Forwarder) letGo(d *Destination) {
+func (f *Scheduler) letGo(d *Destination) {
 	for i := len(d.targets) - 1; i >= 0; i-- {
-		if t := d.targets[i]; t.standing == Gone && len(t.calls) == 0 {
+		if t := d.targets[i]; t.standing == Removed && len(t.calls) == 0 {
 			d.targets = slices.Delete(d.targets, i, i+1)
 			f.due.touch(d)
-			f.host.Release(t)
+			f.host.ReleaseEndpoint(t)
 		}
 	}
 }
 
 // note logs the destinations that changed their mode.
-func (f *Forwarder) note() {
+func (f *Scheduler) note() {
 	for _, d := range f.heard {
 		f.letGo(d)
 		worst := well
@@ -303,7 +303,7 @@
 			mode = "ill"
 		}
 		if mode != d.mode {
-			f.host.Log(fmt.Sprintf("dest %d %s > %s: out %d held %d good %d p90 %.2f", d.Door, d.mode, mode, d.out,
+			f.host.Log(fmt.Sprintf("dest %d %s > %s: out %d held %d good %d p90 %.2f", d.ID, d.mode, mode, d.out,
 				d.held, d.good, d.took.slow))
 			d.mode = mode
 		}
@@ -404,24 +404,24 @@
 	return list
 }
 
-// Out tells how many transmissions are out.
-func (f *Forwarder) Out() int { return f.out }
+// CallsInFlight tells how many transmissions are out.
+func (f *Scheduler) CallsInFlight() int { return f.out }
 
-// Sick tells that a target is tried at a trickle only, after it failed.
-func (t *Target) Sick() bool { return t.state == sick }
+// Ejected tells that a target is tried at a trickle only, after it failed.
+func (t *Endpoint) Ejected() bool { return t.state == sick }
 
-// Closed tells until when a target's route takes no call: a wait that it told, or a pause after refusals.
-func (t *Target) Closed() float64 { return t.route.closed }
+// BlockedUntil tells until when a target's route takes no call: a wait that it told, or a pause after refusals.
+func (t *Endpoint) BlockedUntil() float64 { return t.route.closed }
 
-// Close keeps a target's route shut until then, as an earlier process of this forwarder was told to. Called after the
+// BlockUntil keeps a target's route shut until then, as an earlier process of this forwarder was told to. Called after the
 // target is listed.
-func (f *Forwarder) Close(t *Target, until float64) {
+func (f *Scheduler) BlockUntil(t *Endpoint, until float64) {
 	t.route.closed = math.Max(t.route.closed, until)
 	f.due.touch(t.dest)
 }
 
-// Times are the counts of a destination's measured call times, nil if there are none, to be kept beyond a restart.
-func (d *Destination) Times() []float64 {
+// Latencies are the counts of a destination's measured call times, nil if there are none, to be kept beyond a restart.
+func (d *Destination) Latencies() []float64 {
 	if d.took.total == 0 {
 		return nil
 	}
--- a/scheduler/timeout_test.go
+++ b/scheduler/timeout_test.go
@@ -34,11 +34,11 @@
 	for range 30 {
 		old.take(slow, status, 0)
 		old.pass(0.1)
-		old.Ended(old.sent[len(old.sent)-1].doc, Ending{Outcome: Delivered, Over: true, Took: 3})
+		old.AttemptEnded(old.sent[len(old.sent)-1].doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 3})
 	}
 	h := start(terms)
 	fresh, known := h.receiver(0, 0), h.receiver(0, 0)
-	require.True(t, h.Remember(known, slow.Times()))
+	require.True(t, h.RestoreLatencies(known, slow.Latencies()))
 	require.Greater(t, learnt(known, h), 1.3*learnt(fresh, h))
 	h.answers(known, Delivered)
 	for range 80 {
@@ -48,7 +48,7 @@
 	}
 	require.Less(t, learnt(known, h), 1.0, "quick calls outweigh it")
 	for _, spoilt := range [][]float64{nil, {1}, make([]float64, 16), append(make([]float64, 15), -1), append(make([]float64, 15), math.NaN())} {
-		require.False(t, h.Remember(h.receiver(0, 0), spoilt))
+		require.False(t, h.RestoreLatencies(h.receiver(0, 0), spoilt))
 	}
-	require.False(t, h.Remember(known, slow.Times()), "it has measured by itself")
+	require.False(t, h.RestoreLatencies(known, slow.Latencies()), "it has measured by itself")
 }
--- a/transport/end.go
+++ b/transport/end.go
@@ -48,13 +48,13 @@
 	case Took:
 		return scheduler.Delivered, true
 	case Failed, Garbled: // who answers nonsense is there, and has run the call
-		return scheduler.Errored, false
+		return scheduler.ServerError, false
 	case Waiting, TurnedAway:
-		return scheduler.Full, false
+		return scheduler.Overloaded, false
 	case LineBusy, Spent, Unread, Unsent, Recalled:
-		return scheduler.Moot, false
+		return scheduler.NotSent, false
 	case Gone:
-		return scheduler.Moot, true
+		return scheduler.NotSent, true
 	case Refused, NeverUp, BrokenEarly, GivenUpEarly:
 		return scheduler.NoConnection, false
 	case GivenUp:
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -129,7 +129,7 @@
 	Allow  time.Duration
 }
 
-// Ended is the news of a call's end, one end for each paper.
+// AttemptEnded is the news of a call's end, one end for each paper.
 type Ended struct {
 	Call *Call
 	Ends []End
@@ -153,14 +153,14 @@
 	Idle() int // connections without a call
 }
 
-// List is what a source says of targets: all of them, or changes.
+// UpdateEndpoints is what a source says of targets: all of them, or changes.
 type List struct {
 	Rev     int64    `json:"rev"`
 	All     bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
-// Target is one line of the list, in the form that discovery gives it.
+// Endpoint is one line of the list, in the form that discovery gives it.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
