--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -6,43 +6,43 @@
 )
 
 // ended takes in the end of a call.
-func (o *owner) ended(e transport.Ended) {
+func (o *owner) ended(e transport.CallResult) {
 	for pass := range 2 { // delivered ones first: the module judges a call by the first end
-		for i, p := range e.Call.Papers {
-			if (e.Ends[i] == transport.Took) == (pass == 0) {
-				o.end(p.Door, e.Ends[i], &e)
+		for i, p := range e.Call.Messages {
+			if (e.Codes[i] == transport.ResultOK) == (pass == 0) {
+				o.end(p.MessageID, e.Codes[i], &e)
 			}
 		}
 	}
-	if e.Why != "" {
-		o.log.Info().Str("target", e.Call.Target).Stringer("end", e.Ends[0]).Dur("took_ms", e.Took).Str("why", e.Why).
+	if e.Reason != "" {
+		o.log.Info().Str("target", e.Call.Address).Stringer("end", e.Codes[0]).Dur("took_ms", e.Latency).Str("why", e.Reason).
 			Msg("call failed")
 	}
 }
 
 // end takes in the end of one document's transmission.
-func (o *owner) end(door uint64, end transport.End, e *transport.Ended) {
+func (o *owner) end(door uint64, end transport.ResultCode, e *transport.CallResult) {
 	o.counts.ends[end]++
-	o.meter.End(end, e.Took)
+	o.meter.End(end, e.Latency)
 	p := o.docs[door]
 	if p == nil {
 		return
 	}
 	if p.traced {
-		o.log.Info().Str("id", p.ID).Stringer("end", end).Dur("took_ms", e.Took).Msg("trace: end of a transmission")
+		o.log.Info().Str("id", p.ID).Stringer("end", end).Dur("took_ms", e.Latency).Msg("trace: end of a transmission")
 	}
 	outcome, over := end.Outcome()
 	if end.Written() {
 		o.figures.relayed++
 	}
-	o.f.AttemptEnded(p.doc, scheduler.AttemptResult{Outcome: outcome, Final: over, Latency: e.Took.Seconds(), RetryAfter: e.Wait, ReportedLimit: e.Most,
-		ReportedShare: e.Left})
+	o.f.AttemptEnded(p.doc, scheduler.AttemptResult{Outcome: outcome, Final: over, Latency: e.Latency.Seconds(), RetryAfter: e.RetryAfter, ReportedLimit: e.ReportedLimit,
+		ReportedShare: e.ReportedShare})
 	switch {
 	case over && p.doc.AwaitingAcknowledgement(): // owed until that is heard, so it stays recorded
 	case over:
 		o.finish(p, outcome)
 	default:
-		if err := o.ledger.Back(door, end.Ran()); err != nil {
+		if err := o.ledger.Back(door, end.MayHaveRun()); err != nil {
 			o.logLedgerError(err)
 		}
 	}
@@ -60,6 +60,6 @@
 	}
 	o.final(p, final)
 	if p.holder != nil && !p.withdrawn {
-		p.holder.Tell(transport.Final{Door: p.Door, ID: p.ID, Outcome: final})
+		p.holder.Tell(transport.Final{Door: p.MessageID, ID: p.ID, Outcome: final})
 	}
 }
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -71,7 +71,7 @@
 	}
 	messages := make([]*backlog.Message, len(papers))
 	for i, p := range papers {
-		messages[i] = o.messageOf(o.ledger.Entry(p.Door), p.came)
+		messages[i] = o.messageOf(o.ledger.Entry(p.MessageID), p.came)
 	}
 	moved, err := o.stored.mover.Spill(messages)
 	if err != nil && !errors.Is(err, backlog.ErrFull) {
@@ -92,7 +92,7 @@
 	var papers []*paper
 	for e := inMemory.Back(); e != nil && len(papers) < most; e = e.Prev() {
 		p := e.Value.(*paper)
-		entry := o.ledger.Entry(p.Door)
+		entry := o.ledger.Entry(p.MessageID)
 		if !p.doc.Waiting() || p.holder != nil || entry == nil || overtakenIfStored(p) || o.keyElsewhere(entry) {
 			break
 		}
@@ -120,7 +120,7 @@
 	o.removeFromLane(p)
 	o.noLongerUntried(p, false)
 	o.f.Withdraw(p.doc)
-	delete(o.docs, p.Door)
+	delete(o.docs, p.MessageID)
 	if o.byID[p.ID] == p {
 		delete(o.byID, p.ID)
 	}
@@ -193,7 +193,7 @@
 		o.stored.lanes[p.lane] = lane
 	}
 	e := lane.Back()
-	for e != nil && e.Value.(*paper).Door > p.Door {
+	for e != nil && e.Value.(*paper).MessageID > p.MessageID {
 		e = e.Prev()
 	}
 	if e == nil {
--- a/forwarder/connect.go
+++ b/forwarder/connect.go
@@ -37,7 +37,7 @@
 		Limit:    order.Names.Limit,
 		Left:     order.Names.Left,
 	}
-	o.outlets = map[string]transport.Outlet{}
+	o.outlets = map[string]transport.Upstream{}
 	for _, w := range append(slices.Clone(order.Outlets), Outlet{Name: usualCarriage, Protocol: usualCarriage}) {
 		if o.outlets[w.Name] != nil { // the order's own in place of the usual
 			continue
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -14,7 +14,7 @@
 // counts are for the log.
 type counts struct {
 	taken, refused, delivered, returned, abandoned, recovered, withdrawn int
-	ends                                                                 [transport.Recalled + 1]int
+	ends                                                                 [transport.ResultCancelled + 1]int
 }
 
 func (c *counts) write(e *zerolog.Event) *zerolog.Event {
@@ -25,7 +25,7 @@
 	}
 	for i, n := range c.ends {
 		if n > 0 {
-			e = e.Int(fmt.Sprintf("end_%s", strings.ReplaceAll(transport.End(i).String(), " ", "_")), n)
+			e = e.Int(fmt.Sprintf("end_%s", strings.ReplaceAll(transport.ResultCode(i).String(), " ", "_")), n)
 		}
 	}
 	return e
@@ -45,7 +45,7 @@
 func (o *owner) report(dialer *dial.Dialer) {
 	idle := 0
 	for _, by := range o.outlets {
-		idle += by.Idle()
+		idle += by.IdleConnections()
 	}
 	e := tally(o.counts.write(o.log.Info()).Int("held", len(o.docs)), o.fronts[0].Tally())
 	if o.stored != nil {
@@ -67,9 +67,9 @@
 // noMeter counts nothing.
 type noMeter struct{}
 
-func (noMeter) Asked(string, transport.Word)           {}
-func (noMeter) End(transport.End, time.Duration)       {}
-func (noMeter) Final(transport.Outcome, time.Duration) {}
-func (noMeter) Turn(int, time.Duration)                {}
-func (noMeter) Addr() string                           { return "" }
-func (noMeter) Stop()                                  {}
+func (noMeter) Asked(string, transport.Word)            {}
+func (noMeter) End(transport.ResultCode, time.Duration) {}
+func (noMeter) Final(transport.Outcome, time.Duration)  {}
+func (noMeter) Turn(int, time.Duration)                 {}
+func (noMeter) Addr() string                            { return "" }
+func (noMeter) Stop()                                   {}
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -195,7 +195,7 @@
 func (g *gate) Withdraw(id string) { g.x.leave(withdrawn(id)) }
 
 // CallEnded is the end of a call.
-func (x *Exchange) CallEnded(e transport.Ended) { x.leave(e) }
+func (x *Exchange) CallEnded(e transport.CallResult) { x.leave(e) }
 
 // Listed is news of the list.
 func (x *Exchange) Listed(l *transport.List) { x.leave(l) }
--- a/forwarder/exchange_test.go
+++ b/forwarder/exchange_test.go
@@ -22,7 +22,7 @@
 		close(held)
 	}()
 	other.Ask(transport.Asked{Paper: &transport.Handed{Body: make([]byte, 100)}}) // its bytes are full with it
-	x.CallEnded(transport.Ended{})
+	x.CallEnded(transport.CallResult{})
 	news, _ := x.take()
 	require.Len(t, news, 1+turnShare+1, "an end, a share of the flood, all of the other")
 	require.Same(t, other, news[len(news)-1].(*asked).front)
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -10,7 +10,7 @@
 
 // pending is a call that is being made up.
 type pending struct {
-	by   transport.Outlet
+	by   transport.Upstream
 	call *transport.Call
 }
 
@@ -30,8 +30,8 @@
 	p, t := o.docs[d.ID], o.targets[to.ID]
 	if err := o.ledger.Out(d.ID, micros(o.clock(time.Now())), t.zone); err != nil {
 		o.logLedgerError(err)
-		c := &transport.Call{Door: to.ID, Target: t.addr, Papers: []transport.Paper{p.Paper}}
-		o.exchange.CallEnded(transport.Ended{Call: c, Ends: []transport.End{transport.Unsent}})
+		c := &transport.Call{EndpointID: to.ID, Address: t.addr, Messages: []transport.Message{p.Message}}
+		o.exchange.CallEnded(transport.CallResult{Call: c, Codes: []transport.ResultCode{transport.ResultNotStarted}})
 		return
 	}
 	o.noLongerUntried(p, true)
@@ -41,13 +41,13 @@
 	}
 	allow := time.Duration(timeout * float64(time.Second))
 	for _, c := range o.calls {
-		if c := c.call; c.Door == to.ID && len(c.Papers) < t.batch {
-			c.Papers = append(c.Papers, p.Paper)
-			c.Allow = min(c.Allow, allow)
+		if c := c.call; c.EndpointID == to.ID && len(c.Messages) < t.batch {
+			c.Messages = append(c.Messages, p.Message)
+			c.Timeout = min(c.Timeout, allow)
 			return
 		}
 	}
-	call := &transport.Call{Door: to.ID, Target: t.addr, Papers: []transport.Paper{p.Paper}, Allow: allow}
+	call := &transport.Call{EndpointID: to.ID, Address: t.addr, Messages: []transport.Message{p.Message}, Timeout: allow}
 	o.calls = append(o.calls, pending{t.outlet, call})
 }
 
@@ -63,7 +63,7 @@
 
 // answer records a final answer and tells it.
 func (o *owner) answer(p *paper, a wal.Answer, after int) {
-	if err := o.ledger.Answer(p.Door, a, after); err != nil {
+	if err := o.ledger.Answer(p.MessageID, a, after); err != nil {
 		o.logLedgerError(err)
 	}
 	outcome := transport.Abandoned
@@ -78,7 +78,7 @@
 // tell takes a final answer to whom it is for: to the caller that waits for it, or else to the teller. Where there is
 // neither it stands in the log.
 func (o *owner) tell(p *paper, outcome transport.Outcome, after int) {
-	f := transport.Final{Door: p.Door, ID: p.ID, Outcome: outcome, AfterMs: after}
+	f := transport.Final{Door: p.MessageID, ID: p.ID, Outcome: outcome, AfterMs: after}
 	if p.traced {
 		o.log.Info().Str("id", p.ID).Stringer("outcome", outcome).Int("after_ms", after).Msg("trace: final answer")
 	}
@@ -86,18 +86,18 @@
 	switch {
 	case p.holder != nil:
 		p.holder.Tell(f)
-		o.exchange.Told([]uint64{p.Door})
+		o.exchange.Told([]uint64{p.MessageID})
 	case o.teller != nil:
 		o.teller.Notify(f)
 	default:
 		o.log.Info().Str("id", p.ID).Stringer("outcome", outcome).Int("after_ms", after).Msg("final answer that nobody takes")
-		o.exchange.Told([]uint64{p.Door})
+		o.exchange.Told([]uint64{p.MessageID})
 	}
 }
 
 func (o *owner) CancelUnsent(t *scheduler.Endpoint) {
 	if known := o.targets[t.ID]; known != nil {
-		known.outlet.Recall(t.ID)
+		known.outlet.CancelUnsent(t.ID)
 	}
 }
 
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -78,7 +78,7 @@
 	h := newHouse(t).start()
 	c := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 7})
 	require.Equal(t, transport.Taken, (<-c.door).Word)
-	h.hands.end(<-h.hands.calls, transport.Took)
+	h.hands.end(<-h.hands.calls, transport.ResultOK)
 	require.Equal(t, transport.Delivered, (<-c.final).Outcome)
 	require.Eventually(t, func() bool { // the process does not end: a kill would find it so
 		text, err := os.ReadFile(filepath.Join(h.order.Folder, "learnt"))
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -10,7 +10,7 @@
 	uid, addr   string
 	dest        uint64
 	zone, batch int
-	outlet      transport.Outlet
+	outlet      transport.Upstream
 	module      *scheduler.Endpoint
 	line        scheduler.EndpointUpdate // as the list has it last
 }
@@ -77,7 +77,7 @@
 }
 
 // outletOf is the outlet by which targets of a kind are reached.
-func (o *owner) outletOf(kind string) transport.Outlet {
+func (o *owner) outletOf(kind string) transport.Upstream {
 	if by := o.outlets[o.order.KindOutlet[kind]]; by != nil {
 		return by
 	}
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -12,7 +12,7 @@
 
 // paper is a document that is owed or was until just now.
 type paper struct {
-	transport.Paper
+	transport.Message
 	doc       *scheduler.Message
 	typ       int
 	lane      backlog.Lane
@@ -27,11 +27,11 @@
 // paper makes the module's document of an entry.
 func (o *owner) paper(e *wal.Entry, typ int) *paper {
 	p := &paper{
-		Paper:  transport.Paper{Door: e.Seq, ID: e.ID, Mark: e.Mark, Body: e.Body},
-		typ:    typ,
-		lane:   laneOf(e),
-		came:   time.Now(),
-		traced: o.trace.picks(e.ID, e.Key),
+		Message: transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.Mark, Body: e.Body},
+		typ:     typ,
+		lane:    laneOf(e),
+		came:    time.Now(),
+		traced:  o.trace.picks(e.ID, e.Key),
 	}
 	p.doc = &scheduler.Message{ID: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Dest), Size: e.Size(), AnsweredByNotice: o.teller != nil}
 	o.docs[e.Seq], o.byID[e.ID] = p, p
@@ -52,7 +52,7 @@
 
 // recordDone records that nothing more is owed for a document.
 func (o *owner) recordDone(p *paper) {
-	if err := o.ledger.Over(p.Door); err != nil {
+	if err := o.ledger.Over(p.MessageID); err != nil {
 		o.logLedgerError(err)
 	}
 }
@@ -65,7 +65,7 @@
 			o.recordDone(p)
 		}
 		o.leftMemory(p)
-		delete(o.docs, p.Door)
+		delete(o.docs, p.MessageID)
 		if o.byID[p.ID] == p {
 			delete(o.byID, p.ID)
 			o.recentIDs.add(p.ID)
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -50,7 +50,7 @@
 	lame      bool // clients are sent elsewhere, by the operators' word
 
 	// Outlets
-	outlets map[string]transport.Outlet
+	outlets map[string]transport.Upstream
 	calls   []pending
 
 	// Discovery and notices
@@ -148,7 +148,7 @@
 		o.asked(n)
 	case withdrawn:
 		o.withdraw(string(n))
-	case transport.Ended:
+	case transport.CallResult:
 		o.ended(n)
 	case *transport.List:
 		o.heard = true
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -60,21 +60,21 @@
 
 // hands is an outlet whose calls a test carries out.
 type hands struct {
-	counter transport.Counter
+	counter transport.ResultListener
 	calls   chan *transport.Call
 }
 
 func (h *hands) Send(c *transport.Call) { h.calls <- c }
-func (h *hands) Recall(uint64)          {}
+func (h *hands) CancelUnsent(uint64)    {}
 func (h *hands) CloseIdle(uint64)       {}
-func (h *hands) Idle() int              { return 0 }
+func (h *hands) IdleConnections() int   { return 0 }
 
-func (h *hands) end(c *transport.Call, end transport.End) {
-	ends := make([]transport.End, len(c.Papers))
+func (h *hands) end(c *transport.Call, end transport.ResultCode) {
+	ends := make([]transport.ResultCode, len(c.Messages))
 	for i := range ends {
 		ends[i] = end
 	}
-	h.counter.CallEnded(transport.Ended{Call: c, Ends: ends, Took: time.Millisecond})
+	h.counter.CallEnded(transport.CallResult{Call: c, Codes: ends, Latency: time.Millisecond})
 }
 
 // house is a forwarder in this process with such a front and outlet, and one of the program's own beside them.
@@ -103,7 +103,7 @@
 			h.fronts[f.Name] = &memory{desk, f.Name}
 			return h.fronts[f.Name], nil
 		}},
-		Carriages: map[string]forwarder.Carriage{"hands": func(_ *dial.Dialer, _ forwarder.Carrier, counter transport.Counter) transport.Outlet {
+		Carriages: map[string]forwarder.Carriage{"hands": func(_ *dial.Dialer, _ forwarder.Carrier, counter transport.ResultListener) transport.Upstream {
 			h.hands.counter = counter
 			return h.hands
 		}}}
@@ -142,12 +142,12 @@
 	h := newHouse(t).start()
 	c := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 7, Body: []byte("b")})
 	require.Equal(t, transport.Reply{Word: transport.Taken}, <-c.door)
-	h.hands.end(<-h.hands.calls, transport.Took)
+	h.hands.end(<-h.hands.calls, transport.ResultOK)
 	f := <-c.final
 	require.Equal(t, []any{"a", transport.Delivered}, []any{f.ID, f.Outcome})
 	c = h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7})
 	<-c.door
-	h.hands.end(<-h.hands.calls, transport.Broken) // may have run, and must not run twice
+	h.hands.end(<-h.hands.calls, transport.ResultClosed) // may have run, and must not run twice
 	require.Equal(t, transport.Abandoned, (<-c.final).Outcome)
 	c = h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "payment", Dest: 7})
 	require.Equal(t, transport.Declined, (<-c.door).Word, "an id that was taken on")
@@ -172,8 +172,8 @@
 		in.desk.Withdraw(id)
 	}
 	in.desk.Withdraw("nobody")
-	h.hands.end(out, transport.TurnedAway) // not sent again: its caller has gone
-	require.Equal(t, "c", (<-h.hands.calls).Papers[0].ID)
+	h.hands.end(out, transport.ResultOverloaded) // not sent again: its caller has gone
+	require.Equal(t, "c", (<-h.hands.calls).Messages[0].ID)
 	h.log.Await(t, "ready")
 	v, err := wal.Look(h.order.Folder)
 	require.NoError(t, err)
@@ -196,9 +196,9 @@
 	began := time.Now()
 	h.start()
 	call := <-h.hands.calls
-	require.Equal(t, "owed", call.Papers[0].ID)
+	require.Equal(t, "owed", call.Messages[0].ID)
 	require.GreaterOrEqual(t, time.Since(began), 50*time.Millisecond, "the rest of its key")
-	h.hands.end(call, transport.Took)
+	h.hands.end(call, transport.ResultOK)
 	h.stop()
 	require.Contains(t, h.log.String(), `"withdrawn":2`)
 	v, err := wal.Look(h.order.Folder)
@@ -240,7 +240,7 @@
 		require.Equal(t, "+PONG", answer)
 		in := h.fronts["inner"].hand(transport.Handed{ID: fmt.Sprint(i), Type: "status", Dest: 7})
 		require.Equal(t, transport.Taken, (<-in.door).Word)
-		h.hands.end(<-h.hands.calls, transport.Took)
+		h.hands.end(<-h.hands.calls, transport.ResultOK)
 		<-in.final
 	}
 	close(end)
@@ -295,8 +295,8 @@
 	require.True(t, err == nil && answer == "+PONG", answer)
 	_, err = c.Hear()
 	require.Error(t, err, "a caller of the old address goes elsewhere once it is answered")
-	h.hands.end(<-h.hands.calls, transport.Took)
-	h.hands.end(<-h.hands.calls, transport.Took)
+	h.hands.end(<-h.hands.calls, transport.ResultOK)
+	h.hands.end(<-h.hands.calls, transport.ResultOK)
 	fail = fmt.Errorf("limits.memory: c.toml:5: wrong")
 	h.again <- os.Interrupt
 	h.log.Await(t, "c.toml:5")
@@ -318,8 +318,8 @@
 	c := h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "status", Dest: 8})
 	require.Equal(t, transport.Taken, (<-c.door).Word)
 	call := <-h.hands.calls
-	require.Equal(t, "127.0.0.1:8", call.Target)
-	h.hands.end(call, transport.Took)
+	require.Equal(t, "127.0.0.1:8", call.Address)
+	h.hands.end(call, transport.ResultOK)
 }
 
 func TestTheCourseOfPickedDocumentsIsLogged(t *testing.T) {
@@ -329,7 +329,7 @@
 	for i, key := range []uint64{5, 6} {
 		c := h.fronts["inner"].hand(transport.Handed{ID: fmt.Sprint("doc", i), Key: key, Type: "payment", Dest: 7})
 		<-c.door
-		h.hands.end(<-h.hands.calls, transport.Took)
+		h.hands.end(<-h.hands.calls, transport.ResultOK)
 		<-c.final
 	}
 	h.stop()
@@ -350,8 +350,8 @@
 	seen []transport.Outcome
 }
 
-func (f *finals) Asked(string, transport.Word)     {}
-func (f *finals) End(transport.End, time.Duration) {}
+func (f *finals) Asked(string, transport.Word)            {}
+func (f *finals) End(transport.ResultCode, time.Duration) {}
 func (f *finals) Final(o transport.Outcome, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -368,7 +368,7 @@
 	h.order.Metrics = "in the test"
 	h.order.Meter = func(string, string, []string, []transport.Level) (transport.Meter, error) { return m, nil }
 	h.start()
-	for _, end := range []transport.End{transport.Took, transport.Gone} {
+	for _, end := range []transport.ResultCode{transport.ResultOK, transport.ResultGone} {
 		c := h.fronts["inner"].hand(transport.Handed{ID: end.String(), Type: "status", Dest: 7})
 		require.Equal(t, transport.Taken, (<-c.door).Word)
 		h.hands.end(<-h.hands.calls, end)
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -23,7 +23,7 @@
 	WaitingBytes int          // of documents among them; 0: the usual
 }
 
-// Outlet is what an order says of one outlet.
+// Upstream is what an order says of one outlet.
 type Outlet struct {
 	Name     string
 	Protocol string  // of a carriage
@@ -34,7 +34,7 @@
 type Protocol func(f Front, most int, desk transport.Desk) (transport.Front, error)
 
 // Carriage makes an outlet that reports to the counter.
-type Carriage func(d *dial.Dialer, t Carrier, counter transport.Counter) transport.Outlet
+type Carriage func(d *dial.Dialer, t Carrier, counter transport.ResultListener) transport.Upstream
 
 // Carrier is what an outlet is told.
 type Carrier struct {
@@ -58,7 +58,7 @@
 	return respserver.Open(f.Listen, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
 }
 
-func newHTTP(d *dial.Dialer, t Carrier, counter transport.Counter) transport.Outlet {
+func newHTTP(d *dial.Dialer, t Carrier, counter transport.ResultListener) transport.Upstream {
 	return upstream.New(d, counter, upstream.Terms{Connect: t.Connect, KeepIdle: t.KeepIdle, Limit: t.Limit, Left: t.Left})
 }
 
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -97,8 +97,8 @@
 // Decision is what becomes of a new message.
 type Decision struct {
 	Place      Place
-	Bound      Bound         // with Refused: what stands against it
-	RetryAfter time.Duration // with Refused: when there may be room
+	Bound      Bound         // with ResultConnectRefused: what stands against it
+	RetryAfter time.Duration // with ResultConnectRefused: when there may be room
 }
 
 // MoveKind is what is to be done with a lane.
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// Decide tells where a new message goes. The event loop then calls Held or Stored, or Refused ones are forgotten.
+// Decide tells where a new message goes. The event loop then calls Held or Stored, or ResultConnectRefused ones are forgotten.
 func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
 	l := p.lanes[lane]
 	fits := l == nil || l.stored.messages == 0 && l.held < p.mostHeld(lane)
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -165,7 +165,7 @@
 	WaitingBytes Size   `toml:"waiting_bytes" jsonschema_description:"Bytes of documents among them. 0B: 4 MiB."`
 }
 
-// Outlet is one way out.
+// Upstream is one way out.
 type Outlet struct {
 	Name     string `toml:"name" jsonschema_description:"By which kinds name it."`
 	Protocol string `toml:"protocol" jsonschema_description:"http"`
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -231,7 +231,7 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// Unread reads what has come on the line and was not told yet, for a watcher that is about to end the line. It returns 0 if
+// ResultBadRequest reads what has come on the line and was not told yet, for a watcher that is about to end the line. It returns 0 if
 // nothing has come. pending says that something was read before and is on its way to the watcher by Data: nothing is read.
 func (l *Line) Unread(buffer []byte) (n int, pending bool) {
 	l.mu.Lock()
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -22,7 +22,7 @@
 	set    *metrics.Set
 	asked  map[string]*[len(words)]*metrics.Counter // by front
 	of     string                                   // the forwarder's label
-	ends   [transport.Recalled + 1]*metrics.Counter
+	ends   [transport.ResultCancelled + 1]*metrics.Counter
 	took   *metrics.PrometheusHistogram
 	finals [transport.Abandoned + 1]*metrics.Counter
 	life   *metrics.PrometheusHistogram
@@ -45,7 +45,7 @@
 		}
 	}
 	for i := range m.ends {
-		m.ends[i] = m.set.NewCounter(m.name("transmission_ends_total", "end", strings.ReplaceAll(transport.End(i).String(), " ", "_")))
+		m.ends[i] = m.set.NewCounter(m.name("transmission_ends_total", "end", strings.ReplaceAll(transport.ResultCode(i).String(), " ", "_")))
 	}
 	for i := range m.finals {
 		m.finals[i] = m.set.NewCounter(m.name("final_answers_total", "outcome", transport.Outcome(i).String()))
@@ -111,7 +111,7 @@
 }
 
 // End counts a transmission.
-func (m *Meter) End(end transport.End, took time.Duration) {
+func (m *Meter) End(end transport.ResultCode, took time.Duration) {
 	m.ends[end].Inc()
 	m.took.Update(took.Seconds())
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// Waiting tells how many bytes of an unfinished command are kept.
+// ResultRetryAfter tells how many bytes of an unfinished command are kept.
 func (r *Reader) Waiting() int { return len(r.rest) }
 
 // command reads one command; n is 0 while it is not complete.
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -13,35 +13,35 @@
 
 // request writes a call in its form of HTTP.
 func request(c *transport.Call) []byte {
-	left := strconv.FormatInt(c.Allow.Milliseconds(), 10)
-	if len(c.Papers) == 1 {
-		p := &c.Papers[0]
+	left := strconv.FormatInt(c.Timeout.Milliseconds(), 10)
+	if len(c.Messages) == 1 {
+		p := &c.Messages[0]
 		b := make([]byte, 0, 256+len(p.Body))
-		b = http1.Field(http1.Begin(b, "POST", "/hook", c.Target), "X-Txn", p.ID)
-		if p.Mark != "" {
-			b = http1.Field(b, "Idempotency-Key", p.Mark)
+		b = http1.Field(http1.Begin(b, "POST", "/hook", c.Address), "X-Txn", p.ID)
+		if p.IdempotencyKey != "" {
+			b = http1.Field(b, "Idempotency-Key", p.IdempotencyKey)
 		}
 		return http1.End(http1.Field(b, "X-Remaining-Ms", left), p.Body)
 	}
 	size := 16
-	for _, p := range c.Papers {
-		size += len(p.Body)*4/3 + len(p.ID) + len(p.Mark) + 64
+	for _, p := range c.Messages {
+		size += len(p.Body)*4/3 + len(p.ID) + len(p.IdempotencyKey) + 64
 	}
 	body := append(make([]byte, 0, size), '[')
-	for i, p := range c.Papers {
+	for i, p := range c.Messages {
 		if i > 0 {
 			body = append(body, ',')
 		}
 		body = quoted(append(body, `{"id":`...), p.ID)
-		if p.Mark != "" {
-			body = quoted(append(body, `,"key":`...), p.Mark)
+		if p.IdempotencyKey != "" {
+			body = quoted(append(body, `,"key":`...), p.IdempotencyKey)
 		}
 		body = append(body, `,"body":"`...)
 		body = base64.StdEncoding.AppendEncode(body, p.Body)
 		body = append(body, `"}`...)
 	}
 	body = append(body, ']')
-	b := http1.Begin(make([]byte, 0, 256+len(body)), "POST", "/hook/batch", c.Target)
+	b := http1.Begin(make([]byte, 0, 256+len(body)), "POST", "/hook/batch", c.Address)
 	b = http1.Field(b, "Content-Type", "application/json")
 	return http1.End(http1.Field(b, "X-Remaining-Ms", left), body)
 }
@@ -86,12 +86,12 @@
 }
 
 // ends tells what an answer means for each paper of a call.
-func (a *answer) ends(c *transport.Call) []transport.End {
-	ends := make([]transport.End, len(c.Papers))
+func (a *answer) ends(c *transport.Call) []transport.ResultCode {
+	ends := make([]transport.ResultCode, len(c.Messages))
 	for i := range ends {
 		ends[i] = a.end()
 	}
-	if a.code != 200 || len(c.Papers) == 1 {
+	if a.code != 200 || len(c.Messages) == 1 {
 		return ends
 	}
 	var states []struct{ ID, State string }
@@ -102,46 +102,46 @@
 	for _, s := range states {
 		told[s.ID] = s.State
 	}
-	for i, p := range c.Papers {
+	for i, p := range c.Messages {
 		switch told[p.ID] {
 		case "ok":
-			ends[i] = transport.Took
+			ends[i] = transport.ResultOK
 		case "later":
-			ends[i] = transport.TurnedAway
+			ends[i] = transport.ResultOverloaded
 			if a.wait > 0 {
-				ends[i] = transport.Waiting
+				ends[i] = transport.ResultRetryAfter
 			}
 		case "gone":
-			ends[i] = transport.Gone
+			ends[i] = transport.ResultGone
 		case "exhausted":
-			ends[i] = transport.Spent
+			ends[i] = transport.ResultAttemptsExhausted
 		default: // not told, or told in a word unknown here: it may have run
-			ends[i] = transport.Failed
+			ends[i] = transport.ResultServerError
 		}
 	}
 	return ends
 }
 
 // end tells what the status alone means.
-func (a *answer) end() transport.End {
+func (a *answer) end() transport.ResultCode {
 	switch a.code {
 	case 200:
-		return transport.Took
+		return transport.ResultOK
 	case 429:
-		return transport.Waiting
+		return transport.ResultRetryAfter
 	case 503:
 		if a.busy {
-			return transport.LineBusy
+			return transport.ResultNoSlot
 		}
-		return transport.TurnedAway
+		return transport.ResultOverloaded
 	case 504:
-		return transport.Spent
+		return transport.ResultAttemptsExhausted
 	case 410:
-		return transport.Gone
+		return transport.ResultGone
 	case 400, 413:
-		return transport.Unread
+		return transport.ResultBadRequest
 	default:
-		return transport.Failed
+		return transport.ResultServerError
 	}
 }
 
--- a/internal/upstream/outlet.go
+++ b/internal/upstream/outlet.go
@@ -26,10 +26,10 @@
 	Proof    time.Duration // a connection stays silent for so long after an answer before it is used again; 0: usualProof
 }
 
-// Outlet holds the connections to all targets.
+// Upstream holds the connections to all targets.
 type Outlet struct {
 	dialer *dial.Dialer
-	desk   transport.Counter
+	desk   transport.ResultListener
 	terms  Terms
 	mu     sync.Mutex
 	idle   map[uint64][]*trunk // by the target's number; the latest used last
@@ -37,7 +37,7 @@
 }
 
 // New has no connections yet.
-func New(d *dial.Dialer, desk transport.Counter, terms Terms) *Outlet {
+func New(d *dial.Dialer, desk transport.ResultListener, terms Terms) *Outlet {
 	if terms.Proof == 0 {
 		terms.Proof = usualProof
 	}
@@ -67,16 +67,16 @@
 func (o *Outlet) Send(c *transport.Call) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t := o.rested(c.Door)
+	t := o.rested(c.EndpointID)
 	if t == nil {
 		t = o.fresh(c)
 	}
 	t.call, t.began = c, time.Now()
-	t.answer = answer{body: t.answer.body[:0], keep: len(c.Papers) > 1}
+	t.answer = answer{body: t.answer.body[:0], keep: len(c.Messages) > 1}
 	t.reader.Reset()
 	t.turn++
 	turn := t.turn
-	t.timer = time.AfterFunc(c.Allow, func() { t.giveUp(turn) })
+	t.timer = time.AfterFunc(c.Timeout, func() { t.giveUp(turn) })
 	if wait := o.terms.Proof - t.began.Sub(t.rested); wait > 0 {
 		t.unsent = true
 		o.rising[t] = struct{}{}
@@ -107,8 +107,8 @@
 	if o.dialer.Full() {
 		o.shed()
 	}
-	t := &trunk{outlet: o, target: c.Door, reader: http1.Reader{MostBody: mostAnswer}}
-	t.line = o.dialer.Dial(c.Target, o.terms.Connect, t)
+	t := &trunk{outlet: o, target: c.EndpointID, reader: http1.Reader{MostBody: mostAnswer}}
+	t.line = o.dialer.Dial(c.Address, o.terms.Connect, t)
 	o.rising[t] = struct{}{}
 	return t
 }
@@ -139,14 +139,14 @@
 	n.call, n.began, n.turn = t.call, t.began, 1
 	n.answer.keep = t.answer.keep
 	t.timer.Stop()
-	n.timer = time.AfterFunc(t.call.Allow-time.Since(t.began), func() { n.giveUp(1) })
+	n.timer = time.AfterFunc(t.call.Timeout-time.Since(t.began), func() { n.giveUp(1) })
 	t.call, t.unsent = nil, false
 	t.turn++
 	n.line.Write(request(n.call))
 }
 
 // CancelUnsent ends the calls to a target of which nothing has been sent because their connection is not up.
-func (o *Outlet) Recall(target uint64) {
+func (o *Outlet) CancelUnsent(target uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for t := range o.rising {
@@ -158,7 +158,7 @@
 		} else if !t.line.CloseUnlessUp() {
 			continue
 		}
-		t.finish(t.same(transport.Recalled), "")
+		t.finish(t.same(transport.ResultCancelled), "")
 	}
 }
 
@@ -187,8 +187,8 @@
 	}
 }
 
-// Idle tells how many connections carry no call.
-func (o *Outlet) Idle() int {
+// IdleConnections tells how many connections carry no call.
+func (o *Outlet) IdleConnections() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
@@ -219,12 +219,12 @@
 	if !t.unsent && t.answered(turn) {
 		return
 	}
-	end, why, sent := transport.GivenUp, "", t.line.Cut()
+	end, why, sent := transport.ResultTimeout, "", t.line.Cut()
 	switch {
 	case t.unsent || !sent:
-		end = transport.GivenUpEarly
+		end = transport.ResultTimeoutBeforeSent
 	case t.reader.Begun():
-		end, why = transport.Garbled, "the answer never ended"
+		end, why = transport.ResultMalformed, "the answer never ended"
 	}
 	t.finish(t.cut(end), why)
 }
@@ -273,14 +273,14 @@
 	switch {
 	case err != nil:
 		t.line.Close()
-		t.finish(t.broken(transport.Garbled), err.Error())
+		t.finish(t.broken(transport.ResultMalformed), err.Error())
 	case whole:
 		keep := !t.reader.Close && used == len(b) && t.line.Sent()
 		if !keep {
 			t.line.Close()
 		}
 		if t.answer.code == 200 && !keep && !t.line.Sent() { // who has not had the call whole has not run it
-			t.finish(t.same(transport.BrokenEarly), "an answer before the call was written")
+			t.finish(t.same(transport.ResultClosedBeforeSent), "an answer before the call was written")
 			return
 		}
 		t.finish(t.answer.ends(t.call), "")
@@ -303,11 +303,11 @@
 	case t.reader.Ended():
 		t.finish(t.answer.ends(t.call), "")
 	case errors.Is(cause, dial.ErrNeverUp):
-		t.finish(t.same(transport.NeverUp), "")
+		t.finish(t.same(transport.ResultConnectTimeout), "")
 	case !t.line.Up():
-		t.finish(t.same(transport.Refused), text(cause))
+		t.finish(t.same(transport.ResultConnectRefused), text(cause))
 	default:
-		t.finish(t.broken(transport.Broken), text(cause))
+		t.finish(t.broken(transport.ResultClosed), text(cause))
 	}
 }
 
@@ -319,9 +319,9 @@
 }
 
 // broken is end if the call was written whole, else that it was cut before.
-func (t *trunk) broken(end transport.End) []transport.End {
+func (t *trunk) broken(end transport.ResultCode) []transport.ResultCode {
 	if !t.line.Sent() {
-		end = transport.BrokenEarly
+		end = transport.ResultClosedBeforeSent
 	}
 	return t.cut(end)
 }
@@ -329,15 +329,15 @@
 // cut is end for each paper, but for a single one whose answer began with 200: that holds from its line on, if the call
 // was written whole. Any other status counts only with the whole answer, as one that is spoilt or cut may stand for a
 // document that has run. The line is closed.
-func (t *trunk) cut(end transport.End) []transport.End {
-	if t.answer.code == 200 && len(t.call.Papers) == 1 && t.line.Sent() {
-		end = transport.Took
+func (t *trunk) cut(end transport.ResultCode) []transport.ResultCode {
+	if t.answer.code == 200 && len(t.call.Messages) == 1 && t.line.Sent() {
+		end = transport.ResultOK
 	}
 	return t.same(end)
 }
 
-func (t *trunk) same(end transport.End) []transport.End {
-	ends := make([]transport.End, len(t.call.Papers))
+func (t *trunk) same(end transport.ResultCode) []transport.ResultCode {
+	ends := make([]transport.ResultCode, len(t.call.Messages))
 	for i := range ends {
 		ends[i] = end
 	}
@@ -345,12 +345,12 @@
 }
 
 // finish reports the call's end; the lock is held.
-func (t *trunk) finish(ends []transport.End, why string) {
+func (t *trunk) finish(ends []transport.ResultCode, why string) {
 	t.timer.Stop()
-	e := transport.Ended{Call: t.call, Ends: ends, Took: time.Since(t.began), Why: why}
-	if ends[0] != transport.Garbled { // a head that came before the connection broke holds
+	e := transport.CallResult{Call: t.call, Codes: ends, Latency: time.Since(t.began), Reason: why}
+	if ends[0] != transport.ResultMalformed { // a head that came before the connection broke holds
 		terms := &t.outlet.terms
-		e.Wait, e.Most, e.Left = t.answer.wait, limit(t.answer.report, terms.Limit), limit(t.answer.report, terms.Left)
+		e.RetryAfter, e.ReportedLimit, e.ReportedShare = t.answer.wait, limit(t.answer.report, terms.Limit), limit(t.answer.report, terms.Left)
 	}
 	t.call, t.unsent = nil, false
 	t.turn++
--- a/internal/upstream/outlet_test.go
+++ b/internal/upstream/outlet_test.go
@@ -15,25 +15,25 @@
 )
 
 func TestAnswersMeanWhatTheProtocolSays(t *testing.T) {
-	one, two := &transport.Call{Papers: make([]transport.Paper, 1)}, &transport.Call{Papers: []transport.Paper{{ID: "a"}, {ID: "b"}}}
-	for code, want := range map[int]transport.End{200: transport.Took, 500: transport.Failed, 502: transport.Failed, 429: transport.Waiting, 503: transport.TurnedAway, 504: transport.Spent, 410: transport.Gone, 400: transport.Unread, 413: transport.Unread} {
-		require.Equal(t, []transport.End{want}, (&answer{code: code}).ends(one))
+	one, two := &transport.Call{Messages: make([]transport.Message, 1)}, &transport.Call{Messages: []transport.Message{{ID: "a"}, {ID: "b"}}}
+	for code, want := range map[int]transport.ResultCode{200: transport.ResultOK, 500: transport.ResultServerError, 502: transport.ResultServerError, 429: transport.ResultRetryAfter, 503: transport.ResultOverloaded, 504: transport.ResultAttemptsExhausted, 410: transport.ResultGone, 400: transport.ResultBadRequest, 413: transport.ResultBadRequest} {
+		require.Equal(t, []transport.ResultCode{want}, (&answer{code: code}).ends(one))
 	}
-	require.Equal(t, []transport.End{transport.LineBusy}, (&answer{code: 503, busy: true}).ends(one))
-	require.Equal(t, []transport.End{transport.Waiting, transport.Waiting}, (&answer{code: 429}).ends(two))
-	for body, want := range map[string][]transport.End{
-		`[{"id":"b","state":"ok"},{"id":"a","state":"error"}]`:   {transport.Failed, transport.Took},
-		`[{"id":"a","state":"gone"},{"id":"b","state":"later"}]`: {transport.Gone, transport.TurnedAway},
-		`[{"id":"a","state":"exhausted"}]`:                       {transport.Spent, transport.Failed}, // b is not told: it may have run
-		`[{"id":`:                                                {transport.Failed, transport.Failed}} {
+	require.Equal(t, []transport.ResultCode{transport.ResultNoSlot}, (&answer{code: 503, busy: true}).ends(one))
+	require.Equal(t, []transport.ResultCode{transport.ResultRetryAfter, transport.ResultRetryAfter}, (&answer{code: 429}).ends(two))
+	for body, want := range map[string][]transport.ResultCode{
+		`[{"id":"b","state":"ok"},{"id":"a","state":"error"}]`:   {transport.ResultServerError, transport.ResultOK},
+		`[{"id":"a","state":"gone"},{"id":"b","state":"later"}]`: {transport.ResultGone, transport.ResultOverloaded},
+		`[{"id":"a","state":"exhausted"}]`:                       {transport.ResultAttemptsExhausted, transport.ResultServerError}, // b is not told: it may have run
+		`[{"id":`:                                                {transport.ResultServerError, transport.ResultServerError}} {
 		require.Equal(t, want, (&answer{code: 200, body: []byte(body)}).ends(two), body)
 	}
 }
 
 // desk hands a test the ends of its calls.
-type desk chan transport.Ended
+type desk chan transport.CallResult
 
-func (d desk) CallEnded(e transport.Ended) { d <- e }
+func (d desk) CallEnded(e transport.CallResult) { d <- e }
 
 type scene struct {
 	*Outlet
@@ -61,7 +61,7 @@
 }
 
 func (s *scene) send(allow time.Duration, body string) {
-	s.Send(&transport.Call{Door: s.door, Target: s.ln.Addr().String(), Papers: []transport.Paper{{ID: "a", Body: []byte(body)}}, Allow: allow})
+	s.Send(&transport.Call{EndpointID: s.door, Address: s.ln.Addr().String(), Messages: []transport.Message{{ID: "a", Body: []byte(body)}}, Timeout: allow})
 }
 
 // accepts reads the head of a call on a new connection.
@@ -80,10 +80,10 @@
 	require.True(s.t, strings.HasPrefix(string(b[:n]), "POST /hook"))
 }
 
-func (s *scene) ends(want transport.End) transport.Ended {
+func (s *scene) ends(want transport.ResultCode) transport.CallResult {
 	s.t.Helper()
 	e := <-s.desk
-	require.Equal(s.t, []transport.End{want}, e.Ends)
+	require.Equal(s.t, []transport.ResultCode{want}, e.Codes)
 	return e
 }
 
@@ -94,16 +94,16 @@
 	s.send(time.Minute, "b")
 	c := s.accepts()
 	c.Write([]byte("HTTP/1.1 429 Full\r\nRetry-After: 0.25\r\nX-Pressure: x0=0.4,x1=25\r\nContent-Length: 0\r\n\r\n"))
-	e := s.ends(transport.Waiting)
-	require.Equal(t, []any{0.25, 25.0, 0.4}, []any{e.Wait, e.Most, e.Left})
+	e := s.ends(transport.ResultRetryAfter)
+	require.Equal(t, []any{0.25, 25.0, 0.4}, []any{e.RetryAfter, e.ReportedLimit, e.ReportedShare})
 	s.send(time.Minute, "b")
 	s.hears(c)
 	c.Write([]byte(ok))
-	require.Zero(t, s.ends(transport.Took).Wait)
+	require.Zero(t, s.ends(transport.ResultOK).RetryAfter)
 	s.CloseIdle(1)
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"))
-	require.Zero(t, s.Idle())
+	require.Zero(t, s.IdleConnections())
 }
 
 func TestBytesOnTheirWayToTheOutletAreNotTheAnswerToTheNextCall(t *testing.T) {
@@ -111,7 +111,7 @@
 	s.send(time.Minute, "b")
 	c := s.accepts()
 	c.Write([]byte(ok))
-	s.ends(transport.Took)
+	s.ends(transport.ResultOK)
 	s.mu.Lock()
 	c.Write([]byte(ok)) // once more: read from the socket, and not heard yet
 	emulator.AwaitAtLock(t, "upstream.(*trunk).Data(")
@@ -120,13 +120,13 @@
 	require.Nil(t, used, "a call on it would be taken for done")
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
-	s.ends(transport.Failed)
+	s.ends(transport.ResultServerError)
 }
 
 // waiting is the connection that carries a call with such a body, and the number of that call; the outlet's lock is held.
 func (s *scene) waiting(body string) (*trunk, int) {
 	for t := range s.rising {
-		if string(t.call.Papers[0].Body) == body {
+		if string(t.call.Messages[0].Body) == body {
 			return t, t.turn
 		}
 	}
@@ -151,8 +151,8 @@
 	trunk, turn := s.waiting("late")
 	trunk.timeOver(turn)
 	s.mu.Unlock()
-	s.ends(transport.Took)
-	s.ends(transport.Took)
+	s.ends(transport.ResultOK)
+	s.ends(transport.ResultOK)
 }
 
 func TestAnAnswerOnItsWayToTheOutletEndsTheCallWhoseTimeIsOver(t *testing.T) {
@@ -166,33 +166,33 @@
 	trunk.timeOver(turn)
 	require.NotNil(t, trunk.call, "its answer is told by Data")
 	s.mu.Unlock()
-	s.ends(transport.Took)
+	s.ends(transport.ResultOK)
 }
 
 func TestBrokenConnectionsAreToldApartByWhetherTheCallWasWrittenWhole(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "b")
 	s.accepts().Close()
-	s.ends(transport.Broken)
+	s.ends(transport.ResultClosed)
 	huge := strings.Repeat("x", 32<<20) // more than the sockets take
 	s.send(time.Minute, huge)
 	s.accepts().Close()
-	s.ends(transport.BrokenEarly)
+	s.ends(transport.ResultClosedBeforeSent)
 	s.send(100*time.Millisecond, huge)
 	c := s.accepts()
-	s.ends(transport.GivenUpEarly)
+	s.ends(transport.ResultTimeoutBeforeSent)
 	c.Close()
 	s.send(time.Second, "b")
 	c = s.accepts()
-	s.ends(transport.GivenUp)
+	s.ends(transport.ResultTimeout)
 	_, err := c.Read(make([]byte, 1))
 	require.Error(t, err, "a call given up closes its connection")
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte("what is this\r\n"))
-	require.NotEmpty(t, s.ends(transport.Garbled).Why)
+	require.NotEmpty(t, s.ends(transport.ResultMalformed).Reason)
 	s.ln.Close()
 	s.send(time.Minute, "b")
-	s.ends(transport.Refused)
+	s.ends(transport.ResultConnectRefused)
 }
 
 func TestAStatusHoldsFromItsLineOn(t *testing.T) {
@@ -201,11 +201,11 @@
 	c := s.accepts()
 	c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Le"))
 	c.Close()
-	s.ends(transport.Took)
+	s.ends(transport.ResultOK)
 	s.send(time.Minute, strings.Repeat("x", 32<<20))
 	s.accepts().Write([]byte("HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n")) // before the call was written whole
-	s.ends(transport.Unread)
-	require.Zero(t, s.Idle())
+	s.ends(transport.ResultBadRequest)
+	require.Zero(t, s.IdleConnections())
 }
 
 // A target begins a call when its last byte has come: a 200 before that is noise, or the answer to another.
@@ -216,7 +216,7 @@
 		c := s.accepts()
 		c.Write([]byte(text))
 		c.(*net.TCPConn).CloseWrite() // it reads no more of it
-		s.ends(transport.BrokenEarly)
+		s.ends(transport.ResultClosedBeforeSent)
 		c.Close()
 	}
 }
@@ -230,7 +230,7 @@
 	}
 	for _, c := range lines {
 		c.Write([]byte(ok))
-		s.ends(transport.Took)
+		s.ends(transport.ResultOK)
 	}
 	other, err := net.Listen("tcp", "127.4.0.1:0")
 	require.NoError(t, err)
@@ -238,10 +238,10 @@
 	s.ln, s.door = other, 2
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(transport.Took)
+	s.ends(transport.ResultOK)
 	_, err = lines[0].Read(make([]byte, 1))
 	require.Error(t, err)
-	require.Equal(t, 8, s.Idle())
+	require.Equal(t, 8, s.IdleConnections())
 }
 
 // Nobody answers a connection: what ends the call first is what is told, however late the test's machine runs.
@@ -252,13 +252,13 @@
 	}
 	s := newSceneBy(t, Terms{Connect: 20 * time.Millisecond, KeepIdle: time.Minute}, never)
 	s.send(time.Hour, "b")
-	s.ends(transport.NeverUp)
+	s.ends(transport.ResultConnectTimeout)
 	s = newSceneBy(t, Terms{Connect: time.Hour, KeepIdle: time.Minute}, never)
 	s.send(20*time.Millisecond, "b")
-	s.ends(transport.GivenUpEarly)
+	s.ends(transport.ResultTimeoutBeforeSent)
 	s.send(time.Hour, "b")
-	s.Recall(1)
-	s.ends(transport.Recalled)
+	s.CancelUnsent(1)
+	s.ends(transport.ResultCancelled)
 }
 
 const head = "HTTP/1.1 200 OK\r\n"
@@ -266,30 +266,30 @@
 // A document whose answer is spoilt has run, whatever a piece of the answer says; but one's own 200 is true.
 func TestASpoiltAnswerMayStandForADocumentThatRan(t *testing.T) {
 	s := newScene(t)
-	for text, want := range map[string]transport.End{
-		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                transport.Garbled,
-		"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: -1\r\n\r\n":                transport.Garbled,
-		"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.Garbled,
-		"HTTP/1.1 504 Spent\r\nA: " + strings.Repeat("x", 9000):                            transport.Garbled,
-		"\x00\xff noise": transport.Garbled, // and nothing after
-		head + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.Took,
-		head + "Content-Length: 90\r\n\r\nshort":                             transport.Took,
-		head + "no colon\r\n":                                                transport.Took} {
+	for text, want := range map[string]transport.ResultCode{
+		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                transport.ResultMalformed,
+		"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: -1\r\n\r\n":                transport.ResultMalformed,
+		"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.ResultMalformed,
+		"HTTP/1.1 504 Spent\r\nA: " + strings.Repeat("x", 9000):                            transport.ResultMalformed,
+		"\x00\xff noise": transport.ResultMalformed, // and nothing after
+		head + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.ResultOK,
+		head + "Content-Length: 90\r\n\r\nshort":                             transport.ResultOK,
+		head + "no colon\r\n":                                                transport.ResultOK} {
 		s.send(time.Second, "b")
 		c := s.accepts()
 		c.Write([]byte(text))
-		require.Zero(t, s.ends(want).Wait, text)
+		require.Zero(t, s.ends(want).RetryAfter, text)
 		_, err := c.Read(make([]byte, 1))
 		require.Error(t, err, "the connection is not used again")
 	}
-	require.Zero(t, s.Idle())
-	s.Send(&transport.Call{Door: s.door, Target: s.ln.Addr().String(), Papers: []transport.Paper{{ID: "a"}, {ID: "b"}}, Allow: time.Minute})
+	require.Zero(t, s.IdleConnections())
+	s.Send(&transport.Call{EndpointID: s.door, Address: s.ln.Addr().String(), Messages: []transport.Message{{ID: "a"}, {ID: "b"}}, Timeout: time.Minute})
 	s.accepts().Write([]byte(head + "Content-Length: 9\r\n\r\n[{\"id\":\"a\""))
 	s.send(time.Minute, "b")
 	c := s.accepts()
 	c.Write([]byte("HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort")) // and its connection breaks
 	c.Close()
-	require.ElementsMatch(t, [][]transport.End{{transport.Failed, transport.Failed}, {transport.Broken}}, [][]transport.End{(<-s.desk).Ends, (<-s.desk).Ends})
+	require.ElementsMatch(t, [][]transport.ResultCode{{transport.ResultServerError, transport.ResultServerError}, {transport.ResultClosed}}, [][]transport.ResultCode{(<-s.desk).Codes, (<-s.desk).Codes})
 }
 
 // A second copy of an answer comes while the next call waits for the connection to be proven clean: the call goes on a new
@@ -300,12 +300,12 @@
 		s.send(time.Hour, "b")
 		c := s.accepts()
 		c.Write([]byte(ok))
-		s.ends(transport.Took)
+		s.ends(transport.ResultOK)
 		s.send(time.Hour, "b")
 		c.Write([]byte(ok))
 		c = s.accepts()
 		c.Write([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"))
-		s.ends(transport.TurnedAway)
+		s.ends(transport.ResultOverloaded)
 		s.CloseIdle(s.door)
 	}
 }
@@ -315,24 +315,24 @@
 	s := newSceneBy(t, Terms{Connect: time.Minute, KeepIdle: time.Minute, Proof: time.Hour}, nil)
 	s.send(time.Hour, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(transport.Took)
-	require.Equal(t, 1, s.Idle())
+	s.ends(transport.ResultOK)
+	require.Equal(t, 1, s.IdleConnections())
 	s.send(time.Hour, "b")
-	require.Zero(t, s.Idle(), "it has taken the connection")
-	s.Recall(1)
-	s.ends(transport.Recalled)
+	require.Zero(t, s.IdleConnections(), "it has taken the connection")
+	s.CancelUnsent(1)
+	s.ends(transport.ResultCancelled)
 }
 
 func TestATargetDoesNotInheritTheConnectionsOfOneThatHadItsAddress(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(transport.Took)
+	s.ends(transport.ResultOK)
 	s.door = 2
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
-	s.ends(transport.Took)
-	require.Equal(t, 2, s.Idle())
+	s.ends(transport.ResultOK)
+	require.Equal(t, 2, s.IdleConnections())
 }
 
 func TestTheLimitIsReadFromAReport(t *testing.T) {
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -16,9 +16,9 @@
 )
 
 // results takes the ends of calls.
-type results chan transport.Ended
+type results chan transport.CallResult
 
-func (r results) CallEnded(e transport.Ended) { r <- e }
+func (r results) CallEnded(e transport.CallResult) { r <- e }
 
 const (
 	answer200      = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -47,10 +47,10 @@
 }
 
 // call sends one call and returns the request that came of it.
-func (e *endpoint) call(what string, allow time.Duration, messages ...transport.Paper) *transcript.Request {
+func (e *endpoint) call(what string, allow time.Duration, messages ...transport.Message) *transcript.Request {
 	e.t.Helper()
 	e.script.Note("%s", what)
-	e.client.Send(&transport.Call{Door: 1, Target: e.server.Addr, Papers: messages, Allow: allow})
+	e.client.Send(&transport.Call{EndpointID: 1, Address: e.server.Addr, Messages: messages, Timeout: allow})
 	request := e.server.Next()
 	e.script.Note("on connection %d", request.Connection)
 	return request
@@ -76,18 +76,18 @@
 	e := newEndpoint(t)
 	body := []byte("a body\r\nof any bytes \x00\xff\n")
 	e.answered(e.call("one message with an idempotency key", 1500*time.Millisecond,
-		transport.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
+		transport.Message{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59", Body: body}), answer200)
 	e.answered(e.call("without a key, on the same connection; the time left in whole milliseconds", 1234567*time.Microsecond,
-		transport.Paper{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
-	e.answered(e.call("without a body", time.Hour, transport.Paper{ID: "9b1f03aa5c7e2d43"}), answer200)
+		transport.Message{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
+	e.answered(e.call("without a body", time.Hour, transport.Message{ID: "9b1f03aa5c7e2d43"}), answer200)
 	e.answered(e.call("a batch: with a key, without, without a body", 2*time.Second,
-		transport.Paper{ID: "9b1f03aa5c7e2d44", Mark: "5c0f", Body: body}, transport.Paper{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
-		transport.Paper{ID: "9b1f03aa5c7e2d46"}), answer200)
+		transport.Message{ID: "9b1f03aa5c7e2d44", IdempotencyKey: "5c0f", Body: body}, transport.Message{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
+		transport.Message{ID: "9b1f03aa5c7e2d46"}), answer200)
 	e.answered(e.call("a batch whose ids and keys hold marks of JSON", 2*time.Second,
-		transport.Paper{ID: `a"b\c<d>&e`, Mark: `"\<>&`}, transport.Paper{ID: "f"}), answer200)
+		transport.Message{ID: `a"b\c<d>&e`, IdempotencyKey: `"\<>&`}, transport.Message{ID: "f"}), answer200)
 	e.answered(e.call("the same message once more, in a call of its own: id and key again", 1500*time.Millisecond,
-		transport.Paper{ID: "9b1f03aa5c7e2d41", Mark: "5c0f6e1a2b3d4c59", Body: body}), answer200)
-	large := e.call("the largest body, after its head", time.Minute, transport.Paper{ID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4096)})
+		transport.Message{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59", Body: body}), answer200)
+	large := e.call("the largest body, after its head", time.Minute, transport.Message{ID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4096)})
 	head, rest, _ := bytes.Cut(large.Raw, []byte("\r\n\r\n"))
 	require.Len(t, rest, 64<<10)
 	e.script.Note("%x is the body's SHA-256", sha256.Sum256(rest))
@@ -98,7 +98,7 @@
 
 func TestConnectionsToAnEndpointAreReusedAndClosed(t *testing.T) {
 	e := newEndpoint(t)
-	message := transport.Paper{ID: "a", Body: []byte("b")}
+	message := transport.Message{ID: "a", Body: []byte("b")}
 	e.answered(e.call("a first call", time.Minute, message), answer200)
 	last := e.call("a second on the same connection; the answer says that it closes", time.Minute, message)
 	e.answered(last, answer200Close)
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -84,7 +84,7 @@
 
 // Answer is what a caller gets.
 type Answer struct {
-	End  transport.End
+	End  transport.ResultCode
 	Wait float64
 	Most float64
 	Left float64 // the share of the limit that is left, as choice.AttemptResult has it
@@ -173,11 +173,11 @@
 	t.down++
 	for _, c := range t.line {
 		c.queued = false
-		c.end(Answer{End: transport.Broken})
+		c.end(Answer{End: transport.ResultClosed})
 	}
 	t.line = nil
 	for _, c := range t.working { // runs on, and nobody hears of it
-		c.end(Answer{End: transport.Broken})
+		c.end(Answer{End: transport.ResultClosed})
 	}
 	t.met = met{}
 }
@@ -362,7 +362,7 @@
 	case silent:
 		return // as if it had never come
 	case refused:
-		c.end(Answer{End: transport.Broken})
+		c.end(Answer{End: transport.ResultClosed})
 		return
 	}
 	if fell, wise := t.pushed(c.From); fell {
@@ -373,11 +373,11 @@
 				d.clock.After(d.Terms.FallFor, o.Rise)
 			}
 		}
-		c.end(Answer{End: transport.Broken})
+		c.end(Answer{End: transport.ResultClosed})
 		return
 	}
 	if t.Trouble.Draining || t.Trouble.Left {
-		c.end(Answer{End: transport.TurnedAway})
+		c.end(Answer{End: transport.ResultOverloaded})
 		return
 	}
 	l := &d.limit
@@ -385,9 +385,9 @@
 		l = &t.limit
 	}
 	if wait, full := l.take(&d.Terms, t.Trouble.Cut, now); full {
-		a := Answer{End: transport.TurnedAway}
+		a := Answer{End: transport.ResultOverloaded}
 		if d.Terms.Tells {
-			a = Answer{End: transport.Waiting, Wait: wait}
+			a = Answer{End: transport.ResultRetryAfter, Wait: wait}
 			d.record.Told(d.Number, t.Number, c.From, wait)
 		}
 		c.end(t.reports(a))
@@ -401,7 +401,7 @@
 		c.queued = true
 		t.line = append(t.line, c)
 	default:
-		c.end(t.reports(Answer{End: transport.TurnedAway}))
+		c.end(t.reports(Answer{End: transport.ResultOverloaded}))
 	}
 }
 
@@ -480,8 +480,8 @@
 }
 
 // fate draws what troubles do to a call.
-func (t *Target) fate(c *Call) (end transport.End, runs, lost bool) {
-	end, runs = transport.Took, true
+func (t *Target) fate(c *Call) (end transport.ResultCode, runs, lost bool) {
+	end, runs = transport.ResultOK, true
 	r := &t.Trouble
 	if r.Err+r.Reset+r.Lose+r.Spoil == 0 || r.Odd && c.From%2 == 0 {
 		return end, runs, false
@@ -491,13 +491,13 @@
 	}
 	switch x := t.Dest.dice.Float64(); {
 	case x < r.Err:
-		return transport.Failed, x < r.Err/2, false
+		return transport.ResultServerError, x < r.Err/2, false
 	case x < r.Err+r.Reset:
-		return transport.Broken, x < r.Err+r.Reset/2, false
+		return transport.ResultClosed, x < r.Err+r.Reset/2, false
 	case x < r.Err+r.Reset+r.Lose:
 		return end, runs, true
 	case x < r.Err+r.Reset+r.Lose+r.Spoil:
-		return transport.Garbled, runs, false
+		return transport.ResultMalformed, runs, false
 	}
 	return end, runs, false
 }
--- a/lab/receiver/partner_test.go
+++ b/lab/receiver/partner_test.go
@@ -36,8 +36,8 @@
 func (n *notes) Back(int, int)                  {}
 
 // feed sends calls by a rate and returns how each ended.
-func feed(terms receiver.Terms, rate float64, calls int, even bool) (*notes, map[transport.End]int) {
-	q, n, ends := &clock.Queue{}, &notes{}, map[transport.End]int{}
+func feed(terms receiver.Terms, rate float64, calls int, even bool) (*notes, map[transport.ResultCode]int) {
+	q, n, ends := &clock.Queue{}, &notes{}, map[transport.ResultCode]int{}
 	dice := rand.New(rand.NewPCG(1, 2))
 	d := receiver.New(0, terms, 1, 1, q, dice, n)
 	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
@@ -93,17 +93,17 @@
 		a      float64
 	}{{1, 0.5}, {4, 3}, {10, 9}} {
 		_, ends := feed(receiver.Terms{Service: receiver.Dist{Form: "exponential", Mean: 0.1}, Places: c.places}, c.a/0.1, 400_000, false)
-		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.TurnedAway])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
+		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
 	}
 }
 
 func TestALimitLetsInExactlyWhatItSays(t *testing.T) {
 	quick := receiver.Dist{Form: "fixed", Mean: 0.001}
 	_, ends := feed(receiver.Terms{Service: quick, Places: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
-	require.InDelta(t, 5+10*10, ends[transport.Took], 1, "what it saved up and ten a second")
+	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
 	n, ends := feed(receiver.Terms{Service: quick, Places: 100, Count: 7, Span: 2, Tells: true}, 100, 1000, true)
-	require.Equal(t, 7*5, ends[transport.Took], "seven in any two seconds")
-	require.Equal(t, 1000-35, ends[transport.Waiting])
+	require.Equal(t, 7*5, ends[transport.ResultOK], "seven in any two seconds")
+	require.Equal(t, 1000-35, ends[transport.ResultRetryAfter])
 	for i := range n.all[7:] {
 		require.GreaterOrEqual(t, n.all[i+7].Came-n.all[i].Came, 2-1e-6)
 	}
@@ -163,13 +163,13 @@
 	q, n := &clock.Queue{}, &notes{}
 	d := receiver.New(0, receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Places: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	target := d.Targets[0]
-	var ends []transport.End
+	var ends []transport.ResultCode
 	call := func() *receiver.Call {
 		c := &receiver.Call{Docs: []receiver.Doc{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.End) }}
 		target.Take(c)
 		return c
 	}
-	run := func() []transport.End {
+	run := func() []transport.ResultCode {
 		ends = nil
 		for q.Step(math.Inf(1)) {
 		}
@@ -182,7 +182,7 @@
 	require.Empty(t, run())
 	waiting.Cancel() // waits in line: never runs
 	target.Resume()
-	require.Equal(t, []transport.End{transport.Took, transport.Took}, run())
+	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
 	require.Equal(t, 2, n.runs)
 	target.Trouble.Silent = 1
 	call()
@@ -194,15 +194,15 @@
 	target.Trouble = receiver.Trouble{Err: 1, Every: 2}
 	call()
 	call()
-	require.ElementsMatch(t, []transport.End{transport.Took, transport.Failed}, run())
+	require.ElementsMatch(t, []transport.ResultCode{transport.ResultOK, transport.ResultServerError}, run())
 	target.Trouble, ends = receiver.Trouble{Draining: true}, nil
 	call()
-	require.Equal(t, []transport.End{transport.TurnedAway}, ends)
+	require.Equal(t, []transport.ResultCode{transport.ResultOverloaded}, ends)
 	target.Trouble = receiver.Trouble{}
 	call()
 	ends = nil
 	target.Down()
-	require.Equal(t, []transport.End{transport.Broken}, ends, "what it works on breaks")
+	require.Equal(t, []transport.ResultCode{transport.ResultClosed}, ends, "what it works on breaks")
 	refused, _ := target.Up()
 	require.True(t, refused)
 }
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -229,7 +229,7 @@
 	c.done = true
 	n.out = slices.DeleteFunc(n.out, func(o *call) bool { return o == c })
 	switch a.End {
-	case transport.Took, transport.Failed, transport.Waiting, transport.TurnedAway:
+	case transport.ResultOK, transport.ResultServerError, transport.ResultRetryAfter, transport.ResultOverloaded:
 		c.to.idle = append(c.to.idle, d.Now())
 	}
 	out, over := a.End.Outcome()
@@ -239,7 +239,7 @@
 	n.policy.SetTime(d.Now())
 	for _, h := range c.docs {
 		d.result.Ends[a.End.String()]++
-		if a.End.Ran() && h.past.FirstRanAt == 0 {
+		if a.End.MayHaveRun() && h.past.FirstRanAt == 0 {
 			h.past.FirstRanAt, h.past.Zone = h.out, h.outTo
 		}
 		h.out = 0
@@ -289,11 +289,11 @@
 		return
 	case silent && fresh:
 		d.After(min(c.allow, float64(d.scene.Dispatch.Connect)), func() {
-			n.do(func() { n.ended(c, receiver.Answer{End: transport.NeverUp}) })
+			n.do(func() { n.ended(c, receiver.Answer{End: transport.ResultConnectTimeout}) })
 		})
 		return
 	case refused:
-		d.After(2*rest, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.Refused}) }) })
+		d.After(2*rest, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.ResultConnectRefused}) }) })
 		return
 	}
 	d.After(way, func() {
@@ -318,7 +318,7 @@
 }
 
 // told tells that an end says what became of the document.
-func told(e transport.End) bool {
+func told(e transport.ResultCode) bool {
 	out, _ := e.Outcome()
 	return out != scheduler.Reset && out != scheduler.TimedOut
 }
@@ -341,9 +341,9 @@
 		return
 	}
 	c.cut()
-	end := transport.GivenUp
+	end := transport.ResultTimeout
 	if !c.arrived {
-		end = transport.GivenUpEarly
+		end = transport.ResultTimeoutBeforeSent
 	}
 	c.node.ended(c, receiver.Answer{End: end})
 }
@@ -414,7 +414,7 @@
 	for _, c := range n.out {
 		if c.to.module == to && !c.arrived && !c.done {
 			c.back = true // its way ends here
-			n.day.After(0, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.Recalled}) }) })
+			n.day.After(0, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.ResultCancelled}) }) })
 		}
 	}
 }
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -148,10 +148,10 @@
 	d.mu.Lock()
 	d.closed(call, told(a.End))
 	d.result.Ends[a.End.String()] += len(call.Docs)
-	if a.End != transport.Took {
+	if a.End != transport.ResultOK {
 		ep.target.Learned(call.From)
 	}
-	if a.End == transport.Took {
+	if a.End == transport.ResultOK {
 		for _, doc := range call.Docs {
 			if d.effects[doc.ID] != nil && !d.log.Answered(doc.ID) { // a notice may have crossed it, which does no harm
 				d.log.Final(doc.ID, "delivered")
@@ -164,7 +164,7 @@
 		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.Left), max(0, a.Most)))
 	}
 	switch a.End {
-	case transport.Took:
+	case transport.ResultOK:
 		if len(ids) > 1 {
 			var b strings.Builder
 			for i, id := range ids {
@@ -174,14 +174,14 @@
 			return
 		}
 		w.WriteHeader(http.StatusOK)
-	case transport.Waiting:
+	case transport.ResultRetryAfter:
 		w.Header().Set("Retry-After", strconv.FormatFloat(a.Wait, 'f', 3, 64))
 		w.WriteHeader(http.StatusTooManyRequests)
-	case transport.TurnedAway:
+	case transport.ResultOverloaded:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case transport.Failed:
+	case transport.ResultServerError:
 		w.WriteHeader(http.StatusInternalServerError)
-	case transport.Garbled:
+	case transport.ResultMalformed:
 		if c, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			io.WriteString(c, "HTP/1.1 2oo what\r\n\r\n")
 			c.Close()
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -230,7 +230,7 @@
 // or the message's type does not keep the order of keys.
 func (d *Message) NextOfKey() *Message { return d.chainNext }
 
-// Waiting tells that a message waits for a call: it may be taken back by Withdraw without a trace.
+// ResultRetryAfter tells that a message waits for a call: it may be taken back by Withdraw without a trace.
 func (d *Message) Waiting() bool { return d.queued }
 
 // Dark tells that no target of a destination answers.
--- a/transport/end_test.go
+++ b/transport/end_test.go
@@ -13,15 +13,15 @@
 		outcome   scheduler.Outcome
 		over, ran bool
 	}
-	for end, want := range map[End]meaning{Took: {scheduler.Delivered, true, true}, Failed: {scheduler.ServerError, false, true},
-		Waiting: {scheduler.Overloaded, false, false}, TurnedAway: {scheduler.Overloaded, false, false}, LineBusy: {scheduler.NotSent, false, false},
-		Spent: {scheduler.NotSent, false, false}, Gone: {scheduler.NotSent, true, false}, Unread: {scheduler.NotSent, false, false},
-		Refused: {scheduler.NoConnection, false, false}, NeverUp: {scheduler.NoConnection, false, false},
-		BrokenEarly: {scheduler.NoConnection, false, false}, GivenUpEarly: {scheduler.NoConnection, false, false},
-		Broken: {scheduler.Reset, false, true}, Garbled: {scheduler.ServerError, false, true}, GivenUp: {scheduler.TimedOut, false, true},
-		Unsent: {scheduler.NotSent, false, false}, Recalled: {scheduler.NotSent, false, false}} {
+	for end, want := range map[ResultCode]meaning{ResultOK: {scheduler.Delivered, true, true}, ResultServerError: {scheduler.ServerError, false, true},
+		ResultRetryAfter: {scheduler.Overloaded, false, false}, ResultOverloaded: {scheduler.Overloaded, false, false}, ResultNoSlot: {scheduler.NotSent, false, false},
+		ResultAttemptsExhausted: {scheduler.NotSent, false, false}, ResultGone: {scheduler.NotSent, true, false}, ResultBadRequest: {scheduler.NotSent, false, false},
+		ResultConnectRefused: {scheduler.NoConnection, false, false}, ResultConnectTimeout: {scheduler.NoConnection, false, false},
+		ResultClosedBeforeSent: {scheduler.NoConnection, false, false}, ResultTimeoutBeforeSent: {scheduler.NoConnection, false, false},
+		ResultClosed: {scheduler.Reset, false, true}, ResultMalformed: {scheduler.ServerError, false, true}, ResultTimeout: {scheduler.TimedOut, false, true},
+		ResultNotStarted: {scheduler.NotSent, false, false}, ResultCancelled: {scheduler.NotSent, false, false}} {
 		outcome, over := end.Outcome()
-		require.Equal(t, want, meaning{outcome, over, end.Ran()}, end.String())
+		require.Equal(t, want, meaning{outcome, over, end.MayHaveRun()}, end.String())
 	}
-	require.Len(t, names, int(Recalled)+1)
+	require.Len(t, resultNames, int(ResultCancelled)+1)
 }
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -6,12 +6,12 @@
 
 import "time"
 
-// Paper is a document as it travels. Its parts are not copied; they must last until the call has ended.
-type Paper struct {
-	Door uint64 // the owner's number
-	ID   string
-	Mark string // by which a repeat is known
-	Body []byte
+// Message is a document as it travels. Its parts are not copied; they must last until the call has ended.
+type Message struct {
+	MessageID      uint64 // the owner's number
+	ID             string
+	IdempotencyKey string // by which a repeat is known
+	Body           []byte
 }
 
 // Handed is a document handed in. It holds a copy of what was read: it outlives the front's buffer.
@@ -123,34 +123,34 @@
 
 // Call is one call to a target with one paper or several.
 type Call struct {
-	Door   uint64 // the owner's number of the target: connections are its own, also where another had its address
-	Target string // its address
-	Papers []Paper
-	Allow  time.Duration
+	EndpointID uint64 // the owner's number of the target: connections are its own, also where another had its address
+	Address    string // its address
+	Messages   []Message
+	Timeout    time.Duration
 }
 
 // AttemptEnded is the news of a call's end, one end for each paper.
-type Ended struct {
-	Call *Call
-	Ends []End
-	Took time.Duration
-	Wait float64 // seconds to stay away; 0 if not told
-	Most float64 // the reported limit in calls a second; 0 if nothing is told of it, under 0 if there is none
-	Left float64 // the reported share of the limit that is left; 0 if nothing is told of it, under 0 if none is
-	Why  string  // for the log: what could not be read, or why a connection failed
+type CallResult struct {
+	Call          *Call
+	Codes         []ResultCode
+	Latency       time.Duration
+	RetryAfter    float64 // seconds to stay away; 0 if not told
+	ReportedLimit float64 // the reported limit in calls a second; 0 if nothing is told of it, under 0 if there is none
+	ReportedShare float64 // the reported share of the limit that is left; 0 if nothing is told of it, under 0 if none is
+	Reason        string  // for the log: what could not be read, or why a connection failed
 }
 
-// Counter is where an outlet leaves the ends of calls. It never blocks.
-type Counter interface {
-	CallEnded(Ended)
+// ResultListener is where an outlet leaves the ends of calls. It never blocks.
+type ResultListener interface {
+	CallEnded(CallResult)
 }
 
-// Outlet carries out calls.
-type Outlet interface {
+// Upstream carries out calls.
+type Upstream interface {
 	Send(*Call)
-	Recall(target uint64) // ends the calls to a target of which nothing has been sent, as Recalled
+	CancelUnsent(target uint64) // ends the calls to a target of which nothing has been sent, as ResultCancelled
 	CloseIdle(target uint64)
-	Idle() int // connections without a call
+	IdleConnections() int // connections without a call
 }
 
 // UpdateEndpoints is what a source says of targets: all of them, or changes.
@@ -212,7 +212,7 @@
 // Meter counts what a forwarder does. Its methods are called by the owner and must not block.
 type Meter interface {
 	Asked(front string, word Word)              // a document's answer at the door
-	End(end End, took time.Duration)            // a transmission
+	End(end ResultCode, took time.Duration)     // a transmission
 	Final(outcome Outcome, after time.Duration) // a final answer, so long after the document was handed in
 	Turn(news int, took time.Duration)          // a turn of the owner
 	Addr() string                               // where the figures are served
