--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -73,9 +73,9 @@
 	clients := 0
 	for _, l := range o.fronts {
 		if clients += l.Clients(); on {
-			l.Leave()
+			l.Drain()
 		} else {
-			l.Stay()
+			l.Undrain()
 		}
 	}
 	o.log.Info().Bool("lameduck", on).Int("clients", clients).Int("held", len(o.docs)).Msg("lameduck")
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -53,13 +53,13 @@
 // finish records and tells the final answer of a document whose last transmission gave it.
 func (o *owner) finish(p *paper, outcome scheduler.Outcome) {
 	o.recordDone(p)
-	final := transport.Abandoned
+	final := transport.Failed
 	if outcome == scheduler.Delivered {
 		final = transport.Delivered
 		o.counts.delivered++
 	}
 	o.final(p, final)
 	if p.holder != nil && !p.withdrawn {
-		p.holder.Tell(transport.Final{Door: p.MessageID, ID: p.ID, Outcome: final})
+		p.holder.Complete(transport.FinalAnswer{MessageID: p.MessageID, ID: p.ID, Outcome: final})
 	}
 }
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -276,7 +276,7 @@
 		return transport.Reply{}, false
 	}
 	now := time.Now()
-	m := o.messageOf(e, a.Paper.Came)
+	m := o.messageOf(e, a.Submission.ReceivedAt)
 	if o.keyElsewhere(e) { // in memory, or in the store of its own lane, it could go first
 		return o.refuseForBacklog(o.stored.policy.Refuse(policy.KeyBound, int64(m.Size()), now)), true
 	}
@@ -296,10 +296,10 @@
 	}
 	o.counts.taken++
 	o.stored.counts.stored++
-	if !a.From.Answer(transport.Reply{Word: transport.Taken}) { // not heard: its caller hands it in again under another id
+	if !a.From.Answer(transport.Reply{Status: transport.StatusAccepted}) { // not heard: its caller hands it in again under another id
 		o.unstore(m)
 	}
-	return transport.Reply{Word: transport.Taken}, true
+	return transport.Reply{Status: transport.StatusAccepted}, true
 }
 
 // store stores a new message, or tells that the disk has no room for it.
@@ -333,7 +333,7 @@
 		o.log.Warn().Stringer("bound", d.Bound).Int("messages", messages).Int64("bytes", bytes).Msg("backlog refused")
 	}
 	wait := min(d.RetryAfter.Seconds(), o.order.Terms.MaxRetryAfter)
-	return transport.Reply{Word: transport.Busy, Wait: min(int(wait*1000), refuseMost)}
+	return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(wait*1000), refuseMost)}
 }
 
 // logBacklogError logs that the store cannot be read or written.
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -57,7 +57,7 @@
 	toldNotices string // where notices go, if not to discovery
 }
 
-// Tell says what the order's text has as discovery, whatever its variables say, and where notices go if not there.
+// Complete says what the order's text has as discovery, whatever its variables say, and where notices go if not there.
 func (o *Order) Tell(discovery, notices string) { o.told, o.toldNotices = discovery, notices }
 
 // Notices is where final answers go that no caller waits for; empty: into the log alone.
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -47,27 +47,27 @@
 	for _, by := range o.outlets {
 		idle += by.IdleConnections()
 	}
-	e := tally(o.counts.write(o.log.Info()).Int("held", len(o.docs)), o.fronts[0].Tally())
+	e := tally(o.counts.write(o.log.Info()).Int("held", len(o.docs)), o.fronts[0].Stats())
 	if o.stored != nil {
 		e = o.stored.counts.write(e).Int("backlog", o.stored.store.Messages())
 	}
 	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).Int("idle_lines", idle).
 		Int64("disk", o.ledger.Used()).Msg("counts")
 	for _, l := range o.fronts[1:] {
-		tally(o.log.Info().Str("front", l.terms.Name), l.Tally()).Msg("counts of a front")
+		tally(o.log.Info().Str("front", l.terms.Name), l.Stats()).Msg("counts of a front")
 	}
 }
 
-func tally(e *zerolog.Event, c transport.Tally) *zerolog.Event {
-	return e.Int("clients", c.Now).Int("most_clients", c.Most).
-		Int("clients_came", c.Came).Int("clients_turned_away", c.Turned).Ints("clients_closed_for_room", c.ForRoom[:]).
-		Int("clients_silent", c.Silent).Int("clients_quiet", c.Quiet).Int("clients_stuck", c.Stuck)
+func tally(e *zerolog.Event, c transport.ConnectionStats) *zerolog.Event {
+	return e.Int("clients", c.Open).Int("most_clients", c.Peak).
+		Int("clients_came", c.Accepted).Int("clients_turned_away", c.Refused).Ints("clients_closed_for_room", c.Evicted[:]).
+		Int("clients_silent", c.NeverSent).Int("clients_quiet", c.Idle).Int("clients_stuck", c.Incomplete)
 }
 
 // noMeter counts nothing.
 type noMeter struct{}
 
-func (noMeter) Asked(string, transport.Word)            {}
+func (noMeter) Asked(string, transport.Status)          {}
 func (noMeter) End(transport.ResultCode, time.Duration) {}
 func (noMeter) Final(transport.Outcome, time.Duration)  {}
 func (noMeter) Turn(int, time.Duration)                 {}
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -44,7 +44,7 @@
 
 // asked is what a front's caller wants, with the front's name.
 type asked struct {
-	transport.Asked
+	transport.Request
 	front *gate
 }
 
@@ -168,14 +168,14 @@
 }
 
 func size(a *asked) int {
-	if a.Paper == nil {
+	if a.Submission == nil {
 		return 0
 	}
-	return len(a.Paper.Body)
+	return len(a.Submission.Body)
 }
 
-// Ask is what a caller wants. It waits while too much of its front lies here.
-func (g *gate) Ask(a transport.Asked) {
+// Submit is what a caller wants. It waits while too much of its front lies here.
+func (g *gate) Submit(a transport.Request) {
 	x := g.x
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/forwarder/exchange_test.go
+++ b/forwarder/exchange_test.go
@@ -14,20 +14,20 @@
 	x := newExchange()
 	flood, other := x.gate("flood", "flood", 1000, 1<<20), x.gate("other", "other", 10, 100)
 	for range 1000 {
-		flood.Ask(transport.Asked{Alive: true})
+		flood.Submit(transport.Request{Ping: true})
 	}
 	held := make(chan struct{})
 	go func() {
-		flood.Ask(transport.Asked{Why: "the last"})
+		flood.Submit(transport.Request{Malformed: "the last"})
 		close(held)
 	}()
-	other.Ask(transport.Asked{Paper: &transport.Handed{Body: make([]byte, 100)}}) // its bytes are full with it
+	other.Submit(transport.Request{Submission: &transport.Submission{Body: make([]byte, 100)}}) // its bytes are full with it
 	x.CallEnded(transport.CallResult{})
 	news, _ := x.take()
 	require.Len(t, news, 1+turnShare+1, "an end, a share of the flood, all of the other")
 	require.Same(t, other, news[len(news)-1].(*asked).front)
 	<-held // there is room again
-	other.Ask(transport.Asked{Alive: true})
+	other.Submit(transport.Request{Ping: true})
 	other.Withdraw("x")
 	n := 0
 	for n < 1000-turnShare+1 {
@@ -40,16 +40,16 @@
 		}
 	}
 	last := news[len(news)-1].(*asked)
-	require.Equal(t, "the last", last.Why)
+	require.Equal(t, "the last", last.Malformed)
 }
 
 func TestAFrontThatHasEndedIsHeldUpByNothing(t *testing.T) {
 	x := newExchange()
 	g := x.gate("a", "a", 1, 0)
-	g.Ask(transport.Asked{Alive: true})
+	g.Submit(transport.Request{Ping: true})
 	ended := make(chan struct{})
 	go func() {
-		g.Ask(transport.Asked{Alive: true})
+		g.Submit(transport.Request{Ping: true})
 		close(ended)
 	}()
 	x.shutGate(g)
@@ -60,7 +60,7 @@
 	require.Equal(t, []int{mostWaiting, waitingBytes}, []int{g.most, g.mostBytes})
 	x.close()
 	for range mostWaiting + 1 { // nobody takes news any more
-		g.Ask(transport.Asked{Alive: true})
+		g.Submit(transport.Request{Ping: true})
 	}
 }
 
@@ -131,7 +131,7 @@
 	for _, g := range []*gate{few, small} {
 		go func() {
 			for range each {
-				g.Ask(transport.Asked{Paper: &transport.Handed{Body: make([]byte, 60)}})
+				g.Submit(transport.Request{Submission: &transport.Submission{Body: make([]byte, 60)}})
 			}
 		}()
 	}
--- a/forwarder/figures.go
+++ b/forwarder/figures.go
@@ -23,7 +23,7 @@
 	switch outcome {
 	case transport.Delivered:
 		o.figures.count(&o.figures.fulfilled, p.typ)
-	case transport.Returned:
+	case transport.Rejected:
 		o.figures.count(&o.figures.throttled, p.typ)
 	default:
 		o.figures.count(&o.figures.faulted, p.typ)
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -66,9 +66,9 @@
 	if err := o.ledger.Answer(p.MessageID, a, after); err != nil {
 		o.logLedgerError(err)
 	}
-	outcome := transport.Abandoned
+	outcome := transport.Failed
 	if a == wal.Returned {
-		outcome = transport.Returned
+		outcome = transport.Rejected
 	}
 	o.final(p, outcome)
 	o.leftMemory(p) // its notice may stay unheard for long
@@ -78,14 +78,14 @@
 // tell takes a final answer to whom it is for: to the caller that waits for it, or else to the teller. Where there is
 // neither it stands in the log.
 func (o *owner) tell(p *paper, outcome transport.Outcome, after int) {
-	f := transport.Final{Door: p.MessageID, ID: p.ID, Outcome: outcome, AfterMs: after}
+	f := transport.FinalAnswer{MessageID: p.MessageID, ID: p.ID, Outcome: outcome, RetryAfterMs: after}
 	if p.traced {
 		o.log.Info().Str("id", p.ID).Stringer("outcome", outcome).Int("after_ms", after).Msg("trace: final answer")
 	}
 	o.noLongerUntried(p, false)
 	switch {
 	case p.holder != nil:
-		p.holder.Tell(f)
+		p.holder.Complete(f)
 		o.exchange.Told([]uint64{p.MessageID})
 	case o.teller != nil:
 		o.teller.Notify(f)
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -22,13 +22,15 @@
 	late *caller
 }
 
-func (c *closing) Halt() { c.late = c.hand(transport.Handed{ID: "late", Type: "status", Dest: 7}) }
+func (c *closing) StopReading() {
+	c.late = c.hand(transport.Submission{ID: "late", Type: "status", Destination: 7})
+}
 
 func TestWhatWasReadBehindTheLastTurnIsAnswered(t *testing.T) {
 	h := newHouse(t)
 	inner := h.order.Protocols["memory"]
 	var front *closing
-	h.order.Protocols["memory"] = func(f forwarder.Front, most int, desk transport.Desk) (transport.Front, error) {
+	h.order.Protocols["memory"] = func(f forwarder.Front, most int, desk transport.Submitter) (transport.Frontend, error) {
 		m, err := inner(f, most, desk)
 		front = &closing{memory: m.(*memory)}
 		return front, err
@@ -37,7 +39,7 @@
 	h.stop()
 	select {
 	case r := <-front.late.door:
-		require.Equal(t, transport.Taken, r.Word)
+		require.Equal(t, transport.StatusAccepted, r.Status)
 	default:
 		t.Fatal("a command was read and never answered")
 	}
@@ -68,16 +70,16 @@
 		require.NoError(t, err)
 		h.order.Static, h.order.Discovery = nil, silent.Addr // it never tells its list
 		h.start()
-		c := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 99})
-		require.Equal(t, transport.Reply{Word: transport.Busy, Wait: want}, <-c.door)
+		c := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 99})
+		require.Equal(t, transport.Reply{Status: transport.StatusOverloaded, RetryAfter: want}, <-c.door)
 		h.stop()
 	}
 }
 
 func TestWhatWasLearntOutlastsAKill(t *testing.T) {
 	h := newHouse(t).start()
-	c := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 7})
-	require.Equal(t, transport.Taken, (<-c.door).Word)
+	c := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 7})
+	require.Equal(t, transport.StatusAccepted, (<-c.door).Status)
 	h.hands.end(<-h.hands.calls, transport.ResultOK)
 	require.Equal(t, transport.Delivered, (<-c.final).Outcome)
 	require.Eventually(t, func() bool { // the process does not end: a kill would find it so
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -16,8 +16,8 @@
 	doc       *scheduler.Message
 	typ       int
 	lane      backlog.Lane
-	inLane    *list.Element    // nil while no backlog store is used
-	holder    transport.Holder // whom the final answer is for; nil: the teller
+	inLane    *list.Element           // nil while no backlog store is used
+	holder    transport.WaitingCaller // whom the final answer is for; nil: the teller
 	came      time.Time
 	traced    bool
 	untried   bool // an earlier process took it on, and no call has begun yet
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -42,9 +42,9 @@
 	case e.Held: // its caller's connection died with that process: told to nobody
 		o.counts.withdrawn++
 	case e.Answer == wal.Returned:
-		o.tell(p, transport.Returned, e.After)
+		o.tell(p, transport.Rejected, e.After)
 	case e.Answer == wal.Abandoned:
-		o.tell(p, transport.Abandoned, 0)
+		o.tell(p, transport.Failed, 0)
 	}
 	left := float64(e.Expiry)/1e6 - o.clock(now)
 	if overtaking && !past.Answered && !past.CallerGone {
--- a/forwarder/reread.go
+++ b/forwarder/reread.go
@@ -201,8 +201,8 @@
 		return err
 	}
 	for _, l := range leave {
-		l.Shut()
-		l.Leave()
+		l.StopAccepting()
+		l.Drain()
 	}
 	o.fronts, o.leaving = append(stay, opened...), append(o.leaving, leave...)
 	return nil
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -66,7 +66,7 @@
 		case <-s.coming:
 			s.coming = nil
 			for _, l := range o.fronts {
-				l.Leave()
+				l.Drain()
 			}
 			s.look = time.Tick(lookEvery)
 		case <-s.look: // if the clients have gone
@@ -125,8 +125,8 @@
 		// who accepts for as short a time as can be: the successor starts once the folder is free.
 		s.shut = true
 		for _, l := range o.fronts {
-			l.Shut()
-			l.Leave()
+			l.StopAccepting()
+			l.Drain()
 		}
 		return false
 	}
@@ -138,7 +138,7 @@
 func (o *owner) last() {
 	o.exchange.close() // a front that waits for room does not, so that it can be halted
 	for _, l := range append(slices.Clone(o.fronts), o.leaving...) {
-		l.Halt()
+		l.StopReading()
 	}
 	o.exchange.leave(stopping(0))
 	for again := true; again; again = o.exchange.asked() {
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -27,34 +27,34 @@
 
 // memory is a front without sockets.
 type memory struct {
-	desk transport.Desk
+	desk transport.Submitter
 	name string
 }
 
-func (m *memory) Addr() string           { return "memory" }
-func (m *memory) Tally() transport.Tally { return transport.Tally{} }
-func (m *memory) Clients() int           { return 0 }
-func (m *memory) Leave()                 {}
-func (m *memory) Stay()                  {}
-func (m *memory) Shut()                  {}
-func (m *memory) Halt()                  {}
-func (m *memory) Stop()                  {}
+func (m *memory) Addr() string                     { return "memory" }
+func (m *memory) Stats() transport.ConnectionStats { return transport.ConnectionStats{} }
+func (m *memory) Clients() int                     { return 0 }
+func (m *memory) Drain()                           {}
+func (m *memory) Undrain()                         {}
+func (m *memory) StopAccepting()                   {}
+func (m *memory) StopReading()                     {}
+func (m *memory) Stop()                            {}
 
 // caller waits for its final answer.
 type caller struct {
 	door  chan transport.Reply
-	final chan transport.Final
+	final chan transport.FinalAnswer
 	gone  atomic.Bool
 }
 
-func (c *caller) Gone() bool                    { return c.gone.Load() }
-func (c *caller) Answer(r transport.Reply) bool { c.door <- r; return true }
-func (c *caller) Tell(f transport.Final)        { c.final <- f }
+func (c *caller) Disconnected() bool               { return c.gone.Load() }
+func (c *caller) Answer(r transport.Reply) bool    { c.door <- r; return true }
+func (c *caller) Complete(f transport.FinalAnswer) { c.final <- f }
 
-func (m *memory) hand(h transport.Handed) *caller {
-	c := &caller{door: make(chan transport.Reply, 1), final: make(chan transport.Final, 1)}
-	h.Came, h.Left = time.Now(), 10
-	m.desk.Ask(transport.Asked{From: c, Paper: &h})
+func (m *memory) hand(h transport.Submission) *caller {
+	c := &caller{door: make(chan transport.Reply, 1), final: make(chan transport.FinalAnswer, 1)}
+	h.ReceivedAt, h.SecondsLeft = time.Now(), 10
+	m.desk.Submit(transport.Request{From: c, Submission: &h})
 	return c
 }
 
@@ -99,7 +99,7 @@
 		Names:      settings.Names{Types: []string{"status", "payment"}, Kinds: []string{"k"}, Zones: []string{""}, Connect: 1},
 		Outlets:    []forwarder.Outlet{{Name: "by-hand", Protocol: "hands"}},
 		KindOutlet: map[string]string{"k": "by-hand"},
-		Protocols: map[string]forwarder.Protocol{"memory": func(f forwarder.Front, _ int, desk transport.Desk) (transport.Front, error) {
+		Protocols: map[string]forwarder.Protocol{"memory": func(f forwarder.Front, _ int, desk transport.Submitter) (transport.Frontend, error) {
 			h.fronts[f.Name] = &memory{desk, f.Name}
 			return h.fronts[f.Name], nil
 		}},
@@ -140,17 +140,17 @@
 
 func TestACallerThatWaitsIsToldTheFinalAnswerOnce(t *testing.T) {
 	h := newHouse(t).start()
-	c := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 7, Body: []byte("b")})
-	require.Equal(t, transport.Reply{Word: transport.Taken}, <-c.door)
+	c := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 7, Body: []byte("b")})
+	require.Equal(t, transport.Reply{Status: transport.StatusAccepted}, <-c.door)
 	h.hands.end(<-h.hands.calls, transport.ResultOK)
 	f := <-c.final
 	require.Equal(t, []any{"a", transport.Delivered}, []any{f.ID, f.Outcome})
-	c = h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7})
+	c = h.fronts["inner"].hand(transport.Submission{ID: "b", Type: "payment", Key: 5, Destination: 7})
 	<-c.door
 	h.hands.end(<-h.hands.calls, transport.ResultClosed) // may have run, and must not run twice
-	require.Equal(t, transport.Abandoned, (<-c.final).Outcome)
-	c = h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "payment", Dest: 7})
-	require.Equal(t, transport.Declined, (<-c.door).Word, "an id that was taken on")
+	require.Equal(t, transport.Failed, (<-c.final).Outcome)
+	c = h.fronts["inner"].hand(transport.Submission{ID: "b", Type: "payment", Destination: 7})
+	require.Equal(t, transport.StatusInvalid, (<-c.door).Status, "an id that was taken on")
 	h.stop()
 	v, err := wal.Look(h.order.Folder)
 	require.NoError(t, err)
@@ -160,9 +160,9 @@
 func TestWhatAnAbandonedCallHandedInIsNotTransmitted(t *testing.T) {
 	h := newHouse(t).start()
 	in := h.fronts["inner"]
-	first := in.hand(transport.Handed{ID: "a", Type: "payment", Key: 5, Dest: 7})
-	second := in.hand(transport.Handed{ID: "b", Type: "payment", Key: 5, Dest: 7}) // waits for the first
-	third := in.hand(transport.Handed{ID: "c", Type: "payment", Key: 5, Dest: 7})
+	first := in.hand(transport.Submission{ID: "a", Type: "payment", Key: 5, Destination: 7})
+	second := in.hand(transport.Submission{ID: "b", Type: "payment", Key: 5, Destination: 7}) // waits for the first
+	third := in.hand(transport.Submission{ID: "c", Type: "payment", Key: 5, Destination: 7})
 	<-first.door
 	<-second.door
 	<-third.door
@@ -219,7 +219,7 @@
 			case <-end:
 				return
 			default:
-				h.fronts["flood"].desk.Ask(transport.Asked{From: c, Paper: &transport.Handed{ID: fmt.Sprint("f", i), Type: "none", Dest: 7}})
+				h.fronts["flood"].desk.Submit(transport.Request{From: c, Submission: &transport.Submission{ID: fmt.Sprint("f", i), Type: "none", Destination: 7}})
 				asked.Add(1)
 			}
 		}
@@ -238,8 +238,8 @@
 		answer, err := c.Say(emulator.Command("PING"))
 		require.NoError(t, err)
 		require.Equal(t, "+PONG", answer)
-		in := h.fronts["inner"].hand(transport.Handed{ID: fmt.Sprint(i), Type: "status", Dest: 7})
-		require.Equal(t, transport.Taken, (<-in.door).Word)
+		in := h.fronts["inner"].hand(transport.Submission{ID: fmt.Sprint(i), Type: "status", Destination: 7})
+		require.Equal(t, transport.StatusAccepted, (<-in.door).Status)
 		h.hands.end(<-h.hands.calls, transport.ResultOK)
 		<-in.final
 	}
@@ -251,7 +251,7 @@
 // deaf hears no answer.
 type deaf struct{}
 
-func (*deaf) Gone() bool                  { return false }
+func (*deaf) Disconnected() bool          { return false }
 func (*deaf) Answer(transport.Reply) bool { return true }
 
 func free(t *testing.T) string {
@@ -308,15 +308,15 @@
 	next := *h.order
 	h.order.Reread = func() (*forwarder.Order, error) { o := next; return &o, nil }
 	h.start()
-	unknown := h.fronts["inner"].hand(transport.Handed{ID: "a", Type: "status", Dest: 8})
-	require.Equal(t, transport.Declined, (<-unknown.door).Word)
+	unknown := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 8})
+	require.Equal(t, transport.StatusInvalid, (<-unknown.door).Status)
 	next.Static = &transport.List{All: true, Targets: []transport.Target{{UID: "t2", Endpoint: "127.0.0.1:8", Kind: "k", Dest: 8, State: "active"}}}
 	next.MemoryMB = 128
 	h.again <- os.Interrupt
 	text := h.log.Await(t, "order taken up")
 	require.Contains(t, text, `"at_next_start":["limits"]`)
-	c := h.fronts["inner"].hand(transport.Handed{ID: "b", Type: "status", Dest: 8})
-	require.Equal(t, transport.Taken, (<-c.door).Word)
+	c := h.fronts["inner"].hand(transport.Submission{ID: "b", Type: "status", Destination: 8})
+	require.Equal(t, transport.StatusAccepted, (<-c.door).Status)
 	call := <-h.hands.calls
 	require.Equal(t, "127.0.0.1:8", call.Address)
 	h.hands.end(call, transport.ResultOK)
@@ -327,7 +327,7 @@
 	h.order.Log.Keys = []uint64{5}
 	h.start()
 	for i, key := range []uint64{5, 6} {
-		c := h.fronts["inner"].hand(transport.Handed{ID: fmt.Sprint("doc", i), Key: key, Type: "payment", Dest: 7})
+		c := h.fronts["inner"].hand(transport.Submission{ID: fmt.Sprint("doc", i), Key: key, Type: "payment", Destination: 7})
 		<-c.door
 		h.hands.end(<-h.hands.calls, transport.ResultOK)
 		<-c.final
@@ -350,7 +350,7 @@
 	seen []transport.Outcome
 }
 
-func (f *finals) Asked(string, transport.Word)            {}
+func (f *finals) Asked(string, transport.Status)          {}
 func (f *finals) End(transport.ResultCode, time.Duration) {}
 func (f *finals) Final(o transport.Outcome, _ time.Duration) {
 	f.mu.Lock()
@@ -369,13 +369,13 @@
 	h.order.Meter = func(string, string, []string, []transport.Level) (transport.Meter, error) { return m, nil }
 	h.start()
 	for _, end := range []transport.ResultCode{transport.ResultOK, transport.ResultGone} {
-		c := h.fronts["inner"].hand(transport.Handed{ID: end.String(), Type: "status", Dest: 7})
-		require.Equal(t, transport.Taken, (<-c.door).Word)
+		c := h.fronts["inner"].hand(transport.Submission{ID: end.String(), Type: "status", Destination: 7})
+		require.Equal(t, transport.StatusAccepted, (<-c.door).Status)
 		h.hands.end(<-h.hands.calls, end)
 		<-c.final
 	}
 	h.stop()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	require.Equal(t, []transport.Outcome{transport.Delivered, transport.Abandoned}, m.seen)
+	require.Equal(t, []transport.Outcome{transport.Delivered, transport.Failed}, m.seen)
 }
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -12,7 +12,7 @@
 	"spanflow/transport"
 )
 
-// Front is what an order says of one front.
+// Frontend is what an order says of one front.
 type Front struct {
 	Name         string // as the ledger and the log have it; "resp" and "" are the platform's own
 	Protocol     string
@@ -31,7 +31,7 @@
 }
 
 // Protocol opens a front that leaves what its callers want at the desk. most is the bound of its connections.
-type Protocol func(f Front, most int, desk transport.Desk) (transport.Front, error)
+type Protocol func(f Front, most int, desk transport.Submitter) (transport.Frontend, error)
 
 // Carriage makes an outlet that reports to the counter.
 type Carriage func(d *dial.Dialer, t Carrier, counter transport.ResultListener) transport.Upstream
@@ -51,7 +51,7 @@
 	carriages = map[string]Carriage{"http": newHTTP}
 )
 
-func openRESP(f Front, most int, desk transport.Desk) (transport.Front, error) {
+func openRESP(f Front, most int, desk transport.Submitter) (transport.Frontend, error) {
 	if f.Listener != nil {
 		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
 	}
@@ -120,7 +120,7 @@
 // listener is an open front with its way in.
 type listener struct {
 	terms Front
-	transport.Front
+	transport.Frontend
 	gate *gate
 }
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -51,7 +51,7 @@
 	Text   string
 }
 
-// Desk is the way to the owner. Ask must not wait: the answer is given to reply, at most once, from any goroutine.
+// Submitter is the way to the owner. Ask must not wait: the answer is given to reply, at most once, from any goroutine.
 type Desk interface {
 	Ready() bool
 	Ask(c Call, reply func(Answer))
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -155,7 +155,7 @@
 	TokenFile string `toml:"token_file" jsonschema_description:"File with the bearer token that a reader has to show. Empty: anybody may read."`
 }
 
-// Front is one way in.
+// Frontend is one way in.
 type Front struct {
 	Name         string `toml:"name" jsonschema_description:"Its name in the ledger, log lines and metrics; lower case, digits, hyphens."`
 	Protocol     string `toml:"protocol" jsonschema_description:"resp"`
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// Heard says that the watcher has what was read. One that asks Quiet under a lock of its own says so under it.
+// Heard says that the watcher has what was read. One that asks Idle under a lock of its own says so under it.
 func (l *Line) Heard() {
 	l.reading.Lock()
 	l.unheard = false
@@ -213,7 +213,7 @@
 	}
 }
 
-// Quiet tells that the line is up and nothing has come on it that was not told yet. It may be called only while
+// Idle tells that the line is up and nothing has come on it that was not told yet. It may be called only while
 // nothing is expected: what has come is lost. Guards against bytes that were read and wait for the watcher's lock being
 // taken for the answer to a call that is written before the watcher has them.
 func (l *Line) Quiet() bool {
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -27,7 +27,7 @@
 	againIn     = 50 * time.Millisecond
 )
 
-// Desk is where the directory's news go.
+// Submitter is where the directory's news go.
 type Desk interface {
 	transport.Board
 	transport.Ear
@@ -45,8 +45,8 @@
 	mu      sync.Mutex
 	watch   *watch
 	out     *report
-	waiting []transport.Final // not in a call
-	watched bool              // the list was asked for: not where only notices go
+	waiting []transport.FinalAnswer // not in a call
+	watched bool                    // the list was asked for: not where only notices go
 	stopped bool
 	lost    int // calls with notices in a row that were not answered in time
 
@@ -287,7 +287,7 @@
 }
 
 // Notify sends a notice, again and again until it is answered.
-func (d *Directory) Notify(n transport.Final) {
+func (d *Directory) Notify(n transport.FinalAnswer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waiting = append(d.waiting, n)
@@ -300,7 +300,7 @@
 	line   *dial.Line
 	reader http1.Reader
 	code   int
-	out    []transport.Final
+	out    []transport.FinalAnswer
 	timer  *time.Timer
 	turn   int // counts its calls, so that a late timer is known as one
 }
@@ -324,11 +324,11 @@
 		id, _ := json.Marshal(n.ID)
 		body = append(append(body, `{"id":`...), id...)
 		switch {
-		case n.Outcome != transport.Returned:
+		case n.Outcome != transport.Rejected:
 			body = append(body, `,"state":"failed"`...)
-		case n.AfterMs > 0:
+		case n.RetryAfterMs > 0:
 			body = append(body, `,"state":"returned","after_ms":`...)
-			body = strconv.AppendInt(body, int64(n.AfterMs), 10)
+			body = strconv.AppendInt(body, int64(n.RetryAfterMs), 10)
 		default:
 			body = append(body, `,"state":"returned"`...)
 		}
@@ -405,7 +405,7 @@
 		d.lost = 0
 		doors := make([]uint64, len(r.out))
 		for i, n := range r.out {
-			doors[i] = n.Door
+			doors[i] = n.MessageID
 		}
 		r.out = nil
 		if r.reader.Close {
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -126,11 +126,11 @@
 
 func TestNoticesAreSentAgainUntilAnswered(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Returned, AfterMs: 500})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Rejected, RetryAfterMs: 500})
 	c, said := accept()
 	require.Contains(t, said, `{"id":"a","state":"returned","after_ms":500}`+"\n")
 	require.Equal(t, noticeIn, next(t, k.timers).wait)
-	d.Notify(transport.Final{Door: 2, ID: "b", Outcome: transport.Abandoned}) // while a call is out
+	d.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Failed}) // while a call is out
 	c.Close()
 	next(t, k.lost)
 	again := next(t, k.timers)
@@ -144,7 +144,7 @@
 
 func TestANoticeOnASilentConnectionIsSentOnANewOne(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	accept() // and no word
 	next(t, k.timers).fire()
 	require.Equal(t, "no answer", next(t, k.lost))
@@ -157,7 +157,7 @@
 	d, k, _ := scene(t) // nobody accepts, and so nobody answers
 	d.afterFunc = time.AfterFunc
 	begun := time.Now()
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	require.Equal(t, "no answer", next(t, k.lost))
 	require.GreaterOrEqual(t, time.Since(begun), noticeIn)
 }
@@ -174,7 +174,7 @@
 func TestWhereOnlyNoticesGoTheListIsNotAskedForAfterAMove(t *testing.T) {
 	d, k, accept := scene(t)
 	d.Move(d.addr, 7)
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	c, said := accept()
 	require.Contains(t, said, "POST /v1/notices")
 	c.Write([]byte("HTTP/1.1 204 None\r\n\r\n"))
@@ -247,7 +247,7 @@
 
 func TestATimerThatFiredWhileANoticeWasAnsweredSendsNothingAgain(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	c, _ := accept()
 	d.mu.Lock()
 	r := d.out
@@ -255,7 +255,7 @@
 	d.mu.Unlock()
 	c.Write([]byte("HTTP/1.1 204 None\r\n\r\n"))
 	<-k.told
-	d.Notify(transport.Final{Door: 2, ID: "b", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Failed})
 	r.silent(late)
 	require.Empty(t, k.lost)
 	b := make([]byte, 4000)
@@ -267,7 +267,7 @@
 func TestANoticeAtExpiryOnADeadConnectionIsInTime(t *testing.T) {
 	require.Less(t, 2*noticeIn, 300*time.Millisecond, "so long after its expiry a document is lost")
 	d, k, accept := scene(t)
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	for i := range 3 { // each is waited for longer: the way may be a long one
 		accept()
 		timer := next(t, k.timers)
@@ -337,13 +337,13 @@
 // its own number: nothing else counts as heard.
 func TestANoticeAnsweredLateOnTheOldConnectionIsHeardOnTheNew(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Notify(transport.Final{Door: 1, ID: "a", Outcome: transport.Returned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Rejected})
 	old, _ := accept()
 	next(t, k.timers).fire()
 	require.Equal(t, "no answer", next(t, k.lost))
 	c, said := accept()
 	require.Contains(t, said, `{"id":"a","state":"returned"}`)
-	d.Notify(transport.Final{Door: 2, ID: "b", Outcome: transport.Returned})
+	d.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Rejected})
 	old.Write([]byte("HTTP/1.1 204 None\r\n\r\n")) // nobody listens there any more
 	c.Write([]byte("HTTP/1.1 204 None\r\n\r\n"))
 	require.Equal(t, []uint64{1}, <-k.told)
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -113,15 +113,15 @@
 
 func TestNoticesToThePlatform(t *testing.T) {
 	d := newDiscovery(t)
-	d.Notify(transport.Final{Door: 1, ID: "9b1f03aa5c7e2d41", Outcome: transport.Abandoned})
+	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "9b1f03aa5c7e2d41", Outcome: transport.Failed})
 	failed := d.next("failed")
-	for n, notice := range []transport.Final{
-		{ID: "9b1f03aa5c7e2d42", Outcome: transport.Returned, AfterMs: 500},
-		{ID: "9b1f03aa5c7e2d43", Outcome: transport.Returned},
-		{ID: `a"b\c<d>&e`, Outcome: transport.Abandoned, AfterMs: 500},
+	for n, notice := range []transport.FinalAnswer{
+		{ID: "9b1f03aa5c7e2d42", Outcome: transport.Rejected, RetryAfterMs: 500},
+		{ID: "9b1f03aa5c7e2d43", Outcome: transport.Rejected},
+		{ID: `a"b\c<d>&e`, Outcome: transport.Failed, RetryAfterMs: 500},
 		{ID: "9b1f03aa5c7e2d44", Outcome: transport.Delivered},
 	} {
-		notice.Door = uint64(n + 2)
+		notice.MessageID = uint64(n + 2)
 		d.Notify(notice)
 	}
 	failed.Answer(answer204)
@@ -130,7 +130,7 @@
 	several.Answer(answerCloses)
 	d.awaits(t, "notices answered [2 3 4 5]")
 	d.ended("the answer says that it closes")
-	d.Notify(transport.Final{Door: 6, ID: "f", Outcome: transport.Returned, AfterMs: 1})
+	d.Notify(transport.FinalAnswer{MessageID: 6, ID: "f", Outcome: transport.Rejected, RetryAfterMs: 1})
 	d.next("a new connection").Answer(answer503)
 	d.awaits(t, "notices lost")
 	d.ended("the notice was turned away")
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -24,7 +24,7 @@
 	of     string                                   // the forwarder's label
 	ends   [transport.ResultCancelled + 1]*metrics.Counter
 	took   *metrics.PrometheusHistogram
-	finals [transport.Abandoned + 1]*metrics.Counter
+	finals [transport.Failed + 1]*metrics.Counter
 	life   *metrics.PrometheusHistogram
 	turn   *metrics.PrometheusHistogram
 	news   *metrics.Counter
@@ -32,7 +32,7 @@
 	addr   string
 }
 
-var words = [...]string{transport.Taken: "taken", transport.Busy: "busy", transport.Declined: "declined"}
+var words = [...]string{transport.StatusAccepted: "taken", transport.StatusOverloaded: "busy", transport.StatusInvalid: "declined"}
 
 // New makes a meter with the given fronts and levels, and serves it at an address under /metrics, to readers
 // that show the token as their bearer, if there is one.
@@ -103,8 +103,8 @@
 	}
 }
 
-// Asked counts a document's answer at the door.
-func (m *Meter) Asked(front string, word transport.Word) {
+// Request counts a document's answer at the door.
+func (m *Meter) Asked(front string, word transport.Status) {
 	if f := m.asked[front]; f != nil {
 		f[word].Inc()
 	}
@@ -116,7 +116,7 @@
 	m.took.Update(took.Seconds())
 }
 
-// Final counts a final answer, so long after the document was handed in.
+// FinalAnswer counts a final answer, so long after the document was handed in.
 func (m *Meter) Final(outcome transport.Outcome, after time.Duration) {
 	m.finals[outcome].Inc()
 	m.life.Update(after.Seconds())
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -123,7 +123,7 @@
 func Simple(text string) []byte  { return []byte("+" + text + "\r\n") }
 func Failure(text string) []byte { return []byte("-" + text + "\r\n") }
 
-// Busy is a refusal; ms is when to come again, 0 if that is not told.
+// StatusOverloaded is a refusal; ms is when to come again, 0 if that is not told.
 func Busy(ms int) []byte {
 	if ms <= 0 {
 		return Failure("BUSY")
--- a/internal/respserver/accept.go
+++ b/internal/respserver/accept.go
@@ -35,11 +35,11 @@
 func (in *Intake) admits() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.counts.Came++
+	in.counts.Accepted++
 	if len(in.clients) < in.hardLimit {
 		return true
 	}
-	in.counts.Turned++
+	in.counts.Refused++
 	return false
 }
 
@@ -76,9 +76,9 @@
 		oldest = nil
 	}
 	in.mu.Lock()
-	delete(in.clients, oldest) // only now: Halt waits for all that may still be read from
+	delete(in.clients, oldest) // only now: StopReading waits for all that may still be read from
 	in.clients[c] = struct{}{}
-	in.counts.Most = max(in.counts.Most, len(in.clients))
+	in.counts.Peak = max(in.counts.Peak, len(in.clients))
 	in.mu.Unlock()
 }
 
@@ -100,7 +100,7 @@
 	if rank == rankBusy {
 		return nil
 	}
-	in.counts.ForRoom[rank]++
+	in.counts.Evicted[rank]++
 	return oldest
 }
 
--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -59,12 +59,12 @@
 func (c *Client) refuse(why string) {
 	if c.refused.CompareAndSwap(false, true) {
 		c.unanswered.Add(1)
-		c.intake.desk.Ask(transport.Asked{From: c, Why: why, Last: true})
+		c.intake.desk.Submit(transport.Request{From: c, Malformed: why, Close: true})
 	}
 }
 
 // Removed tells if the client does not hear an answer any more.
-func (c *Client) Gone() bool { return c.gone.Load() }
+func (c *Client) Disconnected() bool { return c.gone.Load() }
 
 // Answer writes the answer to the oldest command without one. It tells if the connection stood.
 func (c *Client) Answer(r transport.Reply) bool {
@@ -72,11 +72,11 @@
 	c.unanswered.Add(-1)
 	c.intake.mu.Lock()
 	leaving := c.intake.leaving
-	if r.Last {
+	if r.Close {
 		c.closeAt = time.Now().Add(lingerFor)
 	}
 	c.intake.mu.Unlock()
-	if leaving && !r.Last {
+	if leaving && !r.Close {
 		c.closeIfIdle()
 	}
 	return err == nil
--- a/internal/respserver/command.go
+++ b/internal/respserver/command.go
@@ -11,18 +11,18 @@
 )
 
 // command makes a request of a command's words.
-func command(c *Client, args [][]byte) transport.Asked {
-	a := transport.Asked{From: c}
+func command(c *Client, args [][]byte) transport.Request {
+	a := transport.Request{From: c}
 	switch name := strings.ToUpper(string(args[0])); name {
 	case "PING":
-		a.Alive = true
+		a.Ping = true
 	case "MSG.PUT":
 		p, err := put(args)
-		if a.Paper = p; err != nil {
-			a.Paper, a.Why = nil, "ERR "+err.Error()
+		if a.Submission = p; err != nil {
+			a.Submission, a.Malformed = nil, "ERR "+err.Error()
 		}
 	default:
-		a.Why = "ERR unknown command"
+		a.Malformed = "ERR unknown command"
 	}
 	return a
 }
@@ -48,7 +48,7 @@
 var errPut = errors.New("MSG.PUT takes a key, an id, names with values, and a body")
 
 // put reads the words of MSG.PUT: its name, a key, an id, names with values, and a body.
-func put(args [][]byte) (*transport.Handed, error) {
+func put(args [][]byte) (*transport.Submission, error) {
 	if len(args) != putWords || len(args[2]) == 0 || len(args[2]) > maxIDBytes {
 		return nil, errPut
 	}
@@ -62,7 +62,7 @@
 	if !plain(string(args[2])) {
 		return nil, errors.New("the id holds bytes that it may not")
 	}
-	p := &transport.Handed{Key: key, ID: string(args[2]), Body: bytes.Clone(args[4]), Came: time.Now()}
+	p := &transport.Submission{Key: key, ID: string(args[2]), Body: bytes.Clone(args[4]), ReceivedAt: time.Now()}
 	if err := putOptions(p, string(args[3])); err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 }
 
 // putOptions reads names with values, "c=notice,d=8000,dest=7". Of those that are not known one is kept, for the log.
-func putOptions(p *transport.Handed, text string) error {
+func putOptions(p *transport.Submission, text string) error {
 	left, dest := false, false
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
@@ -79,22 +79,22 @@
 		case "c":
 			p.Type = value
 		case "d":
-			p.Left, err = secondsLeft(value)
+			p.SecondsLeft, err = secondsLeft(value)
 			left = true
 		case "dest":
-			if p.Dest, err = strconv.ParseUint(value, 10, 32); err != nil {
+			if p.Destination, err = strconv.ParseUint(value, 10, 32); err != nil {
 				err = errors.New("dest is not a number")
 			}
 			dest = true
 		case "k":
-			if p.Mark = value; !plain(value) || len(value) > maxMarkBytes {
+			if p.IdempotencyKey = value; !plain(value) || len(value) > maxMarkBytes {
 				err = errors.New("k holds bytes that it may not")
 			}
 		case "t":
 			p.Tenant = value
 		case "r", "again", "":
 		default:
-			p.Unknown = name
+			p.UnknownOption = name
 		}
 		if err != nil {
 			return err
--- a/internal/respserver/crossing_test.go
+++ b/internal/respserver/crossing_test.go
@@ -19,10 +19,10 @@
 // the read of the socket and the count of the commands that are owed an answer.
 
 // table is a desk whose commands a test answers.
-type table chan transport.Asked
+type table chan transport.Request
 
-func (t table) Ask(a transport.Asked) { t <- a }
-func (t table) Withdraw(string)       {}
+func (t table) Submit(a transport.Request) { t <- a }
+func (t table) Withdraw(string)            {}
 
 type scene struct {
 	t     *testing.T
@@ -47,7 +47,7 @@
 	_, err = io.WriteString(c, emulator.Command("PING"))
 	require.NoError(s.t, err)
 	from := (<-s.table).From.(*Client)
-	from.Answer(transport.Reply{Word: transport.Alive})
+	from.Answer(transport.Reply{Status: transport.StatusAlive})
 	line, err := c.Hear()
 	require.NoError(s.t, err)
 	require.Equal(s.t, "+PONG", line)
@@ -58,8 +58,8 @@
 func (s *scene) answered(c *emulator.Client) {
 	s.t.Helper()
 	a := <-s.table
-	require.True(s.t, a.Alive)
-	require.True(s.t, a.From.Answer(transport.Reply{Word: transport.Alive}))
+	require.True(s.t, a.Ping)
+	require.True(s.t, a.From.Answer(transport.Reply{Status: transport.StatusAlive}))
 	line, err := c.Hear()
 	require.NoError(s.t, err)
 	require.Equal(s.t, "+PONG", line)
@@ -67,13 +67,13 @@
 
 func TestACommandThatIsBeingReadWhileClientsAreSentAwayIsAnswered(t *testing.T) {
 	for name, close := range map[string]func(*scene, *Client){
-		"leave": func(s *scene, _ *Client) { s.in.Leave() },
+		"leave": func(s *scene, _ *Client) { s.in.Drain() },
 		"sweep": func(s *scene, _ *Client) { s.in.sweep(time.Now().Add(time.Hour)) },
 		"room": func(s *scene, _ *Client) {
 			other, err := net.Dial("tcp", s.in.Addr())
 			require.NoError(s.t, err)
 			s.t.Cleanup(func() { other.Close() })
-			require.Eventually(s.t, func() bool { return s.in.Tally().ForRoom[rankIdle] == 1 && s.in.Clients() == 2 }, 5*time.Second, time.Millisecond)
+			require.Eventually(s.t, func() bool { return s.in.Stats().Evicted[rankIdle] == 1 && s.in.Clients() == 2 }, 5*time.Second, time.Millisecond)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -105,14 +105,14 @@
 	require.Empty(t, s.table)
 	from.reading.Unlock()
 	s.answered(c)
-	require.Zero(t, s.in.Tally().Stuck)
+	require.Zero(t, s.in.Stats().Incomplete)
 }
 
 func TestAConnectionThatIsReadFromWhileItIsToCloseClosesAfterItsAnswer(t *testing.T) {
 	s := newScene(t, 9, 1800)
 	c, from := s.served()
 	from.reading.Lock()
-	s.in.Leave()
+	s.in.Drain()
 	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
 	emulator.AwaitAtLock(t, "respserver.(*Intake).read(") // else the sweep may close it before it has anything to read
@@ -125,7 +125,7 @@
 func TestWhatIsNotReadWhenAllIsHaltedIsTheClientsToSendAgain(t *testing.T) {
 	s := newScene(t, 9, 1800)
 	c, from := s.served()
-	s.in.Halt()
+	s.in.StopReading()
 	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
 	from.conn.Close()
@@ -140,7 +140,7 @@
 	c, from := s.served()
 	from.reading.Lock()
 	halted := make(chan struct{})
-	go func() { s.in.Halt(); close(halted) }()
+	go func() { s.in.StopReading(); close(halted) }()
 	for _, h := s.in.state(); !h; _, h = s.in.state() {
 	}
 	select {
@@ -161,7 +161,7 @@
 	_, err := io.WriteString(c, whole[:5])
 	require.NoError(t, err)
 	require.Eventually(t, from.partial.Load, 5*time.Second, time.Millisecond)
-	s.in.Leave()
+	s.in.Drain()
 	_, err = io.WriteString(c, whole[5:])
 	require.NoError(t, err)
 	s.answered(c)
@@ -177,7 +177,7 @@
 			io.WriteString(raw, emulator.Command("PING"))
 		}
 		for range 3 {
-			(<-s.table).From.Answer(transport.Reply{Word: transport.Alive})
+			(<-s.table).From.Answer(transport.Reply{Status: transport.StatusAlive})
 		}
 		raw.Close()
 	}
@@ -186,9 +186,9 @@
 	require.NoError(t, err)
 	go io.WriteString(huge, "*2\r\n$99999999\r\n"+string(make([]byte, 1<<20)))
 	a := <-s.table
-	require.True(t, a.Last)
-	require.Contains(t, a.Why, resp.ErrSize.Error())
-	a.From.Answer(transport.Reply{Word: transport.Malformed, Why: a.Why, Last: true})
+	require.True(t, a.Close)
+	require.Contains(t, a.Malformed, resp.ErrSize.Error())
+	a.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: a.Malformed, Close: true})
 	line, err := huge.Hear()
 	require.NoError(t, err)
 	require.Contains(t, line, "over the limit")
--- a/internal/respserver/intake.go
+++ b/internal/respserver/intake.go
@@ -23,7 +23,7 @@
 // Intake holds the clients' connections.
 type Intake struct {
 	engine    *nbio.Engine
-	desk      transport.Desk
+	desk      transport.Submitter
 	patience  Patience
 	softLimit int // from here on one without a command, else the longest idle one, is closed for each new one
 	hardLimit int // from here on new ones are turned away unread, so that descriptors do not run out
@@ -32,7 +32,7 @@
 	leaving   bool
 	halted    bool // nothing more is read
 	stop      chan struct{}
-	counts    transport.Tally
+	counts    transport.ConnectionStats
 	ln        net.Listener
 }
 
@@ -49,19 +49,19 @@
 
 // Open listens at an address. For each connection over softLimit an idle one is closed, if there is one; over
 // hardLimit they are turned away.
-func Open(addr string, softLimit, hardLimit int, patience Patience, desk transport.Desk) (*Intake, error) {
+func Open(addr string, softLimit, hardLimit int, patience Patience, desk transport.Submitter) (*Intake, error) {
 	return open(addr, net.Listen, softLimit, hardLimit, patience, desk)
 }
 
 // OpenOn takes connections by a socket that listens already, such as one handed down by the platform, which other
 // processes may share: the connections are taken from the time of the call on.
-func OpenOn(l net.Listener, softLimit, hardLimit int, patience Patience, desk transport.Desk) (*Intake, error) {
+func OpenOn(l net.Listener, softLimit, hardLimit int, patience Patience, desk transport.Submitter) (*Intake, error) {
 	listen := func(string, string) (net.Listener, error) { return l, nil }
 	return open(l.Addr().String(), listen, softLimit, hardLimit, patience, desk)
 }
 
 func open(addr string, listen func(network, addr string) (net.Listener, error), softLimit, hardLimit int,
-	patience Patience, desk transport.Desk) (*Intake, error) {
+	patience Patience, desk transport.Submitter) (*Intake, error) {
 	in := &Intake{
 		desk:      desk,
 		patience:  patience,
@@ -99,8 +99,8 @@
 // Addr is where the intake listens.
 func (in *Intake) Addr() string { return in.engine.Addrs[0] }
 
-// Shut takes no new connections; those that there are go on.
-func (in *Intake) Shut() { in.ln.Close() }
+// StopAccepting takes no new connections; those that there are go on.
+func (in *Intake) StopAccepting() { in.ln.Close() }
 
 // Stop ends all connections and stops listening.
 func (in *Intake) Stop() {
@@ -110,8 +110,8 @@
 	in.engine.Shutdown(ctx)
 }
 
-// Leave closes each connection as soon as it has no command without an answer, so that clients go elsewhere.
-func (in *Intake) Leave() {
+// Drain closes each connection as soon as it has no command without an answer, so that clients go elsewhere.
+func (in *Intake) Drain() {
 	in.mu.Lock()
 	in.leaving = true
 	all := slices.Collect(maps.Keys(in.clients))
@@ -121,9 +121,9 @@
 	}
 }
 
-// Halt reads nothing more, from any connection. When it returns, whatever was read is at the desk; what is not read is
+// StopReading reads nothing more, from any connection. When it returns, whatever was read is at the desk; what is not read is
 // its client's to send once more.
-func (in *Intake) Halt() {
+func (in *Intake) StopReading() {
 	in.mu.Lock()
 	in.halted = true
 	all := slices.Collect(maps.Keys(in.clients))
@@ -133,8 +133,8 @@
 	}
 }
 
-// Stay keeps connections again after Leave, as they were before.
-func (in *Intake) Stay() {
+// Undrain keeps connections again after Drain, as they were before.
+func (in *Intake) Undrain() {
 	in.mu.Lock()
 	in.leaving = false
 	in.mu.Unlock()
@@ -147,10 +147,10 @@
 	return len(in.clients)
 }
 
-// Tally tells what became of connections.
-func (in *Intake) Tally() transport.Tally {
+// Stats tells what became of connections.
+func (in *Intake) Stats() transport.ConnectionStats {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.counts.Now = len(in.clients)
+	in.counts.Open = len(in.clients)
 	return in.counts
 }
--- a/internal/respserver/intake_test.go
+++ b/internal/respserver/intake_test.go
@@ -9,7 +9,7 @@
 	"spanflow/transport"
 )
 
-func ask(args ...string) transport.Asked {
+func ask(args ...string) transport.Request {
 	var b [][]byte
 	for _, a := range args {
 		b = append(b, []byte(a))
@@ -18,11 +18,11 @@
 }
 
 func TestADocumentIsReadFromItsCommand(t *testing.T) {
-	p := ask("msg.put", "7f3a9c21e0b4d655", "9b1f", "c=notice,d=8000.5,k=5c0f,dest=7,t=x,r=1,again=1,q=1", "\x00body").Paper
+	p := ask("msg.put", "7f3a9c21e0b4d655", "9b1f", "c=notice,d=8000.5,k=5c0f,dest=7,t=x,r=1,again=1,q=1", "\x00body").Submission
 	require.NotNil(t, p)
 	require.Equal(t, []any{uint64(0x7f3a9c21e0b4d655), "9b1f", "notice", 8.0005, "5c0f", uint64(7), "x", "q", "\x00body"},
-		[]any{p.Key, p.ID, p.Type, p.Left, p.Mark, p.Dest, p.Tenant, p.Unknown, string(p.Body)})
-	require.True(t, ask("ping").Alive)
+		[]any{p.Key, p.ID, p.Type, p.SecondsLeft, p.IdempotencyKey, p.Destination, p.Tenant, p.UnknownOption, string(p.Body)})
+	require.True(t, ask("ping").Ping)
 }
 
 func TestWhatIsNoDocumentIsToldSo(t *testing.T) {
@@ -34,18 +34,18 @@
 		{"MSG.PUT", "0", "a", "d=8000,dest=-7", ""}, {"MSG.PUT", "0", "a", names + ",k=x\ny", ""},
 		{"MSG.PUT", "0", "a", names, strings.Repeat("x", 64<<10+1)}} {
 		a := ask(args...)
-		require.Nil(t, a.Paper, "%.80q", args)
-		require.True(t, strings.HasPrefix(a.Why, "ERR "), "%.80q", args)
-		require.False(t, a.Last)
+		require.Nil(t, a.Submission, "%.80q", args)
+		require.True(t, strings.HasPrefix(a.Malformed, "ERR "), "%.80q", args)
+		require.False(t, a.Close)
 	}
 }
 
 func FuzzPut(f *testing.F) {
 	f.Add("0", "a", "c=notice,d=8000,dest=7,k=x", "body")
 	f.Fuzz(func(t *testing.T, key, id, names, body string) {
-		if p := ask("MSG.PUT", key, id, names, body).Paper; p != nil {
-			require.True(t, p.Left >= 0 && p.Left < 1e12)
-			require.NotContains(t, p.ID+p.Mark, "\n")
+		if p := ask("MSG.PUT", key, id, names, body).Submission; p != nil {
+			require.True(t, p.SecondsLeft >= 0 && p.SecondsLeft < 1e12)
+			require.NotContains(t, p.ID+p.IdempotencyKey, "\n")
 		}
 	})
 }
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -15,7 +15,7 @@
 		return
 	}
 	c.reading.Lock()
-	_, halted = in.state() // asked again: Halt may have passed between the two lines
+	_, halted = in.state() // asked again: StopReading may have passed between the two lines
 	var err error
 	for n, i := len(buffer), 0; i < maxReadsInARow && n == len(buffer) && !halted; i++ {
 		for n, err = c.conn.Read(buffer); errors.Is(err, syscall.EINTR); {
@@ -55,7 +55,7 @@
 	err := c.reader.Feed(b, func(args [][]byte) error {
 		whole = true
 		c.unanswered.Add(1)
-		in.desk.Ask(command(c, args))
+		in.desk.Submit(command(c, args))
 		return nil
 	})
 	in.mu.Lock()
--- a/internal/respserver/reply.go
+++ b/internal/respserver/reply.go
@@ -12,16 +12,16 @@
 
 // line is an answer as it goes over the wire.
 func line(r transport.Reply) []byte {
-	switch r.Word {
-	case transport.Taken:
+	switch r.Status {
+	case transport.StatusAccepted:
 		return taken
-	case transport.Alive:
+	case transport.StatusAlive:
 		return alive
-	case transport.Busy:
-		return resp.Busy(r.Wait)
-	case transport.Declined:
-		return resp.Failure("ERR " + r.Why)
+	case transport.StatusOverloaded:
+		return resp.Busy(r.RetryAfter)
+	case transport.StatusInvalid:
+		return resp.Failure("ERR " + r.Reason)
 	default:
-		return resp.Failure(r.Why)
+		return resp.Failure(r.Reason)
 	}
 }
--- a/internal/respserver/sweep.go
+++ b/internal/respserver/sweep.go
@@ -49,10 +49,10 @@
 				stuck = append(stuck, c)
 			}
 		case !c.hadCommand && longAgo(c.lastReadAt, in.patience.Silent, now):
-			in.counts.Silent++
+			in.counts.NeverSent++
 			over = append(over, c)
 		case longAgo(c.lastReadAt, in.patience.Quiet, now):
-			in.counts.Quiet++
+			in.counts.Idle++
 			over = append(over, c)
 		}
 	}
@@ -77,7 +77,7 @@
 	in.mu.Lock()
 	still := c.unanswered.Load() == 0 && in.stuck(c, now)
 	if still {
-		in.counts.Stuck++
+		in.counts.Incomplete++
 	}
 	in.mu.Unlock()
 	if still {
--- a/internal/respserver/transcript_test.go
+++ b/internal/respserver/transcript_test.go
@@ -19,9 +19,9 @@
 
 func (d desk) Withdraw(string) {}
 
-func (d desk) Ask(a transport.Asked) {
-	if a.Why != "" {
-		a.From.Answer(transport.Reply{Word: transport.Malformed, Why: a.Why, Last: a.Last})
+func (d desk) Submit(a transport.Request) {
+	if a.Malformed != "" {
+		a.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: a.Malformed, Close: a.Close})
 		return
 	}
 	a.From.Answer(<-d)
@@ -98,18 +98,18 @@
 		what  string
 		reply transport.Reply
 	}{
-		{"taken on", transport.Reply{Word: transport.Taken}},
-		{"alive", transport.Reply{Word: transport.Alive}},
-		{"busy", transport.Reply{Word: transport.Busy}},
-		{"busy, with a time", transport.Reply{Word: transport.Busy, Wait: 250}},
-		{"busy, with the longest time", transport.Reply{Word: transport.Busy, Wait: 9_999_999}},
-		{"declined", transport.Reply{Word: transport.Declined, Why: "the reason"}},
-		{"malformed", transport.Reply{Word: transport.Malformed, Why: "ERR the reason"}},
+		{"taken on", transport.Reply{Status: transport.StatusAccepted}},
+		{"alive", transport.Reply{Status: transport.StatusAlive}},
+		{"busy", transport.Reply{Status: transport.StatusOverloaded}},
+		{"busy, with a time", transport.Reply{Status: transport.StatusOverloaded, RetryAfter: 250}},
+		{"busy, with the longest time", transport.Reply{Status: transport.StatusOverloaded, RetryAfter: 9_999_999}},
+		{"declined", transport.Reply{Status: transport.StatusInvalid, Reason: "the reason"}},
+		{"malformed", transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason"}},
 	} {
 		c.desk <- reply.reply
 		c.asks(reply.what, ping)
 	}
-	c.desk <- transport.Reply{Word: transport.Malformed, Why: "ERR the reason", Last: true}
+	c.desk <- transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason", Close: true}
 	c.isClosed(c.sends(ping), "malformed, and the connection ends", ping)
 	c.script.Compare(t, "answers.txt")
 }
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -119,7 +119,7 @@
 	return t, f, nil
 }
 
-// check names the first field that no forwarder can work by. Unknown keys and absent ones pass.
+// check names the first field that no forwarder can work by. UnknownOption keys and absent ones pass.
 func (s *settings) check() error {
 	if !slices.Contains([]string{"", "line", "halves"}, s.Extra.Decay) {
 		return fmt.Errorf("Extra.Decay: unknown word %q", s.Extra.Decay)
--- a/internal/wal/ledger.go
+++ b/internal/wal/ledger.go
@@ -55,7 +55,7 @@
 	Out     int64 // begin of the transmission that is out
 	OutZone int
 	Answer  Answer
-	After   int // with Returned: milliseconds until the client may come again
+	After   int // with Rejected: milliseconds until the client may come again
 	Body    []byte
 	Front   string // by which it came; empty for the platform's own
 	Held    bool   // its caller waited for the final answer
--- a/internal/wal/own.go
+++ b/internal/wal/own.go
@@ -67,7 +67,7 @@
 // Owner tells which running process has a folder, 0 if none is known.
 func Owner(dir string) int { return Holder(filepath.Join(dir, ownerFile)) }
 
-// Holder tells which running process holds a lock file that has its number in it, 0 if none is known. It asks without
+// WaitingCaller tells which running process holds a lock file that has its number in it, 0 if none is known. It asks without
 // taking the lock away from anybody who wants it for longer than a moment, and alters nothing.
 func Holder(lockFile string) int {
 	f, err := os.Open(lockFile)
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -62,7 +62,7 @@
 	lost     bool // its forwarder was lost with what it owed
 }
 
-// Final is an answer that a client heard.
+// FinalAnswer is an answer that a client heard.
 type Final struct {
 	At   float64
 	What string // delivered, returned, abandoned
@@ -105,16 +105,16 @@
 	l.found = append(l.found, Breach{Rule: rule, At: l.Clock.Now(), Doc: doc, What: fmt.Sprintf(format, v...)})
 }
 
-// Handed says that a client hands a document in.
+// Submission says that a client hands a document in.
 func (l *Log) Handed(d *Doc) {
 	l.docs[d.ID] = d
 	l.order = append(l.order, d)
 }
 
-// Taken says that a client heard that its document is taken on.
+// StatusAccepted says that a client heard that its document is taken on.
 func (l *Log) Taken(id uint64) { l.docs[id].Taken = true }
 
-// Final says that a client heard a final answer.
+// FinalAnswer says that a client heard a final answer.
 func (l *Log) Final(id uint64, what string) {
 	d := l.docs[id]
 	d.Finals = append(d.Finals, Final{l.Clock.Now(), what})
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -349,7 +349,7 @@
 	return true
 }
 
-// Busy is how many calls the target works on.
+// StatusOverloaded is how many calls the target works on.
 func (t *Target) Busy() int { return t.busy }
 
 // Accept takes a call whose last byte has come. Whoever calls has seen by Up that a connection stands.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -493,13 +493,13 @@
 		}
 		r.pace = math.Max(0.7*cut, f.known(t))
 	}
-	// Turned away again a second later, or at once where reports say there is no limit, nothing let in: two
+	// Refused away again a second later, or at once where reports say there is no limit, nothing let in: two
 	// calls' time without one. Guards against many with a document each that knock on a hung destination and
 	// push it over. Hurts at limits that soon have room.
 	if f.now > r.since+1 && !few || r.most < 0 && r.refused > 1 {
 		r.closed = math.Max(r.closed, f.now+f.rest(t)*(0.5+f.dice.unit()))
 	}
-	// Shut rather than above its limit: nothing let in for long, no short wait told, or a long one.
+	// StopAccepting rather than above its limit: nothing let in for long, no short wait told, or a long one.
 	if r.refused >= 5 && f.now-r.turned > shutWait || e.RetryAfter > shutWait {
 		for _, o := range t.dest.targets {
 			if o.route == r && o.state != sick {
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -14,64 +14,64 @@
 	Body           []byte
 }
 
-// Handed is a document handed in. It holds a copy of what was read: it outlives the front's buffer.
-type Handed struct {
-	Key  uint64
-	ID   string
-	Type string
-	Mark string
-	Dest uint64
-	Left float64 // seconds, at the time of coming
-	Came time.Time
-	Body []byte
+// Submission is a document handed in. It holds a copy of what was read: it outlives the front's buffer.
+type Submission struct {
+	Key            uint64
+	ID             string
+	Type           string
+	IdempotencyKey string
+	Destination    uint64
+	SecondsLeft    float64 // seconds, at the time of coming
+	ReceivedAt     time.Time
+	Body           []byte
 
 	Tenant string // empty if none is told
 
-	Unknown string // a name among those with values that is not known here
+	UnknownOption string // a name among those with values that is not known here
 }
 
-// Asked is one thing that a caller wants: a document taken on, a sign of life, or, with Why, an answer to what could
+// Request is one thing that a caller wants: a document taken on, a sign of life, or, with Why, an answer to what could
 // not be understood.
-type Asked struct {
-	From  Caller
-	Paper *Handed // a document handed in
-	Alive bool    // asks for a sign of life from the owner
-	Why   string  // what was wrong with anything else that came
-	Last  bool    // after the answer the caller's connection ends
+type Request struct {
+	From       Caller
+	Submission *Submission // a document handed in
+	Ping       bool        // asks for a sign of life from the owner
+	Malformed  string      // what was wrong with anything else that came
+	Close      bool        // after the answer the caller's connection ends
 }
 
-// Word is what an answer at the door says.
-type Word uint8
+// Status is what an answer at the door says.
+type Status uint8
 
 const (
-	Taken     Word = iota // the document is owed from now on
-	Busy                  // not taken on; coming again is harmless
-	Declined              // not taken on, with the reason
-	Alive                 // the owner turns
-	Malformed             // what came could not be understood
+	StatusAccepted   Status = iota // the document is owed from now on
+	StatusOverloaded               // not taken on; coming again is harmless
+	StatusInvalid                  // not taken on, with the reason
+	StatusAlive                    // the owner turns
+	StatusMalformed                // what came could not be understood
 )
 
 // Reply is the answer at the door.
 type Reply struct {
-	Word Word
-	Wait int    // with Busy: milliseconds until the caller may come again; 0 if not told
-	Why  string // with Declined and Malformed
-	Last bool   // the connection ends after it
+	Status     Status
+	RetryAfter int    // with StatusOverloaded: milliseconds until the caller may come again; 0 if not told
+	Reason     string // with StatusInvalid and StatusMalformed
+	Close      bool   // the connection ends after it
 }
 
 // Caller is who handed a document in. Its methods are called by the owner and must not block: a caller that does not
 // read is the front's to bound.
 type Caller interface {
-	Gone() bool        // does not hear an answer any more
-	Answer(Reply) bool // answers its oldest open request; false if nobody hears it
+	Disconnected() bool // does not hear an answer any more
+	Answer(Reply) bool  // answers its oldest open request; false if nobody hears it
 }
 
-// Holder is a caller that is told the final answer itself, as its call stays open for it. What became of a document
-// whose Holder is gone is told to nobody: it is withdrawn. A front says so by Desk.Withdraw, a process that starts
+// WaitingCaller is a caller that is told the final answer itself, as its call stays open for it. What became of a document
+// whose WaitingCaller is gone is told to nobody: it is withdrawn. A front says so by Submitter.Withdraw, a process that starts
 // after another finds it so for all that came by such callers.
-type Holder interface {
+type WaitingCaller interface {
 	Caller
-	Tell(Final)
+	Complete(FinalAnswer)
 }
 
 // Outcome is a final answer.
@@ -79,45 +79,45 @@
 
 const (
 	Delivered Outcome = iota
-	Returned          // may be handed in again
-	Abandoned         // may have run, or can not be delivered any more
+	Rejected          // may be handed in again
+	Failed            // may have run, or can not be delivered any more
 )
 
 func (o Outcome) String() string { return [...]string{"delivered", "returned", "abandoned"}[o] }
 
-// Final is a document's final answer.
-type Final struct {
-	Door    uint64
-	ID      string
-	Outcome Outcome
-	AfterMs int // with Returned: until the caller may come again; 0 if not told
+// FinalAnswer is a document's final answer.
+type FinalAnswer struct {
+	MessageID    uint64
+	ID           string
+	Outcome      Outcome
+	RetryAfterMs int // with Rejected: until the caller may come again; 0 if not told
 }
 
-// Desk is where a front leaves what its callers want, in each one's order. Ask may block while too much of that front
+// Submitter is where a front leaves what its callers want, in each one's order. Ask may block while too much of that front
 // waits there.
-type Desk interface {
-	Ask(Asked)
-	Withdraw(id string) // the Holder that handed a document in has gone
+type Submitter interface {
+	Submit(Request)
+	Withdraw(id string) // the WaitingCaller that handed a document in has gone
 }
 
-// Tally tells what became of a front's connections since the start.
-type Tally struct {
-	Now, Most, Came      int
-	Turned               int    // away unread, for want of room
-	ForRoom              [3]int // closed to make room: after the last answer, between requests, before the first
-	Silent, Quiet, Stuck int    // closed after waiting: without a request, between two, within one
+// ConnectionStats tells what became of a front's connections since the start.
+type ConnectionStats struct {
+	Open, Peak, Accepted        int
+	Refused                     int    // away unread, for want of room
+	Evicted                     [3]int // closed to make room: after the last answer, between requests, before the first
+	NeverSent, Idle, Incomplete int    // closed after waiting: without a request, between two, within one
 }
 
-// Front listens for callers.
-type Front interface {
+// Frontend listens for callers.
+type Frontend interface {
 	Addr() string
-	Tally() Tally
+	Stats() ConnectionStats
 	Clients() int
-	Leave() // ends each connection once it waits for no answer, so that callers go elsewhere
-	Stay()  // keeps connections again after Leave
-	Shut()  // takes no new connections
-	// Halt reads nothing more. When it returns, whatever was read is at the desk: the last answers follow, then Stop.
-	Halt()
+	Drain()         // ends each connection once it waits for no answer, so that callers go elsewhere
+	Undrain()       // keeps connections again after Drain
+	StopAccepting() // takes no new connections
+	// StopReading reads nothing more. When it returns, whatever was read is at the desk: the last answers follow, then Stop.
+	StopReading()
 	Stop() // ends all
 }
 
@@ -206,12 +206,12 @@
 // Teller takes the final answers of documents that were not delivered and whose callers do not wait for them. It tells
 // each again and again until it is heard.
 type Teller interface {
-	Notify(Final)
+	Notify(FinalAnswer)
 }
 
 // Meter counts what a forwarder does. Its methods are called by the owner and must not block.
 type Meter interface {
-	Asked(front string, word Word)              // a document's answer at the door
+	Asked(front string, word Status)            // a document's answer at the door
 	End(end ResultCode, took time.Duration)     // a transmission
 	Final(outcome Outcome, after time.Duration) // a final answer, so long after the document was handed in
 	Turn(news int, took time.Duration)          // a turn of the owner
