--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -17,7 +17,7 @@
 		a.From.Answer(transport.Reply{Status: transport.StatusAlive})
 	case a.Submission != nil:
 		reply := o.handedIn(a)
-		o.meter.Asked(a.front.front, reply.Status)
+		o.meter.SubmissionAnswered(a.front.front, reply.Status)
 		if typ, known := o.types[a.Submission.Type]; known && reply.Status == transport.StatusOverloaded {
 			o.figures.count(&o.figures.throttled, typ)
 		}
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -23,7 +23,7 @@
 // end takes in the end of one document's transmission.
 func (o *owner) end(door uint64, end transport.ResultCode, e *transport.CallResult) {
 	o.counts.ends[end]++
-	o.meter.End(end, e.Latency)
+	o.meter.AttemptEnded(end, e.Latency)
 	p := o.docs[door]
 	if p == nil {
 		return
--- a/forwarder/backlog_figures.go
+++ b/forwarder/backlog_figures.go
@@ -62,12 +62,12 @@
 }
 
 // backlogGauges are the store's figures that are read when they are asked for.
-func (o *owner) backlogGauges() []transport.Level {
+func (o *owner) backlogGauges() []transport.Gauge {
 	if o.stored == nil {
 		return nil
 	}
 	l := &o.stored.levels
-	gauges := []transport.Level{
+	gauges := []transport.Gauge{
 		{Name: "backlog_messages", Read: func() float64 { return float64(l.messages.Load()) }},
 		{Name: "backlog_bytes", Read: func() float64 { return float64(l.bytes.Load()) }},
 		{Name: "backlog_disk_bytes", Read: func() float64 { return float64(l.onDisk.Load()) }},
@@ -80,7 +80,7 @@
 		}},
 	}
 	for i, state := range backlogStates {
-		gauges = append(gauges, transport.Level{Name: "backlog_state_messages", Labels: []string{"state", state.String()},
+		gauges = append(gauges, transport.Gauge{Name: "backlog_state_messages", Labels: []string{"state", state.String()},
 			Read: func() float64 { return float64(l.states[i].Load()) }})
 	}
 	return gauges
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -19,17 +19,17 @@
 type Order struct {
 	Name      string
 	Fronts    []Front
-	Discovery string          // its address; empty: the list is Static
-	Static    *transport.List // a list of the order's own
-	Folder    string          // the folder that lasts
+	Discovery string                  // its address; empty: the list is Static
+	Static    *transport.EndpointList // a list of the order's own
+	Folder    string                  // the folder that lasts
 	Seed      uint64
 	SeedDrawn bool // at random, not told
 	MemoryMB  int
 	Sockets   int
 	DiskMB    int
 	Cores     float64
-	Known     transport.List // the list as last known
-	ListBytes int            // of one object of discovery's watch at most; 0: the usual
+	Known     transport.EndpointList // the list as last known
+	ListBytes int                    // of one object of discovery's watch at most; 0: the usual
 	Terms     scheduler.Settings
 	Names     settings.Names
 
@@ -41,8 +41,8 @@
 	Metrics    string // where metrics are served; empty: nowhere
 	TokenFile  string // what readers of metrics have to show stands there
 
-	// Meter makes what serves metrics at an address; nil: there is none.
-	Meter func(addr, forwarder string, fronts []string, levels []transport.Level) (transport.Meter, error)
+	// Recorder makes what serves metrics at an address; nil: there is none.
+	Meter func(addr, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error)
 
 	Protocols map[string]Protocol // of a program's own, beside those that come with this one
 	Carriages map[string]Carriage
@@ -113,7 +113,7 @@
 			Sockets  int
 			DiskMB   int `json:"disk_mb"`
 		}
-		Known    transport.List
+		Known    transport.EndpointList
 		Settings json.RawMessage
 	}
 	if err := json.Unmarshal(text, &c); err != nil {
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -32,8 +32,8 @@
 }
 
 // levels are the figures that are read when they are asked for.
-func (o *owner) levels(dialer *dial.Dialer) []transport.Level {
-	levels := []transport.Level{
+func (o *owner) levels(dialer *dial.Dialer) []transport.Gauge {
+	levels := []transport.Gauge{
 		{Name: "held_documents", Read: func() float64 { return float64(o.held.Load()) }},
 		{Name: "ledger_bytes", Read: func() float64 { return float64(o.onDisk.Load()) }},
 		{Name: "outgoing_connections", Read: func() float64 { return float64(dialer.Open()) }},
@@ -67,9 +67,9 @@
 // noMeter counts nothing.
 type noMeter struct{}
 
-func (noMeter) Asked(string, transport.Status)          {}
-func (noMeter) End(transport.ResultCode, time.Duration) {}
-func (noMeter) Final(transport.Outcome, time.Duration)  {}
-func (noMeter) Turn(int, time.Duration)                 {}
-func (noMeter) Addr() string                            { return "" }
-func (noMeter) Stop()                                   {}
+func (noMeter) SubmissionAnswered(string, transport.Status)      {}
+func (noMeter) AttemptEnded(transport.ResultCode, time.Duration) {}
+func (noMeter) FinalAnswered(transport.Outcome, time.Duration)   {}
+func (noMeter) LoopTurn(int, time.Duration)                      {}
+func (noMeter) Addr() string                                     { return "" }
+func (noMeter) Stop()                                            {}
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -197,17 +197,17 @@
 // CallEnded is the end of a call.
 func (x *Exchange) CallEnded(e transport.CallResult) { x.leave(e) }
 
-// Listed is news of the list.
-func (x *Exchange) Listed(l *transport.List) { x.leave(l) }
+// EndpointsUpdated is news of the list.
+func (x *Exchange) EndpointsUpdated(l *transport.EndpointList) { x.leave(l) }
 
 // WatchEnded says that the list stopped coming.
 func (x *Exchange) WatchEnded(why string, how transport.WatchEnd) { x.leave(watchEnded{why, how}) }
 
-// NoticesLost says that notices will be sent once more.
-func (x *Exchange) NoticesLost(why string) { x.leave(noticesLost(why)) }
+// NoticesUnanswered says that notices will be sent once more.
+func (x *Exchange) NoticesUnanswered(why string) { x.leave(noticesLost(why)) }
 
 // NoticeAcknowledged says which notices were answered.
-func (x *Exchange) Told(doors []uint64) { x.leave(told(doors)) }
+func (x *Exchange) NoticesAcknowledged(doors []uint64) { x.leave(told(doors)) }
 
 type (
 	watchEnded struct {
--- a/forwarder/exchange_test.go
+++ b/forwarder/exchange_test.go
@@ -93,7 +93,7 @@
 // moved writes down where it was moved to.
 type moved struct{ to []string }
 
-func (m *moved) Move(addr string, _ int64) { m.to = append(m.to, addr) }
+func (m *moved) Reconfigure(addr string, _ int64) { m.to = append(m.to, addr) }
 
 // PROXY_DISCOVERY goes before the file at the start. A word to read again, with the file as it was, changes nothing.
 func TestAVariableThatWentBeforeTheFileStandsUntilTheFileChanges(t *testing.T) {
--- a/forwarder/figures.go
+++ b/forwarder/figures.go
@@ -28,7 +28,7 @@
 	default:
 		o.figures.count(&o.figures.faulted, p.typ)
 	}
-	o.meter.Final(outcome, time.Since(p.came))
+	o.meter.FinalAnswered(outcome, time.Since(p.came))
 }
 
 func (f *figures) count(by *[]int, typ int) {
--- a/forwarder/follow_test.go
+++ b/forwarder/follow_test.go
@@ -30,12 +30,12 @@
 	go func() {
 		ended <- forwarder.Follow(ctx, order, forwarder.Follower{Dialer: dialer, LogTo: logged, InForce: func(rev int64) { inForce <- rev }})
 	}()
-	require.EqualValues(t, order.Known.Rev, <-inForce)
+	require.EqualValues(t, order.Known.Revision, <-inForce)
 	entry.State = "leaving"
 	discovery.Set(entry)
 	var list struct{ Rev int64 }
 	require.NoError(t, json.Unmarshal(discovery.Known(), &list))
-	require.Greater(t, list.Rev, order.Known.Rev)
+	require.Greater(t, list.Rev, order.Known.Revision)
 	require.Equal(t, list.Rev, <-inForce)
 	cancel()
 	require.NoError(t, <-ended)
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -84,9 +84,9 @@
 	o := listOwner()
 	o.order.Folder = folder
 	o.epoch = time.Unix(goldenNow, 0)
-	o.listed(&transport.List{Rev: 1, All: true, Targets: []transport.Target{
-		{UID: "endpoint-1", Endpoint: "127.0.0.1:1", Dest: 7, State: "active"},
-		{UID: "endpoint-2", Endpoint: "127.0.0.1:2", Dest: 8, State: "active"}}}, true)
+	o.listed(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
+		{UID: "endpoint-1", Address: "127.0.0.1:1", Destination: 7, State: "active"},
+		{UID: "endpoint-2", Address: "127.0.0.1:2", Destination: 8, State: "active"}}}, true)
 	return o
 }
 
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -86,12 +86,12 @@
 	switch {
 	case p.holder != nil:
 		p.holder.Complete(f)
-		o.exchange.Told([]uint64{p.MessageID})
+		o.exchange.NoticesAcknowledged([]uint64{p.MessageID})
 	case o.teller != nil:
 		o.teller.Notify(f)
 	default:
 		o.log.Info().Str("id", p.ID).Stringer("outcome", outcome).Int("after_ms", after).Msg("final answer that nobody takes")
-		o.exchange.Told([]uint64{p.MessageID})
+		o.exchange.NoticesAcknowledged([]uint64{p.MessageID})
 	}
 }
 
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -16,17 +16,17 @@
 }
 
 // listed takes up a list of targets: all of them, or changes.
-func (o *owner) listed(l *transport.List, whole bool) {
-	o.rev = l.Rev
-	lines := make([]scheduler.EndpointUpdate, 0, len(l.Targets))
-	for i := range l.Targets {
-		e := &l.Targets[i]
+func (o *owner) listed(l *transport.EndpointList, whole bool) {
+	o.rev = l.Revision
+	lines := make([]scheduler.EndpointUpdate, 0, len(l.Endpoints))
+	for i := range l.Endpoints {
+		e := &l.Endpoints[i]
 		kind := index(o.order.Names.Kinds, e.Kind)
 		t := o.targetOf(e, kind)
 		if t == nil {
 			continue
 		}
-		t.line = scheduler.EndpointUpdate{Endpoint: t.module, Destination: o.dest(e.Dest), Kind: kind, Zone: t.zone, Rate: e.Rate,
+		t.line = scheduler.EndpointUpdate{Endpoint: t.module, Destination: o.dest(e.Destination), Kind: kind, Zone: t.zone, Rate: e.Rate,
 			State: o.standing(e)}
 		line := t.line
 		line.State = o.rota.Standing(t.uid, line.State)
@@ -41,19 +41,19 @@
 
 // targetOf is the target that a line of the list speaks of, as the line has it; nil for one heard of only as it goes.
 // kind is the number of the line's kind.
-func (o *owner) targetOf(e *transport.Target, kind int) *target {
+func (o *owner) targetOf(e *transport.Endpoint, kind int) *target {
 	t := o.byUID[e.UID]
 	if t == nil {
 		if e.State == "left" {
 			return nil
 		}
 		o.lastDoor++
-		t = &target{uid: e.UID, dest: e.Dest, outlet: o.outletOf(e.Kind), module: &scheduler.Endpoint{ID: o.lastDoor}}
+		t = &target{uid: e.UID, dest: e.Destination, outlet: o.outletOf(e.Kind), module: &scheduler.Endpoint{ID: o.lastDoor}}
 		o.targets[o.lastDoor], o.byUID[e.UID] = t, t
 	}
 	t.zone, t.batch = index(o.order.Names.Zones, e.Zone), 1
-	if e.Endpoint != "" {
-		t.addr = e.Endpoint
+	if e.Address != "" {
+		t.addr = e.Address
 	}
 	if kind < len(o.order.Terms.KindBatchSize) {
 		t.batch = max(1, o.order.Terms.KindBatchSize[kind])
@@ -62,7 +62,7 @@
 }
 
 // standing is what the list says of a target. A state that is not known here lets its calls end and begins none.
-func (o *owner) standing(e *transport.Target) scheduler.EndpointState {
+func (o *owner) standing(e *transport.Endpoint) scheduler.EndpointState {
 	switch e.State {
 	case "active":
 		return scheduler.Ready
--- a/forwarder/list_test.go
+++ b/forwarder/list_test.go
@@ -21,9 +21,9 @@
 	return o
 }
 
-func manyTargets(from, to int) (targets []transport.Target) {
+func manyTargets(from, to int) (targets []transport.Endpoint) {
 	for n := from; n < to; n++ {
-		targets = append(targets, transport.Target{UID: fmt.Sprint("t", n), Endpoint: "127.0.0.1:1", Dest: uint64(n), State: "active"})
+		targets = append(targets, transport.Endpoint{UID: fmt.Sprint("t", n), Address: "127.0.0.1:1", Destination: uint64(n), State: "active"})
 	}
 	return targets
 }
@@ -32,11 +32,11 @@
 func TestAFirstListOfManyDestinationsIsKeptWhole(t *testing.T) {
 	const count = 10 * leastSweep
 	o := listOwner()
-	o.listed(&transport.List{Rev: 1, All: true, Targets: manyTargets(0, count)}, true)
+	o.listed(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: manyTargets(0, count)}, true)
 	o.f.Reconcile()
 	require.Len(t, o.dests, count)
 	kept := o.dests[0]
-	o.listed(&transport.List{Rev: 2, Targets: manyTargets(count, 3*count)}, false)
+	o.listed(&transport.EndpointList{Revision: 2, Endpoints: manyTargets(count, 3*count)}, false)
 	require.Len(t, o.dests, 3*count)
 	require.Same(t, kept, o.dests[0])
 }
@@ -45,7 +45,7 @@
 	const count = 10 * leastSweep
 	o := listOwner()
 	for round := range 20 {
-		o.listed(&transport.List{Rev: int64(round + 1), All: true, Targets: manyTargets(round*count, (round+1)*count)}, true)
+		o.listed(&transport.EndpointList{Revision: int64(round + 1), Complete: true, Endpoints: manyTargets(round*count, (round+1)*count)}, true)
 		o.f.Reconcile()
 	}
 	// Each list leaves the ones before until their targets are let go of, and a sweep waits until there are twice as many.
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -54,20 +54,20 @@
 	calls   []pending
 
 	// Discovery and notices
-	source  transport.Source
-	moves   transport.Mover // the source, if it is discovery
-	own     *static         // the source, if it is the order's own list
+	source  transport.EndpointSource
+	moves   transport.Reconfigurable // the source, if it is discovery
+	own     *static                  // the source, if it is the order's own list
 	rev     int64
-	heard   bool             // discovery has told its list since the start
-	teller  transport.Teller // nil: the log alone
-	notices transport.Mover  // the teller, if it is not the same
+	heard   bool                     // discovery has told its list since the start
+	teller  transport.Notifier       // nil: the log alone
+	notices transport.Reconfigurable // the teller, if it is not the same
 
 	// Log and meter
 	log        zerolog.Logger
 	logTo      io.Writer
 	lastLogged map[string]time.Time // when lines that may come in floods were last written
 	trace      trace
-	meter      transport.Meter
+	meter      transport.Recorder
 	metered    bool
 	counts     counts
 	figures    figures
@@ -131,7 +131,7 @@
 	o.flush()
 	end := time.Now()
 	if o.metered {
-		o.meter.Turn(len(news), end.Sub(start))
+		o.meter.LoopTurn(len(news), end.Sub(start))
 		o.held.Store(int64(len(o.docs)))
 		o.onDisk.Store(o.ledger.Used())
 	}
@@ -150,9 +150,9 @@
 		o.withdraw(string(n))
 	case transport.CallResult:
 		o.ended(n)
-	case *transport.List:
+	case *transport.EndpointList:
 		o.heard = true
-		o.listed(n, n.All)
+		o.listed(n, n.Complete)
 	case noticesLost:
 		if o.mayLog("notices") {
 			o.log.Warn().Str("why", string(n)).Msg("notices not answered")
@@ -174,7 +174,7 @@
 	switch n.how {
 	case transport.WatchSilent:
 		o.f.WatchSilent()
-	case transport.WatchLate:
+	case transport.WatchTimeout:
 		o.f.PollTimedOut()
 	default:
 		o.f.WatchBroken()
--- a/forwarder/reread.go
+++ b/forwarder/reread.go
@@ -141,17 +141,17 @@
 	if changed["discovery"] { // else a variable at the start may have gone before it
 		was.told, was.Discovery = next.told, next.told
 		if o.moves != nil {
-			o.moves.Move(was.Discovery, o.rev)
+			o.moves.Reconfigure(was.Discovery, o.rev)
 		}
 	}
 	if changed["notices"] {
 		was.toldNotices = next.toldNotices
-		o.notices.Move(was.toldNotices, 0)
+		o.notices.Reconfigure(was.toldNotices, 0)
 	}
 	if changed["targets"] && o.own != nil {
 		was.Static = next.Static
 		o.own.list = *next.Static
-		o.own.list.Rev = o.rev + 1
+		o.own.list.Revision = o.rev + 1
 		o.own.Watch(0)
 	}
 	if changed["log"] {
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -37,7 +37,7 @@
 
 func newStandby(o *Order) *standby {
 	s := &standby{folder: o.Folder, types: o.Names.Types, known: map[string]bool{}}
-	for _, t := range o.Known.Targets {
+	for _, t := range o.Known.Endpoints {
 		if t.State != "left" {
 			s.known[t.UID] = t.State == "active"
 		}
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -93,7 +93,7 @@
 	h := &house{t: t, fronts: map[string]*memory{}, hands: &hands{calls: make(chan *transport.Call, 100)}, again: make(chan os.Signal, 1)}
 	h.order = &forwarder.Order{Name: "n1", Folder: t.TempDir(), MemoryMB: 64, Sockets: 256, DiskMB: 3, Cores: 1, Seed: 7, Movable: true,
 		Fronts: append([]forwarder.Front{{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:0"}, {Name: "inner", Protocol: "memory"}}, fronts...),
-		Static: &transport.List{All: true, Targets: []transport.Target{{UID: "t1", Endpoint: "127.0.0.1:9", Kind: "k", Dest: 7, State: "active"}}},
+		Static: &transport.EndpointList{Complete: true, Endpoints: []transport.Endpoint{{UID: "t1", Address: "127.0.0.1:9", Kind: "k", Destination: 7, State: "active"}}},
 		Terms: scheduler.Settings{Types: []scheduler.MessageType{{Idempotency: scheduler.Idempotent, LatencyObjective: 3, TimeToLive: 20}, {Idempotency: scheduler.AtMostOnce, InOrder: true, LatencyObjective: 3, TimeToLive: 20}},
 			KindBatchSize: []int{1}, Forwarders: 1, ConcurrencyLimit: 8, QueueCapacity: 100, MaxAttempts: 6, KeyCooldown: 0.05, SlowStartShare: 0.2, SlowStartDuration: 10, IdleTimeout: 10, OverloadMultiple: 2, MaxRetryAfter: 2},
 		Names:      settings.Names{Types: []string{"status", "payment"}, Kinds: []string{"k"}, Zones: []string{""}, Connect: 1},
@@ -310,7 +310,7 @@
 	h.start()
 	unknown := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 8})
 	require.Equal(t, transport.StatusInvalid, (<-unknown.door).Status)
-	next.Static = &transport.List{All: true, Targets: []transport.Target{{UID: "t2", Endpoint: "127.0.0.1:8", Kind: "k", Dest: 8, State: "active"}}}
+	next.Static = &transport.EndpointList{Complete: true, Endpoints: []transport.Endpoint{{UID: "t2", Address: "127.0.0.1:8", Kind: "k", Destination: 8, State: "active"}}}
 	next.MemoryMB = 128
 	h.again <- os.Interrupt
 	text := h.log.Await(t, "order taken up")
@@ -350,23 +350,23 @@
 	seen []transport.Outcome
 }
 
-func (f *finals) Asked(string, transport.Status)          {}
-func (f *finals) End(transport.ResultCode, time.Duration) {}
-func (f *finals) Final(o transport.Outcome, _ time.Duration) {
+func (f *finals) SubmissionAnswered(string, transport.Status)      {}
+func (f *finals) AttemptEnded(transport.ResultCode, time.Duration) {}
+func (f *finals) FinalAnswered(o transport.Outcome, _ time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seen = append(f.seen, o)
 }
-func (f *finals) Turn(int, time.Duration) {}
-func (f *finals) Addr() string            { return "" }
-func (f *finals) Stop()                   {}
+func (f *finals) LoopTurn(int, time.Duration) {}
+func (f *finals) Addr() string                { return "" }
+func (f *finals) Stop()                       {}
 
 // A document that a target says is gone is failed: the metrics count it as the operators' figures do.
 func TestTheMetricsCountEveryFinalAnswerOnce(t *testing.T) {
 	h := newHouse(t)
 	m := &finals{}
 	h.order.Metrics = "in the test"
-	h.order.Meter = func(string, string, []string, []transport.Level) (transport.Meter, error) { return m, nil }
+	h.order.Meter = func(string, string, []string, []transport.Gauge) (transport.Recorder, error) { return m, nil }
 	h.start()
 	for _, end := range []transport.ResultCode{transport.ResultOK, transport.ResultGone} {
 		c := h.fronts["inner"].hand(transport.Submission{ID: end.String(), Type: "status", Destination: 7})
--- a/forwarder/watch_test.go
+++ b/forwarder/watch_test.go
@@ -48,5 +48,5 @@
 	}
 	require.Less(t, longest(transport.WatchSilent), 1.0, "what it missed counts as told six seconds after it fell silent")
 	require.Less(t, longest(transport.WatchBroken), 3.6, "six seconds after discovery could be reached")
-	require.Greater(t, longest(transport.WatchLate), 8.0, "discovery has more questions than it can answer")
+	require.Greater(t, longest(transport.WatchTimeout), 8.0, "discovery has more questions than it can answer")
 }
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -174,14 +174,14 @@
 
 // static is a list that an order has itself: nothing is watched.
 type static struct {
-	board transport.Board
-	list  transport.List
+	board transport.EndpointListener
+	list  transport.EndpointList
 }
 
 // WatchEndpoints tells the whole list.
 func (s *static) Watch(int64) {
 	list := s.list
-	s.board.Listed(&list)
+	s.board.EndpointsUpdated(&list)
 }
 
 func (s *static) Stop() {}
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -11,7 +11,7 @@
 	Forget(seq uint64) error
 }
 
-// Mover moves messages between the write-ahead log and the store, so that a kill at any line leaves a message in one,
+// Reconfigurable moves messages between the write-ahead log and the store, so that a kill at any line leaves a message in one,
 // or in both and known by its number. It is not safe for use by several goroutines.
 //
 // Out (Spill): 1. the store has the message; 2. the log forgets it.
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -110,7 +110,7 @@
 	BringBack                 // move the oldest stored messages back
 )
 
-// Move is a move that is due.
+// Reconfigure is a move that is due.
 type Move struct {
 	Kind  MoveKind
 	Lane  Lane
--- a/internal/commands/command.go
+++ b/internal/commands/command.go
@@ -233,7 +233,7 @@
 		p.Fronts = append(p.Fronts, planFront{f.Name, f.Protocol, f.Listen, n})
 	}
 	if p.List = "discovery at " + o.Discovery; o.Discovery == "" {
-		p.List = fmt.Sprintf("%d targets of the file", len(o.Static.Targets))
+		p.List = fmt.Sprintf("%d targets of the file", len(o.Static.Endpoints))
 	}
 	if p.Answers = "notices to " + o.Notices(); o.Notices() == "" {
 		p.Answers = "log"
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,7 +64,7 @@
 	o, err := Order(path, nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, []any{"n1", 48, 1024, 1, 7, 1},
-		[]any{o.Name, o.MemoryMB, o.Sockets, o.Terms.Zone, int(o.Static.Targets[0].Dest), len(o.Fronts)})
+		[]any{o.Name, o.MemoryMB, o.Sockets, o.Terms.Zone, int(o.Static.Endpoints[0].Destination), len(o.Fronts)})
 	require.Equal(t, forwarder.Front{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Fronts[0])
 	y := o.Terms.Types[0]
 	require.Equal(t, []any{true, 3.0, 24.0, 15.0}, []any{y.InOrder, y.LatencyObjective, y.TimeToLive, y.DeduplicationWindow})
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -200,7 +200,7 @@
 	PerSecond float64 `toml:"per_second" jsonschema_description:"Documents a second, all forwarders together."`
 }
 
-// Endpoint is one line of the file's own list.
+// Address is one line of the file's own list.
 type Target struct {
 	UID       string  `toml:"uid" jsonschema_description:"Its name, the same at every forwarder."`
 	Address   string  `toml:"address" jsonschema_description:"Address and port."`
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -66,7 +66,7 @@
 	ByFlag     Layer = "flag"
 )
 
-// Source tells where a value comes from.
+// EndpointSource tells where a value comes from.
 type Source struct {
 	Layer Layer
 	Name  string // of the variable or flag
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -107,10 +107,10 @@
 		o.KindOutlet[k.Name] = k.Outlet
 	}
 	if o.Discovery == "" {
-		o.Static = &transport.List{All: true}
+		o.Static = &transport.EndpointList{Complete: true}
 		for _, t := range l.Targets {
-			o.Static.Targets = append(o.Static.Targets, transport.Target{UID: t.UID, Endpoint: t.Address, Zone: t.Zone, Kind: t.Kind,
-				Dest: t.Dest, State: t.State, Rate: t.PerSecond})
+			o.Static.Endpoints = append(o.Static.Endpoints, transport.Endpoint{UID: t.UID, Address: t.Address, Zone: t.Zone, Kind: t.Kind,
+				Destination: t.Dest, State: t.State, Rate: t.PerSecond})
 		}
 	}
 	o.Log.Console, o.Log.Sample, o.Log.IDs = l.Log.Format == "console", l.Log.Sample, l.Log.IDs
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	if o.Metrics != "" {
-		o.Meter = func(addr, forwarder string, fronts []string, levels []transport.Level) (transport.Meter, error) {
+		o.Meter = func(addr, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error) {
 			return metrics.New(addr, token, forwarder, fronts, levels)
 		}
 	}
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -29,8 +29,8 @@
 
 // Submitter is where the directory's news go.
 type Desk interface {
-	transport.Board
-	transport.Ear
+	transport.EndpointListener
+	transport.NoticeListener
 }
 
 // Directory holds the connections to discovery.
@@ -75,9 +75,9 @@
 	}
 }
 
-// Move leaves discovery's address for another: the list is watched there from a version on, and the notices without
+// Reconfigure leaves discovery's address for another: the list is watched there from a version on, and the notices without
 // an answer go there.
-func (d *Directory) Move(addr string, rev int64) {
+func (d *Directory) Reconfigure(addr string, rev int64) {
 	d.mu.Lock()
 	d.addr = addr
 	if d.out != nil {
@@ -150,7 +150,7 @@
 	w.dir.mu.Lock()
 	defer w.dir.mu.Unlock()
 	if w.turn == turn { // else a line came while this waited for the lock
-		how := transport.WatchLate
+		how := transport.WatchTimeout
 		if w.told {
 			how = transport.WatchSilent
 		}
@@ -169,7 +169,7 @@
 	if w.told || w.code == 200 || errors.Is(cause, dial.ErrNeverUp) || w.dir.now().Sub(w.asked) < promptly {
 		return transport.WatchBroken
 	}
-	return transport.WatchLate
+	return transport.WatchTimeout
 }
 
 func (w *watch) ended(why string, how transport.WatchEnd) {
@@ -226,17 +226,17 @@
 		}
 		line := bytes.TrimSpace(w.rest)
 		if len(line) > 0 {
-			l := &transport.List{}
+			l := &transport.EndpointList{}
 			if err := json.Unmarshal(line, l); err != nil {
 				return fmt.Errorf("a line of the list cannot be read: %w", err)
 			}
 			// Guards against changes that are older than what is held, by which a target that drains would serve
 			// again. A whole list in answer to the question may be: discovery then counts its versions anew.
-			if l.Rev < w.rev && (w.told || !l.All) {
-				return fmt.Errorf("version %d of the list came after version %d", l.Rev, w.rev)
+			if l.Revision < w.rev && (w.told || !l.Complete) {
+				return fmt.Errorf("version %d of the list came after version %d", l.Revision, w.rev)
 			}
-			w.rev = l.Rev
-			w.dir.desk.Listed(l)
+			w.rev = l.Revision
+			w.dir.desk.EndpointsUpdated(l)
 		}
 		w.rest, w.told, w.looked, w.sought = w.rest[:0], true, false, 0
 		w.await(blankEvery + blankEvery/2) // only now: guards against a link on which bytes trickle and no line comes
@@ -351,7 +351,7 @@
 		return
 	}
 	d.lost++
-	d.desk.NoticesLost("no answer")
+	d.desk.NoticesUnanswered("no answer")
 	r.drop()
 	d.report()
 }
@@ -365,7 +365,7 @@
 		return
 	}
 	if len(r.out) > 0 {
-		d.desk.NoticesLost(why)
+		d.desk.NoticesUnanswered(why)
 	}
 	r.drop()
 	d.afterFunc(againIn, func() {
@@ -411,7 +411,7 @@
 		if r.reader.Close {
 			r.drop()
 		}
-		d.desk.Told(doors)
+		d.desk.NoticesAcknowledged(doors)
 		d.report()
 	}
 	d.mu.Unlock()
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -16,7 +16,7 @@
 )
 
 type desk struct {
-	lists  chan *transport.List
+	lists  chan *transport.EndpointList
 	ended  chan string
 	how    chan transport.WatchEnd // the same ends
 	lost   chan string
@@ -24,7 +24,7 @@
 	timers chan scriptedTimer // that the directory started, in their order
 }
 
-func (d *desk) Listed(l *transport.List) { d.lists <- l }
+func (d *desk) EndpointsUpdated(l *transport.EndpointList) { d.lists <- l }
 func (d *desk) WatchEnded(why string, how transport.WatchEnd) {
 	if how == transport.WatchSilent {
 		why += ", having told"
@@ -32,8 +32,8 @@
 	d.how <- how
 	d.ended <- why
 }
-func (d *desk) NoticesLost(why string) { d.lost <- why }
-func (d *desk) Told(doors []uint64)    { d.told <- doors }
+func (d *desk) NoticesUnanswered(why string)       { d.lost <- why }
+func (d *desk) NoticesAcknowledged(doors []uint64) { d.told <- doors }
 
 // scriptedTimer is a timer of the directory that fires at a test's word and at no time of its own.
 type scriptedTimer struct {
@@ -71,7 +71,7 @@
 	dialer, err := dial.New("test", 8)
 	require.NoError(t, err)
 	t.Cleanup(func() { ln.Close(); dialer.Stop() })
-	k := &desk{make(chan *transport.List, 9), make(chan string, 9), make(chan transport.WatchEnd, 9), make(chan string, 9),
+	k := &desk{make(chan *transport.EndpointList, 9), make(chan string, 9), make(chan transport.WatchEnd, 9), make(chan string, 9),
 		make(chan []uint64, 9), make(chan scriptedTimer, 99)}
 	d := New(dialer, ln.Addr().String(), time.Second, k)
 	d.afterFunc = k.afterFunc
@@ -106,7 +106,7 @@
 	c.Write([]byte(open + "1\r\n\n\r\n" + "1a\r\n{\"rev\":43,\"all\":false,\"tar\r\n"))
 	c.Write([]byte("2d\r\ngets\":[{\"uid\":\"s1\",\"state\":\"left\"}]}\n{\"rev\":\r\n"))
 	l := <-k.lists
-	require.Equal(t, transport.List{Rev: 43, Targets: []transport.Target{{UID: "s1", State: "left"}}}, *l)
+	require.Equal(t, transport.EndpointList{Revision: 43, Endpoints: []transport.Endpoint{{UID: "s1", State: "left"}}}, *l)
 	c.Close()
 	<-k.ended
 }
@@ -173,7 +173,7 @@
 
 func TestWhereOnlyNoticesGoTheListIsNotAskedForAfterAMove(t *testing.T) {
 	d, k, accept := scene(t)
-	d.Move(d.addr, 7)
+	d.Reconfigure(d.addr, 7)
 	d.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	c, said := accept()
 	require.Contains(t, said, "POST /v1/notices")
@@ -191,9 +191,9 @@
 	for i := range list { // cut anywhere
 		c.Write([]byte(list[i : i+1]))
 	}
-	require.Equal(t, transport.List{Rev: 7, All: true, Targets: []transport.Target{{UID: `a}"{`, State: "active"}}}, *<-k.lists)
+	require.Equal(t, transport.EndpointList{Revision: 7, Complete: true, Endpoints: []transport.Endpoint{{UID: `a}"{`, State: "active"}}}, *<-k.lists)
 	c.Write([]byte(`{"rev":8,"all":false,"targets":[]}` + "\n" + `{"rev":9,"all":false,"targets":[]}` + "\n"))
-	require.Equal(t, []int64{8, 9}, []int64{(<-k.lists).Rev, (<-k.lists).Rev})
+	require.Equal(t, []int64{8, 9}, []int64{(<-k.lists).Revision, (<-k.lists).Revision})
 }
 
 func TestAWatchOnWhichBytesTrickleAndNoLineComesIsSilent(t *testing.T) {
@@ -242,7 +242,7 @@
 	w.silent(late)
 	require.Empty(t, k.ended)
 	c.Write([]byte("{\"rev\":2,\"all\":false,\"targets\":[]}\n"))
-	require.Equal(t, int64(2), (<-k.lists).Rev)
+	require.Equal(t, int64(2), (<-k.lists).Revision)
 }
 
 func TestATimerThatFiredWhileANoticeWasAnsweredSendsNothingAgain(t *testing.T) {
@@ -304,7 +304,7 @@
 	d.Watch(7)
 	c, _ := accept()
 	c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n" + `{"rev":2,"all":true,"targets":[]}` + "\n" + `{"rev":2,"all":false,"targets":[]}` + "\n"))
-	require.Equal(t, []int64{2, 2}, []int64{(<-k.lists).Rev, (<-k.lists).Rev}, "counted anew; and a version told twice is no older")
+	require.Equal(t, []int64{2, 2}, []int64{(<-k.lists).Revision, (<-k.lists).Revision}, "counted anew; and a version told twice is no older")
 }
 
 func TestAWatchThatIsSilentFromTheStartEnds(t *testing.T) {
@@ -323,12 +323,12 @@
 	d.mu.Lock()
 	c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"rev\":2,\"all\":true,\"targets\":[]}\n"))
 	emulator.AwaitAtLock(t, "discovery.(*watch).Data(")
-	d.watch.close() // what WatchEndpoints and Move do first, with the lock held
+	d.watch.close() // what WatchEndpoints and Reconfigure do first, with the lock held
 	d.mu.Unlock()
 	d.Watch(1)
 	c, _ = accept()
 	c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"rev\":3,\"all\":true,\"targets\":[]}\n"))
-	require.Equal(t, int64(3), (<-k.lists).Rev)
+	require.Equal(t, int64(3), (<-k.lists).Revision)
 	require.Empty(t, k.lists)
 	require.Empty(t, k.ended)
 }
@@ -360,9 +360,9 @@
 		want   transport.WatchEnd
 	}{
 		"turned away at once":      {0, busy, transport.WatchBroken},
-		"turned away after a wait": {2 * time.Second, busy, transport.WatchLate},
+		"turned away after a wait": {2 * time.Second, busy, transport.WatchTimeout},
 		"reset at once":            {0, "", transport.WatchBroken},
-		"reset after a wait":       {2 * time.Second, "", transport.WatchLate},
+		"reset after a wait":       {2 * time.Second, "", transport.WatchTimeout},
 		"ended having told":        {2 * time.Second, told, transport.WatchBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -397,6 +397,6 @@
 		d.Watch(1)
 		accept()
 		next(t, k.timers).fire()
-		require.Equal(t, transport.WatchLate, next(t, k.how))
+		require.Equal(t, transport.WatchTimeout, next(t, k.how))
 	})
 }
--- a/internal/discovery/limit_test.go
+++ b/internal/discovery/limit_test.go
@@ -21,7 +21,7 @@
 		_, err := fmt.Fprintf(c, "%s%x\r\n%s\r\n", open, len(line), line)
 		require.NoError(t, err)
 		if bytes == bound {
-			require.EqualValues(t, 1, (<-k.lists).Rev)
+			require.EqualValues(t, 1, (<-k.lists).Revision)
 		} else {
 			require.Equal(t, "a line of the list is over the limit", <-k.ended)
 		}
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -19,10 +19,14 @@
 	news chan string
 }
 
-func (l listener) Listed(list *transport.List)           { l.news <- fmt.Sprint("list ", list.Rev) }
+func (l listener) EndpointsUpdated(list *transport.EndpointList) {
+	l.news <- fmt.Sprint("list ", list.Revision)
+}
 func (l listener) WatchEnded(string, transport.WatchEnd) { l.news <- "watch ended" }
-func (l listener) NoticesLost(string)                    { l.news <- "notices lost" }
-func (l listener) Told(doors []uint64)                   { l.news <- fmt.Sprint("notices answered ", doors) }
+func (l listener) NoticesUnanswered(string)              { l.news <- "notices lost" }
+func (l listener) NoticesAcknowledged(doors []uint64) {
+	l.news <- fmt.Sprint("notices answered ", doors)
+}
 func (l listener) awaits(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
@@ -103,7 +107,7 @@
 	d.Watch(-1)
 	d.ended("a new question takes the place of the old one")
 	d.next("an index below zero")
-	d.Move(d.server.Addr, 44)
+	d.Reconfigure(d.server.Addr, 44)
 	d.ended("moved to another address")
 	d.next("asked again there")
 	d.Stop()
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -164,7 +164,7 @@
 	Hold   chan struct{} // the answer comes when this is closed
 }
 
-// Endpoint serves calls; Calls has each as it comes.
+// Address serves calls; Calls has each as it comes.
 type Target struct {
 	Addr  string
 	Calls chan Call
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -16,7 +16,7 @@
 	"spanflow/transport"
 )
 
-// Meter has its figures in a set of its own, so that several forwarders in a process keep apart. Labels take only
+// Recorder has its figures in a set of its own, so that several forwarders in a process keep apart. Labels take only
 // values from short lists (ends, outcomes, fronts of the order): nothing grows with names that come and go.
 type Meter struct {
 	set    *metrics.Set
@@ -36,7 +36,7 @@
 
 // New makes a meter with the given fronts and levels, and serves it at an address under /metrics, to readers
 // that show the token as their bearer, if there is one.
-func New(addr, token, forwarder string, fronts []string, levels []transport.Level) (transport.Meter, error) {
+func New(addr, token, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error) {
 	m := &Meter{set: metrics.NewSet(), asked: map[string]*[len(words)]*metrics.Counter{}, of: fmt.Sprintf("forwarder=%q", forwarder)}
 	for _, f := range fronts {
 		m.asked[f] = &[len(words)]*metrics.Counter{}
@@ -104,26 +104,26 @@
 }
 
 // Request counts a document's answer at the door.
-func (m *Meter) Asked(front string, word transport.Status) {
+func (m *Meter) SubmissionAnswered(front string, word transport.Status) {
 	if f := m.asked[front]; f != nil {
 		f[word].Inc()
 	}
 }
 
-// End counts a transmission.
-func (m *Meter) End(end transport.ResultCode, took time.Duration) {
+// AttemptEnded counts a transmission.
+func (m *Meter) AttemptEnded(end transport.ResultCode, took time.Duration) {
 	m.ends[end].Inc()
 	m.took.Update(took.Seconds())
 }
 
 // FinalAnswer counts a final answer, so long after the document was handed in.
-func (m *Meter) Final(outcome transport.Outcome, after time.Duration) {
+func (m *Meter) FinalAnswered(outcome transport.Outcome, after time.Duration) {
 	m.finals[outcome].Inc()
 	m.life.Update(after.Seconds())
 }
 
-// Turn counts a turn of the owner.
-func (m *Meter) Turn(news int, took time.Duration) {
+// LoopTurn counts a turn of the owner.
+func (m *Meter) LoopTurn(news int, took time.Duration) {
 	if news == 0 {
 		return
 	}
--- a/internal/metrics/meter_test.go
+++ b/internal/metrics/meter_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestALevelIsServedWithItsLabels(t *testing.T) {
-	levels := []transport.Level{{Name: "plain", Read: func() float64 { return 1 }},
+	levels := []transport.Gauge{{Name: "plain", Read: func() float64 { return 1 }},
 		{Name: "backlog_documents", Labels: []string{"state", "untried"}, Read: func() float64 { return 2 }},
 		{Name: "backlog_documents", Labels: []string{"state", "tried"}, Read: func() float64 { return 3 }}}
 	m, err := New("127.0.0.1:0", "", "n1", []string{"resp"}, levels)
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -48,7 +48,7 @@
 	cutZone          = 0
 )
 
-// Endpoint is the time within which a change has to be in force everywhere (issue 44).
+// Address is the time within which a change has to be in force everywhere (issue 44).
 const Target = 9 * time.Second
 
 // Config says what is run.
--- a/lab/capacity/hollow/list.go
+++ b/lab/capacity/hollow/list.go
@@ -58,11 +58,11 @@
 }
 
 // knownList is the list of the first revision as a forwarder that has been told it knows it.
-func knownList(destinations int) transport.List {
-	list := transport.List{Rev: firstRevision, All: true}
+func knownList(destinations int) transport.EndpointList {
+	list := transport.EndpointList{Revision: firstRevision, Complete: true}
 	for _, e := range makeList(destinations) {
-		list.Targets = append(list.Targets, transport.Target{UID: e.UID, Endpoint: e.Endpoint, Zone: e.Zone, Kind: e.Kind,
-			Dest: uint64(e.Destination), State: e.State, Rate: e.CapacityHint})
+		list.Endpoints = append(list.Endpoints, transport.Endpoint{UID: e.UID, Address: e.Endpoint, Zone: e.Zone, Kind: e.Kind,
+			Destination: uint64(e.Destination), State: e.State, Rate: e.CapacityHint})
 	}
 	return list
 }
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -41,7 +41,7 @@
 type worker struct {
 	ctx     context.Context
 	start   startRequest
-	known   transport.List
+	known   transport.EndpointList
 	members []*member
 	used    usage // by members that were ended; CPU is not counted here
 	before  memoryUsage
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -27,10 +27,10 @@
 func newDiscoveryServer(destinations int) (*discoveryServer, error) {
 	d := &discoveryServer{}
 	for first := 1; first <= destinations; first += linesAtOnce {
-		list := transport.List{Rev: int64(len(d.objects) + 1), All: first == 1}
+		list := transport.EndpointList{Revision: int64(len(d.objects) + 1), Complete: first == 1}
 		for n := first; n < first+linesAtOnce && n <= destinations; n++ {
-			list.Targets = append(list.Targets, transport.Target{UID: fmt.Sprintf(endpointName, n), Endpoint: discardPort, Zone: "a", Kind: "partners",
-				Dest: uint64(n), State: "active"})
+			list.Endpoints = append(list.Endpoints, transport.Endpoint{UID: fmt.Sprintf(endpointName, n), Address: discardPort, Zone: "a", Kind: "partners",
+				Destination: uint64(n), State: "active"})
 		}
 		text, err := json.Marshal(list)
 		if err != nil {
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -194,11 +194,11 @@
 	require.Len(t, d.objects, 3)
 	known := 0
 	for i, o := range d.objects {
-		var list transport.List
+		var list transport.EndpointList
 		require.NoError(t, json.Unmarshal(o, &list))
-		require.Equal(t, i == 0, list.All)
-		require.EqualValues(t, i+1, list.Rev)
-		known += len(list.Targets)
+		require.Equal(t, i == 0, list.Complete)
+		require.EqualValues(t, i+1, list.Revision)
+		known += len(list.Endpoints)
 	}
 	require.Equal(t, 2*linesAtOnce+1, known)
 }
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -11,7 +11,7 @@
 	"spanflow/internal/config"
 )
 
-// Endpoint is the size that is built towards and what may be spent on it.
+// Address is the size that is built towards and what may be spent on it.
 type Target struct {
 	Fleet     Fleet              `toml:"fleet"`
 	Load      Load               `toml:"load"`
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -26,7 +26,7 @@
 	Bytes  int     `json:"bytes,omitempty"`  // of its body; 0: the run's
 }
 
-// Source tells what arrives, in order of time. False after the last.
+// EndpointSource tells what arrives, in order of time. False after the last.
 type Source interface {
 	Next() (Doc, bool)
 }
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -104,7 +104,7 @@
 	wise    map[int]bool // forwarders that have heard of a call that failed or was refused in the latest outage
 }
 
-// Endpoint is one endpoint of a destination.
+// Address is one endpoint of a destination.
 type Target struct {
 	Dest    *Destination
 	Number  int
--- a/scheduler/socket_test.go
+++ b/scheduler/socket_test.go
@@ -179,7 +179,7 @@
 	require.False(t, h.Forget(d))
 }
 
-// Targets are replaced all day: those that are gone are let go of once no call to them is out, however they went.
+// Endpoints are replaced all day: those that are gone are let go of once no call to them is out, however they went.
 func TestTargetsThatAreGoneDoNotPileUp(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -120,7 +120,7 @@
 	wantAbandoned
 )
 
-// Endpoint is one endpoint of a destination.
+// Address is one endpoint of a destination.
 type Endpoint struct {
 	ID uint64 // the adapter's address
 
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -154,26 +154,26 @@
 }
 
 // UpdateEndpoints is what a source says of targets: all of them, or changes.
-type List struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
-}
-
-// Endpoint is one line of the list, in the form that discovery gives it.
-type Target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Kind     string  `json:"model"`
-	Dest     uint64  `json:"pod_group"`
-	State    string  `json:"state"`
-	Rate     float64 `json:"capacity_hint"`
-}
-
-// Board is where a source leaves the list.
-type Board interface {
-	Listed(*List)
+type EndpointList struct {
+	Revision  int64      `json:"rev"`
+	Complete  bool       `json:"all"`
+	Endpoints []Endpoint `json:"targets"`
+}
+
+// Address is one line of the list, in the form that discovery gives it.
+type Endpoint struct {
+	UID         string  `json:"uid"`
+	Address     string  `json:"endpoint"`
+	Zone        string  `json:"az"`
+	Kind        string  `json:"model"`
+	Destination uint64  `json:"pod_group"`
+	State       string  `json:"state"`
+	Rate        float64 `json:"capacity_hint"`
+}
+
+// EndpointListener is where a source leaves the list.
+type EndpointListener interface {
+	EndpointsUpdated(*EndpointList)
 	WatchEnded(why string, how WatchEnd)
 }
 
@@ -181,46 +181,46 @@
 type WatchEnd int
 
 const (
-	WatchLate   WatchEnd = iota // no answer in time: the source has more questions than it can answer
-	WatchSilent                 // it had told something, and fell silent
-	WatchBroken                 // any other end: the source is down, out of reach, or what it told cannot be read
+	WatchTimeout WatchEnd = iota // no answer in time: the source has more questions than it can answer
+	WatchSilent                  // it had told something, and fell silent
+	WatchBroken                  // any other end: the source is down, out of reach, or what it told cannot be read
 )
 
-// Source brings the list.
-type Source interface {
+// EndpointSource brings the list.
+type EndpointSource interface {
 	Watch(rev int64) // brings what changed after that version, and from then on each change
 	Stop()
 }
 
-// Mover is a source or a teller that can leave its address for another.
-type Mover interface {
-	Move(addr string, rev int64)
+// Reconfigurable is a source or a teller that can leave its address for another.
+type Reconfigurable interface {
+	Reconfigure(addr string, rev int64)
 }
 
-// Ear is where a teller says which final answers were heard.
-type Ear interface {
-	NoticesLost(why string)
-	Told(doors []uint64)
+// NoticeListener is where a teller says which final answers were heard.
+type NoticeListener interface {
+	NoticesUnanswered(why string)
+	NoticesAcknowledged(doors []uint64)
 }
 
-// Teller takes the final answers of documents that were not delivered and whose callers do not wait for them. It tells
+// Notifier takes the final answers of documents that were not delivered and whose callers do not wait for them. It tells
 // each again and again until it is heard.
-type Teller interface {
+type Notifier interface {
 	Notify(FinalAnswer)
 }
 
-// Meter counts what a forwarder does. Its methods are called by the owner and must not block.
-type Meter interface {
-	Asked(front string, word Status)            // a document's answer at the door
-	End(end ResultCode, took time.Duration)     // a transmission
-	Final(outcome Outcome, after time.Duration) // a final answer, so long after the document was handed in
-	Turn(news int, took time.Duration)          // a turn of the owner
-	Addr() string                               // where the figures are served
+// Recorder counts what a forwarder does. Its methods are called by the owner and must not block.
+type Recorder interface {
+	SubmissionAnswered(front string, word Status)       // a document's answer at the door
+	AttemptEnded(end ResultCode, took time.Duration)    // a transmission
+	FinalAnswered(outcome Outcome, after time.Duration) // a final answer, so long after the document was handed in
+	LoopTurn(news int, took time.Duration)              // a turn of the owner
+	Addr() string                                       // where the figures are served
 	Stop()
 }
 
-// Level is a figure that is read when it is asked for; Read is safe to call from any goroutine.
-type Level struct {
+// Gauge is a figure that is read when it is asked for; Read is safe to call from any goroutine.
+type Gauge struct {
 	Name   string
 	Labels []string // names and values in turn, beside the forwarder's; values from short lists
 	Read   func() float64
