--- a/cmd/spanflow/main.go
+++ b/cmd/spanflow/main.go
@@ -33,11 +33,11 @@
 	defer stop()
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	order, err := forwarder.FromEnvironment(os.Getenv)
+	order, err := forwarder.ConfigFromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
-	order.Confine()
+	order.ApplyProcessLimits()
 	return forwarder.Run(ctx, order, again, os.Stderr, nil)
 }
 
--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -22,9 +22,9 @@
 	reply func(admin.Answer)
 }
 
-func newAdminRequests(order *Order, x *Exchange) *adminRequests {
+func newAdminRequests(order *Config, x *Exchange) *adminRequests {
 	a := &adminRequests{x: x}
-	if order.Inherited > 0 {
+	if order.InheritedListener > 0 {
 		a.standby.Store(newStandby(order))
 	}
 	return a
--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -79,12 +79,12 @@
 	switch {
 	case o.byID[in.ID] != nil || o.recentIDs.has(in.ID) || o.stored.knows(in.ID):
 		return declined("a document with this id was taken on"), true
-	case o.order.Terms.Types[typ].Idempotency == scheduler.IdempotentWithKey && in.IdempotencyKey == "":
+	case o.order.Scheduler.Types[typ].Idempotency == scheduler.IdempotentWithKey && in.IdempotencyKey == "":
 		return declined("k is missing, by which a repeat is known"), true
 	case !listed && o.heard:
 		return declined("unknown destination"), true
 	case !listed: // the list may be old
-		return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: int(1000 * min(lateList.Seconds(), o.order.Terms.MaxRetryAfter))}, true
+		return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: int(1000 * min(lateList.Seconds(), o.order.Scheduler.MaxRetryAfter))}, true
 	}
 	return transport.Reply{}, false
 }
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -65,7 +65,7 @@
 	if asked == nil {
 		return nil
 	}
-	decisions, err := policy.New(asked.policyBounds(o.order.Terms.QueueCapacity))
+	decisions, err := policy.New(asked.policyBounds(o.order.Scheduler.QueueCapacity))
 	if err != nil {
 		return fmt.Errorf("backlog: %w", err)
 	}
@@ -108,7 +108,7 @@
 
 // setBacklogBounds takes up other bounds while the forwarder runs. What is stored beyond lower ones stays.
 func (o *owner) setBacklogBounds(asked *Backlog) error {
-	bounds := asked.policyBounds(o.order.Terms.QueueCapacity)
+	bounds := asked.policyBounds(o.order.Scheduler.QueueCapacity)
 	if err := bounds.Check(); err != nil {
 		return fmt.Errorf("backlog: %w", err)
 	}
@@ -153,7 +153,9 @@
 
 // keepsOrder tells if a document's type keeps the order of its key. One of an unknown type counts as of the first, as
 // for the module.
-func (o *owner) keepsOrder(e *wal.Entry) bool { return o.order.Terms.Types[o.types[e.Type]].InOrder }
+func (o *owner) keepsOrder(e *wal.Entry) bool {
+	return o.order.Scheduler.Types[o.types[e.Type]].InOrder
+}
 
 // keyElsewhere tells if a document has to go after one of its ordering key that is stored in another lane.
 func (o *owner) keyElsewhere(e *wal.Entry) bool {
@@ -332,7 +334,7 @@
 		messages, bytes := o.stored.policy.Amount()
 		o.log.Warn().Stringer("bound", d.Bound).Int("messages", messages).Int64("bytes", bytes).Msg("backlog refused")
 	}
-	wait := min(d.RetryAfter.Seconds(), o.order.Terms.MaxRetryAfter)
+	wait := min(d.RetryAfter.Seconds(), o.order.Scheduler.MaxRetryAfter)
 	return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(wait*1000), refuseMost)}
 }
 
--- a/forwarder/backlog_faults_test.go
+++ b/forwarder/backlog_faults_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, os.MkdirAll(filepath.Join(obstacle, "full"), 0o700))
 
 	text := fmt.Appendf(nil, backlogOrder, r.discovery.Addr, r.state, r.discovery.Known(), r.life.Milliseconds())
-	order, err := forwarder.ReadOrder(text, func(string) string { return "" })
+	order, err := forwarder.ReadConfig(text, func(string) string { return "" })
 	require.NoError(t, err)
 	order.Backlog = &forwarder.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
 	r.targets[0].Do(r.serve)
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -82,7 +82,7 @@
 
 func (r *backlogRig) start() {
 	text := fmt.Appendf(nil, backlogOrder, r.discovery.Addr, r.state, r.discovery.Known(), r.life.Milliseconds())
-	order, err := forwarder.ReadOrder(text, func(string) string { return "" })
+	order, err := forwarder.ReadConfig(text, func(string) string { return "" })
 	require.NoError(r.t, err)
 	order.Backlog = &forwarder.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
 	if r.change != nil {
--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -37,7 +37,7 @@
 	}
 	d, err := emulator.NewDiscovery("", list...)
 	require.NoError(b, err)
-	order, err := forwarder.ReadOrder(fmt.Appendf(nil, benchOrder, d.Addr, b.TempDir(), d.Known()), func(string) string { return "" })
+	order, err := forwarder.ReadConfig(fmt.Appendf(nil, benchOrder, d.Addr, b.TempDir(), d.Known()), func(string) string { return "" })
 	require.NoError(b, err)
 	ctx, stop := context.WithCancel(context.Background())
 	ready, ended := make(chan string), make(chan error)
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -15,53 +15,53 @@
 	"spanflow/transport"
 )
 
-// Order is what a forwarder is told before it starts.
-type Order struct {
-	Name      string
-	Fronts    []Front
-	Discovery string                  // its address; empty: the list is Static
-	Static    *transport.EndpointList // a list of the order's own
-	Folder    string                  // the folder that lasts
-	Seed      uint64
-	SeedDrawn bool // at random, not told
-	MemoryMB  int
-	Sockets   int
-	DiskMB    int
-	Cores     float64
-	Known     transport.EndpointList // the list as last known
-	ListBytes int                    // of one object of discovery's watch at most; 0: the usual
-	Terms     scheduler.Settings
-	Names     settings.Names
-
-	Outlets    []Outlet          // beside the usual, named http
-	KindOutlet map[string]string // by which outlet targets of a kind are reached, if not by the usual
-	Log        Log
-	Admin      string // the operators' address; empty: none
-	Inherited  int    // a listening socket handed down for the clients, in place of Fronts[0].Listen; 0: none
-	Metrics    string // where metrics are served; empty: nowhere
-	TokenFile  string // what readers of metrics have to show stands there
+// Config is what a forwarder is told before it starts.
+type Config struct {
+	Name            string
+	Frontends       []Frontend
+	Discovery       string                  // its address; empty: the list is StaticEndpoints
+	StaticEndpoints *transport.EndpointList // a list of the order's own
+	Folder          string                  // the folder that lasts
+	Seed            uint64
+	RandomSeed      bool // at random, not told
+	MemoryMB        int
+	Sockets         int
+	DiskMB          int
+	Cores           float64
+	LastEndpoints   transport.EndpointList // the list as last known
+	ListBytes       int                    // of one object of discovery's watch at most; 0: the usual
+	Scheduler       scheduler.Settings
+	Names           settings.Names
+
+	Upstreams         []Upstream        // beside the usual, named http
+	KindUpstream      map[string]string // by which outlet targets of a kind are reached, if not by the usual
+	Log               Log
+	Admin             string // the operators' address; empty: none
+	InheritedListener int    // a listening socket handed down for the clients, in place of Frontends[0].Listen; 0: none
+	Metrics           string // where metrics are served; empty: nowhere
+	TokenFile         string // what readers of metrics have to show stands there
 
 	// Recorder makes what serves metrics at an address; nil: there is none.
-	Meter func(addr, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error)
+	Recorder func(addr, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error)
 
-	Protocols map[string]Protocol // of a program's own, beside those that come with this one
-	Carriages map[string]Carriage
+	FrontendProtocols map[string]FrontendProtocol // of a program's own, beside those that come with this one
+	UpstreamProtocols map[string]UpstreamProtocol
 
 	Backlog *Backlog // where messages wait on disk; nil: in memory alone
 
-	Movable bool // fronts, targets and logs may change while it runs
+	DiscoveryMovable bool // fronts, targets and logs may change while it runs
 
-	Reread func() (*Order, error) // the order as it is told by now; nil: it never changes
-	told   string                 // discovery as the text has it, whatever the variables say
+	Reload func() (*Config, error) // the order as it is told by now; nil: it never changes
+	told   string                  // discovery as the text has it, whatever the variables say
 
 	toldNotices string // where notices go, if not to discovery
 }
 
 // Complete says what the order's text has as discovery, whatever its variables say, and where notices go if not there.
-func (o *Order) Tell(discovery, notices string) { o.told, o.toldNotices = discovery, notices }
+func (o *Config) NoticeAddress(discovery, notices string) { o.told, o.toldNotices = discovery, notices }
 
 // Notices is where final answers go that no caller waits for; empty: into the log alone.
-func (o *Order) Notices() string {
+func (o *Config) Notices() string {
 	if o.toldNotices != "" {
 		return o.toldNotices
 	}
@@ -75,23 +75,23 @@
 	leastDisk    = 1
 )
 
-// FromEnvironment reads the file that PROXY_CONFIG names; the other variables go before what it says. Read again, the
+// ConfigFromEnvironment reads the file that PROXY_CONFIG names; the other variables go before what it says. Read again, the
 // file goes before PROXY_DISCOVERY, which cannot have changed.
-func FromEnvironment(getenv func(string) string) (*Order, error) {
+func ConfigFromEnvironment(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
 		return nil, errors.New("PROXY_CONFIG is not set")
 	}
-	read := func(getenv func(string) string) (*Order, error) {
+	read := func(getenv func(string) string) (*Config, error) {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return nil, fmt.Errorf("PROXY_CONFIG: %w", err)
 		}
-		return ReadOrder(text, getenv)
+		return ReadConfig(text, getenv)
 	}
 	o, err := read(getenv)
 	if err == nil {
-		o.Reread = func() (*Order, error) {
+		o.Reload = func() (*Config, error) {
 			return read(func(name string) string {
 				if name == "PROXY_DISCOVERY" {
 					return ""
@@ -103,8 +103,8 @@
 	return o, err
 }
 
-// ReadOrder reads an order; variables that are set go before the text's fields.
-func ReadOrder(text []byte, getenv func(string) string) (*Order, error) {
+// ReadConfig reads an order; variables that are set go before the text's fields.
+func ReadConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var c struct {
 		Name, Listen, Discovery, Seed, State, Admin string
 		Limits                                      struct {
@@ -125,12 +125,12 @@
 		}
 		return other
 	}
-	o := &Order{Name: first("PROXY_NAME", c.Name),
-		Fronts:    []Front{{Name: "resp", Protocol: "resp", Listen: first("PROXY_LISTEN", c.Listen)}},
+	o := &Config{Name: first("PROXY_NAME", c.Name),
+		Frontends: []Frontend{{Name: "resp", Protocol: "resp", Listen: first("PROXY_LISTEN", c.Listen)}},
 		Discovery: first("PROXY_DISCOVERY", c.Discovery), Folder: first("PROXY_STATE", c.State),
 		MemoryMB: c.Limits.MemoryMB, Sockets: c.Limits.Sockets, DiskMB: c.Limits.DiskMB, Cores: c.Limits.Cores,
-		Known: c.Known, told: c.Discovery, Log: Log{Level: zerolog.TraceLevel}, Admin: first("PROXY_ADMIN", c.Admin)}
-	for _, f := range []struct{ name, value string }{{"listen", o.Fronts[0].Listen}, {"discovery", o.Discovery}} {
+		LastEndpoints: c.Known, told: c.Discovery, Log: Log{Level: zerolog.TraceLevel}, Admin: first("PROXY_ADMIN", c.Admin)}
+	for _, f := range []struct{ name, value string }{{"listen", o.Frontends[0].Listen}, {"discovery", o.Discovery}} {
 		if !IsAddress(f.value) {
 			return nil, fmt.Errorf("%s: %q is not an address with a port", f.name, f.value)
 		}
@@ -143,7 +143,7 @@
 		if err != nil || n < 3 {
 			return nil, fmt.Errorf("PROXY_INHERITED_FD: %q is not the number of a descriptor beyond 2", fd)
 		}
-		o.Inherited = int(n)
+		o.InheritedListener = int(n)
 	}
 	if o.Folder == "" {
 		return nil, errors.New("PROXY_STATE is not set")
@@ -169,7 +169,7 @@
 	if len(c.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if o.Terms, o.Names, err = settings.Read(c.Settings); err != nil {
+	if o.Scheduler, o.Names, err = settings.Read(c.Settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return o, nil
--- a/forwarder/config_test.go
+++ b/forwarder/config_test.go
@@ -13,13 +13,13 @@
 "settings":{"Classes":[{"Name":"t","Idempotency":"dedup"}],"Tenants":[{"Name":"x","QuotaRps":2}],"Extra":{"CallsOut":8},"NInstances":2}}`
 
 func TestAnOrderIsReadAndVariablesGoBeforeIt(t *testing.T) {
-	o, err := ReadOrder([]byte(config), func(name string) string {
+	o, err := ReadConfig([]byte(config), func(name string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.9:1"}[name]
 	})
 	require.NoError(t, err)
 	require.Equal(t, []any{"n3", "127.0.0.9:1", "127.0.0.5:8500", ".", uint64(0x8c1f30d27a5be964), 192, 1024, 3},
-		[]any{o.Name, o.Fronts[0].Listen, o.Discovery, o.Folder, o.Seed, o.MemoryMB, o.Sockets, o.DiskMB})
-	require.Equal(t, uint64(3), o.Known.Endpoints[0].Destination)
+		[]any{o.Name, o.Frontends[0].Listen, o.Discovery, o.Folder, o.Seed, o.MemoryMB, o.Sockets, o.DiskMB})
+	require.Equal(t, uint64(3), o.LastEndpoints.Endpoints[0].Destination)
 	require.Equal(t, []string{"x"}, o.Names.Tenants)
 }
 
@@ -39,7 +39,7 @@
 		{`"CallsOut":8`, `"CallsOut":0`, "settings: Extra.CallsOut"}} {
 		text := strings.Replace(config, c.old, c.new, 1)
 		require.NotEqual(t, config, text)
-		_, err := ReadOrder([]byte(text), func(string) string { return "" })
+		_, err := ReadConfig([]byte(text), func(string) string { return "" })
 		require.ErrorContains(t, err, c.says)
 	}
 }
--- a/forwarder/connect.go
+++ b/forwarder/connect.go
@@ -31,14 +31,14 @@
 // connectOutlets makes the order's outlets, and the usual one unless the order has its own by that name.
 func (o *owner) connectOutlets(dialer *dial.Dialer, connect time.Duration) error {
 	order := o.order
-	terms := Carrier{
-		Connect:  connect,
-		KeepIdle: time.Duration(order.Terms.KeepIdle() * float64(time.Second)),
-		Limit:    order.Names.Limit,
-		Left:     order.Names.Left,
+	terms := UpstreamSettings{
+		Connect:            connect,
+		KeepIdle:           time.Duration(order.Scheduler.KeepIdle() * float64(time.Second)),
+		ReportedLimitField: order.Names.Limit,
+		ReportedShareField: order.Names.Left,
 	}
 	o.outlets = map[string]transport.Upstream{}
-	for _, w := range append(slices.Clone(order.Outlets), Outlet{Name: usualCarriage, Protocol: usualCarriage}) {
+	for _, w := range append(slices.Clone(order.Upstreams), Upstream{Name: usualCarriage, Protocol: usualCarriage}) {
 		if o.outlets[w.Name] != nil { // the order's own in place of the usual
 			continue
 		}
@@ -52,7 +52,7 @@
 		}
 		o.outlets[w.Name] = c(dialer, t, o.exchange)
 	}
-	for kind, name := range order.KindOutlet {
+	for kind, name := range order.KindUpstream {
 		if o.outlets[name] == nil {
 			return fmt.Errorf("kinds: %s: unknown outlet %q", kind, name)
 		}
@@ -72,10 +72,10 @@
 		}
 	} else {
 		o.own = &static{board: x}
-		if order.Static != nil {
-			o.own.list = *order.Static
+		if order.StaticEndpoints != nil {
+			o.own.list = *order.StaticEndpoints
 		}
-		order.Known = o.own.list
+		order.LastEndpoints = o.own.list
 		o.source = o.own
 	}
 	if order.toldNotices != "" {
--- a/forwarder/exchange_test.go
+++ b/forwarder/exchange_test.go
@@ -65,12 +65,12 @@
 }
 
 func TestConnectionsAreSharedOut(t *testing.T) {
-	most, err := shares([]Front{{Connections: 50}, {}, {}}, 100)
+	most, err := shares([]Frontend{{Connections: 50}, {}, {}}, 100)
 	require.NoError(t, err)
 	require.Equal(t, []int{50, 25, 25}, most)
-	_, err = shares([]Front{{Connections: 100}, {}}, 100)
+	_, err = shares([]Frontend{{Connections: 100}, {}}, 100)
 	require.ErrorContains(t, err, "more than the 100")
-	_, err = shares([]Front{{Name: "a", Connections: 4}}, 100)
+	_, err = shares([]Frontend{{Name: "a", Connections: 4}}, 100)
 	require.ErrorContains(t, err, "a: 4 connections are under the least, 5")
 }
 
@@ -97,8 +97,8 @@
 
 // PROXY_DISCOVERY goes before the file at the start. A word to read again, with the file as it was, changes nothing.
 func TestAVariableThatWentBeforeTheFileStandsUntilTheFileChanges(t *testing.T) {
-	read := func(text string, variable string) *Order {
-		o, err := ReadOrder([]byte(text), func(name string) string {
+	read := func(text string, variable string) *Config {
+		o, err := ReadConfig([]byte(text), func(name string) string {
 			return map[string]string{"PROXY_DISCOVERY": variable}[name]
 		})
 		require.NoError(t, err)
@@ -106,7 +106,7 @@
 	}
 	m, notices := &moved{}, &moved{}
 	o := &owner{order: read(config, "127.0.0.9:1"), moves: m, notices: notices}
-	o.asRead = o.order.Terms
+	o.asRead = o.order.Scheduler
 	require.Equal(t, "127.0.0.9:1", o.order.Notices())
 	require.NoError(t, o.takeUp(read(config, "")))
 	require.Empty(t, m.to)
@@ -114,9 +114,9 @@
 	require.NoError(t, o.takeUp(read(other, "")))
 	require.Equal(t, []string{"127.0.0.6:8500"}, m.to)
 	require.Equal(t, "127.0.0.6:8500", o.order.Notices())
-	o.order.Movable = true
+	o.order.DiscoveryMovable = true
 	next := read(other, "")
-	next.Movable, next.Seed, next.toldNotices = true, o.order.Seed, "127.0.0.7:1"
+	next.DiscoveryMovable, next.Seed, next.toldNotices = true, o.order.Seed, "127.0.0.7:1"
 	require.ErrorContains(t, o.takeUp(next), "discovery.notices")
 	o.order.toldNotices = "127.0.0.8:1"
 	require.NoError(t, o.takeUp(next))
--- a/forwarder/follow.go
+++ b/forwarder/follow.go
@@ -10,17 +10,17 @@
 	"spanflow/scheduler"
 )
 
-// Follower is what Follow works with beside an order.
-type Follower struct {
+// EndpointFollower is what FollowEndpoints works with beside an order.
+type EndpointFollower struct {
 	Dialer  *dial.Dialer // opens the connection to discovery; the caller stops it
 	LogTo   io.Writer
 	InForce func(rev int64) // called by the event loop once the module was told a version of the list and has settled
 }
 
-// Follow keeps discovery's list in force as Run does, by the same client, hand-over and module, until ctx ends. It has
+// FollowEndpoints keeps discovery's list in force as Run does, by the same client, hand-over and module, until ctx ends. It has
 // no fronts, no ledger and no calls to targets: the laboratory runs many in one process. Of the order it needs the
 // discovery, the seed, the settings and the known list.
-func Follow(ctx context.Context, order *Order, by Follower) error {
+func FollowEndpoints(ctx context.Context, order *Config, by EndpointFollower) error {
 	own := *order
 	order = &own
 	order.askForList()
@@ -30,8 +30,8 @@
 		return err
 	}
 	defer o.source.Stop()
-	o.f = scheduler.New(order.Terms, order.Seed, o.clock(o.epoch), o)
-	o.listed(&order.Known, true)
+	o.f = scheduler.New(order.Scheduler, order.Seed, o.clock(o.epoch), o)
+	o.listed(&order.LastEndpoints, true)
 	o.f.Reconcile()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
--- a/forwarder/follow_test.go
+++ b/forwarder/follow_test.go
@@ -18,7 +18,7 @@
 	entry := emulator.Entry{UID: "t1", Endpoint: "127.0.0.1:1", Zone: "a", Kind: "k", Dest: 1, State: "active"}
 	discovery, err := emulator.NewDiscovery("", entry)
 	require.NoError(t, err)
-	order, err := forwarder.ReadOrder(fmt.Appendf(nil, benchOrder, discovery.Addr, t.TempDir(), discovery.Known()),
+	order, err := forwarder.ReadConfig(fmt.Appendf(nil, benchOrder, discovery.Addr, t.TempDir(), discovery.Known()),
 		func(string) string { return "" })
 	require.NoError(t, err)
 	dialer, err := dial.New("test", 4)
@@ -28,14 +28,14 @@
 	inForce, ended := make(chan int64, 9), make(chan error, 1)
 	logged := emulator.NewLog()
 	go func() {
-		ended <- forwarder.Follow(ctx, order, forwarder.Follower{Dialer: dialer, LogTo: logged, InForce: func(rev int64) { inForce <- rev }})
+		ended <- forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: logged, InForce: func(rev int64) { inForce <- rev }})
 	}()
-	require.EqualValues(t, order.Known.Revision, <-inForce)
+	require.EqualValues(t, order.LastEndpoints.Revision, <-inForce)
 	entry.State = "leaving"
 	discovery.Set(entry)
 	var list struct{ Rev int64 }
 	require.NoError(t, json.Unmarshal(discovery.Known(), &list))
-	require.Greater(t, list.Rev, order.Known.Revision)
+	require.Greater(t, list.Rev, order.LastEndpoints.Revision)
 	require.Equal(t, list.Rev, <-inForce)
 	cancel()
 	require.NoError(t, <-ended)
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -1,6 +1,6 @@
-// Package forward is the forwarder as a library: read an Order, then Run serves by it until its context ends.
+// Package forward is the forwarder as a library: read an Config, then Run serves by it until its context ends.
 //
-// One goroutine, the owner, has the module of package choice to itself. Fronts, outlets and the list's source (package
+// One goroutine, the owner, has the module of package choice to itself. Frontends, outlets and the list's source (package
 // seam says what each is) leave their news in the Exchange; the owner takes them in batches, lets the module settle
 // once, and carries out what it decides. It knows no wire.
 package forwarder
@@ -25,9 +25,9 @@
 	"spanflow/internal/wal"
 )
 
-// Confine makes the whole process keep to the order's limits and its log lines bear times a person can read. A program
+// ApplyProcessLimits makes the whole process keep to the order's limits and its log lines bear times a person can read. A program
 // with other work to do sets its own.
-func (o *Order) Confine() {
+func (o *Config) ApplyProcessLimits() {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 	runtime.GOMAXPROCS(max(1, int(o.Cores)))
 	debug.SetMemoryLimit(int64(o.MemoryMB) << 20 * 6 / 10)
@@ -35,9 +35,9 @@
 
 // Run serves by an order until ctx ends, then finishes what it can in the time there is. At each word on again the
 // order is read anew. ready, if not nil, is called with the address once clients are served.
-func Run(ctx context.Context, order *Order, again <-chan os.Signal, logTo io.Writer, ready func(addr string)) error {
+func Run(ctx context.Context, order *Config, again <-chan os.Signal, logTo io.Writer, ready func(addr string)) error {
 	own := *order
-	order, asRead := &own, own.Terms
+	order, asRead := &own, own.Scheduler
 	log := order.Log.to(logTo, order.Name)
 	logging.SetLogger(networkLog{log})
 	nbio.MaxOpenFiles = order.Sockets + 1024 // it keeps a table of that size for each engine
@@ -51,7 +51,7 @@
 		}
 		defer a.Stop()
 	}
-	if order.Inherited > 0 {
+	if order.InheritedListener > 0 {
 		l, err := order.listenInherited()
 		if err != nil {
 			return err
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer dialer.Stop()
-	order.Terms.MaxStoredBytes, order.Terms.AwaitAcknowledgement = led.Room(), true
+	order.Scheduler.MaxStoredBytes, order.Scheduler.AwaitAcknowledgement = led.Room(), true
 	order.askForList()
 	o := newOwner(order, log, x)
 	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, drains.New(readOut(order.Folder)), logTo
@@ -113,9 +113,9 @@
 }
 
 // openLedger opens the folder. A process that replaces another waits until that one has left it.
-func openLedger(ctx context.Context, order *Order, log zerolog.Logger) (*wal.Ledger, error) {
+func openLedger(ctx context.Context, order *Config, log zerolog.Logger) (*wal.Ledger, error) {
 	wait := time.Duration(0)
-	if order.Inherited > 0 {
+	if order.InheritedListener > 0 {
 		wait = handOverWait
 		if pid := wal.Owner(order.Folder); pid != 0 {
 			log.Info().Int("pid", pid).Msg("waiting for the folder")
@@ -129,9 +129,9 @@
 }
 
 // askForList tells the module that the list comes by a watch that is asked for, whatever discovery is like.
-func (o *Order) askForList() {
-	o.Terms.LocalAgent = !o.Terms.PollEndpoints && o.Discovery != ""
-	o.Terms.PollEndpoints = true
+func (o *Config) askForList() {
+	o.Scheduler.LocalAgent = !o.Scheduler.PollEndpoints && o.Discovery != ""
+	o.Scheduler.PollEndpoints = true
 }
 
 // openMeter starts to serve the metrics, if the order asks for them.
@@ -139,14 +139,14 @@
 	if o.order.Metrics == "" {
 		return nil
 	}
-	if o.order.Meter == nil {
+	if o.order.Recorder == nil {
 		return errors.New("metrics: this program has none")
 	}
 	var fronts []string
-	for _, f := range o.order.Fronts {
+	for _, f := range o.order.Frontends {
 		fronts = append(fronts, f.Name)
 	}
-	m, err := o.order.Meter(o.order.Metrics, o.order.Name, fronts, o.levels(dialer))
+	m, err := o.order.Recorder(o.order.Metrics, o.order.Name, fronts, o.levels(dialer))
 	if err != nil {
 		return fmt.Errorf("metrics: %w", err)
 	}
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -157,8 +157,8 @@
 
 // goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
 func goldenStoreOwner() *owner {
-	order := &Order{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
-		Terms: scheduler.Settings{Types: []scheduler.MessageType{
+	order := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
+		Scheduler: scheduler.Settings{Types: []scheduler.MessageType{
 			{Idempotency: scheduler.Idempotent},
 			{Idempotency: scheduler.IdempotentWithKey, DeduplicationWindow: 600},
 			{Idempotency: scheduler.AtMostOnce, InOrder: true},
--- a/forwarder/inherit.go
+++ b/forwarder/inherit.go
@@ -36,12 +36,12 @@
 }
 
 // listenInherited puts the socket that the platform hands down in the place of the first front's address.
-func (o *Order) listenInherited() (net.Listener, error) {
-	l, err := inherit(o.Inherited)
+func (o *Config) listenInherited() (net.Listener, error) {
+	l, err := inherit(o.InheritedListener)
 	if err != nil {
 		return nil, err
 	}
-	o.Fronts = slices.Clone(o.Fronts)
-	o.Fronts[0].Listener = l
+	o.Frontends = slices.Clone(o.Frontends)
+	o.Frontends[0].Listener = l
 	return l, nil
 }
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -28,9 +28,9 @@
 
 func TestWhatWasReadBehindTheLastTurnIsAnswered(t *testing.T) {
 	h := newHouse(t)
-	inner := h.order.Protocols["memory"]
+	inner := h.order.FrontendProtocols["memory"]
 	var front *closing
-	h.order.Protocols["memory"] = func(f forwarder.Front, most int, desk transport.Submitter) (transport.Frontend, error) {
+	h.order.FrontendProtocols["memory"] = func(f forwarder.Frontend, most int, desk transport.Submitter) (transport.Frontend, error) {
 		m, err := inner(f, most, desk)
 		front = &closing{memory: m.(*memory)}
 		return front, err
@@ -65,10 +65,10 @@
 func TestAnUnlistedDestinationIsToldNoTimeToComeBackWhereNoneIsAllowed(t *testing.T) {
 	for most, want := range map[float64]int{0: 0, 2: 1000} {
 		h := newHouse(t)
-		h.order.Terms.MaxRetryAfter = most
+		h.order.Scheduler.MaxRetryAfter = most
 		silent, err := emulator.NewTarget("", func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: make(chan struct{})} })
 		require.NoError(t, err)
-		h.order.Static, h.order.Discovery = nil, silent.Addr // it never tells its list
+		h.order.StaticEndpoints, h.order.Discovery = nil, silent.Addr // it never tells its list
 		h.start()
 		c := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 99})
 		require.Equal(t, transport.Reply{Status: transport.StatusOverloaded, RetryAfter: want}, <-c.door)
--- a/forwarder/learnt.go
+++ b/forwarder/learnt.go
@@ -23,7 +23,7 @@
 )
 
 // shape names what the figures depend on: times at destinations of other kinds, for other types, mean something else.
-func (o *Order) shape() string { return strconv.Quote(fmt.Sprint(o.Names.Kinds, o.Names.Types)) }
+func (o *Config) shape() string { return strconv.Quote(fmt.Sprint(o.Names.Kinds, o.Names.Types)) }
 
 // keepLearnt writes the times, one destination a line behind the form, the shape and a checksum.
 func (o *owner) keepLearnt() {
--- a/forwarder/learnt_test.go
+++ b/forwarder/learnt_test.go
@@ -29,10 +29,10 @@
 // learning is an owner with a module and a folder, no sockets.
 func learning(folder string) (*owner, *bytes.Buffer) {
 	var said bytes.Buffer
-	order := &Order{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
-	order.Terms = scheduler.Settings{Types: []scheduler.MessageType{{LatencyObjective: 3, TimeToLive: 16}}, Forwarders: 200, ConcurrencyLimit: 3, QueueCapacity: 19}
+	order := &Config{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
+	order.Scheduler = scheduler.Settings{Types: []scheduler.MessageType{{LatencyObjective: 3, TimeToLive: 16}}, Forwarders: 200, ConcurrencyLimit: 3, QueueCapacity: 19}
 	o := &owner{order: order, log: zerolog.New(&said), dests: map[uint64]*scheduler.Destination{}, sweepAt: leastSweep}
-	o.f = scheduler.New(order.Terms, 7, 100, silentHost{})
+	o.f = scheduler.New(order.Scheduler, 7, 100, silentHost{})
 	o.learnt = readLearnt(folder, order.shape(), &o.log)
 	return o, &said
 }
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -55,8 +55,8 @@
 	if e.Address != "" {
 		t.addr = e.Address
 	}
-	if kind < len(o.order.Terms.KindBatchSize) {
-		t.batch = max(1, o.order.Terms.KindBatchSize[kind])
+	if kind < len(o.order.Scheduler.KindBatchSize) {
+		t.batch = max(1, o.order.Scheduler.KindBatchSize[kind])
 	}
 	return t
 }
@@ -78,7 +78,7 @@
 
 // outletOf is the outlet by which targets of a kind are reached.
 func (o *owner) outletOf(kind string) transport.Upstream {
-	if by := o.outlets[o.order.KindOutlet[kind]]; by != nil {
+	if by := o.outlets[o.order.KindUpstream[kind]]; by != nil {
 		return by
 	}
 	return o.outlets[usualCarriage]
--- a/forwarder/list_test.go
+++ b/forwarder/list_test.go
@@ -14,10 +14,10 @@
 
 // listOwner is an event loop that hears of lists alone.
 func listOwner() *owner {
-	order := &Order{Terms: scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 1}}
+	order := &Config{Scheduler: scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 1}}
 	o := newOwner(order, zerolog.Nop(), newExchange())
 	o.rota = drains.New(nil)
-	o.f = scheduler.New(order.Terms, 1, 100, &wakeHost{})
+	o.f = scheduler.New(order.Scheduler, 1, 100, &wakeHost{})
 	return o
 }
 
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -15,7 +15,7 @@
 
 // owner is what the one goroutine that owns the module works with.
 type owner struct {
-	order    *Order
+	order    *Config
 	asRead   scheduler.Settings // as the order has them
 	exchange *Exchange
 	ledger   *wal.Ledger
@@ -43,13 +43,13 @@
 	waits    map[string]float64   // of an earlier process, for targets not listed yet
 	learnt   map[uint64][]float64 // call times that an earlier process measured, for destinations not heard of yet
 
-	// Fronts and operators
+	// Frontends and operators
 	fronts    []*listener
 	leaving   []*listener // that have gone from the order, until their callers have
 	operators *adminRequests
 	lame      bool // clients are sent elsewhere, by the operators' word
 
-	// Outlets
+	// Upstreams
 	outlets map[string]transport.Upstream
 	calls   []pending
 
@@ -81,10 +81,10 @@
 )
 
 // newOwner has heard of nothing yet. Its ledger, operators and rota are the caller's to set.
-func newOwner(order *Order, log zerolog.Logger, x *Exchange) *owner {
+func newOwner(order *Config, log zerolog.Logger, x *Exchange) *owner {
 	o := &owner{
 		order:      order,
-		asRead:     order.Terms,
+		asRead:     order.Scheduler,
 		log:        log,
 		exchange:   x,
 		epoch:      time.Now(),
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -10,14 +10,14 @@
 
 // begin gives the module the known list and what an earlier process owed.
 func (o *owner) begin(now time.Time) {
-	o.f = scheduler.New(o.order.Terms, o.order.Seed, o.clock(now), o)
-	if o.order.Inherited > 0 { // this process and the one before are one forwarder; a restart ends the waits
+	o.f = scheduler.New(o.order.Scheduler, o.order.Seed, o.clock(now), o)
+	if o.order.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the waits
 		o.waits = readWaits(o.order.Folder, o.clock(now))
 	}
 	if o.learnt = readLearnt(o.order.Folder, o.order.shape(), &o.log); len(o.learnt) > 0 {
 		o.log.Info().Int("destinations", len(o.learnt)).Msg("learnt figures taken up")
 	}
-	o.listed(&o.order.Known, true)
+	o.listed(&o.order.LastEndpoints, true)
 	o.emptyTray()
 	owed := o.ledger.Owed()
 	overtaking := o.resolve()
--- a/forwarder/reread.go
+++ b/forwarder/reread.go
@@ -7,51 +7,51 @@
 	"slices"
 )
 
-// Change tells when a changed part of an order is taken up.
-type Change uint8
+// ReloadBehavior tells when a changed part of an order is taken up.
+type ReloadBehavior uint8
 
 const (
-	AtOnce  Change = iota // by a running forwarder, when it reads its order again
-	AtStart               // at the next start
+	OnReload  ReloadBehavior = iota // by a running forwarder, when it reads its order again
+	OnRestart                       // at the next start
 )
 
-func (c Change) String() string { return [...]string{"reload", "restart"}[c] }
+func (c ReloadBehavior) String() string { return [...]string{"reload", "restart"}[c] }
 
-// Part is a part of an order as far as a change of it goes. The reload goes by Parts, and so does what the commands
+// ConfigPart is a part of an order as far as a change of it goes. The reload goes by ConfigParts, and so does what the commands
 // tell of it.
-type Part struct {
+type ConfigPart struct {
 	Name string
 	Keys []string // of the configuration, whole sections or single keys
-	When Change
-	of   func(o *Order) any
+	When ReloadBehavior
+	of   func(o *Config) any
 }
 
-// Parts are all parts of an order. Two of them are taken up at once only where the order's form has them so (Movable):
+// ConfigParts are all parts of an order. Two of them are taken up at once only where the order's form has them so (DiscoveryMovable):
 // the platform's form changes nothing but discovery.
-var Parts = []Part{
-	{"name", []string{"name"}, AtStart, func(o *Order) any { return o.Name }},
-	{"listen", []string{"fronts"}, AtOnce, func(o *Order) any { return o.Fronts }},
-	{"notices", []string{"discovery.notices"}, AtOnce, func(o *Order) any { return o.toldNotices }},
-	{"discovery", []string{"discovery"}, AtOnce, func(o *Order) any { return o.told }},
-	{"targets", []string{"targets"}, AtOnce, func(o *Order) any { return o.Static }},
-	{"log", []string{"log"}, AtOnce, func(o *Order) any { return o.Log }},
-	{"admin", []string{"admin"}, AtStart, func(o *Order) any { return o.Admin }},
-	{"metrics", []string{"metrics"}, AtStart, func(o *Order) any { return [2]string{o.Metrics, o.TokenFile} }},
-	{"seed", []string{"seed"}, AtStart, func(o *Order) any {
-		if o.Movable && !o.SeedDrawn { // the platform's is another at each start
+var ConfigParts = []ConfigPart{
+	{"name", []string{"name"}, OnRestart, func(o *Config) any { return o.Name }},
+	{"listen", []string{"fronts"}, OnReload, func(o *Config) any { return o.Frontends }},
+	{"notices", []string{"discovery.notices"}, OnReload, func(o *Config) any { return o.toldNotices }},
+	{"discovery", []string{"discovery"}, OnReload, func(o *Config) any { return o.told }},
+	{"targets", []string{"targets"}, OnReload, func(o *Config) any { return o.StaticEndpoints }},
+	{"log", []string{"log"}, OnReload, func(o *Config) any { return o.Log }},
+	{"admin", []string{"admin"}, OnRestart, func(o *Config) any { return o.Admin }},
+	{"metrics", []string{"metrics"}, OnRestart, func(o *Config) any { return [2]string{o.Metrics, o.TokenFile} }},
+	{"seed", []string{"seed"}, OnRestart, func(o *Config) any {
+		if o.DiscoveryMovable && !o.RandomSeed { // the platform's is another at each start
 			return o.Seed
 		}
-		return o.SeedDrawn
+		return o.RandomSeed
 	}},
-	{"state", []string{"ledger.folder"}, AtStart, func(o *Order) any { return o.Folder }},
-	{"backlog", []string{"backlog.disk", "backlog.destination", "backlog.tenant", "backlog.window", "backlog.behind"}, AtOnce,
-		func(o *Order) any { return o.Backlog.bounds() }},
-	{"backlog_folder", []string{"backlog.folder"}, AtStart, func(o *Order) any { return o.Backlog.folder() }},
-	{"limits", []string{"limits", "ledger.disk"}, AtStart, func(o *Order) any {
+	{"state", []string{"ledger.folder"}, OnRestart, func(o *Config) any { return o.Folder }},
+	{"backlog", []string{"backlog.disk", "backlog.destination", "backlog.tenant", "backlog.window", "backlog.behind"}, OnReload,
+		func(o *Config) any { return o.Backlog.bounds() }},
+	{"backlog_folder", []string{"backlog.folder"}, OnRestart, func(o *Config) any { return o.Backlog.folder() }},
+	{"limits", []string{"limits", "ledger.disk"}, OnRestart, func(o *Config) any {
 		return [4]float64{float64(o.MemoryMB), float64(o.Sockets), float64(o.DiskMB), o.Cores}
 	}},
-	{"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"}, AtStart, func(o *Order) any {
-		return []any{o.Terms, o.Names, o.Outlets, o.KindOutlet}
+	{"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"}, OnRestart, func(o *Config) any {
+		return []any{o.Scheduler, o.Names, o.Upstreams, o.KindUpstream}
 	}},
 }
 
@@ -74,9 +74,9 @@
 }
 
 // when tells when a change of the part is taken up, in an order at hand.
-func (p *Part) when(o *Order) Change {
-	if p.Name != "discovery" && !o.Movable {
-		return AtStart
+func (p *ConfigPart) when(o *Config) ReloadBehavior {
+	if p.Name != "discovery" && !o.DiscoveryMovable {
+		return OnRestart
 	}
 	return p.When
 }
@@ -84,10 +84,10 @@
 // reread takes up what may change while the forwarder runs, all of it or nothing. What an order that cannot be read or
 // carried out says counts for nothing; what else it changes waits for the next start.
 func (o *owner) reread() {
-	if o.order.Reread == nil {
+	if o.order.Reload == nil {
 		return
 	}
-	next, err := o.order.Reread()
+	next, err := o.order.Reload()
 	if err == nil {
 		err = o.takeUp(next)
 	}
@@ -99,18 +99,18 @@
 	o.figures.accepted++
 }
 
-func (o *owner) takeUp(next *Order) error {
+func (o *owner) takeUp(next *Config) error {
 	was := o.order
 	asked := *next // as read: what the owner has added to its own terms does not count as a change
 	now := *was
-	now.Terms = o.asRead
+	now.Scheduler = o.asRead
 	changed := map[string]bool{}
 	var later []string
-	for _, p := range Parts {
+	for _, p := range ConfigParts {
 		if reflect.DeepEqual(p.of(&now), p.of(&asked)) {
 			continue
 		}
-		if changed[p.Name] = p.when(was) == AtOnce; !changed[p.Name] {
+		if changed[p.Name] = p.when(was) == OnReload; !changed[p.Name] {
 			later = append(later, p.Name)
 		}
 	}
@@ -127,13 +127,13 @@
 		}
 	}
 	if changed["listen"] {
-		if err := o.move(next.Fronts); err != nil {
+		if err := o.move(next.Frontends); err != nil {
 			if resized {
 				err = errors.Join(err, o.setBacklogBounds(was.Backlog))
 			}
 			return err
 		}
-		was.Fronts = next.Fronts
+		was.Frontends = next.Frontends
 	}
 	if resized {
 		was.Backlog = next.Backlog
@@ -149,8 +149,8 @@
 		o.notices.Reconfigure(was.toldNotices, 0)
 	}
 	if changed["targets"] && o.own != nil {
-		was.Static = next.Static
-		o.own.list = *next.Static
+		was.StaticEndpoints = next.StaticEndpoints
+		o.own.list = *next.StaticEndpoints
 		o.own.list.Revision = o.rev + 1
 		o.own.Watch(0)
 	}
@@ -170,8 +170,8 @@
 // move puts other fronts in the place of those that there are. A front that stays as it was is left alone; one that
 // goes takes no new connections, and each of its callers is answered before its connection ends. The new ones open
 // first: if one cannot, nothing has changed.
-func (o *owner) move(fronts []Front) error {
-	most, err := shares(fronts, Clients(o.order.Sockets))
+func (o *owner) move(fronts []Frontend) error {
+	most, err := shares(fronts, MaxClients(o.order.Sockets))
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 			leave = append(leave, l)
 		}
 	}
-	var fresh []Front
+	var fresh []Frontend
 	var bounds []int
 	for i, f := range fronts {
 		if slices.ContainsFunc(stay, func(l *listener) bool { return l.terms == f }) {
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -36,7 +36,7 @@
 	learn := time.NewTicker(learnEvery)
 	defer learn.Stop()
 	var tray <-chan time.Time
-	if o.order.Inherited > 0 { // a process that replaces this one may wait and be called
+	if o.order.InheritedListener > 0 { // a process that replaces this one may wait and be called
 		ticker := time.NewTicker(trayEvery)
 		defer ticker.Stop()
 		tray = ticker.C
@@ -97,7 +97,7 @@
 	s.asked, o.stopping = nil, true
 	o.operators.ready.Store(false)
 	s.end = time.After(killAfter - killMargin)
-	if s.handing = o.order.Inherited > 0; s.handing {
+	if s.handing = o.order.InheritedListener > 0; s.handing {
 		// Another process takes the clients from the shared socket and what is owed from the folder: its order goes on
 		// there once this one has its calls back.
 		o.log.Info().Int("held", len(o.docs)).Int("out", o.f.CallsInFlight()).Msg("handing over")
@@ -121,7 +121,7 @@
 	}
 	done := o.turn()
 	if s.handing && !s.shut && o.f.CallsInFlight() == 0 {
-		// Clients are taken and kept for the successor until the calls are back, so that the socket is without anybody
+		// MaxClients are taken and kept for the successor until the calls are back, so that the socket is without anybody
 		// who accepts for as short a time as can be: the successor starts once the folder is free.
 		s.shut = true
 		for _, l := range o.fronts {
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -35,9 +35,9 @@
 	left   bool // the owner answers from here on
 }
 
-func newStandby(o *Order) *standby {
+func newStandby(o *Config) *standby {
 	s := &standby{folder: o.Folder, types: o.Names.Types, known: map[string]bool{}}
-	for _, t := range o.Known.Endpoints {
+	for _, t := range o.LastEndpoints.Endpoints {
 		if t.State != "left" {
 			s.known[t.UID] = t.State == "active"
 		}
--- a/forwarder/transcript_test.go
+++ b/forwarder/transcript_test.go
@@ -58,7 +58,7 @@
 	w.script.Mask(`Date: [^\r]*`, "Date: DATE")
 	folder := t.TempDir()
 	text := fmt.Sprintf(transcriptConfig, w.discovery.Addr, w.admin, w.endpoint.Addr)
-	order, err := forwarder.ReadOrder([]byte(text), func(name string) string {
+	order, err := forwarder.ReadConfig([]byte(text), func(name string) string {
 		return map[string]string{"PROXY_STATE": folder}[name]
 	})
 	require.NoError(t, err)
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -80,7 +80,7 @@
 // house is a forwarder in this process with such a front and outlet, and one of the program's own beside them.
 type house struct {
 	t      *testing.T
-	order  *forwarder.Order
+	order  *forwarder.Config
 	fronts map[string]*memory
 	hands  *hands
 	again  chan os.Signal
@@ -89,21 +89,21 @@
 	stop   func()
 }
 
-func newHouse(t *testing.T, fronts ...forwarder.Front) *house {
+func newHouse(t *testing.T, fronts ...forwarder.Frontend) *house {
 	h := &house{t: t, fronts: map[string]*memory{}, hands: &hands{calls: make(chan *transport.Call, 100)}, again: make(chan os.Signal, 1)}
-	h.order = &forwarder.Order{Name: "n1", Folder: t.TempDir(), MemoryMB: 64, Sockets: 256, DiskMB: 3, Cores: 1, Seed: 7, Movable: true,
-		Fronts: append([]forwarder.Front{{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:0"}, {Name: "inner", Protocol: "memory"}}, fronts...),
-		Static: &transport.EndpointList{Complete: true, Endpoints: []transport.Endpoint{{UID: "t1", Address: "127.0.0.1:9", Kind: "k", Destination: 7, State: "active"}}},
-		Terms: scheduler.Settings{Types: []scheduler.MessageType{{Idempotency: scheduler.Idempotent, LatencyObjective: 3, TimeToLive: 20}, {Idempotency: scheduler.AtMostOnce, InOrder: true, LatencyObjective: 3, TimeToLive: 20}},
+	h.order = &forwarder.Config{Name: "n1", Folder: t.TempDir(), MemoryMB: 64, Sockets: 256, DiskMB: 3, Cores: 1, Seed: 7, DiscoveryMovable: true,
+		Frontends:       append([]forwarder.Frontend{{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:0"}, {Name: "inner", Protocol: "memory"}}, fronts...),
+		StaticEndpoints: &transport.EndpointList{Complete: true, Endpoints: []transport.Endpoint{{UID: "t1", Address: "127.0.0.1:9", Kind: "k", Destination: 7, State: "active"}}},
+		Scheduler: scheduler.Settings{Types: []scheduler.MessageType{{Idempotency: scheduler.Idempotent, LatencyObjective: 3, TimeToLive: 20}, {Idempotency: scheduler.AtMostOnce, InOrder: true, LatencyObjective: 3, TimeToLive: 20}},
 			KindBatchSize: []int{1}, Forwarders: 1, ConcurrencyLimit: 8, QueueCapacity: 100, MaxAttempts: 6, KeyCooldown: 0.05, SlowStartShare: 0.2, SlowStartDuration: 10, IdleTimeout: 10, OverloadMultiple: 2, MaxRetryAfter: 2},
-		Names:      settings.Names{Types: []string{"status", "payment"}, Kinds: []string{"k"}, Zones: []string{""}, Connect: 1},
-		Outlets:    []forwarder.Outlet{{Name: "by-hand", Protocol: "hands"}},
-		KindOutlet: map[string]string{"k": "by-hand"},
-		Protocols: map[string]forwarder.Protocol{"memory": func(f forwarder.Front, _ int, desk transport.Submitter) (transport.Frontend, error) {
+		Names:        settings.Names{Types: []string{"status", "payment"}, Kinds: []string{"k"}, Zones: []string{""}, Connect: 1},
+		Upstreams:    []forwarder.Upstream{{Name: "by-hand", Protocol: "hands"}},
+		KindUpstream: map[string]string{"k": "by-hand"},
+		FrontendProtocols: map[string]forwarder.FrontendProtocol{"memory": func(f forwarder.Frontend, _ int, desk transport.Submitter) (transport.Frontend, error) {
 			h.fronts[f.Name] = &memory{desk, f.Name}
 			return h.fronts[f.Name], nil
 		}},
-		Carriages: map[string]forwarder.Carriage{"hands": func(_ *dial.Dialer, _ forwarder.Carrier, counter transport.ResultListener) transport.Upstream {
+		UpstreamProtocols: map[string]forwarder.UpstreamProtocol{"hands": func(_ *dial.Dialer, _ forwarder.UpstreamSettings, counter transport.ResultListener) transport.Upstream {
 			h.hands.counter = counter
 			return h.hands
 		}}}
@@ -208,7 +208,7 @@
 
 // One front's callers flood without reading their answers; another's and the platform's go on being served.
 func TestAFrontThatFloodsStarvesNoOther(t *testing.T) {
-	h := newHouse(t, forwarder.Front{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
+	h := newHouse(t, forwarder.Frontend{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
 	end, flooded := make(chan struct{}), make(chan struct{})
 	var asked atomic.Int64
 	go func() {
@@ -265,7 +265,7 @@
 	h := newHouse(t)
 	next := *h.order
 	var fail error
-	h.order.Reread = func() (*forwarder.Order, error) { o := next; return &o, fail }
+	h.order.Reload = func() (*forwarder.Config, error) { o := next; return &o, fail }
 	h.start()
 	c := h.client()
 	for _, id := range []string{"1", "2"} {
@@ -277,7 +277,7 @@
 	require.NoError(t, err)
 	defer taken.Close()
 	reload := func(listen, says string) {
-		next.Fronts = append([]forwarder.Front{{Name: "resp", Protocol: "resp", Listen: listen}}, h.order.Fronts[1:]...)
+		next.Frontends = append([]forwarder.Frontend{{Name: "resp", Protocol: "resp", Listen: listen}}, h.order.Frontends[1:]...)
 		h.again <- os.Interrupt
 		h.log.Await(t, says)
 	}
@@ -306,11 +306,11 @@
 func TestTargetsOfAnOrdersOwnListComeAndGoAtAReload(t *testing.T) {
 	h := newHouse(t)
 	next := *h.order
-	h.order.Reread = func() (*forwarder.Order, error) { o := next; return &o, nil }
+	h.order.Reload = func() (*forwarder.Config, error) { o := next; return &o, nil }
 	h.start()
 	unknown := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 8})
 	require.Equal(t, transport.StatusInvalid, (<-unknown.door).Status)
-	next.Static = &transport.EndpointList{Complete: true, Endpoints: []transport.Endpoint{{UID: "t2", Address: "127.0.0.1:8", Kind: "k", Destination: 8, State: "active"}}}
+	next.StaticEndpoints = &transport.EndpointList{Complete: true, Endpoints: []transport.Endpoint{{UID: "t2", Address: "127.0.0.1:8", Kind: "k", Destination: 8, State: "active"}}}
 	next.MemoryMB = 128
 	h.again <- os.Interrupt
 	text := h.log.Await(t, "order taken up")
@@ -366,7 +366,7 @@
 	h := newHouse(t)
 	m := &finals{}
 	h.order.Metrics = "in the test"
-	h.order.Meter = func(string, string, []string, []transport.Gauge) (transport.Recorder, error) { return m, nil }
+	h.order.Recorder = func(string, string, []string, []transport.Gauge) (transport.Recorder, error) { return m, nil }
 	h.start()
 	for _, end := range []transport.ResultCode{transport.ResultOK, transport.ResultGone} {
 		c := h.fronts["inner"].hand(transport.Submission{ID: end.String(), Type: "status", Destination: 7})
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -13,7 +13,7 @@
 )
 
 // Frontend is what an order says of one front.
-type Front struct {
+type Frontend struct {
 	Name         string // as the ledger and the log have it; "resp" and "" are the platform's own
 	Protocol     string
 	Listen       string
@@ -24,73 +24,76 @@
 }
 
 // Upstream is what an order says of one outlet.
-type Outlet struct {
+type Upstream struct {
 	Name     string
 	Protocol string  // of a carriage
 	Connect  float64 // seconds in which a connection comes up or never does; 0: the order's
 }
 
-// Protocol opens a front that leaves what its callers want at the desk. most is the bound of its connections.
-type Protocol func(f Front, most int, desk transport.Submitter) (transport.Frontend, error)
+// FrontendProtocol opens a front that leaves what its callers want at the desk. most is the bound of its connections.
+type FrontendProtocol func(f Frontend, most int, desk transport.Submitter) (transport.Frontend, error)
 
-// Carriage makes an outlet that reports to the counter.
-type Carriage func(d *dial.Dialer, t Carrier, counter transport.ResultListener) transport.Upstream
+// UpstreamProtocol makes an outlet that reports to the counter.
+type UpstreamProtocol func(d *dial.Dialer, t UpstreamSettings, counter transport.ResultListener) transport.Upstream
 
-// Carrier is what an outlet is told.
-type Carrier struct {
-	Connect  time.Duration // a connection that takes longer never comes up
-	KeepIdle time.Duration // an idle connection is closed after so long
-	Limit    string        // the field of a load report that tells a limit
-	Left     string        // and the one that tells the share of it that is left
+// UpstreamSettings is what an outlet is told.
+type UpstreamSettings struct {
+	Connect            time.Duration // a connection that takes longer never comes up
+	KeepIdle           time.Duration // an idle connection is closed after so long
+	ReportedLimitField string        // the field of a load report that tells a limit
+	ReportedShareField string        // and the one that tells the share of it that is left
 }
 
 // The protocols and carriages that come with the program. A further one is a package of its own and a line here, or,
-// for a program that embeds this one, in its Order.
+// for a program that embeds this one, in its Config.
 var (
-	protocols = map[string]Protocol{"resp": openRESP}
-	carriages = map[string]Carriage{"http": newHTTP}
+	protocols = map[string]FrontendProtocol{"resp": openRESP}
+	carriages = map[string]UpstreamProtocol{"http": newHTTP}
 )
 
-func openRESP(f Front, most int, desk transport.Submitter) (transport.Frontend, error) {
+func openRESP(f Frontend, most int, desk transport.Submitter) (transport.Frontend, error) {
 	if f.Listener != nil {
 		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
 	}
 	return respserver.Open(f.Listen, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
 }
 
-func newHTTP(d *dial.Dialer, t Carrier, counter transport.ResultListener) transport.Upstream {
-	return upstream.New(d, counter, upstream.Terms{Connect: t.Connect, KeepIdle: t.KeepIdle, Limit: t.Limit, Left: t.Left})
+func newHTTP(d *dial.Dialer, t UpstreamSettings, counter transport.ResultListener) transport.Upstream {
+	return upstream.New(d, counter, upstream.Terms{Connect: t.Connect, KeepIdle: t.KeepIdle, Limit: t.ReportedLimitField, Left: t.ReportedShareField})
 }
 
-// Protocols and Carriages name what an order may ask for.
-func (o *Order) protocol(name string) Protocol {
-	if p := o.Protocols[name]; p != nil {
+// FrontendProtocols and UpstreamProtocols name what an order may ask for.
+func (o *Config) protocol(name string) FrontendProtocol {
+	if p := o.FrontendProtocols[name]; p != nil {
 		return p
 	}
 	return protocols[name]
 }
 
-func (o *Order) carriage(name string) Carriage {
-	if c := o.Carriages[name]; c != nil {
+func (o *Config) carriage(name string) UpstreamProtocol {
+	if c := o.UpstreamProtocols[name]; c != nil {
 		return c
 	}
 	return carriages[name]
 }
 
-// KnowsProtocol tells if an order may name a front's protocol, KnowsCarriage an outlet's.
-func KnowsProtocol(name string) bool { return protocols[name] != nil }
-func KnowsCarriage(name string) bool { return carriages[name] != nil }
+// HasFrontendProtocol tells if an order may name a front's protocol, HasUpstreamProtocol an outlet's.
+func HasFrontendProtocol(name string) bool { return protocols[name] != nil }
+func HasUpstreamProtocol(name string) bool { return carriages[name] != nil }
 
 const (
 	descriptors  = 32 // for files, pollers and the like
 	spareClients = 4  // connections that are closed to make room while as many come
 )
 
-// Clients is how many connections of clients an order's descriptors allow, all fronts together.
-func Clients(descriptorsInAll int) int { room := descriptorsInAll - descriptors; return room - room/3 }
+// MaxClients is how many connections of clients an order's descriptors allow, all fronts together.
+func MaxClients(descriptorsInAll int) int {
+	room := descriptorsInAll - descriptors
+	return room - room/3
+}
 
 // shares is how many connections each front gets.
-func shares(fronts []Front, total int) ([]int, error) {
+func shares(fronts []Frontend, total int) ([]int, error) {
 	even, left := 0, total
 	for _, f := range fronts {
 		if left -= f.Connections; f.Connections == 0 {
@@ -111,21 +114,21 @@
 	return most, nil
 }
 
-// Shares is how many connections each of an order's fronts gets, nil if they do not fit.
-func (o *Order) Shares() []int {
-	most, _ := shares(o.Fronts, Clients(o.Sockets))
+// ConnectionShares is how many connections each of an order's fronts gets, nil if they do not fit.
+func (o *Config) ConnectionShares() []int {
+	most, _ := shares(o.Frontends, MaxClients(o.Sockets))
 	return most
 }
 
 // listener is an open front with its way in.
 type listener struct {
-	terms Front
+	terms Frontend
 	transport.Frontend
 	gate *gate
 }
 
 // label is how the ledger names a front. The platform's own has no name there, as in folders of earlier programs.
-func (f Front) label() string {
+func (f Frontend) label() string {
 	if f.Name == "resp" {
 		return ""
 	}
@@ -133,7 +136,7 @@
 }
 
 // open opens fronts with so many connections at most each, all or none.
-func (o *owner) open(fronts []Front, most []int) ([]*listener, error) {
+func (o *owner) open(fronts []Frontend, most []int) ([]*listener, error) {
 	var open []*listener
 	for i, f := range fronts {
 		g := o.exchange.gate(f.Name, f.label(), f.Waiting, f.WaitingBytes)
@@ -152,11 +155,11 @@
 
 // openFronts opens the order's fronts.
 func (o *owner) openFronts() error {
-	most, err := shares(o.order.Fronts, Clients(o.order.Sockets))
+	most, err := shares(o.order.Frontends, MaxClients(o.order.Sockets))
 	if err != nil {
 		return err
 	}
-	o.fronts, err = o.open(o.order.Fronts, most)
+	o.fronts, err = o.open(o.order.Frontends, most)
 	return err
 }
 
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -27,7 +27,7 @@
 
 // backlogPlace is where a configuration has the backlog store.
 var backlogPlace = place{
-	byOrder: func(o *forwarder.Order) string {
+	byOrder: func(o *forwarder.Config) string {
 		if o.Backlog == nil {
 			return ""
 		}
--- a/internal/commands/command.go
+++ b/internal/commands/command.go
@@ -87,7 +87,7 @@
 }
 
 // order reads the configuration, whichever form it has.
-func (s *session) order() (*forwarder.Order, error) {
+func (s *session) order() (*forwarder.Config, error) {
 	path, platform, err := s.file()
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 	if len(s.set) > 0 {
 		return nil, errors.New("--set has no use with the platform's form")
 	}
-	return forwarder.FromEnvironment(func(name string) string {
+	return forwarder.ConfigFromEnvironment(func(name string) string {
 		if name == "PROXY_CONFIG" {
 			return path
 		}
@@ -122,7 +122,7 @@
 			defer stop()
 			again := make(chan os.Signal, 1)
 			signal.Notify(again, syscall.SIGHUP)
-			order.Confine()
+			order.ApplyProcessLimits()
 			return forwarder.Run(ctx, order, again, s.err, nil)
 		})})
 }
@@ -184,7 +184,7 @@
 		return err
 	}
 	var p plan
-	var order *forwarder.Order
+	var order *forwarder.Config
 	if platform {
 		order, err = s.order()
 	} else {
@@ -221,19 +221,19 @@
 	return err
 }
 
-func (p *plan) of(o *forwarder.Order) {
-	p.Name, p.Folder, p.Calls, p.Metrics = o.Name, o.Folder, o.Terms.ConcurrencyLimit, o.Metrics
-	p.Lines = o.Sockets - 32 - forwarder.Clients(o.Sockets)
+func (p *plan) of(o *forwarder.Config) {
+	p.Name, p.Folder, p.Calls, p.Metrics = o.Name, o.Folder, o.Scheduler.ConcurrencyLimit, o.Metrics
+	p.Lines = o.Sockets - 32 - forwarder.MaxClients(o.Sockets)
 	p.Owner = wal.Owner(o.Folder)
 	if b := o.Backlog; b != nil {
 		p.Backlog = &planBacklog{Folder: b.Folder, Bytes: b.Bytes, Owner: storeOwner(b.Folder)}
 	}
-	for i, n := range o.Shares() {
-		f := o.Fronts[i]
+	for i, n := range o.ConnectionShares() {
+		f := o.Frontends[i]
 		p.Fronts = append(p.Fronts, planFront{f.Name, f.Protocol, f.Listen, n})
 	}
 	if p.List = "discovery at " + o.Discovery; o.Discovery == "" {
-		p.List = fmt.Sprintf("%d targets of the file", len(o.Static.Endpoints))
+		p.List = fmt.Sprintf("%d targets of the file", len(o.StaticEndpoints.Endpoints))
 	}
 	if p.Answers = "notices to " + o.Notices(); o.Notices() == "" {
 		p.Answers = "log"
@@ -331,18 +331,18 @@
 }
 
 // platformShown is what the platform's form and its variables say.
-func (s *session) platformShown(o *forwarder.Order, path string) []shown {
+func (s *session) platformShown(o *forwarder.Config, path string) []shown {
 	from := func(variable string) string {
 		if s.getenv(variable) != "" {
 			return "variable " + variable
 		}
 		return path
 	}
-	return []shown{{"name", o.Name, from("PROXY_NAME"), "restart"}, {"listen", o.Fronts[0].Listen, from("PROXY_LISTEN"), "restart"},
+	return []shown{{"name", o.Name, from("PROXY_NAME"), "restart"}, {"listen", o.Frontends[0].Listen, from("PROXY_LISTEN"), "restart"},
 		{"discovery", o.Discovery, from("PROXY_DISCOVERY"), "reload"}, {"state", o.Folder, from("PROXY_STATE"), "restart"},
 		{"limits.cores", o.Cores, path, "restart"}, {"limits.memory_mb", o.MemoryMB, path, "restart"},
 		{"limits.sockets", o.Sockets, path, "restart"}, {"limits.disk_mb", o.DiskMB, path, "restart"},
-		{"settings", fmt.Sprintf("%d document types, %d slots", len(o.Terms.Types), o.Terms.ConcurrencyLimit), path, "restart"}}
+		{"settings", fmt.Sprintf("%d document types, %d slots", len(o.Scheduler.Types), o.Scheduler.ConcurrencyLimit), path, "restart"}}
 }
 
 func (s *session) versionCommand() *cobra.Command {
--- a/internal/commands/ledger.go
+++ b/internal/commands/ledger.go
@@ -90,7 +90,7 @@
 
 // ledgerPlace is where a configuration has the ledger.
 var ledgerPlace = place{
-	byOrder: func(o *forwarder.Order) string { return o.Folder },
+	byOrder: func(o *forwarder.Config) string { return o.Folder },
 	byFile:  func(l *config.Loaded) string { return l.Folder() },
 }
 
--- a/internal/commands/looking.go
+++ b/internal/commands/looking.go
@@ -33,7 +33,7 @@
 
 // place tells where a configuration of either form has a folder; empty: it has none.
 type place struct {
-	byOrder func(*forwarder.Order) string
+	byOrder func(*forwarder.Config) string
 	byFile  func(*config.Loaded) string
 }
 
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -57,7 +57,7 @@
 	folder := filepath.Join(filepath.Dir(path), "stored")
 	require.Equal(t, &forwarder.Backlog{Folder: folder, Bytes: 64e6, DestinationBytes: 16e6, TenantBytes: 32e6, Window: 32, Behind: 500}, o.Backlog)
 	require.NoDirExists(t, folder, "who opens the store makes it")
-	next, err := o.Reread()
+	next, err := o.Reload()
 	require.NoError(t, err)
 	require.Equal(t, o.Backlog, next.Backlog)
 
@@ -207,13 +207,13 @@
 
 func TestTheBoundsOfTheBacklogStoreChangeByReloadAndItsFolderAtAStart(t *testing.T) {
 	for _, name := range keys(reflect.TypeFor[Backlog](), nil) {
-		want := forwarder.AtOnce
+		want := forwarder.OnReload
 		if name == "folder" {
-			want = forwarder.AtStart
+			want = forwarder.OnRestart
 		}
 		require.Equal(t, want, Reload("backlog."+name), name)
 		in := 0
-		for _, p := range forwarder.Parts {
+		for _, p := range forwarder.ConfigParts {
 			for _, key := range p.Keys {
 				if key == "backlog."+name {
 					in++
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -225,7 +225,7 @@
 			c.bad(at("name"), "fronts[%d] has this name too", first)
 		}
 		names[f.Name] = i
-		if !forwarder.KnowsProtocol(f.Protocol) {
+		if !forwarder.HasFrontendProtocol(f.Protocol) {
 			c.bad(at("protocol"), "unknown protocol %q", f.Protocol)
 		}
 		c.address(at("listen"), f.Listen)
@@ -246,7 +246,7 @@
 			waiting += 4 << 20
 		}
 	}
-	if all := forwarder.Clients(c.Limits.Descriptors); total+even*8 > all {
+	if all := forwarder.MaxClients(c.Limits.Descriptors); total+even*8 > all {
 		c.bad("fronts", "their connections, %d and at least 8 for each other one, are more than the %d that limits.descriptors allows", total, all)
 	}
 	if waiting > c.Limits.Memory/2 {
@@ -307,7 +307,7 @@
 			c.bad(at("name"), "%q is not made of up to 63 small letters, digits and hyphens, or used before", o.Name)
 		}
 		outlets[o.Name] = true
-		if !forwarder.KnowsCarriage(o.Protocol) {
+		if !forwarder.HasUpstreamProtocol(o.Protocol) {
 			c.bad(at("protocol"), "unknown protocol %q", o.Protocol)
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,14 +64,14 @@
 	o, err := Order(path, nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, []any{"n1", 48, 1024, 1, 7, 1},
-		[]any{o.Name, o.MemoryMB, o.Sockets, o.Terms.Zone, int(o.Static.Endpoints[0].Destination), len(o.Fronts)})
-	require.Equal(t, forwarder.Front{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Fronts[0])
-	y := o.Terms.Types[0]
+		[]any{o.Name, o.MemoryMB, o.Sockets, o.Scheduler.Zone, int(o.StaticEndpoints.Endpoints[0].Destination), len(o.Frontends)})
+	require.Equal(t, forwarder.Frontend{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Frontends[0])
+	y := o.Scheduler.Types[0]
 	require.Equal(t, []any{true, 3.0, 24.0, 15.0}, []any{y.InOrder, y.LatencyObjective, y.TimeToLive, y.DeduplicationWindow})
-	require.Equal(t, []float64{2.5}, o.Terms.TenantRate)
+	require.Equal(t, []float64{2.5}, o.Scheduler.TenantRate)
 	require.Equal(t, filepath.Join(filepath.Dir(path), "state"), o.Folder)
 	require.DirExists(t, o.Folder)
-	next, err := o.Reread()
+	next, err := o.Reload()
 	require.NoError(t, err)
 	require.Equal(t, o.Seed, next.Seed, "drawn once")
 }
@@ -207,7 +207,7 @@
 	for _, name := range keys(reflect.TypeFor[File](), nil) {
 		require.Contains(t, s.Properties, name)
 		known := false
-		for _, p := range forwarder.Parts {
+		for _, p := range forwarder.ConfigParts {
 			for _, k := range p.Keys {
 				known = known || k == name || strings.HasPrefix(k, name+".")
 			}
@@ -215,8 +215,8 @@
 		require.True(t, known || name == "seed", "%s stands in no part of an order", name)
 	}
 	require.Equal(t, false, s.Additional)
-	require.Equal(t, forwarder.AtOnce, Reload("fronts[0].listen"))
-	require.Equal(t, forwarder.AtStart, Reload("limits.memory"))
+	require.Equal(t, forwarder.OnReload, Reload("fronts[0].listen"))
+	require.Equal(t, forwarder.OnRestart, Reload("limits.memory"))
 }
 
 func TestUnitsAreReadAndWritten(t *testing.T) {
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -1,5 +1,5 @@
 // Package config reads the operators' configuration: TOML in layers (defaults, file, variables, flags), checked as a
-// whole, with the source of each value known. It makes a forwarder's Order of it.
+// whole, with the source of each value known. It makes a forwarder's Config of it.
 package config
 
 import (
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -46,8 +46,8 @@
 	return string(text), nil
 }
 
-// Order makes the forwarder's order of a configuration that has been checked, with a reload that reads it anew.
-func Order(path string, environ, flags []string) (*forwarder.Order, error) {
+// Config makes the forwarder's order of a configuration that has been checked, with a reload that reads it anew.
+func Order(path string, environ, flags []string) (*forwarder.Config, error) {
 	o, err := order(path, environ, flags)
 	if err != nil {
 		return nil, err
@@ -55,9 +55,9 @@
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
 		return nil, err
 	}
-	o.Reread = func() (*forwarder.Order, error) {
+	o.Reload = func() (*forwarder.Config, error) {
 		next, err := order(path, environ, flags)
-		if err == nil && next.SeedDrawn {
+		if err == nil && next.RandomSeed {
 			next.Seed = o.Seed
 		}
 		return next, err
@@ -65,7 +65,7 @@
 	return o, nil
 }
 
-func order(path string, environ, flags []string) (*forwarder.Order, error) {
+func order(path string, environ, flags []string) (*forwarder.Config, error) {
 	l, err := Load(path, environ, flags)
 	if err != nil {
 		return nil, err
@@ -76,40 +76,40 @@
 	return l.Order()
 }
 
-// Order makes an order of a configuration in which Check found nothing wrong. It makes no folder and reads nothing again.
-func (l *Loaded) Order() (*forwarder.Order, error) {
+// Config makes an order of a configuration in which Check found nothing wrong. It makes no folder and reads nothing again.
+func (l *Loaded) Order() (*forwarder.Config, error) {
 	folder, err := filepath.Abs(l.Folder())
 	if err != nil {
 		return nil, err
 	}
-	o := &forwarder.Order{Name: l.Name, Discovery: l.Discovery.Address, Folder: folder,
+	o := &forwarder.Config{Name: l.Name, Discovery: l.Discovery.Address, Folder: folder,
 		MemoryMB: int(l.Limits.Memory / 1e6), Sockets: l.Limits.Descriptors, DiskMB: int(l.Ledger.Disk / 1e6), Cores: l.Limits.Cores,
-		KindOutlet: map[string]string{}, Metrics: l.Metrics.Listen, TokenFile: l.Metrics.TokenFile, Movable: true,
+		KindUpstream: map[string]string{}, Metrics: l.Metrics.Listen, TokenFile: l.Metrics.TokenFile, DiscoveryMovable: true,
 		Admin: l.Admin}
-	o.Tell(l.Discovery.Address, l.Discovery.Notices)
+	o.NoticeAddress(l.Discovery.Address, l.Discovery.Notices)
 	if l.Seed == "" {
-		o.Seed, o.SeedDrawn = rand.Uint64(), true
+		o.Seed, o.RandomSeed = rand.Uint64(), true
 	} else if o.Seed, err = strconv.ParseUint(l.Seed, 16, 64); err != nil {
 		return nil, err
 	}
 	for _, f := range l.Fronts {
-		o.Fronts = append(o.Fronts, forwarder.Front{Name: f.Name, Protocol: f.Protocol, Listen: f.Listen, Connections: f.Connections,
+		o.Frontends = append(o.Frontends, forwarder.Frontend{Name: f.Name, Protocol: f.Protocol, Listen: f.Listen, Connections: f.Connections,
 			Waiting: f.Waiting, WaitingBytes: int(f.WaitingBytes)})
 	}
 	if o.Backlog, err = l.backlogOrder(); err != nil {
 		return nil, err
 	}
-	o.Terms, o.Names = l.terms()
+	o.Scheduler, o.Names = l.terms()
 	for _, w := range l.Outlets {
-		o.Outlets = append(o.Outlets, forwarder.Outlet{Name: w.Name, Protocol: w.Protocol, Connect: float64(w.Connect)})
+		o.Upstreams = append(o.Upstreams, forwarder.Upstream{Name: w.Name, Protocol: w.Protocol, Connect: float64(w.Connect)})
 	}
 	for _, k := range l.Kinds {
-		o.KindOutlet[k.Name] = k.Outlet
+		o.KindUpstream[k.Name] = k.Outlet
 	}
 	if o.Discovery == "" {
-		o.Static = &transport.EndpointList{Complete: true}
+		o.StaticEndpoints = &transport.EndpointList{Complete: true}
 		for _, t := range l.Targets {
-			o.Static.Endpoints = append(o.Static.Endpoints, transport.Endpoint{UID: t.UID, Address: t.Address, Zone: t.Zone, Kind: t.Kind,
+			o.StaticEndpoints.Endpoints = append(o.StaticEndpoints.Endpoints, transport.Endpoint{UID: t.UID, Address: t.Address, Zone: t.Zone, Kind: t.Kind,
 				Destination: t.Dest, State: t.State, Rate: t.PerSecond})
 		}
 	}
@@ -129,7 +129,7 @@
 		return nil, err
 	}
 	if o.Metrics != "" {
-		o.Meter = func(addr, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error) {
+		o.Recorder = func(addr, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error) {
 			return metrics.New(addr, token, forwarder, fronts, levels)
 		}
 	}
@@ -167,13 +167,13 @@
 
 // Reload tells for a field whether a running forwarder takes a change of it up when it reads its order again. It goes
 // by the table that the reload itself uses.
-func Reload(field string) forwarder.Change {
-	for _, p := range forwarder.Parts {
+func Reload(field string) forwarder.ReloadBehavior {
+	for _, p := range forwarder.ConfigParts {
 		for _, k := range p.Keys {
 			if field == k || len(field) > len(k) && field[:len(k)] == k && (field[len(k)] == '.' || field[len(k)] == '[') {
 				return p.When
 			}
 		}
 	}
-	return forwarder.AtStart
+	return forwarder.OnRestart
 }
--- a/internal/drains/rota.go
+++ b/internal/drains/rota.go
@@ -30,7 +30,7 @@
 	return [...]string{"yes", "no target of that id is listed or out", "too many targets are out by hand", "the id holds bytes it may not"}[v]
 }
 
-// Change is what the owner has to carry out after a call.
+// ReloadBehavior is what the owner has to carry out after a call.
 type Change uint8
 
 const (
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -89,7 +89,7 @@
 	d.deaf = on
 }
 
-// Known is the list as a forwarder's order has it.
+// LastEndpoints is the list as a forwarder's order has it.
 func (d *Discovery) Known() []byte {
 	b, _ := d.whole()
 	return b
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -1,5 +1,5 @@
 // Package meter counts what a forwarder does and serves the figures over HTTP. It is no part of the
-// platform's program, whose memory it would raise by half: a program that wants it gives it to its Order.
+// platform's program, whose memory it would raise by half: a program that wants it gives it to its Config.
 package metrics
 
 import (
--- a/internal/respserver/intake.go
+++ b/internal/respserver/intake.go
@@ -140,7 +140,7 @@
 	in.mu.Unlock()
 }
 
-// Clients tells how many connections there are.
+// MaxClients tells how many connections there are.
 func (in *Intake) Clients() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// BlockedUntil says that a transmission of a document is out no more: answered, or its connection has ended. Known tells that
+// BlockedUntil says that a transmission of a document is out no more: answered, or its connection has ended. LastEndpoints tells that
 // its answer says what became of it; else it may still run.
 func (l *Log) Closed(id uint64, known bool) {
 	delete(l.open, id)
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -1,7 +1,7 @@
 // Package hollow measures how fast and at what cost a change of discovery's list comes into force in a large fleet.
 //
 // A hollow forwarder is the real discovery client, the real hand-over of lists and the real scheduler on real sockets,
-// without clients, calls to targets and a write-ahead log; many run in one process (forward.Follow). The coordinator,
+// without clients, calls to targets and a write-ahead log; many run in one process (forward.FollowEndpoints). The coordinator,
 // Run, starts a process with the stand-in for discovery and some with forwarders, all on 127.0.0.1, tells them by JSON
 // lines what to do, and ends them when it returns. A list is in force at a forwarder once its scheduler was told it and
 // has settled.
@@ -57,7 +57,7 @@
 	Forwarders   int
 	Processes    int // that the forwarders are spread over
 	Destinations int
-	Changes      int           // of the scenario Change, one after another
+	Changes      int           // of the scenario ReloadBehavior, one after another
 	Lasts        time.Duration // of the idle window of each trial; and how long discovery or a zone is away
 	MemoryBytes  int64         // of all processes together; 0: a quarter of the machine's
 	ListBytes    int           // of one object of discovery's watch at most; 0: the forwarder's own limit
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -125,8 +125,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	order := &forwarder.Order{Name: fmt.Sprint("hollow-", index), Discovery: w.start.Addresses[zone], Terms: read, Names: names,
-		Seed: w.start.Seed + uint64(index), Known: w.known, ListBytes: w.start.ListBytes}
+	order := &forwarder.Config{Name: fmt.Sprint("hollow-", index), Discovery: w.start.Addresses[zone], Scheduler: read, Names: names,
+		Seed: w.start.Seed + uint64(index), LastEndpoints: w.known, ListBytes: w.start.ListBytes}
 	dialer, err := dial.New(order.Name, linesEach)
 	if err != nil {
 		return nil, err
@@ -135,7 +135,7 @@
 	m := &member{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(m.ended)
-		m.err = forwarder.Follow(ctx, order, forwarder.Follower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.note(m, revision) }})
+		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.note(m, revision) }})
 	}()
 	return m, nil
 }
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -261,7 +261,7 @@
 }
 
 // Forget lets go of a destination that no target is listed for and no document is held for, and tells if it did.
-// Clients may name any.
+// MaxClients may name any.
 func (f *Scheduler) Forget(d *Destination) bool {
 	if len(d.targets) > 0 || d.held > 0 || d.ringed || d.heard {
 		return false
