--- a/cmd/spanflow/daily_test.go
+++ b/cmd/spanflow/daily_test.go
@@ -166,7 +166,7 @@
 	require.True(t, first.log.Has(`"message":"handing over"`))
 }
 
-// What is handed down is a file, a socket that does not listen, nothing at all, or no number: the process names it and ends
+// Reason is handed down is a file, a socket that does not listen, nothing at all, or no number: the process names it and ends
 // before it takes anything, and a running one is left alone.
 func TestAHandedDownDescriptorThatIsNoListeningSocketIsNamed(t *testing.T) {
 	s := newStage(t, "single")
--- a/cmd/spanflow/main_test.go
+++ b/cmd/spanflow/main_test.go
@@ -451,7 +451,7 @@
 	require.Equal(t, "far", s.call().ID)
 }
 
-// The switch of a move: another fleet and other terms from one process to the next on the same folder. What is owed and
+// The switch of a move: another fleet and other terms from one process to the next on the same folder. Reason is owed and
 // call times carry over; the first documents go out at once, at several targets.
 func TestTheFirstSecondsAfterASwitch(t *testing.T) {
 	s := newStage(t, "single")
--- a/cmd/spanflowctl/backlog_cases_test.go
+++ b/cmd/spanflowctl/backlog_cases_test.go
@@ -118,7 +118,7 @@
 		}
 		time.Sleep(time.Duration(50+dice.IntN(250)) * time.Millisecond)
 		s.kill()
-		view, err := backlog.Look(backlog.OS{}, s.stored())
+		view, err := backlog.Inspect(backlog.OS{}, s.stored())
 		require.NoError(t, err)
 		stats, err := view.Stats()
 		require.NoError(t, err)
@@ -561,7 +561,7 @@
 	return fmt.Sprintf("%d of %d messages came", len(h.came), h.all)
 }
 
-// What may have run and is stored keeps that with it, also beyond a kill: it does not run again once its number is
+// Reason may have run and is stored keeps that with it, also beyond a kill: it does not run again once its number is
 // forgotten.
 //
 // All messages are tried before the first failure is known, so that whichever are stored have run: once a destination
--- a/cmd/spanflowctl/backlog_test.go
+++ b/cmd/spanflowctl/backlog_test.go
@@ -54,7 +54,7 @@
 	require.Equal(t, "a", (<-s.target.Calls).ID)
 }
 
-// What a running forwarder has stored is listed while it runs, after it was killed, and no longer once it is delivered.
+// Reason a running forwarder has stored is listed while it runs, after it was killed, and no longer once it is delivered.
 func TestTheStoreOfARunningForwarderIsLookedAt(t *testing.T) {
 	s := newStage(t)
 	s.write("[backlog]\nfolder = \"stored\"\nwindow = 2\nbehind = 4\n")
--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -84,37 +84,37 @@
 // byHand takes a target out or puts it back; listed tells that somebody has it.
 func (o *owner) byHand(c admin.Call, listed bool) admin.Answer {
 	verdict, change := call(o.rota, c, listed)
-	if change == drains.Same {
+	if change == drains.Unchanged {
 		return answerOf(c, verdict)
 	}
-	if err := keepOut(o.order.Folder, o.rota.Kept()); err != nil {
+	if err := keepOut(o.order.Folder, o.rota.IDs()); err != nil {
 		o.rota = drains.New(readOut(o.order.Folder))
 		return notKept(err)
 	}
-	o.log.Info().Str("target", c.Name).Bool("out", change == drains.TakenOut).Int("out_by_hand", o.rota.Len()).Msg("target by hand")
+	o.log.Info().Str("target", c.Name).Bool("out", change == drains.Drained).Int("out_by_hand", o.rota.Len()).Msg("target by hand")
 	if t := o.byUID[c.Name]; t != nil {
 		line := t.line
-		line.State, line.WarmingUp = o.rota.Standing(t.uid, line.State), change == drains.Returned
+		line.State, line.WarmingUp = o.rota.State(t.uid, line.State), change == drains.Restored
 		o.f.UpdateEndpoints(false, []scheduler.EndpointUpdate{line}) // before this turn's Reconcile: nothing new goes to it from here on
 	}
 	return answerOf(c, verdict)
 }
 
 // call makes a call out or back on a set of targets out by hand.
-func call(r *drains.Rota, c admin.Call, listed bool) (drains.Verdict, drains.Change) {
+func call(r *drains.Set, c admin.Call, listed bool) (drains.Result, drains.Change) {
 	if c.Do == admin.Attach {
-		return r.Attach(c.Name, listed)
+		return r.Restore(c.Name, listed)
 	}
-	return r.Detach(c.Name, listed)
+	return r.Drain(c.Name, listed)
 }
 
 func notKept(err error) admin.Answer {
 	return admin.Answer{Status: http.StatusInternalServerError, Text: "not kept in the folder: " + err.Error()}
 }
 
-func answerOf(c admin.Call, v drains.Verdict) admin.Answer {
+func answerOf(c admin.Call, v drains.Result) admin.Answer {
 	switch v {
-	case drains.Yes:
+	case drains.Accepted:
 		return admin.Answer{Yes: true, Text: c.Do.String() + " " + c.Name}
 	case drains.Unknown:
 		return admin.Answer{Status: http.StatusNotFound, Text: "name: " + v.String()}
--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -65,7 +65,7 @@
 		o.counts.refused++
 		return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(back*1000), refuseMost)}
 	}
-	if err := o.ledger.Take(e); err != nil {
+	if err := o.ledger.Append(e); err != nil {
 		o.logLedgerError(err)
 		return transport.Reply{Status: transport.StatusOverloaded}
 	}
@@ -94,16 +94,16 @@
 	in := a.Submission
 	_, held := a.From.(transport.WaitingCaller)
 	return &wal.Entry{
-		Key:    in.Key,
-		Dest:   in.Destination,
-		Tenant: index(o.order.Names.Tenants, in.Tenant),
-		Type:   in.Type,
-		ID:     in.ID,
-		Mark:   in.IdempotencyKey,
-		Body:   in.Body,
-		Expiry: in.ReceivedAt.UnixMicro() + micros(in.SecondsLeft),
-		Front:  a.front.name,
-		Held:   held,
+		Key:            in.Key,
+		Destination:    in.Destination,
+		Tenant:         index(o.order.Names.Tenants, in.Tenant),
+		Type:           in.Type,
+		ID:             in.ID,
+		IdempotencyKey: in.IdempotencyKey,
+		Body:           in.Body,
+		Expiry:         in.ReceivedAt.UnixMicro() + micros(in.SecondsLeft),
+		Frontend:       a.front.name,
+		CallerWaits:    held,
 	}
 }
 
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -42,7 +42,7 @@
 	case over:
 		o.finish(p, outcome)
 	default:
-		if err := o.ledger.Back(door, end.MayHaveRun()); err != nil {
+		if err := o.ledger.RecordAttemptEnd(door, end.MayHaveRun()); err != nil {
 			o.logLedgerError(err)
 		}
 	}
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -95,7 +95,7 @@
 // endMoves ends the moves that a kill has cut short. With an error a message may be in the ledger and in the store:
 // served then, it would be delivered twice.
 func (o *owner) endMoves() error {
-	owed := o.ledger.Owed()
+	owed := o.ledger.Pending()
 	refs := make([]backlog.Ref, len(owed))
 	for i, e := range owed {
 		refs[i] = backlog.NewRef(laneOf(e), e.Seq, e.ID, e.Key)
@@ -106,7 +106,7 @@
 	return err
 }
 
-// setBacklogBounds takes up other bounds while the forwarder runs. What is stored beyond lower ones stays.
+// setBacklogBounds takes up other bounds while the forwarder runs. Reason is stored beyond lower ones stays.
 func (o *owner) setBacklogBounds(asked *Backlog) error {
 	bounds := asked.policyBounds(o.order.Scheduler.QueueCapacity)
 	if err := bounds.Check(); err != nil {
@@ -129,17 +129,17 @@
 }
 
 // backlogLog makes the ledger the log that messages are moved from and to.
-type backlogLog struct{ ledger *wal.Ledger }
+type backlogLog struct{ ledger *wal.Log }
 
 // Restore records a message whole under its number.
 func (l backlogLog) Restore(m *backlog.Message) error { return l.ledger.Restore(entryOf(m)) }
 
 // Forget records that nothing more is owed for a number.
-func (l backlogLog) Forget(seq uint64) error { return l.ledger.Over(seq) }
+func (l backlogLog) Forget(seq uint64) error { return l.ledger.RecordDone(seq) }
 
 // laneOf is the lane of a document.
 func laneOf(e *wal.Entry) backlog.Lane {
-	return backlog.Lane{Destination: e.Dest, Tenant: uint32(e.Tenant)}
+	return backlog.Lane{Destination: e.Destination, Tenant: uint32(e.Tenant)}
 }
 
 func policyLane(l backlog.Lane) policy.Lane {
@@ -174,30 +174,30 @@
 		Body:             e.Body,
 		Taken:            taken.UnixMicro(),
 		Expiry:           e.Expiry,
-		Attempts:         uint32(e.Sent),
-		MayHaveRun:       e.Ran,
-		MayHaveRunZone:   uint32(e.RanZone),
-		DeduplicationKey: e.Mark,
-		Frontend:         e.Front,
+		Attempts:         uint32(e.Attempts),
+		MayHaveRun:       e.FirstRanAt,
+		MayHaveRunZone:   uint32(e.FirstRanZone),
+		DeduplicationKey: e.IdempotencyKey,
+		Frontend:         e.Frontend,
 	}
 }
 
 // entryOf is the document that the store kept.
 func entryOf(m *backlog.Message) *wal.Entry {
 	return &wal.Entry{
-		Seq:     m.Seq,
-		Key:     m.Key,
-		Dest:    m.Lane.Destination,
-		Tenant:  int(m.Lane.Tenant),
-		Type:    m.Type,
-		ID:      m.ID,
-		Mark:    m.DeduplicationKey,
-		Expiry:  m.Expiry,
-		Sent:    int(m.Attempts),
-		Ran:     m.MayHaveRun,
-		RanZone: int(m.MayHaveRunZone),
-		Body:    m.Body,
-		Front:   m.Frontend,
+		Seq:            m.Seq,
+		Key:            m.Key,
+		Destination:    m.Lane.Destination,
+		Tenant:         int(m.Lane.Tenant),
+		Type:           m.Type,
+		ID:             m.ID,
+		IdempotencyKey: m.DeduplicationKey,
+		Expiry:         m.Expiry,
+		Attempts:       int(m.Attempts),
+		FirstRanAt:     m.MayHaveRun,
+		FirstRanZone:   int(m.MayHaveRunZone),
+		Body:           m.Body,
+		Frontend:       m.Frontend,
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 	o.stored.past = nil
 	o.ledger.Reserve(o.stored.store.LastSeq())
-	o.stored.firstSeq = o.ledger.Number()
+	o.stored.firstSeq = o.ledger.NextSeq()
 	for _, lane := range o.stored.store.Lanes() {
 		usage := o.stored.store.LaneUsage(lane)
 		o.stored.policy.Stored(policyLane(lane), usage.Messages, usage.Bytes)
@@ -287,7 +287,7 @@
 	if decision.Place == policy.Memory {
 		return transport.Reply{}, false
 	}
-	if e.Held && decision.Place == policy.Store { // its caller does not wait for hours
+	if e.CallerWaits && decision.Place == policy.Store { // its caller does not wait for hours
 		decision = o.stored.policy.Refuse(policy.NoBound, int64(m.Size()), now)
 	}
 	if decision.Place == policy.Store {
@@ -306,7 +306,7 @@
 
 // store stores a new message, or tells that the disk has no room for it.
 func (o *owner) store(m *backlog.Message, now time.Time) policy.Decision {
-	m.Seq = o.ledger.Number()
+	m.Seq = o.ledger.NextSeq()
 	if err := o.stored.store.Append(m); err != nil {
 		if !errors.Is(err, backlog.ErrFull) {
 			o.logBacklogError(err)
--- a/forwarder/backlog_keys_test.go
+++ b/forwarder/backlog_keys_test.go
@@ -158,7 +158,7 @@
 
 // storedIDs gives the ids of stored messages for a destination, in the order of taking.
 func (r *backlogRig) storedIDs(destination uint64) (ids []string) {
-	view, err := backlog.Look(backlog.OS{}, r.store)
+	view, err := backlog.Inspect(backlog.OS{}, r.store)
 	require.NoError(r.t, err)
 	defer view.Close()
 	ofDestination := func(lane backlog.Lane) bool { return lane.Destination == destination }
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -167,7 +167,7 @@
 		p := o.paper(e, typ)
 		p.came = time.UnixMicro(m.Taken)
 		left := float64(e.Expiry)/1e6 - o.clock(now)
-		past := scheduler.RecoveredState{Attempts: e.Sent, FirstRanAt: float64(e.Ran) / 1e6, Zone: e.RanZone}
+		past := scheduler.RecoveredState{Attempts: e.Attempts, FirstRanAt: float64(e.FirstRanAt) / 1e6, Zone: e.FirstRanZone}
 		o.enterLane(p)
 		if batch.Expired {
 			o.stored.counts.expired++
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -147,7 +147,7 @@
 }
 
 func (r *backlogRig) stored() *backlog.Stats {
-	view, err := backlog.Look(backlog.OS{}, r.store)
+	view, err := backlog.Inspect(backlog.OS{}, r.store)
 	require.NoError(r.t, err)
 	defer view.Close()
 	stats, err := view.Stats()
--- a/forwarder/figures.go
+++ b/forwarder/figures.go
@@ -45,7 +45,7 @@
 		if t.line.State == scheduler.Removed {
 			continue
 		}
-		if listed++; t.line.State == scheduler.Ready && (o.rota.Out(t.uid) || t.module.Ejected()) {
+		if listed++; t.line.State == scheduler.Ready && (o.rota.Drained(t.uid) || t.module.Ejected()) {
 			avoided++
 		}
 	}
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -74,7 +74,7 @@
 		return err
 	}
 	defer dialer.Stop()
-	order.Scheduler.MaxStoredBytes, order.Scheduler.AwaitAcknowledgement = led.Room(), true
+	order.Scheduler.MaxStoredBytes, order.Scheduler.AwaitAcknowledgement = led.Capacity(), true
 	order.askForList()
 	o := newOwner(order, log, x)
 	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, drains.New(readOut(order.Folder)), logTo
@@ -108,20 +108,20 @@
 	o.last()
 	o.keepWaits(o.clock(time.Now()))
 	o.keepLearnt()
-	o.counts.write(log.Info()).Int("owed", len(led.Owed())).Msg("end")
+	o.counts.write(log.Info()).Int("owed", len(led.Pending())).Msg("end")
 	return nil
 }
 
 // openLedger opens the folder. A process that replaces another waits until that one has left it.
-func openLedger(ctx context.Context, order *Config, log zerolog.Logger) (*wal.Ledger, error) {
+func openLedger(ctx context.Context, order *Config, log zerolog.Logger) (*wal.Log, error) {
 	wait := time.Duration(0)
 	if order.InheritedListener > 0 {
 		wait = handOverWait
-		if pid := wal.Owner(order.Folder); pid != 0 {
+		if pid := wal.LockHolder(order.Folder); pid != 0 {
 			log.Info().Int("pid", pid).Msg("waiting for the folder")
 		}
 	}
-	led, err := wal.OpenWaiting(ctx, order.Folder, int64(order.DiskMB)*1_000_000, wait)
+	led, err := wal.OpenWhenFree(ctx, order.Folder, int64(order.DiskMB)*1_000_000, wait)
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_STATE: %w", err)
 	}
@@ -167,6 +167,6 @@
 	if o.metered {
 		e = e.Str("metrics", o.meter.Addr())
 	}
-	e.Int("recovered", o.counts.recovered).Int("dropped_records", o.ledger.Dropped).
+	e.Int("recovered", o.counts.recovered).Int("dropped_records", o.ledger.DroppedRecords).
 		Int("targets", len(o.targets)).Msg("ready")
 }
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -111,9 +111,9 @@
 	folder := t.TempDir()
 	drains := drains.New(nil)
 	for _, id := range []string{"endpoint-2", "endpoint-10", "an id with spaces", "\u00e5"} {
-		drains.Detach(id, true)
+		drains.Drain(id, true)
 	}
-	require.NoError(t, keepOut(folder, drains.Kept()))
+	require.NoError(t, keepOut(folder, drains.IDs()))
 	golden.Compare(t, folder, goldenDrains)
 	require.NoError(t, keepOut(folder, nil))
 	golden.Compare(t, folder, goldenNoDrains)
@@ -121,7 +121,7 @@
 
 func TestReadsDrainsWrittenByVersion1(t *testing.T) {
 	drains := drains.New(readOut(golden.Copy(t, goldenDrains)))
-	require.Equal(t, []string{"an id with spaces", "endpoint-10", "endpoint-2", "\u00e5"}, drains.Kept())
+	require.Equal(t, []string{"an id with spaces", "endpoint-10", "endpoint-2", "\u00e5"}, drains.IDs())
 	require.Empty(t, readOut(golden.Copy(t, goldenNoDrains)))
 }
 
@@ -151,7 +151,7 @@
 
 	o := goldenEndpoints(folder)
 	require.True(t, o.emptyTray())
-	require.Equal(t, []string{"an id with spaces"}, o.rota.Kept())
+	require.Equal(t, []string{"an id with spaces"}, o.rota.IDs())
 	require.Empty(t, trayNames(folder))
 }
 
@@ -169,12 +169,12 @@
 // goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
 func goldenEntries() []*wal.Entry {
 	return []*wal.Entry{
-		{Seq: 1, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000,
+		{Seq: 1, Key: 5, Destination: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000,
 			Body: []byte("one")},
-		{Seq: 2, Key: 5, Dest: 7, Tenant: 2, Type: "idempotent-with-key", ID: "id-2", Mark: "key-2",
-			Expiry: 1_700_000_016_000_001, Sent: 2, Body: []byte("two"), Front: "web"},
-		{Seq: 3, Key: 5, Dest: 7, Tenant: 2, Type: "at-most-once", ID: "id-3", Expiry: 1_700_000_016_000_002, Sent: 3,
-			Ran: 1_700_000_001_000_000, RanZone: 4, Body: []byte("three")},
+		{Seq: 2, Key: 5, Destination: 7, Tenant: 2, Type: "idempotent-with-key", ID: "id-2", IdempotencyKey: "key-2",
+			Expiry: 1_700_000_016_000_001, Attempts: 2, Body: []byte("two"), Frontend: "web"},
+		{Seq: 3, Key: 5, Destination: 7, Tenant: 2, Type: "at-most-once", ID: "id-3", Expiry: 1_700_000_016_000_002, Attempts: 3,
+			FirstRanAt: 1_700_000_001_000_000, FirstRanZone: 4, Body: []byte("three")},
 	}
 }
 
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -28,7 +28,7 @@
 // Send adds a document to the call that is being made up for the target, as far as one call carries them.
 func (o *owner) Send(d *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
 	p, t := o.docs[d.ID], o.targets[to.ID]
-	if err := o.ledger.Out(d.ID, micros(o.clock(time.Now())), t.zone); err != nil {
+	if err := o.ledger.RecordAttempt(d.ID, micros(o.clock(time.Now())), t.zone); err != nil {
 		o.logLedgerError(err)
 		c := &transport.Call{EndpointID: to.ID, Address: t.addr, Messages: []transport.Message{p.Message}}
 		o.exchange.CallEnded(transport.CallResult{Call: c, Codes: []transport.ResultCode{transport.ResultNotStarted}})
@@ -53,21 +53,21 @@
 
 func (o *owner) Reject(d *scheduler.Message, comeBack float64) {
 	o.counts.returned++
-	o.answer(o.docs[d.ID], wal.Returned, int(comeBack*1000))
+	o.answer(o.docs[d.ID], wal.Rejected, int(comeBack*1000))
 }
 
 func (o *owner) Fail(d *scheduler.Message) {
 	o.counts.abandoned++
-	o.answer(o.docs[d.ID], wal.Abandoned, 0)
+	o.answer(o.docs[d.ID], wal.Failed, 0)
 }
 
 // answer records a final answer and tells it.
 func (o *owner) answer(p *paper, a wal.Answer, after int) {
-	if err := o.ledger.Answer(p.MessageID, a, after); err != nil {
+	if err := o.ledger.RecordAnswer(p.MessageID, a, after); err != nil {
 		o.logLedgerError(err)
 	}
 	outcome := transport.Failed
-	if a == wal.Returned {
+	if a == wal.Rejected {
 		outcome = transport.Rejected
 	}
 	o.final(p, outcome)
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -47,7 +47,7 @@
 	led, err := wal.Open(h.order.Folder, 3_000_000)
 	require.NoError(t, err)
 	defer led.Close()
-	require.Len(t, led.Owed(), 1, "taken on: the next process owes it")
+	require.Len(t, led.Pending(), 1, "taken on: the next process owes it")
 }
 
 func TestAProcessToldToStopWhileItWaitsForTheFolderEnds(t *testing.T) {
@@ -57,7 +57,7 @@
 	defer led.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	_, err = wal.OpenWaiting(ctx, h.order.Folder, 3_000_000, time.Hour)
+	_, err = wal.OpenWhenFree(ctx, h.order.Folder, 3_000_000, time.Hour)
 	require.ErrorIs(t, err, context.Canceled)
 	require.NoError(t, forwarder.Run(ctx, h.order, h.again, emulator.NewLog(), nil))
 }
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -29,7 +29,7 @@
 		t.line = scheduler.EndpointUpdate{Endpoint: t.module, Destination: o.dest(e.Destination), Kind: kind, Zone: t.zone, Rate: e.Rate,
 			State: o.standing(e)}
 		line := t.line
-		line.State = o.rota.Standing(t.uid, line.State)
+		line.State = o.rota.State(t.uid, line.State)
 		lines = append(lines, line)
 	}
 	o.f.UpdateEndpoints(whole, lines)
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -27,13 +27,13 @@
 // paper makes the module's document of an entry.
 func (o *owner) paper(e *wal.Entry, typ int) *paper {
 	p := &paper{
-		Message: transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.Mark, Body: e.Body},
+		Message: transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.IdempotencyKey, Body: e.Body},
 		typ:     typ,
 		lane:    laneOf(e),
 		came:    time.Now(),
 		traced:  o.trace.picks(e.ID, e.Key),
 	}
-	p.doc = &scheduler.Message{ID: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Dest), Size: e.Size(), AnsweredByNotice: o.teller != nil}
+	p.doc = &scheduler.Message{ID: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Destination), Size: e.Size(), AnsweredByNotice: o.teller != nil}
 	o.docs[e.Seq], o.byID[e.ID] = p, p
 	return p
 }
@@ -52,7 +52,7 @@
 
 // recordDone records that nothing more is owed for a document.
 func (o *owner) recordDone(p *paper) {
-	if err := o.ledger.Over(p.MessageID); err != nil {
+	if err := o.ledger.RecordDone(p.MessageID); err != nil {
 		o.logLedgerError(err)
 	}
 }
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -18,7 +18,7 @@
 	order    *Config
 	asRead   scheduler.Settings // as the order has them
 	exchange *Exchange
-	ledger   *wal.Ledger
+	ledger   *wal.Log
 	stored   *stored // nil: messages wait in memory alone
 	f        *scheduler.Scheduler
 	epoch    time.Time // the module's clock is seconds of the wall clock at the start, and from there on even
@@ -39,7 +39,7 @@
 	targets  map[uint64]*target // by number
 	lastDoor uint64             // number of the latest target
 	byUID    map[string]*target
-	rota     *drains.Rota         // targets out by hand
+	rota     *drains.Set          // targets out by hand
 	waits    map[string]float64   // of an earlier process, for targets not listed yet
 	learnt   map[uint64][]float64 // call times that an earlier process measured, for destinations not heard of yet
 
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -19,7 +19,7 @@
 	}
 	o.listed(&o.order.LastEndpoints, true)
 	o.emptyTray()
-	owed := o.ledger.Owed()
+	owed := o.ledger.Pending()
 	overtaking := o.resolve()
 	for _, e := range owed {
 		o.recover(e, now, overtaking[e.Seq])
@@ -39,11 +39,11 @@
 	past := o.pastOf(e)
 	p := o.paper(e, typ)
 	switch {
-	case e.Held: // its caller's connection died with that process: told to nobody
+	case e.CallerWaits: // its caller's connection died with that process: told to nobody
 		o.counts.withdrawn++
-	case e.Answer == wal.Returned:
-		o.tell(p, transport.Rejected, e.After)
-	case e.Answer == wal.Abandoned:
+	case e.Answer == wal.Rejected:
+		o.tell(p, transport.Rejected, e.RetryAfter)
+	case e.Answer == wal.Failed:
 		o.tell(p, transport.Failed, 0)
 	}
 	left := float64(e.Expiry)/1e6 - o.clock(now)
@@ -63,7 +63,7 @@
 		}
 		o.untried++
 	}
-	if p.withdrawn = e.Held; p.withdrawn {
+	if p.withdrawn = e.CallerWaits; p.withdrawn {
 		o.removeIfDone(p)
 	}
 }
@@ -79,17 +79,17 @@
 // pastOf is what the module is told of a document's earlier transmissions. One that was out when that process ended
 // counts as ended with it, and may have run.
 func (o *owner) pastOf(e *wal.Entry) scheduler.RecoveredState {
-	if e.Out > 0 {
-		if err := o.ledger.Back(e.Seq, true); err != nil {
+	if e.AttemptBegan > 0 {
+		if err := o.ledger.RecordAttemptEnd(e.Seq, true); err != nil {
 			o.logLedgerError(err)
 		}
 	}
 	return scheduler.RecoveredState{
-		Attempts:   e.Sent,
-		FirstRanAt: float64(e.Ran) / 1e6,
-		Zone:       e.RanZone,
-		Answered:   e.Answer != wal.None,
-		CallerGone: e.Held,
+		Attempts:   e.Attempts,
+		FirstRanAt: float64(e.FirstRanAt) / 1e6,
+		Zone:       e.FirstRanZone,
+		Answered:   e.Answer != wal.NoAnswer,
+		CallerGone: e.CallerWaits,
 	}
 }
 
--- a/forwarder/reread.go
+++ b/forwarder/reread.go
@@ -81,7 +81,7 @@
 	return p.When
 }
 
-// reread takes up what may change while the forwarder runs, all of it or nothing. What an order that cannot be read or
+// reread takes up what may change while the forwarder runs, all of it or nothing. Reason an order that cannot be read or
 // carried out says counts for nothing; what else it changes waits for the next start.
 func (o *owner) reread() {
 	if o.order.Reload == nil {
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -13,7 +13,7 @@
 	"spanflow/internal/drains"
 )
 
-// While the new process of an upgrade waits for the folder, operators may call it already. What they ask of targets it
+// While the new process of an upgrade waits for the folder, operators may call it already. Reason they ask of targets it
 // lays into a tray in the folder: the process that owns the folder looks there and takes it up, and what is left when
 // the folder changes hands its new owner takes up before its first decision.
 const (
@@ -67,7 +67,7 @@
 	case admin.Vars:
 		out, avoided := s.out(), 0
 		for uid, active := range s.known {
-			if active && out.Out(uid) {
+			if active && out.Drained(uid) {
 				avoided++
 			}
 		}
@@ -75,7 +75,7 @@
 	}
 	_, listed := s.known[c.Name]
 	verdict, change := call(s.out(), c, listed)
-	if change != drains.Same {
+	if change != drains.Unchanged {
 		if err := lay(s.folder, c); err != nil {
 			return notKept(err), true
 		}
@@ -84,7 +84,7 @@
 }
 
 // out is the set of targets out by hand as it is once the tray is taken up.
-func (s *standby) out() *drains.Rota {
+func (s *standby) out() *drains.Set {
 	r := drains.New(readOut(s.folder))
 	for _, name := range trayNames(s.folder) {
 		if c, err := trayCall(s.folder, name); err == nil {
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -152,9 +152,9 @@
 	c = h.fronts["inner"].hand(transport.Submission{ID: "b", Type: "payment", Destination: 7})
 	require.Equal(t, transport.StatusInvalid, (<-c.door).Status, "an id that was taken on")
 	h.stop()
-	v, err := wal.Look(h.order.Folder)
+	v, err := wal.Inspect(h.order.Folder)
 	require.NoError(t, err)
-	require.Empty(t, v.Owed)
+	require.Empty(t, v.Pending)
 }
 
 func TestWhatAnAbandonedCallHandedInIsNotTransmitted(t *testing.T) {
@@ -175,9 +175,9 @@
 	h.hands.end(out, transport.ResultOverloaded) // not sent again: its caller has gone
 	require.Equal(t, "c", (<-h.hands.calls).Messages[0].ID)
 	h.log.Await(t, "ready")
-	v, err := wal.Look(h.order.Folder)
+	v, err := wal.Inspect(h.order.Folder)
 	require.NoError(t, err)
-	require.Len(t, v.Owed, 1)
+	require.Len(t, v.Pending, 1)
 }
 
 // The old process's callers are gone with it: what they waited for is withdrawn, and a key rests where it may still run.
@@ -186,12 +186,12 @@
 	l, err := wal.Open(h.order.Folder, 3_000_000)
 	require.NoError(t, err)
 	at := time.Now().Add(10 * time.Second).UnixMicro()
-	for _, e := range []*wal.Entry{{ID: "ran", Key: 5, Dest: 7, Type: "payment", Expiry: at, Front: "inner", Held: true},
-		{ID: "not sent", Dest: 7, Type: "status", Expiry: at, Front: "gone from the order", Held: true},
-		{ID: "owed", Key: 5, Dest: 7, Type: "payment", Expiry: at, Front: "inner"}} {
-		require.NoError(t, l.Take(e))
+	for _, e := range []*wal.Entry{{ID: "ran", Key: 5, Destination: 7, Type: "payment", Expiry: at, Frontend: "inner", CallerWaits: true},
+		{ID: "not sent", Destination: 7, Type: "status", Expiry: at, Frontend: "gone from the order", CallerWaits: true},
+		{ID: "owed", Key: 5, Destination: 7, Type: "payment", Expiry: at, Frontend: "inner"}} {
+		require.NoError(t, l.Append(e))
 	}
-	require.NoError(t, l.Out(1, time.Now().UnixMicro(), 0))
+	require.NoError(t, l.RecordAttempt(1, time.Now().UnixMicro(), 0))
 	l.Close()
 	began := time.Now()
 	h.start()
@@ -201,9 +201,9 @@
 	h.hands.end(call, transport.ResultOK)
 	h.stop()
 	require.Contains(t, h.log.String(), `"withdrawn":2`)
-	v, err := wal.Look(h.order.Folder)
+	v, err := wal.Inspect(h.order.Folder)
 	require.NoError(t, err)
-	require.Empty(t, v.Owed)
+	require.Empty(t, v.Pending)
 }
 
 // One front's callers flood without reading their answers; another's and the platform's go on being served.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -41,10 +41,10 @@
 // Call is one call that the owner answers.
 type Call struct {
 	Do   Do
-	Name string // of a target, for Detach and Attach
+	Name string // of a target, for Drain and Restore
 }
 
-// Answer is the owner's answer: Yes is a 200, else Status (4xx or 5xx) with Text as the reason.
+// RecordAnswer is the owner's answer: Yes is a 200, else Status (4xx or 5xx) with Text as the reason.
 type Answer struct {
 	Yes    bool
 	Status int
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -140,7 +140,7 @@
 
 func TestInspectsStoreWrittenByVersion1(t *testing.T) {
 	dir := golden.Copy(t, goldenStore)
-	v, err := Look(OS{}, dir)
+	v, err := Inspect(OS{}, dir)
 	require.NoError(t, err)
 	requireGoldenStore(t, v.store)
 	require.NoError(t, v.Close())
@@ -206,14 +206,14 @@
 	return m
 }
 
-func openMoved(t *testing.T, dir string) (*wal.Ledger, *Store) {
+func openMoved(t *testing.T, dir string) (*wal.Log, *Store) {
 	t.Helper()
 	log, err := wal.Open(dir, ledgerBytes)
 	require.NoError(t, err)
 	return log, openGolden(t, filepath.Join(dir, goldenStoreName))
 }
 
-func closeMoved(t *testing.T, log *wal.Ledger, s *Store) {
+func closeMoved(t *testing.T, log *wal.Log, s *Store) {
 	t.Helper()
 	require.NoError(t, s.Close())
 	require.NoError(t, log.Close())
@@ -247,7 +247,7 @@
 	log, s := openMoved(t, golden.Copy(t, goldenMoved))
 	var seqs []uint64
 	var refs []Ref
-	for _, e := range log.Owed() {
+	for _, e := range log.Pending() {
 		require.Equal(t, movedMessage(e.Seq), messageOf(e))
 		seqs, refs = append(seqs, e.Seq), append(refs, messageOf(e).Ref())
 	}
--- a/internal/backlog/inspect.go
+++ b/internal/backlog/inspect.go
@@ -93,8 +93,8 @@
 // View is a store read without its lock, in use or not.
 type View struct{ store *Store }
 
-// Look reads a folder without altering it or hindering the process that has it. Errors are as of Open.
-func Look(files FS, dir string) (*View, error) {
+// Inspect reads a folder without altering it or hindering the process that has it. Errors are as of Open.
+func Inspect(files FS, dir string) (*View, error) {
 	for range mostLooks {
 		s, err := load(files, dir, Bounds{Bytes: math.MaxInt64, SegmentBytes: maxSegment, OpenFiles: openFiles})
 		if err == nil {
@@ -113,14 +113,14 @@
 // BlockUntil ends the reading.
 func (v *View) Close() error { return v.store.Close() }
 
-// Stats sums up what was stored when Look read it.
+// Stats sums up what was stored when Inspect read it.
 func (v *View) Stats() (*Stats, error) {
 	stats, err := v.store.Stats()
 	return stats, changed(err)
 }
 
 // Each calls a function for the messages of each lane that pick wants, in the order of lanes and within them of taking.
-// It ends with the function's first error. ErrChanged says that segments were freed since Look: look again.
+// It ends with the function's first error. ErrChanged says that segments were freed since Inspect: look again.
 func (v *View) Each(pick func(Lane) bool, each func(*Message) error) error {
 	for _, id := range v.store.Lanes() {
 		if !pick(id) {
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -15,7 +15,7 @@
 // or in both and known by its number. It is not safe for use by several goroutines.
 //
 // Out (Spill): 1. the store has the message; 2. the log forgets it.
-// Back (BringBack): 1. the log has the message; 2. the store releases it; only then is it handed to the scheduler.
+// RecordAttemptEnd (BringBack): 1. the log has the message; 2. the store releases it; only then is it handed to the scheduler.
 //
 // Where both have a message, the log's copy counts: nothing happens to a message while the store has it, so the log's
 // is as new or newer. Messages leave for the store newest first and come back oldest first: at each moment all of a
@@ -42,7 +42,7 @@
 	return &Mover{log: log, store: store, unforgotten: map[uint64]struct{}{}}
 }
 
-// Resolve ends the moves that a kill has cut short, before anything else is done after a start. Owed are the messages
+// Resolve ends the moves that a kill has cut short, before anything else is done after a start. Pending are the messages
 // that the log owes; those that the store has too are released from it. It gives those that the log owes though their
 // lane has older ones stored: they had been brought back to be answered at the end of their time, and must be answered
 // without an attempt, since one would overtake the older ones.
@@ -64,7 +64,7 @@
 	return overtaking, nil
 }
 
-// Spill moves messages of one lane, given in the order of taking, out to the store, the newest first. None of them may
+// Spill moves messages of one lane, given in the order of taking, out to the store, the newest first. NoAnswer of them may
 // be in flight. It gives how many of them, from the end, are in the store now; an error says why not all. With the
 // error of the log alone all those are moved, and the log is asked to forget them again later.
 func (m *Mover) Spill(messages []*Message) (moved int, err error) {
@@ -113,7 +113,7 @@
 	return m.back(Batch{Messages: messages}, err)
 }
 
-// BringBackExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. What
+// BringBackExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. Reason
 // is said of BringBack holds here too.
 func (m *Mover) BringBackExpired(now int64, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
--- a/internal/backlog/move_ledger_test.go
+++ b/internal/backlog/move_ledger_test.go
@@ -26,21 +26,21 @@
 )
 
 // ledgerLog is the write-ahead log as the mover needs it.
-type ledgerLog struct{ *wal.Ledger }
+type ledgerLog struct{ *wal.Log }
 
-func (l ledgerLog) Restore(m *Message) error { return l.Ledger.Restore(entryOf(m)) }
-func (l ledgerLog) Forget(seq uint64) error  { return l.Over(seq) }
+func (l ledgerLog) Restore(m *Message) error { return l.Log.Restore(entryOf(m)) }
+func (l ledgerLog) Forget(seq uint64) error  { return l.RecordDone(seq) }
 
 func entryOf(m *Message) *wal.Entry {
-	return &wal.Entry{Seq: m.Seq, Key: m.Key, Dest: m.Lane.Destination, Tenant: int(m.Lane.Tenant), Type: m.Type, ID: m.ID,
-		Mark: m.DeduplicationKey, Expiry: m.Expiry, Sent: int(m.Attempts), Ran: m.MayHaveRun, RanZone: int(m.MayHaveRunZone),
-		Body: m.Body, Front: m.Frontend, Held: m.CallerWaits}
+	return &wal.Entry{Seq: m.Seq, Key: m.Key, Destination: m.Lane.Destination, Tenant: int(m.Lane.Tenant), Type: m.Type, ID: m.ID,
+		IdempotencyKey: m.DeduplicationKey, Expiry: m.Expiry, Attempts: int(m.Attempts), FirstRanAt: m.MayHaveRun, FirstRanZone: int(m.MayHaveRunZone),
+		Body: m.Body, Frontend: m.Frontend, CallerWaits: m.CallerWaits}
 }
 
 func messageOf(e *wal.Entry) *Message {
-	return &Message{Seq: e.Seq, Key: e.Key, Lane: Lane{e.Dest, uint32(e.Tenant)}, Type: e.Type, ID: e.ID, DeduplicationKey: e.Mark,
-		Expiry: e.Expiry, Attempts: uint32(e.Sent), MayHaveRun: e.Ran, MayHaveRunZone: uint32(e.RanZone), Body: e.Body,
-		Frontend: e.Front, CallerWaits: e.Held}
+	return &Message{Seq: e.Seq, Key: e.Key, Lane: Lane{e.Destination, uint32(e.Tenant)}, Type: e.Type, ID: e.ID, DeduplicationKey: e.IdempotencyKey,
+		Expiry: e.Expiry, Attempts: uint32(e.Attempts), MayHaveRun: e.FirstRanAt, MayHaveRunZone: uint32(e.FirstRanZone), Body: e.Body,
+		Frontend: e.Frontend, CallerWaits: e.CallerWaits}
 }
 
 // ledgerMessage is a test message with what the log keeps.
@@ -52,7 +52,7 @@
 
 // forwarder takes messages on, moves them between the real write-ahead log and the store, and ends them in order.
 type forwarder struct {
-	log   *wal.Ledger
+	log   *wal.Log
 	store *Store
 	mover *Mover
 	held  map[Lane][]*Message
@@ -72,7 +72,7 @@
 	f.log.Reserve(f.store.LastSeq())
 	f.mover = NewMover(ledgerLog{f.log}, f.store)
 	var owed []Ref
-	for _, e := range f.log.Owed() {
+	for _, e := range f.log.Pending() {
 		m := messageOf(e)
 		owed = append(owed, m.Ref())
 		f.held[m.Lane] = append(f.held[m.Lane], m)
@@ -115,14 +115,14 @@
 func (f *forwarder) take(lane Lane) error {
 	var m *Message
 	if f.store.Stored(lane) > 0 {
-		m = ledgerMessage(lane, f.log.Number())
+		m = ledgerMessage(lane, f.log.NextSeq())
 		if err := f.store.Append(m); err != nil {
 			return err
 		}
 	} else {
 		m = ledgerMessage(lane, 0)
 		e := entryOf(m)
-		if err := f.log.Take(e); err != nil {
+		if err := f.log.Append(e); err != nil {
 			return err
 		}
 		m.Seq = e.Seq
@@ -136,7 +136,7 @@
 	for ; n > 0 && len(f.held[lane]) > 0; n-- {
 		m := f.held[lane][0]
 		fmt.Fprintln(f.out, "?", m.Seq, lane.Destination, lane.Tenant)
-		if err := f.log.Over(m.Seq); err != nil {
+		if err := f.log.RecordDone(m.Seq); err != nil {
 			return fmt.Errorf("over: %v", err)
 		}
 		fmt.Fprintln(f.out, "!", m.Seq, lane.Destination, lane.Tenant)
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -157,7 +157,7 @@
 		tenants: map[uint32]int64{}}, nil
 }
 
-// SetBounds alters the settings. What is stored beyond lower bounds stays; new messages are refused until there is room.
+// SetBounds alters the settings. Reason is stored beyond lower bounds stays; new messages are refused until there is room.
 func (p *Policy) SetBounds(bounds Bounds) error {
 	if err := bounds.Check(); err != nil {
 		return err
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// Decide tells where a new message goes. The event loop then calls Held or Stored, or ResultConnectRefused ones are forgotten.
+// Decide tells where a new message goes. The event loop then calls CallerWaits or Stored, or ResultConnectRefused ones are forgotten.
 func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
 	l := p.lanes[lane]
 	fits := l == nil || l.stored.messages == 0 && l.held < p.mostHeld(lane)
@@ -217,7 +217,7 @@
 	return NoBound
 }
 
-// Held says that a new message of a lane, or one found in the log at the start, is in memory.
+// CallerWaits says that a new message of a lane, or one found in the log at the start, is in memory.
 func (p *Policy) Held(lane Lane) {
 	l := p.lane(lane)
 	l.held++
@@ -249,7 +249,7 @@
 	p.count(l, 1, bytes)
 }
 
-// Back says that a message of a lane has come back from the store to memory.
+// RecordAttemptEnd says that a message of a lane has come back from the store to memory.
 func (p *Policy) Back(lane Lane, bytes int64, now time.Time) {
 	l := p.lane(lane)
 	l.held++
@@ -274,7 +274,7 @@
 	p.forgetDestination(destination, d)
 }
 
-// Due gives the moves that are due now, at most so many messages as Batch allows, lanes in turn. What it gives has to
+// Due gives the moves that are due now, at most so many messages as Batch allows, lanes in turn. Reason it gives has to
 // be tried before it is called again; a lane whose move was not carried out is given again by Unmoved.
 func (p *Policy) Due() []Move {
 	var moves []Move
--- a/internal/backlog/record.go
+++ b/internal/backlog/record.go
@@ -32,10 +32,12 @@
 type DamageError struct {
 	File   string
 	Offset int64 // bytes from the file's begin
-	What   string
+	Reason string
 }
 
-func (e *DamageError) Error() string { return fmt.Sprintf("%s: byte %d: %s", e.File, e.Offset, e.What) }
+func (e *DamageError) Error() string {
+	return fmt.Sprintf("%s: byte %d: %s", e.File, e.Offset, e.Reason)
+}
 
 // VersionError says that a file of the store was written by a newer program.
 type VersionError struct {
@@ -80,17 +82,17 @@
 func decodeHeader(file string, number uint32, b []byte) (*header, error) {
 	little := binary.LittleEndian
 	if len(b) < segmentHeader || string(b[:8]) != segmentMagic {
-		return nil, &DamageError{File: file, What: "not a segment of a backlog store"}
+		return nil, &DamageError{File: file, Reason: "not a segment of a backlog store"}
 	}
 	if v := little.Uint32(b[8:]); v > segmentVersion {
 		return nil, &VersionError{File: file, Version: v}
 	}
 	if little.Uint32(b[28:]) != crc32.Checksum(b[:28], castagnoli) {
-		return nil, &DamageError{File: file, What: "the header fails its checksum"}
+		return nil, &DamageError{File: file, Reason: "the header fails its checksum"}
 	}
 	h := &header{number: little.Uint32(b[12:]), previous: little.Uint32(b[16:]), lastSeq: little.Uint64(b[20:])}
 	if h.number != number {
-		return nil, &DamageError{File: file, What: fmt.Sprintf("the header is that of segment %d", h.number)}
+		return nil, &DamageError{File: file, Reason: fmt.Sprintf("the header is that of segment %d", h.number)}
 	}
 	return h, nil
 }
--- a/internal/backlog/replay.go
+++ b/internal/backlog/replay.go
@@ -37,7 +37,7 @@
 	slices.Sort(numbers)
 	for i := 1; i < len(numbers); i++ {
 		if numbers[i] != numbers[i-1]+1 {
-			return nil, &DamageError{File: segmentName(dir, numbers[i-1]+1), What: "missing"}
+			return nil, &DamageError{File: segmentName(dir, numbers[i-1]+1), Reason: "missing"}
 		}
 	}
 	return numbers, nil
@@ -73,7 +73,7 @@
 		if last {
 			return nil
 		}
-		return &DamageError{File: o.name, What: "the header is cut short"}
+		return &DamageError{File: o.name, Reason: "the header is cut short"}
 	}
 	b := make([]byte, segmentHeader)
 	if n, err := o.file.ReadAt(b, 0); n < len(b) {
@@ -118,7 +118,7 @@
 	g := &segment{number: o.header.number, size: o.size}
 	if next != nil {
 		if g.size = int64(next.previous); g.size > o.size || g.size < segmentHeader {
-			return &DamageError{File: o.name, Offset: o.size, What: fmt.Sprintf("%d bytes long, the next segment says %d", o.size, g.size)}
+			return &DamageError{File: o.name, Offset: o.size, Reason: fmt.Sprintf("%d bytes long, the next segment says %d", o.size, g.size)}
 		}
 	}
 	s.segments = append(s.segments, g)
@@ -136,21 +136,21 @@
 	case kindMessage:
 		f, ok := decodeFixed(r.payload[1:])
 		if !ok {
-			return &DamageError{File: name, Offset: r.offset, What: "a message of a wrong form"}
+			return &DamageError{File: name, Offset: r.offset, Reason: "a message of a wrong form"}
 		}
 		g.messages++
 		s.replayMessage(g, &f, r)
 	case kindRelease:
 		refs, ok := decodeRelease(r.payload)
 		if !ok {
-			return &DamageError{File: name, Offset: r.offset, What: "a release of a wrong form"}
+			return &DamageError{File: name, Offset: r.offset, Reason: "a release of a wrong form"}
 		}
 		g.releases++
 		for _, ref := range refs {
 			s.replayRelease(ref)
 		}
 	default:
-		return &DamageError{File: name, Offset: r.offset, What: fmt.Sprintf("a record of the unknown kind %d", r.payload[0])}
+		return &DamageError{File: name, Offset: r.offset, Reason: fmt.Sprintf("a record of the unknown kind %d", r.payload[0])}
 	}
 	return nil
 }
--- a/internal/backlog/scan.go
+++ b/internal/backlog/scan.go
@@ -80,7 +80,7 @@
 }
 
 func (s *scanner) damage(offset int64, what string) error {
-	return &DamageError{File: s.name, Offset: offset, What: what}
+	return &DamageError{File: s.name, Offset: offset, Reason: what}
 }
 
 // fill brings so many bytes from an offset on into the buffer, and what fits behind them.
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -1,6 +1,6 @@
 // Package backlog keeps messages on disk that wait for a destination that is out or far behind, so that they do not
 // take memory: a queue for each lane (destination and tenant) over shared segments that are only appended to. DeduplicationWindow
-// holds a fixed-size entry for each message, no text. What is stored when, and brought back when, is decided in package
+// holds a fixed-size entry for each message, no text. Reason is stored when, and brought back when, is decided in package
 // backlog/policy; how a message moves between the write-ahead log and the store is in move.go.
 //
 // A store outlives the end of its process by any signal. Like the write-ahead log (internal/ledger) it leaves writing
@@ -173,7 +173,7 @@
 	return errors.Join(errs...)
 }
 
-// SetBounds alters the bounds. What is stored beyond lower ones stays; new messages are refused until there is room.
+// SetBounds alters the bounds. Reason is stored beyond lower ones stays; new messages are refused until there is room.
 func (s *Store) SetBounds(b Bounds) error {
 	b, err := b.settle()
 	if err != nil {
@@ -440,18 +440,18 @@
 	b := make([]byte, e.size())
 	if n, err := file.ReadAt(b, int64(e.offset)); n < len(b) {
 		if err == nil || errors.Is(err, io.EOF) {
-			return nil, &DamageError{File: name, Offset: int64(e.offset), What: "shorter than it was"}
+			return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "shorter than it was"}
 		}
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	length, sound := payloadLength(b)
 	payload, whole := soundPayload(b)
 	if !sound || !whole || length != len(payload) || payload[0] != kindMessage {
-		return nil, &DamageError{File: name, Offset: int64(e.offset), What: "a record fails its checksum"}
+		return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "a record fails its checksum"}
 	}
 	m, ok := decodeMessage(payload[1:])
 	if !ok || m.Lane != id || m.Seq != e.seq {
-		return nil, &DamageError{File: name, Offset: int64(e.offset), What: "not the message that was stored there"}
+		return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "not the message that was stored there"}
 	}
 	return m, nil
 }
--- a/internal/backlog/store_test.go
+++ b/internal/backlog/store_test.go
@@ -199,7 +199,7 @@
 	delete(files.files, middle)
 	_, err := Open(files, testDir, smallBounds)
 	require.ErrorContains(t, err, middle+": byte 0: missing")
-	_, err = Look(files, testDir)
+	_, err = Inspect(files, testDir)
 	require.ErrorContains(t, err, "missing")
 	_, err = Verify(files, testDir)
 	require.ErrorContains(t, err, "missing")
@@ -495,7 +495,7 @@
 	for seq := uint64(1); seq <= 30; seq++ {
 		require.NoError(t, s.Append(testMessage(testLanes[seq%2], seq)))
 	}
-	view, err := Look(OS{}, dir)
+	view, err := Inspect(OS{}, dir)
 	require.NoError(t, err)
 	stats, err := view.Stats()
 	require.NoError(t, err)
@@ -521,11 +521,11 @@
 	require.NoError(t, view.Close())
 	err = view.Each(func(Lane) bool { return true }, func(*Message) error { return nil })
 	require.ErrorIs(t, err, ErrChanged)
-	view, err = Look(OS{}, dir)
+	view, err = Inspect(OS{}, dir)
 	require.NoError(t, err)
 	require.Zero(t, view.store.Messages())
 	require.NoError(t, s.Close())
 
-	_, err = Look(OS{}, filepath.Join(dir, "none"))
+	_, err = Inspect(OS{}, filepath.Join(dir, "none"))
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
--- a/internal/backlog/world_test.go
+++ b/internal/backlog/world_test.go
@@ -98,7 +98,7 @@
 }
 
 // world is a forwarder of the least kind: it takes messages on, moves them about, and ends them lane by lane in order.
-// What outlasts the process is what clients and destinations know.
+// Reason outlasts the process is what clients and destinations know.
 type world struct {
 	fs     *memFS
 	bounds Bounds
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -39,7 +39,7 @@
 const storeLock = "backlog.lock" // in a store's folder
 
 // storeOwner tells which running process has a store's folder, 0 if none is known.
-func storeOwner(folder string) int { return wal.Holder(filepath.Join(folder, storeLock)) }
+func storeOwner(folder string) int { return wal.LockHolderOfFile(filepath.Join(folder, storeLock)) }
 
 func (s *session) backlogCommand() *cobra.Command {
 	c := &cobra.Command{Use: "backlog", Short: "Look at what is stored for destinations that are out or far behind", Args: cobra.NoArgs,
@@ -130,7 +130,7 @@
 // viewBacklog reads a store, anew while the process that has it frees segments that were not read yet.
 func viewBacklog(folder string, read func(*backlog.View) error) error {
 	for range mostReads {
-		v, err := backlog.Look(backlog.OS{}, folder)
+		v, err := backlog.Inspect(backlog.OS{}, folder)
 		if err != nil {
 			return err
 		}
--- a/internal/commands/command.go
+++ b/internal/commands/command.go
@@ -224,7 +224,7 @@
 func (p *plan) of(o *forwarder.Config) {
 	p.Name, p.Folder, p.Calls, p.Metrics = o.Name, o.Folder, o.Scheduler.ConcurrencyLimit, o.Metrics
 	p.Lines = o.Sockets - 32 - forwarder.MaxClients(o.Sockets)
-	p.Owner = wal.Owner(o.Folder)
+	p.Owner = wal.LockHolder(o.Folder)
 	if b := o.Backlog; b != nil {
 		p.Backlog = &planBacklog{Folder: b.Folder, Bytes: b.Bytes, Owner: storeOwner(b.Folder)}
 	}
--- a/internal/commands/ledger.go
+++ b/internal/commands/ledger.go
@@ -51,7 +51,7 @@
 
 // filter reads the flags.
 func (l *looking) filter(tenants []string) (f wal.Filter, err error) {
-	f.Dest, f.Tenant, err = l.lane(tenants)
+	f.Destination, f.Tenant, err = l.lane(tenants)
 	if l.key != "" && err == nil {
 		f.Key, err = flagNumber("key", l.key, 16, 64)
 	}
@@ -60,13 +60,13 @@
 		if name == "resp" {
 			name = ""
 		}
-		f.Front = &name
+		f.Frontend = &name
 	}
 	if l.expired > 0 {
-		f.Older = time.Now().Add(-l.expired).UnixMicro()
+		f.OlderThan = time.Now().Add(-l.expired).UnixMicro()
 	}
 	if l.within > 0 {
-		f.Older = time.Now().Add(l.within).UnixMicro()
+		f.OlderThan = time.Now().Add(l.within).UnixMicro()
 	}
 	f.Type, f.State = l.kind, l.state
 	if l.expired > 0 && l.within > 0 && err == nil {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	v, err := wal.Look(folder)
+	v, err := wal.Inspect(folder)
 	return v, tenants, err
 }
 
@@ -95,8 +95,8 @@
 }
 
 func rowOf(e *wal.Entry, tenants []string) row {
-	return row{ID: e.ID, State: e.State(), Dest: e.Dest, Type: e.Type, Tenant: tenantName(e.Tenant, tenants), Key: fmt.Sprintf("%016x", e.Key), Mark: e.Mark,
-		Front: frontName(e.Front), Held: e.Held, Sent: e.Sent, Expiry: moment(e.Expiry), Ran: moment(e.Ran), Out: moment(e.Out), Seq: e.Seq, Bytes: len(e.Body), AfterMs: e.After}
+	return row{ID: e.ID, State: e.State(), Dest: e.Destination, Type: e.Type, Tenant: tenantName(e.Tenant, tenants), Key: fmt.Sprintf("%016x", e.Key), Mark: e.IdempotencyKey,
+		Front: frontName(e.Frontend), Held: e.CallerWaits, Sent: e.Attempts, Expiry: moment(e.Expiry), Ran: moment(e.FirstRanAt), Out: moment(e.AttemptBegan), Seq: e.Seq, Bytes: len(e.Body), AfterMs: e.RetryAfter}
 }
 
 func (s *session) list(l *looking) error {
@@ -109,8 +109,8 @@
 		return err
 	}
 	t := s.newTable()
-	for _, e := range v.Owed {
-		if !f.Picks(e) {
+	for _, e := range v.Pending {
+		if !f.Matches(e) {
 			continue
 		}
 		if l.most > 0 && t.rows == l.most {
@@ -128,12 +128,12 @@
 	if err != nil {
 		return err
 	}
-	i := slices.IndexFunc(v.Owed, func(e *wal.Entry) bool { return e.ID == id })
+	i := slices.IndexFunc(v.Pending, func(e *wal.Entry) bool { return e.ID == id })
 	if i < 0 {
 		return fmt.Errorf("%s owes no document with the id %q", v.Dir, id)
 	}
-	r := rowOf(v.Owed[i], tenants)
-	r.Body = v.Owed[i].Body
+	r := rowOf(v.Pending[i], tenants)
+	r.Body = v.Pending[i].Body
 	return s.printRow(&r)
 }
 
@@ -162,14 +162,14 @@
 		return err
 	}
 	now, by := time.Now().UnixMicro(), map[uint64]*destSum{}
-	sum := sums{Folder: v.Dir, Owner: v.Owner, Files: len(v.Files), Bytes: v.Bytes, Owed: len(v.Owed), States: map[string]int{}}
-	for _, e := range v.Owed {
+	sum := sums{Folder: v.Dir, Owner: v.HolderPID, Files: len(v.Files), Bytes: v.Bytes, Owed: len(v.Pending), States: map[string]int{}}
+	for _, e := range v.Pending {
 		sum.States[e.State()]++
 		sum.Live += e.Size()
-		d := by[e.Dest]
+		d := by[e.Destination]
 		if d == nil {
-			d = &destSum{Dest: e.Dest}
-			by[e.Dest] = d
+			d = &destSum{Dest: e.Destination}
+			by[e.Destination] = d
 		}
 		d.Owed++
 		if e.Expiry < now {
@@ -210,25 +210,25 @@
 	damaged := v.Damaged()
 	if s.json {
 		err = cli.Print(s.out, struct {
-			Folder  string         `json:"folder"`
-			Damaged bool           `json:"damaged"`
-			Owed    int            `json:"owed"`
-			Files   []wal.FileView `json:"files"`
-			Faults  []wal.Fault    `json:"faults"`
-		}{v.Dir, damaged, len(v.Owed), v.Files, v.Faults})
+			Folder  string              `json:"folder"`
+			Damaged bool                `json:"damaged"`
+			Owed    int                 `json:"owed"`
+			Files   []wal.FileView      `json:"files"`
+			Faults  []wal.DamagedRecord `json:"faults"`
+		}{v.Dir, damaged, len(v.Pending), v.Files, v.DamagedRecords})
 	} else {
 		for _, f := range v.Files {
 			n := 0
 			for _, k := range f.Records {
 				n += k
 			}
-			fmt.Fprintf(s.out, "file %d: %d bytes, %d records, %d documents owed\n", f.Number, f.Bytes, n, f.Owed)
+			fmt.Fprintf(s.out, "file %d: %d bytes, %d records, %d documents owed\n", f.Number, f.Bytes, n, f.Pending)
 		}
-		for _, f := range v.Faults {
+		for _, f := range v.DamagedRecords {
 			fmt.Fprintln(s.out, f)
 		}
 		if !damaged {
-			fmt.Fprintf(s.out, "sound; %d documents owed\n", len(v.Owed))
+			fmt.Fprintf(s.out, "sound; %d documents owed\n", len(v.Pending))
 		}
 	}
 	if damaged && err == nil {
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -127,7 +127,7 @@
 		`zone = "b"`+"\n", "", `memory = "48MB"`, "").Replace(whole)), "backlog", "nothing about the defaults")
 }
 
-// What passes the check is taken by the packages that the order goes to: the bounds here are those there.
+// Reason passes the check is taken by the packages that the order goes to: the bounds here are those there.
 func TestTheStoreAndItsPolicyTakeWhatPassesTheCheck(t *testing.T) {
 	check := func(flags ...string) (*forwarder.Backlog, error) {
 		o, err := Order(file(t, whole+stored), nil, flags)
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -91,7 +91,7 @@
 	Targets   []Target  `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
 }
 
-// Ledger is where what is owed is kept.
+// Log is where what is owed is kept.
 type Ledger struct {
 	Folder string `toml:"folder" jsonschema_description:"The folder that lasts, relative to the file. It is made if missing."`
 	Disk   Size   `toml:"disk" jsonschema_description:"Space that the folder may take, 1 MB at least."`
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -199,7 +199,7 @@
 	return Problems{{File: path, What: strings.TrimPrefix(err.Error(), "toml: ")}}
 }
 
-// place finds the line of each field: "limits.memory", "fronts[0].listen". What cannot be parsed has none; the decoder
+// place finds the line of each field: "limits.memory", "fronts[0].listen". Reason cannot be parsed has none; the decoder
 // says what is wrong with it.
 func (l *Loaded) place(text []byte) {
 	p := unstable.Parser{}
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -101,7 +101,7 @@
 // Overloaded tells that a further line finds no room.
 func (d *Dialer) Full() bool { return d.open.Load() >= d.most }
 
-// Dial begins to open a line. What cannot even begin is told by Down like the rest, never from within this call.
+// Dial begins to open a line. Reason cannot even begin is told by Down like the rest, never from within this call.
 // The connection is made by the standard library and handed to nbio once it is up: nbio's own dialer takes an IPv4
 // address for 0.0.0.0, and does not look whether connecting failed.
 func (d *Dialer) Dial(addr string, within time.Duration, w Watcher) *Line {
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -315,7 +315,7 @@
 	require.Equal(t, "silent", next(t, k.ended))
 }
 
-// What the old watch's reader had in hand when the list was asked for anew is told by nobody: the new one brings it.
+// Reason the old watch's reader had in hand when the list was asked for anew is told by nobody: the new one brings it.
 func TestNewsOfAnOldWatchIsNotToldBehindTheNewOne(t *testing.T) {
 	d, k, accept := scene(t)
 	d.Watch(1)
--- a/internal/drains/rota.go
+++ b/internal/drains/rota.go
@@ -14,19 +14,19 @@
 
 // ReportedLimit is the number of targets that may be out by hand at once. Guards against a caller that names ids without end,
 // which would grow the set and its file; hurts a fleet with more targets out than this, which then hears no.
-const Most = 1024
+const MaxDrained = 1024
 
-// Verdict is the answer to a call.
-type Verdict uint8
+// Result is the answer to a call.
+type Result uint8
 
 const (
-	Yes     Verdict = iota // done, or it was so already
+	Accepted Result = iota // done, or it was so already
 	Unknown                // nobody has that id
 	TooMany                // the set is full
 	BadName                // the id cannot be kept
 )
 
-func (v Verdict) String() string {
+func (v Result) String() string {
 	return [...]string{"yes", "no target of that id is listed or out", "too many targets are out by hand", "the id holds bytes it may not"}[v]
 }
 
@@ -34,21 +34,21 @@
 type Change uint8
 
 const (
-	Same     Change = iota // nothing changed
-	TakenOut               // the target is to get nothing new from now on
-	Returned               // the target is back, and cold: operators restarted it meanwhile
+	Unchanged Change = iota // nothing changed
+	Drained                 // the target is to get nothing new from now on
+	Restored                // the target is back, and cold: operators restarted it meanwhile
 )
 
-// Rota is the set of targets out by hand.
-type Rota struct {
+// Set is the set of targets out by hand.
+type Set struct {
 	out []string // sorted
 }
 
 // New starts with the ids that were out before, as kept; ids that cannot be kept are passed over.
-func New(kept []string) *Rota {
-	r := &Rota{}
+func New(kept []string) *Set {
+	r := &Set{}
 	for _, id := range kept {
-		if len(r.out) < Most && fit(id) && !r.Out(id) {
+		if len(r.out) < MaxDrained && fit(id) && !r.Drained(id) {
 			r.out = append(r.out, id)
 		}
 	}
@@ -61,55 +61,55 @@
 	return id != "" && len(id) <= 256 && !strings.ContainsAny(id, "\r\n\x00")
 }
 
-// Out tells if a target is out by hand.
-func (r *Rota) Out(id string) bool {
+// Drained tells if a target is out by hand.
+func (r *Set) Drained(id string) bool {
 	_, found := slices.BinarySearch(r.out, id)
 	return found
 }
 
-// Detach takes a target out; listed says that the list has it now.
-func (r *Rota) Detach(id string, listed bool) (Verdict, Change) {
+// Drain takes a target out; listed says that the list has it now.
+func (r *Set) Drain(id string, listed bool) (Result, Change) {
 	switch i, found := slices.BinarySearch(r.out, id); {
 	case !fit(id):
-		return BadName, Same
+		return BadName, Unchanged
 	case found:
-		return Yes, Same
+		return Accepted, Unchanged
 	case !listed:
-		return Unknown, Same
-	case len(r.out) >= Most:
-		return TooMany, Same
+		return Unknown, Unchanged
+	case len(r.out) >= MaxDrained:
+		return TooMany, Unchanged
 	default:
 		r.out = slices.Insert(r.out, i, id)
-		return Yes, TakenOut
+		return Accepted, Drained
 	}
 }
 
-// Attach puts a target back.
-func (r *Rota) Attach(id string, listed bool) (Verdict, Change) {
+// Restore puts a target back.
+func (r *Set) Restore(id string, listed bool) (Result, Change) {
 	i, found := slices.BinarySearch(r.out, id)
 	switch {
 	case found:
 		r.out = slices.Delete(r.out, i, i+1)
-		return Yes, Returned
+		return Accepted, Restored
 	case listed:
-		return Yes, Same
+		return Accepted, Unchanged
 	case !fit(id):
-		return BadName, Same
+		return BadName, Unchanged
 	default:
-		return Unknown, Same
+		return Unknown, Unchanged
 	}
 }
 
-// Standing is what the module is told of a listed target: a target out by hand drains, whatever the list says.
-func (r *Rota) Standing(id string, listed scheduler.EndpointState) scheduler.EndpointState {
-	if listed == scheduler.Ready && r.Out(id) {
+// State is what the module is told of a listed target: a target out by hand drains, whatever the list says.
+func (r *Set) State(id string, listed scheduler.EndpointState) scheduler.EndpointState {
+	if listed == scheduler.Ready && r.Drained(id) {
 		return scheduler.Draining
 	}
 	return listed
 }
 
-// Kept is the set as it is to be kept, one id a line.
-func (r *Rota) Kept() []string { return slices.Clone(r.out) }
+// IDs is the set as it is to be kept, one id a line.
+func (r *Set) IDs() []string { return slices.Clone(r.out) }
 
 // Len is the number of targets out by hand.
-func (r *Rota) Len() int { return len(r.out) }
+func (r *Set) Len() int { return len(r.out) }
--- a/internal/drains/rota_test.go
+++ b/internal/drains/rota_test.go
@@ -11,60 +11,60 @@
 
 func TestATargetOutByHandDrainsWhateverTheListSays(t *testing.T) {
 	r := New(nil)
-	v, c := r.Detach("s1", true)
-	require.Equal(t, Yes, v)
-	require.Equal(t, TakenOut, c)
-	require.Equal(t, scheduler.Draining, r.Standing("s1", scheduler.Ready))
-	require.Equal(t, scheduler.Removed, r.Standing("s1", scheduler.Removed))
-	require.Equal(t, scheduler.Ready, r.Standing("s2", scheduler.Ready))
+	v, c := r.Drain("s1", true)
+	require.Equal(t, Accepted, v)
+	require.Equal(t, Drained, c)
+	require.Equal(t, scheduler.Draining, r.State("s1", scheduler.Ready))
+	require.Equal(t, scheduler.Removed, r.State("s1", scheduler.Removed))
+	require.Equal(t, scheduler.Ready, r.State("s2", scheduler.Ready))
 }
 
 func TestTwoCallsOutNeedOneCallBack(t *testing.T) {
 	r := New(nil)
-	r.Detach("s1", true)
-	v, c := r.Detach("s1", true)
-	require.Equal(t, Yes, v)
-	require.Equal(t, Same, c)
-	v, c = r.Attach("s1", true)
-	require.Equal(t, Yes, v)
-	require.Equal(t, Returned, c)
-	require.False(t, r.Out("s1"))
-	v, c = r.Attach("s1", true) // back already
-	require.Equal(t, Yes, v)
-	require.Equal(t, Same, c)
+	r.Drain("s1", true)
+	v, c := r.Drain("s1", true)
+	require.Equal(t, Accepted, v)
+	require.Equal(t, Unchanged, c)
+	v, c = r.Restore("s1", true)
+	require.Equal(t, Accepted, v)
+	require.Equal(t, Restored, c)
+	require.False(t, r.Drained("s1"))
+	v, c = r.Restore("s1", true) // back already
+	require.Equal(t, Accepted, v)
+	require.Equal(t, Unchanged, c)
 }
 
 func TestAnIDThatNobodyHasIsOwedANo(t *testing.T) {
 	r := New(nil)
-	v, _ := r.Detach("ghost", false)
+	v, _ := r.Drain("ghost", false)
 	require.Equal(t, Unknown, v)
-	v, _ = r.Attach("ghost", false)
+	v, _ = r.Restore("ghost", false)
 	require.Equal(t, Unknown, v)
-	r.Detach("s1", true)
-	v, c := r.Attach("s1", false) // out by hand and gone from the list meanwhile: it is ours to put back
-	require.Equal(t, Yes, v)
-	require.Equal(t, Returned, c)
+	r.Drain("s1", true)
+	v, c := r.Restore("s1", false) // out by hand and gone from the list meanwhile: it is ours to put back
+	require.Equal(t, Accepted, v)
+	require.Equal(t, Restored, c)
 }
 
 func TestTheBanLastsOverARestart(t *testing.T) {
 	r := New(nil)
-	r.Detach("s2", true)
-	r.Detach("s1", true)
-	again := New(r.Kept())
-	require.True(t, again.Out("s1"))
-	require.True(t, again.Out("s2"))
-	require.Equal(t, []string{"s1", "s2"}, again.Kept())
+	r.Drain("s2", true)
+	r.Drain("s1", true)
+	again := New(r.IDs())
+	require.True(t, again.Drained("s1"))
+	require.True(t, again.Drained("s2"))
+	require.Equal(t, []string{"s1", "s2"}, again.IDs())
 }
 
 func TestTheSetIsBounded(t *testing.T) {
 	r := New(nil)
-	for i := range Most {
-		v, _ := r.Detach(strings.Repeat("x", i%200+1)+string(rune('a'+i/200)), true)
-		require.Equal(t, Yes, v)
+	for i := range MaxDrained {
+		v, _ := r.Drain(strings.Repeat("x", i%200+1)+string(rune('a'+i/200)), true)
+		require.Equal(t, Accepted, v)
 	}
-	v, _ := r.Detach("one more", true)
+	v, _ := r.Drain("one more", true)
 	require.Equal(t, TooMany, v)
-	v, _ = r.Detach("bad\nid", true)
+	v, _ = r.Drain("bad\nid", true)
 	require.Equal(t, BadName, v)
-	require.Len(t, New(append(r.Kept(), "beyond", "bad\nid")).Kept(), Most)
+	require.Len(t, New(append(r.IDs(), "beyond", "bad\nid")).IDs(), MaxDrained)
 }
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -23,7 +23,7 @@
 type Reader struct{ rest []byte }
 
 // Feed calls each for every command that is complete. The arguments are slices of data, or of what was kept of an
-// earlier feed; they are good until each returns. After an error the reader is of no more use.
+// earlier feed; they are good until each returns. RetryAfter an error the reader is of no more use.
 func (r *Reader) Feed(data []byte, each func(args [][]byte) error) error {
 	kept := len(r.rest) > 0
 	if kept {
--- a/internal/respserver/accept.go
+++ b/internal/respserver/accept.go
@@ -43,7 +43,7 @@
 	return false
 }
 
-// What closes first to make room. One that was served comes before one that was not yet: its client takes the end of an
+// Reason closes first to make room. One that was served comes before one that was not yet: its client takes the end of an
 // idle connection as such, while the first command of the other, which may be slow to come, would be lost.
 const (
 	rankClosing = iota // it has had its last answer
--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -66,7 +66,7 @@
 // Removed tells if the client does not hear an answer any more.
 func (c *Client) Disconnected() bool { return c.gone.Load() }
 
-// Answer writes the answer to the oldest command without one. It tells if the connection stood.
+// RecordAnswer writes the answer to the oldest command without one. It tells if the connection stood.
 func (c *Client) Answer(r transport.Reply) bool {
 	_, err := c.conn.Write(line(r))
 	c.unanswered.Add(-1)
--- a/internal/transcript/server.go
+++ b/internal/transcript/server.go
@@ -90,7 +90,7 @@
 	return await(s.tb, s.requests, "request")
 }
 
-// AttemptEnded waits for the next end of a connection and returns its number. What ends and what comes on another connection
+// AttemptEnded waits for the next end of a connection and returns its number. Reason ends and what comes on another connection
 // have no order among them.
 func (s *Server) Ended() int {
 	s.tb.Helper()
@@ -108,7 +108,7 @@
 	}
 }
 
-// Answer writes bytes on the connection that the request came by.
+// RecordAnswer writes bytes on the connection that the request came by.
 func (r *Request) Answer(raw string) {
 	_, _ = io.WriteString(r.conn, raw) // a peer that has gone is seen by what it does next
 }
--- a/internal/wal/free_test.go
+++ b/internal/wal/free_test.go
@@ -32,7 +32,7 @@
 	dir := t.TempDir()
 	l := open(t, dir)
 	take(t, l, "first", 100)
-	require.NoError(t, l.Over(take(t, l, "over", 100).Seq))
+	require.NoError(t, l.RecordDone(take(t, l, "over", 100).Seq))
 	take(t, l, "second", 100)
 	require.NoError(t, l.Close())
 	l = open(t, dir)
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -26,58 +26,58 @@
 // goldenMessage is an owed message with fixed content. Its idempotency shows in its type and key alone: messages whose
 // repeat is known by a key have one, the others none.
 func goldenMessage(id, kind, key string, body []byte) *Entry {
-	return &Entry{Key: 0x1122334455667788, Dest: 7, Tenant: 3, Type: kind, ID: id, Mark: key,
+	return &Entry{Key: 0x1122334455667788, Destination: 7, Tenant: 3, Type: kind, ID: id, IdempotencyKey: key,
 		Expiry: 1_700_000_000_123_456, Body: body}
 }
 
 // writeGoldenLog writes each kind of record, and messages in each state.
-func writeGoldenLog(t *testing.T, l *Ledger) {
+func writeGoldenLog(t *testing.T, l *Log) {
 	kinds := [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}}
 	states := []func(seq uint64) error{
 		func(uint64) error { return nil }, // untried
 		func(seq uint64) error { return attempt(l, seq, 1_000, 1, false) },
 		func(seq uint64) error { return attempt(l, seq, 2_000, 2, true) },
-		func(seq uint64) error { return l.Out(seq, 3_000, 3) },
+		func(seq uint64) error { return l.RecordAttempt(seq, 3_000, 3) },
 		func(seq uint64) error { // in flight after one that may have run
 			if err := attempt(l, seq, 4_000, 1, true); err != nil {
 				return err
 			}
-			return l.Out(seq, 5_000, 70_000)
+			return l.RecordAttempt(seq, 5_000, 70_000)
 		},
-		func(seq uint64) error { return l.Answer(seq, Returned, 1_500) },
-		func(seq uint64) error { return l.Answer(seq, Abandoned, 0) },
-		l.Over,
+		func(seq uint64) error { return l.RecordAnswer(seq, Rejected, 1_500) },
+		func(seq uint64) error { return l.RecordAnswer(seq, Failed, 0) },
+		l.RecordDone,
 	}
 	for k, kind := range kinds {
 		for s, state := range states {
 			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), kind[0], kind[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
-			require.NoError(t, l.Take(e))
+			require.NoError(t, l.Append(e))
 			require.NoError(t, state(e.Seq))
 		}
 	}
 	writeGoldenFrontends(t, l)
 }
 
-func attempt(l *Ledger, seq uint64, at int64, zone int, ran bool) error {
-	if err := l.Out(seq, at, zone); err != nil {
+func attempt(l *Log, seq uint64, at int64, zone int, ran bool) error {
+	if err := l.RecordAttempt(seq, at, zone); err != nil {
 		return err
 	}
-	return l.Back(seq, ran)
+	return l.RecordAttemptEnd(seq, ran)
 }
 
 // writeGoldenFrontends writes messages that name their frontend, an empty one, and one that comes back from the backlog
 // store with its history.
-func writeGoldenFrontends(t *testing.T, l *Ledger) {
+func writeGoldenFrontends(t *testing.T, l *Log) {
 	named := goldenMessage("named", "idempotent", "", []byte("body"))
-	named.Front = "web"
-	require.NoError(t, l.Take(named))
+	named.Frontend = "web"
+	require.NoError(t, l.Append(named))
 	waiting := goldenMessage("waiting", "idempotent", "", []byte("body"))
-	waiting.Held = true
-	require.NoError(t, l.Take(waiting))
-	require.NoError(t, l.Take(&Entry{}))
-	require.Equal(t, uint64(28), l.Number(), "given to a message in the backlog store")
+	waiting.CallerWaits = true
+	require.NoError(t, l.Append(waiting))
+	require.NoError(t, l.Append(&Entry{}))
+	require.Equal(t, uint64(28), l.NextSeq(), "given to a message in the backlog store")
 	restored := goldenMessage("restored", "at-most-once", "", []byte("body"))
-	restored.Seq, restored.Sent, restored.Ran, restored.RanZone, restored.Front, restored.Held = 40, 2, 55, 1, "resp", true
+	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone, restored.Frontend, restored.CallerWaits = 40, 2, 55, 1, "resp", true
 	require.NoError(t, l.Restore(restored))
 	require.NoError(t, l.Restore(goldenMessageAgain(restored)))
 }
@@ -85,7 +85,7 @@
 // goldenMessageAgain is the same message recorded a second time: the later record counts.
 func goldenMessageAgain(e *Entry) *Entry {
 	again := *e
-	again.Sent, again.Body = 3, []byte("second body")
+	again.Attempts, again.Body = 3, []byte("second body")
 	return &again
 }
 
@@ -93,12 +93,12 @@
 // is over.
 var goldenStates = []Entry{
 	{},
-	{Sent: 1},
-	{Sent: 1, Ran: 2_000, RanZone: 2},
-	{Sent: 1, Out: 3_000, OutZone: 3},
-	{Sent: 2, Ran: 4_000, RanZone: 1, Out: 5_000, OutZone: 70_000},
-	{Answer: Returned, After: 1_500},
-	{Answer: Abandoned},
+	{Attempts: 1},
+	{Attempts: 1, FirstRanAt: 2_000, FirstRanZone: 2},
+	{Attempts: 1, AttemptBegan: 3_000, AttemptZone: 3},
+	{Attempts: 2, FirstRanAt: 4_000, FirstRanZone: 1, AttemptBegan: 5_000, AttemptZone: 70_000},
+	{Answer: Rejected, RetryAfter: 1_500},
+	{Answer: Failed},
 }
 
 func goldenOwed() []*Entry {
@@ -106,17 +106,17 @@
 	for k, kind := range [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}} {
 		for s, state := range goldenStates {
 			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), kind[0], kind[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
-			e.Seq, e.Sent, e.Answer, e.After = uint64(k*8+s+1), state.Sent, state.Answer, state.After
-			e.Ran, e.RanZone, e.Out, e.OutZone = state.Ran, state.RanZone, state.Out, state.OutZone
+			e.Seq, e.Attempts, e.Answer, e.RetryAfter = uint64(k*8+s+1), state.Attempts, state.Answer, state.RetryAfter
+			e.FirstRanAt, e.FirstRanZone, e.AttemptBegan, e.AttemptZone = state.FirstRanAt, state.FirstRanZone, state.AttemptBegan, state.AttemptZone
 			owed = append(owed, e)
 		}
 	}
 	named := goldenMessage("named", "idempotent", "", []byte("body"))
 	waiting := goldenMessage("waiting", "idempotent", "", []byte("body"))
-	named.Seq, named.Front = 25, "web"
-	waiting.Seq, waiting.Held = 26, true
+	named.Seq, named.Frontend = 25, "web"
+	waiting.Seq, waiting.CallerWaits = 26, true
 	restored := goldenMessage("restored", "at-most-once", "", []byte("second body"))
-	restored.Seq, restored.Sent, restored.Ran, restored.RanZone, restored.Front, restored.Held = 40, 3, 55, 1, "resp", true
+	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone, restored.Frontend, restored.CallerWaits = 40, 3, 55, 1, "resp", true
 	return append(owed, named, waiting, &Entry{Seq: 27, Body: []byte{}}, restored)
 }
 
@@ -132,20 +132,20 @@
 func TestReadsLogWrittenByVersion1(t *testing.T) {
 	dir := golden.Copy(t, goldenLog)
 	l := open(t, dir)
-	require.Zero(t, l.Dropped)
-	requireOwed(t, goldenOwed(), l.Owed())
-	require.Equal(t, uint64(41), l.Number())
+	require.Zero(t, l.DroppedRecords)
+	requireOwed(t, goldenOwed(), l.Pending())
+	require.Equal(t, uint64(41), l.NextSeq())
 	require.NoError(t, l.Close())
 }
 
 func TestInspectsLogWrittenByVersion1(t *testing.T) {
-	v, err := Look(golden.Copy(t, goldenLog))
+	v, err := Inspect(golden.Copy(t, goldenLog))
 	require.NoError(t, err)
-	require.Empty(t, v.Faults)
+	require.Empty(t, v.DamagedRecords)
 	require.Len(t, v.Files, 1)
 	require.Equal(t, map[string]int{"document": 25, "document with front": 4, "transmission": 15, "end": 9, "over": 3,
 		"answer": 6}, v.Files[0].Records)
-	requireOwed(t, goldenOwed(), v.Owed)
+	requireOwed(t, goldenOwed(), v.Pending)
 }
 
 func TestWritesSameBytesAsVersion1(t *testing.T) {
@@ -158,19 +158,19 @@
 
 // writeCompactedLog fills a small log until its oldest files are freed, by which what they owe is written anew. It
 // returns the numbers that are owed at the end.
-func writeCompactedLog(t *testing.T, l *Ledger) (owed []uint64) {
+func writeCompactedLog(t *testing.T, l *Log) (owed []uint64) {
 	for i := range 150 {
 		e := goldenMessage(fmt.Sprintf("id-%d", i), "idempotent-with-key", "k", bytes.Repeat([]byte{byte(i)}, compactedBody))
 		if i%2 == 1 {
-			e.Front, e.Held = "web", i%4 == 1
+			e.Frontend, e.CallerWaits = "web", i%4 == 1
 		}
-		require.NoError(t, l.Take(e))
+		require.NoError(t, l.Append(e))
 		require.NoError(t, attempt(l, e.Seq, int64(100+i), i%3, i%5 == 0))
 		if i%compactedOwed == 0 {
 			owed = append(owed, e.Seq)
 			continue
 		}
-		require.NoError(t, l.Over(e.Seq))
+		require.NoError(t, l.RecordDone(e.Seq))
 	}
 	return owed
 }
@@ -178,15 +178,15 @@
 func TestReadsCompactedLogWrittenByVersion1(t *testing.T) {
 	l, err := Open(golden.Copy(t, goldenCompacted), smallLimit)
 	require.NoError(t, err)
-	require.Zero(t, l.Dropped)
-	for i, e := range l.Owed() {
+	require.Zero(t, l.DroppedRecords)
+	for i, e := range l.Pending() {
 		n := i * compactedOwed
 		body := bytes.Repeat([]byte{byte(n)}, compactedBody)
 		want := goldenMessage(fmt.Sprintf("id-%d", n), "idempotent-with-key", "k", body)
-		want.Seq, want.Sent, want.Ran, want.RanZone, want.file = uint64(n+1), 1, int64(100+n), n%3, e.file
+		want.Seq, want.Attempts, want.FirstRanAt, want.FirstRanZone, want.file = uint64(n+1), 1, int64(100+n), n%3, e.file
 		require.Equal(t, want, e)
 	}
-	require.Len(t, l.Owed(), 3)
+	require.Len(t, l.Pending(), 3)
 	require.NoError(t, l.Close())
 }
 
@@ -197,7 +197,7 @@
 	owed := writeCompactedLog(t, l)
 	require.Greater(t, l.files[0].number, 1, "the first file was freed")
 	var seqs []uint64
-	for _, e := range l.Owed() {
+	for _, e := range l.Pending() {
 		seqs = append(seqs, e.Seq)
 	}
 	require.True(t, slices.Equal(owed, seqs))
--- a/internal/wal/ledger.go
+++ b/internal/wal/ledger.go
@@ -41,61 +41,61 @@
 
 // Entry is a document that is owed its end; times are in microseconds of the wall clock, 0 for none.
 type Entry struct {
-	Seq     uint64 // the order of taking
-	Key     uint64
-	Dest    uint64
-	Tenant  int
-	Type    string
-	ID      string
-	Mark    string
-	Expiry  int64
-	Sent    int   // transmissions spent
-	Ran     int64 // begin of the first transmission that may have run
-	RanZone int
-	Out     int64 // begin of the transmission that is out
-	OutZone int
-	Answer  Answer
-	After   int // with Rejected: milliseconds until the client may come again
-	Body    []byte
-	Front   string // by which it came; empty for the platform's own
-	Held    bool   // its caller waited for the final answer
+	Seq            uint64 // the order of taking
+	Key            uint64
+	Destination    uint64
+	Tenant         int
+	Type           string
+	ID             string
+	IdempotencyKey string
+	Expiry         int64
+	Attempts       int   // transmissions spent
+	FirstRanAt     int64 // begin of the first transmission that may have run
+	FirstRanZone   int
+	AttemptBegan   int64 // begin of the transmission that is out
+	AttemptZone    int
+	Answer         Answer
+	RetryAfter     int // with Rejected: milliseconds until the client may come again
+	Body           []byte
+	Frontend       string // by which it came; empty for the platform's own
+	CallerWaits    bool   // its caller waited for the final answer
 
 	file int // number of the file with its record
 }
 
-// Answer is the final answer of a document that is not delivered.
+// RecordAnswer is the final answer of a document that is not delivered.
 type Answer uint8
 
 const (
-	None Answer = iota
-	Returned
-	Abandoned
+	NoAnswer Answer = iota
+	Rejected
+	Failed
 )
 
 // Size is what an entry takes of the ledger's room.
 func (e *Entry) Size() int {
-	n := len(e.Body) + len(e.Mark) + len(e.ID) + len(e.Type) + overhead
+	n := len(e.Body) + len(e.IdempotencyKey) + len(e.ID) + len(e.Type) + overhead
 	if e.from() {
-		n += 2 + len(e.Front)
+		n += 2 + len(e.Frontend)
 	}
 	return n
 }
 
 // from tells that an entry's record says by which front it came.
-func (e *Entry) from() bool { return e.Front != "" || e.Held }
-
-// Ledger is open until BlockUntil. It is not safe for use by several goroutines.
-type Ledger struct {
-	dir     string
-	limit   int64
-	files   []file // the last is written to
-	head    *os.File
-	entries map[uint64]*Entry
-	live    int
-	next    uint64
-	Dropped int // records that could not be read at the start
-	buf     []byte
-	lock    *os.File // nil where the folder cannot be locked
+func (e *Entry) from() bool { return e.Frontend != "" || e.CallerWaits }
+
+// Log is open until BlockUntil. It is not safe for use by several goroutines.
+type Log struct {
+	dir            string
+	limit          int64
+	files          []file // the last is written to
+	head           *os.File
+	entries        map[uint64]*Entry
+	live           int
+	next           uint64
+	DroppedRecords int // records that could not be read at the start
+	buf            []byte
+	lock           *os.File // nil where the folder cannot be locked
 }
 
 type file struct {
@@ -108,15 +108,15 @@
 
 // Open reads what is owed; limit bounds the bytes in the folder. A folder that another process has is waited for a
 // moment, as one that was killed may still hold it.
-func Open(dir string, limit int64) (*Ledger, error) {
-	return OpenWaiting(context.Background(), dir, limit, dyingFor)
+func Open(dir string, limit int64) (*Log, error) {
+	return OpenWhenFree(context.Background(), dir, limit, dyingFor)
 }
 
-// OpenWaiting is Open that waits up to so long for a folder that another process has, as a process that replaces
+// OpenWhenFree is Open that waits up to so long for a folder that another process has, as a process that replaces
 // another does while the other ends. It waits no longer than ctx stands.
-func OpenWaiting(ctx context.Context, dir string, limit int64, wait time.Duration) (*Ledger, error) {
-	l := &Ledger{dir: dir, limit: limit, entries: map[uint64]*Entry{}, next: 1}
-	if l.Room() <= 0 {
+func OpenWhenFree(ctx context.Context, dir string, limit int64, wait time.Duration) (*Log, error) {
+	l := &Log{dir: dir, limit: limit, entries: map[uint64]*Entry{}, next: 1}
+	if l.Capacity() <= 0 {
 		return nil, fmt.Errorf("a ledger of %d bytes is too small", limit)
 	}
 	var err error
@@ -176,20 +176,20 @@
 
 // QueueCapacity is how many bytes of entries the ledger holds at most: half of the space beside what compacting needs, so
 // that writing anew always frees more than it takes.
-func (l *Ledger) Room() int { return int((l.limit - 3*l.reserve()) / 2) }
+func (l *Log) Capacity() int { return int((l.limit - 3*l.reserve()) / 2) }
 
-func (l *Ledger) part() int64 { return l.limit / parts }
+func (l *Log) part() int64 { return l.limit / parts }
 
 // reserve is the space for the file that is being freed to be written anew once more.
-func (l *Ledger) reserve() int64 { return l.part() + mostEntry + 2*block }
+func (l *Log) reserve() int64 { return l.part() + mostEntry + 2*block }
 
-// Owed is all that is owed, in the order of taking.
-func (l *Ledger) Owed() []*Entry {
+// Pending is all that is owed, in the order of taking.
+func (l *Log) Pending() []*Entry {
 	return slices.SortedFunc(maps.Values(l.entries), func(a, b *Entry) int { return cmp.Compare(a.Seq, b.Seq) })
 }
 
 // BlockUntil ends the writing.
-func (l *Ledger) Close() error {
+func (l *Log) Close() error {
 	if l.lock != nil {
 		defer l.lock.Close()
 	}
@@ -200,7 +200,7 @@
 }
 
 // Used is the space that the files take.
-func (l *Ledger) Used() int64 {
+func (l *Log) Used() int64 {
 	n := int64(0)
 	if l.lock != nil {
 		n = block
@@ -212,8 +212,8 @@
 }
 
 // Accept records a document and gives it its number.
-func (l *Ledger) Take(e *Entry) error {
-	if l.live+e.Size() > l.Room() || e.Size() > mostEntry || len(e.Front) > mostFront {
+func (l *Log) Append(e *Entry) error {
+	if l.live+e.Size() > l.Capacity() || e.Size() > mostEntry || len(e.Frontend) > mostFront {
 		return ErrFull
 	}
 	e.Seq = l.next
@@ -228,12 +228,12 @@
 
 // Restore records an entry that has a number already, with its history: one that comes back from the backlog store. It
 // may be recorded; the latest record counts. Next numbers are greater.
-func (l *Ledger) Restore(e *Entry) error {
+func (l *Log) Restore(e *Entry) error {
 	before := 0
 	if old := l.entries[e.Seq]; old != nil {
 		before = old.Size()
 	}
-	if l.live-before+e.Size() > l.Room() || e.Size() > mostEntry || len(e.Front) > mostFront {
+	if l.live-before+e.Size() > l.Capacity() || e.Size() > mostEntry || len(e.Frontend) > mostFront {
 		return ErrFull
 	}
 	if err := l.write(e); err != nil {
@@ -246,19 +246,19 @@
 }
 
 // Reserve makes sure that numbers given from now on are greater than one.
-func (l *Ledger) Reserve(seq uint64) { l.next = max(l.next, seq+1) }
+func (l *Log) Reserve(seq uint64) { l.next = max(l.next, seq+1) }
 
-// Number gives the next number to a message that goes to the backlog store and not here.
-func (l *Ledger) Number() uint64 {
+// NextSeq gives the next number to a message that goes to the backlog store and not here.
+func (l *Log) NextSeq() uint64 {
 	l.next++
 	return l.next - 1
 }
 
 // Entry is what is recorded for a number, nil if nothing is owed for it.
-func (l *Ledger) Entry(seq uint64) *Entry { return l.entries[seq] }
+func (l *Log) Entry(seq uint64) *Entry { return l.entries[seq] }
 
-// Out records that a transmission is about to begin.
-func (l *Ledger) Out(seq uint64, at int64, zone int) error {
+// RecordAttempt records that a transmission is about to begin.
+func (l *Log) RecordAttempt(seq uint64, at int64, zone int) error {
 	e := l.entries[seq]
 	if e == nil {
 		return nil
@@ -272,8 +272,8 @@
 	return nil
 }
 
-// Back records that a transmission has ended without ending the document.
-func (l *Ledger) Back(seq uint64, ran bool) error {
+// RecordAttemptEnd records that a transmission has ended without ending the document.
+func (l *Log) RecordAttemptEnd(seq uint64, ran bool) error {
 	e := l.entries[seq]
 	if e == nil {
 		return nil
@@ -286,19 +286,19 @@
 	return l.append(append(b, 0))
 }
 
-// Answer records the final answer, before it is told.
-func (l *Ledger) Answer(seq uint64, a Answer, after int) error {
+// RecordAnswer records the final answer, before it is told.
+func (l *Log) RecordAnswer(seq uint64, a Answer, after int) error {
 	e := l.entries[seq]
 	if e == nil {
 		return nil
 	}
-	e.Answer, e.After = a, after
+	e.Answer, e.RetryAfter = a, after
 	b := append(binary.LittleEndian.AppendUint64(l.begin(kindAnswer), seq), byte(a))
 	return l.append(binary.LittleEndian.AppendUint32(b, uint32(after)))
 }
 
 // Finished records that nothing more is owed for a document.
-func (l *Ledger) Over(seq uint64) error {
+func (l *Log) RecordDone(seq uint64) error {
 	e := l.entries[seq]
 	if e == nil {
 		return nil
@@ -309,36 +309,36 @@
 }
 
 func (e *Entry) sent(at int64, zone int) {
-	e.Sent++
-	e.Out, e.OutZone = at, zone
+	e.Attempts++
+	e.AttemptBegan, e.AttemptZone = at, zone
 }
 
 func (e *Entry) back(ran bool) {
-	if ran && e.Ran == 0 {
-		e.Ran, e.RanZone = e.Out, e.OutZone
+	if ran && e.FirstRanAt == 0 {
+		e.FirstRanAt, e.FirstRanZone = e.AttemptBegan, e.AttemptZone
 	}
-	e.Out, e.OutZone = 0, 0
+	e.AttemptBegan, e.AttemptZone = 0, 0
 }
 
-func (l *Ledger) begin(kind byte) []byte {
+func (l *Log) begin(kind byte) []byte {
 	return append(l.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0, kind)
 }
 
 // whole begins the record of an entry.
-func (l *Ledger) whole(e *Entry) []byte {
+func (l *Log) whole(e *Entry) []byte {
 	if !e.from() {
 		return e.encode(l.begin(kindEntry))
 	}
 	held := byte(0)
-	if e.Held {
+	if e.CallerWaits {
 		held = 1
 	}
-	b := append(l.begin(kindFrom), held, byte(len(e.Front)))
-	return e.encode(append(b, e.Front...))
+	b := append(l.begin(kindFrom), held, byte(len(e.Frontend)))
+	return e.encode(append(b, e.Frontend...))
 }
 
 // write records an entry whole in the present file.
-func (l *Ledger) write(e *Entry) error {
+func (l *Log) write(e *Entry) error {
 	if err := l.append(l.whole(e)); err != nil {
 		return err
 	}
@@ -347,13 +347,13 @@
 }
 
 // recordedIn notes that an entry's latest record is in a file.
-func (l *Ledger) recordedIn(f *file, e *Entry) {
+func (l *Log) recordedIn(f *file, e *Entry) {
 	e.file = f.number
 	f.recorded = append(f.recorded, e.Seq)
 }
 
 // owedBy is what is owed of the entries recorded in a file, in the order of taking.
-func (l *Ledger) owedBy(f *file) []*Entry {
+func (l *Log) owedBy(f *file) []*Entry {
 	var owed []*Entry
 	for _, seq := range f.recorded {
 		if e := l.entries[seq]; e != nil && e.file == f.number {
@@ -365,7 +365,7 @@
 }
 
 // append closes a record and writes it, after making room.
-func (l *Ledger) append(b []byte) error {
+func (l *Log) append(b []byte) error {
 	l.buf = b
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-header))
 	binary.LittleEndian.PutUint32(b[4:], crc32.ChecksumIEEE(b[8:]))
@@ -387,7 +387,7 @@
 }
 
 // makeRoom frees the oldest files until a record of so many bytes has room, and so much is left beside it.
-func (l *Ledger) makeRoom(record int, left int64) error {
+func (l *Log) makeRoom(record int, left int64) error {
 	for range len(l.files) {
 		if l.Used()+int64(record)+left <= l.limit {
 			return nil
@@ -399,7 +399,7 @@
 	return nil
 }
 
-func (l *Ledger) put(b []byte) error {
+func (l *Log) put(b []byte) error {
 	f := &l.files[len(l.files)-1]
 	if blocks(f.size+int64(len(b)))-blocks(f.size)+l.Used() > l.limit {
 		return ErrFull
@@ -418,7 +418,7 @@
 
 // free writes what the oldest file still owes anew and removes it. A process killed in between leaves records
 // twice, which says the same.
-func (l *Ledger) free() error {
+func (l *Log) free() error {
 	old := l.files[0]
 	if len(l.files) == 1 {
 		return ErrFull
@@ -446,7 +446,7 @@
 }
 
 // rotate begins a new file.
-func (l *Ledger) rotate() error {
+func (l *Log) rotate() error {
 	number := 1
 	if n := len(l.files); n > 0 {
 		number = l.files[n-1].number + 1
--- a/internal/wal/ledger_test.go
+++ b/internal/wal/ledger_test.go
@@ -13,15 +13,15 @@
 
 const limit = 1_000_000
 
-func open(t *testing.T, dir string) *Ledger {
+func open(t *testing.T, dir string) *Log {
 	l, err := Open(dir, limit)
 	require.NoError(t, err)
 	return l
 }
 
-func take(t *testing.T, l *Ledger, id string, body int) *Entry {
-	e := &Entry{Key: 5, Dest: 7, Type: "ticket", ID: id, Mark: "m", Expiry: 99, Body: make([]byte, body)}
-	require.NoError(t, l.Take(e))
+func take(t *testing.T, l *Log, id string, body int) *Entry {
+	e := &Entry{Key: 5, Destination: 7, Type: "ticket", ID: id, IdempotencyKey: "m", Expiry: 99, Body: make([]byte, body)}
+	require.NoError(t, l.Append(e))
 	return e
 }
 
@@ -30,7 +30,7 @@
 	l := open(t, dir)
 	defer l.Close()
 	ids := []string{}
-	for _, e := range l.Owed() {
+	for _, e := range l.Pending() {
 		ids = append(ids, e.ID)
 	}
 	return ids
@@ -51,21 +51,21 @@
 	dir := t.TempDir()
 	l := open(t, dir)
 	a, b, c, d := take(t, l, "a", 3), take(t, l, "b", 3), take(t, l, "c", 3), take(t, l, "d", 3)
-	require.NoError(t, l.Out(a.Seq, 10, 1))
-	require.NoError(t, l.Back(a.Seq, true))
-	require.NoError(t, l.Out(a.Seq, 20, 2))
-	require.NoError(t, l.Out(b.Seq, 30, 1))
-	require.NoError(t, l.Back(b.Seq, false))
-	require.NoError(t, l.Over(c.Seq))
-	require.NoError(t, l.Answer(d.Seq, Returned, 700))
+	require.NoError(t, l.RecordAttempt(a.Seq, 10, 1))
+	require.NoError(t, l.RecordAttemptEnd(a.Seq, true))
+	require.NoError(t, l.RecordAttempt(a.Seq, 20, 2))
+	require.NoError(t, l.RecordAttempt(b.Seq, 30, 1))
+	require.NoError(t, l.RecordAttemptEnd(b.Seq, false))
+	require.NoError(t, l.RecordDone(c.Seq))
+	require.NoError(t, l.RecordAnswer(d.Seq, Rejected, 700))
 	require.NoError(t, l.Close())
 	l = open(t, dir)
-	got := l.Owed()
+	got := l.Pending()
 	require.Len(t, got, 3)
-	require.Equal(t, Entry{Seq: 1, Key: 5, Dest: 7, Type: "ticket", ID: "a", Mark: "m", Expiry: 99, Sent: 2, Ran: 10,
-		RanZone: 1, Out: 20, OutZone: 2, Body: make([]byte, 3), file: 1}, *got[0])
-	require.Equal(t, []any{1, int64(0), int64(0)}, []any{got[1].Sent, got[1].Ran, got[1].Out})
-	require.Equal(t, []any{Returned, 700}, []any{got[2].Answer, got[2].After})
+	require.Equal(t, Entry{Seq: 1, Key: 5, Destination: 7, Type: "ticket", ID: "a", IdempotencyKey: "m", Expiry: 99, Attempts: 2, FirstRanAt: 10,
+		FirstRanZone: 1, AttemptBegan: 20, AttemptZone: 2, Body: make([]byte, 3), file: 1}, *got[0])
+	require.Equal(t, []any{1, int64(0), int64(0)}, []any{got[1].Attempts, got[1].FirstRanAt, got[1].AttemptBegan})
+	require.Equal(t, []any{Rejected, 700}, []any{got[2].Answer, got[2].RetryAfter})
 	require.Equal(t, uint64(5), take(t, l, "e", 3).Seq, "numbers are not used again")
 }
 
@@ -93,8 +93,8 @@
 	text[bytes.Index(text, []byte("bb"))]++
 	require.NoError(t, os.WriteFile(last(t, dir), text, 0o600))
 	l = open(t, dir)
-	require.Equal(t, 1, l.Dropped)
-	require.Len(t, l.Owed(), 2)
+	require.Equal(t, 1, l.DroppedRecords)
+	require.Len(t, l.Pending(), 2)
 }
 
 func TestALedgerAtItsLimitTakesNothingMoreButGoesOnServing(t *testing.T) {
@@ -103,21 +103,21 @@
 	var held []*Entry
 	for {
 		e := &Entry{Type: "ticket", ID: fmt.Sprint(len(held)), Body: make([]byte, 5000)}
-		if err := l.Take(e); err != nil {
+		if err := l.Append(e); err != nil {
 			require.ErrorIs(t, err, ErrFull)
 			break
 		}
 		held = append(held, e)
 	}
-	require.Greater(t, len(held)*5000, l.Room()*9/10)
+	require.Greater(t, len(held)*5000, l.Capacity()*9/10)
 	for _, e := range held {
 		for at := range 20 {
-			require.NoError(t, l.Out(e.Seq, int64(at+1), 0))
-			require.NoError(t, l.Back(e.Seq, false))
+			require.NoError(t, l.RecordAttempt(e.Seq, int64(at+1), 0))
+			require.NoError(t, l.RecordAttemptEnd(e.Seq, false))
 		}
 	}
 	for _, e := range held[1:] {
-		require.NoError(t, l.Over(e.Seq))
+		require.NoError(t, l.RecordDone(e.Seq))
 	}
 	take(t, l, "new", 5000)
 	l.Close()
@@ -130,15 +130,15 @@
 	dice := rand.New(rand.NewPCG(1, 2))
 	l, want := open(t, dir), map[uint64]int{}
 	for i := range 30000 {
-		if e := (&Entry{Type: "ticket", ID: "x", Body: make([]byte, dice.IntN(8000))}); l.Take(e) == nil {
+		if e := (&Entry{Type: "ticket", ID: "x", Body: make([]byte, dice.IntN(8000))}); l.Append(e) == nil {
 			want[e.Seq] = 0
 		}
 		for seq := range want {
 			if dice.IntN(3) == 0 {
-				require.NoError(t, l.Out(seq, int64(i+1), 0))
+				require.NoError(t, l.RecordAttempt(seq, int64(i+1), 0))
 				want[seq]++
 			} else if dice.IntN(3) == 0 {
-				require.NoError(t, l.Over(seq))
+				require.NoError(t, l.RecordDone(seq))
 				delete(want, seq)
 			}
 			if dice.IntN(3) == 0 {
@@ -160,8 +160,8 @@
 			l.Close()
 			l = open(t, dir)
 			got := map[uint64]int{}
-			for _, e := range l.Owed() {
-				got[e.Seq] = e.Sent
+			for _, e := range l.Pending() {
+				got[e.Seq] = e.Attempts
 			}
 			require.Equal(t, want, got)
 		}
@@ -172,8 +172,8 @@
 	dir := t.TempDir()
 	l := open(t, dir)
 	l.head.Close() // as if the disk had failed
-	require.Error(t, l.Take(&Entry{ID: "a"}))
-	require.Empty(t, l.Owed())
+	require.Error(t, l.Append(&Entry{ID: "a"}))
+	require.Empty(t, l.Pending())
 }
 
 func FuzzReplay(f *testing.F) {
@@ -195,25 +195,25 @@
 func TestAnEntryKeepsTheFrontByWhichItCame(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.NoError(t, l.Take(&Entry{ID: "a", Type: "ticket", Front: "proxy", Held: true, Body: []byte("b")}))
-	require.NoError(t, l.Take(&Entry{ID: "b", Type: "ticket"}))
-	require.ErrorIs(t, l.Take(&Entry{ID: "c", Front: string(make([]byte, mostFront+1))}), ErrFull)
+	require.NoError(t, l.Append(&Entry{ID: "a", Type: "ticket", Frontend: "proxy", CallerWaits: true, Body: []byte("b")}))
+	require.NoError(t, l.Append(&Entry{ID: "b", Type: "ticket"}))
+	require.ErrorIs(t, l.Append(&Entry{ID: "c", Frontend: string(make([]byte, mostFront+1))}), ErrFull)
 	l.Close()
 	l = open(t, dir)
 	defer l.Close()
-	require.Equal(t, []any{"proxy", true, "", false}, []any{l.Owed()[0].Front, l.Owed()[0].Held, l.Owed()[1].Front, l.Owed()[1].Held})
+	require.Equal(t, []any{"proxy", true, "", false}, []any{l.Pending()[0].Frontend, l.Pending()[0].CallerWaits, l.Pending()[1].Frontend, l.Pending()[1].CallerWaits})
 }
 
 func TestAFolderOfARunningProcessIsRefusedWithItsPid(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
-	require.Equal(t, os.Getpid(), Owner(dir))
+	require.Equal(t, os.Getpid(), LockHolder(dir))
 	_, err := Open(dir, limit)
-	var owned *Owned
+	var owned *LockedError
 	require.ErrorAs(t, err, &owned)
-	require.Equal(t, Owned{dir, os.Getpid()}, *owned)
+	require.Equal(t, LockedError{dir, os.Getpid()}, *owned)
 	l.Close()
-	require.Zero(t, Owner(dir))
+	require.Zero(t, LockHolder(dir))
 	open(t, dir).Close()
 }
 
@@ -223,36 +223,36 @@
 	for _, id := range []string{"a", "b", "c"} {
 		take(t, l, id, 100)
 	}
-	require.NoError(t, l.Out(1, 5, 0))
-	v, err := Look(dir) // in use
+	require.NoError(t, l.RecordAttempt(1, 5, 0))
+	v, err := Inspect(dir) // in use
 	require.NoError(t, err)
-	require.Equal(t, []any{os.Getpid(), 3, 0, "out", "held"}, []any{v.Owner, len(v.Owed), len(v.Faults), v.Owed[0].State(), v.Owed[1].State()})
+	require.Equal(t, []any{os.Getpid(), 3, 0, "out", "held"}, []any{v.HolderPID, len(v.Pending), len(v.DamagedRecords), v.Pending[0].State(), v.Pending[1].State()})
 	l.Close()
 	whole, err := os.ReadFile(last(t, dir))
 	require.NoError(t, err)
 	looked := func(text []byte) *View {
 		require.NoError(t, os.WriteFile(last(t, dir), text, 0o600))
-		v, err := Look(dir)
+		v, err := Inspect(dir)
 		require.NoError(t, err)
 		after, _ := os.ReadFile(last(t, dir))
 		require.Equal(t, text, after)
 		return v
 	}
 	v = looked(whole[:len(whole)-40])
-	require.True(t, len(v.Faults) == 1 && v.Faults[0].Torn && !v.Damaged(), v.Faults)
+	require.True(t, len(v.DamagedRecords) == 1 && v.DamagedRecords[0].Torn && !v.Damaged(), v.DamagedRecords)
 	spoilt := bytes.Clone(whole)
 	spoilt[60] ^= 1 // the first document
 	v = looked(spoilt)
-	require.True(t, v.Damaged(), v.Faults)
-	require.Equal(t, []any{1, int64(0), 2}, []any{len(v.Faults), v.Faults[0].At, len(v.Owed)})
+	require.True(t, v.Damaged(), v.DamagedRecords)
+	require.Equal(t, []any{1, int64(0), 2}, []any{len(v.DamagedRecords), v.DamagedRecords[0].Offset, len(v.Pending)})
 	spoilt[2] = 0xff                                           // its length: what follows cannot be found by it
 	require.NoError(t, os.WriteFile(path(dir, 9), nil, 0o600)) // a later file shows that this one was ended in peace
 	spoiltFirst, err := func() (*View, error) {
 		require.NoError(t, os.WriteFile(path(dir, 1), spoilt, 0o600))
-		return Look(dir)
+		return Inspect(dir)
 	}()
 	require.NoError(t, err)
-	require.True(t, spoiltFirst.Damaged(), spoiltFirst.Faults)
+	require.True(t, spoiltFirst.Damaged(), spoiltFirst.DamagedRecords)
 }
 
 func TestALookFindsAllThatIsOwedWhileFilesAreFreed(t *testing.T) {
@@ -269,20 +269,20 @@
 				return
 			default:
 				e := &Entry{ID: "goes", Type: "ticket", Body: make([]byte, 20_000)}
-				if l.Take(e) == nil {
-					l.Over(e.Seq)
+				if l.Append(e) == nil {
+					l.RecordDone(e.Seq)
 				}
 			}
 		}
 	}()
 	for range 200 {
-		v, err := Look(dir)
+		v, err := Inspect(dir)
 		if err != nil { // freed faster than it can be read, and said so
 			require.ErrorContains(t, err, "faster")
 			continue
 		}
-		require.Equal(t, "stays", v.Owed[0].ID)
-		require.False(t, v.Damaged(), v.Faults)
+		require.Equal(t, "stays", v.Pending[0].ID)
+		require.False(t, v.Damaged(), v.DamagedRecords)
 	}
 	close(end)
 	<-ended
@@ -292,21 +292,21 @@
 	dir := t.TempDir()
 	l := open(t, dir)
 	a := take(t, l, "a", 3)
-	require.Equal(t, uint64(2), l.Number())
+	require.Equal(t, uint64(2), l.NextSeq())
 	b := take(t, l, "b", 3)
 	require.Equal(t, uint64(3), b.Seq)
-	require.NoError(t, l.Over(a.Seq)) // it is recorded elsewhere
-	require.NoError(t, l.Restore(&Entry{Seq: a.Seq, ID: "a", Type: "ticket", Sent: 2, Ran: 7, RanZone: 1, Body: []byte("x")}))
+	require.NoError(t, l.RecordDone(a.Seq)) // it is recorded elsewhere
+	require.NoError(t, l.Restore(&Entry{Seq: a.Seq, ID: "a", Type: "ticket", Attempts: 2, FirstRanAt: 7, FirstRanZone: 1, Body: []byte("x")}))
 	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket"}))
-	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket", Sent: 1}), "twice: the latest counts")
+	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket", Attempts: 1}), "twice: the latest counts")
 	l.Reserve(40)
 	l.Close()
 	l = open(t, dir)
 	defer l.Close()
-	got := l.Owed()
+	got := l.Pending()
 	require.Len(t, got, 3)
-	require.Equal(t, []any{uint64(1), "a", 2, int64(7)}, []any{got[0].Seq, got[0].ID, got[0].Sent, got[0].Ran})
-	require.Equal(t, []any{uint64(2), "c", 1}, []any{got[1].Seq, got[1].ID, got[1].Sent})
+	require.Equal(t, []any{uint64(1), "a", 2, int64(7)}, []any{got[0].Seq, got[0].ID, got[0].Attempts, got[0].FirstRanAt})
+	require.Equal(t, []any{uint64(2), "c", 1}, []any{got[1].Seq, got[1].ID, got[1].Attempts})
 	require.Equal(t, uint64(4), take(t, l, "d", 3).Seq)
 }
 
@@ -314,7 +314,7 @@
 	l := open(t, t.TempDir())
 	defer l.Close()
 	taken := take(t, l, "a", 3)
-	for l.live+5104 < l.Room() {
+	for l.live+5104 < l.Capacity() {
 		take(t, l, "filling", 5000)
 	}
 	require.ErrorIs(t, l.Restore(&Entry{Seq: 1000, Body: make([]byte, 6000)}), ErrFull)
--- a/internal/wal/own.go
+++ b/internal/wal/own.go
@@ -19,13 +19,13 @@
 	askAgain  = 20 * time.Millisecond
 )
 
-// Owned is the error for a folder that another running process has.
-type Owned struct {
+// LockedError is the error for a folder that another running process has.
+type LockedError struct {
 	Dir string
 	PID int // 0 if not known
 }
 
-func (o *Owned) Error() string {
+func (o *LockedError) Error() string {
 	if o.PID == 0 {
 		return o.Dir + " belongs to another running process"
 	}
@@ -51,7 +51,7 @@
 		}
 		if time.Since(began) > wait {
 			f.Close()
-			return nil, &Owned{Dir: dir, PID: Owner(dir)}
+			return nil, &LockedError{Dir: dir, PID: LockHolder(dir)}
 		}
 	}
 	if err != nil {
@@ -64,12 +64,12 @@
 	return f, nil
 }
 
-// Owner tells which running process has a folder, 0 if none is known.
-func Owner(dir string) int { return Holder(filepath.Join(dir, ownerFile)) }
+// LockHolder tells which running process has a folder, 0 if none is known.
+func LockHolder(dir string) int { return LockHolderOfFile(filepath.Join(dir, ownerFile)) }
 
 // WaitingCaller tells which running process holds a lock file that has its number in it, 0 if none is known. It asks without
 // taking the lock away from anybody who wants it for longer than a moment, and alters nothing.
-func Holder(lockFile string) int {
+func LockHolderOfFile(lockFile string) int {
 	f, err := os.Open(lockFile)
 	if err != nil {
 		return 0
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -7,13 +7,13 @@
 
 // encode adds the entry's record to b.
 func (e *Entry) encode(b []byte) []byte {
-	for _, v := range []uint64{e.Seq, e.Key, e.Dest, uint64(e.Expiry), uint64(e.Ran), uint64(e.Out)} {
+	for _, v := range []uint64{e.Seq, e.Key, e.Destination, uint64(e.Expiry), uint64(e.FirstRanAt), uint64(e.AttemptBegan)} {
 		b = binary.LittleEndian.AppendUint64(b, v)
 	}
-	for _, v := range []int{e.Tenant, e.Sent, e.RanZone, e.OutZone, int(e.Answer), e.After, len(e.Type), len(e.ID), len(e.Mark), len(e.Body)} {
+	for _, v := range []int{e.Tenant, e.Attempts, e.FirstRanZone, e.AttemptZone, int(e.Answer), e.RetryAfter, len(e.Type), len(e.ID), len(e.IdempotencyKey), len(e.Body)} {
 		b = binary.LittleEndian.AppendUint32(b, uint32(v))
 	}
-	b = append(append(append(b, e.Type...), e.ID...), e.Mark...)
+	b = append(append(append(b, e.Type...), e.ID...), e.IdempotencyKey...)
 	return append(b, e.Body...)
 }
 
@@ -26,9 +26,9 @@
 	}
 	long := func(i int) uint64 { return binary.LittleEndian.Uint64(b[8*i:]) }
 	word := func(i int) int { return int(binary.LittleEndian.Uint32(b[48+4*i:])) }
-	e := &Entry{Seq: long(0), Key: long(1), Dest: long(2), Expiry: int64(long(3)), Ran: int64(long(4)),
-		Out: int64(long(5)), Tenant: word(0), Sent: word(1), RanZone: word(2), OutZone: word(3),
-		Answer: Answer(word(4)), After: word(5)}
+	e := &Entry{Seq: long(0), Key: long(1), Destination: long(2), Expiry: int64(long(3)), FirstRanAt: int64(long(4)),
+		AttemptBegan: int64(long(5)), Tenant: word(0), Attempts: word(1), FirstRanZone: word(2), AttemptZone: word(3),
+		Answer: Answer(word(4)), RetryAfter: word(5)}
 	sizes := [4]int{word(6), word(7), word(8), word(9)}
 	if sizes[0]+sizes[1]+sizes[2]+sizes[3] != len(b)-fixed {
 		return nil
@@ -38,7 +38,7 @@
 	for i, n := range sizes {
 		texts[i], rest = string(rest[:n]), rest[n:]
 	}
-	e.Type, e.ID, e.Mark, e.Body = texts[0], texts[1], texts[2], []byte(texts[3])
+	e.Type, e.ID, e.IdempotencyKey, e.Body = texts[0], texts[1], texts[2], []byte(texts[3])
 	return e
 }
 
@@ -52,7 +52,7 @@
 	}
 	e := decode(b[2+b[1]:])
 	if e != nil {
-		e.Held, e.Front = b[0] == 1, string(b[2:2+b[1]])
+		e.CallerWaits, e.Frontend = b[0] == 1, string(b[2:2+b[1]])
 	}
 	return e
 }
@@ -73,11 +73,11 @@
 
 // replay applies a file's records. One whose checksum fails is passed over if another follows it; else the rest of
 // the file is a torn tail.
-func (l *Ledger) replay(b []byte, number int) {
+func (l *Log) replay(b []byte, number int) {
 	for len(b) > 0 {
 		kind, body, rest, ok := record(b)
 		if !ok {
-			l.Dropped++
+			l.DroppedRecords++
 			if _, _, _, next := record(rest); !next {
 				return
 			}
@@ -89,7 +89,7 @@
 	}
 }
 
-func (l *Ledger) apply(kind byte, b []byte, number int) {
+func (l *Log) apply(kind byte, b []byte, number int) {
 	if kind == kindEntry || kind == kindFrom {
 		if e := entry(kind, b); e != nil {
 			e.file = number
@@ -97,11 +97,11 @@
 			l.next = max(l.next, e.Seq+1)
 			return
 		}
-		l.Dropped++
+		l.DroppedRecords++
 		return
 	}
 	if len(b) < 8 {
-		l.Dropped++
+		l.DroppedRecords++
 		return
 	}
 	seq := binary.LittleEndian.Uint64(b)
@@ -114,10 +114,10 @@
 	case kind == kindBack && len(b) == 9:
 		e.back(b[8] == 1)
 	case kind == kindAnswer && len(b) == 13:
-		e.Answer, e.After = Answer(b[8]), int(binary.LittleEndian.Uint32(b[9:]))
+		e.Answer, e.RetryAfter = Answer(b[8]), int(binary.LittleEndian.Uint32(b[9:]))
 	case kind == kindOver && len(b) == 8:
 		delete(l.entries, seq)
 	default:
-		l.Dropped++
+		l.DroppedRecords++
 	}
 }
--- a/internal/wal/restarts_test.go
+++ b/internal/wal/restarts_test.go
@@ -14,12 +14,12 @@
 	kept := 0
 	for process := range 120 {
 		l := open(t, dir)
-		require.Len(t, l.Owed(), kept)
+		require.Len(t, l.Pending(), kept)
 		take(t, l, fmt.Sprint("kept ", process), 100)
 		kept++
 		for i := range 30 {
 			e := take(t, l, fmt.Sprintf("%d of %d", i, process), 1000)
-			require.NoError(t, l.Over(e.Seq), "process %d", process)
+			require.NoError(t, l.RecordDone(e.Seq), "process %d", process)
 		}
 		require.LessOrEqual(t, l.Used(), int64(limit))
 		require.NoError(t, l.Close())
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// Came, Ran, Fell, NoticeAcknowledged and Back make a log the partners' record.
+// Came, Ran, Fell, NoticeAcknowledged and RecordAttemptEnd make a log the partners' record.
 
 func (l *Log) Came(dest, target, from int, docs []receiver.Doc) {
 	now := l.Clock.Now()
@@ -246,7 +246,7 @@
 }
 
 // orders finds documents of a key that were sent before an earlier one was over: it has its final answer, and since a
-// transmission of it ended in a time-out, a reset or a cut, the key has rested. What such a transmission still does
+// transmission of it ended in a time-out, a reset or a cut, the key has rested. Reason such a transmission still does
 // later is beyond a forwarder, as the operators' page has it ("the attempt may still be executing; later requests for
 // that key shall therefore wait a further KeyCooldown").
 func (l *Log) orders() {
--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -204,7 +204,7 @@
 
 // storedIn is how many messages a store has that another process has open.
 func storedIn(folder string) (int, error) {
-	view, err := backlog.Look(backlog.OS{}, folder)
+	view, err := backlog.Inspect(backlog.OS{}, folder)
 	if err != nil {
 		return 0, err
 	}
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held.go
@@ -193,7 +193,7 @@
 func logLimit(size int) int64 { return 1<<21 + int64(size)*(bodyBytes+200)*5/2 }
 
 // fill writes so many messages to a log in a folder; they expire in a day.
-func (t *trial) fill(folder string, size int) (*wal.Ledger, error) {
+func (t *trial) fill(folder string, size int) (*wal.Log, error) {
 	log, err := wal.Open(folder, logLimit(size))
 	if err != nil {
 		return nil, err
@@ -204,9 +204,9 @@
 			log.Close()
 			return nil, t.ctx.Err()
 		}
-		e := &wal.Entry{Dest: heldDestination, Type: heldType, ID: fmt.Sprintf("%016x", i), Expiry: expiry,
+		e := &wal.Entry{Destination: heldDestination, Type: heldType, ID: fmt.Sprintf("%016x", i), Expiry: expiry,
 			Body: bytes.Repeat([]byte("x"), bodyBytes)}
-		if err := log.Take(e); err != nil {
+		if err := log.Append(e); err != nil {
 			log.Close()
 			return nil, fmt.Errorf("message %d of %d: %w", i, size, err)
 		}
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -54,7 +54,7 @@
 		}
 		defer log.Close()
 		memory = t.heap() - before
-		if owed := len(log.Owed()); owed != size {
+		if owed := len(log.Pending()); owed != size {
 			return 0, fmt.Errorf("the log gave %d of %d messages", owed, size)
 		}
 		return took, nil
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -46,7 +46,7 @@
 	counts   func(*capacity.FleetTrial) bool // tells which trials count; nil: all
 }
 
-// nobodyMissed counts trials in which every forwarder had what it should have. What others cost tells nothing.
+// nobodyMissed counts trials in which every forwarder had what it should have. Reason others cost tells nothing.
 func nobodyMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
 
 // reach is how far a trial went towards the target size, as shares of it. With forwarders and destinations at the same
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// What is read off a fleet trial.
+// Reason is read off a fleet trial.
 
 // wholeAttempts is what the cost of a whole list is of: a forwarder whose watch ended asks again.
 const wholeAttempts = "of one forwarder, with all attempts"
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -52,7 +52,7 @@
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
 
-// rankingTable orders all figures with a budget by the share of the target size at which they leave it. What is not
+// rankingTable orders all figures with a budget by the share of the target size at which they leave it. Reason is not
 // known comes last.
 func rankingTable(figures []reckoned) string {
 	var ranked []reckoned
--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -19,7 +19,7 @@
 // Now is the present moment, in seconds.
 func (q *Queue) Now() float64 { return q.now }
 
-// After lets something happen after a time.
+// RetryAfter lets something happen after a time.
 func (q *Queue) After(in float64, do func()) { q.At(q.now+max(0, in), do) }
 
 // At lets something happen at a moment, now if that is past.
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -136,7 +136,7 @@
 }
 
 // Go plays drawn scenes from a seed on until ctx ends or so many were played, writing to the folder after each batch.
-// What is begun is finished, so that an interrupted hunt has kept all that it found.
+// Reason is begun is finished, so that an interrupted hunt has kept all that it found.
 func (h *Hunt) Go(ctx context.Context, dir string, make sim.Maker, from uint64, most int, progress func(*Hunt)) error {
 	for n := 0; n < most && ctx.Err() == nil; {
 		from = h.next(from)
@@ -253,7 +253,7 @@
 const (
 	hugest   = 300    // forwarders, and targets
 	mostDocs = 5000.0 // of a scene, so that many can be played
-	// Seconds. What is shorter the module takes for losses on the way, after which nothing is cold (docs/design.md); the
+	// Seconds. Reason is shorter the module takes for losses on the way, after which nothing is cold (docs/design.md); the
 	// operators' outages last five and more.
 	leastOutage = 3.5
 )
--- a/lab/receiver/clock.go
+++ b/lab/receiver/clock.go
@@ -4,8 +4,8 @@
 
 import "math/rand/v2"
 
-// SetTime is the time in which a model lives, in seconds. On a simulated one After runs in order of time; on a real one
-// the model's calls have to be made under one lock, which After takes.
+// SetTime is the time in which a model lives, in seconds. On a simulated one RetryAfter runs in order of time; on a real one
+// the model's calls have to be made under one lock, which RetryAfter takes.
 type Clock interface {
 	Now() float64
 	After(in float64, do func())
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -82,7 +82,7 @@
 	over   bool // answered, or the caller has gone
 }
 
-// Answer is what a caller gets.
+// RecordAnswer is what a caller gets.
 type Answer struct {
 	End  transport.ResultCode
 	Wait float64
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -135,7 +135,7 @@
 // Found are the names of the scenes that searches and hunts have left, to be played like kept ones.
 func Found() []string { return names("found") }
 
-// Kept are the names of the scenes that come with the laboratory.
+// IDs are the names of the scenes that come with the laboratory.
 func Kept() []string { return names("scenes") }
 
 func names(dir string) []string {
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -45,7 +45,7 @@
 	ctx       context.Context
 }
 
-// Now and After make a realDay a partner.SetTime.
+// Now and RetryAfter make a realDay a partner.SetTime.
 func (d *realDay) Now() float64 { return begins + time.Since(d.epoch).Seconds() }
 
 func (d *realDay) After(in float64, do func()) {
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -19,7 +19,7 @@
 	return e
 }
 
-// befall puts the scene's troubles on the wall clock; the lock is held. What the network alone could do (idle
+// befall puts the scene's troubles on the wall clock; the lock is held. Reason the network alone could do (idle
 // connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
 // partner that takes calls and says nothing.
 func (d *realDay) befall() {
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// What a review has to look at is found by time and by news, never by a walk over all held messages. Heaps tell a
+// Reason a review has to look at is found by time and by news, never by a walk over all held messages. Heaps tell a
 // superset of what can be due, and review decides on each by its exact conditions. A message that waits for a call is
 // looked at when it begins to wait, when its timer fires, and when news of its destination or the time makes it late
 // there; one that is out, once its expiry is over.
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -188,7 +188,7 @@
 }
 
 // requireLinear checks that the cost of a message does not grow with their number: a hundred times as many may cost at
-// most eight times as much each, the best of some tries. What grows with the square would cost a hundred times as much.
+// most eight times as much each, the best of some tries. Reason grows with the square would cost a hundred times as much.
 func requireLinear(t *testing.T, work func(n int)) {
 	const few, many, tries = 1000, 100_000, 4
 	best := func(n int) time.Duration {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -107,7 +107,7 @@
 func (f *Scheduler) PollTimedOut() { f.askAgain(&f.unlisted, f.terms.PollWithin) }
 
 // WatchBroken says that the list stopped coming, or that discovery is down or out of reach: no line of questions
-// is to be kept short. What it has counts as told six seconds after it could be reached, so that the next
+// is to be kept short. Reason it has counts as told six seconds after it could be reached, so that the next
 // question cannot wait longer. Guards against calls to what began to drain in an outage; costs questions in vain.
 func (f *Scheduler) WatchBroken() { f.askAgain(&f.broken, math.Min(f.terms.PollWithin, askWait)) }
 
@@ -117,7 +117,7 @@
 	f.askAt = f.now + wait*(0.3+f.dice.unit())
 }
 
-// WatchSilent says that the list fell silent. What it missed soon counts as told: the question cannot wait.
+// WatchSilent says that the list fell silent. Reason it missed soon counts as told: the question cannot wait.
 func (f *Scheduler) WatchSilent() { f.askAt = f.now + math.Min(1, f.asking())*f.dice.unit() }
 
 // asking is the span over which all forwarders that ask at the same moment spread: those of a fleet are
@@ -138,7 +138,7 @@
 }
 
 // Recover takes a document that an earlier process of this forwarder had taken on, in the order of taking.
-// What was out then may have run and is a retry now; what has no way left is answered by the next settling.
+// Reason was out then may have run and is a retry now; what has no way left is answered by the next settling.
 func (f *Scheduler) Recover(d *Message, typ int, left float64, past RecoveredState) {
 	f.Accept(d, typ, left)
 	if past.CallerGone { // Its caller may have come again with another document for the same effect. Guards against a
@@ -238,7 +238,7 @@
 			f.unplug = append(f.unplug, t)
 		}
 	}
-	// What is on its way while a wait is told, but not sent, comes too late: connecting can take long.
+	// Reason is on its way while a wait is told, but not sent, comes too late: connecting can take long.
 	if e.RetryAfter > 0 { // each document of a call may be told its own
 		for _, o := range t.dest.targets {
 			if o.route == t.route && len(o.calls) > 0 {
@@ -470,7 +470,7 @@
 		// No debt of earlier calls; and where calls are few, those refused together are not back together.
 		r.tokens = (2.75*f.dice.unit() - 2) * math.Min(1, 0.5/r.rate)
 	}
-	// What a sick target turns away, or one that reports no limit, tells of none: the ramp sees to its return.
+	// Reason a sick target turns away, or one that reports no limit, tells of none: the ramp sees to its return.
 	// Guards against next to no pace after a hang; hurts where the limit itself is the sickness.
 	limited := t.state != sick && r.most >= 0 && !few
 	if cut := r.rate; limited && r.refused > 1 {
@@ -740,7 +740,7 @@
 
 // short tells that a document has less time left than calls to its destination mostly take, or its targets
 // are closed for. Guards against a long line sent just too late, each a time-out that makes its target look
-// sick, and against sitting on what cannot go out any more. Hurts quick ones. What a restart found untried is
+// sick, and against sitting on what cannot go out any more. Hurts quick ones. Reason a restart found untried is
 // held while there is time, whatever waits say; sent too late it would take the place of others.
 func (f *Scheduler) short(d *Message) bool {
 	open := func(t *Endpoint) bool { return t.standing != Ready || t.route.closed < d.expiry }
--- a/scheduler/socket_test.go
+++ b/scheduler/socket_test.go
@@ -199,7 +199,7 @@
 	require.NotContains(t, d.targets, first)
 }
 
-// What callers of an earlier process waited for is not sent. Where it may still run, its key rests.
+// Reason callers of an earlier process waited for is not sent. Where it may still run, its key rests.
 func TestWhatACallerThatLeftWaitedForIsNotSentAndLetsItsKeyRest(t *testing.T) {
 	for _, sent := range []int{0, 1} {
 		h := start(terms)
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -1,7 +1,7 @@
 // Package seam is where fronts and outlets meet the owner of the decision module. A front turns its protocol into
 // documents handed in and tells each caller the answer at the door and, where the caller waits for it, the final one.
 // An outlet carries out calls to targets and reports one End for each document. A source brings the list of targets, a
-// teller takes the final answers that no caller waits for. None of them knows another, and none chooses.
+// teller takes the final answers that no caller waits for. NoAnswer of them knows another, and none chooses.
 package transport
 
 import "time"
@@ -66,7 +66,7 @@
 	Answer(Reply) bool  // answers its oldest open request; false if nobody hears it
 }
 
-// WaitingCaller is a caller that is told the final answer itself, as its call stays open for it. What became of a document
+// WaitingCaller is a caller that is told the final answer itself, as its call stays open for it. Reason became of a document
 // whose WaitingCaller is gone is told to nobody: it is withdrawn. A front says so by Submitter.Withdraw, a process that starts
 // after another finds it so for all that came by such callers.
 type WaitingCaller interface {
