--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -18,8 +18,8 @@
 
 // operation is a call of the operators' address with the way to its answer.
 type operation struct {
-	admin.Call
-	reply func(admin.Answer)
+	admin.Request
+	reply func(admin.Response)
 }
 
 func newAdminRequests(order *Config, x *Exchange) *adminRequests {
@@ -40,7 +40,7 @@
 
 func (a *adminRequests) Ready() bool { return a.ready.Load() }
 
-func (a *adminRequests) Ask(c admin.Call, reply func(admin.Answer)) {
+func (a *adminRequests) Handle(c admin.Request, reply func(admin.Response)) {
 	if s := a.standby.Load(); s != nil {
 		if answer, answered := s.answer(c); answered {
 			reply(answer)
@@ -52,18 +52,18 @@
 
 // operate answers a call of the operators.
 func (o *owner) operate(c operation) {
-	switch c.Do {
-	case admin.Vars:
-		c.reply(admin.Answer{Yes: true, Text: o.vars()})
-	case admin.LameOn, admin.LameOff:
+	switch c.Operation {
+	case admin.Figures:
+		c.reply(admin.Response{OK: true, Text: o.vars()})
+	case admin.LameDuckOn, admin.LameDuckOff:
 		// A stopping process goes on leaving: its clients are to go elsewhere whatever the operators say.
-		if on := c.Do == admin.LameOn; on != o.lame && (on || !o.stopping) {
+		if on := c.Operation == admin.LameDuckOn; on != o.lame && (on || !o.stopping) {
 			o.lameduck(on)
 		}
-		c.reply(admin.Answer{Yes: true, Text: c.Do.String()})
+		c.reply(admin.Response{OK: true, Text: c.Operation.String()})
 	case admin.Detach, admin.Attach:
 		t := o.byUID[c.Name]
-		c.reply(o.byHand(c.Call, t != nil && t.line.State != scheduler.Removed))
+		c.reply(o.byHand(c.Request, t != nil && t.line.State != scheduler.Removed))
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // byHand takes a target out or puts it back; listed tells that somebody has it.
-func (o *owner) byHand(c admin.Call, listed bool) admin.Answer {
+func (o *owner) byHand(c admin.Request, listed bool) admin.Response {
 	verdict, change := call(o.rota, c, listed)
 	if change == drains.Unchanged {
 		return answerOf(c, verdict)
@@ -101,23 +101,23 @@
 }
 
 // call makes a call out or back on a set of targets out by hand.
-func call(r *drains.Set, c admin.Call, listed bool) (drains.Result, drains.Change) {
-	if c.Do == admin.Attach {
+func call(r *drains.Set, c admin.Request, listed bool) (drains.Result, drains.Change) {
+	if c.Operation == admin.Attach {
 		return r.Restore(c.Name, listed)
 	}
 	return r.Drain(c.Name, listed)
 }
 
-func notKept(err error) admin.Answer {
-	return admin.Answer{Status: http.StatusInternalServerError, Text: "not kept in the folder: " + err.Error()}
+func notKept(err error) admin.Response {
+	return admin.Response{Status: http.StatusInternalServerError, Text: "not kept in the folder: " + err.Error()}
 }
 
-func answerOf(c admin.Call, v drains.Result) admin.Answer {
+func answerOf(c admin.Request, v drains.Result) admin.Response {
 	switch v {
 	case drains.Accepted:
-		return admin.Answer{Yes: true, Text: c.Do.String() + " " + c.Name}
+		return admin.Response{OK: true, Text: c.Operation.String() + " " + c.Name}
 	case drains.Unknown:
-		return admin.Answer{Status: http.StatusNotFound, Text: "name: " + v.String()}
+		return admin.Response{Status: http.StatusNotFound, Text: "name: " + v.String()}
 	}
-	return admin.Answer{Status: http.StatusBadRequest, Text: "name: " + v.String()}
+	return admin.Response{Status: http.StatusBadRequest, Text: "name: " + v.String()}
 }
--- a/forwarder/connect.go
+++ b/forwarder/connect.go
@@ -34,8 +34,8 @@
 	terms := UpstreamSettings{
 		Connect:            connect,
 		KeepIdle:           time.Duration(order.Scheduler.KeepIdle() * float64(time.Second)),
-		ReportedLimitField: order.Names.Limit,
-		ReportedShareField: order.Names.Left,
+		ReportedLimitField: order.Names.LimitField,
+		ReportedShareField: order.Names.ShareField,
 	}
 	o.outlets = map[string]transport.Upstream{}
 	for _, w := range append(slices.Clone(order.Upstreams), Upstream{Name: usualCarriage, Protocol: usualCarriage}) {
@@ -65,7 +65,7 @@
 	order, x := o.order, o.exchange
 	if order.Discovery != "" {
 		d := discovery.New(dialer, order.Discovery, connect, x)
-		d.MostLine = order.ListBytes
+		d.MaxLineBytes = order.ListBytes
 		o.source, o.moves = d, d
 		if order.toldNotices == "" {
 			o.teller = d
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -125,10 +125,10 @@
 	require.Empty(t, readOut(golden.Copy(t, goldenNoDrains)))
 }
 
-var goldenCommands = []admin.Call{
-	{Do: admin.Detach, Name: "endpoint-1"},
-	{Do: admin.Detach, Name: "an id with spaces"},
-	{Do: admin.Attach, Name: "endpoint-1"},
+var goldenCommands = []admin.Request{
+	{Operation: admin.Detach, Name: "endpoint-1"},
+	{Operation: admin.Detach, Name: "an id with spaces"},
+	{Operation: admin.Attach, Name: "endpoint-1"},
 }
 
 func TestWritesSameCommandSpoolAsVersion1(t *testing.T) {
@@ -141,7 +141,7 @@
 
 func TestReadsCommandSpoolWrittenByVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenSpool)
-	var commands []admin.Call
+	var commands []admin.Request
 	for _, name := range trayNames(folder) {
 		c, err := trayCall(folder, name)
 		require.NoError(t, err)
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -54,24 +54,24 @@
 }
 
 // answer answers a call, or tells that the owner is to.
-func (s *standby) answer(c admin.Call) (admin.Answer, bool) {
+func (s *standby) answer(c admin.Request) (admin.Response, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.left {
-		return admin.Answer{}, false
+		return admin.Response{}, false
 	}
-	switch c.Do {
-	case admin.LameOn, admin.LameOff:
-		s.lame = c.Do == admin.LameOn
-		return admin.Answer{Yes: true, Text: c.Do.String()}, true
-	case admin.Vars:
+	switch c.Operation {
+	case admin.LameDuckOn, admin.LameDuckOff:
+		s.lame = c.Operation == admin.LameDuckOn
+		return admin.Response{OK: true, Text: c.Operation.String()}, true
+	case admin.Figures:
 		out, avoided := s.out(), 0
 		for uid, active := range s.known {
 			if active && out.Drained(uid) {
 				avoided++
 			}
 		}
-		return admin.Answer{Yes: true, Text: (&figures{}).write(s.types, 0, len(s.known), avoided)}, true
+		return admin.Response{OK: true, Text: (&figures{}).write(s.types, 0, len(s.known), avoided)}, true
 	}
 	_, listed := s.known[c.Name]
 	verdict, change := call(s.out(), c, listed)
@@ -108,7 +108,7 @@
 }
 
 // lay puts a call into the tray.
-func lay(folder string, c admin.Call) error {
+func lay(folder string, c admin.Request) error {
 	names := trayNames(folder)
 	if len(names) >= trayMost {
 		return fmt.Errorf("%d calls wait to be taken up", len(names))
@@ -125,17 +125,17 @@
 		return err
 	}
 	word := "out"
-	if c.Do == admin.Attach {
+	if c.Operation == admin.Attach {
 		word = "back"
 	}
 	return writeWhole(dir, fmt.Sprintf("%08d", next), word+" "+c.Name+"\n")
 }
 
 // trayCall reads a call in the tray.
-func trayCall(folder, name string) (admin.Call, error) {
+func trayCall(folder, name string) (admin.Request, error) {
 	f, err := os.Open(filepath.Join(folder, trayDir, name))
 	if err != nil {
-		return admin.Call{}, err
+		return admin.Request{}, err
 	}
 	defer f.Close()
 	text := make([]byte, trayBytes)
@@ -144,11 +144,11 @@
 	switch {
 	case uid == "":
 	case word == "out":
-		return admin.Call{Do: admin.Detach, Name: uid}, nil
+		return admin.Request{Operation: admin.Detach, Name: uid}, nil
 	case word == "back":
-		return admin.Call{Do: admin.Attach, Name: uid}, nil
+		return admin.Request{Operation: admin.Attach, Name: uid}, nil
 	}
-	return admin.Call{}, fmt.Errorf("%s/%s cannot be read as a call", trayDir, name)
+	return admin.Request{}, fmt.Errorf("%s/%s cannot be read as a call", trayDir, name)
 }
 
 // emptyTray carries out the calls in the tray and tells if there were any.
@@ -157,7 +157,7 @@
 	for _, name := range names {
 		c, err := trayCall(o.order.Folder, name)
 		if err == nil {
-			if a := o.byHand(c, true); !a.Yes { // not kept: it stays for the next look
+			if a := o.byHand(c, true); !a.OK { // not kept: it stays for the next look
 				o.log.Error().Str("target", c.Name).Str("why", a.Text).Msg("call in the tray not taken up")
 				return true
 			}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,15 +19,15 @@
 	"time"
 )
 
-// Do is what a call asks for.
-type Do uint8
+// Operation is what a call asks for.
+type Operation uint8
 
 const (
-	Vars Do = iota
+	Figures Operation = iota
 	Detach
 	Attach
-	LameOn
-	LameOff
+	LameDuckOn
+	LameDuckOff
 )
 
 // calls are the paths with their methods.
@@ -36,49 +36,49 @@
 
 var doNames = [...]string{"vars", "detach", "attach", "lameduck on", "lameduck off"}
 
-func (d Do) String() string { return doNames[d] }
+func (d Operation) String() string { return doNames[d] }
 
-// Call is one call that the owner answers.
-type Call struct {
-	Do   Do
-	Name string // of a target, for Drain and Restore
+// Request is one call that the owner answers.
+type Request struct {
+	Operation Operation
+	Name      string // of a target, for Drain and Restore
 }
 
 // RecordAnswer is the owner's answer: Yes is a 200, else Status (4xx or 5xx) with Text as the reason.
-type Answer struct {
-	Yes    bool
+type Response struct {
+	OK     bool
 	Status int
 	Text   string
 }
 
 // Submitter is the way to the owner. Ask must not wait: the answer is given to reply, at most once, from any goroutine.
-type Desk interface {
+type Handler interface {
 	Ready() bool
-	Ask(c Call, reply func(Answer))
+	Handle(c Request, reply func(Response))
 }
 
 // Latencies of a call. Callers that send nothing, or half a call, are cut off before an answer would be late; the owner
 // has what is left of the second.
 const (
-	Due         = time.Second
-	readWithin  = 600 * time.Millisecond
-	ownerWithin = 300 * time.Millisecond
-	writeWithin = 50 * time.Millisecond
-	mostHead    = 4 << 10
+	RequestTimeout = time.Second
+	readWithin     = 600 * time.Millisecond
+	ownerWithin    = 300 * time.Millisecond
+	writeWithin    = 50 * time.Millisecond
+	mostHead       = 4 << 10
 	// Connections at once. Guards against silent callers eating descriptors meant for clients and targets; each
 	// lives under a second. Hurts when more operators than this call in the same second.
-	MostCalls = 12
+	MaxRequests = 12
 )
 
-// Admin is the served address.
-type Admin struct {
+// Server is the served address.
+type Server struct {
 	server *http.Server
 	ln     *bounded
 	done   chan struct{}
 }
 
 // Open listens at addr.
-func Open(addr string, desk Desk) (*Admin, error) {
+func Open(addr string, desk Handler) (*Server, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
@@ -87,42 +87,42 @@
 }
 
 // Serve answers calls that come by l until Stop.
-func Serve(l net.Listener, desk Desk) *Admin {
-	b := &bounded{Listener: l, most: MostCalls, conns: map[net.Conn]*state{}}
+func Serve(l net.Listener, desk Handler) *Server {
+	b := &bounded{Listener: l, most: MaxRequests, conns: map[net.Conn]*state{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /_ready", func(w http.ResponseWriter, _ *http.Request) {
 		if desk.Ready() {
-			write(w, Answer{Yes: true, Text: "ready"})
+			write(w, Response{OK: true, Text: "ready"})
 		} else {
-			write(w, Answer{Status: http.StatusServiceUnavailable, Text: "not ready"})
+			write(w, Response{Status: http.StatusServiceUnavailable, Text: "not ready"})
 		}
 	})
-	ask := func(do Do, named bool) http.HandlerFunc {
+	ask := func(do Operation, named bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			c := Call{Do: do}
+			c := Request{Operation: do}
 			if named {
 				if c.Name = r.URL.Query().Get("name"); c.Name == "" {
-					write(w, Answer{Status: http.StatusBadRequest, Text: "name: missing; say which target, ?name=ID"})
+					write(w, Response{Status: http.StatusBadRequest, Text: "name: missing; say which target, ?name=ID"})
 					return
 				}
 			}
 			write(w, wait(desk, c))
 		}
 	}
-	mux.HandleFunc("GET /_vars", ask(Vars, false))
+	mux.HandleFunc("GET /_vars", ask(Figures, false))
 	mux.HandleFunc("POST /_targets/detach", ask(Detach, true))
 	mux.HandleFunc("POST /_targets/attach", ask(Attach, true))
-	mux.HandleFunc("POST /_lameduck/on", ask(LameOn, false))
-	mux.HandleFunc("POST /_lameduck/off", ask(LameOff, false))
+	mux.HandleFunc("POST /_lameduck/on", ask(LameDuckOn, false))
+	mux.HandleFunc("POST /_lameduck/off", ask(LameDuckOff, false))
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		if method, known := calls[r.URL.Path]; known {
 			w.Header().Set("Allow", method)
-			write(w, Answer{Status: http.StatusMethodNotAllowed, Text: r.URL.Path + " takes " + method + ", not " + r.Method})
+			write(w, Response{Status: http.StatusMethodNotAllowed, Text: r.URL.Path + " takes " + method + ", not " + r.Method})
 			return
 		}
-		write(w, Answer{Status: http.StatusNotFound, Text: "no such call: " + r.URL.Path})
+		write(w, Response{Status: http.StatusNotFound, Text: "no such call: " + r.URL.Path})
 	})
-	a := &Admin{ln: b, done: make(chan struct{}), server: &http.Server{Handler: mux,
+	a := &Server{ln: b, done: make(chan struct{}), server: &http.Server{Handler: mux,
 		ReadHeaderTimeout: readWithin, ReadTimeout: readWithin, WriteTimeout: readWithin + ownerWithin + writeWithin,
 		MaxHeaderBytes: mostHead, ConnState: b.track, ErrorLog: nil}}
 	a.server.SetKeepAlivesEnabled(false)
@@ -134,18 +134,18 @@
 }
 
 // Addr is where it listens.
-func (a *Admin) Addr() string { return a.ln.Addr().String() }
+func (a *Server) Addr() string { return a.ln.Addr().String() }
 
 // Stop closes the address and every connection to it.
-func (a *Admin) Stop() {
+func (a *Server) Stop() {
 	a.server.Close()
 	<-a.done
 }
 
 // wait carries a call to the owner and waits for its answer, not beyond what the second leaves.
-func wait(desk Desk, c Call) Answer {
-	got := make(chan Answer, 1)
-	desk.Ask(c, func(a Answer) {
+func wait(desk Handler, c Request) Response {
+	got := make(chan Response, 1)
+	desk.Handle(c, func(a Response) {
 		select {
 		case got <- a:
 		default:
@@ -157,15 +157,15 @@
 	case a := <-got:
 		return a
 	case <-t.C:
-		return Answer{Status: http.StatusServiceUnavailable, Text: "the forwarder did not answer in time"}
+		return Response{Status: http.StatusServiceUnavailable, Text: "the forwarder did not answer in time"}
 	}
 }
 
-func write(w http.ResponseWriter, a Answer) {
+func write(w http.ResponseWriter, a Response) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Header().Set("Connection", "close")
 	status := a.Status
-	if a.Yes {
+	if a.OK {
 		status = http.StatusOK
 	} else if status < 400 {
 		status = http.StatusInternalServerError
@@ -238,7 +238,7 @@
 }
 
 // Open tells how many connections are open.
-func (a *Admin) Open() int {
+func (a *Server) Open() int {
 	a.ln.mu.Lock()
 	defer a.ln.mu.Unlock()
 	return len(a.ln.conns)
--- a/internal/admin/transcript_test.go
+++ b/internal/admin/transcript_test.go
@@ -16,12 +16,12 @@
 // owner answers calls as the test has it.
 type owner struct {
 	ready  atomic.Bool
-	answer atomic.Pointer[admin.Answer] // nil: none comes
+	answer atomic.Pointer[admin.Response] // nil: none comes
 }
 
 func (o *owner) Ready() bool { return o.ready.Load() }
 
-func (o *owner) Ask(_ admin.Call, reply func(admin.Answer)) {
+func (o *owner) Handle(_ admin.Request, reply func(admin.Response)) {
 	if a := o.answer.Load(); a != nil {
 		reply(*a)
 	}
@@ -52,13 +52,13 @@
 	ask("the owner does not answer in time", vars)
 	for _, c := range []struct {
 		what   string
-		answer admin.Answer
+		answer admin.Response
 	}{
-		{"yes", admin.Answer{Yes: true, Text: "a line"}},
-		{"yes, with several lines", admin.Answer{Yes: true, Text: "a:1|c\nb:2|g\n"}},
-		{"yes, without a text", admin.Answer{Yes: true}},
-		{"no, with a status", admin.Answer{Status: 503, Text: "why"}},
-		{"no, without a status", admin.Answer{Text: "why"}},
+		{"yes", admin.Response{OK: true, Text: "a line"}},
+		{"yes, with several lines", admin.Response{OK: true, Text: "a:1|c\nb:2|g\n"}},
+		{"yes, without a text", admin.Response{OK: true}},
+		{"no, with a status", admin.Response{Status: 503, Text: "why"}},
+		{"no, without a status", admin.Response{Text: "why"}},
 	} {
 		o.answer.Store(&c.answer)
 		ask(c.what, vars)
--- a/internal/backlog/inspect.go
+++ b/internal/backlog/inspect.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Usage is what a part of the store holds.
+// ExitUsage is what a part of the store holds.
 type Usage struct {
 	Messages int             `json:"messages"`
 	Bytes    int64           `json:"bytes"`
--- a/internal/cli/shell.go
+++ b/internal/cli/shell.go
@@ -12,9 +12,9 @@
 
 // Exit codes.
 const (
-	Fine   = 0
-	Failed = 1 // it ran and found something wrong, or could not do what was asked
-	Usage  = 2 // the command line cannot be understood
+	ExitOK    = 0
+	ExitError = 1 // it ran and found something wrong, or could not do what was asked
+	ExitUsage = 2 // the command line cannot be understood
 )
 
 // failure is an error of a command that was understood.
@@ -43,15 +43,15 @@
 	var f failure
 	switch {
 	case err == nil:
-		return Fine
+		return ExitOK
 	case errors.As(err, &f):
 		if f.Error() != "" {
 			fmt.Fprintf(errOut, "%s: %v\n", root.Name(), f.error)
 		}
-		return Failed
+		return ExitError
 	}
 	fmt.Fprintf(errOut, "%s: %v\nTry '%s --help'.\n", root.Name(), err, root.Name())
-	return Usage
+	return ExitUsage
 }
 
 // Print writes a value as JSON.
--- a/internal/commands/command.go
+++ b/internal/commands/command.go
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	if !platform {
-		return config.Order(path, s.environ, s.set)
+		return config.ForwarderConfig(path, s.environ, s.set)
 	}
 	if len(s.set) > 0 {
 		return nil, errors.New("--set has no use with the platform's form")
@@ -191,7 +191,7 @@
 		var l *config.Loaded
 		if l, err = config.Load(path, s.environ, s.set); err == nil {
 			if p.Wrong, p.Notes = l.Check(); len(p.Wrong) == 0 {
-				order, err = l.Order()
+				order, err = l.ForwarderConfig()
 			}
 		}
 	}
@@ -199,15 +199,15 @@
 	if errors.As(err, &wrong) {
 		p.Wrong = wrong
 	} else if err != nil {
-		p.Wrong = config.Problems{{File: path, What: err.Error()}}
+		p.Wrong = config.Problems{{File: path, Reason: err.Error()}}
 	}
 	if p.Fine = len(p.Wrong) == 0; p.Fine {
 		p.of(order)
 		if p.Owner > 0 {
-			p.Notes = append(p.Notes, config.Problem{Field: "ledger.folder", What: fmt.Sprintf("belongs to a running process, pid %d: a second one would be refused", p.Owner)})
+			p.Notes = append(p.Notes, config.Problem{Field: "ledger.folder", Reason: fmt.Sprintf("belongs to a running process, pid %d: a second one would be refused", p.Owner)})
 		}
 		if p.Backlog != nil && p.Backlog.Owner > 0 && p.Backlog.Owner != p.Owner {
-			p.Notes = append(p.Notes, config.Problem{Field: "backlog.folder", What: fmt.Sprintf("belongs to a running process, pid %d: a second one would be refused", p.Backlog.Owner)})
+			p.Notes = append(p.Notes, config.Problem{Field: "backlog.folder", Reason: fmt.Sprintf("belongs to a running process, pid %d: a second one would be refused", p.Backlog.Owner)})
 		}
 	}
 	if s.json {
--- a/internal/config/backlog.go
+++ b/internal/config/backlog.go
@@ -124,7 +124,7 @@
 
 // backlogLimits holds the bounds against what the process may use.
 func (c *checker) backlogLimits() {
-	b, room := &c.Backlog, c.Dispatch.Room
+	b, room := &c.Backlog, c.Dispatch.QueueCapacity
 	if least := leastDescriptors + backlogDescriptors; c.Limits.Descriptors < least {
 		c.bad("limits.descriptors", "%d is under the least with a backlog store, %d", c.Limits.Descriptors, least)
 	}
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -35,12 +35,12 @@
 }
 
 func TestWithoutAFolderThereIsNoBacklogStore(t *testing.T) {
-	o, err := Order(file(t, whole), nil, nil)
+	o, err := ForwarderConfig(file(t, whole), nil, nil)
 	require.NoError(t, err)
 	require.Nil(t, o.Backlog)
 	require.NotContains(t, notes(t, whole), "backlog")
 	unused := strings.Replace(stored, "folder = \"stored\"\n", "", 1)
-	o, err = Order(file(t, whole+unused), nil, nil)
+	o, err = ForwarderConfig(file(t, whole+unused), nil, nil)
 	require.NoError(t, err)
 	require.Nil(t, o.Backlog)
 	for _, name := range []string{"disk", "destination", "tenant", "window", "behind"} {
@@ -52,7 +52,7 @@
 
 func TestAnOrderTellsTheBacklogStore(t *testing.T) {
 	path := file(t, whole+stored)
-	o, err := Order(path, nil, nil)
+	o, err := ForwarderConfig(path, nil, nil)
 	require.NoError(t, err)
 	folder := filepath.Join(filepath.Dir(path), "stored")
 	require.Equal(t, &forwarder.Backlog{Folder: folder, Bytes: 64e6, DestinationBytes: 16e6, TenantBytes: 32e6, Window: 32, Behind: 500}, o.Backlog)
@@ -61,7 +61,7 @@
 	require.NoError(t, err)
 	require.Equal(t, o.Backlog, next.Backlog)
 
-	o, err = Order(file(t, whole+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
+	o, err = ForwarderConfig(file(t, whole+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, &forwarder.Backlog{Folder: "/var/none/stored", Bytes: 256e6, Window: 64, Behind: 1000}, o.Backlog, "the defaults")
 }
@@ -130,7 +130,7 @@
 // Reason passes the check is taken by the packages that the order goes to: the bounds here are those there.
 func TestTheStoreAndItsPolicyTakeWhatPassesTheCheck(t *testing.T) {
 	check := func(flags ...string) (*forwarder.Backlog, error) {
-		o, err := Order(file(t, whole+stored), nil, flags)
+		o, err := ForwarderConfig(file(t, whole+stored), nil, flags)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -67,13 +67,13 @@
 
 func (c *checker) bad(field, format string, v ...any) {
 	p := c.at(field)
-	p.What = fmt.Sprintf(format, v...)
+	p.Reason = fmt.Sprintf(format, v...)
 	c.wrong = append(c.wrong, p)
 }
 
 func (c *checker) note(field, format string, v ...any) {
 	p := c.at(field)
-	p.What = fmt.Sprintf(format, v...)
+	p.Reason = fmt.Sprintf(format, v...)
 	c.notes = append(c.notes, p)
 }
 
@@ -182,7 +182,7 @@
 		field string
 		value int
 		least int
-	}{{"slots", d.Slots, 1}, {"room", d.Room, leastRoom}, {"transmissions", d.Transmissions, 1}, {"forwarders", d.Forwarders, 1}} {
+	}{{"slots", d.ConcurrencyLimit, 1}, {"room", d.QueueCapacity, leastRoom}, {"transmissions", d.MaxAttempts, 1}, {"forwarders", d.Forwarders, 1}} {
 		if n.value < n.least {
 			c.bad("dispatch."+n.field, "%d is under the least, %d", n.value, n.least)
 		}
@@ -190,33 +190,33 @@
 	if d.Connect <= 0 {
 		c.bad("dispatch.connect", "0s leaves no time for a connection")
 	}
-	if d.IdleLife <= 0 {
+	if d.IdleTimeout <= 0 {
 		c.bad("dispatch.idle_life", "0s keeps no connection")
 	}
-	if d.AskWithin <= 0 {
+	if d.PollWithin <= 0 {
 		c.bad("dispatch.ask_within", "0s leaves no time between two questions for the list")
 	}
-	if !(d.ColdFrom > 0 && d.ColdFrom <= 1) {
-		c.bad("dispatch.cold_from", "%v is not a share over 0 up to 1", d.ColdFrom)
+	if !(d.SlowStartShare > 0 && d.SlowStartShare <= 1) {
+		c.bad("dispatch.cold_from", "%v is not a share over 0 up to 1", d.SlowStartShare)
 	}
-	if !(d.FallMultiple >= 1) || math.IsInf(d.FallMultiple, 0) {
-		c.bad("dispatch.fall_multiple", "%v is under 1", d.FallMultiple)
+	if !(d.OverloadMultiple >= 1) || math.IsInf(d.OverloadMultiple, 0) {
+		c.bad("dispatch.fall_multiple", "%v is under 1", d.OverloadMultiple)
 	}
 	c.word("dispatch.late", d.Late, "line", "halves")
 	c.word("dispatch.listed_rates", d.ListedRates, "none", "exact", "rough")
-	if d.Slots > c.Limits.Descriptors/3 {
-		c.note("dispatch.slots", "%d calls find at most %d connections, a third of limits.descriptors", d.Slots, c.Limits.Descriptors/3)
+	if d.ConcurrencyLimit > c.Limits.Descriptors/3 {
+		c.note("dispatch.slots", "%d calls find at most %d connections, a third of limits.descriptors", d.ConcurrencyLimit, c.Limits.Descriptors/3)
 	}
 }
 
 func (c *checker) fronts() {
-	if len(c.Fronts) == 0 {
+	if len(c.Frontends) == 0 {
 		c.bad("fronts", "there is none: no document can come in")
 		return
 	}
 	names, addresses := map[string]int{}, map[string]int{}
 	total, even, waiting := 0, 0, Size(0)
-	for i, f := range c.Fronts {
+	for i, f := range c.Frontends {
 		at := func(name string) string { return fmt.Sprintf("fronts[%d].%s", i, name) }
 		if !plainName.MatchString(f.Name) {
 			c.bad(at("name"), "%q is not made of up to 63 small letters, digits and hyphens", f.Name)
@@ -278,22 +278,22 @@
 			c.bad(at("name"), "%q is empty or used before", t.Name)
 		}
 		names[t.Name] = true
-		c.word(at("repeat"), t.Repeat, "replayable", "numbered", "binding")
+		c.word(at("repeat"), t.Idempotency, "replayable", "numbered", "binding")
 		c.word(at("group"), t.Group, "all", "zone")
-		if t.Agreed <= 0 || t.Life <= 0 {
+		if t.LatencyObjective <= 0 || t.TimeToLive <= 0 {
 			c.bad(at("agreed"), "agreed and life need a time")
-		} else if t.Agreed > t.Life {
-			c.bad(at("agreed"), "%s is over life, %s", t.Agreed, t.Life)
+		} else if t.LatencyObjective > t.TimeToLive {
+			c.bad(at("agreed"), "%s is over life, %s", t.LatencyObjective, t.TimeToLive)
 		}
 		if !(t.Value > 0) || math.IsInf(t.Value, 0) {
 			c.bad(at("value"), "%v is no value over 0", t.Value)
 		}
-		if !(t.LateShare >= 0 && t.LateShare <= 1) {
-			c.bad(at("late_share"), "%v is not a share from 0 to 1", t.LateShare)
+		if !(t.LateValueShare >= 0 && t.LateValueShare <= 1) {
+			c.bad(at("late_share"), "%v is not a share from 0 to 1", t.LateValueShare)
 		}
-		if t.Repeat == "numbered" && t.Memory <= 0 {
+		if t.Idempotency == "numbered" && t.DeduplicationWindow <= 0 {
 			c.bad(at("memory"), "a numbered type needs the time for which its number is known")
-		} else if t.Repeat != "numbered" && t.Memory > 0 {
+		} else if t.Idempotency != "numbered" && t.DeduplicationWindow > 0 {
 			c.note(at("memory"), "has no use for a type that is not numbered")
 		}
 	}
@@ -301,7 +301,7 @@
 
 func (c *checker) kinds() {
 	outlets := map[string]bool{}
-	for i, o := range c.Outlets {
+	for i, o := range c.Upstreams {
 		at := func(name string) string { return fmt.Sprintf("outlets[%d].%s", i, name) }
 		if !plainName.MatchString(o.Name) || outlets[o.Name] {
 			c.bad(at("name"), "%q is not made of up to 63 small letters, digits and hyphens, or used before", o.Name)
@@ -321,8 +321,8 @@
 		if k.Batch < 1 || k.Batch > 1000 {
 			c.bad(at("batch"), "%d is not between 1 and 1000", k.Batch)
 		}
-		if !outlets[k.Outlet] {
-			c.bad(at("outlet"), "%q is the name of none of outlets", k.Outlet)
+		if !outlets[k.Upstream] {
+			c.bad(at("outlet"), "%q is the name of none of outlets", k.Upstream)
 		}
 	}
 }
@@ -347,13 +347,13 @@
 	switch {
 	case d.Address != "":
 		c.address("discovery.address", d.Address)
-		if len(c.Targets) > 0 {
+		if len(c.Endpoints) > 0 {
 			c.bad("targets", "discovery.address is told as well: the list can come from one of them only")
 		}
-	case len(c.Targets) == 0:
+	case len(c.Endpoints) == 0:
 		c.bad("targets", "there is none, and no discovery.address that would tell some")
-	case len(c.Targets) > mostTargets:
-		c.bad("targets", "%d are over the most, %d", len(c.Targets), mostTargets)
+	case len(c.Endpoints) > mostTargets:
+		c.bad("targets", "%d are over the most, %d", len(c.Endpoints), mostTargets)
 	}
 	if d.Notices != "" {
 		c.address("discovery.notices", d.Notices)
@@ -361,7 +361,7 @@
 		c.note("discovery.notices", "is empty: the final answers of documents that are not delivered stand in the log alone")
 	}
 	names := map[string]int{}
-	for i, t := range c.Targets {
+	for i, t := range c.Endpoints {
 		at := func(name string) string { return fmt.Sprintf("targets[%d].%s", i, name) }
 		if t.UID == "" {
 			c.bad(at("uid"), "is not told")
@@ -370,8 +370,8 @@
 		}
 		names[t.UID] = i
 		c.address(at("address"), t.Address)
-		if t.Dest > math.MaxUint32 {
-			c.bad(at("dest"), "%d is over %d", t.Dest, uint32(math.MaxUint32))
+		if t.Destination > math.MaxUint32 {
+			c.bad(at("dest"), "%d is over %d", t.Destination, uint32(math.MaxUint32))
 		}
 		if !slices.Contains(c.Zones, t.Zone) {
 			c.bad(at("zone"), "%q is none of zones %q", t.Zone, c.Zones)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 
 func TestAnOrderIsMadeOfAConfiguration(t *testing.T) {
 	path := file(t, whole)
-	o, err := Order(path, nil, nil)
+	o, err := ForwarderConfig(path, nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, []any{"n1", 48, 1024, 1, 7, 1},
 		[]any{o.Name, o.MemoryMB, o.Sockets, o.Scheduler.Zone, int(o.StaticEndpoints.Endpoints[0].Destination), len(o.Frontends)})
@@ -117,7 +117,7 @@
 		"SPANFLOW_CONFIG=x", "OTHER=1"}, []string{"limits.memory=96MB", "targets.t1.dest=8"})
 	require.NoError(t, err)
 	require.Equal(t, []any{Size(96e6), 2.0, "127.0.0.9:1", []string{"a", "b", "c"}, uint64(8)},
-		[]any{l.Limits.Memory, l.Limits.Cores, l.Fronts[0].Listen, l.Zones, l.Targets[0].Dest})
+		[]any{l.Limits.Memory, l.Limits.Cores, l.Frontends[0].Listen, l.Zones, l.Endpoints[0].Destination})
 	from := map[string]Source{}
 	for _, v := range l.Values() {
 		from[v.Field] = v.Source
@@ -228,14 +228,14 @@
 		require.NoError(t, back.UnmarshalText([]byte(s.String())))
 		require.Equal(t, want, back)
 	}
-	for text, want := range map[string]Span{"3s": 3, "100ms": 0.1, "1m30s": 90} {
-		var s Span
+	for text, want := range map[string]Duration{"3s": 3, "100ms": 0.1, "1m30s": 90} {
+		var s Duration
 		require.NoError(t, s.UnmarshalText([]byte(text)))
 		require.InDelta(t, float64(want), float64(s), 1e-9)
 		require.Equal(t, text, s.String())
 	}
 	for _, text := range []string{"", "3", "-3s", "s"} {
-		require.Error(t, new(Span).UnmarshalText([]byte(text)), text)
+		require.Error(t, new(Duration).UnmarshalText([]byte(text)), text)
 		require.Error(t, new(Size).UnmarshalText([]byte(text)), text)
 	}
 }
@@ -248,7 +248,7 @@
 		if l.parse([]byte(text)) == nil {
 			l.perElement()
 			if wrong, _ := l.Check(); len(wrong) == 0 {
-				_, err := l.Order()
+				_, err := l.ForwarderConfig()
 				require.NoError(t, err)
 			}
 		}
@@ -259,12 +259,12 @@
 	path := file(t, "admin = \"127.0.0.1:9800\"\n"+whole)
 	l, err := Load(path, nil, nil)
 	require.NoError(t, err)
-	o, err := l.Order()
+	o, err := l.ForwarderConfig()
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:9800", o.Admin)
 	l, err = Load(path, []string{"PROXY_ADMIN=127.0.0.1:9801"}, nil)
 	require.NoError(t, err)
-	o, err = l.Order()
+	o, err = l.ForwarderConfig()
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:9801", o.Admin)
 	require.Contains(t, wrong(t, "admin = \"nowhere\"\n"+whole, nil, nil), "admin")
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -16,25 +16,25 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Span is a time, written with its unit: "3s", "100ms".
-type Span float64
+// Duration is a time, written with its unit: "3s", "100ms".
+type Duration float64
 
-func (s *Span) UnmarshalText(b []byte) error {
+func (s *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil || d < 0 {
 		return fmt.Errorf(`%q is not a time with its unit, such as "3s" or "100ms"`, b)
 	}
-	*s = Span(d.Seconds())
+	*s = Duration(d.Seconds())
 	return nil
 }
 
-func (s Span) String() string {
+func (s Duration) String() string {
 	return time.Duration(math.Round(float64(s) * 1e9)).String()
 }
 
-func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
+func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-func (Span) JSONSchema() *jsonschema.Schema {
+func (Duration) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`, Description: "a time with its unit"}
 }
 
@@ -71,24 +71,24 @@
 
 // File is the form of a configuration.
 type File struct {
-	Name      string    `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
-	Seed      string    `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
-	Zones     []string  `toml:"zones" jsonschema_description:"Zones that targets may be in."`
-	Zone      string    `toml:"zone" jsonschema_description:"Zone of this forwarder, one of zones."`
-	Ledger    Ledger    `toml:"ledger"`
-	Backlog   Backlog   `toml:"backlog"`
-	Limits    Limits    `toml:"limits"`
-	Discovery Discovery `toml:"discovery"`
-	Dispatch  Dispatch  `toml:"dispatch"`
-	Log       Log       `toml:"log"`
-	Metrics   Metrics   `toml:"metrics"`
-	Admin     string    `toml:"admin" jsonschema_description:"The operators' address, HTTP/1.1: readiness, figures, targets out by hand, lameduck. Empty: none."`
-	Fronts    []Front   `toml:"fronts" jsonschema_description:"Where documents come in."`
-	Outlets   []Outlet  `toml:"outlets" jsonschema_description:"How targets are called. The one named http is there if it is not told."`
-	Types     []Type    `toml:"types" jsonschema_description:"Document types."`
-	Kinds     []Kind    `toml:"kinds" jsonschema_description:"Kinds of destinations."`
-	Tenants   []Tenant  `toml:"tenants" jsonschema_description:"Tenants with a share. Documents of others share a lane."`
-	Targets   []Target  `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
+	Name      string     `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
+	Seed      string     `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
+	Zones     []string   `toml:"zones" jsonschema_description:"Zones that targets may be in."`
+	Zone      string     `toml:"zone" jsonschema_description:"Zone of this forwarder, one of zones."`
+	Ledger    Ledger     `toml:"ledger"`
+	Backlog   Backlog    `toml:"backlog"`
+	Limits    Limits     `toml:"limits"`
+	Discovery Discovery  `toml:"discovery"`
+	Dispatch  Dispatch   `toml:"dispatch"`
+	Log       Log        `toml:"log"`
+	Metrics   Metrics    `toml:"metrics"`
+	Admin     string     `toml:"admin" jsonschema_description:"The operators' address, HTTP/1.1: readiness, figures, targets out by hand, lameduck. Empty: none."`
+	Frontends []Frontend `toml:"fronts" jsonschema_description:"Where documents come in."`
+	Upstreams []Upstream `toml:"outlets" jsonschema_description:"How targets are called. The one named http is there if it is not told."`
+	Types     []Type     `toml:"types" jsonschema_description:"Document types."`
+	Kinds     []Kind     `toml:"kinds" jsonschema_description:"Kinds of destinations."`
+	Tenants   []Tenant   `toml:"tenants" jsonschema_description:"Tenants with a share. Documents of others share a lane."`
+	Endpoints []Endpoint `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
 }
 
 // Log is where what is owed is kept.
@@ -122,22 +122,22 @@
 
 // Dispatch are the figures by which the module decides.
 type Dispatch struct {
-	Slots         int     `toml:"slots" jsonschema_description:"Calls out at once, all destinations together."`
-	Room          int     `toml:"room" jsonschema_description:"Documents held at once."`
-	Transmissions int     `toml:"transmissions" jsonschema_description:"Transmissions that a document may use."`
-	Forwarders    int     `toml:"forwarders" jsonschema_description:"Forwarders that serve the same destinations, this one among them."`
-	ComeBack      Span    `toml:"come_back" jsonschema_description:"Longest time to come back that a rejection may name. 0s: none is named."`
-	Connect       Span    `toml:"connect" jsonschema_description:"A connection that takes longer never comes up."`
-	IdleLife      Span    `toml:"idle_life" jsonschema_description:"How long an idle connection to a target lasts."`
-	KeyRest       Span    `toml:"key_rest" jsonschema_description:"Rest between two documents of a key, after a transmission that may still run."`
-	ColdFrom      float64 `toml:"cold_from" jsonschema_description:"Share of its capacity that a returning destination has at least."`
-	ColdFor       Span    `toml:"cold_for" jsonschema_description:"Time in which it gets warm."`
-	AskWithin     Span    `toml:"ask_within" jsonschema_description:"While discovery's list does not come it is asked for at least so often; forwarders started together spread their questions over up to half of it."`
-	FallMultiple  float64 `toml:"fall_multiple" jsonschema_description:"A cold destination falls over at this multiple of its present capacity."`
-	Late          string  `toml:"late" jsonschema:"enum=line,enum=halves" jsonschema_description:"How value falls after the agreed time: evenly to late_share at the end of life, or by half with each further agreed time, to late_share at least."`
-	ListedRates   string  `toml:"listed_rates" jsonschema:"enum=none,enum=exact,enum=rough" jsonschema_description:"What per_second in the list is worth."`
-	ReportLimit   string  `toml:"report_limit" jsonschema_description:"Field of a load report that tells a limit in calls a second."`
-	ReportLeft    string  `toml:"report_left" jsonschema_description:"Field of a load report that tells the share of the limit that is left, 0 to 1."`
+	ConcurrencyLimit  int      `toml:"slots" jsonschema_description:"Calls out at once, all destinations together."`
+	QueueCapacity     int      `toml:"room" jsonschema_description:"Documents held at once."`
+	MaxAttempts       int      `toml:"transmissions" jsonschema_description:"Transmissions that a document may use."`
+	Forwarders        int      `toml:"forwarders" jsonschema_description:"Forwarders that serve the same destinations, this one among them."`
+	MaxRetryAfter     Duration `toml:"come_back" jsonschema_description:"Longest time to come back that a rejection may name. 0s: none is named."`
+	Connect           Duration `toml:"connect" jsonschema_description:"A connection that takes longer never comes up."`
+	IdleTimeout       Duration `toml:"idle_life" jsonschema_description:"How long an idle connection to a target lasts."`
+	KeyCooldown       Duration `toml:"key_rest" jsonschema_description:"Rest between two documents of a key, after a transmission that may still run."`
+	SlowStartShare    float64  `toml:"cold_from" jsonschema_description:"Share of its capacity that a returning destination has at least."`
+	SlowStartDuration Duration `toml:"cold_for" jsonschema_description:"Time in which it gets warm."`
+	PollWithin        Duration `toml:"ask_within" jsonschema_description:"While discovery's list does not come it is asked for at least so often; forwarders started together spread their questions over up to half of it."`
+	OverloadMultiple  float64  `toml:"fall_multiple" jsonschema_description:"A cold destination falls over at this multiple of its present capacity."`
+	Late              string   `toml:"late" jsonschema:"enum=line,enum=halves" jsonschema_description:"How value falls after the agreed time: evenly to late_share at the end of life, or by half with each further agreed time, to late_share at least."`
+	ListedRates       string   `toml:"listed_rates" jsonschema:"enum=none,enum=exact,enum=rough" jsonschema_description:"What per_second in the list is worth."`
+	ReportLimit       string   `toml:"report_limit" jsonschema_description:"Field of a load report that tells a limit in calls a second."`
+	ReportShare       string   `toml:"report_left" jsonschema_description:"Field of a load report that tells the share of the limit that is left, 0 to 1."`
 }
 
 // Log is what is written to standard error.
@@ -156,7 +156,7 @@
 }
 
 // Frontend is one way in.
-type Front struct {
+type Frontend struct {
 	Name         string `toml:"name" jsonschema_description:"Its name in the ledger, log lines and metrics; lower case, digits, hyphens."`
 	Protocol     string `toml:"protocol" jsonschema_description:"resp"`
 	Listen       string `toml:"listen" jsonschema_description:"Address and port."`
@@ -166,32 +166,32 @@
 }
 
 // Upstream is one way out.
-type Outlet struct {
-	Name     string `toml:"name" jsonschema_description:"By which kinds name it."`
-	Protocol string `toml:"protocol" jsonschema_description:"http"`
-	Connect  Span   `toml:"connect" jsonschema_description:"A connection that takes longer never comes up. 0s: dispatch.connect."`
+type Upstream struct {
+	Name     string   `toml:"name" jsonschema_description:"By which kinds name it."`
+	Protocol string   `toml:"protocol" jsonschema_description:"http"`
+	Connect  Duration `toml:"connect" jsonschema_description:"A connection that takes longer never comes up. 0s: dispatch.connect."`
 }
 
 // Type is a document type.
 type Type struct {
-	Name    string `toml:"name" jsonschema_description:"As clients name it."`
-	Repeat  string `toml:"repeat" jsonschema:"enum=replayable,enum=numbered,enum=binding" jsonschema_description:"What a second transmission would do: nothing more, be known by its number, or take effect twice."`
-	Group   string `toml:"group" jsonschema:"enum=all,enum=zone" jsonschema_description:"numbered: which targets of a destination know the number."`
-	InOrder bool   `toml:"in_order" jsonschema_description:"Documents of a key go one after another."`
-	Agreed  Span   `toml:"agreed" jsonschema_description:"Agreed time to delivery."`
-	Life    Span   `toml:"life" jsonschema_description:"Longest time that a client gives a document."`
-	Memory  Span   `toml:"memory" jsonschema_description:"numbered: how long a number is known, from the transmission on."`
-
-	Value     float64 `toml:"value" jsonschema_description:"Of one document, beside those of other types. 0: 1."`
-	LateShare float64 `toml:"late_share" jsonschema_description:"Share of the value that is left at the end of life, 0 to 1."`
+	Name                string   `toml:"name" jsonschema_description:"As clients name it."`
+	Idempotency         string   `toml:"repeat" jsonschema:"enum=replayable,enum=numbered,enum=binding" jsonschema_description:"What a second transmission would do: nothing more, be known by its number, or take effect twice."`
+	Group               string   `toml:"group" jsonschema:"enum=all,enum=zone" jsonschema_description:"numbered: which targets of a destination know the number."`
+	InOrder             bool     `toml:"in_order" jsonschema_description:"Documents of a key go one after another."`
+	LatencyObjective    Duration `toml:"agreed" jsonschema_description:"Agreed time to delivery."`
+	TimeToLive          Duration `toml:"life" jsonschema_description:"Longest time that a client gives a document."`
+	DeduplicationWindow Duration `toml:"memory" jsonschema_description:"numbered: how long a number is known, from the transmission on."`
+
+	Value          float64 `toml:"value" jsonschema_description:"Of one document, beside those of other types. 0: 1."`
+	LateValueShare float64 `toml:"late_share" jsonschema_description:"Share of the value that is left at the end of life, 0 to 1."`
 }
 
 // Kind is a kind of destinations.
 type Kind struct {
-	Name        string `toml:"name"`
-	Batch       int    `toml:"batch" jsonschema_description:"Documents that one call carries at most."`
-	RoutesApart bool   `toml:"routes_apart" jsonschema_description:"Targets have limits and outages of their own."`
-	Outlet      string `toml:"outlet" jsonschema_description:"Name of the outlet by which its targets are called."`
+	Name           string `toml:"name"`
+	Batch          int    `toml:"batch" jsonschema_description:"Documents that one call carries at most."`
+	EndpointLimits bool   `toml:"routes_apart" jsonschema_description:"Targets have limits and outages of their own."`
+	Upstream       string `toml:"outlet" jsonschema_description:"Name of the outlet by which its targets are called."`
 }
 
 // Tenant is one with a share.
@@ -201,14 +201,14 @@
 }
 
 // Address is one line of the file's own list.
-type Target struct {
-	UID       string  `toml:"uid" jsonschema_description:"Its name, the same at every forwarder."`
-	Address   string  `toml:"address" jsonschema_description:"Address and port."`
-	Dest      uint64  `toml:"dest" jsonschema_description:"Number of the destination."`
-	Zone      string  `toml:"zone" jsonschema_description:"One of zones. Empty: the first."`
-	Kind      string  `toml:"kind" jsonschema_description:"One of kinds. Empty: the first."`
-	State     string  `toml:"state" jsonschema:"enum=active,enum=leaving" jsonschema_description:"active, or leaving: it finishes what it has and gets nothing new. Empty: active."`
-	PerSecond float64 `toml:"per_second" jsonschema_description:"Calls a second that the destination takes. 0: not known."`
+type Endpoint struct {
+	UID         string  `toml:"uid" jsonschema_description:"Its name, the same at every forwarder."`
+	Address     string  `toml:"address" jsonschema_description:"Address and port."`
+	Destination uint64  `toml:"dest" jsonschema_description:"Number of the destination."`
+	Zone        string  `toml:"zone" jsonschema_description:"One of zones. Empty: the first."`
+	Kind        string  `toml:"kind" jsonschema_description:"One of kinds. Empty: the first."`
+	State       string  `toml:"state" jsonschema:"enum=active,enum=leaving" jsonschema_description:"active, or leaving: it finishes what it has and gets nothing new. Empty: active."`
+	PerSecond   float64 `toml:"per_second" jsonschema_description:"Calls a second that the destination takes. 0: not known."`
 }
 
 const usualOutlet = "http"
@@ -219,8 +219,8 @@
 		Ledger:  Ledger{Folder: "state", Disk: 64e6},
 		Backlog: Backlog{Disk: 256e6, Window: 64, Behind: 1000},
 		Limits:  Limits{Cores: 1, Memory: 192e6, Descriptors: 1024},
-		Dispatch: Dispatch{Slots: 64, Room: 2000, Transmissions: 6, Forwarders: 1, ComeBack: 2, Connect: 1.5, IdleLife: 10,
-			KeyRest: 0.1, AskWithin: 10, ColdFrom: 0.2, ColdFor: 10, FallMultiple: 2, Late: "line", ListedRates: "none", ReportLimit: "x1", ReportLeft: "x0"},
+		Dispatch: Dispatch{ConcurrencyLimit: 64, QueueCapacity: 2000, MaxAttempts: 6, Forwarders: 1, MaxRetryAfter: 2, Connect: 1.5, IdleTimeout: 10,
+			KeyCooldown: 0.1, PollWithin: 10, SlowStartShare: 0.2, SlowStartDuration: 10, OverloadMultiple: 2, Late: "line", ListedRates: "none", ReportLimit: "x1", ReportShare: "x0"},
 		Log: Log{Level: "info", Format: "json"}}
 }
 
@@ -229,27 +229,27 @@
 	if len(f.Kinds) == 0 {
 		f.Kinds = []Kind{{Name: "partners"}}
 	}
-	for i := range f.Fronts {
-		Or(&f.Fronts[i].Protocol, "resp")
-		Or(&f.Fronts[i].Name, f.Fronts[i].Protocol)
+	for i := range f.Frontends {
+		Or(&f.Frontends[i].Protocol, "resp")
+		Or(&f.Frontends[i].Name, f.Frontends[i].Protocol)
 	}
-	for i := range f.Outlets {
-		Or(&f.Outlets[i].Protocol, "http")
-		Or(&f.Outlets[i].Name, f.Outlets[i].Protocol)
+	for i := range f.Upstreams {
+		Or(&f.Upstreams[i].Protocol, "http")
+		Or(&f.Upstreams[i].Name, f.Upstreams[i].Protocol)
 	}
-	if !slices.ContainsFunc(f.Outlets, func(o Outlet) bool { return o.Name == usualOutlet }) {
-		f.Outlets = append(f.Outlets, Outlet{Name: usualOutlet, Protocol: "http"})
+	if !slices.ContainsFunc(f.Upstreams, func(o Upstream) bool { return o.Name == usualOutlet }) {
+		f.Upstreams = append(f.Upstreams, Upstream{Name: usualOutlet, Protocol: "http"})
 	}
 	for i := range f.Kinds {
 		Or(&f.Kinds[i].Batch, 1)
-		Or(&f.Kinds[i].Outlet, usualOutlet)
+		Or(&f.Kinds[i].Upstream, usualOutlet)
 	}
 	for i := range f.Types {
 		Or(&f.Types[i].Group, "all")
 		Or(&f.Types[i].Value, 1)
 	}
-	for i := range f.Targets {
-		t := &f.Targets[i]
+	for i := range f.Endpoints {
+		t := &f.Endpoints[i]
 		Or(&t.State, "active")
 		Or(&t.Kind, f.Kinds[0].Name)
 		if len(f.Zones) > 0 {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -24,10 +24,10 @@
 
 // Problem is one thing that is wrong.
 type Problem struct {
-	File  string `json:"file,omitempty"`
-	Line  int    `json:"line,omitempty"` // 0 if it is not one line's
-	Field string `json:"field,omitempty"`
-	What  string `json:"what"`
+	File   string `json:"file,omitempty"`
+	Line   int    `json:"line,omitempty"` // 0 if it is not one line's
+	Field  string `json:"field,omitempty"`
+	Reason string `json:"what"`
 }
 
 func (p Problem) String() string {
@@ -42,7 +42,7 @@
 	if p.Field != "" {
 		b.WriteString(p.Field + ": ")
 	}
-	return b.String() + p.What
+	return b.String() + p.Reason
 }
 
 // Problems are all that is wrong with a configuration.
@@ -87,7 +87,7 @@
 	if path != "" {
 		text, err := read(path)
 		if err != nil {
-			return nil, Problems{{File: path, What: unwrapped(err)}}
+			return nil, Problems{{File: path, Reason: unwrapped(err)}}
 		}
 		if err := l.parse(text); err != nil {
 			return nil, err
@@ -96,19 +96,19 @@
 	var wrong Problems
 	for _, v := range l.variables(environ) {
 		if v.field == "" {
-			wrong = append(wrong, Problem{Field: v.name, What: "unknown variable" + meant(v.name, v.known)})
+			wrong = append(wrong, Problem{Field: v.name, Reason: "unknown variable" + meant(v.name, v.known)})
 			continue
 		}
 		if err := l.lay(v.field, v.value, Source{Layer: ByVariable, Name: v.name}); err != nil {
-			wrong = append(wrong, Problem{Field: v.name, What: err.Error()})
+			wrong = append(wrong, Problem{Field: v.name, Reason: err.Error()})
 		}
 	}
 	for _, f := range flags {
 		field, value, is := strings.Cut(f, "=")
 		if !is {
-			wrong = append(wrong, Problem{Field: f, What: "is not FIELD=VALUE"})
+			wrong = append(wrong, Problem{Field: f, Reason: "is not FIELD=VALUE"})
 		} else if err := l.lay(field, value, Source{Layer: ByFlag, Name: "--set"}); err != nil {
-			wrong = append(wrong, Problem{Field: "--set " + field, What: err.Error()})
+			wrong = append(wrong, Problem{Field: "--set " + field, Reason: err.Error()})
 		}
 	}
 	if wrong != nil {
@@ -189,14 +189,14 @@
 			key := e.Key()
 			line, _ := e.Position()
 			known := keys(reflect.TypeOf(form).Elem(), key[:len(key)-1])
-			wrong = append(wrong, Problem{File: path, Line: line, Field: strings.Join(key, "."), What: "unknown key" + meant(key[len(key)-1], known)})
+			wrong = append(wrong, Problem{File: path, Line: line, Field: strings.Join(key, "."), Reason: "unknown key" + meant(key[len(key)-1], known)})
 		}
 		return wrong
 	case errors.As(err, &bad):
 		line, _ := bad.Position()
-		return Problems{{File: path, Line: line, Field: strings.Join(bad.Key(), "."), What: strings.TrimPrefix(bad.Error(), "toml: ")}}
+		return Problems{{File: path, Line: line, Field: strings.Join(bad.Key(), "."), Reason: strings.TrimPrefix(bad.Error(), "toml: ")}}
 	}
-	return Problems{{File: path, What: strings.TrimPrefix(err.Error(), "toml: ")}}
+	return Problems{{File: path, Reason: strings.TrimPrefix(err.Error(), "toml: ")}}
 }
 
 // place finds the line of each field: "limits.memory", "fronts[0].listen". Reason cannot be parsed has none; the decoder
@@ -408,12 +408,12 @@
 		return i, nil
 	}
 	for i := range list.Len() {
-		if first := list.Index(i).Field(0).String(); first == name || first == "" && list.Index(i).Type() == reflect.TypeFor[Front]() {
+		if first := list.Index(i).Field(0).String(); first == name || first == "" && list.Index(i).Type() == reflect.TypeFor[Frontend]() {
 			return i, nil
 		}
 	}
-	if list.Type() == reflect.TypeFor[[]Front]() {
-		list.Set(reflect.Append(list, reflect.ValueOf(Front{Name: name})))
+	if list.Type() == reflect.TypeFor[[]Frontend]() {
+		list.Set(reflect.Append(list, reflect.ValueOf(Frontend{Name: name})))
 		return list.Len() - 1, nil
 	}
 	return 0, fmt.Errorf("there is none named %q", name)
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -47,7 +47,7 @@
 }
 
 // Config makes the forwarder's order of a configuration that has been checked, with a reload that reads it anew.
-func Order(path string, environ, flags []string) (*forwarder.Config, error) {
+func ForwarderConfig(path string, environ, flags []string) (*forwarder.Config, error) {
 	o, err := order(path, environ, flags)
 	if err != nil {
 		return nil, err
@@ -73,11 +73,11 @@
 	if wrong, _ := l.Check(); len(wrong) > 0 {
 		return nil, wrong
 	}
-	return l.Order()
+	return l.ForwarderConfig()
 }
 
 // Config makes an order of a configuration in which Check found nothing wrong. It makes no folder and reads nothing again.
-func (l *Loaded) Order() (*forwarder.Config, error) {
+func (l *Loaded) ForwarderConfig() (*forwarder.Config, error) {
 	folder, err := filepath.Abs(l.Folder())
 	if err != nil {
 		return nil, err
@@ -92,7 +92,7 @@
 	} else if o.Seed, err = strconv.ParseUint(l.Seed, 16, 64); err != nil {
 		return nil, err
 	}
-	for _, f := range l.Fronts {
+	for _, f := range l.Frontends {
 		o.Frontends = append(o.Frontends, forwarder.Frontend{Name: f.Name, Protocol: f.Protocol, Listen: f.Listen, Connections: f.Connections,
 			Waiting: f.Waiting, WaitingBytes: int(f.WaitingBytes)})
 	}
@@ -100,17 +100,17 @@
 		return nil, err
 	}
 	o.Scheduler, o.Names = l.terms()
-	for _, w := range l.Outlets {
+	for _, w := range l.Upstreams {
 		o.Upstreams = append(o.Upstreams, forwarder.Upstream{Name: w.Name, Protocol: w.Protocol, Connect: float64(w.Connect)})
 	}
 	for _, k := range l.Kinds {
-		o.KindUpstream[k.Name] = k.Outlet
+		o.KindUpstream[k.Name] = k.Upstream
 	}
 	if o.Discovery == "" {
 		o.StaticEndpoints = &transport.EndpointList{Complete: true}
-		for _, t := range l.Targets {
+		for _, t := range l.Endpoints {
 			o.StaticEndpoints.Endpoints = append(o.StaticEndpoints.Endpoints, transport.Endpoint{UID: t.UID, Address: t.Address, Zone: t.Zone, Kind: t.Kind,
-				Destination: t.Dest, State: t.State, Rate: t.PerSecond})
+				Destination: t.Destination, State: t.State, Rate: t.PerSecond})
 		}
 	}
 	o.Log.Console, o.Log.Sample, o.Log.IDs = l.Log.Format == "console", l.Log.Sample, l.Log.IDs
@@ -139,17 +139,17 @@
 // terms are what the module is told, and the names behind its numbers.
 func (l *Loaded) terms() (scheduler.Settings, settings.Names) {
 	d := &l.Dispatch
-	t := scheduler.Settings{PollEndpoints: true, Forwarders: d.Forwarders, ConcurrencyLimit: d.Slots, QueueCapacity: d.Room, MaxAttempts: d.Transmissions, KeyCooldown: float64(d.KeyRest), PollWithin: float64(d.AskWithin),
-		SlowStartShare: d.ColdFrom, SlowStartDuration: float64(d.ColdFor), OverloadMultiple: d.FallMultiple, IdleTimeout: float64(d.IdleLife),
-		HalvingValue: d.Late == "halves", MaxRetryAfter: float64(d.ComeBack), ListedRateTolerance: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
-	n := settings.Names{Zones: l.Zones, LimitAt: -1, Limit: d.ReportLimit, LeftAt: -1, Left: d.ReportLeft, Connect: float64(d.Connect)}
+	t := scheduler.Settings{PollEndpoints: true, Forwarders: d.Forwarders, ConcurrencyLimit: d.ConcurrencyLimit, QueueCapacity: d.QueueCapacity, MaxAttempts: d.MaxAttempts, KeyCooldown: float64(d.KeyCooldown), PollWithin: float64(d.PollWithin),
+		SlowStartShare: d.SlowStartShare, SlowStartDuration: float64(d.SlowStartDuration), OverloadMultiple: d.OverloadMultiple, IdleTimeout: float64(d.IdleTimeout),
+		HalvingValue: d.Late == "halves", MaxRetryAfter: float64(d.MaxRetryAfter), ListedRateTolerance: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
+	n := settings.Names{Zones: l.Zones, LimitIndex: -1, LimitField: d.ReportLimit, ShareIndex: -1, ShareField: d.ReportShare, Connect: float64(d.Connect)}
 	for i, z := range l.Zones {
 		if z == l.Zone {
 			t.Zone = i
 		}
 	}
 	for _, k := range l.Kinds {
-		t.KindBatchSize, t.KindEndpointLimits = append(t.KindBatchSize, k.Batch), append(t.KindEndpointLimits, k.RoutesApart)
+		t.KindBatchSize, t.KindEndpointLimits = append(t.KindBatchSize, k.Batch), append(t.KindEndpointLimits, k.EndpointLimits)
 		n.Kinds = append(n.Kinds, k.Name)
 	}
 	for _, q := range l.Tenants {
@@ -158,8 +158,8 @@
 	}
 	words := map[string]scheduler.Idempotency{"replayable": scheduler.Idempotent, "numbered": scheduler.IdempotentWithKey, "binding": scheduler.AtMostOnce}
 	for _, y := range l.Types {
-		t.Types = append(t.Types, scheduler.MessageType{Idempotency: words[y.Repeat], DeduplicatedPerZone: y.Group == "zone", InOrder: y.InOrder,
-			LatencyObjective: float64(y.Agreed), TimeToLive: float64(y.Life), DeduplicationWindow: float64(y.Memory), Value: y.Value, LateValueShare: y.LateShare})
+		t.Types = append(t.Types, scheduler.MessageType{Idempotency: words[y.Idempotency], DeduplicatedPerZone: y.Group == "zone", InOrder: y.InOrder,
+			LatencyObjective: float64(y.LatencyObjective), TimeToLive: float64(y.TimeToLive), DeduplicationWindow: float64(y.DeduplicationWindow), Value: y.Value, LateValueShare: y.LateValueShare})
 		n.Types = append(n.Types, y.Name)
 	}
 	return t, n
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	mostLine    = 4 << 20                // of a watch, in bytes, unless Directory.MostLine says otherwise
+	mostLine    = 4 << 20                // of a watch, in bytes, unless Client.MaxLineBytes says otherwise
 	blankEvery  = 2 * time.Second        // an empty line comes so often while nothing changes
 	mostNotices = 512                    // in one call
 	answerIn    = 2 * time.Second        // a watch that has not begun so long after its connection is over
@@ -28,20 +28,20 @@
 )
 
 // Submitter is where the directory's news go.
-type Desk interface {
+type Listener interface {
 	transport.EndpointListener
 	transport.NoticeListener
 }
 
-// Directory holds the connections to discovery.
-type Directory struct {
-	// MostLine bounds one object of a watch, in bytes; 0: 4 MiB. Set before the first WatchEndpoints.
-	MostLine int
+// Client holds the connections to discovery.
+type Client struct {
+	// MaxLineBytes bounds one object of a watch, in bytes; 0: 4 MiB. Set before the first WatchEndpoints.
+	MaxLineBytes int
 
 	dialer  *dial.Dialer
 	addr    string
 	connect time.Duration
-	desk    Desk
+	desk    Listener
 	mu      sync.Mutex
 	watch   *watch
 	out     *report
@@ -56,12 +56,12 @@
 }
 
 // New has no connections yet.
-func New(d *dial.Dialer, addr string, connect time.Duration, desk Desk) *Directory {
-	return &Directory{dialer: d, addr: addr, connect: connect, desk: desk, now: time.Now, afterFunc: time.AfterFunc}
+func New(d *dial.Dialer, addr string, connect time.Duration, desk Listener) *Client {
+	return &Client{dialer: d, addr: addr, connect: connect, desk: desk, now: time.Now, afterFunc: time.AfterFunc}
 }
 
 // Stop ends all connections and starts none.
-func (d *Directory) Stop() {
+func (d *Client) Stop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.stopped = true
@@ -77,7 +77,7 @@
 
 // Reconfigure leaves discovery's address for another: the list is watched there from a version on, and the notices without
 // an answer go there.
-func (d *Directory) Reconfigure(addr string, rev int64) {
+func (d *Client) Reconfigure(addr string, rev int64) {
 	d.mu.Lock()
 	d.addr = addr
 	if d.out != nil {
@@ -91,16 +91,16 @@
 	}
 }
 
-func (d *Directory) mostLine() int {
-	if d.MostLine > 0 {
-		return d.MostLine
+func (d *Client) mostLine() int {
+	if d.MaxLineBytes > 0 {
+		return d.MaxLineBytes
 	}
 	return mostLine
 }
 
 // watch is one connection with an open answer.
 type watch struct {
-	dir    *Directory
+	dir    *Client
 	line   *dial.Line
 	reader http1.Reader
 	code   int
@@ -119,7 +119,7 @@
 }
 
 // WatchEndpoints asks for the changes since a version, on a new connection.
-func (d *Directory) Watch(rev int64) {
+func (d *Client) Watch(rev int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.stopped {
@@ -287,7 +287,7 @@
 }
 
 // Notify sends a notice, again and again until it is answered.
-func (d *Directory) Notify(n transport.FinalAnswer) {
+func (d *Client) Notify(n transport.FinalAnswer) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.waiting = append(d.waiting, n)
@@ -296,7 +296,7 @@
 
 // report is a connection that carries notices, a call at a time.
 type report struct {
-	dir    *Directory
+	dir    *Client
 	line   *dial.Line
 	reader http1.Reader
 	code   int
@@ -306,7 +306,7 @@
 }
 
 // report begins a call with the notices that wait, if none is out; the lock is held.
-func (d *Directory) report() {
+func (d *Client) report() {
 	if d.stopped || len(d.waiting) == 0 || d.out != nil && len(d.out.out) > 0 {
 		return
 	}
--- a/internal/discovery/directory_test.go
+++ b/internal/discovery/directory_test.go
@@ -65,7 +65,7 @@
 
 // scene is a directory, its desk, and a peer that accepts its next connection and reads what it asks. The timers are
 // scripted: a pause of the machine changes nothing.
-func scene(t *testing.T) (*Directory, *desk, func() (net.Conn, string)) {
+func scene(t *testing.T) (*Client, *desk, func() (net.Conn, string)) {
 	ln, err := net.Listen("tcp", "127.5.0.1:0")
 	require.NoError(t, err)
 	dialer, err := dial.New("test", 8)
--- a/internal/discovery/limit_test.go
+++ b/internal/discovery/limit_test.go
@@ -13,7 +13,7 @@
 	const bound = 1000
 	for _, bytes := range []int{bound, bound + 1} {
 		d, k, accept := scene(t)
-		d.MostLine = bound
+		d.MaxLineBytes = bound
 		d.Watch(0)
 		c, _ := accept()
 		line := `{"rev":1,"all":true,"targets":[]}`
@@ -39,7 +39,7 @@
 	took := func(bytes int) time.Duration {
 		least := time.Hour
 		for range 3 {
-			w := &watch{dir: &Directory{MostLine: bytes + 1}, code: 200}
+			w := &watch{dir: &Client{MaxLineBytes: bytes + 1}, code: 200}
 			text := []byte(`{"rev":1,"all":true,"targets":[{"uid":"` + strings.Repeat("x", bytes))
 			began := time.Now()
 			for ; len(text) > piece; text = text[piece:] {
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -41,7 +41,7 @@
 
 // discoveryServer is a client of a discovery service and the transcript of what it sends there.
 type discoveryServer struct {
-	*discovery.Directory
+	*discovery.Client
 	listener
 	script transcript.Transcript
 	server *transcript.Server
@@ -52,7 +52,7 @@
 	require.NoError(t, err)
 	t.Cleanup(dialer.Stop)
 	d := &discoveryServer{listener: listener{make(chan string, 9)}, server: transcript.NewServer(t, "127.5.0.2")}
-	d.Directory = discovery.New(dialer, d.server.Addr, time.Minute, d.listener)
+	d.Client = discovery.New(dialer, d.server.Addr, time.Minute, d.listener)
 	d.SetAfterFunc(onlyPauses)
 	t.Cleanup(d.Stop)
 	d.script.Mask(regexp.QuoteMeta(d.server.Addr), "DISCOVERY")
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -145,7 +145,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Call is what a target got.
+// Request is what a target got.
 type Call struct {
 	Target string
 	ID     string // of the first document
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -18,7 +18,7 @@
 
 // Recorder has its figures in a set of its own, so that several forwarders in a process keep apart. Labels take only
 // values from short lists (ends, outcomes, fronts of the order): nothing grows with names that come and go.
-type Meter struct {
+type Server struct {
 	set    *metrics.Set
 	asked  map[string]*[len(words)]*metrics.Counter // by front
 	of     string                                   // the forwarder's label
@@ -37,7 +37,7 @@
 // New makes a meter with the given fronts and levels, and serves it at an address under /metrics, to readers
 // that show the token as their bearer, if there is one.
 func New(addr, token, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error) {
-	m := &Meter{set: metrics.NewSet(), asked: map[string]*[len(words)]*metrics.Counter{}, of: fmt.Sprintf("forwarder=%q", forwarder)}
+	m := &Server{set: metrics.NewSet(), asked: map[string]*[len(words)]*metrics.Counter{}, of: fmt.Sprintf("forwarder=%q", forwarder)}
 	for _, f := range fronts {
 		m.asked[f] = &[len(words)]*metrics.Counter{}
 		for w, word := range words {
@@ -61,7 +61,7 @@
 }
 
 // name is a figure's name with its labels, given as names and values in turn.
-func (m *Meter) name(name string, labels ...string) string {
+func (m *Server) name(name string, labels ...string) string {
 	b := "spanflow_" + name + "{" + m.of
 	for i := 0; i < len(labels); i += 2 {
 		b += fmt.Sprintf(",%s=%q", labels[i], labels[i+1])
@@ -69,7 +69,7 @@
 	return b + "}"
 }
 
-func (m *Meter) serve(addr, token string) error {
+func (m *Server) serve(addr, token string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
@@ -92,10 +92,10 @@
 }
 
 // Addr is where the figures are served.
-func (m *Meter) Addr() string { return m.addr }
+func (m *Server) Addr() string { return m.addr }
 
 // Stop ends the serving.
-func (m *Meter) Stop() {
+func (m *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
 	if m.server.Shutdown(ctx) != nil {
@@ -104,26 +104,26 @@
 }
 
 // Request counts a document's answer at the door.
-func (m *Meter) SubmissionAnswered(front string, word transport.Status) {
+func (m *Server) SubmissionAnswered(front string, word transport.Status) {
 	if f := m.asked[front]; f != nil {
 		f[word].Inc()
 	}
 }
 
 // AttemptEnded counts a transmission.
-func (m *Meter) AttemptEnded(end transport.ResultCode, took time.Duration) {
+func (m *Server) AttemptEnded(end transport.ResultCode, took time.Duration) {
 	m.ends[end].Inc()
 	m.took.Update(took.Seconds())
 }
 
 // FinalAnswer counts a final answer, so long after the document was handed in.
-func (m *Meter) FinalAnswered(outcome transport.Outcome, after time.Duration) {
+func (m *Server) FinalAnswered(outcome transport.Outcome, after time.Duration) {
 	m.finals[outcome].Inc()
 	m.life.Update(after.Seconds())
 }
 
 // LoopTurn counts a turn of the owner.
-func (m *Meter) LoopTurn(news int, took time.Duration) {
+func (m *Server) LoopTurn(news int, took time.Duration) {
 	if news == 0 {
 		return
 	}
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -49,10 +49,10 @@
 type Names struct {
 	Types, Zones, Kinds []string // by their numbers
 	Tenants             []string
-	LimitAt             int     // place of the limit among a load report's values, -1 if there is none
-	Limit               string  // its name
-	LeftAt              int     // place of the share of the limit that is left, -1 if there is none
-	Left                string  // its name
+	LimitIndex          int     // place of the limit among a load report's values, -1 if there is none
+	LimitField          string  // its name
+	ShareIndex          int     // place of the share of the limit that is left, -1 if there is none
+	ShareField          string  // its name
 	Connect             float64 // seconds in which a connection comes up or never does
 }
 
@@ -90,8 +90,8 @@
 	case "rough":
 		t.ListedRateTolerance = 1.5
 	}
-	f := Names{Zones: s.Azs, Kinds: s.Kinds, LimitAt: slices.Index(s.Report.Fields, limit), Limit: limit,
-		LeftAt: slices.Index(s.Report.Fields, left), Left: left,
+	f := Names{Zones: s.Azs, Kinds: s.Kinds, LimitIndex: slices.Index(s.Report.Fields, limit), LimitField: limit,
+		ShareIndex: slices.Index(s.Report.Fields, left), ShareField: left,
 		Connect: s.Limits.ConnectTimeout / 1000}
 	for _, q := range s.Tenants {
 		t.TenantRate = append(t.TenantRate, q.QuotaRps)
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -275,7 +275,7 @@
 	if err != nil {
 		return fmt.Errorf("settings of instance %d: %w", number, err)
 	}
-	in := &instance{host: h, number: number, limitAt: fronts.LimitAt, leftAt: fronts.LeftAt, docs: map[uint32]*scheduler.Message{},
+	in := &instance{host: h, number: number, limitAt: fronts.LimitIndex, leftAt: fronts.ShareIndex, docs: map[uint32]*scheduler.Message{},
 		dests: map[uint32]*scheduler.Destination{}, targets: map[uint64]*scheduler.Endpoint{}}
 	in.f = scheduler.New(t, seed, now, in)
 	h.instances[number] = in
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -69,7 +69,7 @@
 	if p.Rate > 0 {
 		capacity = math.Min(capacity, p.Rate)
 	}
-	return day.Dispatch.FallMultiple * day.Dispatch.ColdFrom * capacity * returnSecond
+	return day.Dispatch.OverloadMultiple * day.Dispatch.SlowStartShare * capacity * returnSecond
 }
 
 // budget is the number of calls beyond which a returning destination falls over that stands so many: one and a bit
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -31,30 +31,30 @@
 
 // Load is what the forwarders take on and hold. Rates are a second.
 type Load struct {
-	EventsPerSecond     float64     `toml:"events_per_second"` // all forwarders together
-	Destinations        float64     `toml:"destinations"`
-	DownShare           float64     `toml:"down_share"` // of the destinations, at any time
-	BacklogEvents       float64     `toml:"backlog_events"`
-	BacklogPerForwarder float64     `toml:"backlog_per_forwarder"`
-	BacklogFor          config.Span `toml:"backlog_for"`
-	Body                config.Size `toml:"body"`
-	ForwarderSkew       float64     `toml:"forwarder_skew"`   // the busiest beside the mean
-	DestinationSkew     float64     `toml:"destination_skew"` // the busiest beside the mean
+	EventsPerSecond     float64         `toml:"events_per_second"` // all forwarders together
+	Destinations        float64         `toml:"destinations"`
+	DownShare           float64         `toml:"down_share"` // of the destinations, at any time
+	BacklogEvents       float64         `toml:"backlog_events"`
+	BacklogPerForwarder float64         `toml:"backlog_per_forwarder"`
+	BacklogFor          config.Duration `toml:"backlog_for"`
+	Body                config.Size     `toml:"body"`
+	ForwarderSkew       float64         `toml:"forwarder_skew"`   // the busiest beside the mean
+	DestinationSkew     float64         `toml:"destination_skew"` // the busiest beside the mean
 }
 
 // Changes are changes of the configuration.
 type Changes struct {
-	PerDay        float64     `toml:"per_day"`
-	InForceWithin config.Span `toml:"in_force_within"`
+	PerDay        float64         `toml:"per_day"`
+	InForceWithin config.Duration `toml:"in_force_within"`
 }
 
 // Failures are what is to be expected.
 type Failures struct {
-	MachinesPerDay float64     `toml:"machines_per_day"`
-	RestartsPerDay float64     `toml:"restarts_per_day"`
-	RacksPerYear   float64     `toml:"racks_per_year"`
-	ZonesPerYear   float64     `toml:"zones_per_year"`
-	RegionsApart   config.Span `toml:"regions_apart"`
+	MachinesPerDay float64         `toml:"machines_per_day"`
+	RestartsPerDay float64         `toml:"restarts_per_day"`
+	RacksPerYear   float64         `toml:"racks_per_year"`
+	ZonesPerYear   float64         `toml:"zones_per_year"`
+	RegionsApart   config.Duration `toml:"regions_apart"`
 }
 
 // Budget is what may be spent at one forwarder.
@@ -72,9 +72,9 @@
 
 // ForwarderBudget is for everything else.
 type ForwarderBudget struct {
-	Cores       float64     `toml:"cores"`
-	Memory      config.Size `toml:"memory"`
-	ReadyWithin config.Span `toml:"ready_within"` // after a restart
+	Cores       float64         `toml:"cores"`
+	Memory      config.Size     `toml:"memory"`
+	ReadyWithin config.Duration `toml:"ready_within"` // after a restart
 
 	DrainPerSecond float64 `toml:"drain_per_second"` // messages of a backlog, beside which nothing comes
 }
@@ -120,7 +120,7 @@
 type targetChecker struct{ problems config.Problems }
 
 func (c *targetChecker) bad(field, format string, values ...any) {
-	c.problems = append(c.problems, config.Problem{Field: field, What: fmt.Sprintf(format, values...)})
+	c.problems = append(c.problems, config.Problem{Field: field, Reason: fmt.Sprintf(format, values...)})
 }
 
 func (c *targetChecker) positive(field string, value float64) {
--- a/lab/commands/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -45,21 +45,21 @@
 func TestPageCheckNamesTheTableThatDiffersAndWritesNothing(t *testing.T) {
 	file, spoilt, _ := spoiltPage(t)
 	code, _, errOut := runPage("--check", file)
-	require.Equal(t, cli.Failed, code)
+	require.Equal(t, cli.ExitError, code)
 	require.Contains(t, errOut, "not current: target;")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	require.Equal(t, spoilt, string(text))
 
 	code, out, errOut := runPage("--check", repositoryPage)
-	require.Equal(t, cli.Fine, code, errOut)
+	require.Equal(t, cli.ExitOK, code, errOut)
 	require.Contains(t, out, "tables are current")
 }
 
 func TestPageWritesTheTablesAnewInPlace(t *testing.T) {
 	file, _, current := spoiltPage(t)
 	code, out, errOut := runPage(file)
-	require.Equal(t, cli.Fine, code, errOut)
+	require.Equal(t, cli.ExitOK, code, errOut)
 	require.Contains(t, out, "written anew: target\n")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -72,14 +72,14 @@
 	require.Len(t, beside, 1, "nothing is left beside the page")
 
 	code, out, _ = runPage(file)
-	require.Equal(t, cli.Fine, code)
+	require.Equal(t, cli.ExitOK, code)
 	require.Contains(t, out, "tables are current")
 }
 
 func TestPageTellsProgramsInJSON(t *testing.T) {
 	file, _, _ := spoiltPage(t)
 	code, out, _ := runPage("--check", "--json", file)
-	require.Equal(t, cli.Failed, code)
+	require.Equal(t, cli.ExitError, code)
 	var report pageReport
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
 	require.Equal(t, []string{"target"}, report.Differs)
@@ -94,14 +94,14 @@
 		code int
 		says string
 	}{
-		{[]string{"no-such-page.md"}, cli.Failed, "no-such-page.md"},
-		{[]string{"--target", "no-such-target.toml", repositoryPage}, cli.Failed, "no-such-target.toml"},
-		{[]string{"--measured", "no-such.json", repositoryPage}, cli.Failed, "no-such.json"},
-		{[]string{"--target", broken, repositoryPage}, cli.Failed, "colour: unknown key"},
-		{[]string{"--measured", broken, repositoryPage}, cli.Failed, broken},
-		{[]string{broken}, cli.Failed, broken + `: table "assumptions" is not on the page`},
-		{[]string{"--checks"}, cli.Usage, "unknown flag"},
-		{[]string{"one", "two"}, cli.Usage, "accepts at most 1"},
+		{[]string{"no-such-page.md"}, cli.ExitError, "no-such-page.md"},
+		{[]string{"--target", "no-such-target.toml", repositoryPage}, cli.ExitError, "no-such-target.toml"},
+		{[]string{"--measured", "no-such.json", repositoryPage}, cli.ExitError, "no-such.json"},
+		{[]string{"--target", broken, repositoryPage}, cli.ExitError, "colour: unknown key"},
+		{[]string{"--measured", broken, repositoryPage}, cli.ExitError, broken},
+		{[]string{broken}, cli.ExitError, broken + `: table "assumptions" is not on the page`},
+		{[]string{"--checks"}, cli.ExitUsage, "unknown flag"},
+		{[]string{"one", "two"}, cli.ExitUsage, "accepts at most 1"},
 	} {
 		code, _, errOut := runPage(c.args...)
 		require.Equal(t, c.code, code, "%v: %s", c.args, errOut)
--- a/lab/commands/capacity_test.go
+++ b/lab/commands/capacity_test.go
@@ -21,7 +21,7 @@
 
 func TestAnUnknownRoleIsAWrongCommandLine(t *testing.T) {
 	code, _, said := spanlab(t, "capacity", "measure", "restrat")
-	require.Equal(t, cli.Usage, code)
+	require.Equal(t, cli.ExitUsage, code)
 	require.Contains(t, said, `unknown role "restrat"; the nearest is "restart"`)
 }
 
@@ -29,7 +29,7 @@
 	for _, c := range []struct{ flag, value, want string }{
 		{"--memory", "much", "--memory"}, {"--memory", "900TB", "--memory"}, {"--lasts", "0s", "--lasts"}, {"--largest", "-1", "--largest"}} {
 		code, _, said := spanlab(t, "capacity", "measure", "down-destination", c.flag, c.value)
-		require.Equal(t, cli.Failed, code)
+		require.Equal(t, cli.ExitError, code)
 		require.Contains(t, said, c.want)
 	}
 }
@@ -37,7 +37,7 @@
 func TestMeasuredCurvesArePrintedAndMerged(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "measured.json")
 	code, out, said := spanlab(t, "capacity", "measure", "down-destination", "--largest", "10", "--json", "--into", path)
-	require.Equal(t, cli.Fine, code, said)
+	require.Equal(t, cli.ExitOK, code, said)
 	require.Contains(t, said, "forwarders")
 	var printed []capacity.Curve
 	require.NoError(t, json.Unmarshal([]byte(out), &printed))
@@ -46,7 +46,7 @@
 	require.Equal(t, printed, kept.Curves)
 	require.NotEmpty(t, kept.Machine)
 	code, out, said = spanlab(t, "capacity", "measure", "down-destination", "--largest", "10", "-q", "--into", path)
-	require.Equal(t, cli.Fine, code, said)
+	require.Equal(t, cli.ExitOK, code, said)
 	require.Empty(t, said)
 	require.Contains(t, out, "RESIDUAL")
 	again, err := capacity.ReadResults(path)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -146,12 +146,12 @@
 // Axes are what a sweep can vary: a scene with one figure set.
 var Axes = map[string]func(s *scenario.Scene, x float64){
 	"forwarders": func(s *scenario.Scene, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
-	"slots":      func(s *scenario.Scene, x float64) { s.Dispatch.Slots = max(1, int(x)) },
+	"slots":      func(s *scenario.Scene, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
 	"load":       func(s *scenario.Scene, x float64) { s.Load.PerSecond *= x },
 	"trouble": func(s *scenario.Scene, x float64) { // how long each lasts, times
 		s.Troubles = slices.Clone(s.Troubles)
 		for i := range s.Troubles {
-			s.Troubles[i].For *= config.Span(x)
+			s.Troubles[i].For *= config.Duration(x)
 		}
 	},
 	"destinations": func(s *scenario.Scene, x float64) {
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -78,17 +78,17 @@
 
 func (h *Hunt) check() (wrong config.Problems) {
 	if h.Version != huntVersion {
-		wrong = append(wrong, config.Problem{Field: "version", What: fmt.Sprintf("%d is not this program's, %d", h.Version, huntVersion)})
+		wrong = append(wrong, config.Problem{Field: "version", Reason: fmt.Sprintf("%d is not this program's, %d", h.Version, huntVersion)})
 	}
 	n := uint64(0)
 	for i, t := range h.Tried {
 		if t[0] > t[1] || i > 0 && t[0] <= h.Tried[i-1][1] {
-			wrong = append(wrong, config.Problem{Field: fmt.Sprintf("tried[%d]", i), What: "seeds are not in order: the file was changed or cut"})
+			wrong = append(wrong, config.Problem{Field: fmt.Sprintf("tried[%d]", i), Reason: "seeds are not in order: the file was changed or cut"})
 		}
 		n += t[1] - t[0] + 1
 	}
 	if len(wrong) == 0 && n != uint64(h.Scenes) {
-		wrong = append(wrong, config.Problem{Field: "scenes", What: fmt.Sprintf("%d, while %d seeds are tried: the file was changed or cut", h.Scenes, n)})
+		wrong = append(wrong, config.Problem{Field: "scenes", Reason: fmt.Sprintf("%d, while %d seeds are tried: the file was changed or cut", h.Scenes, n)})
 	}
 	return wrong
 }
@@ -269,11 +269,11 @@
 		Dispatch: config.Defaults().Dispatch, Load: scenario.Load{Arrive: "poisson"}, ComesAgain: odds(0.8)}
 	d := &s.Dispatch
 	d.Forwarders = int(log(1, hugest+0.99))
-	d.Slots, d.Room, d.Transmissions = int(log(3, 64.99)), int(log(20, 600)), 3+dice.IntN(6)
-	d.ColdFrom, d.ColdFor, d.FallMultiple = between(0.15, 0.3), ms(between(5, 14)), between(1.5, 3)
-	d.KeyRest, d.IdleLife, d.Connect = ms(between(0.05, 0.2)), ms(log(5, 30)), ms(between(0.25, 1.5))
+	d.ConcurrencyLimit, d.QueueCapacity, d.MaxAttempts = int(log(3, 64.99)), int(log(20, 600)), 3+dice.IntN(6)
+	d.SlowStartShare, d.SlowStartDuration, d.OverloadMultiple = between(0.15, 0.3), ms(between(5, 14)), between(1.5, 3)
+	d.KeyCooldown, d.IdleTimeout, d.Connect = ms(between(0.05, 0.2)), ms(log(5, 30)), ms(between(0.25, 1.5))
 	if odds(0.2) {
-		d.ComeBack = 0
+		d.MaxRetryAfter = 0
 	}
 	d.ListedRates = []string{"none", "none", "exact", "rough"}[dice.IntN(4)]
 	if odds(0.3) {
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -43,7 +43,7 @@
 	s.Name = fmt.Sprintf("found-%d", seed)
 	s.Length, s.Drain, s.Zones = 40, 25, 1+dice.IntN(2)
 	s.Dispatch.Forwarders = []int{1, 2, 3, 5, 12, 40}[dice.IntN(6)]
-	s.Dispatch.Slots = []int{4, 8, 16, 32}[dice.IntN(4)]
+	s.Dispatch.ConcurrencyLimit = []int{4, 8, 16, 32}[dice.IntN(4)]
 	s.Load.PerSecond = 10 * math.Pow(12, dice.Float64())
 	s.Partners = slices.Clone(base.Partners)
 	dests := 0
@@ -76,7 +76,7 @@
 }
 
 // ms is a time in whole milliseconds, as a file has it.
-func ms(seconds float64) config.Span { return config.Span(math.Round(seconds*1000) / 1000) }
+func ms(seconds float64) config.Duration { return config.Duration(math.Round(seconds*1000) / 1000) }
 
 // judge plays a scene with the policy and the baselines.
 func judge(s *scenario.Scene, seed uint64, make sim.Maker) *Finding {
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -19,7 +19,7 @@
 
 	Rate  float64 // calls a second that the limit lets in, 0: no such limit
 	Burst float64 // calls that it lets in at once after a rest; 0: one
-	Count int     // calls let in within Span, 0: no such limit
+	Count int     // calls let in within Duration, 0: no such limit
 	Span  float64
 	Apart bool // each target has a limit and outages of its own
 	Tells bool // a call that is turned away by the limit is told how long to wait
@@ -71,7 +71,7 @@
 	Back(dest, target int)                     // it answers again after an outage
 }
 
-// Call is one call on its way through a target.
+// Request is one call on its way through a target.
 type Call struct {
 	From   int
 	Docs   []Doc
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -20,33 +20,33 @@
 	Name       string          `toml:"name"`
 	About      string          `toml:"about"`
 	Seed       uint64          `toml:"seed"`
-	Length     config.Span     `toml:"length"` // documents come for so long
-	Drain      config.Span     `toml:"drain"`  // what is held may end in so long after that
+	Length     config.Duration `toml:"length"` // documents come for so long
+	Drain      config.Duration `toml:"drain"`  // what is held may end in so long after that
 	Zones      int             `toml:"zones"`
-	Rest       config.Span     `toml:"network"` // from one side to the other
+	Rest       config.Duration `toml:"network"` // from one side to the other
 	Dispatch   config.Dispatch `toml:"dispatch"`
 	Types      []Type          `toml:"types"`
 	Tenants    []Tenant        `toml:"tenants"`
 	Partners   []Partner       `toml:"partners"`
 	Load       Load            `toml:"load"`
 	Troubles   []Trouble       `toml:"troubles"`
-	ListLag    config.Span     `toml:"list_lag"`
+	ListLag    config.Duration `toml:"list_lag"`
 	ComesAgain bool            `toml:"comes_again"` // clients hand in again what was rejected, as long as there is time
 	Floor      float64         `toml:"floor"`       // a kept finding: the share of the value that the module delivers at least
 }
 
 // Type is a document type with its part of the load.
 type Type struct {
-	Name    string      `toml:"name"`
-	Repeat  string      `toml:"repeat"`
-	Group   string      `toml:"group"`
-	InOrder bool        `toml:"in_order"`
-	Agreed  config.Span `toml:"agreed"`
-	Life    config.Span `toml:"life"`
-	Memory  config.Span `toml:"memory"`
-	Part    float64     `toml:"part"`  // of the documents, against the others'
-	Value   float64     `toml:"value"` // of one delivered in the agreed time; later it falls to half, at expiry to none
-	Keys    int         `toml:"keys"`  // ordering keys in use at once
+	Name    string          `toml:"name"`
+	Repeat  string          `toml:"repeat"`
+	Group   string          `toml:"group"`
+	InOrder bool            `toml:"in_order"`
+	Agreed  config.Duration `toml:"agreed"`
+	Life    config.Duration `toml:"life"`
+	Memory  config.Duration `toml:"memory"`
+	Part    float64         `toml:"part"`  // of the documents, against the others'
+	Value   float64         `toml:"value"` // of one delivered in the agreed time; later it falls to half, at expiry to none
+	Keys    int             `toml:"keys"`  // ordering keys in use at once
 }
 
 // Tenant is one with a share.
@@ -58,26 +58,26 @@
 
 // Partner is a group of destinations alike.
 type Partner struct {
-	Name     string      `toml:"name"`
-	Count    int         `toml:"count"`
-	Targets  int         `toml:"targets"`
-	Batch    int         `toml:"batch"`
-	Apart    bool        `toml:"routes_apart"`
-	Service  string      `toml:"service"` // fixed, exponential, lognormal
-	Mean     config.Span `toml:"mean"`
-	Wide     float64     `toml:"wide"`
-	Places   int         `toml:"places"`
-	Queue    int         `toml:"queue"`
-	Rate     float64     `toml:"rate"`
-	Burst    float64     `toml:"burst"`
-	Calls    int         `toml:"calls"` // let in within window
-	Window   config.Span `toml:"window"`
-	Tells    bool        `toml:"tells_wait"`
-	Shows    bool        `toml:"shows_limit"`
-	Part     float64     `toml:"part"`         // of the load, against other groups'
-	Skew     float64     `toml:"skew"`         // heavy tail within the group: the i-th gets 1/i^skew
-	FallSpan config.Span `toml:"falls_within"` // the span over which what pushes it over is counted
-	FallsFor config.Span `toml:"falls_for"`    // when pushed over
+	Name     string          `toml:"name"`
+	Count    int             `toml:"count"`
+	Targets  int             `toml:"targets"`
+	Batch    int             `toml:"batch"`
+	Apart    bool            `toml:"routes_apart"`
+	Service  string          `toml:"service"` // fixed, exponential, lognormal
+	Mean     config.Duration `toml:"mean"`
+	Wide     float64         `toml:"wide"`
+	Places   int             `toml:"places"`
+	Queue    int             `toml:"queue"`
+	Rate     float64         `toml:"rate"`
+	Burst    float64         `toml:"burst"`
+	Calls    int             `toml:"calls"` // let in within window
+	Window   config.Duration `toml:"window"`
+	Tells    bool            `toml:"tells_wait"`
+	Shows    bool            `toml:"shows_limit"`
+	Part     float64         `toml:"part"`         // of the load, against other groups'
+	Skew     float64         `toml:"skew"`         // heavy tail within the group: the i-th gets 1/i^skew
+	FallSpan config.Duration `toml:"falls_within"` // the span over which what pushes it over is counted
+	FallsFor config.Duration `toml:"falls_for"`    // when pushed over
 }
 
 // Load is what clients hand in, whatever becomes of it.
@@ -90,33 +90,33 @@
 
 // Point is a share of the usual rate at a moment.
 type Point struct {
-	At    config.Span `toml:"at"`
-	Share float64     `toml:"share"`
+	At    config.Duration `toml:"at"`
+	Share float64         `toml:"share"`
 }
 
 // Clump is many documents at one moment.
 type Clump struct {
-	At      config.Span `toml:"at"`
-	Count   int         `toml:"count"`
-	Dest    int         `toml:"dest"`     // for this destination; -1: any
-	SameKey bool        `toml:"same_key"` // all with one ordering key
-	Tenant  string      `toml:"tenant"`
+	At      config.Duration `toml:"at"`
+	Count   int             `toml:"count"`
+	Dest    int             `toml:"dest"`     // for this destination; -1: any
+	SameKey bool            `toml:"same_key"` // all with one ordering key
+	Tenant  string          `toml:"tenant"`
 }
 
 // Trouble befalls some targets, forwarders or the list for a time.
 type Trouble struct {
-	Kind   string      `toml:"kind"`
-	At     config.Span `toml:"at"`
-	For    config.Span `toml:"for"`
-	Dest   []int       `toml:"dest"` // destinations; empty: by partner, else all
-	Part   string      `toml:"partner"`
-	Target []int       `toml:"target"` // of each of these; empty: all
-	Zone   int         `toml:"zone"`   // only targets of this zone, if above 0: its number plus one
-	Share  float64     `toml:"share"`  // of calls, of the limit, or of forwarders
-	By     float64     `toml:"by"`     // slow: times
-	Every  int         `toml:"every"`  // gray: one of so many calls
-	Odd    bool        `toml:"odd_forwarders"`
-	Tenant string      `toml:"tenant"`
+	Kind   string          `toml:"kind"`
+	At     config.Duration `toml:"at"`
+	For    config.Duration `toml:"for"`
+	Dest   []int           `toml:"dest"` // destinations; empty: by partner, else all
+	Part   string          `toml:"partner"`
+	Target []int           `toml:"target"` // of each of these; empty: all
+	Zone   int             `toml:"zone"`   // only targets of this zone, if above 0: its number plus one
+	Share  float64         `toml:"share"`  // of calls, of the limit, or of forwarders
+	By     float64         `toml:"by"`     // slow: times
+	Every  int             `toml:"every"`  // gray: one of so many calls
+	Odd    bool            `toml:"odd_forwarders"`
+	Tenant string          `toml:"tenant"`
 }
 
 // Kinds are the troubles there are, each with what befalls.
@@ -210,7 +210,7 @@
 // Check names all that is wrong with a scene.
 func (s *Scene) Check() (wrong config.Problems) {
 	bad := func(field, format string, v ...any) {
-		wrong = append(wrong, config.Problem{Field: field, What: fmt.Sprintf(format, v...)})
+		wrong = append(wrong, config.Problem{Field: field, Reason: fmt.Sprintf(format, v...)})
 	}
 	word := func(field, value string, known ...string) {
 		if !slices.Contains(known, value) {
@@ -226,7 +226,7 @@
 	if s.Zones < 1 || s.Zones > 2 {
 		bad("zones", "%d is not 1 or 2", s.Zones)
 	}
-	if d := s.Dispatch; d.Forwarders < 1 || d.Forwarders > 10_000 || d.Slots < 1 || d.Room < 1 || d.Transmissions < 1 {
+	if d := s.Dispatch; d.Forwarders < 1 || d.Forwarders > 10_000 || d.ConcurrencyLimit < 1 || d.QueueCapacity < 1 || d.MaxAttempts < 1 {
 		bad("dispatch", "forwarders, slots, room and transmissions are 1 at least")
 	}
 	if len(s.Types) == 0 {
@@ -329,9 +329,9 @@
 // Settings are what the module is told: the same for every forwarder but for its zone.
 func (s *Scene) Terms(forwarder int) scheduler.Settings {
 	d := &s.Dispatch
-	t := scheduler.Settings{Forwarders: d.Forwarders, ConcurrencyLimit: d.Slots, QueueCapacity: d.Room, MaxAttempts: d.Transmissions, Zone: forwarder % s.Zones,
-		KeyCooldown: float64(d.KeyRest), SlowStartShare: d.ColdFrom, SlowStartDuration: float64(d.ColdFor), OverloadMultiple: d.FallMultiple,
-		IdleTimeout: float64(d.IdleLife), MaxRetryAfter: float64(d.ComeBack), ListedRateTolerance: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
+	t := scheduler.Settings{Forwarders: d.Forwarders, ConcurrencyLimit: d.ConcurrencyLimit, QueueCapacity: d.QueueCapacity, MaxAttempts: d.MaxAttempts, Zone: forwarder % s.Zones,
+		KeyCooldown: float64(d.KeyCooldown), SlowStartShare: d.SlowStartShare, SlowStartDuration: float64(d.SlowStartDuration), OverloadMultiple: d.OverloadMultiple,
+		IdleTimeout: float64(d.IdleTimeout), MaxRetryAfter: float64(d.MaxRetryAfter), ListedRateTolerance: map[string]float64{"exact": 1, "rough": 1.5}[d.ListedRates]}
 	for _, p := range s.Partners {
 		t.KindBatchSize, t.KindEndpointLimits = append(t.KindBatchSize, p.Batch), append(t.KindEndpointLimits, p.Apart)
 	}
@@ -350,6 +350,6 @@
 func (s *Scene) Model(p *Partner) receiver.Terms {
 	return receiver.Terms{Service: receiver.Dist{Form: p.Service, Mean: float64(p.Mean), Wide: p.Wide}, Places: p.Places, Queue: p.Queue,
 		Rate: p.Rate, Burst: p.Burst, Count: p.Calls, Span: float64(p.Window), Apart: p.Apart, Tells: p.Tells, Shows: p.Shows,
-		ColdFrom: s.Dispatch.ColdFrom, ColdFor: float64(s.Dispatch.ColdFor), Fall: s.Dispatch.FallMultiple,
+		ColdFrom: s.Dispatch.SlowStartShare, ColdFor: float64(s.Dispatch.SlowStartDuration), Fall: s.Dispatch.OverloadMultiple,
 		FallSpan: float64(p.FallSpan), FallFor: float64(p.FallsFor)}
 }
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -265,7 +265,7 @@
 	n.out = append(n.out, c)
 	rest := float64(d.scene.Rest)
 	way, dead := 3*rest, false // a new connection takes a way there and back before the call
-	life := float64(d.scene.Dispatch.IdleLife)
+	life := float64(d.scene.Dispatch.IdleTimeout)
 	if p, ok := n.policy.(*plain); ok && p.seer { // it knows which connections are dead: a new one each time
 		t.idle = nil
 	}
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -62,7 +62,7 @@
 	defer cancel()
 	d := &realDay{Real: r, epoch: time.Now(), scene: s, result: newResult(s, seed), effects: map[uint64]*effect{}, from: map[uint64]int{}, heard: map[uint64]bool{}, tails: map[uint64]chan struct{}{},
 		dice: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Target]*endpoint{}, ctx: ctx}
-	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyRest))
+	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyCooldown))
 	d.log.Slack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
 	partners := rand.New(rand.NewPCG(seed, 3))
 	var list []emulator.Entry
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -83,10 +83,10 @@
 	}
 	d := &s.Dispatch
 	return map[string]any{"Classes": classes, "Tenants": tenants, "Kinds": kinds, "Azs": zones, "MyZone": n % s.Zones, "NInstances": d.Forwarders,
-		"Extra":      map[string]any{"CallsOut": d.Slots, "KindBatch": batch, "SeparateRoutes": apart},
-		"Guarantees": map[string]any{"Cold": ms(float64(d.ColdFor)), "ColdFrom": d.ColdFrom, "FallMultiple": d.FallMultiple, "KeyRest": ms(float64(d.KeyRest))},
-		"Limits": map[string]any{"AttemptsCap": d.Transmissions, "MaxOpen": d.Room, "RetryAfter": d.ComeBack > 0, "MaxRetryAfter": ms(float64(d.ComeBack)),
-			"ConnIdle": ms(float64(d.IdleLife)), "ConnectTimeout": ms(float64(d.Connect))},
+		"Extra":      map[string]any{"CallsOut": d.ConcurrencyLimit, "KindBatch": batch, "SeparateRoutes": apart},
+		"Guarantees": map[string]any{"Cold": ms(float64(d.SlowStartDuration)), "ColdFrom": d.SlowStartShare, "FallMultiple": d.OverloadMultiple, "KeyRest": ms(float64(d.KeyCooldown))},
+		"Limits": map[string]any{"AttemptsCap": d.MaxAttempts, "MaxOpen": d.QueueCapacity, "RetryAfter": d.MaxRetryAfter > 0, "MaxRetryAfter": ms(float64(d.MaxRetryAfter)),
+			"ConnIdle": ms(float64(d.IdleTimeout)), "ConnectTimeout": ms(float64(d.Connect))},
 		"Report": map[string]any{"Fields": []string{"x0", "x1"}}, "Discovery": "ask", "WeightKind": map[string]string{"exact": "nominal", "rough": "rough"}[d.ListedRates]}
 }
 
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -97,7 +97,7 @@
 	d := &day{scene: s, make: make, dice: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, handed: map[uint64]*handing{}}
 	d.Set(begins)
 	d.result = newResult(s, seed)
-	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyRest))
+	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyCooldown))
 	partners := rand.New(rand.NewPCG(seed, 3))
 	for g := range s.Partners {
 		p := &s.Partners[g]
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -130,7 +130,7 @@
 	s := *base
 	s.Length, s.Drain, s.Zones = 20, 20, 1+dice.IntN(2)
 	s.Dispatch.Forwarders = 1 + dice.IntN(4)
-	s.Dispatch.Slots = 4 + dice.IntN(20)
+	s.Dispatch.ConcurrencyLimit = 4 + dice.IntN(20)
 	s.Load.PerSecond = 5 + 60*dice.Float64()
 	s.Partners = append([]scenario.Partner(nil), base.Partners...)
 	for i := range s.Partners {
@@ -143,7 +143,7 @@
 	kinds := []string{"refuse", "hang", "silent", "slow", "err", "reset", "lose", "spoil", "reap", "cut", "drain", "stall", "restart", "move"}
 	s.Troubles = nil
 	for range dice.IntN(4) {
-		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: config.Span(4 + 8*dice.Float64()), For: config.Span(1 + 7*dice.Float64()),
+		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: config.Duration(4 + 8*dice.Float64()), For: config.Duration(1 + 7*dice.Float64()),
 			Dest: []int{dice.IntN(8)}, Share: 0.2 + 0.6*dice.Float64(), By: 3})
 	}
 	return &s
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -16,7 +16,7 @@
 // A forwarder that is killed shortly before, at the beginning of, within or at the end of a standstill loses no end of a
 // call: its slots are free again and every message is answered.
 func TestNoEndOfACallIsLostWhenAStandstillMeetsARestart(t *testing.T) {
-	for _, killedAt := range []config.Span{9.3, 9.5, 9.9, 10, 12, 19, 19.9, 20} {
+	for _, killedAt := range []config.Duration{9.3, 9.5, 9.9, 10, 12, 19, 19.9, 20} {
 		for seed := range uint64(5) {
 			s := standstill(t)
 			for i := range s.Troubles {
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -121,7 +121,7 @@
 	Stop() // ends all
 }
 
-// Call is one call to a target with one paper or several.
+// Request is one call to a target with one paper or several.
 type Call struct {
 	EndpointID uint64 // the owner's number of the target: connections are its own, also where another had its address
 	Address    string // its address
