--- a/cmd/spanflow/edge_test.go
+++ b/cmd/spanflow/edge_test.go
@@ -18,7 +18,7 @@
 	for n := 0; said != "+OK"; n++ { // all that is left of its time when it comes is its last moments
 		id = fmt.Sprint("late", n)
 		var err error
-		said, err = c.Say(emulator.Command("MSG.PUT", zero, id, "c=status,d=95,dest=7", "b"))
+		said, err = c.Send(emulator.Command("MSG.PUT", zero, id, "c=status,d=95,dest=7", "b"))
 		require.NoError(t, err)
 	}
 	for s.call().ID != id { // its answer is 200 at once
--- a/cmd/spanflow/main_test.go
+++ b/cmd/spanflow/main_test.go
@@ -56,7 +56,7 @@
 type stage struct {
 	t         *testing.T
 	discovery *emulator.Discovery
-	target    *emulator.Target
+	target    *emulator.Endpoint
 	folder    string
 	file      string
 	listen    string
@@ -78,10 +78,10 @@
 func newStage(t *testing.T, kind string) *stage {
 	s := &stage{t: t, folder: t.TempDir(), room: 100, diskMB: 3, sockets: 256}
 	var err error
-	s.target, err = emulator.NewTarget("", nil)
+	s.target, err = emulator.NewEndpoint("", nil)
 	require.NoError(t, err)
-	s.discovery, err = emulator.NewDiscovery("", emulator.Entry{UID: "s1", Endpoint: s.target.Addr, Zone: "a", Kind: kind, Dest: 7, State: "active"},
-		emulator.Entry{UID: "s0", Endpoint: "127.0.0.1:9", Zone: "a", Kind: kind, Dest: 9, State: "leaving"})
+	s.discovery, err = emulator.NewDiscovery("", emulator.Entry{UID: "s1", Endpoint: s.target.Addr, Zone: "a", Kind: kind, Destination: 7, State: "active"},
+		emulator.Entry{UID: "s0", Endpoint: "127.0.0.1:9", Zone: "a", Kind: kind, Destination: 9, State: "leaving"})
 	require.NoError(t, err)
 	return s
 }
@@ -122,7 +122,7 @@
 
 func (s *stage) say(c *emulator.Client, raw, want string) {
 	s.t.Helper()
-	got, err := c.Say(raw)
+	got, err := c.Send(raw)
 	require.NoError(s.t, err)
 	require.Equal(s.t, want, got)
 }
@@ -166,9 +166,9 @@
 	c := s.start()
 	body := "any\x00bytes\r\n\xff" + strings.Repeat("x", 60<<10)
 	s.say(c, emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", body), "+OK")
-	require.Equal(t, emulator.Call{Target: s.target.Addr, ID: "d1", IDs: []string{"d1"}, Body: body, Path: "/hook"}, s.call())
+	require.Equal(t, emulator.Call{Endpoint: s.target.Addr, ID: "d1", IDs: []string{"d1"}, Body: body, Path: "/hook"}, s.call())
 	s.put(c, "5", "d2", "c=ticket,d=8000,dest=7,k=m2,r=1,again=1", "+OK")
-	require.Equal(t, "m2", s.call().Mark)
+	require.Equal(t, "m2", s.call().IdempotencyKey)
 }
 
 func TestCommandsMayComeInPiecesOrSeveralAtOnce(t *testing.T) {
@@ -179,7 +179,7 @@
 	s.say(s.client(), emulator.Command("PING"), "+PONG") // the piece has been read by now
 	s.say(c, raw[20:]+emulator.Command("PING")+emulator.Command("NONSENSE"), "+OK")
 	for _, want := range []string{"+PONG", "-ERR unknown command"} {
-		got, err := c.Hear()
+		got, err := c.ReadReply()
 		require.NoError(t, err)
 		require.Equal(t, want, got)
 	}
@@ -249,11 +249,11 @@
 	s.put(c, zero, "d2", "c=status,d=8000,dest=7", "+OK")
 	began := time.Now()
 	for i, q := range silent {
-		said, err := q.Hear()
+		said, err := q.ReadReply()
 		if i == 149 {
 			require.Equal(t, "-ERR the command did not go on in time", said)
 			require.Less(t, time.Since(began), 3*time.Second)
-			_, err = q.Hear()
+			_, err = q.ReadReply()
 		}
 		require.Error(t, err)
 	}
@@ -263,7 +263,7 @@
 	s := newStage(t, "single")
 	hold := make(chan struct{})
 	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
-	s.discovery.Deaf(true)
+	s.discovery.SetUnresponsive(true)
 	c := s.start()
 	s.put(c, zero, "out", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "out", s.call().ID)
@@ -275,7 +275,7 @@
 		require.NoError(t, os.WriteFile(s.file, []byte(bad), 0o600))
 		s.again("order not taken up")
 	}
-	second, err := emulator.NewDiscovery("", emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	second, err := emulator.NewDiscovery("", emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(s.file, []byte(strings.Replace(string(text), s.discovery.Addr, second.Addr, 1)), 0o600))
 	s.again("order taken up")
@@ -324,12 +324,12 @@
 func TestWhatIsNotDeliveredEndsByANoticeSentUntilItIsAnswered(t *testing.T) {
 	s := newStage(t, "single")
 	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Break: true} })
-	s.discovery.Deaf(true)
+	s.discovery.SetUnresponsive(true)
 	c := s.start()
 	s.put(c, zero, "p1", "c=payment,d=8000,dest=7", "+OK") // it may have run and must not run twice
 	s.call()
 	s.await("notices not answered")
-	s.discovery.Deaf(false)
+	s.discovery.SetUnresponsive(false)
 	require.Equal(t, emulator.Notice{ID: "p1", State: "failed"}, s.notice())
 	s.put(c, zero, "s1", "c=status,d=300,dest=9", "+OK") // a destination whose only target is leaving
 	n := s.notice()
@@ -369,7 +369,7 @@
 	for range 40 {
 		last = s.client()
 	}
-	_, err := first.Hear()
+	_, err := first.ReadReply()
 	require.Error(t, err)
 	s.put(last, zero, "d1", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "d1", s.call().ID)
@@ -416,13 +416,13 @@
 func TestAnAnswerThatWasNotHeardIsToldAgainByTheNextProcess(t *testing.T) {
 	s := newStage(t, "single")
 	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Break: true} })
-	s.discovery.Deaf(true)
+	s.discovery.SetUnresponsive(true)
 	c := s.start()
 	s.put(c, zero, "p1", "c=payment,d=20000,dest=7", "+OK")
 	s.call()
 	s.await("notices not answered")
 	s.kill()
-	s.discovery.Deaf(false)
+	s.discovery.SetUnresponsive(false)
 	s.start()
 	require.Equal(t, emulator.Notice{ID: "p1", State: "failed"}, s.notice())
 	require.Empty(t, s.target.Calls)
@@ -442,11 +442,11 @@
 	s.put(s.client(), zero, "later", "c=status,d=20000,dest=7", "+OK")
 	close(hold)
 	require.ElementsMatch(t, []string{"late", "later"}, []string{s.call().ID, s.call().ID})
-	_, err := c.Hear()
+	_, err := c.ReadReply()
 	require.Error(t, err, "the client is to go elsewhere")
 	require.NoError(t, <-s.ended)
 	require.True(t, s.log.Has(`"owed":1`), s.log.String())
-	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
 	s.start()
 	require.Equal(t, "far", s.call().ID)
 }
@@ -464,7 +464,7 @@
 	s.stop()
 	s.moved = []string{`"NInstances":1`, `"NInstances":218`, `"CallsOut":8`, `"CallsOut":3,"Decay":"halves"`,
 		`"WeightKind":"silent"`, `"WeightKind":"nominal"`, `"RetryAfter":true`, `"RetryAfter":false,"SecondCopies":true`}
-	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
 	c = s.start()
 	s.await("learnt figures taken up")
 	began := time.Now()
@@ -483,7 +483,7 @@
 	s := newStage(t, "single")
 	c := s.start()
 	s.put(c, zero, "d1", "c=status,d=20000,dest=9", "+OK")
-	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
 	require.Equal(t, "d1", s.call().ID)
 }
 
@@ -571,7 +571,7 @@
 	s := newStage(t, "several")
 	w := &witness{dice: rand.New(rand.NewPCG(3, 4)), over: map[string]bool{}, mayRun: map[string]bool{}}
 	s.target.Do(w.call)
-	s.discovery.Hear = func(n emulator.Notice) {
+	s.discovery.OnNotice = func(n emulator.Notice) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.over[n.ID] = true
--- a/cmd/spanflow/restart_test.go
+++ b/cmd/spanflow/restart_test.go
@@ -49,7 +49,7 @@
 	s.put(c, zero, "untried", "c=status,d=20000,dest=9", "+OK") // it has no target yet
 	require.NoError(t, <-s.ended)
 	require.True(t, strings.Contains(s.log.String(), `"owed":`))
-	s.discovery.Set(emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: 9, State: "active"})
+	s.discovery.Set(emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
 	s.target.Do(nil)
 	s.start()
 	for s.call().ID != "untried" {
--- a/cmd/spanflow/stall_test.go
+++ b/cmd/spanflow/stall_test.go
@@ -66,10 +66,10 @@
 	s.moved = []string{`"CallsOut":8`, `"CallsOut":4`}
 	destinations := []int{7, 10, 11, 12}
 	for _, dest := range destinations[1:] {
-		s.discovery.Set(emulator.Entry{UID: fmt.Sprint("s", dest), Endpoint: s.target.Addr, Zone: "a", Kind: "single", Dest: dest, State: "active"})
+		s.discovery.Set(emulator.Entry{UID: fmt.Sprint("s", dest), Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: dest, State: "active"})
 	}
 	r := &records{calls: map[string]int{}, notices: map[string][]string{}}
-	s.discovery.Hear = r.noticed
+	s.discovery.OnNotice = r.noticed
 	hold := make(chan struct{})
 	held := func(call emulator.Call) emulator.Reply {
 		r.called(call)
@@ -114,7 +114,7 @@
 	require.True(t, stopped(t, process.Pid))
 	require.NoError(t, process.Signal(syscall.SIGCONT))
 
-	answer, err := c.Hear()
+	answer, err := c.ReadReply()
 	require.NoError(t, err)
 	require.Equal(t, "+OK", answer)
 	all := slices.Concat([]string{"meanwhile"}, out, outExpiring, waiting, expiring)
--- a/cmd/spanflowctl/backlog_cases_test.go
+++ b/cmd/spanflowctl/backlog_cases_test.go
@@ -64,7 +64,7 @@
 					}
 				}
 				var err error
-				if answer, err = c.Say(m.command()); err != nil { // it may have been taken on: not handed in again
+				if answer, err = c.Send(m.command()); err != nil { // it may have been taken on: not handed in again
 					c.Close()
 					c = nil
 					break
--- a/cmd/spanflowctl/backlog_scene_test.go
+++ b/cmd/spanflowctl/backlog_scene_test.go
@@ -78,7 +78,7 @@
 	listen  string
 	ledger  string // its space
 	ear     *emulator.Discovery
-	targets []*emulator.Target // of destinations 1, 2, ..., or all of destination 1
+	targets []*emulator.Endpoint // of destinations 1, 2, ..., or all of destination 1
 	cmd     *exec.Cmd
 	log     *emulator.Log
 	ended   chan error
@@ -93,10 +93,10 @@
 	var err error
 	s.ear, err = emulator.NewDiscovery("")
 	require.NoError(t, err)
-	s.ear.Hear = s.record.notice
+	s.ear.OnNotice = s.record.notice
 	go drop(s.ear.Notices)
 	for range destinations {
-		target, err := emulator.NewTarget("", s.record.deliver)
+		target, err := emulator.NewEndpoint("", s.record.deliver)
 		require.NoError(t, err)
 		go drop(target.Calls)
 		s.targets = append(s.targets, target)
@@ -196,7 +196,7 @@
 // put hands a message in over a connection and notes it as taken if it is.
 func (s *scene) put(c *emulator.Client, m message) string {
 	s.t.Helper()
-	answer, err := c.Say(m.command())
+	answer, err := c.Send(m.command())
 	require.NoError(s.t, err)
 	if answer == "+OK" {
 		s.record.taken(m)
@@ -216,7 +216,7 @@
 		}
 	}()
 	for _, m := range all {
-		answer, err := c.Hear()
+		answer, err := c.ReadReply()
 		require.NoError(s.t, err)
 		require.Equal(s.t, "+OK", answer, m.id())
 		s.record.taken(m)
--- a/cmd/spanflowctl/main_test.go
+++ b/cmd/spanflowctl/main_test.go
@@ -81,7 +81,7 @@
 	file   string
 	listen string
 	ear    *emulator.Discovery
-	target *emulator.Target
+	target *emulator.Endpoint
 	cmd    *exec.Cmd
 	log    *emulator.Log
 	ended  chan error
@@ -104,7 +104,7 @@
 	var err error
 	s.ear, err = emulator.NewDiscovery("")
 	require.NoError(t, err)
-	s.target, err = emulator.NewTarget("", nil)
+	s.target, err = emulator.NewEndpoint("", nil)
 	require.NoError(t, err)
 	s.write("")
 	return s
@@ -193,7 +193,7 @@
 
 func TestSIGHUPTakesUpWhatMayChangeAndNothingOfWhatIsWrong(t *testing.T) {
 	s := newStage(t).start()
-	other, err := emulator.NewTarget("", nil)
+	other, err := emulator.NewEndpoint("", nil)
 	require.NoError(t, err)
 	extra := fmt.Sprintf("[[targets]]\nuid = \"t2\"\naddress = %q\ndest = 8\n", other.Addr)
 	s.write(extra + "zone = \"z\"\n")
--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -48,11 +48,11 @@
 	if err != nil {
 		return err
 	}
-	takes, err := emulator.NewTarget(good, nil)
+	takes, err := emulator.NewEndpoint(good, nil)
 	if err != nil {
 		return err
 	}
-	away, err := emulator.NewTarget(shut, func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
+	away, err := emulator.NewEndpoint(shut, func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
 	if err != nil {
 		return err
 	}
--- a/forwarder/backlog_faults_test.go
+++ b/forwarder/backlog_faults_test.go
@@ -65,7 +65,7 @@
 	r := newBacklogRig(t)
 	r.life = 8 * time.Second
 	r.targets[0].Do(failing)
-	r.discovery.Deaf(true)
+	r.discovery.SetUnresponsive(true)
 	r.start()
 	begun := time.Now()
 	r.fill(0, 0, count)
@@ -75,7 +75,7 @@
 		require.Equal(t, "+OK", r.put(1, 101, 10_000+number))
 	}
 	require.Eventually(t, func() bool { return r.delivered() == 20 }, 3*time.Second, time.Millisecond)
-	r.discovery.Deaf(false)
+	r.discovery.SetUnresponsive(false)
 	answered := map[string]bool{}
 	for len(answered) < count {
 		select {
@@ -95,7 +95,7 @@
 	r.life = 6 * time.Second
 	r.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 1800, 1800 }
 	r.targets[0].Do(failing)
-	r.discovery.Deaf(true)
+	r.discovery.SetUnresponsive(true)
 	r.start()
 	r.fill(0, 0, count)
 	time.Sleep(r.life)
--- a/forwarder/backlog_keys_test.go
+++ b/forwarder/backlog_keys_test.go
@@ -82,7 +82,7 @@
 func TestAMessageIsNotStoredBeforeALaterOneOfItsKeyBehindAnAnsweredOne(t *testing.T) {
 	const key, first, expiring, second, count = 50, 12, 13, 14, 19
 	r := newBacklogRig(t)
-	r.discovery.Deaf(true)
+	r.discovery.SetUnresponsive(true)
 	gate := make(chan struct{})
 	r.targets[0].Do(func(c emulator.Call) emulator.Reply {
 		<-gate
@@ -109,7 +109,7 @@
 	require.Eventually(t, func() bool { return len(r.storedIDs(0)) > 0 }, 20*time.Second, time.Millisecond)
 	time.Sleep(200 * time.Millisecond) // what is not stored then is held back
 	require.Equal(t, []string{messageID(15), messageID(16), messageID(17), messageID(18)}, r.storedIDs(0))
-	r.discovery.Deaf(false)
+	r.discovery.SetUnresponsive(false)
 	r.targets[0].Do(r.serve)
 	require.Eventually(t, func() bool { return r.delivered() == count-1 }, time.Minute, time.Millisecond)
 	order := r.delivery()
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -28,7 +28,7 @@
 type backlogRig struct {
 	t         *testing.T
 	discovery *emulator.Discovery
-	targets   [2]*emulator.Target
+	targets   [2]*emulator.Endpoint
 	state     string
 	store     string
 	life      time.Duration
@@ -46,14 +46,14 @@
 	r := &backlogRig{t: t, state: t.TempDir(), store: filepath.Join(t.TempDir(), "backlog"), life: 5 * time.Minute, calls: map[string]int{}}
 	var list []emulator.Entry
 	for i := range r.targets {
-		target, err := emulator.NewTarget("", r.serve)
+		target, err := emulator.NewEndpoint("", r.serve)
 		require.NoError(t, err)
 		go func() {
 			for range target.Calls {
 			}
 		}()
 		r.targets[i] = target
-		list = append(list, emulator.Entry{UID: fmt.Sprint("t", i), Endpoint: target.Addr, Zone: "a", Kind: "k", Dest: i, State: "active"})
+		list = append(list, emulator.Entry{UID: fmt.Sprint("t", i), Endpoint: target.Addr, Zone: "a", Kind: "k", Destination: i, State: "active"})
 	}
 	var err error
 	r.discovery, err = emulator.NewDiscovery("", list...)
--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -33,7 +33,7 @@
 	delivered := make(chan struct{}, 4096)
 	var list []emulator.Entry
 	for dest := range 8 {
-		list = append(list, emulator.Entry{UID: fmt.Sprint("t", dest), Endpoint: target(b, delivered), Zone: "a", Kind: "k", Dest: dest, State: "active"})
+		list = append(list, emulator.Entry{UID: fmt.Sprint("t", dest), Endpoint: target(b, delivered), Zone: "a", Kind: "k", Destination: dest, State: "active"})
 	}
 	d, err := emulator.NewDiscovery("", list...)
 	require.NoError(b, err)
--- a/forwarder/follow_test.go
+++ b/forwarder/follow_test.go
@@ -15,7 +15,7 @@
 
 // A follower tells each version once it is in force, also the one that it knew, once discovery has confirmed it.
 func TestAFollowerTellsWhatIsInForce(t *testing.T) {
-	entry := emulator.Entry{UID: "t1", Endpoint: "127.0.0.1:1", Zone: "a", Kind: "k", Dest: 1, State: "active"}
+	entry := emulator.Entry{UID: "t1", Endpoint: "127.0.0.1:1", Zone: "a", Kind: "k", Destination: 1, State: "active"}
 	discovery, err := emulator.NewDiscovery("", entry)
 	require.NoError(t, err)
 	order, err := forwarder.ReadConfig(fmt.Appendf(nil, benchOrder, discovery.Addr, t.TempDir(), discovery.Known()),
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -66,7 +66,7 @@
 	for most, want := range map[float64]int{0: 0, 2: 1000} {
 		h := newHouse(t)
 		h.order.Scheduler.MaxRetryAfter = most
-		silent, err := emulator.NewTarget("", func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: make(chan struct{})} })
+		silent, err := emulator.NewEndpoint("", func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: make(chan struct{})} })
 		require.NoError(t, err)
 		h.order.StaticEndpoints, h.order.Discovery = nil, silent.Addr // it never tells its list
 		h.start()
--- a/forwarder/transcript_test.go
+++ b/forwarder/transcript_test.go
@@ -93,7 +93,7 @@
 func (w *wires) asks(what string, args ...string) {
 	w.t.Helper()
 	raw := transcript.Command(args...)
-	answer, err := w.client.Say(raw)
+	answer, err := w.client.Send(raw)
 	require.NoError(w.t, err)
 	w.script.Note("%s", what)
 	w.script.Bytes("client", []byte(raw))
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -235,7 +235,7 @@
 	}()
 	c := h.client()
 	for i := range 200 {
-		answer, err := c.Say(emulator.Command("PING"))
+		answer, err := c.Send(emulator.Command("PING"))
 		require.NoError(t, err)
 		require.Equal(t, "+PONG", answer)
 		in := h.fronts["inner"].hand(transport.Submission{ID: fmt.Sprint(i), Type: "status", Destination: 7})
@@ -282,7 +282,7 @@
 		h.log.Await(t, says)
 	}
 	reload(taken.Addr().String(), "order not taken up") // an address that cannot be had changes nothing
-	answer, err := c.Say(emulator.Command("PING"))
+	answer, err := c.Send(emulator.Command("PING"))
 	require.True(t, err == nil && answer == "+PONG", answer)
 	addr := free(t)
 	reload(addr, "order taken up")
@@ -291,9 +291,9 @@
 	require.Error(t, err, "nobody listens at the old address")
 	old := h.addr
 	h.addr = addr
-	answer, err = h.client().Say(emulator.Command("PING"))
+	answer, err = h.client().Send(emulator.Command("PING"))
 	require.True(t, err == nil && answer == "+PONG", answer)
-	_, err = c.Hear()
+	_, err = c.ReadReply()
 	require.Error(t, err, "a caller of the old address goes elsewhere once it is answered")
 	h.hands.end(<-h.hands.calls, transport.ResultOK)
 	h.hands.end(<-h.hands.calls, transport.ResultOK)
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -53,13 +53,13 @@
 
 func openRESP(f Frontend, most int, desk transport.Submitter) (transport.Frontend, error) {
 	if f.Listener != nil {
-		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
+		return respserver.OpenOn(f.Listener, most-spareClients, most, respserver.Timeouts{FirstCommand: scheduler.CommandTimeout, Idle: scheduler.ClientIdleTimeout}, desk)
 	}
-	return respserver.Open(f.Listen, most-spareClients, most, respserver.Patience{Silent: scheduler.CommandTimeout, Quiet: scheduler.ClientIdleTimeout}, desk)
+	return respserver.Open(f.Listen, most-spareClients, most, respserver.Timeouts{FirstCommand: scheduler.CommandTimeout, Idle: scheduler.ClientIdleTimeout}, desk)
 }
 
 func newHTTP(d *dial.Dialer, t UpstreamSettings, counter transport.ResultListener) transport.Upstream {
-	return upstream.New(d, counter, upstream.Terms{Connect: t.Connect, KeepIdle: t.KeepIdle, Limit: t.ReportedLimitField, Left: t.ReportedShareField})
+	return upstream.New(d, counter, upstream.Settings{Connect: t.Connect, KeepIdle: t.KeepIdle, LimitField: t.ReportedLimitField, ShareField: t.ReportedShareField})
 }
 
 // FrontendProtocols and UpstreamProtocols name what an order may ask for.
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -14,11 +14,11 @@
 	"github.com/lesismal/nbio"
 )
 
-// ErrNeverUp is the cause of a connection that did not come up in time.
-var ErrNeverUp = errors.New("connection did not come up in time")
+// ErrConnectTimeout is the cause of a connection that did not come up in time.
+var ErrConnectTimeout = errors.New("connection did not come up in time")
 
-// ErrNoRoom is the cause of a connection for which there was no descriptor.
-var ErrNoRoom = errors.New("all descriptors for connections are taken")
+// ErrTooManyConnections is the cause of a connection for which there was no descriptor.
+var ErrTooManyConnections = errors.New("all descriptors for connections are taken")
 
 const (
 	stopWithin = 200 * time.Millisecond
@@ -26,11 +26,11 @@
 	readsATime = 64 // of one line, while others wait
 )
 
-// Watcher hears what becomes of a line. Calls come from the network's goroutines;
-// Down comes exactly once, as the last, unless the owner closed the line itself.
-type Watcher interface {
+// Handler hears what becomes of a line. Calls come from the network's goroutines;
+// Closed comes exactly once, as the last, unless the owner closed the line itself.
+type Handler interface {
 	Data(b []byte)
-	Down(cause error)
+	Closed(cause error)
 }
 
 // Dialer opens lines, at most so many at once.
@@ -47,10 +47,10 @@
 	Received, Sent atomic.Int64 // bytes that the sockets of all its lines have read and taken
 }
 
-// Line is one connection.
-type Line struct {
+// Conn is one connection.
+type Conn struct {
 	dialer  *Dialer
-	watcher Watcher
+	watcher Handler
 	written atomic.Int64 // bytes that the socket took
 	mu      sync.Mutex
 	conn    *nbio.Conn
@@ -70,18 +70,18 @@
 	buffer := make([]byte, readBuffer) // there is one poller
 	d.engine.OnRead(func(c *nbio.Conn) {
 		d.open.Load() // the race detector does not see nbio's locks: this orders what follows behind Dial
-		if l, ok := c.Session().(*Line); ok {
+		if l, ok := c.Session().(*Conn); ok {
 			l.read(c, buffer)
 		}
 	})
 	d.engine.OnWrittenSize(func(c *nbio.Conn, _ []byte, n int) {
-		if l, ok := c.Session().(*Line); ok {
+		if l, ok := c.Session().(*Conn); ok {
 			l.written.Add(int64(n))
 			d.Sent.Add(int64(n))
 		}
 	})
 	d.engine.OnClose(func(c *nbio.Conn, err error) {
-		if l, ok := c.Session().(*Line); ok {
+		if l, ok := c.Session().(*Conn); ok {
 			l.end(err)
 		}
 	})
@@ -101,12 +101,12 @@
 // Overloaded tells that a further line finds no room.
 func (d *Dialer) Full() bool { return d.open.Load() >= d.most }
 
-// Dial begins to open a line. Reason cannot even begin is told by Down like the rest, never from within this call.
+// Dial begins to open a line. Reason cannot even begin is told by Closed like the rest, never from within this call.
 // The connection is made by the standard library and handed to nbio once it is up: nbio's own dialer takes an IPv4
 // address for 0.0.0.0, and does not look whether connecting failed.
-func (d *Dialer) Dial(addr string, within time.Duration, w Watcher) *Line {
+func (d *Dialer) Dial(addr string, within time.Duration, w Handler) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
-	l := &Line{dialer: d, watcher: w, cancel: cancel}
+	l := &Conn{dialer: d, watcher: w, cancel: cancel}
 	n := d.open.Add(1)
 	for peak := d.Peak.Load(); n > peak && !d.Peak.CompareAndSwap(peak, n); peak = d.Peak.Load() {
 	}
@@ -114,10 +114,10 @@
 	return l
 }
 
-func (l *Line) open(ctx context.Context, addr string, room bool) {
+func (l *Conn) open(ctx context.Context, addr string, room bool) {
 	defer l.cancel()
 	if !room {
-		l.end(ErrNoRoom)
+		l.end(ErrTooManyConnections)
 		return
 	}
 	connect := l.dialer.Connect
@@ -130,7 +130,7 @@
 	if err == nil {
 		err = l.connected(std)
 	} else if ctx.Err() != nil || errors.Is(err, syscall.ETIMEDOUT) {
-		err = ErrNeverUp
+		err = ErrConnectTimeout
 	}
 	if err != nil {
 		l.end(err)
@@ -138,7 +138,7 @@
 }
 
 // read takes what the socket has and tells it.
-func (l *Line) read(c *nbio.Conn, buffer []byte) {
+func (l *Conn) read(c *nbio.Conn, buffer []byte) {
 	for i, n := 0, len(buffer); i < readsATime && n == len(buffer) && l.alive(); i++ {
 		var err error
 		l.reading.Lock()
@@ -154,7 +154,7 @@
 		if n > 0 && l.alive() {
 			l.watcher.Data(buffer[:n])
 		}
-		l.Heard() // also by a watcher that never asks
+		l.HasReceived() // also by a watcher that never asks
 		if err != nil && !errors.Is(err, syscall.EAGAIN) {
 			c.CloseWithError(err)
 			return
@@ -162,21 +162,21 @@
 	}
 }
 
-// Heard says that the watcher has what was read. One that asks Idle under a lock of its own says so under it.
-func (l *Line) Heard() {
+// HasReceived says that the watcher has what was read. One that asks Idle under a lock of its own says so under it.
+func (l *Conn) HasReceived() {
 	l.reading.Lock()
 	l.unheard = false
 	l.reading.Unlock()
 }
 
-func (l *Line) alive() bool {
+func (l *Conn) alive() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.over
 }
 
 // connected hands the connection to nbio and sends what was written before.
-func (l *Line) connected(std net.Conn) error {
+func (l *Conn) connected(std net.Conn) error {
 	c, err := nbio.NBConn(std)
 	if err != nil {
 		std.Close()
@@ -200,7 +200,7 @@
 }
 
 // Write sends b, at once or when the line is up. The line keeps no part of b but copies what it must.
-func (l *Line) Write(b []byte) {
+func (l *Conn) Write(b []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.wanted += int64(len(b))
@@ -216,7 +216,7 @@
 // Idle tells that the line is up and nothing has come on it that was not told yet. It may be called only while
 // nothing is expected: what has come is lost. Guards against bytes that were read and wait for the watcher's lock being
 // taken for the answer to a call that is written before the watcher has them.
-func (l *Line) Quiet() bool {
+func (l *Conn) QuietFor() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.over || l.conn == nil {
@@ -233,7 +233,7 @@
 
 // ResultBadRequest reads what has come on the line and was not told yet, for a watcher that is about to end the line. It returns 0 if
 // nothing has come. pending says that something was read before and is on its way to the watcher by Data: nothing is read.
-func (l *Line) Unread(buffer []byte) (n int, pending bool) {
+func (l *Conn) HasUnread(buffer []byte) (n int, pending bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.over || l.conn == nil {
@@ -253,36 +253,36 @@
 
 // Attempts tells if the socket took the last byte of all that was to be written. On a line that stands this may be so a moment
 // later; to act on its not being so, Cut the line.
-func (l *Line) Sent() bool {
+func (l *Conn) Sent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.written.Load() >= l.wanted
 }
 
-// Cut ends the line and tells if the last byte of all that was to be written may have gone. Guards against asking first:
+// Abort ends the line and tells if the last byte of all that was to be written may have gone. Guards against asking first:
 // a line that comes up, or takes what it has kept, between the answer and the end would carry a call that counts as never
 // sent.
-func (l *Line) Cut() (sent bool) {
+func (l *Conn) Abort() (sent bool) {
 	l.shut()
 	return l.Sent()
 }
 
-// BlockUntil ends the line; Down is not called for it.
-func (l *Line) Close() { l.shut() }
+// BlockUntil ends the line; Closed is not called for it.
+func (l *Conn) Close() { l.shut() }
 
-// CloseUnlessUp ends the line if nothing can have been sent on it yet, and tells if it did.
-func (l *Line) CloseUnlessUp() bool { return l.finish(true) }
+// CloseUnlessConnected ends the line if nothing can have been sent on it yet, and tells if it did.
+func (l *Conn) CloseUnlessConnected() bool { return l.finish(true) }
 
 // end reports the line's end, once.
-func (l *Line) end(cause error) {
+func (l *Conn) end(cause error) {
 	if l.shut() {
-		l.watcher.Down(cause)
+		l.watcher.Closed(cause)
 	}
 }
 
-func (l *Line) shut() bool { return l.finish(false) }
+func (l *Conn) shut() bool { return l.finish(false) }
 
-func (l *Line) finish(unlessUp bool) bool {
+func (l *Conn) finish(unlessUp bool) bool {
 	l.mu.Lock()
 	if l.over || unlessUp && l.up {
 		l.mu.Unlock()
@@ -299,8 +299,8 @@
 	return true
 }
 
-// Up tells if the connection ever came up.
-func (l *Line) Up() bool {
+// Connected tells if the connection ever came up.
+func (l *Conn) Connected() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.up
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -17,8 +17,8 @@
 	down chan error
 }
 
-func (h heard) Data(b []byte)    { h.data <- string(b) }
-func (h heard) Down(cause error) { h.down <- cause }
+func (h heard) Data(b []byte)      { h.data <- string(b) }
+func (h heard) Closed(cause error) { h.down <- cause }
 
 func TestALineCarriesBytesBothWaysAndTellsItsEnd(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.3.2.1:0")
@@ -39,7 +39,7 @@
 	require.True(t, l.Sent())
 	c.Close()
 	<-h.down
-	require.True(t, l.Up())
+	require.True(t, l.Connected())
 	require.Zero(t, d.Open())
 }
 
@@ -85,16 +85,16 @@
 	defer c.Close()
 	cut := make(chan bool, 1)
 	l.mu.Lock()
-	go func() { cut <- l.Cut() }()
-	emulator.AwaitAtLock(t, "dial.(*Line).Cut(")
+	go func() { cut <- l.Abort() }()
+	emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
 	close(up)
-	emulator.AwaitAtLock(t, "dial.(*Line).connected(")
+	emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
 	time.Sleep(starvedAfter)
 	l.mu.Unlock()
 	l.mu.Lock() // mostly the cut, which was woken, finds it taken again: from then on the lock is handed on in turn
 	if inOrder = !l.over && !l.up; inOrder {
-		emulator.AwaitAtLock(t, "dial.(*Line).Cut(")
-		emulator.AwaitAtLock(t, "dial.(*Line).connected(")
+		emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
+		emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
 	}
 	l.mu.Unlock()
 	sent := <-cut
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -101,7 +101,7 @@
 // watch is one connection with an open answer.
 type watch struct {
 	dir    *Client
-	line   *dial.Line
+	line   *dial.Conn
 	reader http1.Reader
 	code   int
 	rest   []byte // an unfinished object
@@ -132,7 +132,7 @@
 	d.watch, d.watched = w, true
 	w.line = d.dialer.Dial(d.addr, d.connect, w)
 	path := "/v1/endpoints?stream=1&index=" + strconv.FormatInt(rev, 10)
-	w.line.Write(append(http1.Begin(nil, "GET", path, d.addr), "\r\n"...))
+	w.line.Write(append(http1.AppendRequestLine(nil, "GET", path, d.addr), "\r\n"...))
 	w.await(d.connect + answerIn)
 }
 
@@ -166,7 +166,7 @@
 
 // failed tells how a watch ended that did not fall silent: late if its question waited for an answer and got none.
 func (w *watch) failed(cause error) transport.WatchEnd {
-	if w.told || w.code == 200 || errors.Is(cause, dial.ErrNeverUp) || w.dir.now().Sub(w.asked) < promptly {
+	if w.told || w.code == 200 || errors.Is(cause, dial.ErrConnectTimeout) || w.dir.now().Sub(w.asked) < promptly {
 		return transport.WatchBroken
 	}
 	return transport.WatchTimeout
@@ -183,7 +183,7 @@
 	w.dir.desk.WatchEnded(why, how)
 }
 
-// Data and Down make a watch a dial.Watcher.
+// Data and Closed make a watch a dial.Handler.
 
 func (w *watch) Data(b []byte) {
 	w.dir.mu.Lock()
@@ -200,13 +200,13 @@
 	}
 }
 
-func (w *watch) Down(cause error) {
+func (w *watch) Closed(cause error) {
 	w.dir.mu.Lock()
 	defer w.dir.mu.Unlock()
 	w.ended(fmt.Sprint(cause), w.failed(cause))
 }
 
-// Status, Field and Body make a watch an http1.Handler.
+// Status, AppendField and Body make a watch an http1.Handler.
 
 func (w *watch) Status(code int)          { w.code = code }
 func (w *watch) Field(name, value []byte) {}
@@ -297,7 +297,7 @@
 // report is a connection that carries notices, a call at a time.
 type report struct {
 	dir    *Client
-	line   *dial.Line
+	line   *dial.Conn
 	reader http1.Reader
 	code   int
 	out    []transport.FinalAnswer
@@ -312,7 +312,7 @@
 	}
 	r := d.out
 	if r == nil {
-		r = &report{dir: d, reader: http1.Reader{MostBody: 64 << 10}}
+		r = &report{dir: d, reader: http1.Reader{MaxBody: 64 << 10}}
 		r.line = d.dialer.Dial(d.addr, d.connect, r)
 		d.out = r
 	}
@@ -335,7 +335,7 @@
 		body = append(body, "}\n"...)
 	}
 	r.reader.Reset()
-	r.line.Write(http1.End(http1.Begin(nil, "POST", "/v1/notices", d.addr), body))
+	r.line.Write(http1.AppendBody(http1.AppendRequestLine(nil, "POST", "/v1/notices", d.addr), body))
 	r.turn++
 	turn := r.turn
 	r.timer = d.afterFunc(noticeIn<<min(d.lost, noticeMost), func() { r.silent(turn) })
@@ -384,7 +384,7 @@
 	r.dir.out = nil
 }
 
-// Data and Down make a report a dial.Watcher.
+// Data and Closed make a report a dial.Handler.
 
 func (r *report) Data(b []byte) {
 	d := r.dir
@@ -417,7 +417,7 @@
 	d.mu.Unlock()
 }
 
-func (r *report) Down(cause error) { r.lost(fmt.Sprint(cause)) }
+func (r *report) Closed(cause error) { r.lost(fmt.Sprint(cause)) }
 
 func (r *report) Status(code int)          { r.code = code }
 func (r *report) Field(name, value []byte) {}
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -23,24 +23,24 @@
 
 // Entry is one line of the list.
 type Entry struct {
-	UID      string `json:"uid"`
-	Endpoint string `json:"endpoint"`
-	Zone     string `json:"az"`
-	Kind     string `json:"model"`
-	Dest     int    `json:"pod_group"`
-	State    string `json:"state"`
+	UID         string `json:"uid"`
+	Endpoint    string `json:"endpoint"`
+	Zone        string `json:"az"`
+	Kind        string `json:"model"`
+	Destination int    `json:"pod_group"`
+	State       string `json:"state"`
 }
 
 // Discovery holds the list and takes notices.
 type Discovery struct {
-	Addr    string
-	Notices chan Notice
-	Hear    func(Notice) // if set, called with each notice before it is answered
-	mu      sync.Mutex
-	rev     int
-	list    []Entry
-	changed chan struct{} // closed at the next change
-	deaf    bool          // notices are not answered
+	Addr     string
+	Notices  chan Notice
+	OnNotice func(Notice) // if set, called with each notice before it is answered
+	mu       sync.Mutex
+	rev      int
+	list     []Entry
+	changed  chan struct{} // closed at the next change
+	deaf     bool          // notices are not answered
 }
 
 // NewDiscovery serves at a free port of loopback, or at addr.
@@ -82,8 +82,8 @@
 	d.changed = make(chan struct{})
 }
 
-// Deaf makes discovery leave notices without an answer, or answer them again.
-func (d *Discovery) Deaf(on bool) {
+// SetUnresponsive makes discovery leave notices without an answer, or answer them again.
+func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deaf = on
@@ -137,8 +137,8 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		if d.Hear != nil {
-			d.Hear(n)
+		if d.OnNotice != nil {
+			d.OnNotice(n)
 		}
 		d.Notices <- n
 	}
@@ -147,12 +147,12 @@
 
 // Request is what a target got.
 type Call struct {
-	Target string
-	ID     string // of the first document
-	IDs    []string
-	Mark   string
-	Body   string
-	Path   string
+	Endpoint       string
+	ID             string // of the first document
+	IDs            []string
+	IdempotencyKey string
+	Body           string
+	Path           string
 }
 
 // Reply is what a target does with a call.
@@ -165,34 +165,34 @@
 }
 
 // Address serves calls; Calls has each as it comes.
-type Target struct {
+type Endpoint struct {
 	Addr  string
 	Calls chan Call
 	mu    sync.Mutex
 	how   func(Call) Reply
 }
 
-// NewTarget serves at a free port of loopback, or at addr; how tells what it does, nil for 200.
-func NewTarget(addr string, how func(Call) Reply) (*Target, error) {
-	t := &Target{Calls: make(chan Call, 4096), how: how}
+// NewEndpoint serves at a free port of loopback, or at addr; how tells what it does, nil for 200.
+func NewEndpoint(addr string, how func(Call) Reply) (*Endpoint, error) {
+	t := &Endpoint{Calls: make(chan Call, 4096), how: how}
 	var err error
 	t.Addr, err = serve(addr, t)
 	return t, err
 }
 
 // Do changes what the target does with calls.
-func (t *Target) Do(how func(Call) Reply) {
+func (t *Endpoint) Do(how func(Call) Reply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.how = how
 }
 
-func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (t *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	c := Call{Target: t.Addr, ID: r.Header.Get("X-Txn"), Mark: r.Header.Get("Idempotency-Key"), Body: string(body), Path: r.URL.Path}
+	c := Call{Endpoint: t.Addr, ID: r.Header.Get("X-Txn"), IdempotencyKey: r.Header.Get("Idempotency-Key"), Body: string(body), Path: r.URL.Path}
 	c.IDs = []string{c.ID}
 	if r.URL.Path == "/hook/batch" {
 		var docs []struct{ ID string }
@@ -265,16 +265,16 @@
 	return b.String()
 }
 
-// Say sends bytes as they are and returns the next line of the answer.
-func (c *Client) Say(raw string) (string, error) {
+// Send sends bytes as they are and returns the next line of the answer.
+func (c *Client) Send(raw string) (string, error) {
 	if _, err := io.WriteString(c, raw); err != nil {
 		return "", err
 	}
-	return c.Hear()
+	return c.ReadReply()
 }
 
-// Hear returns the next line of what the forwarder says.
-func (c *Client) Hear() (string, error) {
+// ReadReply returns the next line of what the forwarder says.
+func (c *Client) ReadReply() (string, error) {
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	line, err := c.in.ReadString('\n')
 	return strings.TrimRight(line, "\r\n"), err
@@ -282,5 +282,5 @@
 
 // Put hands a document in.
 func (c *Client) Put(key, id, names, body string) (string, error) {
-	return c.Say(Command("MSG.PUT", key, id, names, body))
+	return c.Send(Command("MSG.PUT", key, id, names, body))
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -15,8 +15,8 @@
 
 // Errors of an answer that cannot be read.
 var (
-	ErrAnswer = errors.New("not an HTTP/1.1 answer")
-	ErrSize   = errors.New("answer over the limit")
+	ErrMalformed = errors.New("not an HTTP/1.1 answer")
+	ErrSize      = errors.New("answer over the limit")
 )
 
 type stage uint8
@@ -42,21 +42,21 @@
 
 // Reader reads one answer after another. Interim answers (1xx) are passed over.
 type Reader struct {
-	MostBody int // bytes of a body; 0: no bound, the handler is to mind it
-	Close    bool
-	at       stage
-	code     int
-	line     []byte // an unfinished line
-	fields   int
-	sized    bool
-	chunked  bool
-	left     int
-	got      int
+	MaxBody int // bytes of a body; 0: no bound, the handler is to mind it
+	Close   bool
+	at      stage
+	code    int
+	line    []byte // an unfinished line
+	fields  int
+	sized   bool
+	chunked bool
+	left    int
+	got     int
 }
 
 // Reset makes the reader ready for the next answer.
 func (r *Reader) Reset() {
-	*r = Reader{MostBody: r.MostBody, line: r.line[:0]}
+	*r = Reader{MaxBody: r.MaxBody, line: r.line[:0]}
 }
 
 // Feed takes what has come and returns how much of it belongs to this answer, and if that is complete.
@@ -73,7 +73,7 @@
 				piece = b[:min(len(b), r.left)]
 				r.left -= len(piece)
 			}
-			if r.got += len(piece); r.MostBody > 0 && r.got > r.MostBody {
+			if r.got += len(piece); r.MaxBody > 0 && r.got > r.MaxBody {
 				return 0, false, ErrSize
 			}
 			if err := h.Body(piece); err != nil {
@@ -107,8 +107,8 @@
 // AttemptEnded tells if the end of the connection completes the answer.
 func (r *Reader) Ended() bool { return r.at == inOpen }
 
-// Begun tells if anything of an answer has come, interim ones aside.
-func (r *Reader) Begun() bool { return r.at != atStatus || len(r.line) > 0 }
+// Started tells if anything of an answer has come, interim ones aside.
+func (r *Reader) Started() bool { return r.at != atStatus || len(r.line) > 0 }
 
 // take returns the next line without its end, nil while it is not complete.
 func (r *Reader) take(b []byte) ([]byte, int, error) {
@@ -152,14 +152,14 @@
 		line = bytes.TrimSpace(line)
 		n, err := strconv.ParseUint(string(line), 16, 31)
 		if err != nil || len(line) > mostNumber {
-			return ErrAnswer
+			return ErrMalformed
 		}
 		if r.left, r.at = int(n), inChunk; n == 0 {
 			r.at = atTrailer
 		}
 	case afterChunk:
 		if len(line) > 0 {
-			return ErrAnswer
+			return ErrMalformed
 		}
 		r.at = atChunk
 	case atTrailer:
@@ -175,11 +175,11 @@
 
 func (r *Reader) status(line []byte, h Handler) error {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return ErrAnswer
+		return ErrMalformed
 	}
 	code, err := strconv.Atoi(string(line[9:12]))
 	if err != nil || code < 100 || code > 999 {
-		return ErrAnswer
+		return ErrMalformed
 	}
 	r.code, r.at, r.Close = code, atFields, line[7] == '0'
 	if code >= 200 {
@@ -194,26 +194,26 @@
 	}
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 {
-		return ErrAnswer
+		return ErrMalformed
 	}
 	name, value := line[:colon], bytes.TrimSpace(line[colon+1:])
 	switch {
-	case Is(name, "content-length"):
+	case HasToken(name, "content-length"):
 		n, err := strconv.ParseUint(string(value), 10, 31)
 		if err != nil || len(value) > mostNumber || r.sized && int(n) != r.left {
-			return ErrAnswer
+			return ErrMalformed
 		}
-		if r.MostBody > 0 && int(n) > r.MostBody {
+		if r.MaxBody > 0 && int(n) > r.MaxBody {
 			return ErrSize
 		}
 		r.left, r.sized = int(n), true
-	case Is(name, "transfer-encoding"):
-		r.chunked = Is(value, "chunked")
+	case HasToken(name, "transfer-encoding"):
+		r.chunked = HasToken(value, "chunked")
 		if !r.chunked {
-			return ErrAnswer
+			return ErrMalformed
 		}
-	case Is(name, "connection"):
-		r.Close = r.Close || Is(value, "close")
+	case HasToken(name, "connection"):
+		r.Close = r.Close || HasToken(value, "close")
 	}
 	if r.code >= 200 {
 		h.Field(name, value)
@@ -239,8 +239,8 @@
 	}
 }
 
-// Is compares a field's name or word without regard to case; word is in small letters.
-func Is(b []byte, word string) bool {
+// HasToken compares a field's name or word without regard to case; word is in small letters.
+func HasToken(b []byte, word string) bool {
 	if len(b) != len(word) {
 		return false
 	}
@@ -255,20 +255,20 @@
 	return true
 }
 
-// Begin starts a request; Name adds fields; End closes the head and adds the body.
-func Begin(b []byte, method, path, host string) []byte {
+// AppendRequestLine starts a request; Name adds fields; End closes the head and adds the body.
+func AppendRequestLine(b []byte, method, path, host string) []byte {
 	b = append(append(append(b, method...), ' '), path...)
-	return Field(append(b, " HTTP/1.1\r\n"...), "Host", host)
+	return AppendField(append(b, " HTTP/1.1\r\n"...), "Host", host)
 }
 
-// Field adds a field to a head.
-func Field(b []byte, name, value string) []byte {
+// AppendField adds a field to a head.
+func AppendField(b []byte, name, value string) []byte {
 	b = append(append(append(b, name...), ": "...), value...)
 	return append(b, "\r\n"...)
 }
 
-// End closes the head and adds the body.
-func End(b []byte, body []byte) []byte {
+// AppendBody closes the head and adds the body.
+func AppendBody(b []byte, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	b = append(b, "\r\n\r\n"...)
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -16,7 +16,7 @@
 
 // read feeds text in pieces of a size until an answer is whole.
 func read(text string, size int) (got string, rest string, whole bool, err error) {
-	r, s := Reader{MostBody: 1000}, &seen{}
+	r, s := Reader{MaxBody: 1000}, &seen{}
 	for len(text) > 0 && !whole && err == nil {
 		n := min(size, len(text))
 		var used int
@@ -47,11 +47,11 @@
 
 func TestNonsenseAndEndlessAnswersAreErrors(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\n"
-	for text, want := range map[string]error{"SSH-2.0\r\n": ErrAnswer, "HTTP/1.1 two hundred\r\n": ErrAnswer,
-		head + "no colon\r\n": ErrAnswer, head + "Content-Length: -1\r\n": ErrAnswer,
-		head + "Content-Length: 3\r\nContent-Length: 4\r\n": ErrAnswer, head + "Transfer-Encoding: gzip\r\n": ErrAnswer,
-		head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n":                ErrAnswer,
-		head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n":            ErrAnswer,
+	for text, want := range map[string]error{"SSH-2.0\r\n": ErrMalformed, "HTTP/1.1 two hundred\r\n": ErrMalformed,
+		head + "no colon\r\n": ErrMalformed, head + "Content-Length: -1\r\n": ErrMalformed,
+		head + "Content-Length: 3\r\nContent-Length: 4\r\n": ErrMalformed, head + "Transfer-Encoding: gzip\r\n": ErrMalformed,
+		head + "Transfer-Encoding: chunked\r\n\r\nxyz\r\n":                ErrMalformed,
+		head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n":            ErrMalformed,
 		head + strings.Repeat("A: b\r\n", 200):                            ErrSize,
 		head + "A: " + strings.Repeat("x", 9000):                          ErrSize,
 		head + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000): ErrSize} {
@@ -68,7 +68,7 @@
 }
 
 func TestARequestIsWritten(t *testing.T) {
-	b := End(Field(Begin(nil, "POST", "/hook", "a:1"), "X-Txn", "d1"), []byte("body"))
+	b := AppendBody(AppendField(AppendRequestLine(nil, "POST", "/hook", "a:1"), "X-Txn", "d1"), []byte("body"))
 	require.Equal(t, "POST /hook HTTP/1.1\r\nHost: a:1\r\nX-Txn: d1\r\nContent-Length: 4\r\n\r\nbody", string(b))
 }
 
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	MostArgs  = 16
-	MostBytes = 64<<10 + 4096 // one command with all its framing
+	MaxArgs   = 16
+	MaxBytes  = 64<<10 + 4096 // one command with all its framing
 	mostDigit = 20
 )
 
@@ -30,7 +30,7 @@
 		r.rest = append(r.rest, data...)
 		data = r.rest
 	}
-	var room [MostArgs][]byte
+	var room [MaxArgs][]byte
 	for len(data) > 0 {
 		args, n, err := command(data, room[:0])
 		if err != nil {
@@ -64,7 +64,7 @@
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
-	if count > MostArgs {
+	if count > MaxArgs {
 		return nil, 0, ErrSize
 	}
 	if count < 1 {
@@ -78,7 +78,7 @@
 		if size < 0 {
 			return nil, 0, ErrFraming
 		}
-		if next+size+2 > MostBytes {
+		if next+size+2 > MaxBytes {
 			return nil, 0, ErrSize
 		}
 		if len(b) < next+size+2 {
@@ -119,14 +119,14 @@
 	return n, at + 1 + end + 1, nil
 }
 
-// Simple and Failure are a simple string and an error as they go over the wire.
-func Simple(text string) []byte  { return []byte("+" + text + "\r\n") }
-func Failure(text string) []byte { return []byte("-" + text + "\r\n") }
+// SimpleString and ErrorReply are a simple string and an error as they go over the wire.
+func SimpleString(text string) []byte { return []byte("+" + text + "\r\n") }
+func ErrorReply(text string) []byte   { return []byte("-" + text + "\r\n") }
 
 // StatusOverloaded is a refusal; ms is when to come again, 0 if that is not told.
-func Busy(ms int) []byte {
+func BusyReply(ms int) []byte {
 	if ms <= 0 {
-		return Failure("BUSY")
+		return ErrorReply("BUSY")
 	}
-	return Failure("BUSY " + strconv.Itoa(ms))
+	return ErrorReply("BUSY " + strconv.Itoa(ms))
 }
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -55,7 +55,7 @@
 }
 
 func TestAnswers(t *testing.T) {
-	require.Equal(t, "+OK\r\n-BUSY\r\n-BUSY 70\r\n", string(Simple("OK"))+string(Busy(0))+string(Busy(70)))
+	require.Equal(t, "+OK\r\n-BUSY\r\n-BUSY 70\r\n", string(SimpleString("OK"))+string(BusyReply(0))+string(BusyReply(70)))
 }
 
 func FuzzFeed(f *testing.F) {
--- a/internal/respserver/accept.go
+++ b/internal/respserver/accept.go
@@ -11,7 +11,7 @@
 // boundedListener is the listener; it turns connections away before nbio knows of them.
 type boundedListener struct {
 	net.Listener
-	intake *Intake
+	intake *Server
 }
 
 func (l boundedListener) Accept() (net.Conn, error) {
@@ -32,7 +32,7 @@
 }
 
 // admits counts a connection that comes and tells if there is room for it.
-func (in *Intake) admits() bool {
+func (in *Server) admits() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.counts.Accepted++
@@ -65,7 +65,7 @@
 }
 
 // opened takes a connection on. Finished the bound it makes room by closing another.
-func (in *Intake) opened(conn *nbio.Conn) {
+func (in *Server) opened(conn *nbio.Conn) {
 	now := time.Now()
 	c := &Client{intake: in, conn: conn, openedAt: now, lastReadAt: now}
 	conn.SetSession(c)
@@ -84,7 +84,7 @@
 
 // closesFirst is the connection to be closed if one more comes: the one first by rank, then the one from which nothing
 // has come for the longest. It is nil below the bound and if all are busy.
-func (in *Intake) closesFirst() *Client {
+func (in *Server) closesFirst() *Client {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	if len(in.clients) < in.softLimit {
@@ -104,7 +104,7 @@
 	return oldest
 }
 
-func (in *Intake) closed(c *Client) {
+func (in *Server) closed(c *Client) {
 	c.gone.Store(true)
 	in.mu.Lock()
 	delete(in.clients, c)
--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -13,7 +13,7 @@
 
 // Client is one connection.
 type Client struct {
-	intake         *Intake
+	intake         *Server
 	conn           *nbio.Conn
 	reading        sync.Mutex // held while something is read: what is closed meanwhile may have been read and never answered
 	reader         resp.Reader
--- a/internal/respserver/crossing_test.go
+++ b/internal/respserver/crossing_test.go
@@ -26,14 +26,14 @@
 
 type scene struct {
 	t     *testing.T
-	in    *Intake
+	in    *Server
 	table table
 }
 
 func newScene(t *testing.T, most int, quiet float64) *scene {
 	s := &scene{t: t, table: make(table, 9)}
 	var err error
-	s.in, err = Open("127.6.0.1:0", most, most+4, Patience{Silent: 60, Quiet: quiet}, s.table)
+	s.in, err = Open("127.6.0.1:0", most, most+4, Timeouts{FirstCommand: 60, Idle: quiet}, s.table)
 	require.NoError(t, err)
 	t.Cleanup(s.in.Stop)
 	return s
@@ -48,7 +48,7 @@
 	require.NoError(s.t, err)
 	from := (<-s.table).From.(*Client)
 	from.Answer(transport.Reply{Status: transport.StatusAlive})
-	line, err := c.Hear()
+	line, err := c.ReadReply()
 	require.NoError(s.t, err)
 	require.Equal(s.t, "+PONG", line)
 	return c, from
@@ -60,7 +60,7 @@
 	a := <-s.table
 	require.True(s.t, a.Ping)
 	require.True(s.t, a.From.Answer(transport.Reply{Status: transport.StatusAlive}))
-	line, err := c.Hear()
+	line, err := c.ReadReply()
 	require.NoError(s.t, err)
 	require.Equal(s.t, "+PONG", line)
 }
@@ -82,7 +82,7 @@
 			from.reading.Lock() // read, and not counted yet
 			_, err := io.WriteString(c, emulator.Command("PING"))
 			require.NoError(t, err)
-			emulator.AwaitAtLock(t, "respserver.(*Intake).read(")
+			emulator.AwaitAtLock(t, "respserver.(*Server).read(")
 			close(s, from)
 			require.False(t, from.gone.Load())
 			from.reading.Unlock()
@@ -115,10 +115,10 @@
 	s.in.Drain()
 	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
-	emulator.AwaitAtLock(t, "respserver.(*Intake).read(") // else the sweep may close it before it has anything to read
+	emulator.AwaitAtLock(t, "respserver.(*Server).read(") // else the sweep may close it before it has anything to read
 	from.reading.Unlock()
 	s.answered(c)
-	_, err = c.Hear()
+	_, err = c.ReadReply()
 	require.ErrorIs(t, err, io.EOF)
 }
 
@@ -129,7 +129,7 @@
 	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
 	from.conn.Close()
-	_, err = c.Hear()
+	_, err = c.ReadReply()
 	// A socket that is closed with something unread resets its connection: it was not read.
 	require.True(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 	require.Empty(t, s.table)
@@ -189,7 +189,7 @@
 	require.True(t, a.Close)
 	require.Contains(t, a.Malformed, resp.ErrSize.Error())
 	a.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: a.Malformed, Close: true})
-	line, err := huge.Hear()
+	line, err := huge.ReadReply()
 	require.NoError(t, err)
 	require.Contains(t, line, "over the limit")
 }
--- a/internal/respserver/intake.go
+++ b/internal/respserver/intake.go
@@ -14,17 +14,17 @@
 	"spanflow/transport"
 )
 
-// Patience is how long connections without an open command are kept, in seconds.
-type Patience struct {
-	Silent float64 // without a whole command, or with one that does not go on
-	Quiet  float64 // between commands
+// Timeouts is how long connections without an open command are kept, in seconds.
+type Timeouts struct {
+	FirstCommand float64 // without a whole command, or with one that does not go on
+	Idle         float64 // between commands
 }
 
-// Intake holds the clients' connections.
-type Intake struct {
+// Server holds the clients' connections.
+type Server struct {
 	engine    *nbio.Engine
 	desk      transport.Submitter
-	patience  Patience
+	patience  Timeouts
 	softLimit int // from here on one without a command, else the longest idle one, is closed for each new one
 	hardLimit int // from here on new ones are turned away unread, so that descriptors do not run out
 	mu        sync.Mutex
@@ -49,20 +49,20 @@
 
 // Open listens at an address. For each connection over softLimit an idle one is closed, if there is one; over
 // hardLimit they are turned away.
-func Open(addr string, softLimit, hardLimit int, patience Patience, desk transport.Submitter) (*Intake, error) {
+func Open(addr string, softLimit, hardLimit int, patience Timeouts, desk transport.Submitter) (*Server, error) {
 	return open(addr, net.Listen, softLimit, hardLimit, patience, desk)
 }
 
 // OpenOn takes connections by a socket that listens already, such as one handed down by the platform, which other
 // processes may share: the connections are taken from the time of the call on.
-func OpenOn(l net.Listener, softLimit, hardLimit int, patience Patience, desk transport.Submitter) (*Intake, error) {
+func OpenOn(l net.Listener, softLimit, hardLimit int, patience Timeouts, desk transport.Submitter) (*Server, error) {
 	listen := func(string, string) (net.Listener, error) { return l, nil }
 	return open(l.Addr().String(), listen, softLimit, hardLimit, patience, desk)
 }
 
 func open(addr string, listen func(network, addr string) (net.Listener, error), softLimit, hardLimit int,
-	patience Patience, desk transport.Submitter) (*Intake, error) {
-	in := &Intake{
+	patience Timeouts, desk transport.Submitter) (*Server, error) {
+	in := &Server{
 		desk:      desk,
 		patience:  patience,
 		softLimit: softLimit,
@@ -97,13 +97,13 @@
 }
 
 // Addr is where the intake listens.
-func (in *Intake) Addr() string { return in.engine.Addrs[0] }
+func (in *Server) Addr() string { return in.engine.Addrs[0] }
 
 // StopAccepting takes no new connections; those that there are go on.
-func (in *Intake) StopAccepting() { in.ln.Close() }
+func (in *Server) StopAccepting() { in.ln.Close() }
 
 // Stop ends all connections and stops listening.
-func (in *Intake) Stop() {
+func (in *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
 	defer cancel()
 	close(in.stop)
@@ -111,7 +111,7 @@
 }
 
 // Drain closes each connection as soon as it has no command without an answer, so that clients go elsewhere.
-func (in *Intake) Drain() {
+func (in *Server) Drain() {
 	in.mu.Lock()
 	in.leaving = true
 	all := slices.Collect(maps.Keys(in.clients))
@@ -123,7 +123,7 @@
 
 // StopReading reads nothing more, from any connection. When it returns, whatever was read is at the desk; what is not read is
 // its client's to send once more.
-func (in *Intake) StopReading() {
+func (in *Server) StopReading() {
 	in.mu.Lock()
 	in.halted = true
 	all := slices.Collect(maps.Keys(in.clients))
@@ -134,21 +134,21 @@
 }
 
 // Undrain keeps connections again after Drain, as they were before.
-func (in *Intake) Undrain() {
+func (in *Server) Undrain() {
 	in.mu.Lock()
 	in.leaving = false
 	in.mu.Unlock()
 }
 
 // MaxClients tells how many connections there are.
-func (in *Intake) Clients() int {
+func (in *Server) Clients() int {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return len(in.clients)
 }
 
 // Stats tells what became of connections.
-func (in *Intake) Stats() transport.ConnectionStats {
+func (in *Server) Stats() transport.ConnectionStats {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.counts.Open = len(in.clients)
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -8,7 +8,7 @@
 )
 
 // read takes what a connection has; while it does, nobody else closes it.
-func (in *Intake) read(c *Client, buffer []byte) {
+func (in *Server) read(c *Client, buffer []byte) {
 	_, halted := in.state()
 	if halted { // the process ends within moments
 		time.Sleep(haltedPause)
@@ -38,13 +38,13 @@
 	}
 }
 
-func (in *Intake) state() (leaving, halted bool) {
+func (in *Server) state() (leaving, halted bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.leaving, in.halted
 }
 
-func (in *Intake) data(c *Client, b []byte) {
+func (in *Server) data(c *Client, b []byte) {
 	if c.refused.Load() {
 		if c.discardedBytes += len(b); c.discardedBytes > maxDiscardedBytes {
 			c.conn.Close()
--- a/internal/respserver/reply.go
+++ b/internal/respserver/reply.go
@@ -6,8 +6,8 @@
 )
 
 var (
-	taken = resp.Simple("OK")
-	alive = resp.Simple("PONG")
+	taken = resp.SimpleString("OK")
+	alive = resp.SimpleString("PONG")
 )
 
 // line is an answer as it goes over the wire.
@@ -18,10 +18,10 @@
 	case transport.StatusAlive:
 		return alive
 	case transport.StatusOverloaded:
-		return resp.Busy(r.RetryAfter)
+		return resp.BusyReply(r.RetryAfter)
 	case transport.StatusInvalid:
-		return resp.Failure("ERR " + r.Reason)
+		return resp.ErrorReply("ERR " + r.Reason)
 	default:
-		return resp.Failure(r.Reason)
+		return resp.ErrorReply(r.Reason)
 	}
 }
--- a/internal/respserver/sweep.go
+++ b/internal/respserver/sweep.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-func (in *Intake) watch() {
+func (in *Server) watch() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
@@ -17,7 +17,7 @@
 
 // sweep ends connections that have had their last answer or have been without an open command for too long, and says
 // so to those that stopped within one.
-func (in *Intake) sweep(now time.Time) {
+func (in *Server) sweep(now time.Time) {
 	over, stuck := in.overdue(now)
 	for _, c := range over {
 		if c.refused.Load() { // it has had its last answer
@@ -32,7 +32,7 @@
 }
 
 // overdue lists the connections that are to end, and those that stopped within a command.
-func (in *Intake) overdue(now time.Time) (over, stuck []*Client) {
+func (in *Server) overdue(now time.Time) (over, stuck []*Client) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for c := range in.clients {
@@ -48,10 +48,10 @@
 			if in.stuck(c, now) {
 				stuck = append(stuck, c)
 			}
-		case !c.hadCommand && longAgo(c.lastReadAt, in.patience.Silent, now):
+		case !c.hadCommand && longAgo(c.lastReadAt, in.patience.FirstCommand, now):
 			in.counts.NeverSent++
 			over = append(over, c)
-		case longAgo(c.lastReadAt, in.patience.Quiet, now):
+		case longAgo(c.lastReadAt, in.patience.Idle, now):
 			in.counts.Idle++
 			over = append(over, c)
 		}
@@ -60,16 +60,16 @@
 }
 
 // stuck tells if a connection stopped within a command. The intake's lock is held.
-func (in *Intake) stuck(c *Client, now time.Time) bool {
+func (in *Server) stuck(c *Client, now time.Time) bool {
 	if !c.partial.Load() {
 		return false
 	}
-	return longAgo(c.commandBegan, in.patience.Silent, now) || !c.hadCommand && longAgo(c.openedAt, in.patience.Silent, now)
+	return longAgo(c.commandBegan, in.patience.FirstCommand, now) || !c.hadCommand && longAgo(c.openedAt, in.patience.FirstCommand, now)
 }
 
 // refuseStuck gives a connection that stopped within a command its last answer, if it has not gone on meanwhile. Guards
 // against a command whose rest is being read just now: it would be refused and then taken on as well.
-func (in *Intake) refuseStuck(c *Client, now time.Time) {
+func (in *Server) refuseStuck(c *Client, now time.Time) {
 	if !c.reading.TryLock() {
 		return
 	}
--- a/internal/respserver/transcript_test.go
+++ b/internal/respserver/transcript_test.go
@@ -37,7 +37,7 @@
 	script transcript.Transcript
 }
 
-func newClients(t *testing.T, patience respserver.Patience) *clients {
+func newClients(t *testing.T, patience respserver.Timeouts) *clients {
 	c := &clients{t: t, desk: make(desk, 9)}
 	in, err := respserver.Open("127.6.0.2:0", 20, 24, patience, c.desk)
 	require.NoError(t, err)
@@ -93,7 +93,7 @@
 }
 
 func TestAnswersToClients(t *testing.T) {
-	c := newClients(t, respserver.Patience{Silent: 60, Quiet: 60})
+	c := newClients(t, respserver.Timeouts{FirstCommand: 60, Idle: 60})
 	for _, reply := range []struct {
 		what  string
 		reply transport.Reply
@@ -115,7 +115,7 @@
 }
 
 func TestAnswersToWhatCannotBeUnderstood(t *testing.T) {
-	c := newClients(t, respserver.Patience{Silent: 60, Quiet: 60})
+	c := newClients(t, respserver.Timeouts{FirstCommand: 60, Idle: 60})
 	cases := []struct{ what, raw string }{
 		{"an inline command", "PING\r\n"},
 		{"an array of nothing", "*0\r\n"},
@@ -137,7 +137,7 @@
 }
 
 func TestAnswersToCommandsThatAreNotCarriedOut(t *testing.T) {
-	c := newClients(t, respserver.Patience{Silent: 60, Quiet: 60})
+	c := newClients(t, respserver.Timeouts{FirstCommand: 60, Idle: 60})
 	const options = "c=notice,d=8000,dest=7"
 	for _, command := range []struct {
 		what string
@@ -167,7 +167,7 @@
 }
 
 func TestAnswerToACommandThatDoesNotGoOn(t *testing.T) {
-	c := newClients(t, respserver.Patience{Silent: 0.3, Quiet: 60})
+	c := newClients(t, respserver.Timeouts{FirstCommand: 0.3, Idle: 60})
 	c.isClosed(c.sends(ping[:9]), "half a command", ping[:9])
 	c.script.Compare(t, "unfinished.txt")
 }
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Line adds a line as it is, after the name of who sent it.
+// Conn adds a line as it is, after the name of who sent it.
 func (t *Transcript) Line(sender, line string) {
 	fmt.Fprintf(&t.text, "%s: %s\n", sender, line)
 }
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -17,11 +17,11 @@
 	if len(c.Messages) == 1 {
 		p := &c.Messages[0]
 		b := make([]byte, 0, 256+len(p.Body))
-		b = http1.Field(http1.Begin(b, "POST", "/hook", c.Address), "X-Txn", p.ID)
+		b = http1.AppendField(http1.AppendRequestLine(b, "POST", "/hook", c.Address), "X-Txn", p.ID)
 		if p.IdempotencyKey != "" {
-			b = http1.Field(b, "Idempotency-Key", p.IdempotencyKey)
+			b = http1.AppendField(b, "Idempotency-Key", p.IdempotencyKey)
 		}
-		return http1.End(http1.Field(b, "X-Remaining-Ms", left), p.Body)
+		return http1.AppendBody(http1.AppendField(b, "X-Remaining-Ms", left), p.Body)
 	}
 	size := 16
 	for _, p := range c.Messages {
@@ -41,9 +41,9 @@
 		body = append(body, `"}`...)
 	}
 	body = append(body, ']')
-	b := http1.Begin(make([]byte, 0, 256+len(body)), "POST", "/hook/batch", c.Address)
-	b = http1.Field(b, "Content-Type", "application/json")
-	return http1.End(http1.Field(b, "X-Remaining-Ms", left), body)
+	b := http1.AppendRequestLine(make([]byte, 0, 256+len(body)), "POST", "/hook/batch", c.Address)
+	b = http1.AppendField(b, "Content-Type", "application/json")
+	return http1.AppendBody(http1.AppendField(b, "X-Remaining-Ms", left), body)
 }
 
 func quoted(b []byte, s string) []byte {
@@ -61,19 +61,19 @@
 	body   []byte
 }
 
-// Status, Field and Body make this an http1.Handler.
+// Status, AppendField and Body make this an http1.Handler.
 
 func (a *answer) Status(code int) { a.code = code }
 
 func (a *answer) Field(name, value []byte) {
 	switch {
-	case http1.Is(name, "retry-after"):
+	case http1.HasToken(name, "retry-after"):
 		if s, err := strconv.ParseFloat(string(value), 64); err == nil && s > 0 && s < 1e6 {
 			a.wait = s
 		}
-	case http1.Is(name, "x-line-busy"):
+	case http1.HasToken(name, "x-line-busy"):
 		a.busy = string(value) == "1"
-	case http1.Is(name, "x-pressure"):
+	case http1.HasToken(name, "x-pressure"):
 		a.report = string(value)
 	}
 }
--- a/internal/upstream/outlet.go
+++ b/internal/upstream/outlet.go
@@ -18,37 +18,37 @@
 )
 
 // Settings are the outlet's bounds.
-type Terms struct {
-	Connect  time.Duration // a connection that takes longer never comes up
-	KeepIdle time.Duration // an idle connection is closed after so long
-	Limit    string        // the field of a load report that tells a limit
-	Left     string        // and the one that tells the share of it that is left
-	Proof    time.Duration // a connection stays silent for so long after an answer before it is used again; 0: usualProof
+type Settings struct {
+	Connect    time.Duration // a connection that takes longer never comes up
+	KeepIdle   time.Duration // an idle connection is closed after so long
+	LimitField string        // the field of a load report that tells a limit
+	ShareField string        // and the one that tells the share of it that is left
+	ReuseProof time.Duration // a connection stays silent for so long after an answer before it is used again; 0: usualProof
 }
 
 // Upstream holds the connections to all targets.
-type Outlet struct {
+type Client struct {
 	dialer *dial.Dialer
 	desk   transport.ResultListener
-	terms  Terms
+	terms  Settings
 	mu     sync.Mutex
 	idle   map[uint64][]*trunk // by the target's number; the latest used last
 	rising map[*trunk]struct{} // whose first call may not have begun to be sent
 }
 
 // New has no connections yet.
-func New(d *dial.Dialer, desk transport.ResultListener, terms Terms) *Outlet {
-	if terms.Proof == 0 {
-		terms.Proof = usualProof
+func New(d *dial.Dialer, desk transport.ResultListener, terms Settings) *Client {
+	if terms.ReuseProof == 0 {
+		terms.ReuseProof = usualProof
 	}
-	return &Outlet{dialer: d, desk: desk, terms: terms, idle: map[uint64][]*trunk{}, rising: map[*trunk]struct{}{}}
+	return &Client{dialer: d, desk: desk, terms: terms, idle: map[uint64][]*trunk{}, rising: map[*trunk]struct{}{}}
 }
 
 // trunk is one connection to a target with at most one call on it.
 type trunk struct {
-	outlet *Outlet
+	outlet *Client
 	target uint64
-	line   *dial.Line
+	line   *dial.Conn
 	reader http1.Reader
 	answer answer
 	call   *transport.Call
@@ -64,7 +64,7 @@
 const usualProof = 3 * time.Millisecond
 
 // Send begins a call, on the idle connection used last if there is one.
-func (o *Outlet) Send(c *transport.Call) {
+func (o *Client) Send(c *transport.Call) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	t := o.rested(c.EndpointID)
@@ -77,7 +77,7 @@
 	t.turn++
 	turn := t.turn
 	t.timer = time.AfterFunc(c.Timeout, func() { t.giveUp(turn) })
-	if wait := o.terms.Proof - t.began.Sub(t.rested); wait > 0 {
+	if wait := o.terms.ReuseProof - t.began.Sub(t.rested); wait > 0 {
 		t.unsent = true
 		o.rising[t] = struct{}{}
 		time.AfterFunc(wait, func() { t.write(turn) })
@@ -87,7 +87,7 @@
 }
 
 // rested takes the idle connection to a target that was used last, nil if there is none that can be used.
-func (o *Outlet) rested(target uint64) *trunk {
+func (o *Client) rested(target uint64) *trunk {
 	for {
 		l := o.idle[target]
 		if len(l) == 0 {
@@ -95,7 +95,7 @@
 		}
 		t := l[len(l)-1]
 		o.drop(t)
-		if t.line.Quiet() {
+		if t.line.QuietFor() {
 			return t
 		}
 		t.line.Close()
@@ -103,11 +103,11 @@
 }
 
 // fresh begins a connection for a call.
-func (o *Outlet) fresh(c *transport.Call) *trunk {
+func (o *Client) fresh(c *transport.Call) *trunk {
 	if o.dialer.Full() {
 		o.shed()
 	}
-	t := &trunk{outlet: o, target: c.EndpointID, reader: http1.Reader{MostBody: mostAnswer}}
+	t := &trunk{outlet: o, target: c.EndpointID, reader: http1.Reader{MaxBody: mostAnswer}}
 	t.line = o.dialer.Dial(c.Address, o.terms.Connect, t)
 	o.rising[t] = struct{}{}
 	return t
@@ -121,7 +121,7 @@
 	if t.turn != turn || !t.unsent {
 		return
 	}
-	if !t.line.Quiet() {
+	if !t.line.QuietFor() {
 		t.change()
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 // CancelUnsent ends the calls to a target of which nothing has been sent because their connection is not up.
-func (o *Outlet) CancelUnsent(target uint64) {
+func (o *Client) CancelUnsent(target uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for t := range o.rising {
@@ -155,7 +155,7 @@
 		}
 		if t.unsent {
 			t.line.Close()
-		} else if !t.line.CloseUnlessUp() {
+		} else if !t.line.CloseUnlessConnected() {
 			continue
 		}
 		t.finish(t.same(transport.ResultCancelled), "")
@@ -163,7 +163,7 @@
 }
 
 // CloseIdle closes the connections to a target that carry no call.
-func (o *Outlet) CloseIdle(target uint64) {
+func (o *Client) CloseIdle(target uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, t := range o.idle[target] {
@@ -174,7 +174,7 @@
 }
 
 // shed closes the connection that has been idle for the longest, so that a call finds a descriptor.
-func (o *Outlet) shed() {
+func (o *Client) shed() {
 	var oldest *trunk
 	for _, l := range o.idle {
 		if oldest == nil || l[0].rested.Before(oldest.rested) {
@@ -188,7 +188,7 @@
 }
 
 // IdleConnections tells how many connections carry no call.
-func (o *Outlet) IdleConnections() int {
+func (o *Client) IdleConnections() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
@@ -219,11 +219,11 @@
 	if !t.unsent && t.answered(turn) {
 		return
 	}
-	end, why, sent := transport.ResultTimeout, "", t.line.Cut()
+	end, why, sent := transport.ResultTimeout, "", t.line.Abort()
 	switch {
 	case t.unsent || !sent:
 		end = transport.ResultTimeoutBeforeSent
-	case t.reader.Begun():
+	case t.reader.Started():
 		end, why = transport.ResultMalformed, "the answer never ended"
 	}
 	t.finish(t.cut(end), why)
@@ -235,7 +235,7 @@
 func (t *trunk) answered(turn int) bool {
 	buffer := make([]byte, unreadBuffer)
 	for {
-		n, pending := t.line.Unread(buffer)
+		n, pending := t.line.HasUnread(buffer)
 		switch {
 		case pending:
 			t.timer = time.AfterFunc(handover, func() { t.giveUp(turn) })
@@ -254,7 +254,7 @@
 	o := t.outlet
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	t.line.Heard()
+	t.line.HasReceived()
 	if t.call == nil { // nothing was asked for
 		o.drop(t)
 		t.line.Close()
@@ -290,8 +290,8 @@
 	}
 }
 
-// Down takes the end of the connection.
-func (t *trunk) Down(cause error) {
+// Closed takes the end of the connection.
+func (t *trunk) Closed(cause error) {
 	o := t.outlet
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -302,9 +302,9 @@
 		t.change()
 	case t.reader.Ended():
 		t.finish(t.answer.ends(t.call), "")
-	case errors.Is(cause, dial.ErrNeverUp):
+	case errors.Is(cause, dial.ErrConnectTimeout):
 		t.finish(t.same(transport.ResultConnectTimeout), "")
-	case !t.line.Up():
+	case !t.line.Connected():
 		t.finish(t.same(transport.ResultConnectRefused), text(cause))
 	default:
 		t.finish(t.broken(transport.ResultClosed), text(cause))
@@ -350,7 +350,7 @@
 	e := transport.CallResult{Call: t.call, Codes: ends, Latency: time.Since(t.began), Reason: why}
 	if ends[0] != transport.ResultMalformed { // a head that came before the connection broke holds
 		terms := &t.outlet.terms
-		e.RetryAfter, e.ReportedLimit, e.ReportedShare = t.answer.wait, limit(t.answer.report, terms.Limit), limit(t.answer.report, terms.Left)
+		e.RetryAfter, e.ReportedLimit, e.ReportedShare = t.answer.wait, limit(t.answer.report, terms.LimitField), limit(t.answer.report, terms.ShareField)
 	}
 	t.call, t.unsent = nil, false
 	t.turn++
@@ -367,7 +367,7 @@
 }
 
 // drop takes a connection off the idle ones.
-func (o *Outlet) drop(t *trunk) {
+func (o *Client) drop(t *trunk) {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
--- a/internal/upstream/outlet_test.go
+++ b/internal/upstream/outlet_test.go
@@ -36,7 +36,7 @@
 func (d desk) CallEnded(e transport.CallResult) { d <- e }
 
 type scene struct {
-	*Outlet
+	*Client
 	t    *testing.T
 	desk desk
 	ln   net.Listener
@@ -44,11 +44,11 @@
 }
 
 func newScene(t *testing.T) *scene {
-	return newSceneBy(t, Terms{Connect: time.Minute, KeepIdle: time.Minute, Limit: "x1", Left: "x0"}, nil)
+	return newSceneBy(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, LimitField: "x1", ShareField: "x0"}, nil)
 }
 
 // newSceneBy has terms of its own, and perhaps connections that a network makes only now and then.
-func newSceneBy(t *testing.T, terms Terms, connect func(context.Context, string) (net.Conn, error)) *scene {
+func newSceneBy(t *testing.T, terms Settings, connect func(context.Context, string) (net.Conn, error)) *scene {
 	ln, err := net.Listen("tcp", "127.4.0.1:0")
 	require.NoError(t, err)
 	d, err := dial.New("test", 8)
@@ -56,7 +56,7 @@
 	d.Connect = connect
 	t.Cleanup(func() { ln.Close(); d.Stop() })
 	s := &scene{t: t, desk: make(desk, 9), ln: ln, door: 1}
-	s.Outlet = New(d, s.desk, terms)
+	s.Client = New(d, s.desk, terms)
 	return s
 }
 
@@ -250,10 +250,10 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	s := newSceneBy(t, Terms{Connect: 20 * time.Millisecond, KeepIdle: time.Minute}, never)
+	s := newSceneBy(t, Settings{Connect: 20 * time.Millisecond, KeepIdle: time.Minute}, never)
 	s.send(time.Hour, "b")
 	s.ends(transport.ResultConnectTimeout)
-	s = newSceneBy(t, Terms{Connect: time.Hour, KeepIdle: time.Minute}, never)
+	s = newSceneBy(t, Settings{Connect: time.Hour, KeepIdle: time.Minute}, never)
 	s.send(20*time.Millisecond, "b")
 	s.ends(transport.ResultTimeoutBeforeSent)
 	s.send(time.Hour, "b")
@@ -295,7 +295,7 @@
 // A second copy of an answer comes while the next call waits for the connection to be proven clean: the call goes on a new
 // one. The wait is without end here, so that the copy comes within it on any machine.
 func TestWhatFollowsAGoodAnswerIsNeverTheNextCalls(t *testing.T) {
-	s := newSceneBy(t, Terms{Connect: time.Minute, KeepIdle: time.Minute, Proof: time.Hour}, nil)
+	s := newSceneBy(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, ReuseProof: time.Hour}, nil)
 	for range 20 {
 		s.send(time.Hour, "b")
 		c := s.accepts()
@@ -312,7 +312,7 @@
 
 // Until its connection is proven clean a call can still be taken back: nothing of it was written.
 func TestACallWaitsForItsConnectionToBeProvenClean(t *testing.T) {
-	s := newSceneBy(t, Terms{Connect: time.Minute, KeepIdle: time.Minute, Proof: time.Hour}, nil)
+	s := newSceneBy(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, ReuseProof: time.Hour}, nil)
 	s.send(time.Hour, "b")
 	s.accepts().Write([]byte(ok))
 	s.ends(transport.ResultOK)
--- a/lab/capacity/measure/idle.go
+++ b/lab/capacity/measure/idle.go
@@ -78,7 +78,7 @@
 }
 
 func alive(c *emulator.Client) error {
-	answer, err := c.Say(emulator.Command("PING"))
+	answer, err := c.Send(emulator.Command("PING"))
 	if err == nil && answer != "+PONG" {
 		err = fmt.Errorf("a client was answered %q", answer)
 	}
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -168,7 +168,7 @@
 	return t.down > 0 || t.Trouble.Left, t.Trouble.Silent > 0
 }
 
-// Down begins an outage, Rise ends one: the target returns cold.
+// Closed begins an outage, Rise ends one: the target returns cold.
 func (t *Target) Down() {
 	t.down++
 	for _, c := range t.line {
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -88,7 +88,7 @@
 	if d.disc, err = emulator.NewDiscovery("", list...); err != nil {
 		return nil, err
 	}
-	d.disc.Hear = d.notice
+	d.disc.OnNotice = d.notice
 	go func() { // those heard are taken by Hear already
 		for {
 			select {
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -9,7 +9,7 @@
 
 func (d *realDay) entry(t *receiver.Target) emulator.Entry {
 	e := emulator.Entry{UID: fmt.Sprintf("d%d-%d", t.Dest.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
-		Kind: fmt.Sprint("k", d.group[t.Dest.Number]), Dest: t.Dest.Number, State: "active"}
+		Kind: fmt.Sprint("k", d.group[t.Dest.Number]), Destination: t.Dest.Number, State: "active"}
 	switch {
 	case t.Trouble.Left:
 		e.State = "left"
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -110,7 +110,7 @@
 func (p *process) ready(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if c, err := emulator.NewClient(p.listen); err == nil {
-			answer, err := c.Say(emulator.Command("PING"))
+			answer, err := c.Send(emulator.Command("PING"))
 			c.Close()
 			if err == nil && answer == "+PONG" {
 				return nil
--- a/transport/end.go
+++ b/transport/end.go
@@ -10,7 +10,7 @@
 	ResultServerError                         // 500, "error", or another answer after which it may have run
 	ResultRetryAfter                          // 429, or "later" with a wait
 	ResultOverloaded                          // 503, or "later"
-	ResultNoSlot                              // 503 with X-Line-StatusOverloaded: all slots of this forwarder are taken
+	ResultNoSlot                              // 503 with X-Conn-StatusOverloaded: all slots of this forwarder are taken
 	ResultAttemptsExhausted                   // 504, or "exhausted": no transmission is left, the end is still owed
 	ResultGone                                // 410, or "gone": the document is over
 	ResultBadRequest                          // 400 or 413: the call could not be read, nothing of it ran
