--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -75,14 +75,14 @@
 	doc          uint64
 }
 
-// Log is what is written down on a day. It is a partner.Record.
+// Log is what is written down on a day. It is a partner.Recorder.
 type Log struct {
 	Clock receiver.Clock
 	Slack Slack
 	docs  map[uint64]*Doc
 	order []*Doc
 	came  []came
-	runs  []receiver.Run
+	runs  []receiver.Execution
 	gone  map[[2]int]float64 // targets that were told to be leaving, by when
 	waits map[[3]int]wait    // by destination, target or -1, forwarder
 	apart func(dest int) bool
@@ -154,9 +154,9 @@
 	}
 }
 
-// Came, Ran, Fell, NoticeAcknowledged and RecordAttemptEnd make a log the partners' record.
+// Came, Ran, EndpointOverloaded, NoticeAcknowledged and RecordAttemptEnd make a log the partners' record.
 
-func (l *Log) Came(dest, target, from int, docs []receiver.Doc) {
+func (l *Log) CallReceived(dest, target, from int, docs []receiver.Message) {
 	now := l.Clock.Now()
 	for _, d := range docs {
 		l.came = append(l.came, came{now, dest, target, from, d.ID})
@@ -190,18 +190,18 @@
 	}
 }
 
-func (l *Log) Ran(r receiver.Run) { l.runs = append(l.runs, r) }
+func (l *Log) MessageExecuted(r receiver.Execution) { l.runs = append(l.runs, r) }
 
 // mostWise is the share of what pushed a destination over from which on those are to blame who knew of its outage.
 const mostWise = 2.0 / 3
 
-func (l *Log) Fell(dest, target int, wise float64) {
+func (l *Log) EndpointOverloaded(dest, target int, wise float64) {
 	if wise >= mostWise {
 		l.breach(Returns, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*wise)
 	}
 }
 
-func (l *Log) Told(dest, target, from int, seconds float64) {
+func (l *Log) RetryAfterSent(dest, target, from int, seconds float64) {
 	if !l.apart(dest) {
 		target = -1
 	}
@@ -209,7 +209,7 @@
 	l.waits[[3]int{dest, target, from}] = wait{now, now + seconds}
 }
 
-func (l *Log) Back(dest, target int) {}
+func (l *Log) EndpointRecovered(dest, target int) {}
 
 // Lost says that a forwarder was lost with all it owed: its documents are judged by their clients alone.
 func (l *Log) Lost(id uint64) { l.docs[id].lost = true }
@@ -235,12 +235,12 @@
 func (l *Log) doubles() {
 	times := map[uint64]int{}
 	for _, r := range l.runs {
-		d := l.docs[r.Doc.ID]
+		d := l.docs[r.Message.ID]
 		if d == nil || !r.Effect || !d.Binding && !d.Numbered {
 			continue
 		}
 		if times[d.Same]++; times[d.Same] == 2 {
-			l.found = append(l.found, Breach{Rule: NoDouble, At: r.Ended, Doc: d.ID, What: "its effect took place twice"})
+			l.found = append(l.found, Breach{Rule: NoDouble, At: r.EndedAt, Doc: d.ID, What: "its effect took place twice"})
 		}
 	}
 }
@@ -304,8 +304,8 @@
 		}
 	}
 	for _, r := range l.runs {
-		if r.Doc.ID == id {
-			lines = append(lines, line{r.Ended, fmt.Sprintf("ran at target %d from %.3f on, effect %v", r.Target, r.Began, r.Effect)})
+		if r.Message.ID == id {
+			lines = append(lines, line{r.EndedAt, fmt.Sprintf("ran at target %d from %.3f on, effect %v", r.Endpoint, r.StartedAt, r.Effect)})
 		}
 	}
 	for _, f := range d.Finals {
@@ -319,5 +319,5 @@
 	return out
 }
 
-// Docs are all documents of the day in the order of their handing in.
+// Messages are all documents of the day in the order of their handing in.
 func (l *Log) Docs() []*Doc { return l.order }
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -48,7 +48,7 @@
 		if err := t.ctx.Err(); err != nil {
 			return err
 		}
-		count := &outageCount{from: float64(day.Troubles[0].At), to: float64(day.Troubles[0].At + day.Troubles[0].For)}
+		count := &outageCount{from: float64(day.Faults[0].At), to: float64(day.Faults[0].At + day.Faults[0].For)}
 		result := sim.Play(day, t.Seed+n, count.policy)
 		if result.Taken == 0 {
 			return fmt.Errorf("no message was taken on with %d forwarders", forwarders)
@@ -63,9 +63,9 @@
 }
 
 // allowedCalls is how many calls a destination of the scene that has just returned stands in a second.
-func allowedCalls(day *scenario.Scene) float64 {
-	p := &day.Partners[0]
-	capacity := float64(p.Places*p.Targets) / float64(p.Mean)
+func allowedCalls(day *scenario.Scenario) float64 {
+	p := &day.Receivers[0]
+	capacity := float64(p.Concurrency*p.Endpoints) / float64(p.Mean)
 	if p.Rate > 0 {
 		capacity = math.Min(capacity, p.Rate)
 	}
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -84,7 +84,7 @@
 	return experiment.Arm{Name: sc.Name, Scene: sc, Make: m}, err
 }
 
-func (s *session) from(sc *scenario.Scene) []uint64 {
+func (s *session) from(sc *scenario.Scenario) []uint64 {
 	from := s.seed
 	if from == 0 {
 		from = sc.Seed
@@ -114,7 +114,7 @@
 	return &cobra.Command{Use: "scenes", Short: "List the scenes that come with the laboratory, and the troubles there are", Args: cobra.NoArgs,
 		RunE: cli.Run(func([]string) error {
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
-			for _, name := range scenario.Kept() {
+			for _, name := range scenario.Builtin() {
 				sc, err := scenario.Read(name)
 				if err != nil {
 					return err
@@ -122,8 +122,8 @@
 				fmt.Fprintf(t, "%s\t%s\n", name, sc.About)
 			}
 			fmt.Fprintln(t, "\t")
-			for _, k := range slices.Sorted(maps.Keys(scenario.Kinds)) {
-				fmt.Fprintf(t, "%s\t%s\n", k, scenario.Kinds[k])
+			for _, k := range slices.Sorted(maps.Keys(scenario.FaultKinds)) {
+				fmt.Fprintf(t, "%s\t%s\n", k, scenario.FaultKinds[k])
 			}
 			return t.Flush()
 		})}
--- a/lab/commands/hunt.go
+++ b/lab/commands/hunt.go
@@ -78,7 +78,7 @@
 			fmt.Fprintf(t, "%s\t%d\n", k, part.n[k])
 		}
 	}
-	all := len(scenario.Kinds) * (len(scenario.Kinds) - 1) / 2
+	all := len(scenario.FaultKinds) * (len(scenario.FaultKinds) - 1) / 2
 	least, which := 0, ""
 	for _, k := range slices.Sorted(maps.Keys(h.Pairs)) {
 		if which == "" || h.Pairs[k] < least {
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -18,7 +18,7 @@
 // Arm is one side of a comparison.
 type Arm struct {
 	Name  string
-	Scene *scenario.Scene
+	Scene *scenario.Scenario
 	Make  sim.Maker
 }
 
@@ -144,27 +144,27 @@
 }
 
 // Axes are what a sweep can vary: a scene with one figure set.
-var Axes = map[string]func(s *scenario.Scene, x float64){
-	"forwarders": func(s *scenario.Scene, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
-	"slots":      func(s *scenario.Scene, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
-	"load":       func(s *scenario.Scene, x float64) { s.Load.PerSecond *= x },
-	"trouble": func(s *scenario.Scene, x float64) { // how long each lasts, times
-		s.Troubles = slices.Clone(s.Troubles)
-		for i := range s.Troubles {
-			s.Troubles[i].For *= config.Duration(x)
+var Axes = map[string]func(s *scenario.Scenario, x float64){
+	"forwarders": func(s *scenario.Scenario, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
+	"slots":      func(s *scenario.Scenario, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
+	"load":       func(s *scenario.Scenario, x float64) { s.Load.PerSecond *= x },
+	"trouble": func(s *scenario.Scenario, x float64) { // how long each lasts, times
+		s.Faults = slices.Clone(s.Faults)
+		for i := range s.Faults {
+			s.Faults[i].For *= config.Duration(x)
 		}
 	},
-	"destinations": func(s *scenario.Scene, x float64) {
-		s.Partners = slices.Clone(s.Partners)
-		for i := range s.Partners {
-			s.Partners[i].Count = max(1, int(float64(s.Partners[i].Count)*x))
+	"destinations": func(s *scenario.Scenario, x float64) {
+		s.Receivers = slices.Clone(s.Receivers)
+		for i := range s.Receivers {
+			s.Receivers[i].Count = max(1, int(float64(s.Receivers[i].Count)*x))
 		}
-		s.Troubles = slices.DeleteFunc(slices.Clone(s.Troubles), func(t scenario.Trouble) bool { return len(t.Dest) > 0 && x < 1 })
+		s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(t scenario.Fault) bool { return len(t.Destinations) > 0 && x < 1 })
 	},
 }
 
 // Vary is a scene with one figure of an axis set.
-func Vary(s *scenario.Scene, axis string, x float64) (*scenario.Scene, error) {
+func Vary(s *scenario.Scenario, axis string, x float64) (*scenario.Scenario, error) {
 	set := Axes[axis]
 	if set == nil {
 		return nil, fmt.Errorf("unknown axis %q", axis)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -39,7 +39,7 @@
 	a := arm(t, "one-partner-hangs", nil)
 	v, err := Vary(a.Scene, "trouble", 2)
 	require.NoError(t, err)
-	require.Equal(t, 2*a.Scene.Troubles[0].For, v.Troubles[0].For)
+	require.Equal(t, 2*a.Scene.Faults[0].For, v.Faults[0].For)
 	v, err = Vary(a.Scene, "forwarders", 7)
 	require.True(t, err == nil && v.Dispatch.Forwarders == 7 && a.Scene.Dispatch.Forwarders == 3)
 	_, err = Vary(a.Scene, "load", -1)
@@ -76,7 +76,7 @@
 	f := found[0]
 	require.Greater(t, f.Loss(), 0.3)
 	require.NotZero(t, f.Steps)
-	require.Less(t, len(f.Scene.Troubles), 2, "it needs no trouble to do badly")
+	require.Less(t, len(f.Scene.Faults), 2, "it needs no trouble to do badly")
 	text, err := f.Text()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "f.toml")
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -152,7 +152,7 @@
 			results[i] = sim.Play(scenes[i], from+uint64(i), make)
 		})
 		var found []*Break
-		var shown []*scenario.Scene
+		var shown []*scenario.Scenario
 		for i, r := range results {
 			h.cover(scenes[i])
 			rules := map[string]bool{}
@@ -170,7 +170,7 @@
 			}
 		}
 		for i, b := range found {
-			shown[i], b.Steps = shrink(shown[i], func(s *scenario.Scene) bool { return breaks(s, b.Seed, b.Rule, make) != "" })
+			shown[i], b.Steps = shrink(shown[i], func(s *scenario.Scenario) bool { return breaks(s, b.Seed, b.Rule, make) != "" })
 			b.What = breaks(shown[i], b.Seed, b.Rule, make)
 			b.File = fmt.Sprintf("hunted-%d-rule-%c.toml", b.Seed, b.Rule[0])
 			s := *shown[i]
@@ -199,11 +199,11 @@
 	return nil
 }
 
-func findScenes(n int) []*scenario.Scene { return make([]*scenario.Scene, n) }
-func findResults(n int) []*sim.Result    { return make([]*sim.Result, n) }
+func findScenes(n int) []*scenario.Scenario { return make([]*scenario.Scenario, n) }
+func findResults(n int) []*sim.Result       { return make([]*sim.Result, n) }
 
 // breaks is how a rule is broken in a scene, empty if it is kept.
-func breaks(s *scenario.Scene, seed uint64, rule string, make sim.Maker) string {
+func breaks(s *scenario.Scenario, seed uint64, rule string, make sim.Maker) string {
 	for _, b := range sim.Play(s, seed, make).Breaches {
 		if string(b.Rule) == rule {
 			return b.What
@@ -213,26 +213,26 @@
 }
 
 // cover counts what a scene covers.
-func (h *Hunt) cover(s *scenario.Scene) {
+func (h *Hunt) cover(s *scenario.Scenario) {
 	seen := map[string]bool{}
-	for i, a := range s.Troubles {
+	for i, a := range s.Faults {
 		seen[a.Kind] = true
-		for _, b := range s.Troubles[i+1:] {
+		for _, b := range s.Faults[i+1:] {
 			if a.Kind != b.Kind && a.At < b.At+b.For && b.At < a.At+a.For {
 				seen[min(a.Kind, b.Kind)+"+"+max(a.Kind, b.Kind)] = true
 			}
 		}
 	}
 	for name := range seen {
-		if scenario.Kinds[name] != "" {
+		if scenario.FaultKinds[name] != "" {
 			h.Kinds[name]++
 		} else {
 			h.Pairs[name]++
 		}
 	}
 	targets := 0
-	for _, p := range s.Partners {
-		targets += p.Count * p.Targets
+	for _, p := range s.Receivers {
+		targets += p.Count * p.Endpoints
 	}
 	h.Sizes[size("forwarders", s.Dispatch.Forwarders)]++
 	h.Sizes[size("targets", targets)]++
@@ -260,12 +260,12 @@
 
 // DrawAny draws a scene in all its dimensions: 1 to 300 forwarders and targets, limits, kinds of document, one to four
 // troubles that mostly overlap.
-func DrawAny(seed uint64) *scenario.Scene {
+func DrawAny(seed uint64) *scenario.Scenario {
 	dice := rand.New(rand.NewPCG(seed, 29))
 	between := func(low, high float64) float64 { return low + (high-low)*dice.Float64() }
 	log := func(low, high float64) float64 { return low * math.Pow(high/low, dice.Float64()) }
 	odds := func(share float64) bool { return dice.Float64() < share }
-	s := &scenario.Scene{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), Rest: ms(log(0.001, 0.05)),
+	s := &scenario.Scenario{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), NetworkDelay: ms(log(0.001, 0.05)),
 		Dispatch: config.Defaults().Dispatch, Load: scenario.Load{Arrive: "poisson"}, ComesAgain: odds(0.8)}
 	d := &s.Dispatch
 	d.Forwarders = int(log(1, hugest+0.99))
@@ -280,11 +280,11 @@
 		s.ListLag = ms(between(0.1, 2))
 	}
 	for i := range 1 + dice.IntN(3) {
-		t := scenario.Type{Name: fmt.Sprint("type-", i), Repeat: []string{"replayable", "numbered", "binding"}[dice.IntN(3)], Group: "all",
-			Agreed: ms(between(1, 5)), Part: between(0.3, 3), Value: 1, Keys: int(log(5, 1000)), InOrder: odds(0.4)}
-		t.Life = t.Agreed + ms(between(3, 18))
-		if t.Repeat == "numbered" {
-			t.Memory = ms(between(3, 18))
+		t := scenario.Type{Name: fmt.Sprint("type-", i), Idempotency: []string{"replayable", "numbered", "binding"}[dice.IntN(3)], Group: "all",
+			LatencyObjective: ms(between(1, 5)), LoadWeight: between(0.3, 3), Value: 1, Keys: int(log(5, 1000)), InOrder: odds(0.4)}
+		t.TimeToLive = t.LatencyObjective + ms(between(3, 18))
+		if t.Idempotency == "numbered" {
+			t.DeduplicationWindow = ms(between(3, 18))
 			if s.Zones > 1 && odds(0.3) {
 				t.Group = "zone"
 			}
@@ -292,25 +292,25 @@
 		s.Types = append(s.Types, t)
 	}
 	for i := range dice.IntN(4) {
-		s.Tenants = append(s.Tenants, scenario.Tenant{Name: fmt.Sprint("store-", i), PerSecond: log(2, 50), Part: between(0.2, 3)})
+		s.Tenants = append(s.Tenants, scenario.Tenant{Name: fmt.Sprint("store-", i), PerSecond: log(2, 50), LoadWeight: between(0.2, 3)})
 	}
 	left, dests, capacity := int(log(1, hugest+0.99)), 0, 0.0
 	for i := 0; left > 0 && i < 5; i++ {
-		p := scenario.Partner{Name: fmt.Sprint("group-", i), Targets: 1 + dice.IntN(min(4, left)), Batch: 1, Apart: odds(0.25),
-			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[dice.IntN(4)], Mean: ms(log(0.02, 0.5)), Places: int(log(1, 8.99)),
-			Queue: dice.IntN(17), Tells: odds(0.5), Shows: odds(0.3), Skew: between(0, 0.3), FallsFor: ms(between(3, 10)),
-			FallSpan: ms(between(1, 2))}
+		p := scenario.Receiver{Name: fmt.Sprint("group-", i), Endpoints: 1 + dice.IntN(min(4, left)), Batch: 1, EndpointLimits: odds(0.25),
+			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[dice.IntN(4)], Mean: ms(log(0.02, 0.5)), Concurrency: int(log(1, 8.99)),
+			Queue: dice.IntN(17), ReportsRetryAfter: odds(0.5), ReportsLimit: odds(0.3), Skew: between(0, 0.3), OverloadDowntime: ms(between(3, 10)),
+			OverloadWindow: ms(between(1, 2))}
 		if p.Service == "lognormal" {
 			p.Wide = between(0.2, 1.2)
 		}
-		if p.Count = left / p.Targets; i < 4 {
+		if p.Count = left / p.Endpoints; i < 4 {
 			p.Count = 1 + dice.IntN(p.Count)
 		}
-		left -= p.Count * p.Targets
+		left -= p.Count * p.Endpoints
 		if odds(0.25) {
 			p.Batch = 2 + dice.IntN(9)
 		}
-		each := float64(p.Targets*p.Places) / float64(p.Mean)
+		each := float64(p.Endpoints*p.Concurrency) / float64(p.Mean)
 		limit := each
 		switch dice.IntN(4) {
 		case 0:
@@ -322,23 +322,23 @@
 			limit = float64(p.Calls) / float64(p.Window)
 		}
 		limit = math.Min(limit, each) // documents are as many as it may take: who gets many has room for many
-		p.Part = float64(p.Count) * limit * between(0.5, 1.1)
+		p.LoadWeight = float64(p.Count) * limit * between(0.5, 1.1)
 		dests, capacity = dests+p.Count, capacity+float64(p.Count)*limit
-		s.Partners = append(s.Partners, p)
+		s.Receivers = append(s.Receivers, p)
 	}
 	s.Load.PerSecond = math.Max(1, math.Min(mostDocs/float64(s.Length), capacity*between(0.1, 1.1)))
 	for range dice.IntN(3) {
-		s.Load.Clumps = append(s.Load.Clumps, scenario.Clump{At: ms(between(2, 36)), Count: int(log(5, 200)), Dest: dice.IntN(dests)})
+		s.Load.Bursts = append(s.Load.Bursts, scenario.Burst{At: ms(between(2, 36)), Count: int(log(5, 200)), Destination: dice.IntN(dests)})
 	}
 	var kinds []string
-	for k := range scenario.Kinds {
+	for k := range scenario.FaultKinds {
 		kinds = append(kinds, k)
 	}
 	sort.Strings(kinds)
 	first := between(3, 20)
 	for range 1 + dice.IntN(4) {
-		t := scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: ms(first + between(0, 4)), For: ms(log(0.5, 16)), Share: between(0.1, 1), By: log(2, 20),
-			Odd: odds(0.2)}
+		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: ms(first + between(0, 4)), For: ms(log(0.5, 16)), Fraction: between(0.1, 1), By: log(2, 20),
+			OddForwarders: odds(0.2)}
 		if odds(0.3) {
 			t.At = ms(between(3, 30))
 		}
@@ -348,11 +348,11 @@
 		switch dice.IntN(4) {
 		case 0: // all
 		case 1:
-			t.Part = s.Partners[dice.IntN(len(s.Partners))].Name
+			t.Receiver = s.Receivers[dice.IntN(len(s.Receivers))].Name
 		default:
 			for range 1 + dice.IntN(3) {
-				if n := dice.IntN(dests); !slices.Contains(t.Dest, n) {
-					t.Dest = append(t.Dest, n)
+				if n := dice.IntN(dests); !slices.Contains(t.Destinations, n) {
+					t.Destinations = append(t.Destinations, n)
 				}
 			}
 		}
@@ -362,7 +362,7 @@
 		if odds(0.2) {
 			t.Every = 2 + dice.IntN(4)
 		}
-		s.Troubles = append(s.Troubles, t)
+		s.Faults = append(s.Faults, t)
 	}
 	return s
 }
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -116,8 +116,8 @@
 		s := DrawAny(seed)
 		require.Empty(t, s.Check(), "seed %d", seed)
 		targets := 0
-		for _, p := range s.Partners {
-			targets += p.Count * p.Targets
+		for _, p := range s.Receivers {
+			targets += p.Count * p.Endpoints
 		}
 		require.True(t, targets >= 1 && targets <= hugest && s.Dispatch.Forwarders <= hugest, "seed %d: %d targets", seed, targets)
 	}
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -17,7 +17,7 @@
 
 // Finding is a scene in which the policy does badly.
 type Finding struct {
-	Scene *scenario.Scene
+	Scene *scenario.Scenario
 	Seed  uint64
 	G     float64 // of the policy
 	Best  float64 // of the best baseline that keeps the rules there
@@ -37,7 +37,7 @@
 }
 
 // Draw draws a scene from a base: size, load and troubles.
-func Draw(base *scenario.Scene, seed uint64) *scenario.Scene {
+func Draw(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	dice := rand.New(rand.NewPCG(seed, 17))
 	s := *base
 	s.Name = fmt.Sprintf("found-%d", seed)
@@ -45,32 +45,32 @@
 	s.Dispatch.Forwarders = []int{1, 2, 3, 5, 12, 40}[dice.IntN(6)]
 	s.Dispatch.ConcurrencyLimit = []int{4, 8, 16, 32}[dice.IntN(4)]
 	s.Load.PerSecond = 10 * math.Pow(12, dice.Float64())
-	s.Partners = slices.Clone(base.Partners)
+	s.Receivers = slices.Clone(base.Receivers)
 	dests := 0
-	for i := range s.Partners {
-		p := &s.Partners[i]
-		p.Targets = 1 + dice.IntN(3)
-		p.Apart = dice.IntN(4) == 0
+	for i := range s.Receivers {
+		p := &s.Receivers[i]
+		p.Endpoints = 1 + dice.IntN(3)
+		p.EndpointLimits = dice.IntN(4) == 0
 		p.Mean = ms(0.03 * math.Pow(10, dice.Float64()))
 		if dice.IntN(3) == 0 {
-			p.Rate, p.Burst, p.Tells = 5+20*dice.Float64(), 4, dice.IntN(2) == 0
+			p.Rate, p.Burst, p.ReportsRetryAfter = 5+20*dice.Float64(), 4, dice.IntN(2) == 0
 		}
 		dests += p.Count
 	}
 	var kinds []string
-	for k := range scenario.Kinds {
+	for k := range scenario.FaultKinds {
 		kinds = append(kinds, k)
 	}
 	sort.Strings(kinds)
-	s.Troubles = nil
+	s.Faults = nil
 	for range 1 + dice.IntN(4) {
-		t := scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: ms(4 + 20*dice.Float64()), For: ms(1 + 14*dice.Float64()),
-			Share: 0.2 + 0.8*dice.Float64(), By: 2 + 10*dice.Float64()}
+		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: ms(4 + 20*dice.Float64()), For: ms(1 + 14*dice.Float64()),
+			Fraction: 0.2 + 0.8*dice.Float64(), By: 2 + 10*dice.Float64()}
 		for range 1 + dice.IntN(3) {
-			t.Dest = append(t.Dest, dice.IntN(dests))
+			t.Destinations = append(t.Destinations, dice.IntN(dests))
 		}
-		t.Odd = dice.IntN(4) == 0
-		s.Troubles = append(s.Troubles, t)
+		t.OddForwarders = dice.IntN(4) == 0
+		s.Faults = append(s.Faults, t)
 	}
 	return &s
 }
@@ -79,7 +79,7 @@
 func ms(seconds float64) config.Duration { return config.Duration(math.Round(seconds*1000) / 1000) }
 
 // judge plays a scene with the policy and the baselines.
-func judge(s *scenario.Scene, seed uint64, make sim.Maker) *Finding {
+func judge(s *scenario.Scenario, seed uint64, make sim.Maker) *Finding {
 	r := sim.Play(s, seed, make)
 	f := &Finding{Scene: s, Seed: seed, G: r.G}
 	for _, b := range r.Breaches {
@@ -104,7 +104,7 @@
 }
 
 // Search draws scenes until ctx ends or there were so many, and returns the worst, shrunk.
-func Search(ctx context.Context, base *scenario.Scene, make sim.Maker, from uint64, most, keep int, progress func(n int, worst float64)) []*Finding {
+func Search(ctx context.Context, base *scenario.Scenario, make sim.Maker, from uint64, most, keep int, progress func(n int, worst float64)) []*Finding {
 	var found []*Finding
 	const batch = 16
 	for n := 0; n < most && ctx.Err() == nil; n += batch {
@@ -128,7 +128,7 @@
 // Shrink makes a finding smaller as long as three quarters of the loss stay.
 func Shrink(f *Finding, make sim.Maker) *Finding {
 	floor := f.Loss() * 0.75
-	s, steps := shrink(f.Scene, func(s *scenario.Scene) bool { return judge(s, f.Seed, make).Loss() >= floor })
+	s, steps := shrink(f.Scene, func(s *scenario.Scenario) bool { return judge(s, f.Seed, make).Loss() >= floor })
 	if steps == 0 {
 		return f
 	}
@@ -139,9 +139,9 @@
 
 // shrink takes one thing after the other from a scene as long as it still shows what it showed: of those that may go, the
 // first that may, whatever comes first of what is tried at once.
-func shrink(s *scenario.Scene, still func(*scenario.Scene) bool) (smallest *scenario.Scene, steps int) {
+func shrink(s *scenario.Scenario, still func(*scenario.Scenario) bool) (smallest *scenario.Scenario, steps int) {
 	for ; steps < mostShrinks; steps++ {
-		tries := slices.DeleteFunc(simpler(s), func(c *scenario.Scene) bool { return len(c.Check()) > 0 })
+		tries := slices.DeleteFunc(simpler(s), func(c *scenario.Scenario) bool { return len(c.Check()) > 0 })
 		shows := flags(len(tries))
 		each(len(tries), func(i int) { shows[i] = still(tries[i]) })
 		i := slices.Index(shows, true)
@@ -156,70 +156,70 @@
 func flags(n int) []bool { return make([]bool, n) }
 
 // simpler are scenes with one thing less.
-func simpler(s *scenario.Scene) []*scenario.Scene {
-	var all []*scenario.Scene
-	add := func(change func(s *scenario.Scene)) {
+func simpler(s *scenario.Scenario) []*scenario.Scenario {
+	var all []*scenario.Scenario
+	add := func(change func(s *scenario.Scenario)) {
 		c := *s
-		c.Troubles, c.Partners, c.Types = slices.Clone(s.Troubles), slices.Clone(s.Partners), slices.Clone(s.Types)
-		c.Load.Clumps = slices.Clone(s.Load.Clumps)
+		c.Faults, c.Receivers, c.Types = slices.Clone(s.Faults), slices.Clone(s.Receivers), slices.Clone(s.Types)
+		c.Load.Bursts = slices.Clone(s.Load.Bursts)
 		change(&c)
 		all = append(all, &c)
 	}
-	for i := range s.Troubles {
-		add(func(c *scenario.Scene) { c.Troubles = slices.Delete(c.Troubles, i, i+1) })
-		if len(s.Troubles[i].Dest) > 1 {
-			add(func(c *scenario.Scene) { c.Troubles[i].Dest = c.Troubles[i].Dest[:1] })
+	for i := range s.Faults {
+		add(func(c *scenario.Scenario) { c.Faults = slices.Delete(c.Faults, i, i+1) })
+		if len(s.Faults[i].Destinations) > 1 {
+			add(func(c *scenario.Scenario) { c.Faults[i].Destinations = c.Faults[i].Destinations[:1] })
 		}
-		if s.Troubles[i].Odd {
-			add(func(c *scenario.Scene) { c.Troubles[i].Odd = false })
+		if s.Faults[i].OddForwarders {
+			add(func(c *scenario.Scenario) { c.Faults[i].OddForwarders = false })
 		}
 	}
 	if s.Dispatch.Forwarders > 1 {
-		add(func(c *scenario.Scene) { c.Dispatch.Forwarders /= 2 })
+		add(func(c *scenario.Scenario) { c.Dispatch.Forwarders /= 2 })
 	}
 	if len(s.Types) > 1 {
 		for i := range s.Types {
-			add(func(c *scenario.Scene) { c.Types = slices.Delete(c.Types, i, i+1) })
+			add(func(c *scenario.Scenario) { c.Types = slices.Delete(c.Types, i, i+1) })
 		}
 	}
-	for i := range s.Partners {
-		p := s.Partners[i]
-		if p.Targets > 1 {
-			add(func(c *scenario.Scene) { c.Partners[i].Targets = 1 })
+	for i := range s.Receivers {
+		p := s.Receivers[i]
+		if p.Endpoints > 1 {
+			add(func(c *scenario.Scenario) { c.Receivers[i].Endpoints = 1 })
 		}
 		if p.Rate > 0 {
-			add(func(c *scenario.Scene) { c.Partners[i].Rate, c.Partners[i].Burst = 0, 0 })
+			add(func(c *scenario.Scenario) { c.Receivers[i].Rate, c.Receivers[i].Burst = 0, 0 })
 		}
-		if p.Apart {
-			add(func(c *scenario.Scene) { c.Partners[i].Apart = false })
+		if p.EndpointLimits {
+			add(func(c *scenario.Scenario) { c.Receivers[i].EndpointLimits = false })
 		}
 	}
 	if s.Zones > 1 {
-		add(func(c *scenario.Scene) { c.Zones = 1 })
+		add(func(c *scenario.Scenario) { c.Zones = 1 })
 	}
-	for i := range s.Load.Clumps {
-		add(func(c *scenario.Scene) { c.Load.Clumps = slices.Delete(c.Load.Clumps, i, i+1) })
+	for i := range s.Load.Bursts {
+		add(func(c *scenario.Scenario) { c.Load.Bursts = slices.Delete(c.Load.Bursts, i, i+1) })
 	}
 	if len(s.Tenants) > 0 {
-		add(func(c *scenario.Scene) { c.Tenants = nil })
+		add(func(c *scenario.Scenario) { c.Tenants = nil })
 	}
 	parts := 0.0
-	for i := range s.Partners {
-		parts += s.Partners[i].Part
+	for i := range s.Receivers {
+		parts += s.Receivers[i].LoadWeight
 	}
-	for i := range s.Partners { // the load of those that go goes with them: the others are to get no more than before
-		if p := s.Partners[i]; p.Count > 1 {
+	for i := range s.Receivers { // the load of those that go goes with them: the others are to get no more than before
+		if p := s.Receivers[i]; p.Count > 1 {
 			left := float64(p.Count/2) / float64(p.Count)
-			add(func(c *scenario.Scene) {
-				c.Partners[i].Count /= 2
-				c.Partners[i].Part *= left
-				c.Load.PerSecond *= (parts - p.Part*(1-left)) / parts
+			add(func(c *scenario.Scenario) {
+				c.Receivers[i].Count /= 2
+				c.Receivers[i].LoadWeight *= left
+				c.Load.PerSecond *= (parts - p.LoadWeight*(1-left)) / parts
 			})
 		}
-		if len(s.Partners) > 1 {
-			add(func(c *scenario.Scene) {
-				c.Load.PerSecond *= (parts - s.Partners[i].Part) / parts
-				c.Partners = slices.Delete(c.Partners, i, i+1)
+		if len(s.Receivers) > 1 {
+			add(func(c *scenario.Scenario) {
+				c.Load.PerSecond *= (parts - s.Receivers[i].LoadWeight) / parts
+				c.Receivers = slices.Delete(c.Receivers, i, i+1)
 			})
 		}
 	}
--- a/lab/load/arrive.go
+++ b/lab/load/arrive.go
@@ -68,7 +68,7 @@
 	return &Arrivals{shape: s, end: end, dice: dice}
 }
 
-// From begins at a moment other than 0.
+// Forwarder begins at a moment other than 0.
 func (a *Arrivals) From(at float64) { a.at = at }
 
 // Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, not stepped.
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -12,28 +12,28 @@
 func exp(x float64) float64 { return math.Exp(x) }
 
 // Settings are what one destination is like.
-type Terms struct {
-	Service Dist
-	Places  int // calls that a target works on at once
-	Queue   int // calls that wait at a target beyond them; more are turned away
-
-	Rate  float64 // calls a second that the limit lets in, 0: no such limit
-	Burst float64 // calls that it lets in at once after a rest; 0: one
-	Count int     // calls let in within Duration, 0: no such limit
-	Span  float64
-	Apart bool // each target has a limit and outages of its own
-	Tells bool // a call that is turned away by the limit is told how long to wait
-	Shows bool // answers report the limit
-
-	ColdFrom float64 // share of its capacity that it has when it is back
-	ColdFor  float64 // until it has all again
-	Fall     float64 // it falls over when met with more than this multiple of its present capacity,
-	FallSpan float64 // as a budget for any span of so many seconds,
-	FallFor  float64 // and is down for so long
+type Behavior struct {
+	Service     Dist
+	Concurrency int // calls that a target works on at once
+	Queue       int // calls that wait at a target beyond them; more are turned away
+
+	Rate              float64 // calls a second that the limit lets in, 0: no such limit
+	Burst             float64 // calls that it lets in at once after a rest; 0: one
+	Count             int     // calls let in within Duration, 0: no such limit
+	Span              float64
+	EndpointLimits    bool // each target has a limit and outages of its own
+	ReportsRetryAfter bool // a call that is turned away by the limit is told how long to wait
+	ReportsLimit      bool // answers report the limit
+
+	SlowStartFraction float64 // share of its capacity that it has when it is back
+	SlowStartDuration float64 // until it has all again
+	OverloadMultiple  float64 // it falls over when met with more than this multiple of its present capacity,
+	OverloadWindow    float64 // as a budget for any span of so many seconds,
+	OverloadDowntime  float64 // and is down for so long
 }
 
 // limit is the calls a second that the limits let in, 0 if there is none.
-func (t *Terms) limit() float64 {
+func (t *Behavior) limit() float64 {
 	most := t.Rate
 	if t.Count > 0 && (most == 0 || float64(t.Count)/t.Span < most) {
 		most = float64(t.Count) / t.Span
@@ -41,108 +41,108 @@
 	return most
 }
 
-// Doc is a document as a partner sees it.
-type Doc struct {
-	ID     uint64
-	Mark   uint64  // its number, 0 if it has none
-	Memory float64 // how long the number is known, from the run on
-	Zoned  bool    // and in one zone only
-	Tenant int
+// Message is a document as a partner sees it.
+type Message struct {
+	ID                  uint64
+	IdempotencyKey      uint64  // its number, 0 if it has none
+	DeduplicationWindow float64 // how long the number is known, from the run on
+	DeduplicatedPerZone bool    // and in one zone only
+	Tenant              int
 }
 
-// Run is what a partner writes down of one document of a call.
-type Run struct {
-	Doc    Doc
-	Dest   int
-	Target int
-	From   int     // the forwarder
-	Came   float64 // when the call's last byte came
-	Began  float64
-	Ended  float64
-	Effect bool // false: its number was known
+// Execution is what a partner writes down of one document of a call.
+type Execution struct {
+	Message     Message
+	Destination int
+	Endpoint    int
+	Forwarder   int     // the forwarder
+	ReceivedAt  float64 // when the call's last byte came
+	StartedAt   float64
+	EndedAt     float64
+	Effect      bool // false: its number was known
 }
 
-// Record is who writes down what happens at partners. Nothing of it comes from a forwarder.
-type Record interface {
-	Came(dest, target, from int, docs []Doc) // a call came whole, whatever becomes of it
-	Ran(Run)
-	Fell(dest, target int, wise float64)       // wise: the share of what pushed it that came from those who knew of the outage
-	Told(dest, target, from int, wait float64) // a wait was told
-	Back(dest, target int)                     // it answers again after an outage
+// Recorder is who writes down what happens at partners. Nothing of it comes from a forwarder.
+type Recorder interface {
+	CallReceived(dest, target, from int, docs []Message) // a call came whole, whatever becomes of it
+	MessageExecuted(Execution)
+	EndpointOverloaded(dest, target int, wise float64)   // wise: the share of what pushed it that came from those who knew of the outage
+	RetryAfterSent(dest, target, from int, wait float64) // a wait was told
+	EndpointRecovered(dest, target int)                  // it answers again after an outage
 }
 
 // Request is one call on its way through a target.
 type Call struct {
-	From   int
-	Docs   []Doc
-	Answer func(Answer) // at most once; never if the answer gets lost
-	target *Target
-	came   float64
-	queued bool
-	over   bool // answered, or the caller has gone
+	Forwarder int
+	Messages  []Message
+	Answer    func(Answer) // at most once; never if the answer gets lost
+	target    *Endpoint
+	came      float64
+	queued    bool
+	over      bool // answered, or the caller has gone
 }
 
 // RecordAnswer is what a caller gets.
 type Answer struct {
-	End  transport.ResultCode
-	Wait float64
-	Most float64
-	Left float64 // the share of the limit that is left, as choice.AttemptResult has it
+	Code          transport.ResultCode
+	RetryAfter    float64
+	ReportedLimit float64
+	ReportedShare float64 // the share of the limit that is left, as choice.AttemptResult has it
 }
 
 // Destination is one receiver.
 type Destination struct {
-	Number  int
-	Terms   Terms
-	Targets []*Target
-	clock   Clock
-	record  Record
-	dice    *rand.Rand
-	limit   limit
-	met     met
-	known   [2]numbers   // of the zones; what is known in all of them, in the first
-	wise    map[int]bool // forwarders that have heard of a call that failed or was refused in the latest outage
+	Number    int
+	Behavior  Behavior
+	Endpoints []*Endpoint
+	clock     Clock
+	record    Recorder
+	random    *rand.Rand
+	limit     limit
+	met       met
+	known     [2]numbers   // of the zones; what is known in all of them, in the first
+	wise      map[int]bool // forwarders that have heard of a call that failed or was refused in the latest outage
 }
 
 // Address is one endpoint of a destination.
-type Target struct {
-	Dest    *Destination
-	Number  int
-	Zone    int
-	Trouble Trouble
-	limit   limit
-	met     met
-	wise    map[int]bool // where routes are apart
-	busy    int
-	line    []*Call
-	back    float64 // when it came back cold; 0: it has been up for long
-	down    int     // outages that are on
-	stuck   []*Call // taken up while it hangs
-	working []*Call
-	Coming  int // calls on their way to it, for Ready
-}
-
-// Trouble is what is wrong with a target now. Several may be on at once.
-type Trouble struct {
-	Hang     int     // works on nothing; what came meanwhile is worked on after it
-	Silent   int     // nothing comes in or goes out
-	Slow     float64 // times are multiplied by it; 0: not
-	SlowFor  int     // only for this tenant, if above 0: its number plus one
-	Err      float64 // share of calls that end with an error, half of them after running
-	Reset    float64 // share of calls whose connection breaks, half of them after running
-	Lose     float64 // share of answers that get lost after running
-	Spoil    float64 // share of answers that cannot be read
-	Cut      float64 // the limit is this share of what it was; 0: whole
-	Every    int     // gray: only one of so many calls meets Err, Reset, Lose and Spoil; 0: all
-	Odd      bool    // gray: only calls of forwarders with odd numbers do
-	Draining bool
-	Left     bool
-	seen     int
+type Endpoint struct {
+	Destination *Destination
+	Number      int
+	Zone        int
+	Fault       Fault
+	limit       limit
+	met         met
+	wise        map[int]bool // where routes are apart
+	busy        int
+	line        []*Call
+	back        float64 // when it came back cold; 0: it has been up for long
+	down        int     // outages that are on
+	stuck       []*Call // taken up while it hangs
+	working     []*Call
+	Approaching int // calls on their way to it, for Ready
+}
+
+// Fault is what is wrong with a target now. Several may be on at once.
+type Fault struct {
+	Hang          int     // works on nothing; what came meanwhile is worked on after it
+	Silent        int     // nothing comes in or goes out
+	Slow          float64 // times are multiplied by it; 0: not
+	SlowFor       int     // only for this tenant, if above 0: its number plus one
+	Err           float64 // share of calls that end with an error, half of them after running
+	Reset         float64 // share of calls whose connection breaks, half of them after running
+	Lose          float64 // share of answers that get lost after running
+	Spoil         float64 // share of answers that cannot be read
+	LimitFraction float64 // the limit is this share of what it was; 0: whole
+	Every         int     // gray: only one of so many calls meets Err, Reset, Lose and Spoil; 0: all
+	OddForwarders bool    // gray: only calls of forwarders with odd numbers do
+	Draining      bool
+	Removed       bool
+	seen          int
 }
 
 // New makes a destination with targets spread over zones.
-func New(number int, terms Terms, targets, zones int, clock Clock, dice *rand.Rand, record Record) *Destination {
-	d := &Destination{Number: number, Terms: terms, clock: clock, record: record, dice: dice}
+func New(number int, terms Behavior, targets, zones int, clock Clock, dice *rand.Rand, record Recorder) *Destination {
+	d := &Destination{Number: number, Behavior: terms, clock: clock, record: record, random: dice}
 	d.limit.fill(&terms, clock.Now())
 	for i := range targets {
 		d.Add(i % max(1, zones))
@@ -151,57 +151,57 @@
 }
 
 // Add makes a further target.
-func (d *Destination) Add(zone int) *Target {
-	t := &Target{Dest: d, Number: len(d.Targets), Zone: zone}
-	t.limit.fill(&d.Terms, d.clock.Now())
-	d.Targets = append(d.Targets, t)
+func (d *Destination) Add(zone int) *Endpoint {
+	t := &Endpoint{Destination: d, Number: len(d.Endpoints), Zone: zone}
+	t.limit.fill(&d.Behavior, d.clock.Now())
+	d.Endpoints = append(d.Endpoints, t)
 	return t
 }
 
 // capacity is the calls a second that so many of its targets get done when they are warm.
 func (d *Destination) capacity(targets int) float64 {
-	return float64(targets*d.Terms.Places) / d.Terms.Service.Mean
+	return float64(targets*d.Behavior.Concurrency) / d.Behavior.Service.Mean
 }
 
 // Up tells if a connection to the target comes up: refused is the immediate no, silent none at all.
-func (t *Target) Up() (refused, silent bool) {
-	return t.down > 0 || t.Trouble.Left, t.Trouble.Silent > 0
+func (t *Endpoint) Up() (refused, silent bool) {
+	return t.down > 0 || t.Fault.Removed, t.Fault.Silent > 0
 }
 
 // Closed begins an outage, Rise ends one: the target returns cold.
-func (t *Target) Down() {
+func (t *Endpoint) Down() {
 	t.down++
 	for _, c := range t.line {
 		c.queued = false
-		c.end(Answer{End: transport.ResultClosed})
+		c.end(Answer{Code: transport.ResultClosed})
 	}
 	t.line = nil
 	for _, c := range t.working { // runs on, and nobody hears of it
-		c.end(Answer{End: transport.ResultClosed})
+		c.end(Answer{Code: transport.ResultClosed})
 	}
 	t.met = met{}
 }
 
 // Rise ends an outage.
-func (t *Target) Rise() {
+func (t *Endpoint) Rise() {
 	if t.down--; t.down == 0 {
 		t.Returns()
 	}
 }
 
 // Returns says that an outage is over: the target is cold from here on.
-func (t *Target) Returns() {
-	t.back = t.Dest.clock.Now()
+func (t *Endpoint) Returns() {
+	t.back = t.Destination.clock.Now()
 	t.met = met{}
-	if !t.Dest.Terms.Apart {
-		t.Dest.met = met{}
+	if !t.Destination.Behavior.EndpointLimits {
+		t.Destination.met = met{}
 	}
-	t.Dest.record.Back(t.Dest.Number, t.Number)
+	t.Destination.record.EndpointRecovered(t.Destination.Number, t.Number)
 }
 
 // Resume ends a hang: what was taken up meanwhile is worked on.
-func (t *Target) Resume() {
-	if t.Trouble.Hang--; t.Trouble.Hang > 0 {
+func (t *Endpoint) Resume() {
+	if t.Fault.Hang--; t.Fault.Hang > 0 {
 		return
 	}
 	stuck := t.stuck
@@ -213,41 +213,41 @@
 }
 
 // share is how much of its capacity the target has now.
-func (t *Target) share() float64 {
-	d := t.Dest
-	if t.back == 0 || d.Terms.ColdFor <= 0 {
+func (t *Endpoint) share() float64 {
+	d := t.Destination
+	if t.back == 0 || d.Behavior.SlowStartDuration <= 0 {
 		return 1
 	}
-	warm := (d.clock.Now() - t.back) / d.Terms.ColdFor
+	warm := (d.clock.Now() - t.back) / d.Behavior.SlowStartDuration
 	if warm >= 1 {
 		t.back = 0
 		return 1
 	}
-	return d.Terms.ColdFrom + (1-d.Terms.ColdFrom)*warm
+	return d.Behavior.SlowStartFraction + (1-d.Behavior.SlowStartFraction)*warm
 }
 
 // MostlyFails tells that so much is wrong with a target that it does not pay to try: an outage too.
-func (r *Trouble) MostlyFails() bool {
+func (r *Fault) MostlyFails() bool {
 	share := (r.Err + r.Reset + r.Lose + r.Spoil) / float64(max(1, r.Every))
-	if r.Odd { // about half of the forwarders meet it
+	if r.OddForwarders { // about half of the forwarders meet it
 		share /= 2
 	}
 	return share > mostlyFails
 }
 
 // outage tells that one is on.
-func (t *Target) outage() bool {
-	return t.down > 0 || t.Trouble.Hang > 0 || t.Trouble.Silent > 0 || t.Trouble.MostlyFails()
+func (t *Endpoint) outage() bool {
+	return t.down > 0 || t.Fault.Hang > 0 || t.Fault.Silent > 0 || t.Fault.MostlyFails()
 }
 
 // route is who knows of the latest outage, the calls met since, and how many targets share them.
-func (t *Target) route() (wise *map[int]bool, m *met, targets int) {
-	d := t.Dest
-	if d.Terms.Apart {
+func (t *Endpoint) route() (wise *map[int]bool, m *met, targets int) {
+	d := t.Destination
+	if d.Behavior.EndpointLimits {
 		return &t.wise, &t.met, 1
 	}
-	for _, o := range d.Targets {
-		if !o.Trouble.Left && o.down == 0 {
+	for _, o := range d.Endpoints {
+		if !o.Fault.Removed && o.down == 0 {
 			targets++
 		}
 	}
@@ -256,7 +256,7 @@
 
 // Learned says that a forwarder has heard of a call to the target that failed or was refused. Only what it hears while
 // the outage lasts counts.
-func (t *Target) Learned(from int) {
+func (t *Endpoint) Learned(from int) {
 	if !t.outage() {
 		return
 	}
@@ -270,7 +270,7 @@
 // Forget says that a forwarder starts anew and knows of no outage.
 func (d *Destination) Forget(from int) {
 	delete(d.wise, from)
-	for _, t := range d.Targets {
+	for _, t := range d.Endpoints {
 		delete(t.wise, from)
 	}
 }
@@ -278,15 +278,15 @@
 // pushed counts a call that came to a cold target and tells if that pushes it over, and how much of what did came from
 // forwarders that knew of the outage. As the rule has it: what arrives within any span stays under a multiple of the
 // present capacity, with one call's slack for chance.
-func (t *Target) pushed(from int) (fell bool, wise float64) {
-	d, share := t.Dest, t.share()
-	if share >= 1 || d.Terms.Fall <= 0 {
+func (t *Endpoint) pushed(from int) (fell bool, wise float64) {
+	d, share := t.Destination, t.share()
+	if share >= 1 || d.Behavior.OverloadMultiple <= 0 {
 		return false, 0
 	}
 	known, m, n := t.route()
-	span := d.Terms.FallSpan
+	span := d.Behavior.OverloadWindow
 	met, wise := m.count(d.clock.Now(), span, (*known)[from])
-	return met > d.Terms.Fall*share*d.capacity(n)*span+1, wise / met
+	return met > d.Behavior.OverloadMultiple*share*d.capacity(n)*span+1, wise / met
 }
 
 // met is the calls within the span past, and which of them came from forwarders that knew of the outage.
@@ -312,37 +312,37 @@
 
 // Ready tells if a call that came now would be worked on at once and answered well. No forwarder can know it: it serves
 // the ceiling that others are compared with.
-func (t *Target) Ready(from int) bool {
-	d, r := t.Dest, &t.Trouble
-	if refused, silent := t.Up(); refused || silent || r.Hang > 0 || r.Draining || t.busy+t.Coming >= d.Terms.Places {
+func (t *Endpoint) Ready(from int) bool {
+	d, r := t.Destination, &t.Fault
+	if refused, silent := t.Up(); refused || silent || r.Hang > 0 || r.Draining || t.busy+t.Approaching >= d.Behavior.Concurrency {
 		return false
 	}
-	if r.Err+r.Reset+r.Lose+r.Spoil > mostlyFails && !(r.Odd && from%2 == 0) {
+	if r.Err+r.Reset+r.Lose+r.Spoil > mostlyFails && !(r.OddForwarders && from%2 == 0) {
 		return false
 	}
 	l, coming := &d.limit, 0
-	for _, o := range d.Targets {
-		coming += o.Coming
+	for _, o := range d.Endpoints {
+		coming += o.Approaching
 	}
-	if d.Terms.Apart {
-		l, coming = &t.limit, t.Coming
+	if d.Behavior.EndpointLimits {
+		l, coming = &t.limit, t.Approaching
 	}
 	now := d.clock.Now()
-	if share := t.share(); share < 1 && d.Terms.Fall > 0 {
+	if share := t.share(); share < 1 && d.Behavior.OverloadMultiple > 0 {
 		_, m, n := t.route()
 		met := coming + 1
 		for _, at := range m.at {
-			if at > now-d.Terms.FallSpan {
+			if at > now-d.Behavior.OverloadWindow {
 				met++
 			}
 		}
-		if float64(met) > d.Terms.Fall*share*d.capacity(n)*d.Terms.FallSpan+1 {
+		if float64(met) > d.Behavior.OverloadMultiple*share*d.capacity(n)*d.Behavior.OverloadWindow+1 {
 			return false
 		}
 	}
 	peek := limit{l.tokens, l.at, slices.Clone(l.let)}
 	for range coming + 1 {
-		if _, full := peek.take(&d.Terms, r.Cut, now); full {
+		if _, full := peek.take(&d.Behavior, r.LimitFraction, now); full {
 			return false
 		}
 	}
@@ -350,74 +350,74 @@
 }
 
 // StatusOverloaded is how many calls the target works on.
-func (t *Target) Busy() int { return t.busy }
+func (t *Endpoint) Busy() int { return t.busy }
 
 // Accept takes a call whose last byte has come. Whoever calls has seen by Up that a connection stands.
-func (t *Target) Take(c *Call) {
-	d := t.Dest
+func (t *Endpoint) Take(c *Call) {
+	d := t.Destination
 	now := d.clock.Now()
 	c.target, c.came = t, now
-	d.record.Came(d.Number, t.Number, c.From, c.Docs)
+	d.record.CallReceived(d.Number, t.Number, c.Forwarder, c.Messages)
 	switch refused, silent := t.Up(); {
 	case silent:
 		return // as if it had never come
 	case refused:
-		c.end(Answer{End: transport.ResultClosed})
+		c.end(Answer{Code: transport.ResultClosed})
 		return
 	}
-	if fell, wise := t.pushed(c.From); fell {
-		d.record.Fell(d.Number, t.Number, wise)
-		for _, o := range d.Targets {
-			if o == t || !d.Terms.Apart {
+	if fell, wise := t.pushed(c.Forwarder); fell {
+		d.record.EndpointOverloaded(d.Number, t.Number, wise)
+		for _, o := range d.Endpoints {
+			if o == t || !d.Behavior.EndpointLimits {
 				o.Down()
-				d.clock.After(d.Terms.FallFor, o.Rise)
+				d.clock.After(d.Behavior.OverloadDowntime, o.Rise)
 			}
 		}
-		c.end(Answer{End: transport.ResultClosed})
+		c.end(Answer{Code: transport.ResultClosed})
 		return
 	}
-	if t.Trouble.Draining || t.Trouble.Left {
-		c.end(Answer{End: transport.ResultOverloaded})
+	if t.Fault.Draining || t.Fault.Removed {
+		c.end(Answer{Code: transport.ResultOverloaded})
 		return
 	}
 	l := &d.limit
-	if d.Terms.Apart {
+	if d.Behavior.EndpointLimits {
 		l = &t.limit
 	}
-	if wait, full := l.take(&d.Terms, t.Trouble.Cut, now); full {
-		a := Answer{End: transport.ResultOverloaded}
-		if d.Terms.Tells {
-			a = Answer{End: transport.ResultRetryAfter, Wait: wait}
-			d.record.Told(d.Number, t.Number, c.From, wait)
+	if wait, full := l.take(&d.Behavior, t.Fault.LimitFraction, now); full {
+		a := Answer{Code: transport.ResultOverloaded}
+		if d.Behavior.ReportsRetryAfter {
+			a = Answer{Code: transport.ResultRetryAfter, RetryAfter: wait}
+			d.record.RetryAfterSent(d.Number, t.Number, c.Forwarder, wait)
 		}
 		c.end(t.reports(a))
 		return
 	}
 	switch {
-	case t.busy < d.Terms.Places:
+	case t.busy < d.Behavior.Concurrency:
 		t.busy++
 		t.work(c)
-	case len(t.line) < d.Terms.Queue:
+	case len(t.line) < d.Behavior.Queue:
 		c.queued = true
 		t.line = append(t.line, c)
 	default:
-		c.end(t.reports(Answer{End: transport.ResultOverloaded}))
+		c.end(t.reports(Answer{Code: transport.ResultOverloaded}))
 	}
 }
 
-func (t *Target) reports(a Answer) Answer {
-	if t.Dest.Terms.Shows {
-		if a.Most = t.Dest.Terms.limit(); a.Most == 0 {
-			a.Most = -1
-		} else if t.Trouble.Cut > 0 {
-			a.Most *= t.Trouble.Cut
+func (t *Endpoint) reports(a Answer) Answer {
+	if t.Destination.Behavior.ReportsLimit {
+		if a.ReportedLimit = t.Destination.Behavior.limit(); a.ReportedLimit == 0 {
+			a.ReportedLimit = -1
+		} else if t.Fault.LimitFraction > 0 {
+			a.ReportedLimit *= t.Fault.LimitFraction
 		}
-		if a.Most > 0 {
-			l := &t.Dest.limit
-			if t.Dest.Terms.Apart {
+		if a.ReportedLimit > 0 {
+			l := &t.Destination.limit
+			if t.Destination.Behavior.EndpointLimits {
 				l = &t.limit
 			}
-			a.Left = scheduler.ReportedValue(l.left(&t.Dest.Terms, t.Trouble.Cut, t.Dest.clock.Now()))
+			a.ReportedShare = scheduler.ReportedValue(l.left(&t.Destination.Behavior, t.Fault.LimitFraction, t.Destination.clock.Now()))
 		}
 	}
 	return a
@@ -447,14 +447,14 @@
 }
 
 // work works on a call for which there is a place.
-func (t *Target) work(c *Call) {
-	d := t.Dest
-	if t.Trouble.Hang > 0 {
+func (t *Endpoint) work(c *Call) {
+	d := t.Destination
+	if t.Fault.Hang > 0 {
 		t.stuck = append(t.stuck, c)
 		return
 	}
-	took := d.Terms.Service.Draw(d.dice) / t.share()
-	if s := t.Trouble.Slow; s > 0 && (t.Trouble.SlowFor == 0 || len(c.Docs) > 0 && c.Docs[0].Tenant == t.Trouble.SlowFor-1) {
+	took := d.Behavior.Service.Draw(d.random) / t.share()
+	if s := t.Fault.Slow; s > 0 && (t.Fault.SlowFor == 0 || len(c.Messages) > 0 && c.Messages[0].Tenant == t.Fault.SlowFor-1) {
 		took *= s
 	}
 	end, runs, lost := t.fate(c)
@@ -468,28 +468,28 @@
 			}
 		}
 		if runs {
-			for _, doc := range c.Docs {
+			for _, doc := range c.Messages {
 				d.ran(t, c, doc, began)
 			}
 		}
-		if !lost && t.Trouble.Silent == 0 && t.down == 0 {
-			c.end(t.reports(Answer{End: end}))
+		if !lost && t.Fault.Silent == 0 && t.down == 0 {
+			c.end(t.reports(Answer{Code: end}))
 		}
 		t.next()
 	})
 }
 
 // fate draws what troubles do to a call.
-func (t *Target) fate(c *Call) (end transport.ResultCode, runs, lost bool) {
+func (t *Endpoint) fate(c *Call) (end transport.ResultCode, runs, lost bool) {
 	end, runs = transport.ResultOK, true
-	r := &t.Trouble
-	if r.Err+r.Reset+r.Lose+r.Spoil == 0 || r.Odd && c.From%2 == 0 {
+	r := &t.Fault
+	if r.Err+r.Reset+r.Lose+r.Spoil == 0 || r.OddForwarders && c.Forwarder%2 == 0 {
 		return end, runs, false
 	}
 	if r.seen++; r.Every > 1 && r.seen%r.Every != 0 {
 		return end, runs, false
 	}
-	switch x := t.Dest.dice.Float64(); {
+	switch x := t.Destination.random.Float64(); {
 	case x < r.Err:
 		return transport.ResultServerError, x < r.Err/2, false
 	case x < r.Err+r.Reset:
@@ -503,7 +503,7 @@
 }
 
 // next takes the place that came free.
-func (t *Target) next() {
+func (t *Endpoint) next() {
 	if len(t.line) == 0 || t.down > 0 {
 		t.busy--
 		return
@@ -514,16 +514,16 @@
 	t.work(c)
 }
 
-func (d *Destination) ran(t *Target, c *Call, doc Doc, began float64) {
+func (d *Destination) ran(t *Endpoint, c *Call, doc Message, began float64) {
 	now, zone := d.clock.Now(), 0
-	if doc.Zoned {
+	if doc.DeduplicatedPerZone {
 		zone = t.Zone % len(d.known)
 	}
 	effect := true
-	if doc.Mark != 0 && doc.Memory > 0 {
-		effect = d.known[zone].learn(doc.Mark, c.came, now, doc.Memory)
+	if doc.IdempotencyKey != 0 && doc.DeduplicationWindow > 0 {
+		effect = d.known[zone].learn(doc.IdempotencyKey, c.came, now, doc.DeduplicationWindow)
 	}
-	d.record.Ran(Run{Doc: doc, Dest: d.Number, Target: t.Number, From: c.From, Came: c.came, Began: began, Ended: now, Effect: effect})
+	d.record.MessageExecuted(Execution{Message: doc, Destination: d.Number, Endpoint: t.Number, Forwarder: c.Forwarder, ReceivedAt: c.came, StartedAt: began, EndedAt: now, Effect: effect})
 }
 
 // numbers are those that a destination remembers, from the run on: never less than forwarders count on, who know only
@@ -562,10 +562,10 @@
 	let        []float64
 }
 
-func (l *limit) fill(t *Terms, now float64) { l.tokens, l.at = math.Max(1, t.Burst), now }
+func (l *limit) fill(t *Behavior, now float64) { l.tokens, l.at = math.Max(1, t.Burst), now }
 
 // left is the share of the limit that is left just now, the least of both where there are two.
-func (l *limit) left(t *Terms, cut, now float64) float64 {
+func (l *limit) left(t *Behavior, cut, now float64) float64 {
 	if cut == 0 {
 		cut = 1
 	}
@@ -586,7 +586,7 @@
 }
 
 // take lets a call in or tells after what time one would be.
-func (l *limit) take(t *Terms, cut, now float64) (wait float64, full bool) {
+func (l *limit) take(t *Behavior, cut, now float64) (wait float64, full bool) {
 	if cut == 0 {
 		cut = 1
 	}
--- a/lab/receiver/partner_test.go
+++ b/lab/receiver/partner_test.go
@@ -20,23 +20,23 @@
 	fell   int
 	wise   float64
 	told   []float64
-	all    []receiver.Run
+	all    []receiver.Execution
 }
 
-func (n *notes) Came(int, int, int, []receiver.Doc) {}
-func (n *notes) Ran(r receiver.Run) {
+func (n *notes) CallReceived(int, int, int, []receiver.Message) {}
+func (n *notes) MessageExecuted(r receiver.Execution) {
 	n.runs++
-	n.waited += r.Began - r.Came
+	n.waited += r.StartedAt - r.ReceivedAt
 	if len(n.all) < 10_000 {
 		n.all = append(n.all, r)
 	}
 }
-func (n *notes) Fell(_, _ int, wise float64)    { n.fell, n.wise = n.fell+1, wise }
-func (n *notes) Told(_, _, _ int, wait float64) { n.told = append(n.told, wait) }
-func (n *notes) Back(int, int)                  {}
+func (n *notes) EndpointOverloaded(_, _ int, wise float64) { n.fell, n.wise = n.fell+1, wise }
+func (n *notes) RetryAfterSent(_, _, _ int, wait float64)  { n.told = append(n.told, wait) }
+func (n *notes) EndpointRecovered(int, int)                {}
 
 // feed sends calls by a rate and returns how each ended.
-func feed(terms receiver.Terms, rate float64, calls int, even bool) (*notes, map[transport.ResultCode]int) {
+func feed(terms receiver.Behavior, rate float64, calls int, even bool) (*notes, map[transport.ResultCode]int) {
 	q, n, ends := &clock.Queue{}, &notes{}, map[transport.ResultCode]int{}
 	dice := rand.New(rand.NewPCG(1, 2))
 	d := receiver.New(0, terms, 1, 1, q, dice, n)
@@ -49,7 +49,7 @@
 	next = func() {
 		at, _ := arrivals.Next()
 		q.At(at, func() {
-			d.Targets[0].Take(&receiver.Call{Docs: []receiver.Doc{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.End]++ }})
+			d.Endpoints[0].Take(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.Code]++ }})
 			if left--; left > 0 {
 				next()
 			}
@@ -80,10 +80,10 @@
 		b := erlangB(c.places, a)
 		erlangC := b / (1 - c.busy*(1-b))
 		want := erlangC * mean / (float64(c.places) * (1 - c.busy))
-		n, _ := feed(receiver.Terms{Service: receiver.Dist{Form: "exponential", Mean: mean}, Places: c.places, Queue: 1 << 30}, a/mean, calls, false)
+		n, _ := feed(receiver.Behavior{Service: receiver.Dist{Form: "exponential", Mean: mean}, Concurrency: c.places, Queue: 1 << 30}, a/mean, calls, false)
 		require.InEpsilon(t, want, n.waited/float64(n.runs), 0.03, "M/M/%d", c.places)
 	}
-	n, _ := feed(receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: mean}, Places: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
+	n, _ := feed(receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
 	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.waited/float64(n.runs), 0.03, "M/D/1")
 }
 
@@ -92,20 +92,20 @@
 		places int
 		a      float64
 	}{{1, 0.5}, {4, 3}, {10, 9}} {
-		_, ends := feed(receiver.Terms{Service: receiver.Dist{Form: "exponential", Mean: 0.1}, Places: c.places}, c.a/0.1, 400_000, false)
+		_, ends := feed(receiver.Behavior{Service: receiver.Dist{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
 		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
 	}
 }
 
 func TestALimitLetsInExactlyWhatItSays(t *testing.T) {
 	quick := receiver.Dist{Form: "fixed", Mean: 0.001}
-	_, ends := feed(receiver.Terms{Service: quick, Places: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
+	_, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
 	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
-	n, ends := feed(receiver.Terms{Service: quick, Places: 100, Count: 7, Span: 2, Tells: true}, 100, 1000, true)
+	n, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Count: 7, Span: 2, ReportsRetryAfter: true}, 100, 1000, true)
 	require.Equal(t, 7*5, ends[transport.ResultOK], "seven in any two seconds")
 	require.Equal(t, 1000-35, ends[transport.ResultRetryAfter])
 	for i := range n.all[7:] {
-		require.GreaterOrEqual(t, n.all[i+7].Came-n.all[i].Came, 2-1e-6)
+		require.GreaterOrEqual(t, n.all[i+7].ReceivedAt-n.all[i].ReceivedAt, 2-1e-6)
 	}
 	require.InDelta(t, 2-0.07, n.told[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
 }
@@ -113,7 +113,7 @@
 // Warm it does 40 a second; at its return it stands twice a quarter of that, 20 a second, as a budget for any second and a
 // half: a call beyond 31 within that time pushes it over, a short burst does not.
 func TestAColdTargetFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
-	terms := receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.1}, Places: 4, Queue: 1000, ColdFrom: 0.25, ColdFor: 10, Fall: 2, FallSpan: 1.5, FallFor: 5}
+	terms := receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
 	for _, c := range []struct {
 		rate  float64
 		calls int
@@ -122,7 +122,7 @@
 	}{{15, 60, 1, false}, {30, 60, 1, true}, {30, 60, 0.5, true}, {30, 30, 1, false}} {
 		q, n := &clock.Queue{}, &notes{}
 		d := receiver.New(0, terms, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
-		target := d.Targets[0]
+		target := d.Endpoints[0]
 		target.Learned(1) // before the outage: of no account
 		target.Down()
 		q.At(0.5, func() { target.Learned(0) })
@@ -134,7 +134,7 @@
 				if float64(i%2) >= 2*c.wise {
 					from = 1
 				}
-				target.Take(&receiver.Call{From: from, Answer: func(receiver.Answer) {}})
+				target.Take(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
 			})
 		}
 		for q.Step(4) {
@@ -148,10 +148,10 @@
 
 func TestANumberIsKnownForItsMemoryAndTakesEffectOnce(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
-	d := receiver.New(0, receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Places: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	for i, at := range []float64{0, 1, 4.9, 5.5} {
 		q.At(at, func() {
-			d.Targets[i%2].Take(&receiver.Call{Docs: []receiver.Doc{{ID: uint64(i), Mark: 9, Memory: 5}}, Answer: func(receiver.Answer) {}})
+			d.Endpoints[i%2].Take(&receiver.Call{Messages: []receiver.Message{{ID: uint64(i), IdempotencyKey: 9, DeduplicationWindow: 5}}, Answer: func(receiver.Answer) {}})
 		})
 	}
 	for q.Step(100) {
@@ -161,11 +161,11 @@
 
 func TestTroublesDoWhatTheySay(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
-	d := receiver.New(0, receiver.Terms{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Places: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
-	target := d.Targets[0]
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	target := d.Endpoints[0]
 	var ends []transport.ResultCode
 	call := func() *receiver.Call {
-		c := &receiver.Call{Docs: []receiver.Doc{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.End) }}
+		c := &receiver.Call{Messages: []receiver.Message{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.Code) }}
 		target.Take(c)
 		return c
 	}
@@ -175,7 +175,7 @@
 		}
 		return ends
 	}
-	target.Trouble.Hang = 1
+	target.Fault.Hang = 1
 	call()
 	call()
 	waiting := call()
@@ -184,21 +184,21 @@
 	target.Resume()
 	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
 	require.Equal(t, 2, n.runs)
-	target.Trouble.Silent = 1
+	target.Fault.Silent = 1
 	call()
 	require.Empty(t, run())
-	target.Trouble = receiver.Trouble{Lose: 1}
+	target.Fault = receiver.Fault{Lose: 1}
 	call()
 	require.Empty(t, run())
 	require.Equal(t, 3, n.runs, "ran, though nobody heard")
-	target.Trouble = receiver.Trouble{Err: 1, Every: 2}
+	target.Fault = receiver.Fault{Err: 1, Every: 2}
 	call()
 	call()
 	require.ElementsMatch(t, []transport.ResultCode{transport.ResultOK, transport.ResultServerError}, run())
-	target.Trouble, ends = receiver.Trouble{Draining: true}, nil
+	target.Fault, ends = receiver.Fault{Draining: true}, nil
 	call()
 	require.Equal(t, []transport.ResultCode{transport.ResultOverloaded}, ends)
-	target.Trouble = receiver.Trouble{}
+	target.Fault = receiver.Fault{}
 	call()
 	ends = nil
 	target.Down()
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -30,18 +30,18 @@
 
 // day is a result with the scene it was played from.
 type day struct {
-	Scene  *scenario.Scene
+	Scene  *scenario.Scenario
 	Result *sim.Result
 }
 
 // Write writes a page for the results of one scene, one for each seed.
-func Write(w io.Writer, s *scenario.Scene, results []*sim.Result) error {
+func Write(w io.Writer, s *scenario.Scenario, results []*sim.Result) error {
 	type shown struct {
 		Result                  *sim.Result
 		Value, Held, Heat, Ends template.HTML
 	}
 	page := struct {
-		Scene *scenario.Scene
+		Scene *scenario.Scenario
 		Days  []shown
 		JSON  template.JS
 	}{Scene: s}
@@ -111,7 +111,7 @@
 
 // marks draws where troubles begin and end.
 func (d *day) marks(p *plot.Plot, top float64) error {
-	for _, t := range d.Scene.Troubles {
+	for _, t := range d.Scene.Faults {
 		for i, at := range []float64{float64(t.At), float64(t.At + t.For)} {
 			l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
 			if err != nil {
--- a/lab/scenario/scene_test.go
+++ b/lab/scenario/scene_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestEachKeptSceneIsSoundAndSaysWhatItIs(t *testing.T) {
-	require.GreaterOrEqual(t, len(Kept()), 10)
-	for _, name := range Kept() {
+	require.GreaterOrEqual(t, len(Builtin()), 10)
+	for _, name := range Builtin() {
 		s, err := Read(name)
 		require.NoError(t, err, name)
 		require.NotEmpty(t, s.About, name)
--- a/lab/sim/befall.go
+++ b/lab/sim/befall.go
@@ -9,18 +9,18 @@
 
 // befall puts the scene's troubles on the time line.
 func (d *day) befall() {
-	for i := range d.scene.Troubles {
-		t := &d.scene.Troubles[i]
+	for i := range d.scene.Faults {
+		t := &d.scene.Faults[i]
 		at, end := begins+float64(t.At), begins+float64(t.At+t.For)
 		switch t.Kind {
 		case "stall":
 			d.At(at, func() {
-				for _, n := range d.some(t.Share) {
+				for _, n := range d.some(t.Fraction) {
 					n.standStill(end)
 				}
 			})
 		case "restart":
-			some := d.some(t.Share)
+			some := d.some(t.Fraction)
 			for i, n := range some {
 				d.At(at+float64(t.For)*float64(i)/float64(len(some)), n.kill)
 			}
@@ -55,14 +55,14 @@
 }
 
 // hit is the targets that a trouble befalls.
-func (d *day) hit(t *scenario.Trouble) []*receiver.Target {
-	var all []*receiver.Target
+func (d *day) hit(t *scenario.Fault) []*receiver.Endpoint {
+	var all []*receiver.Endpoint
 	for i, dest := range d.dests {
-		if len(t.Dest) > 0 && !slices.Contains(t.Dest, i) || len(t.Dest) == 0 && t.Part != "" && d.scene.Partners[d.group[i]].Name != t.Part {
+		if len(t.Destinations) > 0 && !slices.Contains(t.Destinations, i) || len(t.Destinations) == 0 && t.Receiver != "" && d.scene.Receivers[d.group[i]].Name != t.Receiver {
 			continue
 		}
-		for _, target := range dest.Targets {
-			if target.Trouble.Left || len(t.Target) > 0 && !slices.Contains(t.Target, target.Number) || t.Zone > 0 && target.Zone != t.Zone-1 {
+		for _, target := range dest.Endpoints {
+			if target.Fault.Removed || len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, target.Number) || t.Zone > 0 && target.Zone != t.Zone-1 {
 				continue
 			}
 			all = append(all, target)
@@ -71,8 +71,8 @@
 	return all
 }
 
-func begin(to *receiver.Target, t *scenario.Trouble, s *scenario.Scene) {
-	r := &to.Trouble
+func begin(to *receiver.Endpoint, t *scenario.Fault, s *scenario.Scenario) {
+	r := &to.Fault
 	switch t.Kind {
 	case "refuse":
 		to.Down()
@@ -88,24 +88,24 @@
 			}
 		}
 	case "err":
-		r.Err = t.Share
+		r.Err = t.Fraction
 	case "reset":
-		r.Reset = t.Share
+		r.Reset = t.Fraction
 	case "lose":
-		r.Lose = t.Share
+		r.Lose = t.Fraction
 	case "spoil":
-		r.Spoil = t.Share
+		r.Spoil = t.Fraction
 	case "cut":
-		r.Cut = t.Share
+		r.LimitFraction = t.Fraction
 	}
 	if t.Every > 1 {
 		r.Every = t.Every
 	}
-	r.Odd = r.Odd || t.Odd
+	r.OddForwarders = r.OddForwarders || t.OddForwarders
 }
 
-func finish(to *receiver.Target, t *scenario.Trouble) {
-	r := &to.Trouble
+func finish(to *receiver.Endpoint, t *scenario.Fault) {
+	r := &to.Fault
 	if failed := r.MostlyFails(); failed {
 		defer func() {
 			if !r.MostlyFails() { // most calls failed: it comes back cold as after any outage
@@ -133,19 +133,19 @@
 	case "spoil":
 		r.Spoil = 0
 	case "cut":
-		r.Cut = 0
+		r.LimitFraction = 0
 	}
 	if r.Err+r.Reset+r.Lose+r.Spoil == 0 {
-		r.Every, r.Odd = 0, false
+		r.Every, r.OddForwarders = 0, false
 	}
 }
 
 // replace lets targets go and others come in their place: drained first, with the list's word, or at once.
-func (d *day) replace(t *scenario.Trouble) {
+func (d *day) replace(t *scenario.Fault) {
 	hit := d.hit(t)
 	if t.Kind == "drain" {
 		for _, target := range hit {
-			target.Trouble.Draining = true
+			target.Fault.Draining = true
 		}
 		d.list(hit)
 		d.After(drainTime, func() { d.leave(hit, float64(t.For)) })
@@ -154,30 +154,30 @@
 	d.leave(hit, float64(t.For))
 }
 
-func (d *day) leave(hit []*receiver.Target, comes float64) {
+func (d *day) leave(hit []*receiver.Endpoint, comes float64) {
 	for _, target := range hit {
-		target.Trouble.Left = true
+		target.Fault.Removed = true
 	}
 	d.list(hit)
 	d.After(comes, func() {
-		var fresh []*receiver.Target
+		var fresh []*receiver.Endpoint
 		for _, target := range hit {
-			fresh = append(fresh, target.Dest.Add(target.Zone))
+			fresh = append(fresh, target.Destination.Add(target.Zone))
 		}
 		d.list(fresh)
 	})
 }
 
 // list tells all forwarders of changed targets, after the list's lag.
-func (d *day) list(targets []*receiver.Target) {
-	d.After(float64(d.scene.ListLag)+float64(d.scene.Rest), func() {
+func (d *day) list(targets []*receiver.Endpoint) {
+	d.After(float64(d.scene.ListLag)+float64(d.scene.NetworkDelay), func() {
 		if d.noList > 0 { // it comes with the next change of the list, or when it comes again
 			d.After(1, func() { d.list(targets) })
 			return
 		}
 		for _, t := range targets {
-			if t.Trouble.Draining || t.Trouble.Left {
-				d.log.Leaving(t.Dest.Number, t.Number)
+			if t.Fault.Draining || t.Fault.Removed {
+				d.log.Leaving(t.Destination.Number, t.Number)
 			}
 		}
 		for _, n := range d.nodes {
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -33,7 +33,7 @@
 
 // target is a partner's target as a forwarder knows it.
 type target struct {
-	is     *receiver.Target
+	is     *receiver.Endpoint
 	module *scheduler.Endpoint
 	idle   []float64 // connections, by when each was last used
 	listed scheduler.EndpointState
@@ -60,10 +60,10 @@
 	n.life++
 	n.up = true
 	n.docs, n.byDoor, n.calls, n.out = map[uint64]*handing{}, map[uint64]*target{}, nil, nil
-	n.policy = n.day.make(d.scene.Terms(n.number), n.seed+uint64(n.life), d.Now(), n)
+	n.policy = n.day.make(d.scene.SchedulerSettings(n.number), n.seed+uint64(n.life), d.Now(), n)
 	if p, ok := n.policy.(*plain); ok && p.seer {
 		p.sees = func(door uint64) (bool, int) {
-			t := d.dests[door>>32].Targets[uint32(door)]
+			t := d.dests[door>>32].Endpoints[uint32(door)]
 			return t.Ready(n.number), t.Busy()
 		}
 	}
@@ -71,8 +71,8 @@
 	var lines []scheduler.EndpointUpdate
 	for i, dest := range d.dests {
 		n.dests = append(n.dests, n.policy.NewDestination(uint64(i)))
-		for _, t := range dest.Targets {
-			if !t.Trouble.Left {
+		for _, t := range dest.Endpoints {
+			if !t.Fault.Removed {
 				lines = append(lines, n.line(t))
 			}
 		}
@@ -98,8 +98,8 @@
 }
 
 // line is the list's line of a target, which the forwarder knows from then on.
-func (n *node) line(t *receiver.Target) scheduler.EndpointUpdate {
-	d := t.Dest.Number
+func (n *node) line(t *receiver.Endpoint) scheduler.EndpointUpdate {
+	d := t.Destination.Number
 	for len(n.targets[d]) <= t.Number {
 		n.targets[d] = append(n.targets[d], nil)
 	}
@@ -111,12 +111,12 @@
 	}
 	l := scheduler.EndpointUpdate{Endpoint: k.module, Destination: n.dests[d], Kind: n.day.group[d], Zone: t.Zone}
 	if n.day.scene.Dispatch.ListedRates != "none" {
-		l.Rate = t.Dest.Terms.Rate
+		l.Rate = t.Destination.Behavior.Rate
 	}
 	switch {
-	case t.Trouble.Left:
+	case t.Fault.Removed:
 		l.State = scheduler.Removed
-	case t.Trouble.Draining:
+	case t.Fault.Draining:
 		l.State = scheduler.Draining
 	}
 	k.listed = l.State
@@ -196,7 +196,7 @@
 	left := expiry - d.Now()
 	d.lastID++
 	id := d.lastID
-	doc := &audit.Doc{ID: id, Mark: e.mark, Key: e.key, Type: e.typeNo, Binding: e.typ.Repeat == "binding", Numbered: e.mark != 0,
+	doc := &audit.Doc{ID: id, Mark: e.mark, Key: e.key, Type: e.typeNo, Binding: e.typ.Idempotency == "binding", Numbered: e.mark != 0,
 		Dest: e.dest, From: n.number, Handed: d.Now(), Expiry: expiry}
 	if e.id == 0 {
 		e.id = id
@@ -228,18 +228,18 @@
 	}
 	c.done = true
 	n.out = slices.DeleteFunc(n.out, func(o *call) bool { return o == c })
-	switch a.End {
+	switch a.Code {
 	case transport.ResultOK, transport.ResultServerError, transport.ResultRetryAfter, transport.ResultOverloaded:
 		c.to.idle = append(c.to.idle, d.Now())
 	}
-	out, over := a.End.Outcome()
+	out, over := a.Code.Outcome()
 	if out != scheduler.Delivered && out != scheduler.NotSent {
 		c.to.is.Learned(n.number)
 	}
 	n.policy.SetTime(d.Now())
 	for _, h := range c.docs {
-		d.result.Ends[a.End.String()]++
-		if a.End.MayHaveRun() && h.past.FirstRanAt == 0 {
+		d.result.Ends[a.Code.String()]++
+		if a.Code.MayHaveRun() && h.past.FirstRanAt == 0 {
 			h.past.FirstRanAt, h.past.Zone = h.out, h.outTo
 		}
 		h.out = 0
@@ -249,8 +249,8 @@
 			}
 			h.over = true
 		}
-		n.policy.AttemptEnded(h.doc, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.began, RetryAfter: a.Wait, ReportedLimit: a.Most,
-			ReportedShare: a.Left})
+		n.policy.AttemptEnded(h.doc, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.began, RetryAfter: a.RetryAfter, ReportedLimit: a.ReportedLimit,
+			ReportedShare: a.ReportedShare})
 		if h.over {
 			delete(n.docs, h.id)
 		}
@@ -263,7 +263,7 @@
 	n, d, t := c.node, c.node.day, c.to
 	c.began = d.Now()
 	n.out = append(n.out, c)
-	rest := float64(d.scene.Rest)
+	rest := float64(d.scene.NetworkDelay)
 	way, dead := 3*rest, false // a new connection takes a way there and back before the call
 	life := float64(d.scene.Dispatch.IdleTimeout)
 	if p, ok := n.policy.(*plain); ok && p.seer { // it knows which connections are dead: a new one each time
@@ -281,7 +281,7 @@
 	d.After(c.allow, func() { n.do(func() { c.giveUp() }) })
 	refused, silent := t.is.Up()
 	if dead || silent && fresh || refused {
-		t.is.Coming--
+		t.is.Approaching--
 	}
 	switch {
 	case dead:
@@ -289,27 +289,27 @@
 		return
 	case silent && fresh:
 		d.After(min(c.allow, float64(d.scene.Dispatch.Connect)), func() {
-			n.do(func() { n.ended(c, receiver.Answer{End: transport.ResultConnectTimeout}) })
+			n.do(func() { n.ended(c, receiver.Answer{Code: transport.ResultConnectTimeout}) })
 		})
 		return
 	case refused:
-		d.After(2*rest, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.ResultConnectRefused}) }) })
+		d.After(2*rest, func() { n.do(func() { n.ended(c, receiver.Answer{Code: transport.ResultConnectRefused}) }) })
 		return
 	}
 	d.After(way, func() {
-		t.is.Coming--
+		t.is.Approaching--
 		if c.done || c.back || c.life != n.life {
 			return
 		}
 		c.arrived = true
-		docs := make([]receiver.Doc, len(c.docs))
+		docs := make([]receiver.Message, len(c.docs))
 		for i, h := range c.docs {
-			docs[i] = receiver.Doc{ID: h.id, Mark: h.of.mark, Memory: float64(h.of.typ.Memory), Zoned: h.of.typ.Group == "zone",
+			docs[i] = receiver.Message{ID: h.id, IdempotencyKey: h.of.mark, DeduplicationWindow: float64(h.of.typ.DeduplicationWindow), DeduplicatedPerZone: h.of.typ.Group == "zone",
 				Tenant: h.of.tenant}
 		}
-		c.at = &receiver.Call{From: n.number, Docs: docs, Answer: func(a receiver.Answer) {
+		c.at = &receiver.Call{Forwarder: n.number, Messages: docs, Answer: func(a receiver.Answer) {
 			for _, doc := range docs {
-				d.log.Closed(doc.ID, told(a.End))
+				d.log.Closed(doc.ID, told(a.Code))
 			}
 			d.After(rest, func() { n.do(func() { n.ended(c, a) }) })
 		}}
@@ -327,9 +327,9 @@
 func (c *call) cut() {
 	d := c.node.day
 	if at := c.at; at != nil {
-		d.After(float64(d.scene.Rest), func() {
+		d.After(float64(d.scene.NetworkDelay), func() {
 			at.Cancel()
-			for _, doc := range at.Docs {
+			for _, doc := range at.Messages {
 				d.log.Closed(doc.ID, false)
 			}
 		})
@@ -345,7 +345,7 @@
 	if !c.arrived {
 		end = transport.ResultTimeoutBeforeSent
 	}
-	c.node.ended(c, receiver.Answer{End: end})
+	c.node.ended(c, receiver.Answer{Code: end})
 }
 
 // kill ends the process; it starts again on what it owed.
@@ -385,7 +385,7 @@
 	h.past.Attempts++
 	h.out, h.outTo = n.day.Now(), t.is.Zone
 	n.day.result.Transmissions++
-	batch := n.day.scene.Partners[n.day.group[t.is.Dest.Number]].Batch
+	batch := n.day.scene.Receivers[n.day.group[t.is.Destination.Number]].Batch
 	for _, c := range n.calls {
 		if c.to == t && len(c.docs) < batch {
 			c.docs = append(c.docs, h)
@@ -393,7 +393,7 @@
 			return
 		}
 	}
-	t.is.Coming++
+	t.is.Approaching++
 	n.calls = append(n.calls, &call{node: n, life: n.life, to: t, docs: []*handing{h}, allow: timeout})
 }
 
@@ -414,7 +414,7 @@
 	for _, c := range n.out {
 		if c.to.module == to && !c.arrived && !c.done {
 			c.back = true // its way ends here
-			n.day.After(0, func() { n.do(func() { n.ended(c, receiver.Answer{End: transport.ResultCancelled}) }) })
+			n.day.After(0, func() { n.do(func() { n.ended(c, receiver.Answer{Code: transport.ResultCancelled}) }) })
 		}
 	}
 }
@@ -446,14 +446,14 @@
 func (n *node) Log(line string) { n.day.result.Modes++ }
 
 // listed tells a forwarder of changed targets.
-func (n *node) listed(targets []*receiver.Target) {
+func (n *node) listed(targets []*receiver.Endpoint) {
 	n.do(func() {
 		n.policy.SetTime(n.day.Now())
 		var lines []scheduler.EndpointUpdate
 		for _, t := range targets {
 			lines = append(lines, n.line(t))
-			if t.Trouble.Draining || t.Trouble.Left {
-				n.targets[t.Dest.Number][t.Number].idle = nil
+			if t.Fault.Draining || t.Fault.Removed {
+				n.targets[t.Destination.Number][t.Number].idle = nil
 			}
 		}
 		n.policy.UpdateEndpoints(false, lines)
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -26,7 +26,7 @@
 	Real
 	mu        sync.Mutex
 	epoch     time.Time
-	scene     *scenario.Scene
+	scene     *scenario.Scenario
 	dests     []*receiver.Destination
 	group     []int
 	log       *audit.Log
@@ -38,7 +38,7 @@
 	lastID    uint64
 	dice      *rand.Rand
 	disc      *emulator.Discovery
-	endpoints map[*receiver.Target]*endpoint
+	endpoints map[*receiver.Endpoint]*endpoint
 	nodes     []*process
 	failed    error // of a forwarder that could not be started again
 	wg        sync.WaitGroup
@@ -57,21 +57,21 @@
 }
 
 // Play plays a scene with a seed; it takes as long as the scene.
-func (r Real) Play(ctx context.Context, s *scenario.Scene, seed uint64) (*Result, error) {
+func (r Real) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := &realDay{Real: r, epoch: time.Now(), scene: s, result: newResult(s, seed), effects: map[uint64]*effect{}, from: map[uint64]int{}, heard: map[uint64]bool{}, tails: map[uint64]chan struct{}{},
-		dice: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Target]*endpoint{}, ctx: ctx}
-	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyCooldown))
+		dice: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Endpoint]*endpoint{}, ctx: ctx}
+	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
 	d.log.Slack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
 	partners := rand.New(rand.NewPCG(seed, 3))
 	var list []emulator.Entry
-	for g := range s.Partners {
-		p := &s.Partners[g]
+	for g := range s.Receivers {
+		p := &s.Receivers[g]
 		for range p.Count {
-			dest := receiver.New(len(d.dests), s.Model(p), p.Targets, s.Zones, d, partners, &realRecorder{d.log, d})
+			dest := receiver.New(len(d.dests), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &realRecorder{d.log, d})
 			d.dests, d.group = append(d.dests, dest), append(d.group, g)
-			for _, t := range dest.Targets {
+			for _, t := range dest.Endpoints {
 				if err := d.open(t); err != nil {
 					return nil, err
 				}
@@ -139,10 +139,10 @@
 	day *realDay
 }
 
-func (r *realRecorder) Ran(run receiver.Run) {
-	r.Log.Ran(run)
-	if e := r.day.effects[run.Doc.ID]; e != nil && run.Effect && !e.done {
+func (r *realRecorder) MessageExecuted(run receiver.Execution) {
+	r.Log.MessageExecuted(run)
+	if e := r.day.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
 		e.done = true
-		r.day.result.delivered(e, run.Ended)
+		r.day.result.delivered(e, run.EndedAt)
 	}
 }
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -87,7 +87,7 @@
 		if e.id == 0 {
 			e.id = id
 		}
-		d.log.Handed(&audit.Doc{ID: id, Same: e.id, Mark: e.mark, Key: e.key, Type: e.typeNo, Binding: e.typ.Repeat == "binding", Numbered: e.mark != 0,
+		d.log.Handed(&audit.Doc{ID: id, Same: e.id, Mark: e.mark, Key: e.key, Type: e.typeNo, Binding: e.typ.Idempotency == "binding", Numbered: e.mark != 0,
 			Dest: e.dest, From: n, Handed: d.Now(), Expiry: expiry})
 		d.effects[id], d.from[id] = e, n
 		d.mu.Unlock()
@@ -106,7 +106,7 @@
 			d.result.Refused++
 			d.again(e, wait)
 		case "none": // to another a little later; whatever the first does counts for nothing
-			if d.Now()+asksAgain < expiry && !e.done && e.typ.Repeat != "binding" {
+			if d.Now()+asksAgain < expiry && !e.done && e.typ.Idempotency != "binding" {
 				d.After(asksAgain, func() { d.handIn(e, expiry, next(e, n, len(d.nodes))) })
 			}
 		}
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -19,7 +19,7 @@
 // endpoint is a target's listener. While the target refuses connections nobody listens there.
 type endpoint struct {
 	day    *realDay
-	target *receiver.Target
+	target *receiver.Endpoint
 	addr   string
 	mu     sync.Mutex
 	ln     net.Listener
@@ -29,7 +29,7 @@
 
 const listenCheckInterval = 10 * time.Millisecond
 
-func (d *realDay) open(t *receiver.Target) error {
+func (d *realDay) open(t *receiver.Endpoint) error {
 	ep := &endpoint{day: d, target: t, conns: map[net.Conn]struct{}{}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,12 +125,12 @@
 	for i, id := range ids {
 		n, _ := strconv.ParseUint(id, 16, 64)
 		mark, _ := strconv.ParseUint(marks[i], 16, 64)
-		doc := receiver.Doc{ID: n, Mark: mark}
+		doc := receiver.Message{ID: n, IdempotencyKey: mark}
 		if e := d.effects[n]; e != nil {
-			doc.Tenant, doc.Memory, doc.Zoned = e.tenant, float64(e.typ.Memory), e.typ.Group == "zone"
-			call.From = d.from[n]
+			doc.Tenant, doc.DeduplicationWindow, doc.DeduplicatedPerZone = e.tenant, float64(e.typ.DeduplicationWindow), e.typ.Group == "zone"
+			call.Forwarder = d.from[n]
 		}
-		call.Docs = append(call.Docs, doc)
+		call.Messages = append(call.Messages, doc)
 	}
 	ep.target.Take(call)
 	d.mu.Unlock()
@@ -140,19 +140,19 @@
 	case <-r.Context().Done():
 		d.mu.Lock()
 		call.Cancel()
-		ep.target.Learned(call.From)
+		ep.target.Learned(call.Forwarder)
 		d.closed(call, false)
 		d.mu.Unlock()
 		return
 	}
 	d.mu.Lock()
-	d.closed(call, told(a.End))
-	d.result.Ends[a.End.String()] += len(call.Docs)
-	if a.End != transport.ResultOK {
-		ep.target.Learned(call.From)
+	d.closed(call, told(a.Code))
+	d.result.Ends[a.Code.String()] += len(call.Messages)
+	if a.Code != transport.ResultOK {
+		ep.target.Learned(call.Forwarder)
 	}
-	if a.End == transport.ResultOK {
-		for _, doc := range call.Docs {
+	if a.Code == transport.ResultOK {
+		for _, doc := range call.Messages {
 			if d.effects[doc.ID] != nil && !d.log.Answered(doc.ID) { // a notice may have crossed it, which does no harm
 				d.log.Final(doc.ID, "delivered")
 				d.heard[doc.ID] = true
@@ -160,10 +160,10 @@
 		}
 	}
 	d.mu.Unlock()
-	if a.Most != 0 {
-		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.Left), max(0, a.Most)))
+	if a.ReportedLimit != 0 {
+		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.ReportedShare), max(0, a.ReportedLimit)))
 	}
-	switch a.End {
+	switch a.Code {
 	case transport.ResultOK:
 		if len(ids) > 1 {
 			var b strings.Builder
@@ -175,7 +175,7 @@
 		}
 		w.WriteHeader(http.StatusOK)
 	case transport.ResultRetryAfter:
-		w.Header().Set("Retry-After", strconv.FormatFloat(a.Wait, 'f', 3, 64))
+		w.Header().Set("Retry-After", strconv.FormatFloat(a.RetryAfter, 'f', 3, 64))
 		w.WriteHeader(http.StatusTooManyRequests)
 	case transport.ResultOverloaded:
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -192,7 +192,7 @@
 }
 
 func (d *realDay) closed(c *receiver.Call, known bool) {
-	for _, doc := range c.Docs {
+	for _, doc := range c.Messages {
 		d.log.Closed(doc.ID, known)
 	}
 }
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -7,13 +7,13 @@
 	"spanflow/lab/receiver"
 )
 
-func (d *realDay) entry(t *receiver.Target) emulator.Entry {
-	e := emulator.Entry{UID: fmt.Sprintf("d%d-%d", t.Dest.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
-		Kind: fmt.Sprint("k", d.group[t.Dest.Number]), Destination: t.Dest.Number, State: "active"}
+func (d *realDay) entry(t *receiver.Endpoint) emulator.Entry {
+	e := emulator.Entry{UID: fmt.Sprintf("d%d-%d", t.Destination.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
+		Kind: fmt.Sprint("k", d.group[t.Destination.Number]), Destination: t.Destination.Number, State: "active"}
 	switch {
-	case t.Trouble.Left:
+	case t.Fault.Removed:
 		e.State = "left"
-	case t.Trouble.Draining:
+	case t.Fault.Draining:
 		e.State = "leaving"
 	}
 	return e
@@ -24,10 +24,10 @@
 // partner that takes calls and says nothing.
 func (d *realDay) befall() {
 	sim := &day{scene: d.scene, dests: d.dests, group: d.group}
-	for i := range d.scene.Troubles {
-		t := &d.scene.Troubles[i]
+	for i := range d.scene.Faults {
+		t := &d.scene.Faults[i]
 		at, lasts := float64(t.At), float64(t.For)
-		n := min(len(d.nodes), int(t.Share*float64(len(d.nodes))+0.999999))
+		n := min(len(d.nodes), int(t.Fraction*float64(len(d.nodes))+0.999999))
 		switch t.Kind {
 		case "reap", "list":
 		case "stall":
@@ -66,23 +66,23 @@
 	}
 }
 
-func (d *realDay) mark(targets []*receiver.Target, draining, left bool) {
+func (d *realDay) mark(targets []*receiver.Endpoint, draining, left bool) {
 	for _, t := range targets {
-		t.Trouble.Draining, t.Trouble.Left = draining, left
+		t.Fault.Draining, t.Fault.Removed = draining, left
 	}
 	d.After(float64(d.scene.ListLag), func() {
 		for _, t := range targets {
-			d.log.Leaving(t.Dest.Number, t.Number)
+			d.log.Leaving(t.Destination.Number, t.Number)
 			d.disc.Set(d.entry(t))
 		}
 	})
 }
 
-func (d *realDay) leave(hit []*receiver.Target, comes float64) {
+func (d *realDay) leave(hit []*receiver.Endpoint, comes float64) {
 	d.mark(hit, false, true)
 	d.After(comes, func() {
 		for _, t := range hit {
-			fresh := t.Dest.Add(t.Zone)
+			fresh := t.Destination.Add(t.Zone)
 			if d.open(fresh) == nil {
 				d.After(float64(d.scene.ListLag), func() { d.disc.Set(d.entry(fresh)) })
 			}
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -61,13 +61,13 @@
 }
 
 // settings are a scene's terms in the platform's form.
-func settings(s *scenario.Scene, n int) map[string]any {
+func settings(s *scenario.Scenario, n int) map[string]any {
 	ms := func(seconds float64) float64 { return seconds * 1000 }
 	var classes, tenants []map[string]any
 	words := map[string]string{"replayable": "retryable", "numbered": "dedup", "binding": "fragile"}
 	for _, t := range s.Types {
-		classes = append(classes, map[string]any{"Name": t.Name, "Idempotency": words[t.Repeat], "Group": t.Group, "Sequential": t.InOrder,
-			"Slo": ms(float64(t.Agreed)), "HardLimit": ms(float64(t.Life)), "MemorySpan": ms(float64(t.Memory))})
+		classes = append(classes, map[string]any{"Name": t.Name, "Idempotency": words[t.Idempotency], "Group": t.Group, "Sequential": t.InOrder,
+			"Slo": ms(float64(t.LatencyObjective)), "HardLimit": ms(float64(t.TimeToLive)), "MemorySpan": ms(float64(t.DeduplicationWindow))})
 	}
 	for _, t := range s.Tenants {
 		tenants = append(tenants, map[string]any{"Name": t.Name, "QuotaRps": t.PerSecond})
@@ -75,8 +75,8 @@
 	var kinds, zones []string
 	var batch []int
 	var apart []bool
-	for i, p := range s.Partners {
-		kinds, batch, apart = append(kinds, fmt.Sprint("k", i)), append(batch, p.Batch), append(apart, p.Apart)
+	for i, p := range s.Receivers {
+		kinds, batch, apart = append(kinds, fmt.Sprint("k", i)), append(batch, p.Batch), append(apart, p.EndpointLimits)
 	}
 	for z := range s.Zones {
 		zones = append(zones, fmt.Sprint("z", z))
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -113,8 +113,8 @@
 	require.NoError(t, err, string(out))
 	s := standstill(t)
 	s.Length, s.Drain = 8, 10
-	s.Types[0].Agreed, s.Types[0].Life = 1.5, 8
-	s.Troubles[0].At, s.Troubles[1].At, s.Troubles[1].For = 1.5, 2, 4
+	s.Types[0].LatencyObjective, s.Types[0].TimeToLive = 1.5, 8
+	s.Faults[0].At, s.Faults[1].At, s.Faults[1].For = 1.5, 2, 4
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
 	require.Empty(t, r.Breaches)
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -52,7 +52,7 @@
 
 const mostByDest = 64
 
-func newResult(s *scenario.Scene, seed uint64) *Result {
+func newResult(s *scenario.Scenario, seed uint64) *Result {
 	r := &Result{Scene: s.Name, Seed: seed, Ends: map[string]int{}, Finals: map[string]int{}, times: hdrhistogram.New(1, 3_600_000_000, 3)}
 	r.Seconds = make([]Second, int(s.Length+s.Drain))
 	return r
@@ -73,7 +73,7 @@
 func (r *Result) delivered(e *effect, at float64) {
 	took := at - e.handed
 	value := 0.0
-	switch agreed, life := float64(e.typ.Agreed), float64(e.typ.Life); {
+	switch agreed, life := float64(e.typ.LatencyObjective), float64(e.typ.TimeToLive); {
 	case took <= agreed:
 		value = e.typ.Value
 	case took < life:
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -76,7 +76,7 @@
 
 type day struct {
 	clock.Queue
-	scene   *scenario.Scene
+	scene   *scenario.Scenario
 	make    Maker
 	dice    *rand.Rand // of the load
 	net     *rand.Rand // of clients and network
@@ -93,16 +93,16 @@
 }
 
 // Play plays a scene with a seed.
-func Play(s *scenario.Scene, seed uint64, make Maker) *Result {
+func Play(s *scenario.Scenario, seed uint64, make Maker) *Result {
 	d := &day{scene: s, make: make, dice: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, handed: map[uint64]*handing{}}
 	d.Set(begins)
 	d.result = newResult(s, seed)
-	d.log = audit.New(d, func(dest int) bool { return s.Partners[d.group[dest]].Apart }, float64(s.Dispatch.KeyCooldown))
+	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
 	partners := rand.New(rand.NewPCG(seed, 3))
-	for g := range s.Partners {
-		p := &s.Partners[g]
+	for g := range s.Receivers {
+		p := &s.Receivers[g]
 		for range p.Count {
-			d.dests = append(d.dests, receiver.New(len(d.dests), s.Model(p), p.Targets, s.Zones, d, partners, &recorder{d.log, d}))
+			d.dests = append(d.dests, receiver.New(len(d.dests), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &recorder{d.log, d}))
 			d.group = append(d.group, g)
 		}
 	}
@@ -131,11 +131,11 @@
 	day *day
 }
 
-func (r *recorder) Ran(run receiver.Run) {
-	r.Log.Ran(run)
-	if e := r.day.effects[run.Doc.ID]; e != nil && run.Effect && !e.done {
+func (r *recorder) MessageExecuted(run receiver.Execution) {
+	r.Log.MessageExecuted(run)
+	if e := r.day.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
 		e.done = true
-		r.day.result.delivered(e, run.Ended)
+		r.day.result.delivered(e, run.EndedAt)
 	}
 }
 
@@ -150,7 +150,7 @@
 }
 
 // plan draws what clients want on a day.
-func plan(s *scenario.Scene, dice *rand.Rand) []*effect {
+func plan(s *scenario.Scenario, dice *rand.Rand) []*effect {
 	shape := s.Shape()
 	for i := range shape {
 		shape[i].At += begins
@@ -162,16 +162,16 @@
 	}
 	moments.From(begins)
 	var weights, parts, shares []float64
-	for _, p := range s.Partners {
+	for _, p := range s.Receivers {
 		for _, w := range load.Zipf(p.Count, p.Skew).Weights() {
-			weights = append(weights, w*p.Part)
+			weights = append(weights, w*p.LoadWeight)
 		}
 	}
 	for _, t := range s.Types {
-		parts = append(parts, t.Part)
+		parts = append(parts, t.LoadWeight)
 	}
 	for _, t := range s.Tenants {
-		shares = append(shares, t.Part)
+		shares = append(shares, t.LoadWeight)
 	}
 	dests, types, tenants := load.Weighted(weights), load.Weighted(parts), load.Weighted(shares)
 	var all []*effect
@@ -179,8 +179,8 @@
 		e := &effect{handed: at, dest: dest, tenant: tenant}
 		e.typeNo = types.Pick(dice)
 		e.typ = &s.Types[e.typeNo]
-		e.expiry = at + float64(e.typ.Life)
-		if e.typ.Repeat == "numbered" {
+		e.expiry = at + float64(e.typ.TimeToLive)
+		if e.typ.Idempotency == "numbered" {
 			e.mark = dice.Uint64() | 1
 		}
 		if e.typ.InOrder {
@@ -203,9 +203,9 @@
 		}
 		one(at, dests.Pick(dice), tenant(), 0)
 	}
-	for i, c := range s.Load.Clumps {
+	for i, c := range s.Load.Bursts {
 		for range c.Count {
-			dest, who, key := c.Dest, tenant(), uint64(0)
+			dest, who, key := c.Destination, tenant(), uint64(0)
 			if dest < 0 {
 				dest = dests.Pick(dice)
 			}
@@ -242,7 +242,7 @@
 
 // handIn hands an effect in at a forwarder, as a document of its own.
 func (d *day) handIn(e *effect, expiry float64, n int) {
-	d.After(float64(d.scene.Rest), func() {
+	d.After(float64(d.scene.NetworkDelay), func() {
 		node := d.nodes[n]
 		if !node.up { // refused: to another a little later
 			d.After(asksAgain, func() {
@@ -271,9 +271,9 @@
 }
 
 // comesAgain tells if a client hands an effect in anew, after what time, and with what expiry.
-func (e *effect) comesAgain(s *scenario.Scene, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
+func (e *effect) comesAgain(s *scenario.Scenario, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
 	if expiry = e.expiry; e.mark != 0 {
-		expiry = min(expiry, e.handed+float64(e.typ.Memory))
+		expiry = min(expiry, e.handed+float64(e.typ.DeduplicationWindow))
 	}
 	wait = comeBack + 0.1 + 0.2*dice.Float64()
 	return expiry, wait, s.ComesAgain && !e.done && now+wait+0.05 < expiry
@@ -281,7 +281,7 @@
 
 // tell tells a client a final answer.
 func (d *day) tell(h *handing, what string, comeBack float64) {
-	d.After(float64(d.scene.Rest), func() {
+	d.After(float64(d.scene.NetworkDelay), func() {
 		d.log.Final(h.id, what)
 		h.of.answer = what
 		if what == "returned" {
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -19,7 +19,7 @@
 	"spanflow/scheduler"
 )
 
-func kept(t *testing.T, name string) *scenario.Scene {
+func kept(t *testing.T, name string) *scenario.Scenario {
 	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	return s
@@ -34,7 +34,7 @@
 }
 
 func TestTheModuleKeepsTheRulesInEachKeptScene(t *testing.T) {
-	for _, name := range scenario.Kept() {
+	for _, name := range scenario.Builtin() {
 		r := Play(kept(t, name), 1, Module)
 		require.Empty(t, r.Breaches, name)
 		require.Greater(t, r.G, 0.6, name)
@@ -70,10 +70,10 @@
 	}{{overlaps, "calm", audit.NoDouble}, {disorders, "one-partner-hangs", audit.Order}, {ignoresWaits, "limits-cut", audit.Waits},
 		{callsDraining, "drains", audit.Drains}, {answersTwice, "one-partner-hangs", audit.OneAnswer}, {neverAnswers, "one-partner-hangs", audit.OneAnswer},
 		{answersLate, "one-partner-hangs", audit.OneAnswer}, {repeatsBinding, "several-at-once", audit.NoDouble}, {sound, "returns-cold", audit.Returns}} {
-		var s *scenario.Scene
+		var s *scenario.Scenario
 		if c.scene == "drains" {
 			s = kept(t, "calm")
-			s.Troubles = []scenario.Trouble{{Kind: "drain", At: 10, For: 5, Dest: []int{0, 1}, Target: []int{0}}}
+			s.Faults = []scenario.Fault{{Kind: "drain", At: 10, For: 5, Destinations: []int{0, 1}, Endpoints: []int{0}}}
 		} else {
 			s = kept(t, c.scene)
 		}
@@ -94,7 +94,7 @@
 
 // The oracle is a ceiling: in no kept scene does the module or a baseline deliver much more.
 func TestTheOracleIsACeiling(t *testing.T) {
-	for _, name := range scenario.Kept() {
+	for _, name := range scenario.Builtin() {
 		s := kept(t, name)
 		top := Play(s, 1, Baselines["oracle"])
 		module := Play(s, 1, Module)
@@ -111,9 +111,9 @@
 	s := kept(t, "returns-cold")
 	s.Length, s.Drain, s.Dispatch.Forwarders = 6, 6, 2
 	for i := range s.Types {
-		s.Types[i].Life, s.Types[i].Memory = 5, min(s.Types[i].Memory, 4)
+		s.Types[i].TimeToLive, s.Types[i].DeduplicationWindow = 5, min(s.Types[i].DeduplicationWindow, 4)
 	}
-	s.Troubles[0].At, s.Troubles[0].For = 2, 1
+	s.Faults[0].At, s.Faults[0].For = 2, 1
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
 	require.Empty(t, r.Breaches)
@@ -125,26 +125,26 @@
 }
 
 // random draws a scene: some partners, some troubles.
-func random(base *scenario.Scene, seed uint64) *scenario.Scene {
+func random(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	dice := rand.New(rand.NewPCG(seed, 9))
 	s := *base
 	s.Length, s.Drain, s.Zones = 20, 20, 1+dice.IntN(2)
 	s.Dispatch.Forwarders = 1 + dice.IntN(4)
 	s.Dispatch.ConcurrencyLimit = 4 + dice.IntN(20)
 	s.Load.PerSecond = 5 + 60*dice.Float64()
-	s.Partners = append([]scenario.Partner(nil), base.Partners...)
-	for i := range s.Partners {
-		p := &s.Partners[i]
-		p.Targets, p.Apart, p.Shows = 1+dice.IntN(3), dice.IntN(3) == 0, dice.IntN(2) == 0
+	s.Receivers = append([]scenario.Receiver(nil), base.Receivers...)
+	for i := range s.Receivers {
+		p := &s.Receivers[i]
+		p.Endpoints, p.EndpointLimits, p.ReportsLimit = 1+dice.IntN(3), dice.IntN(3) == 0, dice.IntN(2) == 0
 		if dice.IntN(3) == 0 {
-			p.Calls, p.Window, p.Tells = 20, 2, true
+			p.Calls, p.Window, p.ReportsRetryAfter = 20, 2, true
 		}
 	}
 	kinds := []string{"refuse", "hang", "silent", "slow", "err", "reset", "lose", "spoil", "reap", "cut", "drain", "stall", "restart", "move"}
-	s.Troubles = nil
+	s.Faults = nil
 	for range dice.IntN(4) {
-		s.Troubles = append(s.Troubles, scenario.Trouble{Kind: kinds[dice.IntN(len(kinds))], At: config.Duration(4 + 8*dice.Float64()), For: config.Duration(1 + 7*dice.Float64()),
-			Dest: []int{dice.IntN(8)}, Share: 0.2 + 0.6*dice.Float64(), By: 3})
+		s.Faults = append(s.Faults, scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: config.Duration(4 + 8*dice.Float64()), For: config.Duration(1 + 7*dice.Float64()),
+			Destinations: []int{dice.IntN(8)}, Fraction: 0.2 + 0.6*dice.Float64(), By: 3})
 	}
 	return &s
 }
@@ -160,7 +160,7 @@
 			defer func() { <-places }()
 			s := random(base, uint64(seed))
 			if r := Play(s, uint64(seed), Module); len(r.Breaches) > 0 {
-				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Breaches[0], s.Troubles)
+				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Breaches[0], s.Faults)
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 			s, err := scenario.Read("one-partner-hangs")
 			require.NoError(b, err)
 			s.Dispatch.Forwarders = size[0]
-			s.Partners[0].Count, s.Partners[1].Count = size[1]*3/8, size[1]/8
+			s.Receivers[0].Count, s.Receivers[1].Count = size[1]*3/8, size[1]/8
 			s.Load.PerSecond = 480
 			s.Length, s.Drain = 30, 5
 			for b.Loop() {
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -11,7 +11,7 @@
 )
 
 // standstill is the kept scene in which the forwarder, with four slots, stands still for ten seconds while it restarts.
-func standstill(t *testing.T) *scenario.Scene { return kept(t, "stands-still-while-it-restarts") }
+func standstill(t *testing.T) *scenario.Scenario { return kept(t, "stands-still-while-it-restarts") }
 
 // A forwarder that is killed shortly before, at the beginning of, within or at the end of a standstill loses no end of a
 // call: its slots are free again and every message is answered.
@@ -19,9 +19,9 @@
 	for _, killedAt := range []config.Duration{9.3, 9.5, 9.9, 10, 12, 19, 19.9, 20} {
 		for seed := range uint64(5) {
 			s := standstill(t)
-			for i := range s.Troubles {
-				if s.Troubles[i].Kind == "restart" {
-					s.Troubles[i].At = killedAt
+			for i := range s.Faults {
+				if s.Faults[i].Kind == "restart" {
+					s.Faults[i].At = killedAt
 				}
 			}
 			r := Play(s, seed, Module)
