--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -20,7 +20,7 @@
 	bell   chan struct{}
 }
 
-// Documents handed in by a front wait here up to so much; then reading from its callers pauses until some are taken.
+// Messages handed in by a front wait here up to so much; then reading from its callers pauses until some are taken.
 const (
 	mostWaiting  = 4096
 	waitingBytes = 4 << 20
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -25,7 +25,7 @@
 	wakeAt   time.Time // zero: none set
 	stopping bool      // told to stop
 
-	// Documents
+	// Messages
 	docs      map[uint64]*paper
 	byID      map[string]*paper // the same, by the clients' ids
 	recentIDs recentlySeen      // ids of documents that were let go of
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -35,108 +35,108 @@
 // DefaultSlack allows for the way of news and for a forwarder's own pace.
 var DefaultSlack = Slack{Answer: 0.3, Wait: 0.1, Drain: 0.1}
 
-// Breach is a rule broken, with the document's history.
-type Breach struct {
+// Violation is a rule broken, with the document's history.
+type Violation struct {
 	Rule    Rule     `json:"Rule"`
 	At      float64  `json:"At"`
-	Doc     uint64   `json:"Doc"`
-	What    string   `json:"What"`
+	Message uint64   `json:"Doc"`
+	Reason  string   `json:"What"`
 	History []string `json:"History"`
 }
 
-// Doc is what a client knows of one document.
-type Doc struct {
-	ID       uint64
-	Same     uint64 // the first handing in of the same effect; its own id if it is the first
-	Mark     uint64
-	Key      uint64 // with order
-	Type     int
-	Binding  bool
-	Numbered bool
-	Dest     int
-	From     int // the forwarder that it was handed in at
-	Handed   float64
-	Expiry   float64
-	Taken    bool
-	Finals   []Final
-	lost     bool // its forwarder was lost with what it owed
+// Message is what a client knows of one document.
+type Message struct {
+	ID             uint64
+	FirstID        uint64 // the first handing in of the same effect; its own id if it is the first
+	IdempotencyKey uint64
+	Key            uint64 // with order
+	Type           int
+	AtMostOnce     bool
+	Keyed          bool
+	Destination    int
+	Forwarder      int // the forwarder that it was handed in at
+	SubmittedAt    float64
+	Expiry         float64
+	Accepted       bool
+	FinalAnswers   []FinalAnswer
+	lost           bool // its forwarder was lost with what it owed
 }
 
 // FinalAnswer is an answer that a client heard.
-type Final struct {
-	At   float64
-	What string // delivered, returned, abandoned
+type FinalAnswer struct {
+	At     float64
+	Answer string // delivered, returned, abandoned
 }
 
-type came struct {
+type arrival struct {
 	at           float64
 	dest, target int
 	from         int
-	doc          uint64
+	message      uint64
 }
 
 // Log is what is written down on a day. It is a partner.Recorder.
 type Log struct {
-	Clock receiver.Clock
-	Slack Slack
-	docs  map[uint64]*Doc
-	order []*Doc
-	came  []came
-	runs  []receiver.Execution
-	gone  map[[2]int]float64 // targets that were told to be leaving, by when
-	waits map[[3]int]wait    // by destination, target or -1, forwarder
-	apart func(dest int) bool
-	found []Breach
-	open  map[uint64]bool    // transmissions that are out, as the partner's side of the network sees them
-	cut   map[uint64]float64 // when a transmission last ended of which nobody can tell whether it runs
-	rest  float64
-	stood map[int]float64 // forwarders that could not answer, until when
+	Clock       receiver.Clock
+	Slack       Slack
+	messages    map[uint64]*Message
+	order       []*Message
+	came        []arrival
+	runs        []receiver.Execution
+	drained     map[[2]int]float64 // targets that were told to be leaving, by when
+	waits       map[[3]int]wait    // by destination, target or -1, forwarder
+	apart       func(dest int) bool
+	found       []Violation
+	open        map[uint64]bool    // transmissions that are out, as the partner's side of the network sees them
+	cut         map[uint64]float64 // when a transmission last ended of which nobody can tell whether it runs
+	keyCooldown float64
+	stood       map[int]float64 // forwarders that could not answer, until when
 }
 
-type wait struct{ told, until float64 }
+type wait struct{ sentAt, until float64 }
 
 // New begins a day. apart tells which destinations have routes apart; rest is the rest of a key.
 func New(clock receiver.Clock, apart func(dest int) bool, rest float64) *Log {
-	return &Log{Clock: clock, Slack: DefaultSlack, docs: map[uint64]*Doc{}, gone: map[[2]int]float64{}, waits: map[[3]int]wait{}, apart: apart,
-		open: map[uint64]bool{}, cut: map[uint64]float64{}, rest: rest, stood: map[int]float64{}}
+	return &Log{Clock: clock, Slack: DefaultSlack, messages: map[uint64]*Message{}, drained: map[[2]int]float64{}, waits: map[[3]int]wait{}, apart: apart,
+		open: map[uint64]bool{}, cut: map[uint64]float64{}, keyCooldown: rest, stood: map[int]float64{}}
 }
 
-func (l *Log) breach(rule Rule, doc uint64, format string, v ...any) {
-	l.found = append(l.found, Breach{Rule: rule, At: l.Clock.Now(), Doc: doc, What: fmt.Sprintf(format, v...)})
+func (l *Log) report(rule Rule, doc uint64, format string, v ...any) {
+	l.found = append(l.found, Violation{Rule: rule, At: l.Clock.Now(), Message: doc, Reason: fmt.Sprintf(format, v...)})
 }
 
 // Submission says that a client hands a document in.
-func (l *Log) Handed(d *Doc) {
-	l.docs[d.ID] = d
+func (l *Log) Submitted(d *Message) {
+	l.messages[d.ID] = d
 	l.order = append(l.order, d)
 }
 
 // StatusAccepted says that a client heard that its document is taken on.
-func (l *Log) Taken(id uint64) { l.docs[id].Taken = true }
+func (l *Log) Accepted(id uint64) { l.messages[id].Accepted = true }
 
 // FinalAnswer says that a client heard a final answer.
-func (l *Log) Final(id uint64, what string) {
-	d := l.docs[id]
-	d.Finals = append(d.Finals, Final{l.Clock.Now(), what})
-	if len(d.Finals) > 1 {
-		l.breach(OneAnswer, id, "a second final answer, %s after %s", what, d.Finals[0].What)
+func (l *Log) FinalAnswer(id uint64, what string) {
+	d := l.messages[id]
+	d.FinalAnswers = append(d.FinalAnswers, FinalAnswer{l.Clock.Now(), what})
+	if len(d.FinalAnswers) > 1 {
+		l.report(OneAnswer, id, "a second final answer, %s after %s", what, d.FinalAnswers[0].Answer)
 	} else if now := l.Clock.Now(); now > l.due(d) {
-		l.breach(OneAnswer, id, "answered %.2f s after its expiry", now-d.Expiry)
+		l.report(OneAnswer, id, "answered %.2f s after its expiry", now-d.Expiry)
 	}
 }
 
 // Answered tells if a client heard a final answer.
-func (l *Log) Answered(id uint64) bool { return len(l.docs[id].Finals) > 0 }
+func (l *Log) Answered(id uint64) bool { return len(l.messages[id].FinalAnswers) > 0 }
 
-// Stood says that a forwarder was kept from answering, by a standstill or a restart, until a moment.
-func (l *Log) Stood(forwarder int, until float64) {
+// Stalled says that a forwarder was kept from answering, by a standstill or a restart, until a moment.
+func (l *Log) Stalled(forwarder int, until float64) {
 	l.stood[forwarder] = math.Max(l.stood[forwarder], until)
 }
 
 // Restarted says that a forwarder's process was killed and may be late until a moment. A restart ends the waits that it
 // was told.
 func (l *Log) Restarted(forwarder int, until float64) {
-	l.Stood(forwarder, until)
+	l.Stalled(forwarder, until)
 	for k := range l.waits {
 		if k[2] == forwarder {
 			delete(l.waits, k)
@@ -145,12 +145,14 @@
 }
 
 // due is until when a document has to have its answer.
-func (l *Log) due(d *Doc) float64 { return math.Max(d.Expiry, l.stood[d.From]) + l.Slack.Answer }
+func (l *Log) due(d *Message) float64 {
+	return math.Max(d.Expiry, l.stood[d.Forwarder]) + l.Slack.Answer
+}
 
 // Leaving says that the list has told a forwarder that a target drains.
 func (l *Log) Leaving(dest, target int) {
-	if _, known := l.gone[[2]int{dest, target}]; !known {
-		l.gone[[2]int{dest, target}] = l.Clock.Now()
+	if _, known := l.drained[[2]int{dest, target}]; !known {
+		l.drained[[2]int{dest, target}] = l.Clock.Now()
 	}
 }
 
@@ -159,9 +161,9 @@
 func (l *Log) CallReceived(dest, target, from int, docs []receiver.Message) {
 	now := l.Clock.Now()
 	for _, d := range docs {
-		l.came = append(l.came, came{now, dest, target, from, d.ID})
+		l.came = append(l.came, arrival{now, dest, target, from, d.ID})
 		if l.open[d.ID] {
-			l.breach(NoDouble, d.ID, "a transmission began while one was out")
+			l.report(NoDouble, d.ID, "a transmission began while one was out")
 		}
 		l.open[d.ID] = true
 	}
@@ -173,11 +175,11 @@
 	if len(docs) > 0 {
 		first = docs[0].ID
 	}
-	if w, told := l.waits[[3]int{dest, at, from}]; told && now > w.told+l.Slack.Wait && now < w.until-0.001 {
-		l.breach(Waits, first, "forwarder %d called destination %d %.2f s before the wait it was told was over", from, dest, w.until-now)
+	if w, told := l.waits[[3]int{dest, at, from}]; told && now > w.sentAt+l.Slack.Wait && now < w.until-0.001 {
+		l.report(Waits, first, "forwarder %d called destination %d %.2f s before the wait it was told was over", from, dest, w.until-now)
 	}
-	if told, leaving := l.gone[[2]int{dest, target}]; leaving && now > told+l.Slack.Drain {
-		l.breach(Drains, first, "target %d of destination %d was called %.2f s after it was told to be leaving", target, dest, now-told)
+	if told, leaving := l.drained[[2]int{dest, target}]; leaving && now > told+l.Slack.Drain {
+		l.report(Drains, first, "target %d of destination %d was called %.2f s after it was told to be leaving", target, dest, now-told)
 	}
 }
 
@@ -197,7 +199,7 @@
 
 func (l *Log) EndpointOverloaded(dest, target int, wise float64) {
 	if wise >= mostWise {
-		l.breach(Returns, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*wise)
+		l.report(Returns, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*wise)
 	}
 }
 
@@ -212,22 +214,22 @@
 func (l *Log) EndpointRecovered(dest, target int) {}
 
 // Lost says that a forwarder was lost with all it owed: its documents are judged by their clients alone.
-func (l *Log) Lost(id uint64) { l.docs[id].lost = true }
+func (l *Log) Lost(id uint64) { l.messages[id].lost = true }
 
-// Breaches judges the day that has ended.
-func (l *Log) Breaches() []Breach {
+// Violations judges the day that has ended.
+func (l *Log) Violations() []Violation {
 	now := l.Clock.Now()
 	for _, d := range l.order {
-		if d.Taken && len(d.Finals) == 0 && !d.lost && now > l.due(d) {
-			l.breach(OneAnswer, d.ID, "taken and never answered")
+		if d.Accepted && len(d.FinalAnswers) == 0 && !d.lost && now > l.due(d) {
+			l.report(OneAnswer, d.ID, "taken and never answered")
 		}
 	}
 	l.doubles()
 	l.orders()
 	for i := range l.found {
-		l.found[i].History = l.history(l.found[i].Doc)
+		l.found[i].History = l.history(l.found[i].Message)
 	}
-	slices.SortStableFunc(l.found, func(a, b Breach) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(l.found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
 	return l.found
 }
 
@@ -235,12 +237,12 @@
 func (l *Log) doubles() {
 	times := map[uint64]int{}
 	for _, r := range l.runs {
-		d := l.docs[r.Message.ID]
-		if d == nil || !r.Effect || !d.Binding && !d.Numbered {
+		d := l.messages[r.Message.ID]
+		if d == nil || !r.Effect || !d.AtMostOnce && !d.Keyed {
 			continue
 		}
-		if times[d.Same]++; times[d.Same] == 2 {
-			l.found = append(l.found, Breach{Rule: NoDouble, At: r.EndedAt, Doc: d.ID, What: "its effect took place twice"})
+		if times[d.FirstID]++; times[d.FirstID] == 2 {
+			l.found = append(l.found, Violation{Rule: NoDouble, At: r.EndedAt, Message: d.ID, Reason: "its effect took place twice"})
 		}
 	}
 }
@@ -250,10 +252,10 @@
 // later is beyond a forwarder, as the operators' page has it ("the attempt may still be executing; later requests for
 // that key shall therefore wait a further KeyCooldown").
 func (l *Log) orders() {
-	byKey := map[uint64][]*Doc{}
+	byKey := map[uint64][]*Message{}
 	var keys []uint64
 	for _, d := range l.order {
-		if d.Key != 0 && d.Taken {
+		if d.Key != 0 && d.Accepted {
 			if byKey[d.Key] == nil {
 				keys = append(keys, d.Key)
 			}
@@ -262,23 +264,23 @@
 	}
 	first := map[uint64]float64{}
 	for _, c := range l.came {
-		if _, known := first[c.doc]; !known {
-			first[c.doc] = c.at
+		if _, known := first[c.message]; !known {
+			first[c.message] = c.at
 		}
 	}
 	for _, key := range keys {
 		over, before := 0.0, uint64(0)
 		for _, d := range byKey[key] {
 			if at, sent := first[d.ID]; sent && at < over-1e-9 {
-				l.found = append(l.found, Breach{Rule: Order, At: at, Doc: d.ID,
-					What: fmt.Sprintf("came %.3f s before %x of the same key was over", over-at, before)})
+				l.found = append(l.found, Violation{Rule: Order, At: at, Message: d.ID,
+					Reason: fmt.Sprintf("came %.3f s before %x of the same key was over", over-at, before)})
 			}
 			end := 0.0
-			if len(d.Finals) > 0 {
-				end = d.Finals[0].At
+			if len(d.FinalAnswers) > 0 {
+				end = d.FinalAnswers[0].At
 			}
 			if at, cut := l.cut[d.ID]; cut {
-				end = math.Max(end, at+l.rest)
+				end = math.Max(end, at+l.keyCooldown)
 			}
 			if end > over {
 				over, before = end, d.ID
@@ -289,7 +291,7 @@
 
 // history is what is known of a document, in order of time.
 func (l *Log) history(id uint64) []string {
-	d := l.docs[id]
+	d := l.messages[id]
 	if d == nil {
 		return nil
 	}
@@ -297,9 +299,9 @@
 		at   float64
 		text string
 	}
-	lines := []line{{d.Handed, fmt.Sprintf("handed in for destination %d, expiry %.3f, key %x", d.Dest, d.Expiry, d.Key)}}
+	lines := []line{{d.SubmittedAt, fmt.Sprintf("handed in for destination %d, expiry %.3f, key %x", d.Destination, d.Expiry, d.Key)}}
 	for _, c := range l.came {
-		if c.doc == id {
+		if c.message == id {
 			lines = append(lines, line{c.at, fmt.Sprintf("came to target %d from forwarder %d", c.target, c.from)})
 		}
 	}
@@ -308,8 +310,8 @@
 			lines = append(lines, line{r.EndedAt, fmt.Sprintf("ran at target %d from %.3f on, effect %v", r.Endpoint, r.StartedAt, r.Effect)})
 		}
 	}
-	for _, f := range d.Finals {
-		lines = append(lines, line{f.At, f.What})
+	for _, f := range d.FinalAnswers {
+		lines = append(lines, line{f.At, f.Answer})
 	}
 	slices.SortStableFunc(lines, func(a, b line) int { return cmp.Compare(a.at, b.at) })
 	out := make([]string, len(lines))
@@ -320,4 +322,4 @@
 }
 
 // Messages are all documents of the day in the order of their handing in.
-func (l *Log) Docs() []*Doc { return l.order }
+func (l *Log) Messages() []*Message { return l.order }
--- a/lab/capacity/measure/path.go
+++ b/lab/capacity/measure/path.go
@@ -103,14 +103,14 @@
 // loadFor is load for so many seconds.
 func (t *trial) loadFor(p *process, targets *targets, rate, body int, lasts float64) (w traffic, err error) {
 	var in atomic.Int64
-	run := load.Run{Addr: p.listen, Connections: pathClients, Timeout: answerWithin, Life: 60, Bytes: body,
+	run := load.Run{Addr: p.listen, Connections: pathClients, Timeout: answerWithin, TimeToLive: 60, Bytes: body,
 		Prefix: fmt.Sprintf("%x-", time.Now().UnixNano()),
 		Dial: func() (net.Conn, error) {
 			c, err := net.DialTimeout("tcp", p.listen, answerWithin)
 			return &countedConn{c, &in}, err
 		}}
 	random := rand.New(rand.NewPCG(t.Seed, 1))
-	source := &load.Drawn{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Dice: random, Dest: load.Zipf(pathTargets, 0),
+	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Random: random, Dest: load.Zipf(pathTargets, 0),
 		Types: []string{heldType}}
 	for i := range pathTargets {
 		source.Dests = append(source.Dests, uint64(i+1))
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -157,8 +157,8 @@
 				s.results(results)
 			}
 			for _, r := range results {
-				if len(r.Breaches) > 0 {
-					return fmt.Errorf("seed %d: rule broken: %s: %s", r.Seed, r.Breaches[0].Rule, r.Breaches[0].What)
+				if len(r.Violations) > 0 {
+					return fmt.Errorf("seed %d: rule broken: %s: %s", r.Seed, r.Violations[0].Rule, r.Violations[0].Reason)
 				}
 			}
 			return nil
@@ -172,14 +172,14 @@
 	fmt.Fprintln(t, "SEED\tG\tDOCUMENTS\tSERVED\tLATE\tTURNED AWAY\tRETURNED\tABANDONED\tP50\tP99\tRULES")
 	for _, r := range results {
 		rules := map[string]int{}
-		for _, b := range r.Breaches {
+		for _, b := range r.Violations {
 			rules[string(b.Rule)]++
 		}
 		kept := "kept"
 		if len(rules) > 0 {
 			kept = fmt.Sprint(rules)
 		}
-		fmt.Fprintf(t, "%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%s\n", r.Seed, r.G, r.Documents, r.Served, r.Late, r.Refused,
+		fmt.Fprintf(t, "%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%s\n", r.Seed, r.G, r.Messages, r.Served, r.Late, r.Refused,
 			r.Finals["returned"], r.Finals["abandoned"], r.Latency.P50, r.Latency.P99, kept)
 	}
 	t.Flush()
@@ -368,8 +368,8 @@
 			}
 			fmt.Fprintln(s.out, "on sockets, then simulated:")
 			s.results([]*sim.Result{result, twin})
-			if len(result.Breaches) > 0 {
-				return fmt.Errorf("rule broken: %s: %s", result.Breaches[0].Rule, result.Breaches[0].What)
+			if len(result.Violations) > 0 {
+				return fmt.Errorf("rule broken: %s: %s", result.Violations[0].Rule, result.Violations[0].Reason)
 			}
 			return nil
 		})}
@@ -397,7 +397,7 @@
 (.jsonl) or CSV with a head (.csv): at (seconds), dest, type, and if told tenant, key, number, life, bytes.`,
 		Example: "  spanlab load 127.0.0.1:6379 --rate 200 --for 30 --shape 0:1,10:3 --types status-update\n  spanlab load 127.0.0.1:6379 --trace monday.jsonl --speed 10",
 		RunE: cli.Run(func(args []string) error {
-			r.Addr, r.Life = args[0], life
+			r.Addr, r.TimeToLive = args[0], life
 			if !s.quiet && !s.json {
 				r.Progress = func(sent, open int) { fmt.Fprintf(s.err, "\r%d sent, %d open   ", sent, open) }
 			}
@@ -423,7 +423,7 @@
 					seed = 1
 				}
 				dice := rand.New(rand.NewPCG(seed, 5))
-				d := &load.Drawn{Arrivals: load.Poisson(points, seconds, rand.New(rand.NewPCG(seed, 6))), Dice: dice, Dest: load.Zipf(dests, skew),
+				d := &load.Generator{Arrivals: load.Poisson(points, seconds, rand.New(rand.NewPCG(seed, 6))), Random: dice, Dest: load.Zipf(dests, skew),
 					Types: strings.Split(kinds, ","), Keys: keys, Numbers: numbers}
 				if even {
 					d.Arrivals = load.Even(points, seconds)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -78,7 +78,7 @@
 		s.Mean += r.G / float64(len(results))
 		s.Worst = math.Min(s.Worst, r.G)
 		s.P99 += r.Latency.P99 / float64(len(results))
-		for _, b := range r.Breaches {
+		for _, b := range r.Violations {
 			s.Breaches[string(b.Rule)]++
 		}
 	}
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -156,7 +156,7 @@
 		for i, r := range results {
 			h.cover(scenes[i])
 			rules := map[string]bool{}
-			for _, b := range r.Breaches {
+			for _, b := range r.Violations {
 				if rules[string(b.Rule)] {
 					continue
 				}
@@ -165,7 +165,7 @@
 					h.Unshrunk++
 					continue
 				}
-				found = append(found, &Break{Seed: from + uint64(i), Rule: string(b.Rule), What: b.What})
+				found = append(found, &Break{Seed: from + uint64(i), Rule: string(b.Rule), What: b.Reason})
 				shown = append(shown, scenes[i])
 			}
 		}
@@ -204,9 +204,9 @@
 
 // breaks is how a rule is broken in a scene, empty if it is kept.
 func breaks(s *scenario.Scenario, seed uint64, rule string, make sim.Maker) string {
-	for _, b := range sim.Play(s, seed, make).Breaches {
+	for _, b := range sim.Play(s, seed, make).Violations {
 		if string(b.Rule) == rule {
-			return b.What
+			return b.Reason
 		}
 	}
 	return ""
@@ -251,8 +251,8 @@
 }
 
 const (
-	hugest   = 300    // forwarders, and targets
-	mostDocs = 5000.0 // of a scene, so that many can be played
+	hugest      = 300    // forwarders, and targets
+	maxMessages = 5000.0 // of a scene, so that many can be played
 	// Seconds. Reason is shorter the module takes for losses on the way, after which nothing is cold (docs/design.md); the
 	// operators' outages last five and more.
 	leastOutage = 3.5
@@ -326,7 +326,7 @@
 		dests, capacity = dests+p.Count, capacity+float64(p.Count)*limit
 		s.Receivers = append(s.Receivers, p)
 	}
-	s.Load.PerSecond = math.Max(1, math.Min(mostDocs/float64(s.Length), capacity*between(0.1, 1.1)))
+	s.Load.PerSecond = math.Max(1, math.Min(maxMessages/float64(s.Length), capacity*between(0.1, 1.1)))
 	for range dice.IntN(3) {
 		s.Load.Bursts = append(s.Load.Bursts, scenario.Burst{At: ms(between(2, 36)), Count: int(log(5, 200)), Destination: dice.IntN(dests)})
 	}
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -106,7 +106,7 @@
 		require.NoError(t, err)
 		require.NotZero(t, s.Floor, "%s states no floor", name)
 		r := sim.Play(s, s.Seed, sim.Module)
-		require.Empty(t, r.Breaches, name)
+		require.Empty(t, r.Violations, name)
 		require.GreaterOrEqual(t, r.G, s.Floor, name)
 	}
 }
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -82,7 +82,7 @@
 func judge(s *scenario.Scenario, seed uint64, make sim.Maker) *Finding {
 	r := sim.Play(s, seed, make)
 	f := &Finding{Scene: s, Seed: seed, G: r.G}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		if !slices.Contains(f.Rules, string(b.Rule)) {
 			f.Rules = append(f.Rules, string(b.Rule))
 		}
@@ -96,7 +96,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		if r := sim.Play(s, seed, sim.Baselines[name]); len(r.Breaches) == 0 {
+		if r := sim.Play(s, seed, sim.Baselines[name]); len(r.Violations) == 0 {
 			f.Best = math.Max(f.Best, r.G)
 		}
 	}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -110,15 +110,15 @@
 	}
 }
 
-func drawn(rate, seconds float64) *Drawn {
-	return &Drawn{Arrivals: Even(Shape{{0, rate}}, seconds), Dice: rand.New(rand.NewPCG(1, 2)), Dests: []uint64{1}, Dest: Zipf(1, 0), Types: []string{"status"}}
+func drawn(rate, seconds float64) *Generator {
+	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Dests: []uint64{1}, Dest: Zipf(1, 0), Types: []string{"status"}}
 }
 
 // The figures told are those injected: a delay, and of a stall of two seconds what each arrival met of it.
 func TestTheTimesToldAreThoseInjected(t *testing.T) { synctest.Test(t, theTimesToldAreThoseInjected) }
 
 func theTimesToldAreThoseInjected(t *testing.T) {
-	run := Run{Connections: 400, Timeout: 10 * time.Second, Life: 20, Bytes: 100}
+	run := Run{Connections: 400, Timeout: 10 * time.Second, TimeToLive: 20, Bytes: 100}
 	run.Dial = server(400*time.Millisecond, nil)
 	r, err := run.Do(context.Background(), drawn(100, 2))
 	require.NoError(t, err)
@@ -149,7 +149,7 @@
 }
 
 func aStallIsChargedToEachArrivalThatMeetsIt(t *testing.T) {
-	run := Run{Connections: 400, Timeout: 10 * time.Second, Life: 20}
+	run := Run{Connections: 400, Timeout: 10 * time.Second, TimeToLive: 20}
 	run.Dial = server(100*time.Millisecond, func(since time.Duration) time.Duration {
 		if s := since.Seconds(); s > 1 && s < 3 {
 			return time.Duration((3 - s) * float64(time.Second))
@@ -170,7 +170,7 @@
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	r, err := Run{Addr: addr, Connections: 2, Timeout: time.Second, Life: 5}.Do(context.Background(), drawn(100, 0.2))
+	r, err := Run{Addr: addr, Connections: 2, Timeout: time.Second, TimeToLive: 5}.Do(context.Background(), drawn(100, 0.2))
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"none": r.Sent}, r.Answers)
 	_, err = Run{Addr: addr}.Do(context.Background(), drawn(1, 1))
@@ -191,8 +191,8 @@
 		require.NoError(t, err)
 		a, _ := tr.Next()
 		b, _ := tr.Next()
-		require.Equal(t, Doc{Dest: 7, Type: "status", Bytes: 10}, a)
-		require.Equal(t, Doc{At: 0.15, Dest: 8, Type: "ticket", Key: "5", Number: "n1", Tenant: "x"}, b)
+		require.Equal(t, Message{Destination: 7, Type: "status", Bytes: 10}, a)
+		require.Equal(t, Message{At: 0.15, Destination: 8, Type: "ticket", Key: "5", IdempotencyKey: "n1", Tenant: "x"}, b)
 		_, more := tr.Next()
 		require.True(t, !more && tr.Err == nil)
 		tr.Close()
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -14,21 +14,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Doc is a document to be handed in.
-type Doc struct {
-	At     float64 `json:"at"` // seconds from the beginning
-	Dest   uint64  `json:"dest"`
-	Type   string  `json:"type"`
-	Tenant string  `json:"tenant,omitempty"`
-	Key    string  `json:"key,omitempty"`    // ordering key, up to 16 hexadecimal digits
-	Number string  `json:"number,omitempty"` // by which a repeat is known
-	Life   float64 `json:"life,omitempty"`   // seconds that it may take; 0: the run's
-	Bytes  int     `json:"bytes,omitempty"`  // of its body; 0: the run's
+// Message is a document to be handed in.
+type Message struct {
+	At             float64 `json:"at"` // seconds from the beginning
+	Destination    uint64  `json:"dest"`
+	Type           string  `json:"type"`
+	Tenant         string  `json:"tenant,omitempty"`
+	Key            string  `json:"key,omitempty"`    // ordering key, up to 16 hexadecimal digits
+	IdempotencyKey string  `json:"number,omitempty"` // by which a repeat is known
+	TimeToLive     float64 `json:"life,omitempty"`   // seconds that it may take; 0: the run's
+	Bytes          int     `json:"bytes,omitempty"`  // of its body; 0: the run's
 }
 
 // EndpointSource tells what arrives, in order of time. False after the last.
 type Source interface {
-	Next() (Doc, bool)
+	Next() (Message, bool)
 }
 
 // Run is a load on a forwarder's front. Arrivals wait for nobody: where all connections are busy a document waits here,
@@ -37,7 +37,7 @@
 	Addr        string
 	Connections int           // at most
 	Timeout     time.Duration // an answer that takes longer, counted from its sending, is none
-	Life        float64
+	TimeToLive  float64
 	Bytes       int
 	Prefix      string // of ids
 	Progress    func(sent, open int)
@@ -78,14 +78,14 @@
 )
 
 type job struct {
-	doc      Doc
+	doc      Message
 	id       string
 	intended time.Time
 }
 
 // Do plays a source and returns once each document has its answer or is given up.
 func (r Run) Do(ctx context.Context, src Source) (*Report, error) {
-	if r.Connections < 1 || r.Timeout <= 0 || r.Life <= 0 {
+	if r.Connections < 1 || r.Timeout <= 0 || r.TimeToLive <= 0 {
 		return nil, errors.New("connections, timeout and life have to be over 0")
 	}
 	rep := &Report{Answers: map[string]int{}, intended: hdrhistogram.New(1, mostTime, 3), naive: hdrhistogram.New(1, mostTime, 3)}
@@ -190,20 +190,20 @@
 
 // put hands one document in. A connection that the forwarder closed between requests is made anew once.
 func (l *line) put(r Run, j job, body string) string {
-	n, life := j.doc.Bytes, j.doc.Life
+	n, life := j.doc.Bytes, j.doc.TimeToLive
 	if n == 0 {
 		n = r.Bytes
 	}
 	if life == 0 {
-		life = r.Life
+		life = r.TimeToLive
 	}
 	left := life - time.Since(j.intended).Seconds()
 	if left <= 0 {
 		return "expired" // it never left the tool: no connection was free in time
 	}
-	names := fmt.Sprintf("c=%s,d=%d,dest=%d", j.doc.Type, int(left*1000), j.doc.Dest)
-	if j.doc.Number != "" {
-		names += ",k=" + j.doc.Number
+	names := fmt.Sprintf("c=%s,d=%d,dest=%d", j.doc.Type, int(left*1000), j.doc.Destination)
+	if j.doc.IdempotencyKey != "" {
+		names += ",k=" + j.doc.IdempotencyKey
 	}
 	if j.doc.Tenant != "" {
 		names += ",t=" + j.doc.Tenant
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -14,10 +14,10 @@
 	"strings"
 )
 
-// Drawn makes documents at drawn moments, for destinations and tenants with heavy tails.
-type Drawn struct {
+// Generator makes documents at drawn moments, for destinations and tenants with heavy tails.
+type Generator struct {
 	Arrivals *Arrivals
-	Dice     *rand.Rand
+	Random   *rand.Rand
 	Dests    []uint64
 	Dest     Picker
 	Tenants  []string
@@ -28,20 +28,20 @@
 }
 
 // Next makes the next document.
-func (d *Drawn) Next() (Doc, bool) {
+func (d *Generator) Next() (Message, bool) {
 	at, more := d.Arrivals.Next()
 	if !more {
-		return Doc{}, false
+		return Message{}, false
 	}
-	doc := Doc{At: at, Dest: d.Dests[d.Dest.Pick(d.Dice)], Type: d.Types[d.Dice.IntN(len(d.Types))]}
+	doc := Message{At: at, Destination: d.Dests[d.Dest.Pick(d.Random)], Type: d.Types[d.Random.IntN(len(d.Types))]}
 	if len(d.Tenants) > 0 {
-		doc.Tenant = d.Tenants[d.Tenant.Pick(d.Dice)]
+		doc.Tenant = d.Tenants[d.Tenant.Pick(d.Random)]
 	}
 	if d.Keys > 0 {
-		doc.Key = fmt.Sprintf("%x", doc.Dest<<32|uint64(d.Dice.IntN(d.Keys)+1))
+		doc.Key = fmt.Sprintf("%x", doc.Destination<<32|uint64(d.Random.IntN(d.Keys)+1))
 	}
 	if d.Numbers {
-		doc.Number = fmt.Sprintf("%016x", d.Dice.Uint64())
+		doc.IdempotencyKey = fmt.Sprintf("%016x", d.Random.Uint64())
 	}
 	return doc, true
 }
@@ -49,7 +49,7 @@
 // Trace is a recorded load, read as it is played. Its times are divided by Speed.
 type Trace struct {
 	Speed float64
-	next  func() (Doc, error)
+	next  func() (Message, error)
 	first float64
 	began bool
 	last  float64
@@ -85,8 +85,8 @@
 	if !commas {
 		in := bufio.NewScanner(r)
 		in.Buffer(nil, 1<<20)
-		t.next = func() (Doc, error) {
-			var d Doc
+		t.next = func() (Message, error) {
+			var d Message
 			for in.Scan() {
 				t.line++
 				if strings.TrimSpace(in.Text()) == "" {
@@ -109,21 +109,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("line 1: %w", err)
 	}
-	set := map[string]func(d *Doc, v string) error{
-		"at":     func(d *Doc, v string) (err error) { d.At, err = strconv.ParseFloat(v, 64); return },
-		"dest":   func(d *Doc, v string) (err error) { d.Dest, err = strconv.ParseUint(v, 10, 32); return },
-		"life":   func(d *Doc, v string) (err error) { d.Life, err = strconv.ParseFloat(v, 64); return },
-		"bytes":  func(d *Doc, v string) (err error) { d.Bytes, err = strconv.Atoi(v); return },
-		"type":   func(d *Doc, v string) error { d.Type = v; return nil },
-		"tenant": func(d *Doc, v string) error { d.Tenant = v; return nil },
-		"key":    func(d *Doc, v string) error { d.Key = v; return nil },
-		"number": func(d *Doc, v string) error { d.Number = v; return nil }}
+	set := map[string]func(d *Message, v string) error{
+		"at":     func(d *Message, v string) (err error) { d.At, err = strconv.ParseFloat(v, 64); return },
+		"dest":   func(d *Message, v string) (err error) { d.Destination, err = strconv.ParseUint(v, 10, 32); return },
+		"life":   func(d *Message, v string) (err error) { d.TimeToLive, err = strconv.ParseFloat(v, 64); return },
+		"bytes":  func(d *Message, v string) (err error) { d.Bytes, err = strconv.Atoi(v); return },
+		"type":   func(d *Message, v string) error { d.Type = v; return nil },
+		"tenant": func(d *Message, v string) error { d.Tenant = v; return nil },
+		"key":    func(d *Message, v string) error { d.Key = v; return nil },
+		"number": func(d *Message, v string) error { d.IdempotencyKey = v; return nil }}
 	for _, h := range head {
 		if set[h] == nil {
 			return nil, fmt.Errorf("line 1: unknown column %q", h)
 		}
 	}
-	t.next = func() (d Doc, err error) {
+	t.next = func() (d Message, err error) {
 		row, err := in.Read()
 		if err != nil {
 			return d, err
@@ -143,9 +143,9 @@
 }
 
 // Next is the next document of the trace.
-func (t *Trace) Next() (Doc, bool) {
+func (t *Trace) Next() (Message, bool) {
 	if t.Err != nil {
-		return Doc{}, false
+		return Message{}, false
 	}
 	d, err := t.next()
 	if err == nil {
@@ -155,7 +155,7 @@
 		if !errors.Is(err, io.EOF) {
 			t.Err = fmt.Errorf("line %d: %w", t.line, err)
 		}
-		return Doc{}, false
+		return Message{}, false
 	}
 	if !t.began {
 		t.began, t.first = true, d.At
@@ -164,7 +164,7 @@
 	return d, true
 }
 
-func (t *Trace) check(d *Doc) error {
+func (t *Trace) check(d *Message) error {
 	switch {
 	case !(d.At >= 0) || math.IsInf(d.At, 0):
 		return fmt.Errorf("at: %v is not a time", d.At)
@@ -174,8 +174,8 @@
 		return errors.New("type: is not told")
 	case d.Bytes < 0 || d.Bytes > 64<<10:
 		return fmt.Errorf("bytes: %d is not between 0 and 65536", d.Bytes)
-	case !(d.Life >= 0):
-		return fmt.Errorf("life: %v is not a time", d.Life)
+	case !(d.TimeToLive >= 0):
+		return fmt.Errorf("life: %v is not a time", d.TimeToLive)
 	}
 	if _, err := strconv.ParseUint(d.Key, 16, 64); d.Key != "" && err != nil {
 		return fmt.Errorf("key: %q is not a hexadecimal number", d.Key)
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -41,8 +41,8 @@
 	terms   scheduler.Settings
 	host    scheduler.Host
 	now     float64
-	held    []*plainDoc
-	byDoor  map[uint64]*plainDoc
+	held    []*plainMessage
+	byDoor  map[uint64]*plainMessage
 	dests   map[uint64]*plainDest
 	out     int
 	woken   bool
@@ -75,7 +75,7 @@
 	tokens  float64
 	filled  float64
 	rate    float64
-	keys    map[uint64][]*plainDoc
+	keys    map[uint64][]*plainMessage
 }
 
 type plainTarget struct {
@@ -90,7 +90,7 @@
 	riders   int     // documents that it carries
 }
 
-type plainDoc struct {
+type plainMessage struct {
 	is      *scheduler.Message
 	typ     *scheduler.MessageType
 	expiry  float64
@@ -107,11 +107,11 @@
 const plainTimeout = 2.0
 
 func newPlain(t scheduler.Settings, now float64, h scheduler.Host) *plain {
-	return &plain{terms: t, host: h, now: now, byDoor: map[uint64]*plainDoc{}, dests: map[uint64]*plainDest{}}
+	return &plain{terms: t, host: h, now: now, byDoor: map[uint64]*plainMessage{}, dests: map[uint64]*plainDest{}}
 }
 
 func (p *plain) NewDestination(door uint64) *scheduler.Destination {
-	p.dests[door] = &plainDest{keys: map[uint64][]*plainDoc{}, rate: 5, filled: p.now}
+	p.dests[door] = &plainDest{keys: map[uint64][]*plainMessage{}, rate: 5, filled: p.now}
 	return &scheduler.Destination{ID: door}
 }
 
@@ -143,7 +143,7 @@
 }
 
 func (p *plain) Accept(d *scheduler.Message, typ int, left float64) {
-	x := &plainDoc{is: d, typ: &p.terms.Types[typ], expiry: p.now + left}
+	x := &plainMessage{is: d, typ: &p.terms.Types[typ], expiry: p.now + left}
 	p.held = append(p.held, x)
 	p.byDoor[d.ID] = x
 	if x.typ.InOrder && d.Key != 0 {
@@ -203,7 +203,7 @@
 }
 
 // end lets go of a document that has its answer. Its key rests if it may still run.
-func (p *plain) end(x *plainDoc) {
+func (p *plain) end(x *plainMessage) {
 	x.done = true
 	for i, o := range p.held {
 		if o == x {
@@ -230,7 +230,7 @@
 }
 
 // hopeless tells that a document must not be transmitted any more, and whether it may be handed in again.
-func (p *plain) hopeless(x *plainDoc) (over, again bool) {
+func (p *plain) hopeless(x *plainMessage) (over, again bool) {
 	switch {
 	case p.now >= x.expiry-0.05 || x.sent >= p.terms.MaxAttempts:
 		return true, x.ran == 0 || x.typ.Idempotency == scheduler.Idempotent
@@ -243,10 +243,10 @@
 }
 
 func (p *plain) Reconcile() {
-	all := append([]*plainDoc(nil), p.held...)
+	all := append([]*plainMessage(nil), p.held...)
 	if p.seer { // those that can be in time still, before those that are late already
-		late := func(x *plainDoc) bool { return p.now > x.expiry-x.typ.TimeToLive+x.typ.LatencyObjective }
-		slices.SortStableFunc(all, func(a, b *plainDoc) int {
+		late := func(x *plainMessage) bool { return p.now > x.expiry-x.typ.TimeToLive+x.typ.LatencyObjective }
+		slices.SortStableFunc(all, func(a, b *plainMessage) int {
 			switch la, lb := late(a), late(b); {
 			case la == lb:
 				return 0
@@ -291,7 +291,7 @@
 	}
 }
 
-func (p *plain) pick(d *plainDest, x *plainDoc) *plainTarget {
+func (p *plain) pick(d *plainDest, x *plainMessage) *plainTarget {
 	if p.bucket {
 		d.tokens = math.Min(4, d.tokens+(p.now-d.filled)*math.Max(1, d.rate*1.25))
 		d.rate *= math.Exp(d.filled - p.now)
@@ -326,7 +326,7 @@
 	return best
 }
 
-func (p *plain) send(x *plainDoc, t *plainTarget, d *plainDest) {
+func (p *plain) send(x *plainMessage, t *plainTarget, d *plainDest) {
 	if d.next++; p.joins(t) {
 		t.riders++
 	} else {
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -21,9 +21,9 @@
 	dests   []*scheduler.Destination
 	targets [][]*target
 	byDoor  map[uint64]*target
-	docs    map[uint64]*handing
-	owed    []*handing // in the order of taking; those over are dropped now and then
-	calls   []*call    // being made up
+	docs    map[uint64]*submission
+	owed    []*submission // in the order of taking; those over are dropped now and then
+	calls   []*call       // being made up
 	out     []*call
 	wake    int
 	inTurn  bool
@@ -43,7 +43,7 @@
 	node    *node
 	life    int
 	to      *target
-	docs    []*handing
+	docs    []*submission
 	allow   float64
 	began   float64
 	at      *receiver.Call
@@ -59,7 +59,7 @@
 	d := n.day
 	n.life++
 	n.up = true
-	n.docs, n.byDoor, n.calls, n.out = map[uint64]*handing{}, map[uint64]*target{}, nil, nil
+	n.docs, n.byDoor, n.calls, n.out = map[uint64]*submission{}, map[uint64]*target{}, nil, nil
 	n.policy = n.day.make(d.scene.SchedulerSettings(n.number), n.seed+uint64(n.life), d.Now(), n)
 	if p, ok := n.policy.(*plain); ok && p.seer {
 		p.sees = func(door uint64) (bool, int) {
@@ -92,7 +92,7 @@
 			h.out = 0
 		}
 		n.keep(h)
-		n.policy.Recover(h.doc, h.of.typeNo, h.expiry-d.Now(), h.past)
+		n.policy.Recover(h.message, h.of.typeNo, h.expiry-d.Now(), h.past)
 	}
 	n.settle()
 }
@@ -123,20 +123,20 @@
 	return l
 }
 
-func (n *node) keep(h *handing) {
+func (n *node) keep(h *submission) {
 	h.node = n
-	h.doc = &scheduler.Message{ID: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
+	h.message = &scheduler.Message{ID: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
 	n.docs[h.id] = h
 	n.owed = append(n.owed, h)
 	if len(n.owed) > 64 && len(n.owed) > 4*len(n.docs) {
-		n.owed = slices.DeleteFunc(n.owed, func(h *handing) bool { return h.over })
+		n.owed = slices.DeleteFunc(n.owed, func(h *submission) bool { return h.over })
 	}
 }
 
 // standStill holds the forwarder, whichever process it has, until a moment.
 func (n *node) standStill(until float64) {
 	n.stalled = max(n.stalled, until)
-	n.day.log.Stood(n.number, until)
+	n.day.log.Stalled(n.number, until)
 }
 
 // stands tells that the forwarder stands still.
@@ -196,12 +196,12 @@
 	left := expiry - d.Now()
 	d.lastID++
 	id := d.lastID
-	doc := &audit.Doc{ID: id, Mark: e.mark, Key: e.key, Type: e.typeNo, Binding: e.typ.Idempotency == "binding", Numbered: e.mark != 0,
-		Dest: e.dest, From: n.number, Handed: d.Now(), Expiry: expiry}
+	doc := &audit.Message{ID: id, IdempotencyKey: e.mark, Key: e.key, Type: e.typeNo, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.mark != 0,
+		Destination: e.dest, Forwarder: n.number, SubmittedAt: d.Now(), Expiry: expiry}
 	if e.id == 0 {
 		e.id = id
 	}
-	doc.Same = e.id
+	doc.FirstID = e.id
 	taken, back := n.policy.Admit(500, left)
 	if !taken {
 		e.refused++
@@ -209,14 +209,14 @@
 		d.again(e, back)
 		return
 	}
-	d.log.Handed(doc)
-	d.log.Taken(id)
+	d.log.Submitted(doc)
+	d.log.Accepted(id)
 	d.effects[id] = e
 	d.result.Taken++
-	h := &handing{id: id, of: e, expiry: expiry}
+	h := &submission{id: id, of: e, expiry: expiry}
 	d.handed[id] = h
 	n.keep(h)
-	n.policy.Accept(h.doc, e.typeNo, left)
+	n.policy.Accept(h.message, e.typeNo, left)
 	n.settle()
 }
 
@@ -245,11 +245,11 @@
 		h.out = 0
 		if over {
 			if out == scheduler.Delivered && !h.over { // else its client has been answered, at expiry say
-				d.log.Final(h.id, "delivered")
+				d.log.FinalAnswer(h.id, "delivered")
 			}
 			h.over = true
 		}
-		n.policy.AttemptEnded(h.doc, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.began, RetryAfter: a.RetryAfter, ReportedLimit: a.ReportedLimit,
+		n.policy.AttemptEnded(h.message, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.began, RetryAfter: a.RetryAfter, ReportedLimit: a.ReportedLimit,
 			ReportedShare: a.ReportedShare})
 		if h.over {
 			delete(n.docs, h.id)
@@ -371,7 +371,7 @@
 // rise starts the process after a kill. One that is started while the forwarder stands still begins when that is over.
 func (n *node) rise() {
 	if n.stands() {
-		n.day.log.Stood(n.number, n.stalled+rises)
+		n.day.log.Stalled(n.number, n.stalled+rises)
 		n.day.At(n.stalled, n.rise)
 		return
 	}
@@ -384,7 +384,7 @@
 	h, t := n.day.handed[doc.ID], n.byDoor[to.ID]
 	h.past.Attempts++
 	h.out, h.outTo = n.day.Now(), t.is.Zone
-	n.day.result.Transmissions++
+	n.day.result.Attempts++
 	batch := n.day.scene.Receivers[n.day.group[t.is.Destination.Number]].Batch
 	for _, c := range n.calls {
 		if c.to == t && len(c.docs) < batch {
@@ -394,7 +394,7 @@
 		}
 	}
 	t.is.Approaching++
-	n.calls = append(n.calls, &call{node: n, life: n.life, to: t, docs: []*handing{h}, allow: timeout})
+	n.calls = append(n.calls, &call{node: n, life: n.life, to: t, docs: []*submission{h}, allow: timeout})
 }
 
 func (n *node) Reject(doc *scheduler.Message, comeBack float64) { n.answer(doc, "returned", comeBack) }
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -29,7 +29,7 @@
 	}
 	what := map[string]string{"failed": "abandoned", "returned": "returned"}[n.State]
 	d.result.Finals[what]++
-	d.log.Final(id, what)
+	d.log.FinalAnswer(id, what)
 	if what == "returned" {
 		d.again(e, float64(n.AfterMs)/1000)
 	}
@@ -49,7 +49,7 @@
 	effects := plan(d.scene, rand.New(rand.NewPCG(seed, 1)))
 	d.wg.Go(func() {
 		for _, e := range effects {
-			at := time.Duration((e.handed - begins) * float64(time.Second))
+			at := time.Duration((e.submittedAt - begins) * float64(time.Second))
 			select {
 			case <-time.After(at - time.Since(d.epoch)):
 			case <-d.ctx.Done():
@@ -87,8 +87,8 @@
 		if e.id == 0 {
 			e.id = id
 		}
-		d.log.Handed(&audit.Doc{ID: id, Same: e.id, Mark: e.mark, Key: e.key, Type: e.typeNo, Binding: e.typ.Idempotency == "binding", Numbered: e.mark != 0,
-			Dest: e.dest, From: n, Handed: d.Now(), Expiry: expiry})
+		d.log.Submitted(&audit.Message{ID: id, FirstID: e.id, IdempotencyKey: e.mark, Key: e.key, Type: e.typeNo, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.mark != 0,
+			Destination: e.dest, Forwarder: n, SubmittedAt: d.Now(), Expiry: expiry})
 		d.effects[id], d.from[id] = e, n
 		d.mu.Unlock()
 		left := expiry - d.Now()
@@ -100,7 +100,7 @@
 		defer d.mu.Unlock()
 		switch answer {
 		case "ok":
-			d.log.Taken(id)
+			d.log.Accepted(id)
 			d.result.Taken++
 		case "busy":
 			d.result.Refused++
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -154,7 +154,7 @@
 	if a.Code == transport.ResultOK {
 		for _, doc := range call.Messages {
 			if d.effects[doc.ID] != nil && !d.log.Answered(doc.ID) { // a notice may have crossed it, which does no harm
-				d.log.Final(doc.ID, "delivered")
+				d.log.FinalAnswer(doc.ID, "delivered")
 				d.heard[doc.ID] = true
 			}
 		}
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -123,7 +123,7 @@
 // standStill holds the forwarder, whichever process it has, until a moment; the day's lock is held.
 func (p *process) standStill(until float64) {
 	p.heldUntil = max(p.heldUntil, until)
-	p.day.log.Stood(p.number, until)
+	p.day.log.Stalled(p.number, until)
 	if !p.killed {
 		p.cmd.Process.Signal(syscall.SIGSTOP)
 		p.goOn()
@@ -156,7 +156,7 @@
 	switch {
 	case p.over:
 	case left > 0:
-		p.day.log.Stood(p.number, p.heldUntil+rises)
+		p.day.log.Stalled(p.number, p.heldUntil+rises)
 		p.day.After(left, p.rise)
 	default:
 		if err := p.start(); err != nil {
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -117,10 +117,10 @@
 	s.Faults[0].At, s.Faults[1].At, s.Faults[1].For = 1.5, 2, 4
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
-	require.Empty(t, r.Breaches)
+	require.Empty(t, r.Violations)
 	twin := Play(s, 1, Module)
-	require.Equal(t, twin.Documents, r.Documents, "the same load")
-	require.Greater(t, twin.Late, twin.Documents/5)
-	require.Greater(t, r.Late, r.Documents/5, "the standstill is seen")
+	require.Equal(t, twin.Messages, r.Messages, "the same load")
+	require.Greater(t, twin.Late, twin.Messages/5)
+	require.Greater(t, r.Late, r.Messages/5, "the standstill is seen")
 	t.Logf("on sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, twin.G, twin.Late)
 }
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -11,24 +11,24 @@
 
 // Result is what became of a day. Its JSON is the same to the byte for the same scene and seed.
 type Result struct {
-	Scene         string         `json:"scene"`
-	Seed          uint64         `json:"seed"`
-	Documents     int            `json:"documents"`
-	Taken         int            `json:"taken"`
-	Refused       int            `json:"refused"`
-	Served        int            `json:"served"`
-	Late          int            `json:"late"`
-	Transmissions int            `json:"transmissions"`
-	Modes         int            `json:"mode_changes"`
-	Ends          map[string]int `json:"ends"`
-	Finals        map[string]int `json:"final_answers"`
-	Offered       float64        `json:"value_offered"`
-	Delivered     float64        `json:"value_delivered"`
-	G             float64        `json:"share"`
-	Latency       Percentiles    `json:"latency_s"` // from the intended moment to the end of the run that took effect
-	Seconds       []Second       `json:"seconds"`
-	Breaches      []audit.Breach `json:"breaches"`
-	Events        uint64         `json:"events"`
+	Scene      string            `json:"scene"`
+	Seed       uint64            `json:"seed"`
+	Messages   int               `json:"documents"`
+	Taken      int               `json:"taken"`
+	Refused    int               `json:"refused"`
+	Served     int               `json:"served"`
+	Late       int               `json:"late"`
+	Attempts   int               `json:"transmissions"`
+	Modes      int               `json:"mode_changes"`
+	Ends       map[string]int    `json:"ends"`
+	Finals     map[string]int    `json:"final_answers"`
+	Offered    float64           `json:"value_offered"`
+	Delivered  float64           `json:"value_delivered"`
+	G          float64           `json:"share"`
+	Latency    Percentiles       `json:"latency_s"` // from the intended moment to the end of the run that took effect
+	Seconds    []Second          `json:"seconds"`
+	Violations []audit.Violation `json:"breaches"`
+	Events     uint64            `json:"events"`
 
 	times *hdrhistogram.Histogram
 }
@@ -64,14 +64,14 @@
 }
 
 func (r *Result) offered(e *effect) {
-	r.Documents++
+	r.Messages++
 	r.Offered += e.typ.Value
-	r.at(e.handed).Offered += e.typ.Value
+	r.at(e.submittedAt).Offered += e.typ.Value
 }
 
 // delivered counts an effect that took place: whole in the agreed time, half and falling after, none past expiry.
 func (r *Result) delivered(e *effect, at float64) {
-	took := at - e.handed
+	took := at - e.submittedAt
 	value := 0.0
 	switch agreed, life := float64(e.typ.LatencyObjective), float64(e.typ.TimeToLive); {
 	case took <= agreed:
@@ -82,7 +82,7 @@
 	}
 	r.Served++
 	r.Delivered += value
-	r.at(e.handed).Delivered += value
+	r.at(e.submittedAt).Delivered += value
 	r.times.RecordValue(max(1, int64(took*1e6)))
 }
 
@@ -108,7 +108,7 @@
 }
 
 func (r *Result) sum(log *audit.Log) {
-	r.Breaches = log.Breaches()
+	r.Violations = log.Violations()
 	if r.Offered > 0 {
 		r.G = r.Delivered / r.Offered
 	}
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -47,31 +47,31 @@
 
 // effect is what a client wants done, whatever number of documents it takes.
 type effect struct {
-	id      uint64
-	typ     *scenario.Type
-	typeNo  int
-	handed  float64 // the intended moment
-	expiry  float64
-	tenant  int
-	key     uint64
-	mark    uint64
-	dest    int
-	done    bool
-	answer  string // the last final answer heard
-	refused int
+	id          uint64
+	typ         *scenario.Type
+	typeNo      int
+	submittedAt float64 // the intended moment
+	expiry      float64
+	tenant      int
+	key         uint64
+	mark        uint64
+	dest        int
+	done        bool
+	answer      string // the last final answer heard
+	refused     int
 }
 
-// handing is one document: an effect handed in once.
-type handing struct {
-	id     uint64
-	of     *effect
-	doc    *scheduler.Message
-	node   *node
-	past   scheduler.RecoveredState
-	out    float64 // begin of the transmission that is out
-	outTo  int     // the zone of its target
-	expiry float64
-	over   bool
+// submission is one document: an effect handed in once.
+type submission struct {
+	id      uint64
+	of      *effect
+	message *scheduler.Message
+	node    *node
+	past    scheduler.RecoveredState
+	out     float64 // begin of the transmission that is out
+	outTo   int     // the zone of its target
+	expiry  float64
+	over    bool
 }
 
 type day struct {
@@ -85,7 +85,7 @@
 	group   []int // of each destination
 	nodes   []*node
 	effects map[uint64]*effect // by the id of a document
-	handed  map[uint64]*handing
+	handed  map[uint64]*submission
 	lastID  uint64
 	reap    int
 	noList  int
@@ -94,7 +94,7 @@
 
 // Play plays a scene with a seed.
 func Play(s *scenario.Scenario, seed uint64, make Maker) *Result {
-	d := &day{scene: s, make: make, dice: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, handed: map[uint64]*handing{}}
+	d := &day{scene: s, make: make, dice: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, handed: map[uint64]*submission{}}
 	d.Set(begins)
 	d.result = newResult(s, seed)
 	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
@@ -142,7 +142,7 @@
 // arrive puts what clients want on the time line. All of it is drawn beforehand: nothing that happens moves an arrival.
 func (d *day) arrive() {
 	for _, e := range plan(d.scene, d.dice) {
-		d.At(e.handed, func() {
+		d.At(e.submittedAt, func() {
 			d.result.offered(e)
 			d.handIn(e, e.expiry, goes(e, d.net, len(d.nodes)))
 		})
@@ -176,7 +176,7 @@
 	dests, types, tenants := load.Weighted(weights), load.Weighted(parts), load.Weighted(shares)
 	var all []*effect
 	one := func(at float64, dest, tenant int, key uint64) {
-		e := &effect{handed: at, dest: dest, tenant: tenant}
+		e := &effect{submittedAt: at, dest: dest, tenant: tenant}
 		e.typeNo = types.Pick(dice)
 		e.typ = &s.Types[e.typeNo]
 		e.expiry = at + float64(e.typ.TimeToLive)
@@ -220,7 +220,7 @@
 			one(begins+float64(c.At), dest, who, key)
 		}
 	}
-	slices.SortStableFunc(all, func(a, b *effect) int { return cmp.Compare(a.handed, b.handed) })
+	slices.SortStableFunc(all, func(a, b *effect) int { return cmp.Compare(a.submittedAt, b.submittedAt) })
 	return all
 }
 
@@ -273,16 +273,16 @@
 // comesAgain tells if a client hands an effect in anew, after what time, and with what expiry.
 func (e *effect) comesAgain(s *scenario.Scenario, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
 	if expiry = e.expiry; e.mark != 0 {
-		expiry = min(expiry, e.handed+float64(e.typ.DeduplicationWindow))
+		expiry = min(expiry, e.submittedAt+float64(e.typ.DeduplicationWindow))
 	}
 	wait = comeBack + 0.1 + 0.2*dice.Float64()
 	return expiry, wait, s.ComesAgain && !e.done && now+wait+0.05 < expiry
 }
 
 // tell tells a client a final answer.
-func (d *day) tell(h *handing, what string, comeBack float64) {
+func (d *day) tell(h *submission, what string, comeBack float64) {
 	d.After(float64(d.scene.NetworkDelay), func() {
-		d.log.Final(h.id, what)
+		d.log.FinalAnswer(h.id, what)
 		h.of.answer = what
 		if what == "returned" {
 			d.again(h.of, comeBack)
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -27,7 +27,7 @@
 
 func broken(r *Result) map[audit.Rule]int {
 	n := map[audit.Rule]int{}
-	for _, b := range r.Breaches {
+	for _, b := range r.Violations {
 		n[b.Rule]++
 	}
 	return n
@@ -36,9 +36,9 @@
 func TestTheModuleKeepsTheRulesInEachKeptScene(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		r := Play(kept(t, name), 1, Module)
-		require.Empty(t, r.Breaches, name)
+		require.Empty(t, r.Violations, name)
 		require.Greater(t, r.G, 0.6, name)
-		t.Logf("%-32s G %.3f, served %d of %d, late %d, refused %d", name, r.G, r.Served, r.Documents, r.Late, r.Refused)
+		t.Logf("%-32s G %.3f, served %d of %d, late %d, refused %d", name, r.G, r.Served, r.Messages, r.Late, r.Refused)
 	}
 }
 
@@ -116,10 +116,10 @@
 	s.Faults[0].At, s.Faults[0].For = 2, 1
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
-	require.Empty(t, r.Breaches)
-	require.Greater(t, r.Documents, 150)
+	require.Empty(t, r.Violations)
+	require.Greater(t, r.Messages, 150)
 	twin := Play(s, 1, Module)
-	require.Equal(t, twin.Documents, r.Documents, "the same load")
+	require.Equal(t, twin.Messages, r.Messages, "the same load")
 	require.InDelta(t, twin.G, r.G, 0.15)
 	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
 }
@@ -159,8 +159,8 @@
 			places <- struct{}{}
 			defer func() { <-places }()
 			s := random(base, uint64(seed))
-			if r := Play(s, uint64(seed), Module); len(r.Breaches) > 0 {
-				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Breaches[0], s.Faults)
+			if r := Play(s, uint64(seed), Module); len(r.Violations) > 0 {
+				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
 		})
 	}
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -25,7 +25,7 @@
 				}
 			}
 			r := Play(s, seed, Module)
-			require.Empty(t, r.Breaches, "killed at %s, seed %d", killedAt, seed)
+			require.Empty(t, r.Violations, "killed at %s, seed %d", killedAt, seed)
 			last := r.Seconds[len(r.Seconds)-1]
 			require.Zero(t, last.Out, "slots are taken at the end of the day: killed at %s, seed %d", killedAt, seed)
 			require.Zero(t, last.Held, "killed at %s, seed %d", killedAt, seed)
