--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts forwarders of the decision module on the frames of standard input and output.
+// Command wirehost hosts forwarders of the scheduler on the frames of standard input and output.
 package main
 
 import (
--- a/cmd/spanflow/daily_test.go
+++ b/cmd/spanflow/daily_test.go
@@ -118,7 +118,7 @@
 }
 
 // A second process starts beside the first on the same socket and folder, says yes, and the first is told to stop:
-// every document handed in, before, during and after, reaches the target once, and none is turned away at the door.
+// every message handed in, before, during and after, reaches the endpoint once, and none is turned away at the door.
 func TestAnUpgradeBesideTheRunningProcessLosesNothing(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
@@ -196,8 +196,8 @@
 	}
 }
 
-// The operators empty the forwarder: its front hears no at PING, a client idle is let go, one in the middle of a
-// document is answered and then let go, and the document reaches the target. At the second call it says yes again.
+// The operators empty the forwarder: its frontend hears no at PING, a client idle is let go, one in the middle of a
+// message is answered and then let go, and the message reaches the endpoint. At the second call it says yes again.
 func TestALameduckSendsClientsAwayAndLosesNoDocument(t *testing.T) {
 	s := newStage(t, "single")
 	p := s.launch(nil)
@@ -254,7 +254,7 @@
 	return socket
 }
 
-// A target taken out by hand gets nothing new, also from the process that replaces the first, until it is put back;
+// An endpoint taken out by hand gets nothing new, also from the process that replaces the first, until it is put back;
 // an id that nobody has is owed a no.
 func TestATargetOutByHandStaysOutOverAnUpgrade(t *testing.T) {
 	s := newStage(t, "single")
@@ -297,8 +297,8 @@
 	return got
 }
 
-// The figures agree with a count that the test keeps: documents delivered, turned away at the door, written to the
-// target, owed, and targets listed and out by hand.
+// The figures agree with a count that the test keeps: messages delivered, turned away at the door, written to the
+// endpoint, owed, and endpoints listed and out by hand.
 func TestTheFiguresAgreeWithWhatHappened(t *testing.T) {
 	s := newStage(t, "single")
 	p := s.launch(nil)
@@ -325,7 +325,7 @@
 	require.Equal(t, "1|g", got["proxy.open_requests"])
 }
 
-// A target tells the first process to wait; the process that replaces it in an upgrade heeds the wait, and sends
+// An endpoint tells the first process to wait; the process that replaces it in an upgrade heeds the wait, and sends
 // again only after it.
 func TestAWaitToldBeforeAnUpgradeIsHeededAfterIt(t *testing.T) {
 	s := newStage(t, "single")
@@ -349,7 +349,7 @@
 	require.GreaterOrEqual(t, time.Since(time.Unix(0, told.Load())), 3*time.Second, "sent again within the wait")
 }
 
-// A target out by hand stays out when the forwarder is killed and started again on its folder.
+// An endpoint out by hand stays out when the forwarder is killed and started again on its folder.
 func TestATargetOutByHandStaysOutOverAKill(t *testing.T) {
 	s := newStage(t, "single")
 	first := s.launch(nil)
--- a/cmd/spanflow/edge_test.go
+++ b/cmd/spanflow/edge_test.go
@@ -9,7 +9,7 @@
 	"spanflow/internal/emulator"
 )
 
-// Whoever judges a document's time began to count before it was read here: what is delivered in its last moments may
+// Whoever judges a message's time began to count before it was read here: what is delivered in its last moments may
 // count as late, that is as not delivered, and needs a final answer.
 func TestADeliveryInTheLastMomentsOfItsTimeEndsByANoticeToo(t *testing.T) {
 	s := newStage(t, "single")
--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -14,7 +14,7 @@
 
 // Stories of many forwarders at once: what is harmless in one may be harmful in all.
 
-// member is one forwarder of a fleet on the stage's target and discovery, with a folder of its own.
+// member is one forwarder of a fleet on the stage's endpoint and discovery, with a folder of its own.
 type member struct {
 	stage
 	*process
@@ -41,8 +41,8 @@
 	m.listen, _, _ = strings.Cut(text, `"`)
 }
 
-// Seven of ten forwarders are killed at once with documents out and documents held, and started again on their folders:
-// each document ends once, by delivery or by a notice, and none that must not run twice is sent twice.
+// Seven of ten forwarders are killed at once with messages out and messages held, and started again on their folders:
+// each message ends once, by delivery or by a notice, and none that must not run twice is sent twice.
 func TestMostOfAFleetKilledAtOnceAnswersEveryDocumentOnce(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
--- a/cmd/spanflow/lobby_test.go
+++ b/cmd/spanflow/lobby_test.go
@@ -16,7 +16,7 @@
 	return second
 }
 
-// nothingComes fails if a target is called within a second: the time that a call out has to take effect in.
+// nothingComes fails if an endpoint is called within a second: the time that a call out has to take effect in.
 func (s *stage) nothingComes() {
 	s.t.Helper()
 	select {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Operators call the new process of an upgrade while the old one still owns the folder: a target taken out there gets
-// nothing from the old one either, and nothing from the new one, until it is put back.
+// Operators call the new process of an upgrade while the old one still owns the folder: an endpoint taken out there
+// gets nothing from the old one either, and nothing from the new one, until it is put back.
 func TestACallToTheNewProcessOfAnUpgradeReachesTheOldOne(t *testing.T) {
 	s := newStage(t, "single")
 	s.socket = s.handedDown()
--- a/cmd/spanflow/main_test.go
+++ b/cmd/spanflow/main_test.go
@@ -200,7 +200,7 @@
 	s.put(c, zero, "d2", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "d2", s.call().ID)
 	s.put(c, zero, "d2", "c=status,d=8000,dest=7", "-ERR a document with this id was taken on")
-	s.put(c, zero, "d3", "c=status,d=8000,dest=9", "+OK") // held: its only target is leaving
+	s.put(c, zero, "d3", "c=status,d=8000,dest=9", "+OK") // held: its only endpoint is leaving
 	s.put(s.client(), zero, "d3", "c=payment,d=8000,dest=7", "-ERR a document with this id was taken on")
 	require.Eventually(t, func() bool { // once discovery has told its list
 		got, err := c.Put(zero, "d4", "c=status,d=8000,dest=8", "b")
@@ -302,7 +302,7 @@
 	s.target.Do(func(c emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := s.start()
 	var first []string
-	for i := range 2 { // both places of the target are taken
+	for i := range 2 { // both places of the endpoint are taken
 		s.put(c, zero, fmt.Sprint("d", i), "c=status,d=8000,dest=7", "+OK")
 		first = append(first, s.call().ID)
 	}
@@ -331,7 +331,7 @@
 	s.await("notices not answered")
 	s.discovery.SetUnresponsive(false)
 	require.Equal(t, emulator.Notice{ID: "p1", State: "failed"}, s.notice())
-	s.put(c, zero, "s1", "c=status,d=300,dest=9", "+OK") // a destination whose only target is leaving
+	s.put(c, zero, "s1", "c=status,d=300,dest=9", "+OK") // a destination whose only endpoint is leaving
 	n := s.notice()
 	require.Equal(t, "returned", n.State)
 	require.Empty(t, s.target.Calls)
@@ -375,7 +375,7 @@
 	require.Equal(t, "d1", s.call().ID)
 }
 
-// The process is killed with a document delivered, one out that may run again, one out that may not, and one held
+// The process is killed with a message delivered, one out that may run again, one out that may not, and one held
 // behind another of its key; the next process ends each exactly once and in order.
 func TestAKilledForwarderOwesWhatItHadTakenOn(t *testing.T) {
 	s := newStage(t, "single")
@@ -435,7 +435,7 @@
 	c := s.start()
 	s.put(c, zero, "out", "c=status,d=20000,dest=7", "+OK")
 	s.call()
-	s.put(c, zero, "far", "c=status,d=20000,dest=9", "+OK") // no target yet
+	s.put(c, zero, "far", "c=status,d=20000,dest=9", "+OK") // no endpoint yet
 	require.NoError(t, s.cmd.Process.Signal(syscall.SIGTERM))
 	s.await(`"message":"stopping"`)
 	s.put(c, zero, "late", "c=status,d=20000,dest=7", "+OK")
@@ -452,7 +452,7 @@
 }
 
 // The switch of a move: another fleet and other terms from one process to the next on the same folder. Reason is owed and
-// call times carry over; the first documents go out at once, at several targets.
+// call times carry over; the first messages go out at once, at several endpoints.
 func TestTheFirstSecondsAfterASwitch(t *testing.T) {
 	s := newStage(t, "single")
 	c := s.start()
@@ -520,7 +520,7 @@
 	}
 }
 
-// witness is a target's memory: it answers by chance and notes what no forwarder may do.
+// witness is an endpoint's memory: it answers by chance and notes what no forwarder may do.
 type witness struct {
 	mu     sync.Mutex
 	dice   *rand.Rand
--- a/cmd/spanflow/restart_test.go
+++ b/cmd/spanflow/restart_test.go
@@ -46,7 +46,7 @@
 	s.put(c, zero, "told", "c=status,d=20000,dest=7", "+OK")
 	require.Equal(t, "told", s.call().ID)
 	require.NoError(t, s.cmd.Process.Signal(syscall.SIGTERM))
-	s.put(c, zero, "untried", "c=status,d=20000,dest=9", "+OK") // it has no target yet
+	s.put(c, zero, "untried", "c=status,d=20000,dest=9", "+OK") // it has no endpoint yet
 	require.NoError(t, <-s.ended)
 	require.True(t, strings.Contains(s.log.String(), `"owed":`))
 	s.discovery.Set(emulator.Entry{UID: "s0", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
--- a/cmd/spanflow/stall_test.go
+++ b/cmd/spanflow/stall_test.go
@@ -18,7 +18,7 @@
 // standstill is how long the forwarder is held: longer than any of its calls may take, shorter than most messages live.
 const standstill = 10 * time.Second
 
-// records are what the targets and discovery have written down of each message, by its id.
+// records are what the endpoints and discovery have written down of each message, by its id.
 type records struct {
 	mu      sync.Mutex
 	calls   map[string]int
--- a/cmd/spanflowctl/backlog_cases_test.go
+++ b/cmd/spanflowctl/backlog_cases_test.go
@@ -240,7 +240,7 @@
 	calls  int
 	told   time.Time // when the latest wait was told
 	until  time.Time // its end
-	inside int       // calls that came within a told wait
+	inside int       // calls that came within a Retry-After time
 	waits  int
 }
 
--- a/cmd/spanflowctl/backlog_scene_test.go
+++ b/cmd/spanflowctl/backlog_scene_test.go
@@ -69,7 +69,7 @@
 `
 )
 
-// scene is a forwarder with a backlog store, several destinations with one target each, and all that is known of its
+// scene is a forwarder with a backlog store, several destinations with one endpoint each, and all that is known of its
 // messages from outside.
 type scene struct {
 	t       *testing.T
@@ -84,7 +84,7 @@
 	ended   chan error
 	record  *record
 
-	oneDestination bool // all targets are of destination 1
+	oneDestination bool // all endpoints are of destination 1
 }
 
 func newScene(t *testing.T, destinations int) *scene {
@@ -175,7 +175,7 @@
 
 func (s *scene) stored() string { return filepath.Join(s.folder, "stored") }
 
-// all alters what all targets do.
+// all alters what all endpoints do.
 func (s *scene) all(how func(emulator.Call) emulator.Reply) {
 	for _, target := range s.targets {
 		target.Do(how)
--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,6 +1,6 @@
-// Command toy plays those around one forwarder: two targets, the ear for final answers, and a client. Without arguments
-// it serves; "toy DEST BODY" hands one document in; "toy demo" starts a forwarder too, hands two documents in and shows
-// what becomes of them.
+// Command toy plays those around one forwarder: two endpoints, the ear for final answers, and a client. Without
+// arguments it serves; "toy DEST BODY" hands one message in; "toy demo" starts a forwarder too, hands two messages in
+// and shows what becomes of them.
 package main
 
 import (
@@ -42,7 +42,7 @@
 	}
 }
 
-// serve plays targets and ear; each document that ends is told to ended, if not nil.
+// serve plays endpoints and ear; each message that ends is told to ended, if not nil.
 func serve(ended chan<- string) error {
 	d, err := emulator.NewDiscovery(discovery)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return id, err
 }
 
-// demo ends once both documents have.
+// demo ends once both messages have.
 func demo() error {
 	ended, failed := make(chan string), make(chan error, 1)
 	go func() { failed <- serve(ended) }()
--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -9,7 +9,7 @@
 	"spanflow/scheduler"
 )
 
-// adminRequests is the operators' way to the owner: their calls are news in the Exchange like any other.
+// adminRequests is the operators' way to the event loop: their calls are news in the Exchange like any other.
 type adminRequests struct {
 	x       *Exchange
 	ready   atomic.Bool
@@ -30,7 +30,7 @@
 	return a
 }
 
-// takeOver has calls go to the owner from here on. It tells if clients are to be sent away.
+// takeOver has calls go to the event loop from here on. It tells if clients are to be sent away.
 func (a *adminRequests) takeOver() (lame bool) {
 	if s := a.standby.Load(); s != nil {
 		return s.leave()
@@ -81,7 +81,7 @@
 	o.log.Info().Bool("lameduck", on).Int("clients", clients).Int("held", len(o.docs)).Msg("lameduck")
 }
 
-// byHand takes a target out or puts it back; listed tells that somebody has it.
+// byHand takes an endpoint out or puts it back; listed tells that somebody has it.
 func (o *owner) byHand(c admin.Request, listed bool) admin.Response {
 	verdict, change := call(o.rota, c, listed)
 	if change == drains.Unchanged {
@@ -100,7 +100,7 @@
 	return answerOf(c, verdict)
 }
 
-// call makes a call out or back on a set of targets out by hand.
+// call makes a call out or back on a set of endpoints out by hand.
 func call(r *drains.Set, c admin.Request, listed bool) (drains.Result, drains.Change) {
 	if c.Operation == admin.Attach {
 		return r.Restore(c.Name, listed)
--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -11,7 +11,7 @@
 // asked carries out what a caller wants.
 func (o *owner) asked(a *asked) {
 	switch {
-	case a.Ping && o.lame: // clients are sent elsewhere: their front asks, and takes this for a no
+	case a.Ping && o.lame: // clients are sent elsewhere: their frontend asks, and takes this for a no
 		a.From.Answer(transport.Reply{Status: transport.StatusInvalid, Reason: "lameduck: this forwarder is being emptied"})
 	case a.Ping:
 		a.From.Answer(transport.Reply{Status: transport.StatusAlive})
@@ -42,7 +42,7 @@
 	return transport.Reply{Status: transport.StatusInvalid, Reason: why}
 }
 
-// handedIn takes a document on, if the module will, and answers its caller then; any other answer it returns.
+// handedIn takes a message on, if the scheduler will, and answers its caller then; any other answer it returns.
 func (o *owner) handedIn(a *asked) transport.Reply {
 	in := a.Submission
 	typ, known := o.types[in.Type]
@@ -73,7 +73,7 @@
 	return transport.Reply{Status: transport.StatusAccepted}
 }
 
-// refused tells if a document is turned away for what it says, and with which answer.
+// refused tells if a message is turned away for what it says, and with which answer.
 func (o *owner) refused(in *transport.Submission, typ int) (reply transport.Reply, refused bool) {
 	_, listed := o.dests[in.Destination]
 	switch {
@@ -89,7 +89,7 @@
 	return transport.Reply{}, false
 }
 
-// entry is what the ledger keeps of a document.
+// entry is what the write-ahead log keeps of a message.
 func (o *owner) entry(a *asked) *wal.Entry {
 	in := a.Submission
 	_, held := a.From.(transport.WaitingCaller)
@@ -107,7 +107,7 @@
 	}
 }
 
-// noteUnknown logs a name that came with a document and is not known here, each once.
+// noteUnknown logs a name that came with a message and is not known here, each once.
 func (o *owner) noteUnknown(name string) {
 	if name != "" && !o.unknown[name] && len(o.unknown) < mostNames {
 		o.unknown[name] = true
@@ -115,7 +115,7 @@
 	}
 }
 
-// take gives the module a document that the ledger has, and answers its caller.
+// take gives the scheduler a message that the write-ahead log has, and answers its caller.
 func (o *owner) take(a *asked, e *wal.Entry, typ int, left float64) {
 	in := a.Submission
 	p := o.paper(e, typ)
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -7,7 +7,7 @@
 
 // ended takes in the end of a call.
 func (o *owner) ended(e transport.CallResult) {
-	for pass := range 2 { // delivered ones first: the module judges a call by the first end
+	for pass := range 2 { // delivered ones first: the scheduler judges a call by the first end
 		for i, p := range e.Call.Messages {
 			if (e.Codes[i] == transport.ResultOK) == (pass == 0) {
 				o.end(p.MessageID, e.Codes[i], &e)
@@ -20,7 +20,7 @@
 	}
 }
 
-// end takes in the end of one document's transmission.
+// end takes in the end of one message's attempt.
 func (o *owner) end(door uint64, end transport.ResultCode, e *transport.CallResult) {
 	o.counts.ends[end]++
 	o.meter.AttemptEnded(end, e.Latency)
@@ -50,7 +50,7 @@
 	o.removeIfDone(p)
 }
 
-// finish records and tells the final answer of a document whose last transmission gave it.
+// finish records and tells the final answer of a message whose last attempt gave it.
 func (o *owner) finish(p *paper, outcome scheduler.Outcome) {
 	o.recordDone(p)
 	final := transport.Failed
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -52,8 +52,8 @@
 	policy   *policy.Policy
 	lanes    map[backlog.Lane]*list.List // papers in memory, in the order of taking
 	firstSeq uint64                      // numbers below it are of earlier processes
-	inBoth   int                         // messages that the start found in the ledger and in the store
-	past     []backlog.Ref               // that the start found in the ledger though older ones of their lane are stored
+	inBoth   int                         // messages that the start found in the write-ahead log and in the store
+	past     []backlog.Ref               // that the start found in the write-ahead log though older ones of their lane are stored
 	wakeAt   time.Time                   // when to look for moves again; zero: with the next news
 	counts   backlogCounts
 	levels   backlogLevels
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// endMoves ends the moves that a kill has cut short. With an error a message may be in the ledger and in the store:
-// served then, it would be delivered twice.
+// endMoves ends the moves that a kill has cut short. With an error a message may be in the write-ahead log and in the
+// store: served then, it would be delivered twice.
 func (o *owner) endMoves() error {
 	owed := o.ledger.Pending()
 	refs := make([]backlog.Ref, len(owed))
@@ -118,7 +118,7 @@
 	return o.stored.policy.SetBounds(bounds)
 }
 
-// closeBacklog ends the use of the store, before the ledger's folder is free for another process.
+// closeBacklog ends the use of the store, before the write-ahead log's folder is free for another process.
 func (o *owner) closeBacklog() {
 	if o.stored == nil {
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-// backlogLog makes the ledger the log that messages are moved from and to.
+// backlogLog makes the write-ahead log the log that messages are moved from and to.
 type backlogLog struct{ ledger *wal.Log }
 
 // Restore records a message whole under its number.
@@ -137,7 +137,7 @@
 // Forget records that nothing more is owed for a number.
 func (l backlogLog) Forget(seq uint64) error { return l.ledger.RecordDone(seq) }
 
-// laneOf is the lane of a document.
+// laneOf is the lane of a message.
 func laneOf(e *wal.Entry) backlog.Lane {
 	return backlog.Lane{Destination: e.Destination, Tenant: uint32(e.Tenant)}
 }
@@ -146,23 +146,23 @@
 	return policy.Lane{Destination: l.Destination, Tenant: l.Tenant}
 }
 
-// laneOfDoc is the lane of a document that the module has.
+// laneOfDoc is the lane of a message that the scheduler has.
 func laneOfDoc(d *scheduler.Message) backlog.Lane {
 	return backlog.Lane{Destination: d.Dest.ID, Tenant: uint32(d.Tenant)}
 }
 
-// keepsOrder tells if a document's type keeps the order of its key. One of an unknown type counts as of the first, as
-// for the module.
+// keepsOrder tells if a message's type keeps the order of its key. One of an unknown type counts as of the first, as
+// for the scheduler.
 func (o *owner) keepsOrder(e *wal.Entry) bool {
 	return o.order.Scheduler.Types[o.types[e.Type]].InOrder
 }
 
-// keyElsewhere tells if a document has to go after one of its ordering key that is stored in another lane.
+// keyElsewhere tells if a message has to go after one of its ordering key that is stored in another lane.
 func (o *owner) keyElsewhere(e *wal.Entry) bool {
 	return o.keepsOrder(e) && o.stored.store.KeyElsewhere(e.Key, laneOf(e))
 }
 
-// messageOf is what the store keeps of a document.
+// messageOf is what the store keeps of a message.
 func (o *owner) messageOf(e *wal.Entry, taken time.Time) *backlog.Message {
 	return &backlog.Message{
 		Seq:              e.Seq,
@@ -182,7 +182,7 @@
 	}
 }
 
-// entryOf is the document that the store kept.
+// entryOf is the message that the store kept.
 func entryOf(m *backlog.Message) *wal.Entry {
 	return &wal.Entry{
 		Seq:            m.Seq,
@@ -204,15 +204,16 @@
 // knows tells if a message with a client's id is stored.
 func (s *stored) knows(id string) bool { return s != nil && s.store.Has(id) }
 
-// resolve tells the policy what is stored. It gives the numbers of those documents in the ledger that are answered
-// without a call, as older ones of their lane are stored.
+// resolve tells the policy what is stored. It gives the numbers of those messages in the write-ahead log that are
+// answered without a call, as older ones of their lane are stored.
 //
-// Of an ordering key that has documents both in the ledger and stored in another lane, those in the ledger are the older
-// ones, so that nothing more is to be resolved: while one is stored, toBacklog takes no newer one of another lane on,
-// and spillable stores none while a newer one of another lane is in memory. Nothing comes back to the ledger that is
-// newer, as all stored ones of a key are in one lane and come back in its order (those that expire are answered without
-// a call); until the store has released it, also after a kill, a message counts as stored. It does not hold across a
-// start with a changed setting, if messages were stored while their type did not keep the order of keys.
+// Of an ordering key that has messages both in the write-ahead log and stored in another lane, those in the write-ahead
+// log are the older ones, so that nothing more is to be resolved: while one is stored, toBacklog takes no newer one of
+// another lane on, and spillable stores none while a newer one of another lane is in memory. Nothing comes back to the
+// write-ahead log that is newer, as all stored ones of a key are in one lane and come back in its order (those that
+// expire are answered without a call); until the store has released it, also after a kill, a message counts as stored.
+// It does not hold across a start with a changed setting, if messages were stored while their type did not keep the
+// order of keys.
 func (o *owner) resolve() (overtaking map[uint64]bool) {
 	if o.stored == nil {
 		return nil
@@ -233,7 +234,7 @@
 	return overtaking
 }
 
-// inMemory enters a document in its lane.
+// inMemory enters a message in its lane.
 func (o *owner) inMemory(p *paper) {
 	if o.stored == nil {
 		return
@@ -243,14 +244,14 @@
 	o.noteOutage(p.doc.Dest)
 }
 
-// leftMemory takes a document that is over out of its lane.
+// leftMemory takes a message that is over out of its lane.
 func (o *owner) leftMemory(p *paper) {
 	if o.removeFromLane(p) {
 		o.stored.policy.Ended(policyLane(p.lane))
 	}
 }
 
-// removeFromLane tells if the document was in its lane.
+// removeFromLane tells if the message was in its lane.
 func (o *owner) removeFromLane(p *paper) bool {
 	if p.inLane == nil {
 		return false
@@ -271,7 +272,7 @@
 	}
 }
 
-// toBacklog decides whether a document that is handed in waits in the store, and stores it. done is false for one that
+// toBacklog decides whether a message that is handed in waits in the store, and stores it. done is false for one that
 // goes to memory.
 func (o *owner) toBacklog(a *asked, e *wal.Entry, left float64) (reply transport.Reply, done bool) {
 	if o.stored == nil {
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// spill moves the newest documents of a lane that wait in memory out to the store, and tells how many.
+// spill moves the newest messages of a lane that wait in memory out to the store, and tells how many.
 func (o *owner) spill(lane backlog.Lane, most int) (moved int) {
 	papers := o.spillable(lane, most)
 	if len(papers) == 0 {
@@ -83,7 +83,7 @@
 	return moved
 }
 
-// spillable are the newest documents of a lane, in the order of taking, as far as they wait for a call.
+// spillable are the newest messages of a lane, in the order of taking, as far as they wait for a call.
 func (o *owner) spillable(lane backlog.Lane, most int) []*paper {
 	inMemory := o.stored.lanes[lane]
 	if inMemory == nil {
@@ -102,9 +102,10 @@
 	return papers
 }
 
-// overtakenIfStored tells if a later document of its key, in memory, is of another lane and would go first. To look at the
-// next one of the key that waits is enough: if it is of the same lane it was asked the same before, as the newest go
-// first. Those of the same lane that do not wait are answered (their notices may stay unheard for long) and were not asked.
+// overtakenIfStored tells if a later message of its key, in memory, is of another lane and would go first. To look at
+// the next one of the key that waits is enough: if it is of the same lane it was asked the same before, as the newest
+// go first. Those of the same lane that do not wait are answered (their notices may stay unheard for long) and were not
+// asked.
 func overtakenIfStored(p *paper) bool {
 	next := p.doc.NextOfKey()
 	for next != nil && !next.Waiting() && laneOfDoc(next) == p.lane {
@@ -113,7 +114,7 @@
 	return next != nil && laneOfDoc(next) != p.lane
 }
 
-// forgetSpilled lets go of a document that the store has now.
+// forgetSpilled lets go of a message that the store has now.
 func (o *owner) forgetSpilled(p *paper, size int64) {
 	o.stored.counts.spilled++
 	o.stored.policy.Spilled(policyLane(p.lane), size)
@@ -148,14 +149,15 @@
 	o.takeBack(batch, now)
 }
 
-// logMoveError logs why messages could not be brought back, unless it is that the ledger has no room for them now.
+// logMoveError logs why messages could not be brought back, unless it is that the write-ahead log has no room for them
+// now.
 func (o *owner) logMoveError(err error) {
 	if err != nil && !errors.Is(err, wal.ErrFull) {
 		o.logBacklogError(err)
 	}
 }
 
-// takeBack gives the module what has come back.
+// takeBack gives the scheduler what has come back.
 func (o *owner) takeBack(batch backlog.Batch, now time.Time) {
 	for _, m := range batch.Messages {
 		o.stored.policy.Back(policyLane(m.Lane), int64(m.Size()), now)
@@ -184,7 +186,7 @@
 	}
 }
 
-// enterLane enters a document in its lane, in the order of taking: one that is to be answered may be newer than what
+// enterLane enters a message in its lane, in the order of taking: one that is to be answered may be newer than what
 // is brought back later.
 func (o *owner) enterLane(p *paper) {
 	lane := o.stored.lanes[p.lane]
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -24,7 +24,7 @@
 "Limits":{"AttemptsCap":1000000,"MaxOpen":2000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,"ConnectTimeout":1500},
 "Report":{"Fields":[]},"Discovery":"ask","WeightKind":"silent","NInstances":1,"Tenants":[]}}`
 
-// backlogRig is a forwarder with a backlog store, two destinations with a target each, and a client.
+// backlogRig is a forwarder with a backlog store, two destinations with an endpoint each, and a client.
 type backlogRig struct {
 	t         *testing.T
 	discovery *emulator.Discovery
--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -26,9 +26,10 @@
 "Limits":{"AttemptsCap":6,"MaxOpen":4000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,"ConnectTimeout":1500},
 "Report":{"Fields":[]},"Discovery":"ask","WeightKind":"silent","NInstances":1,"Tenants":[]}}`
 
-// BenchmarkDocument drives the whole way over loopback: RESP front, Exchange, owner, module, ledger, HTTP outlet, eight
-// targets that answer at once. An op is a document from the handing in to its delivery; sixteen clients hand in, each
-// its next one when the one before has its answer, up to 128 under way. A returned document fails the run. cpu-ns/op is of the whole process, clients and targets included.
+// BenchmarkDocument drives the whole way over loopback: RESP frontend, Exchange, owner, module, write-ahead log, HTTP
+// upstream, eight endpoints that answer at once. An op is a message from the handing in to its delivery; sixteen
+// clients hand in, each its next one when the one before has its answer, up to 128 under way. A returned message fails
+// the run. cpu-ns/op is of the whole process, clients and endpoints included.
 func BenchmarkDocument(b *testing.B) {
 	delivered := make(chan struct{}, 4096)
 	var list []emulator.Entry
@@ -98,7 +99,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// target answers each call with 200 as soon as its body has come.
+// endpoint answers each call with 200 as soon as its body has come.
 func target(tb testing.TB, delivered chan<- struct{}) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(tb, err)
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -34,7 +34,7 @@
 	Names           settings.Names
 
 	Upstreams         []Upstream        // beside the usual, named http
-	KindUpstream      map[string]string // by which outlet targets of a kind are reached, if not by the usual
+	KindUpstream      map[string]string // by which upstream endpoints of a kind are reached, if not by the usual
 	Log               Log
 	Admin             string // the operators' address; empty: none
 	InheritedListener int    // a listening socket handed down for the clients, in place of Frontends[0].Listen; 0: none
@@ -49,7 +49,7 @@
 
 	Backlog *Backlog // where messages wait on disk; nil: in memory alone
 
-	DiscoveryMovable bool // fronts, targets and logs may change while it runs
+	DiscoveryMovable bool // frontends, endpoints and logs may change while it runs
 
 	Reload func() (*Config, error) // the order as it is told by now; nil: it never changes
 	told   string                  // discovery as the text has it, whatever the variables say
--- a/forwarder/connect.go
+++ b/forwarder/connect.go
@@ -15,7 +15,7 @@
 	usualCarriage = "http"
 )
 
-// connect makes the outlets, the list's source and the teller that the order asks for.
+// connect makes the upstreams, the list's source and the teller that the order asks for.
 func (o *owner) connect(dialer *dial.Dialer) error {
 	connect := time.Duration(o.order.Names.Connect * float64(time.Second))
 	if connect <= 0 {
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// connectOutlets makes the order's outlets, and the usual one unless the order has its own by that name.
+// connectOutlets makes the order's upstreams, and the usual one unless the order has its own by that name.
 func (o *owner) connectOutlets(dialer *dial.Dialer, connect time.Duration) error {
 	order := o.order
 	terms := UpstreamSettings{
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -41,7 +41,7 @@
 	return append(levels, o.backlogGauges()...)
 }
 
-// report writes the counts, the first front's with the forwarder's own.
+// report writes the counts, the first frontend's with the forwarder's own.
 func (o *owner) report(dialer *dial.Dialer) {
 	idle := 0
 	for _, by := range o.outlets {
--- a/forwarder/drains.go
+++ b/forwarder/drains.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// outFile keeps the ids of targets out by hand in the folder, one a line, so that a ban lasts over a restart and is
+// outFile keeps the ids of endpoints out by hand in the folder, one a line, so that a ban lasts over a restart and is
 // taken up by the process that replaces this one.
 const outFile = "out-by-hand"
 
-// keepOut keeps the set of targets out by hand.
+// keepOut keeps the set of endpoints out by hand.
 func keepOut(dir string, ids []string) error {
 	text := strings.Join(ids, "\n")
 	if len(ids) > 0 {
--- a/forwarder/exchange.go
+++ b/forwarder/exchange.go
@@ -8,8 +8,8 @@
 	"spanflow/transport"
 )
 
-// Exchange is where fronts, outlets and sources leave their news for the one goroutine that owns the module. They
-// know nothing of each other.
+// Exchange is where frontends, upstreams and sources leave their news for the one goroutine that owns the scheduler.
+// They know nothing of each other.
 type Exchange struct {
 	mu     sync.Mutex
 	news   []any
@@ -20,29 +20,29 @@
 	bell   chan struct{}
 }
 
-// Messages handed in by a front wait here up to so much; then reading from its callers pauses until some are taken.
+// Messages handed in by a frontend wait here up to so much; then reading from its callers pauses until some are taken.
 const (
 	mostWaiting  = 4096
 	waitingBytes = 4 << 20
-	turnShare    = 256 // of each front a turn, while several have something waiting
+	turnShare    = 256 // of each frontend a turn, while several have something waiting
 )
 
-// gate is a front's own way in, with bounds of its own. Guards against a front that floods: it waits at its own gate,
-// and the others' documents do not wait behind its own.
+// gate is a frontend's own way in, with bounds of its own. Guards against a frontend that floods: it waits at its own
+// gate, and the others' messages do not wait behind its own.
 type gate struct {
 	x         *Exchange
 	front     string // its name
-	name      string // as the ledger has it
+	name      string // as the write-ahead log has it
 	room      sync.Cond
 	waiting   []asked
 	spare     []asked
 	most      int
 	bytes     int
 	mostBytes int
-	shut      bool // the front has ended
+	shut      bool // the frontend has ended
 }
 
-// asked is what a front's caller wants, with the front's name.
+// asked is what a frontend's caller wants, with the frontend's name.
 type asked struct {
 	transport.Request
 	front *gate
@@ -50,7 +50,7 @@
 
 func newExchange() *Exchange { return &Exchange{bell: make(chan struct{}, 1)} }
 
-// gate makes a front's way in; it takes the default where a bound is 0.
+// gate makes a frontend's way in; it takes the default where a bound is 0.
 func (x *Exchange) gate(front, name string, most, mostBytes int) *gate {
 	g := &gate{x: x, front: front, name: name, most: most, mostBytes: mostBytes}
 	if g.most <= 0 {
@@ -66,7 +66,7 @@
 	return g
 }
 
-// shutGate lets go of the way in of a front that has ended.
+// shutGate lets go of the way in of a frontend that has ended.
 func (x *Exchange) shutGate(g *gate) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -79,7 +79,7 @@
 	g.room.Broadcast()
 }
 
-// ring wakes the owner; the lock is held.
+// ring wakes the event loop; the lock is held.
 func (x *Exchange) ring(nothing bool) {
 	if nothing {
 		x.oldest = time.Now()
@@ -107,9 +107,9 @@
 	x.mu.Unlock()
 }
 
-// take returns the news, and since when the first has waited: what came from targets and discovery in the order of its
-// coming, then what came by fronts, each front's in its order. While several fronts have something waiting, each gets
-// its share of the turn and the rest stays for the next. The slice is good until the next call.
+// take returns the news, and since when the first has waited: what came from endpoints and discovery in the order of
+// its coming, then what came by frontends, each frontend's in its order. While several frontends have something
+// waiting, each gets its share of the turn and the rest stays for the next. The slice is good until the next call.
 func (x *Exchange) take() ([]any, time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -157,7 +157,7 @@
 	return slices.ContainsFunc(x.gates, func(g *gate) bool { return len(g.waiting) > 0 })
 }
 
-// close lets no front wait for room any more: the owner is about to take the last news.
+// close lets no frontend wait for room any more: the event loop is about to take the last news.
 func (x *Exchange) close() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -174,7 +174,7 @@
 	return len(a.Submission.Body)
 }
 
-// Submit is what a caller wants. It waits while too much of its front lies here.
+// Submit is what a caller wants. It waits while too much of its frontend lies here.
 func (g *gate) Submit(a transport.Request) {
 	x := g.x
 	x.mu.Lock()
@@ -191,7 +191,7 @@
 	g.waiting = append(g.waiting, n)
 }
 
-// Withdraw says that the caller that waited for a document has gone.
+// Withdraw says that the caller that waited for a message has gone.
 func (g *gate) Withdraw(id string) { g.x.leave(withdrawn(id)) }
 
 // CallEnded is the end of a call.
--- a/forwarder/figures.go
+++ b/forwarder/figures.go
@@ -9,15 +9,16 @@
 	"spanflow/transport"
 )
 
-// figures are the counts that the operators read at /_vars, each process from 0, kept by the owner as things happen.
+// figures are the counts that the operators read at /_vars, each process from 0, kept by the event loop as things
+// happen.
 type figures struct {
-	fulfilled, throttled, faulted []int // by type of document
-	relayed                       int   // documents written whole to targets
+	fulfilled, throttled, faulted []int // by type of message
+	relayed                       int   // messages written whole to endpoints
 	accepted, invalid             int   // orders read again and taken up, or not
 	untried, called, expired      int   // of what the start found untried: all, those called since, those out of time then
 }
 
-// final counts a document's final answer, once, where it is decided: the one source of the operators' figures and of
+// final counts a message's final answer, once, where it is decided: the one source of the operators' figures and of
 // the metrics.
 func (o *owner) final(p *paper, outcome transport.Outcome) {
 	switch outcome {
@@ -38,7 +39,7 @@
 	(*by)[typ]++
 }
 
-// vars are the figures, with gauges read from the owner's own state.
+// vars are the figures, with gauges read from the event loop's own state.
 func (o *owner) vars() string {
 	listed, avoided := 0, 0
 	for _, t := range o.targets {
--- a/forwarder/follow.go
+++ b/forwarder/follow.go
@@ -14,12 +14,12 @@
 type EndpointFollower struct {
 	Dialer  *dial.Dialer // opens the connection to discovery; the caller stops it
 	LogTo   io.Writer
-	InForce func(rev int64) // called by the event loop once the module was told a version of the list and has settled
+	InForce func(rev int64) // called by the event loop once the scheduler was told a version of the list and has settled
 }
 
-// FollowEndpoints keeps discovery's list in force as Run does, by the same client, hand-over and module, until ctx ends. It has
-// no fronts, no ledger and no calls to targets: the laboratory runs many in one process. Of the order it needs the
-// discovery, the seed, the settings and the known list.
+// FollowEndpoints keeps discovery's list in force as Run does, by the same client, hand-over and module, until ctx
+// ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one process. Of
+// the order it needs the discovery, the seed, the settings and the known list.
 func FollowEndpoints(ctx context.Context, order *Config, by EndpointFollower) error {
 	own := *order
 	order = &own
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -1,8 +1,8 @@
 // Package forward is the forwarder as a library: read an Config, then Run serves by it until its context ends.
 //
-// One goroutine, the owner, has the module of package choice to itself. Frontends, outlets and the list's source (package
-// seam says what each is) leave their news in the Exchange; the owner takes them in batches, lets the module settle
-// once, and carries out what it decides. It knows no wire.
+// One goroutine, the event loop, has the scheduler of package choice to itself. Frontends, upstreams and the list's
+// source (package seam says what each is) leave their news in the Exchange; the event loop takes them in batches, lets
+// the scheduler settle once, and carries out what it decides. It knows no wire.
 package forwarder
 
 import (
@@ -128,7 +128,7 @@
 	return led, nil
 }
 
-// askForList tells the module that the list comes by a watch that is asked for, whatever discovery is like.
+// askForList tells the scheduler that the list comes by a watch that is asked for, whatever discovery is like.
 func (o *Config) askForList() {
 	o.Scheduler.LocalAgent = !o.Scheduler.PollEndpoints && o.Discovery != ""
 	o.Scheduler.PollEndpoints = true
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -14,7 +14,7 @@
 	call *transport.Call
 }
 
-// flush sends the calls that the module has decided on.
+// flush sends the calls that the scheduler has decided on.
 func (o *owner) flush() {
 	for _, c := range o.calls {
 		c.by.Send(c.call)
@@ -25,7 +25,7 @@
 
 // Send, Reject, Fail, CancelUnsent, CloseIdle, ReleaseEndpoint, Wake, WatchEndpoints and Log make an owner the choice.Host.
 
-// Send adds a document to the call that is being made up for the target, as far as one call carries them.
+// Send adds a message to the call that is being made up for the endpoint, as far as one call carries them.
 func (o *owner) Send(d *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
 	p, t := o.docs[d.ID], o.targets[to.ID]
 	if err := o.ledger.RecordAttempt(d.ID, micros(o.clock(time.Now())), t.zone); err != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// ReleaseEndpoint lets go of a target that is gone: of what names it here, and of its connections.
+// ReleaseEndpoint lets go of an endpoint that is gone: of what names it here, and of its connections.
 func (o *owner) ReleaseEndpoint(t *scheduler.Endpoint) {
 	o.CloseIdle(t)
 	if known := o.targets[t.ID]; known != nil {
--- a/forwarder/inherit.go
+++ b/forwarder/inherit.go
@@ -35,7 +35,7 @@
 	return l, nil
 }
 
-// listenInherited puts the socket that the platform hands down in the place of the first front's address.
+// listenInherited puts the socket that the platform hands down in the place of the first frontend's address.
 func (o *Config) listenInherited() (net.Listener, error) {
 	l, err := inherit(o.InheritedListener)
 	if err != nil {
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -16,7 +16,7 @@
 	"spanflow/transport"
 )
 
-// closing is a front on which a command was read while the owner took its last turn.
+// closing is a frontend on which a command was read while the event loop took its last turn.
 type closing struct {
 	*memory
 	late *caller
--- a/forwarder/learnt.go
+++ b/forwarder/learnt.go
@@ -14,7 +14,7 @@
 
 // learntFile keeps, at the end of a process, the call times measured at each destination, so that the process that
 // follows on the folder, perhaps in a fleet of another size, need not guess them. It is never needed: one that is cut,
-// spoilt, or from other document types and kinds of destination is passed over with a log line.
+// spoilt, or from other message types and kinds of destination is passed over with a log line.
 const (
 	learntFile  = "learnt"
 	learntForm  = "spanflow learnt 1"
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -5,7 +5,7 @@
 	"spanflow/transport"
 )
 
-// target is what the list says of one, as far as carrying out needs it.
+// endpoint is what the list says of one, as far as carrying out needs it.
 type target struct {
 	uid, addr   string
 	dest        uint64
@@ -15,7 +15,7 @@
 	line        scheduler.EndpointUpdate // as the list has it last
 }
 
-// listed takes up a list of targets: all of them, or changes.
+// listed takes up a list of endpoints: all of them, or changes.
 func (o *owner) listed(l *transport.EndpointList, whole bool) {
 	o.rev = l.Revision
 	lines := make([]scheduler.EndpointUpdate, 0, len(l.Endpoints))
@@ -39,7 +39,7 @@
 	}
 }
 
-// targetOf is the target that a line of the list speaks of, as the line has it; nil for one heard of only as it goes.
+// targetOf is the endpoint that a line of the list speaks of, as the line has it; nil for one heard of only as it goes.
 // kind is the number of the line's kind.
 func (o *owner) targetOf(e *transport.Endpoint, kind int) *target {
 	t := o.byUID[e.UID]
@@ -61,7 +61,7 @@
 	return t
 }
 
-// standing is what the list says of a target. A state that is not known here lets its calls end and begins none.
+// standing is what the list says of an endpoint. A state that is not known here lets its calls end and begins none.
 func (o *owner) standing(e *transport.Endpoint) scheduler.EndpointState {
 	switch e.State {
 	case "active":
@@ -76,7 +76,7 @@
 	}
 }
 
-// outletOf is the outlet by which targets of a kind are reached.
+// outletOf is the upstream by which endpoints of a kind are reached.
 func (o *owner) outletOf(kind string) transport.Upstream {
 	if by := o.outlets[o.order.KindUpstream[kind]]; by != nil {
 		return by
@@ -86,7 +86,7 @@
 
 const leastSweep = 64 // destinations
 
-// dest is the module's destination of a number, a new one if there is none.
+// dest is the scheduler's destination of a number, a new one if there is none.
 func (o *owner) dest(number uint64) *scheduler.Destination {
 	if d := o.dests[number]; d != nil {
 		return d
@@ -100,8 +100,8 @@
 	return d
 }
 
-// forgetUnused lets go of destinations that no target is listed for and no document is held for, once there are many.
-// It follows a list that was taken up: while one is being read its destinations have no targets yet.
+// forgetUnused lets go of destinations that no endpoint is listed for and no message is held for, once there are many.
+// It follows a list that was taken up: while one is being read its destinations have no endpoints yet.
 func (o *owner) forgetUnused() {
 	if len(o.dests) < o.sweepAt {
 		return
--- a/forwarder/list_test.go
+++ b/forwarder/list_test.go
@@ -28,7 +28,7 @@
 	return targets
 }
 
-// While a first list is read its destinations have no targets yet: none of them may be taken for unused.
+// While a first list is read its destinations have no endpoints yet: none of them may be taken for unused.
 func TestAFirstListOfManyDestinationsIsKeptWhole(t *testing.T) {
 	const count = 10 * leastSweep
 	o := listOwner()
@@ -48,7 +48,8 @@
 		o.listed(&transport.EndpointList{Revision: int64(round + 1), Complete: true, Endpoints: manyTargets(round*count, (round+1)*count)}, true)
 		o.f.Reconcile()
 	}
-	// Each list leaves the ones before until their targets are let go of, and a sweep waits until there are twice as many.
+	// Each list leaves the ones before until their endpoints are let go of, and a sweep waits until there are twice as
+	// many.
 	require.Less(t, len(o.dests), 6*count)
 }
 
--- a/forwarder/log.go
+++ b/forwarder/log.go
@@ -27,8 +27,8 @@
 type Log struct {
 	Level   zerolog.Level
 	Console bool     // for people, not as JSON
-	Sample  float64  // share of documents whose course is logged
-	Keys    []uint64 // the course of each document with one of these is
+	Sample  float64  // share of messages whose course is logged
+	Keys    []uint64 // the course of each message with one of these is
 	IDs     []string
 }
 
@@ -49,7 +49,7 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// trace picks documents whose course is logged. The same id is picked each time within a process.
+// trace picks messages whose course is logged. The same id is picked each time within a process.
 type trace struct {
 	seed  maphash.Seed
 	below uint64
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -10,7 +10,7 @@
 	"spanflow/transport"
 )
 
-// paper is a document that is owed or was until just now.
+// paper is a message that is owed or was until just now.
 type paper struct {
 	transport.Message
 	doc       *scheduler.Message
@@ -21,10 +21,10 @@
 	came      time.Time
 	traced    bool
 	untried   bool // an earlier process took it on, and no call has begun yet
-	withdrawn bool // its holder has gone: nothing is owed, though a transmission may be out
+	withdrawn bool // its holder has gone: nothing is owed, though an attempt may be out
 }
 
-// paper makes the module's document of an entry.
+// paper makes the scheduler's message of an entry.
 func (o *owner) paper(e *wal.Entry, typ int) *paper {
 	p := &paper{
 		Message: transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.IdempotencyKey, Body: e.Body},
@@ -38,7 +38,7 @@
 	return p
 }
 
-// withdraw ends a document whose caller waited for its final answer and has gone.
+// withdraw ends a message whose caller waited for its final answer and has gone.
 func (o *owner) withdraw(id string) {
 	p := o.byID[id]
 	if p == nil || p.holder == nil || p.withdrawn {
@@ -50,14 +50,14 @@
 	o.removeIfDone(p)
 }
 
-// recordDone records that nothing more is owed for a document.
+// recordDone records that nothing more is owed for a message.
 func (o *owner) recordDone(p *paper) {
 	if err := o.ledger.RecordDone(p.MessageID); err != nil {
 		o.logLedgerError(err)
 	}
 }
 
-// removeIfDone lets go of a document if nothing more can be heard of it.
+// removeIfDone lets go of a message if nothing more can be heard of it.
 func (o *owner) removeIfDone(p *paper) {
 	if p.doc.Finished() {
 		o.noLongerUntried(p, false)
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -13,7 +13,7 @@
 	"spanflow/transport"
 )
 
-// owner is what the one goroutine that owns the module works with.
+// owner is what the one goroutine that owns the scheduler works with.
 type owner struct {
 	order    *Config
 	asRead   scheduler.Settings // as the order has them
@@ -21,26 +21,26 @@
 	ledger   *wal.Log
 	stored   *stored // nil: messages wait in memory alone
 	f        *scheduler.Scheduler
-	epoch    time.Time // the module's clock is seconds of the wall clock at the start, and from there on even
+	epoch    time.Time // the scheduler's clock is seconds of the wall clock at the start, and from there on even
 	wakeAt   time.Time // zero: none set
 	stopping bool      // told to stop
 
 	// Messages
 	docs      map[uint64]*paper
 	byID      map[string]*paper // the same, by the clients' ids
-	recentIDs recentlySeen      // ids of documents that were let go of
+	recentIDs recentlySeen      // ids of messages that were let go of
 	types     map[string]int
-	unknown   map[string]bool // names that came with documents
-	untried   int             // recovered documents for which no call has begun yet
+	unknown   map[string]bool // names that came with messages
+	untried   int             // recovered messages for which no call has begun yet
 
-	// Destinations and targets
+	// Destinations and endpoints
 	dests    map[uint64]*scheduler.Destination
 	sweepAt  int                // so many destinations are looked through for those that clients alone have named
 	targets  map[uint64]*target // by number
-	lastDoor uint64             // number of the latest target
+	lastDoor uint64             // number of the latest endpoint
 	byUID    map[string]*target
-	rota     *drains.Set          // targets out by hand
-	waits    map[string]float64   // of an earlier process, for targets not listed yet
+	rota     *drains.Set          // endpoints out by hand
+	waits    map[string]float64   // of an earlier process, for endpoints not listed yet
 	learnt   map[uint64][]float64 // call times that an earlier process measured, for destinations not heard of yet
 
 	// Frontends and operators
@@ -71,16 +71,16 @@
 	metered    bool
 	counts     counts
 	figures    figures
-	held       atomic.Int64 // documents, for the meter
-	onDisk     atomic.Int64 // the ledger's bytes, for the meter
+	held       atomic.Int64 // messages, for the meter
+	onDisk     atomic.Int64 // the write-ahead log's bytes, for the meter
 }
 
 const (
-	slowTurn = 100 * time.Millisecond // a turn of the owner or a wait for it that is worth a line
+	slowTurn = 100 * time.Millisecond // a turn of the event loop or a wait for it that is worth a line
 	logPause = time.Second            // between two lines of a kind that may come in floods
 )
 
-// newOwner has heard of nothing yet. Its ledger, operators and rota are the caller's to set.
+// newOwner has heard of nothing yet. Its write-ahead log, operators and rota are the caller's to set.
 func newOwner(order *Config, log zerolog.Logger, x *Exchange) *owner {
 	o := &owner{
 		order:      order,
@@ -106,7 +106,7 @@
 	return o
 }
 
-// clock is a time on the module's clock, in seconds.
+// clock is a time on the scheduler's clock, in seconds.
 func (o *owner) clock(t time.Time) float64 {
 	return float64(o.epoch.UnixMicro())/1e6 + t.Sub(o.epoch).Seconds()
 }
@@ -114,7 +114,8 @@
 // micros is so many seconds in whole microseconds.
 func micros(seconds float64) int64 { return int64(seconds * 1e6) }
 
-// turn takes all news, lets the module settle once, and carries out what it decides. It tells if the process may end.
+// turn takes all news, lets the scheduler settle once, and carries out what it decides. It tells if the process may
+// end.
 func (o *owner) turn() bool {
 	news, since := o.exchange.take()
 	start := time.Now()
@@ -168,7 +169,7 @@
 	}
 }
 
-// watchEnded tells the module that the list is not heard of any more.
+// watchEnded tells the scheduler that the list is not heard of any more.
 func (o *owner) watchEnded(n watchEnded) {
 	o.log.Warn().Str("why", n.why).Msg("watch ended")
 	switch n.how {
@@ -181,7 +182,7 @@
 	}
 }
 
-// told lets go of documents whose final answers were heard.
+// told lets go of messages whose final answers were heard.
 func (o *owner) told(doors told) {
 	for _, door := range doors {
 		if p := o.docs[door]; p != nil {
@@ -202,7 +203,7 @@
 	return true
 }
 
-// logLedgerError logs that the ledger could not be written.
+// logLedgerError logs that the write-ahead log could not be written.
 func (o *owner) logLedgerError(err error) {
 	if o.mayLog("ledger") {
 		o.log.Error().Err(err).Msg("ledger cannot be written")
--- a/forwarder/recent.go
+++ b/forwarder/recent.go
@@ -2,7 +2,7 @@
 
 import "hash/maphash"
 
-// recentlySeen remembers the ids of the latest documents that were let go of, so that none is taken on under the id of
+// recentlySeen remembers the ids of the latest messages that were let go of, so that none is taken on under the id of
 // one that may have run.
 type recentlySeen struct {
 	seed   maphash.Seed
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -8,7 +8,7 @@
 	"spanflow/transport"
 )
 
-// begin gives the module the known list and what an earlier process owed.
+// begin gives the scheduler the known list and what an earlier process owed.
 func (o *owner) begin(now time.Time) {
 	o.f = scheduler.New(o.order.Scheduler, o.order.Seed, o.clock(now), o)
 	if o.order.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the waits
@@ -28,7 +28,7 @@
 	o.flush()
 }
 
-// recover takes up a document that an earlier process owed. One that would overtake stored ones is answered without a
+// recover takes up a message that an earlier process owed. One that would overtake stored ones is answered without a
 // call.
 func (o *owner) recover(e *wal.Entry, now time.Time, overtaking bool) {
 	typ, known := o.types[e.Type]
@@ -68,7 +68,7 @@
 	}
 }
 
-// uncountWindow takes a document off what its destination is asked for where a store is used: windows of many
+// uncountWindow takes a message off what its destination is asked for where a store is used: windows of many
 // destinations that are out, found by a start, are no demand of its first seconds, by which each would be tried often.
 func (o *owner) uncountWindow(p *paper) {
 	if o.stored != nil {
@@ -76,7 +76,7 @@
 	}
 }
 
-// pastOf is what the module is told of a document's earlier transmissions. One that was out when that process ended
+// pastOf is what the scheduler is told of a message's earlier attempts. One that was out when that process ended
 // counts as ended with it, and may have run.
 func (o *owner) pastOf(e *wal.Entry) scheduler.RecoveredState {
 	if e.AttemptBegan > 0 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// noLongerUntried takes a document that a restart found untried off the count of those that are: it was called, or has
+// noLongerUntried takes a message that a restart found untried off the count of those that are: it was called, or has
 // ended without. With the last of them a line says how many were.
 func (o *owner) noLongerUntried(p *paper, called bool) {
 	if !p.untried {
--- a/forwarder/reread.go
+++ b/forwarder/reread.go
@@ -101,7 +101,7 @@
 
 func (o *owner) takeUp(next *Config) error {
 	was := o.order
-	asked := *next // as read: what the owner has added to its own terms does not count as a change
+	asked := *next // as read: what the event loop has added to its own terms does not count as a change
 	now := *was
 	now.Scheduler = o.asRead
 	changed := map[string]bool{}
@@ -121,7 +121,7 @@
 		return fmt.Errorf("discovery.notices: an address beside discovery's comes and goes only at a start")
 	}
 	resized := changed["backlog"] && o.stored != nil && next.Backlog != nil
-	if resized { // this and the fronts first, as they can fail
+	if resized { // this and the frontends first, as they can fail
 		if err := o.setBacklogBounds(next.Backlog); err != nil {
 			return err
 		}
@@ -167,8 +167,8 @@
 	return nil
 }
 
-// move puts other fronts in the place of those that there are. A front that stays as it was is left alone; one that
-// goes takes no new connections, and each of its callers is answered before its connection ends. The new ones open
+// move puts other frontends in the place of those that there are. A frontend that stays as it was is left alone; one
+// that goes takes no new connections, and each of its callers is answered before its connection ends. The new ones open
 // first: if one cannot, nothing has changed.
 func (o *owner) move(fronts []Frontend) error {
 	most, err := shares(fronts, MaxClients(o.order.Sockets))
@@ -208,7 +208,7 @@
 	return nil
 }
 
-// gone ends the fronts that have gone from the order once their callers have.
+// gone ends the frontends that have gone from the order once their callers have.
 func (o *owner) gone() {
 	kept := o.leaving[:0]
 	for _, l := range o.leaving {
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -25,10 +25,10 @@
 	look    <-chan time.Time // to see if the clients have gone
 	end     <-chan time.Time // from then on nothing is waited for
 	handing bool             // another process takes over
-	shut    bool             // and the fronts are shut for it
+	shut    bool             // and the frontends are shut for it
 }
 
-// serve turns until the module lets the process end.
+// serve turns until the scheduler lets the process end.
 func (o *owner) serve(ctx context.Context, again <-chan os.Signal, dialer *dial.Dialer) {
 	timer := time.NewTimer(0)
 	report := time.NewTicker(countsEvery)
@@ -79,7 +79,7 @@
 	}
 }
 
-// setTimer has the timer fire when the module is to be woken or the backlog store looked at.
+// setTimer has the timer fire when the scheduler is to be woken or the backlog store looked at.
 func (o *owner) setTimer(timer *time.Timer) {
 	at := o.wakeAt
 	if o.stored != nil && !o.stored.wakeAt.IsZero() && (at.IsZero() || o.stored.wakeAt.Before(at)) {
@@ -136,7 +136,7 @@
 // last answers what callers have asked up to the end. Guards against a command that was read behind the last turn and
 // lost with the process: what is read is answered, what is not its client sends once more. No call begins any more.
 func (o *owner) last() {
-	o.exchange.close() // a front that waits for room does not, so that it can be halted
+	o.exchange.close() // a frontend that waits for room does not, so that it can be halted
 	for _, l := range append(slices.Clone(o.fronts), o.leaving...) {
 		l.StopReading()
 	}
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -13,14 +13,14 @@
 	"spanflow/internal/drains"
 )
 
-// While the new process of an upgrade waits for the folder, operators may call it already. Reason they ask of targets it
-// lays into a tray in the folder: the process that owns the folder looks there and takes it up, and what is left when
-// the folder changes hands its new owner takes up before its first decision.
+// While the new process of an upgrade waits for the folder, operators may call it already. Reason they ask of endpoints
+// it lays into a tray in the folder: the process that owns the folder looks there and takes it up, and what is left
+// when the folder changes hands its new owner takes up before its first decision.
 const (
 	trayDir   = "by-hand"
 	trayEvery = 250 * time.Millisecond // a call out binds a second after it came
 	// Calls that may lie in the tray. Guards against a caller that fills the folder while its owner hangs; hurts who
-	// takes more targets out within a quarter of a second.
+	// takes more endpoints out within a quarter of a second.
 	trayMost  = 64
 	trayBytes = 512 // of a call in the tray
 )
@@ -30,9 +30,9 @@
 	mu     sync.Mutex
 	folder string
 	types  []string
-	known  map[string]bool // targets of the order's list: those that may get calls, and others
+	known  map[string]bool // endpoints of the order's list: those that may get calls, and others
 	lame   bool
-	left   bool // the owner answers from here on
+	left   bool // the event loop answers from here on
 }
 
 func newStandby(o *Config) *standby {
@@ -45,7 +45,7 @@
 	return s
 }
 
-// leave ends the standby: calls go to the owner from here on. It tells if clients are to be sent away.
+// leave ends the standby: calls go to the event loop from here on. It tells if clients are to be sent away.
 func (s *standby) leave() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return s.lame
 }
 
-// answer answers a call, or tells that the owner is to.
+// answer answers a call, or tells that the event loop is to.
 func (s *standby) answer(c admin.Request) (admin.Response, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +83,7 @@
 	return answerOf(c, verdict), true
 }
 
-// out is the set of targets out by hand as it is once the tray is taken up.
+// out is the set of endpoints out by hand as it is once the tray is taken up.
 func (s *standby) out() *drains.Set {
 	r := drains.New(readOut(s.folder))
 	for _, name := range trayNames(s.folder) {
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -23,9 +23,10 @@
 	"spanflow/transport"
 )
 
-// A front and an outlet of the tests' own stand beside those of the program: nothing but a name in the order wires them.
+// A frontend and an upstream of the tests' own stand beside those of the program: nothing but a name in the order wires
+// them.
 
-// memory is a front without sockets.
+// memory is a frontend without sockets.
 type memory struct {
 	desk transport.Submitter
 	name string
@@ -58,7 +59,7 @@
 	return c
 }
 
-// hands is an outlet whose calls a test carries out.
+// hands is an upstream whose calls a test carries out.
 type hands struct {
 	counter transport.ResultListener
 	calls   chan *transport.Call
@@ -77,7 +78,7 @@
 	h.counter.CallEnded(transport.CallResult{Call: c, Codes: ends, Latency: time.Millisecond})
 }
 
-// house is a forwarder in this process with such a front and outlet, and one of the program's own beside them.
+// house is a forwarder in this process with such a frontend and upstream, and one of the program's own beside them.
 type house struct {
 	t      *testing.T
 	order  *forwarder.Config
@@ -206,7 +207,7 @@
 	require.Empty(t, v.Pending)
 }
 
-// One front's callers flood without reading their answers; another's and the platform's go on being served.
+// One frontend's callers flood without reading their answers; another's and the platform's go on being served.
 func TestAFrontThatFloodsStarvesNoOther(t *testing.T) {
 	h := newHouse(t, forwarder.Frontend{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
 	end, flooded := make(chan struct{}), make(chan struct{})
@@ -361,7 +362,7 @@
 func (f *finals) Addr() string                { return "" }
 func (f *finals) Stop()                       {}
 
-// A document that a target says is gone is failed: the metrics count it as the operators' figures do.
+// A message that an endpoint says is gone is failed: the metrics count it as the operators' figures do.
 func TestTheMetricsCountEveryFinalAnswerOnce(t *testing.T) {
 	h := newHouse(t)
 	m := &finals{}
--- a/forwarder/waits.go
+++ b/forwarder/waits.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// waitsFile keeps, at the end of a process, until when each target's route is shut: a wait that it told, or a pause
+// waitsFile keeps, at the end of a process, until when each endpoint's route is shut: a wait that it told, or a pause
 // after refusals. The process that follows on the folder heeds them. Guards against an upgrade or a restart sending
 // to a destination that told the old process to wait; the two are one forwarder to it.
 const (
 	waitsFile = "waits"
-	mostWaits = 1 << 14 // lines read; one a target
+	mostWaits = 1 << 14 // lines read; one an endpoint
 )
 
-// keepWaits writes the waits that go beyond now, in seconds of the wall clock, one target a line.
+// keepWaits writes the waits that go beyond now, in seconds of the wall clock, one endpoint a line.
 func (o *owner) keepWaits(now float64) {
 	var b strings.Builder
 	for _, t := range o.targets {
@@ -47,7 +47,7 @@
 	return waits
 }
 
-// heedWaits tells the module the waits of an earlier process for the targets that are listed by now.
+// heedWaits tells the scheduler the waits of an earlier process for the endpoints that are listed by now.
 func (o *owner) heedWaits() {
 	now := o.clock(time.Now())
 	for uid, until := range o.waits {
--- a/forwarder/watch_test.go
+++ b/forwarder/watch_test.go
@@ -10,7 +10,7 @@
 	"spanflow/transport"
 )
 
-// wakeHost notes in how many seconds the module wants to be woken, and how often it asks for the list.
+// wakeHost notes in how many seconds the scheduler wants to be woken, and how often it asks for the list.
 type wakeHost struct {
 	scheduler.Host
 	in   float64
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -12,31 +12,32 @@
 	"spanflow/transport"
 )
 
-// Frontend is what an order says of one front.
+// Frontend is what an order says of one frontend.
 type Frontend struct {
-	Name         string // as the ledger and the log have it; "resp" and "" are the platform's own
+	Name         string // as the write-ahead log and the log have it; "resp" and "" are the platform's own
 	Protocol     string
 	Listen       string
 	Listener     net.Listener // handed down, taken in place of Listen; nil: Listen is opened
 	Connections  int          // at most; 0: an even part of what the descriptors leave
-	Waiting      int          // requests that may wait for the owner; 0: the usual
-	WaitingBytes int          // of documents among them; 0: the usual
+	Waiting      int          // requests that may wait for the event loop; 0: the usual
+	WaitingBytes int          // of messages among them; 0: the usual
 }
 
-// Upstream is what an order says of one outlet.
+// Upstream is what an order says of one upstream.
 type Upstream struct {
 	Name     string
 	Protocol string  // of a carriage
 	Connect  float64 // seconds in which a connection comes up or never does; 0: the order's
 }
 
-// FrontendProtocol opens a front that leaves what its callers want at the desk. most is the bound of its connections.
+// FrontendProtocol opens a frontend that leaves what its callers want at the desk. most is the bound of its
+// connections.
 type FrontendProtocol func(f Frontend, most int, desk transport.Submitter) (transport.Frontend, error)
 
-// UpstreamProtocol makes an outlet that reports to the counter.
+// UpstreamProtocol makes an upstream that reports to the counter.
 type UpstreamProtocol func(d *dial.Dialer, t UpstreamSettings, counter transport.ResultListener) transport.Upstream
 
-// UpstreamSettings is what an outlet is told.
+// UpstreamSettings is what an upstream is told.
 type UpstreamSettings struct {
 	Connect            time.Duration // a connection that takes longer never comes up
 	KeepIdle           time.Duration // an idle connection is closed after so long
@@ -77,7 +78,7 @@
 	return carriages[name]
 }
 
-// HasFrontendProtocol tells if an order may name a front's protocol, HasUpstreamProtocol an outlet's.
+// HasFrontendProtocol tells if an order may name a frontend's protocol, HasUpstreamProtocol an upstream's.
 func HasFrontendProtocol(name string) bool { return protocols[name] != nil }
 func HasUpstreamProtocol(name string) bool { return carriages[name] != nil }
 
@@ -86,13 +87,13 @@
 	spareClients = 4  // connections that are closed to make room while as many come
 )
 
-// MaxClients is how many connections of clients an order's descriptors allow, all fronts together.
+// MaxClients is how many connections of clients an order's descriptors allow, all frontends together.
 func MaxClients(descriptorsInAll int) int {
 	room := descriptorsInAll - descriptors
 	return room - room/3
 }
 
-// shares is how many connections each front gets.
+// shares is how many connections each frontend gets.
 func shares(fronts []Frontend, total int) ([]int, error) {
 	even, left := 0, total
 	for _, f := range fronts {
@@ -114,20 +115,21 @@
 	return most, nil
 }
 
-// ConnectionShares is how many connections each of an order's fronts gets, nil if they do not fit.
+// ConnectionShares is how many connections each of an order's frontends gets, nil if they do not fit.
 func (o *Config) ConnectionShares() []int {
 	most, _ := shares(o.Frontends, MaxClients(o.Sockets))
 	return most
 }
 
-// listener is an open front with its way in.
+// listener is an open frontend with its way in.
 type listener struct {
 	terms Frontend
 	transport.Frontend
 	gate *gate
 }
 
-// label is how the ledger names a front. The platform's own has no name there, as in folders of earlier programs.
+// label is how the write-ahead log names a frontend. The platform's own has no name there, as in folders of earlier
+// programs.
 func (f Frontend) label() string {
 	if f.Name == "resp" {
 		return ""
@@ -135,7 +137,7 @@
 	return f.Name
 }
 
-// open opens fronts with so many connections at most each, all or none.
+// open opens frontends with so many connections at most each, all or none.
 func (o *owner) open(fronts []Frontend, most []int) ([]*listener, error) {
 	var open []*listener
 	for i, f := range fronts {
@@ -153,7 +155,7 @@
 	return open, nil
 }
 
-// openFronts opens the order's fronts.
+// openFronts opens the order's frontends.
 func (o *owner) openFronts() error {
 	most, err := shares(o.order.Frontends, MaxClients(o.order.Sockets))
 	if err != nil {
@@ -163,7 +165,7 @@
 	return err
 }
 
-// closeFronts closes all fronts, also those that have gone from the order.
+// closeFronts closes all frontends, also those that have gone from the order.
 func (o *owner) closeFronts() {
 	for _, l := range append(o.fronts, o.leaving...) {
 		o.close(l)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -3,7 +3,7 @@
 //
 //	GET  /_ready                   200 once the process can serve, else 503
 //	GET  /_vars                    200 with the figures, one statsd line each
-//	POST /_targets/detach?name=ID  200 once the target is out, 404 if nobody has it
+//	POST /_targets/detach?name=ID  200 once the endpoint is out, 404 if nobody has it
 //	POST /_targets/attach?name=ID  200 once it is back, 404 if nobody has it
 //	POST /_lameduck/on             200 once clients are sent away
 //	POST /_lameduck/off            200 once they are let in again
@@ -38,34 +38,35 @@
 
 func (d Operation) String() string { return doNames[d] }
 
-// Request is one call that the owner answers.
+// Request is one call that the event loop answers.
 type Request struct {
 	Operation Operation
-	Name      string // of a target, for Drain and Restore
+	Name      string // of an endpoint, for Drain and Restore
 }
 
-// RecordAnswer is the owner's answer: Yes is a 200, else Status (4xx or 5xx) with Text as the reason.
+// RecordAnswer is the event loop's answer: Yes is a 200, else Status (4xx or 5xx) with Text as the reason.
 type Response struct {
 	OK     bool
 	Status int
 	Text   string
 }
 
-// Submitter is the way to the owner. Ask must not wait: the answer is given to reply, at most once, from any goroutine.
+// Submitter is the way to the event loop. Ask must not wait: the answer is given to reply, at most once, from any
+// goroutine.
 type Handler interface {
 	Ready() bool
 	Handle(c Request, reply func(Response))
 }
 
-// Latencies of a call. Callers that send nothing, or half a call, are cut off before an answer would be late; the owner
-// has what is left of the second.
+// Latencies of a call. Callers that send nothing, or half a call, are cut off before an answer would be late; the event
+// loop has what is left of the second.
 const (
 	RequestTimeout = time.Second
 	readWithin     = 600 * time.Millisecond
 	ownerWithin    = 300 * time.Millisecond
 	writeWithin    = 50 * time.Millisecond
 	mostHead       = 4 << 10
-	// Connections at once. Guards against silent callers eating descriptors meant for clients and targets; each
+	// Connections at once. Guards against silent callers eating descriptors meant for clients and endpoints; each
 	// lives under a second. Hurts when more operators than this call in the same second.
 	MaxRequests = 12
 )
@@ -142,7 +143,7 @@
 	<-a.done
 }
 
-// wait carries a call to the owner and waits for its answer, not beyond what the second leaves.
+// wait carries a call to the event loop and waits for its answer, not beyond what the second leaves.
 func wait(desk Handler, c Request) Response {
 	got := make(chan Response, 1)
 	desk.Handle(c, func(a Response) {
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -3,8 +3,8 @@
 // holds a fixed-size entry for each message, no text. Reason is stored when, and brought back when, is decided in package
 // backlog/policy; how a message moves between the write-ahead log and the store is in move.go.
 //
-// A store outlives the end of its process by any signal. Like the write-ahead log (internal/ledger) it leaves writing
-// to the disk itself to the kernel: it does not outlive the machine's loss of power.
+// A store outlives the end of its process by any signal. Like the write-ahead log (internal/write-ahead log) it leaves
+// writing to the disk itself to the kernel: it does not outlive the machine's loss of power.
 package backlog
 
 import (
--- a/internal/commands/backlog_test.go
+++ b/internal/commands/backlog_test.go
@@ -78,7 +78,7 @@
 	return path
 }
 
-// ids are those of a listing as JSON, a document a line.
+// ids are those of a listing as JSON, a message a line.
 func ids(t *testing.T, out string) []string {
 	all := []string{}
 	for line := range strings.Lines(out) {
@@ -332,7 +332,7 @@
 }
 
 // A store is read while its owner writes to it and frees segments: what stays stored is seen at each look, once and in
-// its order, and nothing hinders the owner.
+// its order, and nothing hinders the event loop.
 func TestAStoreIsReadWhileItIsWrittenTo(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, storeBounds)
--- a/internal/commands/ledger.go
+++ b/internal/commands/ledger.go
@@ -88,7 +88,7 @@
 	return v, tenants, err
 }
 
-// ledgerPlace is where a configuration has the ledger.
+// ledgerPlace is where a configuration has the write-ahead log.
 var ledgerPlace = place{
 	byOrder: func(o *forwarder.Config) string { return o.Folder },
 	byFile:  func(l *config.Loaded) string { return l.Folder() },
--- a/internal/commands/looking.go
+++ b/internal/commands/looking.go
@@ -17,7 +17,7 @@
 	"spanflow/internal/config"
 )
 
-// looking are the flags of the commands that look at the ledger or the backlog store.
+// looking are the flags of the commands that look at the write-ahead log or the backlog store.
 type looking struct {
 	folder, dest, tenant, key, front, kind, state string
 	expired, within                               time.Duration
@@ -100,7 +100,7 @@
 	return &n, nil
 }
 
-// row is one document as it is printed.
+// row is one message as it is printed.
 type row struct {
 	ID      string    `json:"id"`
 	State   string    `json:"state"`
@@ -180,7 +180,7 @@
 
 func (t *table) flush() error { return t.text.Flush() }
 
-// printRow prints one document with its body.
+// printRow prints one message with its body.
 func (s *session) printRow(r *row) error {
 	if s.json {
 		return cli.Print(s.out, r)
--- a/internal/config/backlog.go
+++ b/internal/config/backlog.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// backlogFolder holds the store's folder against the ledger's: each has one owner and counts its own files.
+// backlogFolder holds the store's folder against the write-ahead log's: each has one owner and counts its own files.
 func (c *checker) backlogFolder() {
 	folder := c.BacklogFolder()
 	if info, err := os.Stat(folder); err == nil && !info.IsDir() {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// Folder is the ledger's, as seen from where the program runs.
+// Folder is the write-ahead log's, as seen from where the program runs.
 func (l *Loaded) Folder() string { return l.beside(l.Ledger.Folder) }
 
 // beside resolves a path of the file.
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -120,7 +120,7 @@
 	Notices string `toml:"notices" jsonschema_description:"Where the final answers go that no caller waits for. Empty: to address; without one, into the log alone."`
 }
 
-// Dispatch are the figures by which the module decides.
+// Dispatch are the figures by which the scheduler decides.
 type Dispatch struct {
 	ConcurrencyLimit  int      `toml:"slots" jsonschema_description:"Calls out at once, all destinations together."`
 	QueueCapacity     int      `toml:"room" jsonschema_description:"Documents held at once."`
@@ -172,7 +172,7 @@
 	Connect  Duration `toml:"connect" jsonschema_description:"A connection that takes longer never comes up. 0s: dispatch.connect."`
 }
 
-// Type is a document type.
+// Type is a message type.
 type Type struct {
 	Name                string   `toml:"name" jsonschema_description:"As clients name it."`
 	Idempotency         string   `toml:"repeat" jsonschema:"enum=replayable,enum=numbered,enum=binding" jsonschema_description:"What a second transmission would do: nothing more, be known by its number, or take effect twice."`
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -199,8 +199,8 @@
 	return Problems{{File: path, Reason: strings.TrimPrefix(err.Error(), "toml: ")}}
 }
 
-// place finds the line of each field: "limits.memory", "fronts[0].listen". Reason cannot be parsed has none; the decoder
-// says what is wrong with it.
+// place finds the line of each field: "limits.memory", "frontends[0].listen". Reason cannot be parsed has none; the
+// decoder says what is wrong with it.
 func (l *Loaded) place(text []byte) {
 	p := unstable.Parser{}
 	p.Reset(text)
@@ -357,8 +357,8 @@
 	return all
 }
 
-// lay sets a field by its path. An element of a list of tables is named by its number, fronts[0].listen, or by its
-// name, fronts.resp.listen; the front that is not there yet is made.
+// lay sets a field by its path. An element of a list of tables is named by its number, frontends[0].listen, or by its
+// name, frontends.resp.listen; the frontend that is not there yet is made.
 func (l *Loaded) lay(field, text string, by Source) error {
 	v, at := reflect.ValueOf(&l.File).Elem(), ""
 	rest := strings.ReplaceAll(strings.ReplaceAll(field, "[", "."), "]", "")
--- a/internal/config/order.go
+++ b/internal/config/order.go
@@ -136,7 +136,7 @@
 	return o, nil
 }
 
-// terms are what the module is told, and the names behind its numbers.
+// terms are what the scheduler is told, and the names behind its numbers.
 func (l *Loaded) terms() (scheduler.Settings, settings.Names) {
 	d := &l.Dispatch
 	t := scheduler.Settings{PollEndpoints: true, Forwarders: d.Forwarders, ConcurrencyLimit: d.ConcurrencyLimit, QueueCapacity: d.QueueCapacity, MaxAttempts: d.MaxAttempts, KeyCooldown: float64(d.KeyCooldown), PollWithin: float64(d.PollWithin),
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -27,7 +27,7 @@
 )
 
 // Handler hears what becomes of a line. Calls come from the network's goroutines;
-// Closed comes exactly once, as the last, unless the owner closed the line itself.
+// Closed comes exactly once, as the last, unless the event loop closed the line itself.
 type Handler interface {
 	Data(b []byte)
 	Closed(cause error)
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -230,7 +230,7 @@
 			if err := json.Unmarshal(line, l); err != nil {
 				return fmt.Errorf("a line of the list cannot be read: %w", err)
 			}
-			// Guards against changes that are older than what is held, by which a target that drains would serve
+			// Guards against changes that are older than what is held, by which an endpoint that drains would serve
 			// again. A whole list in answer to the question may be: discovery then counts its versions anew.
 			if l.Revision < w.rev && (w.told || !l.Complete) {
 				return fmt.Errorf("version %d of the list came after version %d", l.Revision, w.rev)
@@ -342,7 +342,7 @@
 }
 
 // silent makes a call that is not answered again at once, on a new connection. Guards against a final answer told right
-// at a document's expiry going to a connection that has died unseen; a document is lost 300 ms after its expiry.
+// at a message's expiry going to a connection that has died unseen; a message is lost 300 ms after its expiry.
 func (r *report) silent(turn int) {
 	d := r.dir
 	d.mu.Lock()
--- a/internal/drains/rota.go
+++ b/internal/drains/rota.go
@@ -1,7 +1,7 @@
-// Package rota keeps the targets that operators took out by hand, and says what the module is to be told of each. It
-// does no I/O: the owner keeps the set in the folder and tells the module.
+// Package rota keeps the endpoints that operators took out by hand, and says what the scheduler is to be told of each.
+// It does no I/O: the event loop keeps the set in the folder and tells the scheduler.
 //
-// A target taken out stays out until it is put back, whatever the list says, over restarts and upgrades. Two calls
+// An endpoint taken out stays out until it is put back, whatever the list says, over restarts and upgrades. Two calls
 // out need one call back. An id that nobody has is owed a no: neither listed now nor out by hand.
 package drains
 
@@ -12,8 +12,9 @@
 	"spanflow/scheduler"
 )
 
-// ReportedLimit is the number of targets that may be out by hand at once. Guards against a caller that names ids without end,
-// which would grow the set and its file; hurts a fleet with more targets out than this, which then hears no.
+// ReportedLimit is the number of endpoints that may be out by hand at once. Guards against a caller that names ids
+// without end, which would grow the set and its file; hurts a fleet with more endpoints out than this, which then hears
+// no.
 const MaxDrained = 1024
 
 // Result is the answer to a call.
@@ -30,16 +31,16 @@
 	return [...]string{"yes", "no target of that id is listed or out", "too many targets are out by hand", "the id holds bytes it may not"}[v]
 }
 
-// ReloadBehavior is what the owner has to carry out after a call.
+// ReloadBehavior is what the event loop has to carry out after a call.
 type Change uint8
 
 const (
 	Unchanged Change = iota // nothing changed
-	Drained                 // the target is to get nothing new from now on
-	Restored                // the target is back, and cold: operators restarted it meanwhile
+	Drained                 // the endpoint is to get nothing new from now on
+	Restored                // the endpoint is back, and cold: operators restarted it meanwhile
 )
 
-// Set is the set of targets out by hand.
+// Set is the set of endpoints out by hand.
 type Set struct {
 	out []string // sorted
 }
@@ -61,13 +62,13 @@
 	return id != "" && len(id) <= 256 && !strings.ContainsAny(id, "\r\n\x00")
 }
 
-// Drained tells if a target is out by hand.
+// Drained tells if an endpoint is out by hand.
 func (r *Set) Drained(id string) bool {
 	_, found := slices.BinarySearch(r.out, id)
 	return found
 }
 
-// Drain takes a target out; listed says that the list has it now.
+// Drain takes an endpoint out; listed says that the list has it now.
 func (r *Set) Drain(id string, listed bool) (Result, Change) {
 	switch i, found := slices.BinarySearch(r.out, id); {
 	case !fit(id):
@@ -84,7 +85,7 @@
 	}
 }
 
-// Restore puts a target back.
+// Restore puts an endpoint back.
 func (r *Set) Restore(id string, listed bool) (Result, Change) {
 	i, found := slices.BinarySearch(r.out, id)
 	switch {
@@ -100,7 +101,7 @@
 	}
 }
 
-// State is what the module is told of a listed target: a target out by hand drains, whatever the list says.
+// State is what the scheduler is told of a listed endpoint: an endpoint out by hand drains, whatever the list says.
 func (r *Set) State(id string, listed scheduler.EndpointState) scheduler.EndpointState {
 	if listed == scheduler.Ready && r.Drained(id) {
 		return scheduler.Draining
@@ -111,5 +112,5 @@
 // IDs is the set as it is to be kept, one id a line.
 func (r *Set) IDs() []string { return slices.Clone(r.out) }
 
-// Len is the number of targets out by hand.
+// Len is the number of endpoints out by hand.
 func (r *Set) Len() int { return len(r.out) }
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -1,4 +1,4 @@
-// Package standin plays those whom a forwarder speaks with, after the protocol's pages: discovery, targets and a
+// Package standin plays those whom a forwarder speaks with, after the protocol's pages: discovery, endpoints and a
 // client. It serves the integration tests and the example, not the program.
 package emulator
 
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// Notice is the end of a document that was not delivered.
+// Notice is the end of a message that was not delivered.
 type Notice struct {
 	ID      string `json:"id"`
 	State   string `json:"state"`
@@ -145,17 +145,17 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Request is what a target got.
+// Request is what an endpoint got.
 type Call struct {
 	Endpoint       string
-	ID             string // of the first document
+	ID             string // of the first message
 	IDs            []string
 	IdempotencyKey string
 	Body           string
 	Path           string
 }
 
-// Reply is what a target does with a call.
+// Reply is what an endpoint does with a call.
 type Reply struct {
 	Status int
 	Fields map[string]string
@@ -180,7 +180,7 @@
 	return t, err
 }
 
-// Do changes what the target does with calls.
+// Do changes what the endpoint does with calls.
 func (t *Endpoint) Do(how func(Call) Reply) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -280,7 +280,7 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// Put hands a document in.
+// Put hands a message in.
 func (c *Client) Put(key, id, names, body string) (string, error) {
 	return c.Send(Command("MSG.PUT", key, id, names, body))
 }
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -17,10 +17,10 @@
 )
 
 // Recorder has its figures in a set of its own, so that several forwarders in a process keep apart. Labels take only
-// values from short lists (ends, outcomes, fronts of the order): nothing grows with names that come and go.
+// values from short lists (ends, outcomes, frontends of the order): nothing grows with names that come and go.
 type Server struct {
 	set    *metrics.Set
-	asked  map[string]*[len(words)]*metrics.Counter // by front
+	asked  map[string]*[len(words)]*metrics.Counter // by frontend
 	of     string                                   // the forwarder's label
 	ends   [transport.ResultCancelled + 1]*metrics.Counter
 	took   *metrics.PrometheusHistogram
@@ -34,7 +34,7 @@
 
 var words = [...]string{transport.StatusAccepted: "taken", transport.StatusOverloaded: "busy", transport.StatusInvalid: "declined"}
 
-// New makes a meter with the given fronts and levels, and serves it at an address under /metrics, to readers
+// New makes a meter with the given frontends and levels, and serves it at an address under /metrics, to readers
 // that show the token as their bearer, if there is one.
 func New(addr, token, forwarder string, fronts []string, levels []transport.Gauge) (transport.Recorder, error) {
 	m := &Server{set: metrics.NewSet(), asked: map[string]*[len(words)]*metrics.Counter{}, of: fmt.Sprintf("forwarder=%q", forwarder)}
@@ -103,26 +103,26 @@
 	}
 }
 
-// Request counts a document's answer at the door.
+// Request counts a message's answer at the door.
 func (m *Server) SubmissionAnswered(front string, word transport.Status) {
 	if f := m.asked[front]; f != nil {
 		f[word].Inc()
 	}
 }
 
-// AttemptEnded counts a transmission.
+// AttemptEnded counts an attempt.
 func (m *Server) AttemptEnded(end transport.ResultCode, took time.Duration) {
 	m.ends[end].Inc()
 	m.took.Update(took.Seconds())
 }
 
-// FinalAnswer counts a final answer, so long after the document was handed in.
+// FinalAnswer counts a final answer, so long after the message was handed in.
 func (m *Server) FinalAnswered(outcome transport.Outcome, after time.Duration) {
 	m.finals[outcome].Inc()
 	m.life.Update(after.Seconds())
 }
 
-// LoopTurn counts a turn of the owner.
+// LoopTurn counts a turn of the event loop.
 func (m *Server) LoopTurn(news int, took time.Duration) {
 	if news == 0 {
 		return
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -1,4 +1,4 @@
-// Package terms turns the operators' settings into what the decision module is told at its start.
+// Package terms turns the operators' settings into what the scheduler is told at its start.
 package settings
 
 import (
@@ -45,7 +45,7 @@
 	Azs, Kinds            []string
 }
 
-// Names are what the owner needs beside the module's terms.
+// Names are what the event loop needs beside the scheduler's terms.
 type Names struct {
 	Types, Zones, Kinds []string // by their numbers
 	Tenants             []string
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -189,7 +189,7 @@
 	return h.out.b, nil
 }
 
-// guard turns a panic of the module into a record that names it.
+// guard turns a panic of the scheduler into a record that names it.
 func (in *instance) guard(step func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -384,7 +384,7 @@
 	r.address()
 	e := scheduler.AttemptResult{Final: r.u8() != 0, Latency: r.f64() / 1000}
 	note := r.u32()
-	r.u16() // which transmission: only one is ever out
+	r.u16() // which attempt: only one is ever out
 	reason := r.u16()
 	for i := range int(r.u8()) {
 		switch v := r.f32(); i {
@@ -410,7 +410,7 @@
 	}, nil
 }
 
-// release forgets a document of which nothing more can be heard.
+// release forgets a message of which nothing more can be heard.
 func (in *instance) release(d *scheduler.Message) {
 	if d.Finished() {
 		delete(in.docs, uint32(d.ID))
--- a/internal/upstream/outlet.go
+++ b/internal/upstream/outlet.go
@@ -1,4 +1,4 @@
-// Package outlet carries calls to targets: connections, their reuse, and how each call ended. It chooses nothing.
+// Package upstream carries calls to endpoints: connections, their reuse, and how each call ended. It chooses nothing.
 package upstream
 
 import (
@@ -17,7 +17,7 @@
 	handover     = time.Millisecond // in which what was read reaches the trunk
 )
 
-// Settings are the outlet's bounds.
+// Settings are the upstream's bounds.
 type Settings struct {
 	Connect    time.Duration // a connection that takes longer never comes up
 	KeepIdle   time.Duration // an idle connection is closed after so long
@@ -26,13 +26,13 @@
 	ReuseProof time.Duration // a connection stays silent for so long after an answer before it is used again; 0: usualProof
 }
 
-// Upstream holds the connections to all targets.
+// Upstream holds the connections to all endpoints.
 type Client struct {
 	dialer *dial.Dialer
 	desk   transport.ResultListener
 	terms  Settings
 	mu     sync.Mutex
-	idle   map[uint64][]*trunk // by the target's number; the latest used last
+	idle   map[uint64][]*trunk // by the endpoint's number; the latest used last
 	rising map[*trunk]struct{} // whose first call may not have begun to be sent
 }
 
@@ -44,7 +44,7 @@
 	return &Client{dialer: d, desk: desk, terms: terms, idle: map[uint64][]*trunk{}, rising: map[*trunk]struct{}{}}
 }
 
-// trunk is one connection to a target with at most one call on it.
+// trunk is one connection to an endpoint with at most one call on it.
 type trunk struct {
 	outlet *Client
 	target uint64
@@ -86,7 +86,7 @@
 	t.line.Write(request(c))
 }
 
-// rested takes the idle connection to a target that was used last, nil if there is none that can be used.
+// rested takes the idle connection to an endpoint that was used last, nil if there is none that can be used.
 func (o *Client) rested(target uint64) *trunk {
 	for {
 		l := o.idle[target]
@@ -145,7 +145,7 @@
 	n.line.Write(request(n.call))
 }
 
-// CancelUnsent ends the calls to a target of which nothing has been sent because their connection is not up.
+// CancelUnsent ends the calls to an endpoint of which nothing has been sent because their connection is not up.
 func (o *Client) CancelUnsent(target uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// CloseIdle closes the connections to a target that carry no call.
+// CloseIdle closes the connections to an endpoint that carry no call.
 func (o *Client) CloseIdle(target uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -249,7 +249,7 @@
 	}
 }
 
-// Data takes what came from the target.
+// Data takes what came from the endpoint.
 func (t *trunk) Data(b []byte) {
 	o := t.outlet
 	o.mu.Lock()
@@ -328,7 +328,7 @@
 
 // cut is end for each paper, but for a single one whose answer began with 200: that holds from its line on, if the call
 // was written whole. Any other status counts only with the whole answer, as one that is spoilt or cut may stand for a
-// document that has run. The line is closed.
+// message that has run. The line is closed.
 func (t *trunk) cut(end transport.ResultCode) []transport.ResultCode {
 	if t.answer.code == 200 && len(t.call.Messages) == 1 && t.line.Sent() {
 		end = transport.ResultOK
--- a/internal/upstream/outlet_test.go
+++ b/internal/upstream/outlet_test.go
@@ -123,7 +123,8 @@
 	s.ends(transport.ResultServerError)
 }
 
-// waiting is the connection that carries a call with such a body, and the number of that call; the outlet's lock is held.
+// waiting is the connection that carries a call with such a body, and the number of that call; the upstream's lock is
+// held.
 func (s *scene) waiting(body string) (*trunk, int) {
 	for t := range s.rising {
 		if string(t.call.Messages[0].Body) == body {
@@ -208,7 +209,7 @@
 	require.Zero(t, s.IdleConnections())
 }
 
-// A target begins a call when its last byte has come: a 200 before that is noise, or the answer to another.
+// An endpoint begins a call when its last byte has come: a 200 before that is noise, or the answer to another.
 func TestA200BeforeTheCallIsWrittenWholeDeliversNothing(t *testing.T) {
 	s := newScene(t)
 	for _, text := range []string{ok, "HTTP/1.1 200 OK\r\nContent-Le"} {
@@ -263,7 +264,7 @@
 
 const head = "HTTP/1.1 200 OK\r\n"
 
-// A document whose answer is spoilt has run, whatever a piece of the answer says; but one's own 200 is true.
+// A message whose answer is spoilt has run, whatever a piece of the answer says; but one's own 200 is true.
 func TestASpoiltAnswerMayStandForADocumentThatRan(t *testing.T) {
 	s := newScene(t)
 	for text, want := range map[string]transport.ResultCode{
--- a/internal/wal/ledger.go
+++ b/internal/wal/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger keeps on disk what a forwarder owes: the documents that it has taken on, their transmissions and
+// Package log keeps on disk what a forwarder owes: the messages that it has taken on, their attempts and
 // ends. It is a row of files that are only appended to; the oldest is freed by writing what it still owes anew.
 package wal
 
@@ -21,25 +21,25 @@
 	block     = 512      // a file counts in whole blocks
 	parts     = 16       // the space is used in so many files
 	mostEntry = 72 << 10 // the largest record
-	overhead  = 104      // bytes that a document takes beside its body, mark and id
+	overhead  = 104      // bytes that a message takes beside its body, mark and id
 	header    = 9        // length, checksum, kind
-	mostFront = 64       // bytes of a front's name
+	mostFront = 64       // bytes of a frontend's name
 	suffix    = ".ledger"
 )
 
 const (
-	kindEntry  = iota + 1 // a document with all that is known of it
-	kindOut               // a transmission is about to begin
-	kindBack              // a transmission has ended, the document has not
+	kindEntry  = iota + 1 // a message with all that is known of it
+	kindOut               // an attempt is about to begin
+	kindBack              // an attempt has ended, the message has not
 	kindOver              // nothing more is owed
 	kindAnswer            // the final answer is about to be told
-	kindFrom              // as kindEntry, with the front by which it came before it
+	kindFrom              // as kindEntry, with the frontend by which it came before it
 )
 
-// ErrFull says that the ledger holds as much as it may.
+// ErrFull says that the log holds as much as it may.
 var ErrFull = errors.New("the ledger is full")
 
-// Entry is a document that is owed its end; times are in microseconds of the wall clock, 0 for none.
+// Entry is a message that is owed its end; times are in microseconds of the wall clock, 0 for none.
 type Entry struct {
 	Seq            uint64 // the order of taking
 	Key            uint64
@@ -49,10 +49,10 @@
 	ID             string
 	IdempotencyKey string
 	Expiry         int64
-	Attempts       int   // transmissions spent
-	FirstRanAt     int64 // begin of the first transmission that may have run
+	Attempts       int   // attempts spent
+	FirstRanAt     int64 // begin of the first attempt that may have run
 	FirstRanZone   int
-	AttemptBegan   int64 // begin of the transmission that is out
+	AttemptBegan   int64 // begin of the attempt that is out
 	AttemptZone    int
 	Answer         Answer
 	RetryAfter     int // with Rejected: milliseconds until the client may come again
@@ -63,7 +63,7 @@
 	file int // number of the file with its record
 }
 
-// RecordAnswer is the final answer of a document that is not delivered.
+// RecordAnswer is the final answer of a message that is not delivered.
 type Answer uint8
 
 const (
@@ -72,7 +72,7 @@
 	Failed
 )
 
-// Size is what an entry takes of the ledger's room.
+// Size is what an entry takes of the log's room.
 func (e *Entry) Size() int {
 	n := len(e.Body) + len(e.IdempotencyKey) + len(e.ID) + len(e.Type) + overhead
 	if e.from() {
@@ -81,7 +81,7 @@
 	return n
 }
 
-// from tells that an entry's record says by which front it came.
+// from tells that an entry's record says by which frontend it came.
 func (e *Entry) from() bool { return e.Frontend != "" || e.CallerWaits }
 
 // Log is open until BlockUntil. It is not safe for use by several goroutines.
@@ -174,7 +174,7 @@
 	return filepath.Join(dir, fmt.Sprintf("%08d%s", number, suffix))
 }
 
-// QueueCapacity is how many bytes of entries the ledger holds at most: half of the space beside what compacting needs, so
+// QueueCapacity is how many bytes of entries the log holds at most: half of the space beside what compacting needs, so
 // that writing anew always frees more than it takes.
 func (l *Log) Capacity() int { return int((l.limit - 3*l.reserve()) / 2) }
 
@@ -211,7 +211,7 @@
 	return n
 }
 
-// Accept records a document and gives it its number.
+// Accept records a message and gives it its number.
 func (l *Log) Append(e *Entry) error {
 	if l.live+e.Size() > l.Capacity() || e.Size() > mostEntry || len(e.Frontend) > mostFront {
 		return ErrFull
@@ -257,7 +257,7 @@
 // Entry is what is recorded for a number, nil if nothing is owed for it.
 func (l *Log) Entry(seq uint64) *Entry { return l.entries[seq] }
 
-// RecordAttempt records that a transmission is about to begin.
+// RecordAttempt records that an attempt is about to begin.
 func (l *Log) RecordAttempt(seq uint64, at int64, zone int) error {
 	e := l.entries[seq]
 	if e == nil {
@@ -272,7 +272,7 @@
 	return nil
 }
 
-// RecordAttemptEnd records that a transmission has ended without ending the document.
+// RecordAttemptEnd records that an attempt has ended without ending the message.
 func (l *Log) RecordAttemptEnd(seq uint64, ran bool) error {
 	e := l.entries[seq]
 	if e == nil {
@@ -297,7 +297,7 @@
 	return l.append(binary.LittleEndian.AppendUint32(b, uint32(after)))
 }
 
-// Finished records that nothing more is owed for a document.
+// Finished records that nothing more is owed for a message.
 func (l *Log) RecordDone(seq uint64) error {
 	e := l.entries[seq]
 	if e == nil {
--- a/internal/wal/ledger_test.go
+++ b/internal/wal/ledger_test.go
@@ -241,7 +241,7 @@
 	v = looked(whole[:len(whole)-40])
 	require.True(t, len(v.DamagedRecords) == 1 && v.DamagedRecords[0].Torn && !v.Damaged(), v.DamagedRecords)
 	spoilt := bytes.Clone(whole)
-	spoilt[60] ^= 1 // the first document
+	spoilt[60] ^= 1 // the first message
 	v = looked(spoilt)
 	require.True(t, v.Damaged(), v.DamagedRecords)
 	require.Equal(t, []any{1, int64(0), 2}, []any{len(v.DamagedRecords), v.DamagedRecords[0].Offset, len(v.Pending)})
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -108,7 +108,7 @@
 	l.next = max(l.next, seq+1)
 	e := l.entries[seq]
 	switch {
-	case e == nil: // of a document whose record has been freed
+	case e == nil: // of a message whose record has been freed
 	case kind == kindOut && len(b) == 20:
 		e.sent(int64(binary.LittleEndian.Uint64(b[8:])), int(binary.LittleEndian.Uint32(b[16:])))
 	case kind == kindBack && len(b) == 9:
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -1,4 +1,4 @@
-// Package audit judges the six rules from what partners and clients wrote down, never from what a forwarder says.
+// Package audit judges the six rules from what receivers and clients wrote down, never from what a forwarder says.
 package audit
 
 import (
@@ -14,8 +14,8 @@
 type Rule string
 
 const (
-	OneAnswer Rule = "1 one final answer" // for each document taken, before its expiry
-	NoDouble  Rule = "2 no effect twice"  // nor transmissions that overlap
+	OneAnswer Rule = "1 one final answer" // for each message taken, before its expiry
+	NoDouble  Rule = "2 no effect twice"  // nor attempts that overlap
 	Drains    Rule = "3 drains kept"
 	Returns   Rule = "4 returns not pushed over"
 	Order     Rule = "5 order per key"
@@ -35,7 +35,7 @@
 // DefaultSlack allows for the way of news and for a forwarder's own pace.
 var DefaultSlack = Slack{Answer: 0.3, Wait: 0.1, Drain: 0.1}
 
-// Violation is a rule broken, with the document's history.
+// Violation is a rule broken, with the message's history.
 type Violation struct {
 	Rule    Rule     `json:"Rule"`
 	At      float64  `json:"At"`
@@ -44,7 +44,7 @@
 	History []string `json:"History"`
 }
 
-// Message is what a client knows of one document.
+// Message is what a client knows of one message.
 type Message struct {
 	ID             uint64
 	FirstID        uint64 // the first handing in of the same effect; its own id if it is the first
@@ -75,7 +75,7 @@
 	message      uint64
 }
 
-// Log is what is written down on a day. It is a partner.Recorder.
+// Log is what is written down on a day. It is a receiver.Recorder.
 type Log struct {
 	Clock       receiver.Clock
 	Slack       Slack
@@ -83,12 +83,12 @@
 	order       []*Message
 	came        []arrival
 	runs        []receiver.Execution
-	drained     map[[2]int]float64 // targets that were told to be leaving, by when
-	waits       map[[3]int]wait    // by destination, target or -1, forwarder
+	drained     map[[2]int]float64 // endpoints that were told to be leaving, by when
+	waits       map[[3]int]wait    // by destination, endpoint or -1, forwarder
 	apart       func(dest int) bool
 	found       []Violation
-	open        map[uint64]bool    // transmissions that are out, as the partner's side of the network sees them
-	cut         map[uint64]float64 // when a transmission last ended of which nobody can tell whether it runs
+	open        map[uint64]bool    // attempts that are out, as the receiver's side of the network sees them
+	cut         map[uint64]float64 // when an attempt last ended of which nobody can tell whether it runs
 	keyCooldown float64
 	stood       map[int]float64 // forwarders that could not answer, until when
 }
@@ -105,13 +105,13 @@
 	l.found = append(l.found, Violation{Rule: rule, At: l.Clock.Now(), Message: doc, Reason: fmt.Sprintf(format, v...)})
 }
 
-// Submission says that a client hands a document in.
+// Submission says that a client hands a message in.
 func (l *Log) Submitted(d *Message) {
 	l.messages[d.ID] = d
 	l.order = append(l.order, d)
 }
 
-// StatusAccepted says that a client heard that its document is taken on.
+// StatusAccepted says that a client heard that its message is taken on.
 func (l *Log) Accepted(id uint64) { l.messages[id].Accepted = true }
 
 // FinalAnswer says that a client heard a final answer.
@@ -144,19 +144,19 @@
 	}
 }
 
-// due is until when a document has to have its answer.
+// due is until when a message has to have its answer.
 func (l *Log) due(d *Message) float64 {
 	return math.Max(d.Expiry, l.stood[d.Forwarder]) + l.Slack.Answer
 }
 
-// Leaving says that the list has told a forwarder that a target drains.
+// Leaving says that the list has told a forwarder that an endpoint drains.
 func (l *Log) Leaving(dest, target int) {
 	if _, known := l.drained[[2]int{dest, target}]; !known {
 		l.drained[[2]int{dest, target}] = l.Clock.Now()
 	}
 }
 
-// Came, Ran, EndpointOverloaded, NoticeAcknowledged and RecordAttemptEnd make a log the partners' record.
+// Came, Ran, EndpointOverloaded, NoticeAcknowledged and RecordAttemptEnd make a log the receivers' record.
 
 func (l *Log) CallReceived(dest, target, from int, docs []receiver.Message) {
 	now := l.Clock.Now()
@@ -183,8 +183,8 @@
 	}
 }
 
-// BlockedUntil says that a transmission of a document is out no more: answered, or its connection has ended. LastEndpoints tells that
-// its answer says what became of it; else it may still run.
+// BlockedUntil says that an attempt of a message is out no more: answered, or its connection has ended. LastEndpoints
+// tells that its answer says what became of it; else it may still run.
 func (l *Log) Closed(id uint64, known bool) {
 	delete(l.open, id)
 	if !known {
@@ -213,7 +213,7 @@
 
 func (l *Log) EndpointRecovered(dest, target int) {}
 
-// Lost says that a forwarder was lost with all it owed: its documents are judged by their clients alone.
+// Lost says that a forwarder was lost with all it owed: its messages are judged by their clients alone.
 func (l *Log) Lost(id uint64) { l.messages[id].lost = true }
 
 // Violations judges the day that has ended.
@@ -247,8 +247,8 @@
 	}
 }
 
-// orders finds documents of a key that were sent before an earlier one was over: it has its final answer, and since a
-// transmission of it ended in a time-out, a reset or a cut, the key has rested. Reason such a transmission still does
+// orders finds messages of a key that were sent before an earlier one was over: it has its final answer, and since a
+// attempt of it ended in a time-out, a reset or a cut, the key has rested. Reason such an attempt still does
 // later is beyond a forwarder, as the operators' page has it ("the attempt may still be executing; later requests for
 // that key shall therefore wait a further KeyCooldown").
 func (l *Log) orders() {
@@ -289,7 +289,7 @@
 	}
 }
 
-// history is what is known of a document, in order of time.
+// history is what is known of a message, in order of time.
 func (l *Log) history(id uint64) []string {
 	d := l.messages[id]
 	if d == nil {
@@ -321,5 +321,5 @@
 	return out
 }
 
-// Messages are all documents of the day in the order of their handing in.
+// Messages are all messages of the day in the order of their handing in.
 func (l *Log) Messages() []*Message { return l.order }
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -29,7 +29,7 @@
 func (h *host) WatchEndpoints()                     {}
 func (h *host) Log(string)                          {}
 
-// measuredScheduler is the decision module with a clock of its own.
+// measuredScheduler is the scheduler with a clock of its own.
 type measuredScheduler struct {
 	*scheduler.Scheduler
 	host         *host
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 	require.ErrorContains(t, err, "unknown axis")
 }
 
-// shut is the module but for one partner, whose documents it turns away.
+// shut is the scheduler but for one receiver, whose messages it turns away.
 type shut struct {
 	sim.Policy
 	now, began float64
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -25,7 +25,7 @@
 	Scenes   int            `toml:"scenes"` // played
 	Kinds    map[string]int `toml:"kinds"`  // scenes with a trouble of each kind
 	Pairs    map[string]int `toml:"pairs"`  // scenes in which two kinds overlapped in time
-	Sizes    map[string]int `toml:"sizes"`  // scenes by forwarders and targets
+	Sizes    map[string]int `toml:"sizes"`  // scenes by forwarders and endpoints
 	Breaks   []Break        `toml:"breaks"`
 	Unshrunk int            `toml:"unshrunk"` // breaks beyond the most that are kept
 }
@@ -251,14 +251,14 @@
 }
 
 const (
-	hugest      = 300    // forwarders, and targets
+	hugest      = 300    // forwarders, and endpoints
 	maxMessages = 5000.0 // of a scene, so that many can be played
-	// Seconds. Reason is shorter the module takes for losses on the way, after which nothing is cold (docs/design.md); the
-	// operators' outages last five and more.
+	// Seconds. Reason is shorter the scheduler takes for losses on the way, after which nothing is cold
+	// (docs/design.md); the operators' outages last five and more.
 	leastOutage = 3.5
 )
 
-// DrawAny draws a scene in all its dimensions: 1 to 300 forwarders and targets, limits, kinds of document, one to four
+// DrawAny draws a scene in all its dimensions: 1 to 300 forwarders and endpoints, limits, kinds of message, one to four
 // troubles that mostly overlap.
 func DrawAny(seed uint64) *scenario.Scenario {
 	dice := rand.New(rand.NewPCG(seed, 29))
@@ -321,7 +321,7 @@
 			p.Calls = max(1, int(each*between(0.2, 1)*float64(p.Window)))
 			limit = float64(p.Calls) / float64(p.Window)
 		}
-		limit = math.Min(limit, each) // documents are as many as it may take: who gets many has room for many
+		limit = math.Min(limit, each) // messages are as many as it may take: who gets many has room for many
 		p.LoadWeight = float64(p.Count) * limit * between(0.5, 1.1)
 		dests, capacity = dests+p.Count, capacity+float64(p.Count)*limit
 		s.Receivers = append(s.Receivers, p)
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -15,7 +15,8 @@
 	"spanflow/scheduler"
 )
 
-// rampless is the module with the ramp after an outage off: what it believes a cold destination stands is without end.
+// rampless is the scheduler with the ramp after an outage off: what it believes a cold destination stands is without
+// end.
 func rampless(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	terms.OverloadMultiple, terms.SlowStartShare = 1e6, 1
 	return sim.Module(terms, seed, now, h)
--- a/lab/load/arrive.go
+++ b/lab/load/arrive.go
@@ -1,4 +1,4 @@
-// Package load makes open-loop load: when documents arrive is drawn beforehand and waits for nobody. A forwarder that
+// Package load makes open-loop load: when messages arrive is drawn beforehand and waits for nobody. A forwarder that
 // stalls is charged for every arrival that it did not serve.
 package load
 
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -14,7 +14,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Message is a document to be handed in.
+// Message is a message to be handed in.
 type Message struct {
 	At             float64 `json:"at"` // seconds from the beginning
 	Destination    uint64  `json:"dest"`
@@ -31,8 +31,8 @@
 	Next() (Message, bool)
 }
 
-// Run is a load on a forwarder's front. Arrivals wait for nobody: where all connections are busy a document waits here,
-// and its time counts from the intended moment all the same.
+// Run is a load on a forwarder's frontend. Arrivals wait for nobody: where all connections are busy a message waits
+// here, and its time counts from the intended moment all the same.
 type Run struct {
 	Addr        string
 	Connections int           // at most
@@ -74,7 +74,7 @@
 
 const (
 	mostTime  = 3_600_000_000 // microseconds in a histogram
-	mostQueue = 1 << 20       // documents that wait for a connection
+	mostQueue = 1 << 20       // messages that wait for a connection
 )
 
 type job struct {
@@ -83,7 +83,7 @@
 	intended time.Time
 }
 
-// Do plays a source and returns once each document has its answer or is given up.
+// Do plays a source and returns once each message has its answer or is given up.
 func (r Run) Do(ctx context.Context, src Source) (*Report, error) {
 	if r.Connections < 1 || r.Timeout <= 0 || r.TimeToLive <= 0 {
 		return nil, errors.New("connections, timeout and life have to be over 0")
@@ -188,7 +188,7 @@
 	}
 }
 
-// put hands one document in. A connection that the forwarder closed between requests is made anew once.
+// put hands one message in. A connection that the forwarder closed between requests is made anew once.
 func (l *line) put(r Run, j job, body string) string {
 	n, life := j.doc.Bytes, j.doc.TimeToLive
 	if n == 0 {
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Generator makes documents at drawn moments, for destinations and tenants with heavy tails.
+// Generator makes messages at drawn moments, for destinations and tenants with heavy tails.
 type Generator struct {
 	Arrivals *Arrivals
 	Random   *rand.Rand
@@ -24,10 +24,10 @@
 	Tenant   Picker
 	Types    []string
 	Keys     int  // ordering keys in use at once; 0: none
-	Numbers  bool // each document gets a number of its own
+	Numbers  bool // each message gets a number of its own
 }
 
-// Next makes the next document.
+// Next makes the next message.
 func (d *Generator) Next() (Message, bool) {
 	at, more := d.Arrivals.Next()
 	if !more {
@@ -142,7 +142,7 @@
 	return t, nil
 }
 
-// Next is the next document of the trace.
+// Next is the next message of the trace.
 func (t *Trace) Next() (Message, bool) {
 	if t.Err != nil {
 		return Message{}, false
--- a/lab/receiver/clock.go
+++ b/lab/receiver/clock.go
@@ -1,5 +1,6 @@
-// Package partner is the model of outside receivers: their places, queues, limits, returns from an outage and troubles.
-// It does no I/O and reads no clock but the one it is given, so that it serves simulated days and real sockets alike.
+// Package receiver is the model of outside receivers: their places, queues, limits, returns from an outage and
+// troubles. It does no I/O and reads no clock but the one it is given, so that it serves simulated days and real
+// sockets alike.
 package receiver
 
 import "math/rand/v2"
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -14,14 +14,14 @@
 // Settings are what one destination is like.
 type Behavior struct {
 	Service     Dist
-	Concurrency int // calls that a target works on at once
-	Queue       int // calls that wait at a target beyond them; more are turned away
+	Concurrency int // calls that an endpoint works on at once
+	Queue       int // calls that wait at an endpoint beyond them; more are turned away
 
 	Rate              float64 // calls a second that the limit lets in, 0: no such limit
 	Burst             float64 // calls that it lets in at once after a rest; 0: one
 	Count             int     // calls let in within Duration, 0: no such limit
 	Span              float64
-	EndpointLimits    bool // each target has a limit and outages of its own
+	EndpointLimits    bool // each endpoint has a limit and outages of its own
 	ReportsRetryAfter bool // a call that is turned away by the limit is told how long to wait
 	ReportsLimit      bool // answers report the limit
 
@@ -41,7 +41,7 @@
 	return most
 }
 
-// Message is a document as a partner sees it.
+// Message is a message as a receiver sees it.
 type Message struct {
 	ID                  uint64
 	IdempotencyKey      uint64  // its number, 0 if it has none
@@ -50,7 +50,7 @@
 	Tenant              int
 }
 
-// Execution is what a partner writes down of one document of a call.
+// Execution is what a receiver writes down of one message of a call.
 type Execution struct {
 	Message     Message
 	Destination int
@@ -62,7 +62,7 @@
 	Effect      bool // false: its number was known
 }
 
-// Recorder is who writes down what happens at partners. Nothing of it comes from a forwarder.
+// Recorder is who writes down what happens at receivers. Nothing of it comes from a forwarder.
 type Recorder interface {
 	CallReceived(dest, target, from int, docs []Message) // a call came whole, whatever becomes of it
 	MessageExecuted(Execution)
@@ -71,7 +71,7 @@
 	EndpointRecovered(dest, target int)                  // it answers again after an outage
 }
 
-// Request is one call on its way through a target.
+// Request is one call on its way through an endpoint.
 type Call struct {
 	Forwarder int
 	Messages  []Message
@@ -122,7 +122,7 @@
 	Approaching int // calls on their way to it, for Ready
 }
 
-// Fault is what is wrong with a target now. Several may be on at once.
+// Fault is what is wrong with an endpoint now. Several may be on at once.
 type Fault struct {
 	Hang          int     // works on nothing; what came meanwhile is worked on after it
 	Silent        int     // nothing comes in or goes out
@@ -140,7 +140,7 @@
 	seen          int
 }
 
-// New makes a destination with targets spread over zones.
+// New makes a destination with endpoints spread over zones.
 func New(number int, terms Behavior, targets, zones int, clock Clock, dice *rand.Rand, record Recorder) *Destination {
 	d := &Destination{Number: number, Behavior: terms, clock: clock, record: record, random: dice}
 	d.limit.fill(&terms, clock.Now())
@@ -150,7 +150,7 @@
 	return d
 }
 
-// Add makes a further target.
+// Add makes a further endpoint.
 func (d *Destination) Add(zone int) *Endpoint {
 	t := &Endpoint{Destination: d, Number: len(d.Endpoints), Zone: zone}
 	t.limit.fill(&d.Behavior, d.clock.Now())
@@ -158,17 +158,17 @@
 	return t
 }
 
-// capacity is the calls a second that so many of its targets get done when they are warm.
+// capacity is the calls a second that so many of its endpoints get done when they are warm.
 func (d *Destination) capacity(targets int) float64 {
 	return float64(targets*d.Behavior.Concurrency) / d.Behavior.Service.Mean
 }
 
-// Up tells if a connection to the target comes up: refused is the immediate no, silent none at all.
+// Up tells if a connection to the endpoint comes up: refused is the immediate no, silent none at all.
 func (t *Endpoint) Up() (refused, silent bool) {
 	return t.down > 0 || t.Fault.Removed, t.Fault.Silent > 0
 }
 
-// Closed begins an outage, Rise ends one: the target returns cold.
+// Closed begins an outage, Rise ends one: the endpoint returns cold.
 func (t *Endpoint) Down() {
 	t.down++
 	for _, c := range t.line {
@@ -189,7 +189,7 @@
 	}
 }
 
-// Returns says that an outage is over: the target is cold from here on.
+// Returns says that an outage is over: the endpoint is cold from here on.
 func (t *Endpoint) Returns() {
 	t.back = t.Destination.clock.Now()
 	t.met = met{}
@@ -212,7 +212,7 @@
 	}
 }
 
-// share is how much of its capacity the target has now.
+// share is how much of its capacity the endpoint has now.
 func (t *Endpoint) share() float64 {
 	d := t.Destination
 	if t.back == 0 || d.Behavior.SlowStartDuration <= 0 {
@@ -226,7 +226,7 @@
 	return d.Behavior.SlowStartFraction + (1-d.Behavior.SlowStartFraction)*warm
 }
 
-// MostlyFails tells that so much is wrong with a target that it does not pay to try: an outage too.
+// MostlyFails tells that so much is wrong with an endpoint that it does not pay to try: an outage too.
 func (r *Fault) MostlyFails() bool {
 	share := (r.Err + r.Reset + r.Lose + r.Spoil) / float64(max(1, r.Every))
 	if r.OddForwarders { // about half of the forwarders meet it
@@ -240,7 +240,7 @@
 	return t.down > 0 || t.Fault.Hang > 0 || t.Fault.Silent > 0 || t.Fault.MostlyFails()
 }
 
-// route is who knows of the latest outage, the calls met since, and how many targets share them.
+// route is who knows of the latest outage, the calls met since, and how many endpoints share them.
 func (t *Endpoint) route() (wise *map[int]bool, m *met, targets int) {
 	d := t.Destination
 	if d.Behavior.EndpointLimits {
@@ -254,8 +254,8 @@
 	return &d.wise, &d.met, targets
 }
 
-// Learned says that a forwarder has heard of a call to the target that failed or was refused. Only what it hears while
-// the outage lasts counts.
+// Learned says that a forwarder has heard of a call to the endpoint that failed or was refused. Only what it hears
+// while the outage lasts counts.
 func (t *Endpoint) Learned(from int) {
 	if !t.outage() {
 		return
@@ -275,9 +275,9 @@
 	}
 }
 
-// pushed counts a call that came to a cold target and tells if that pushes it over, and how much of what did came from
-// forwarders that knew of the outage. As the rule has it: what arrives within any span stays under a multiple of the
-// present capacity, with one call's slack for chance.
+// pushed counts a call that came to a cold endpoint and tells if that pushes it over, and how much of what did came
+// from forwarders that knew of the outage. As the rule has it: what arrives within any span stays under a multiple of
+// the present capacity, with one call's slack for chance.
 func (t *Endpoint) pushed(from int) (fell bool, wise float64) {
 	d, share := t.Destination, t.share()
 	if share >= 1 || d.Behavior.OverloadMultiple <= 0 {
@@ -349,7 +349,7 @@
 	return true
 }
 
-// StatusOverloaded is how many calls the target works on.
+// StatusOverloaded is how many calls the endpoint works on.
 func (t *Endpoint) Busy() int { return t.busy }
 
 // Accept takes a call whose last byte has come. Whoever calls has seen by Up that a connection stands.
@@ -527,7 +527,7 @@
 }
 
 // numbers are those that a destination remembers, from the run on: never less than forwarders count on, who know only
-// when they transmitted.
+// when they sent.
 type numbers struct {
 	until map[uint64]float64
 	order []uint64
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -1,5 +1,5 @@
-// Package scene reads scenes: what partners, forwarders and load are like, and what befalls them when. A scene is TOML,
-// checked as a whole like any configuration.
+// Package scene reads scenes: what receivers, forwarders and load are like, and what befalls them when. A scene is
+// TOML, checked as a whole like any configuration.
 package scenario
 
 import (
@@ -20,7 +20,7 @@
 	Name         string          `toml:"name"`
 	About        string          `toml:"about"`
 	Seed         uint64          `toml:"seed"`
-	Length       config.Duration `toml:"length"` // documents come for so long
+	Length       config.Duration `toml:"length"` // messages come for so long
 	Drain        config.Duration `toml:"drain"`  // what is held may end in so long after that
 	Zones        int             `toml:"zones"`
 	NetworkDelay config.Duration `toml:"network"` // from one side to the other
@@ -32,10 +32,10 @@
 	Faults       []Fault         `toml:"troubles"`
 	ListLag      config.Duration `toml:"list_lag"`
 	ComesAgain   bool            `toml:"comes_again"` // clients hand in again what was rejected, as long as there is time
-	Floor        float64         `toml:"floor"`       // a kept finding: the share of the value that the module delivers at least
+	Floor        float64         `toml:"floor"`       // a kept finding: the share of the value that the scheduler delivers at least
 }
 
-// Type is a document type with its part of the load.
+// Type is a message type with its part of the load.
 type Type struct {
 	Name                string          `toml:"name"`
 	Idempotency         string          `toml:"repeat"`
@@ -44,7 +44,7 @@
 	LatencyObjective    config.Duration `toml:"agreed"`
 	TimeToLive          config.Duration `toml:"life"`
 	DeduplicationWindow config.Duration `toml:"memory"`
-	LoadWeight          float64         `toml:"part"`  // of the documents, against the others'
+	LoadWeight          float64         `toml:"part"`  // of the messages, against the others'
 	Value               float64         `toml:"value"` // of one delivered in the agreed time; later it falls to half, at expiry to none
 	Keys                int             `toml:"keys"`  // ordering keys in use at once
 }
@@ -53,7 +53,7 @@
 type Tenant struct {
 	Name       string  `toml:"name"`
 	PerSecond  float64 `toml:"per_second"` // the share
-	LoadWeight float64 `toml:"part"`       // of the documents
+	LoadWeight float64 `toml:"part"`       // of the messages
 }
 
 // Receiver is a group of destinations alike.
@@ -94,7 +94,7 @@
 	Fraction float64         `toml:"share"`
 }
 
-// Burst is many documents at one moment.
+// Burst is many messages at one moment.
 type Burst struct {
 	At          config.Duration `toml:"at"`
 	Count       int             `toml:"count"`
@@ -103,15 +103,15 @@
 	Tenant      string          `toml:"tenant"`
 }
 
-// Fault befalls some targets, forwarders or the list for a time.
+// Fault befalls some endpoints, forwarders or the list for a time.
 type Fault struct {
 	Kind          string          `toml:"kind"`
 	At            config.Duration `toml:"at"`
 	For           config.Duration `toml:"for"`
-	Destinations  []int           `toml:"dest"` // destinations; empty: by partner, else all
+	Destinations  []int           `toml:"dest"` // destinations; empty: by receiver, else all
 	Receiver      string          `toml:"partner"`
 	Endpoints     []int           `toml:"target"` // of each of these; empty: all
-	Zone          int             `toml:"zone"`   // only targets of this zone, if above 0: its number plus one
+	Zone          int             `toml:"zone"`   // only endpoints of this zone, if above 0: its number plus one
 	Fraction      float64         `toml:"share"`  // of calls, of the limit, or of forwarders
 	By            float64         `toml:"by"`     // slow: times
 	Every         int             `toml:"every"`  // gray: one of so many calls
@@ -326,7 +326,7 @@
 	return shape
 }
 
-// Settings are what the module is told: the same for every forwarder but for its zone.
+// Settings are what the scheduler is told: the same for every forwarder but for its zone.
 func (s *Scenario) SchedulerSettings(forwarder int) scheduler.Settings {
 	d := &s.Dispatch
 	t := scheduler.Settings{Forwarders: d.Forwarders, ConcurrencyLimit: d.ConcurrencyLimit, QueueCapacity: d.QueueCapacity, MaxAttempts: d.MaxAttempts, Zone: forwarder % s.Zones,
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -7,8 +7,8 @@
 	"spanflow/scheduler"
 )
 
-// Baselines to compare the module with. They are for the laboratory only. The oracle sees the true state of all targets
-// and is a ceiling that may be out of reach.
+// Baselines to compare the scheduler with. They are for the laboratory only. The oracle sees the true state of all
+// endpoints and is a ceiling that may be out of reach.
 var Baselines = map[string]Maker{
 	"fifo": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
 		return newPlain(t, now, h)
@@ -35,7 +35,7 @@
 	},
 }
 
-// plain sends documents in the order of their coming and repeats what may be repeated. It heeds waits, drains, the order
+// plain sends messages in the order of their coming and repeats what may be repeated. It heeds waits, drains, the order
 // of keys and what must not run twice; of cold returns and limits it knows nothing.
 type plain struct {
 	terms   scheduler.Settings
@@ -48,7 +48,7 @@
 	woken   bool
 	backoff bool // repeats wait twice as long each time
 	bucket  bool // a destination gets at most as many calls a second as it answered of late, and a quarter more
-	least   bool // the target with the fewest calls out, not the next in turn
+	least   bool // the endpoint with the fewest calls out, not the next in turn
 	seer    bool // sends only what would be worked on at once and answered well
 	sees    func(door uint64) (ready bool, busy int)
 	fault   fault
@@ -85,9 +85,9 @@
 	zone     int
 	until    float64 // told to wait
 	apart    bool
-	batch    int     // documents that one call carries at most
+	batch    int     // messages that one call carries at most
 	began    float64 // when the latest call began; what is sent at the same moment joins it
-	riders   int     // documents that it carries
+	riders   int     // messages that it carries
 }
 
 type plainMessage struct {
@@ -135,7 +135,7 @@
 	}
 }
 
-// joins tells if a document would join the call that has just begun: it needs no place of its own.
+// joins tells if a message would join the call that has just begun: it needs no place of its own.
 func (p *plain) joins(t *plainTarget) bool { return p.seer && t.began == p.now && t.riders < t.batch }
 
 func (p *plain) Admit(size int, left float64) (bool, float64) {
@@ -202,7 +202,7 @@
 	x.next = p.now + wait
 }
 
-// end lets go of a document that has its answer. Its key rests if it may still run.
+// end lets go of a message that has its answer. Its key rests if it may still run.
 func (p *plain) end(x *plainMessage) {
 	x.done = true
 	for i, o := range p.held {
@@ -229,7 +229,7 @@
 	}
 }
 
-// hopeless tells that a document must not be transmitted any more, and whether it may be handed in again.
+// hopeless tells that a message must not be sent any more, and whether it may be handed in again.
 func (p *plain) hopeless(x *plainMessage) (over, again bool) {
 	switch {
 	case p.now >= x.expiry-0.05 || x.sent >= p.terms.MaxAttempts:
--- a/lab/sim/befall.go
+++ b/lab/sim/befall.go
@@ -54,7 +54,7 @@
 	return d.nodes[:min(n, len(d.nodes))]
 }
 
-// hit is the targets that a trouble befalls.
+// hit is the endpoints that a trouble befalls.
 func (d *day) hit(t *scenario.Fault) []*receiver.Endpoint {
 	var all []*receiver.Endpoint
 	for i, dest := range d.dests {
@@ -140,7 +140,7 @@
 	}
 }
 
-// replace lets targets go and others come in their place: drained first, with the list's word, or at once.
+// replace lets endpoints go and others come in their place: drained first, with the list's word, or at once.
 func (d *day) replace(t *scenario.Fault) {
 	hit := d.hit(t)
 	if t.Kind == "drain" {
@@ -168,7 +168,7 @@
 	})
 }
 
-// list tells all forwarders of changed targets, after the list's lag.
+// list tells all forwarders of changed endpoints, after the list's lag.
 func (d *day) list(targets []*receiver.Endpoint) {
 	d.After(float64(d.scene.ListLag)+float64(d.scene.NetworkDelay), func() {
 		if d.noList > 0 { // it comes with the next change of the list, or when it comes again
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -9,7 +9,7 @@
 	"spanflow/transport"
 )
 
-// node is one forwarder: the policy, and what an owner, a ledger and an outlet are to it.
+// node is one forwarder: the policy, and what an owner, a write-ahead log and an upstream are to it.
 type node struct {
 	day     *day
 	number  int
@@ -31,7 +31,7 @@
 	held    bool     // it takes that up: decided is once, at the end
 }
 
-// target is a partner's target as a forwarder knows it.
+// endpoint is a receiver's endpoint as a forwarder knows it.
 type target struct {
 	is     *receiver.Endpoint
 	module *scheduler.Endpoint
@@ -97,7 +97,7 @@
 	n.settle()
 }
 
-// line is the list's line of a target, which the forwarder knows from then on.
+// line is the list's line of an endpoint, which the forwarder knows from then on.
 func (n *node) line(t *receiver.Endpoint) scheduler.EndpointUpdate {
 	d := t.Destination.Number
 	for len(n.targets[d]) <= t.Number {
@@ -317,7 +317,7 @@
 	})
 }
 
-// told tells that an end says what became of the document.
+// told tells that an end says what became of the message.
 func told(e transport.ResultCode) bool {
 	out, _ := e.Outcome()
 	return out != scheduler.Reset && out != scheduler.TimedOut
@@ -445,7 +445,7 @@
 func (n *node) WatchEndpoints() {}
 func (n *node) Log(line string) { n.day.result.Modes++ }
 
-// listed tells a forwarder of changed targets.
+// listed tells a forwarder of changed endpoints.
 func (n *node) listed(targets []*receiver.Endpoint) {
 	n.do(func() {
 		n.policy.SetTime(n.day.Now())
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -12,11 +12,11 @@
 	"spanflow/lab/scenario"
 )
 
-// Real plays a scene on real sockets: built forwarders as processes, partners, discovery and clients on loopback. The
-// partners are the same model, on the wall clock.
+// Real plays a scene on real sockets: built forwarders as processes, receivers, discovery and clients on loopback. The
+// receivers are the same model, on the wall clock.
 type Real struct {
 	Program string // of one forwarder
-	Folder  string // for ledgers, configurations and logs
+	Folder  string // for write-ahead logs, configurations and logs
 	Memory  int    // MB that each forwarder is told
 	Sockets int
 }
@@ -32,9 +32,9 @@
 	log       *audit.Log
 	result    *Result
 	effects   map[uint64]*effect
-	tails     map[uint64]chan struct{} // of each key, closed when its latest document has its answer at the door
-	heard     map[uint64]bool          // delivered, as the partner wrote
-	from      map[uint64]int           // the forwarder that a document was handed in at
+	tails     map[uint64]chan struct{} // of each key, closed when its latest message has its answer at the door
+	heard     map[uint64]bool          // delivered, as the receiver wrote
+	from      map[uint64]int           // the forwarder that a message was handed in at
 	lastID    uint64
 	dice      *rand.Rand
 	disc      *emulator.Discovery
@@ -45,7 +45,7 @@
 	ctx       context.Context
 }
 
-// Now and RetryAfter make a realDay a partner.SetTime.
+// Now and RetryAfter make a realDay a receiver.SetTime.
 func (d *realDay) Now() float64 { return begins + time.Since(d.epoch).Seconds() }
 
 func (d *realDay) After(in float64, do func()) {
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -63,7 +63,7 @@
 	})
 }
 
-// handIn hands an effect in; the lock is held. The documents of a key are handed in one after another, each when the one
+// handIn hands an effect in; the lock is held. The messages of a key are handed in one after another, each when the one
 // before it has its answer at the door.
 func (d *realDay) handIn(e *effect, expiry float64, n int) {
 	if d.ctx.Err() != nil {
@@ -115,7 +115,7 @@
 
 const heard = 400 * time.Millisecond
 
-// put hands a document in on a connection of its forwarder's.
+// put hands a message in on a connection of its forwarder's.
 func (p *process) put(e *effect, id uint64, left float64) (answer string, wait float64) {
 	names := fmt.Sprintf("c=%s,d=%d,dest=%d", e.typ.Name, int(left*1000), e.dest)
 	if e.mark != 0 {
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -16,7 +16,7 @@
 	"spanflow/transport"
 )
 
-// endpoint is a target's listener. While the target refuses connections nobody listens there.
+// endpoint is an endpoint's listener. While the endpoint refuses connections nobody listens there.
 type endpoint struct {
 	day    *realDay
 	target *receiver.Endpoint
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -21,7 +21,7 @@
 
 // befall puts the scene's troubles on the wall clock; the lock is held. Reason the network alone could do (idle
 // connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
-// partner that takes calls and says nothing.
+// receiver that takes calls and says nothing.
 func (d *realDay) befall() {
 	sim := &day{scene: d.scene, dests: d.dests, group: d.group}
 	for i := range d.scene.Faults {
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -43,7 +43,7 @@
 
 // Second is one second of a day.
 type Second struct {
-	Offered   float64 `json:"offered"`   // value of the documents that came in it
+	Offered   float64 `json:"offered"`   // value of the messages that came in it
 	Delivered float64 `json:"delivered"` // value that they had in the end
 	Held      int     `json:"held"`
 	Out       int     `json:"out"`
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -1,4 +1,4 @@
-// Package sim plays a scene on a simulated clock: whole fleets of forwarders, each the real decision module, in one
+// Package sim plays a scene on a simulated clock: whole fleets of forwarders, each the real scheduler, in one
 // process. The same scene and seed give the same result, to the byte, on any number of cores.
 package sim
 
@@ -15,7 +15,7 @@
 	"spanflow/scheduler"
 )
 
-// Policy decides for one forwarder. The decision module is one; so are the baselines.
+// Policy decides for one forwarder. The scheduler is one; so are the baselines.
 type Policy interface {
 	NewDestination(door uint64) *scheduler.Destination
 	UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate)
@@ -31,7 +31,7 @@
 // Maker makes the policy of a forwarder.
 type Maker func(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
 
-// Module is the decision module.
+// Module is the scheduler.
 func Module(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	return scheduler.New(terms, seed, now, host)
 }
@@ -41,11 +41,11 @@
 	downFor   = 0.8    // a forwarder that is killed starts again after so long
 	rises     = 1.5    // and may be late with answers for so long after that
 	asksAgain = 0.4    // a client whose forwarder is gone goes to another after so long
-	drainTime = 2.0    // a target that drains leaves after so long
+	drainTime = 2.0    // an endpoint that drains leaves after so long
 	idleDies  = 0.5    // connections that were idle for longer are dead while the trouble reap is on
 )
 
-// effect is what a client wants done, whatever number of documents it takes.
+// effect is what a client wants done, whatever number of messages it takes.
 type effect struct {
 	id          uint64
 	typ         *scenario.Type
@@ -61,15 +61,15 @@
 	refused     int
 }
 
-// submission is one document: an effect handed in once.
+// submission is one message: an effect handed in once.
 type submission struct {
 	id      uint64
 	of      *effect
 	message *scheduler.Message
 	node    *node
 	past    scheduler.RecoveredState
-	out     float64 // begin of the transmission that is out
-	outTo   int     // the zone of its target
+	out     float64 // begin of the attempt that is out
+	outTo   int     // the zone of its endpoint
 	expiry  float64
 	over    bool
 }
@@ -84,7 +84,7 @@
 	dests   []*receiver.Destination
 	group   []int // of each destination
 	nodes   []*node
-	effects map[uint64]*effect // by the id of a document
+	effects map[uint64]*effect // by the id of a message
 	handed  map[uint64]*submission
 	lastID  uint64
 	reap    int
@@ -125,7 +125,7 @@
 	return d.result
 }
 
-// recorder passes on what partners write down and counts the value of what took place.
+// recorder passes on what receivers write down and counts the value of what took place.
 type recorder struct {
 	*audit.Log
 	day *day
@@ -240,7 +240,7 @@
 	return (n + 1) % forwarders
 }
 
-// handIn hands an effect in at a forwarder, as a document of its own.
+// handIn hands an effect in at a forwarder, as a message of its own.
 func (d *day) handIn(e *effect, expiry float64, n int) {
 	d.After(float64(d.scene.NetworkDelay), func() {
 		node := d.nodes[n]
@@ -260,7 +260,7 @@
 	})
 }
 
-// again hands in anew what was turned away or rejected. A number is known for its memory only, so a numbered document
+// again hands in anew what was turned away or rejected. A number is known for its memory only, so a numbered message
 // comes with no more time than that.
 func (d *day) again(e *effect, comeBack float64) {
 	expiry, wait, comes := e.comesAgain(d.scene, d.Now(), comeBack, d.net)
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// The oracle is a ceiling: in no kept scene does the module or a baseline deliver much more.
+// The oracle is a ceiling: in no kept scene does the scheduler or a baseline deliver much more.
 func TestTheOracleIsACeiling(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		s := kept(t, name)
@@ -103,7 +103,7 @@
 	}
 }
 
-// One short scene on real sockets: the built program as processes, the same model of partners.
+// One short scene on real sockets: the built program as processes, the same model of receivers.
 func TestASceneOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
@@ -124,7 +124,7 @@
 	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
 }
 
-// random draws a scene: some partners, some troubles.
+// random draws a scene: some receivers, some troubles.
 func random(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	dice := rand.New(rand.NewPCG(seed, 9))
 	s := *base
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -26,7 +26,7 @@
 	return t
 }
 
-// decide takes a document, lets the module settle, ends the call and lets it settle: one document's decisions.
+// decide takes a message, lets the scheduler settle, ends the call and lets it settle: one message's decisions.
 func decide(f *Scheduler, h *bare, now *float64, to *Destination) {
 	*now += 0.001
 	f.SetTime(*now)
@@ -39,7 +39,7 @@
 	f.Reconcile()
 }
 
-// BenchmarkDestinations is the cost of a document's decisions with so many destinations known, 100 of them in use.
+// BenchmarkDestinations is the cost of a message's decisions with so many destinations known, 100 of them in use.
 func BenchmarkDestinations(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// BenchmarkHeld is the same with so many documents held for a destination that told a wait. The wait is shorter than
+// BenchmarkHeld is the same with so many messages held for a destination that told a wait. The wait is shorter than
 // their life, so that they stay held while the benchmark runs.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -27,7 +27,7 @@
 		nodes = append(nodes, h)
 	}
 	seen, credit := make([]int, forwarders), make([]float64, forwarders)
-	for i := range credit { // documents come evenly, not to all at once
+	for i := range credit { // messages come evenly, not to all at once
 		credit[i] = float64(i) / float64(forwarders)
 	}
 	var late []due
@@ -87,7 +87,7 @@
 }
 
 // A cold destination falls under the sum of what all forwarders send. Each judges by its own part, and beyond what the
-// settings allow only twice the root of it and two are put down to chance. Some of these have but a document or
+// settings allow only twice the root of it and two are put down to chance. Some of these have but a message or
 // two each while the destination is down.
 func TestTheSumOfManyForwardersDoesNotPushOverAColdDestination(t *testing.T) {
 	for _, forwarders := range []int{20, 30, 60} {
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, 6, h.out)
 	good := h.receiver(0, 0)
 	h.take(good, status, 0)
-	h.pass(0.4) // a target just listed is first sent to after a random wait
+	h.pass(0.4) // an endpoint just listed is first sent to after a random wait
 	require.Same(t, good, h.sent[len(h.sent)-1].doc.Dest)
 }
 
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -27,7 +27,7 @@
 	require.True(t, doc.Finished())
 }
 
-// A long line in which each document is transmitted just too late would make a good target look sick.
+// A long line in which each message is sent just too late would make a good endpoint look sick.
 func TestADocumentThatCallsMostlyOutlastIsAnsweredNotTransmitted(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -282,7 +282,7 @@
 	}
 }
 
-// shutUntil is the time before which no target of a destination takes a call; far in the past if one may any time.
+// shutUntil is the time before which no endpoint of a destination takes a call; far in the past if one may any time.
 func (d *Destination) shutUntil() float64 {
 	until := math.Inf(1)
 	for _, t := range d.targets {
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleet is many forwarders of the module in front of one destination that all share. It lets in so many calls a
+// fleet is many forwarders of the scheduler in front of one destination that all share. It lets in so many calls a
 // second, counting those that it refuses too, and reports its limit and what is left of it.
 type fleet struct {
 	nodes       []*fake
@@ -16,7 +16,7 @@
 	hung        bool    // its queue is full: it refuses all
 	mute        bool    // it reports nothing
 	debt        float64 // refused calls use the limit up by so many beyond it
-	seen        []int   // transmissions of each node that were taken note of
+	seen        []int   // attempts of each node that were taken note of
 	late        []due
 	calls, full int
 	took        map[*Message]int
@@ -42,7 +42,7 @@
 	return f
 }
 
-// pass lets the fleet run, one document in so many seconds for each node, and returns the calls and those refused.
+// pass lets the fleet run, one message in so many seconds for each node, and returns the calls and those refused.
 func (f *fleet) pass(seconds, every float64) (calls, full int) {
 	f.calls, f.full = 0, 0
 	for end := f.now + seconds; f.now < end; f.now += 0.02 {
@@ -86,7 +86,7 @@
 	f.late = append(f.late, due{f.now + 0.1, h, doc, e})
 }
 
-// A fleet of few documents each, some with far more, at an exact listed limit that refused calls use up: after a clump
+// A fleet of few messages each, some with far more, at an exact listed limit that refused calls use up: after a clump
 // the sum of their calls falls under the limit, and what comes then is let in.
 func TestManyUnevenForwardersLeaveAnExactLimitRoomAfterAClump(t *testing.T) {
 	f := newFleet(100, 10)
@@ -125,7 +125,7 @@
 	f := newFleet(200, 6)
 	f.pass(10, 40)
 	f.hung = true
-	f.pass(20, 20) // each has a document or two, and is refused with nothing left
+	f.pass(20, 20) // each has a message or two, and is refused with nothing left
 	calls, _ := f.pass(4, 0)
 	require.Less(t, calls, 4*6, "what the limit lets in, not what all hold")
 }
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -15,7 +15,7 @@
 	for _, s := range h.sent {
 		require.Equal(t, d.targets[1], s.target)
 	}
-	h.UpdateEndpoints(true, nil) // a whole list without a target: it is gone
+	h.UpdateEndpoints(true, nil) // a whole list without an endpoint: it is gone
 	h.flood(d, status, 1)
 	n := len(h.sent)
 	h.answers(d, Delivered)
@@ -64,7 +64,7 @@
 func TestThreeFailuresInARowShutARoute(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0, 0)
-	d.taken = 1e4 // it gets many documents
+	d.taken = 1e4 // it gets many messages
 	requireShutAfter(t, h, d, ServerError, Overloaded, Overloaded)
 }
 
@@ -73,7 +73,7 @@
 	requireShutAfter(t, h, h.receiver(0, 0, 0), ServerError, Overloaded)
 }
 
-// requireShutAfter ends a document's calls so in turn: only the last end makes the targets sick.
+// requireShutAfter ends a message's calls so in turn: only the last end makes the endpoints sick.
 func requireShutAfter(t *testing.T, h *fake, d *Destination, ends ...Outcome) {
 	doc := h.take(d, status, 0)
 	h.settle()
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -233,7 +233,7 @@
 // ResultRetryAfter tells that a message waits for a call: it may be taken back by Withdraw without a trace.
 func (d *Message) Waiting() bool { return d.queued }
 
-// Dark tells that no target of a destination answers.
+// Dark tells that no endpoint of a destination answers.
 func (f *Scheduler) Dark(d *Destination) bool { return f.dark(d) }
 
 // Stored counts a message for a destination that is kept elsewhere from its taking on: it is asked for all the same.
--- a/scheduler/host_test.go
+++ b/scheduler/host_test.go
@@ -42,7 +42,7 @@
 	return h
 }
 
-// receiver lists a destination with targets of a kind, one in each of the zones given.
+// receiver lists a destination with endpoints of a kind, one in each of the zones given.
 func (h *fake) receiver(kind int, zones ...int) *Destination {
 	d := h.NewDestination(uint64(len(h.dests)))
 	for i, z := range zones {
@@ -52,7 +52,7 @@
 	return d
 }
 
-// list tells a target's standing.
+// list tells an endpoint's standing.
 func (h *fake) list(t *Endpoint, s EndpointState) {
 	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: t, Destination: t.dest, Kind: t.dest.kind, Zone: t.zone, State: s}})
 }
@@ -90,7 +90,7 @@
 
 func (h *fake) settle() { h.SetTime(h.now); h.Reconcile() }
 
-// ends gives the transmission that is out for a document its ending.
+// ends gives the attempt that is out for a message its ending.
 func (h *fake) ends(d *Message, o Outcome, wait float64) {
 	h.AttemptEnded(d, AttemptResult{Outcome: o, Final: o == Delivered, Latency: 0.1, RetryAfter: wait})
 }
@@ -104,7 +104,7 @@
 	}
 }
 
-// out1 takes a document and has it transmitted.
+// out1 takes a message and has it sent.
 func (h *fake) out1(d *Destination) *Message {
 	doc := h.take(d, status, 0)
 	h.pass(0.1)
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -49,7 +49,7 @@
 	require.Len(t, h.sent, 2)
 }
 
-// A numbered document that may have run is sent again only while its mark is known, and its call is given no time to
+// A numbered message that may have run is sent again only while its mark is known, and its call is given no time to
 // begin beyond that: a connection slow to come would carry a repeat outside its window.
 func TestARepeatOfANumberedDocumentEndsWithinItsWindow(t *testing.T) {
 	h := start(terms)
@@ -99,7 +99,7 @@
 
 func TestOneTransmissionAtATimeAndOneFinalAnswer(t *testing.T) {
 	h := start(terms)
-	doc := h.take(h.receiver(0, 0, 0), status, 0) // may be repeated, and two targets are idle
+	doc := h.take(h.receiver(0, 0, 0), status, 0) // may be repeated, and two endpoints are idle
 	h.pass(19)
 	require.Len(t, h.sent, 1, "while one is out there is no second")
 	h.ends(doc, Reset, 0)
--- a/scheduler/port.go
+++ b/scheduler/port.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// Idempotency says what a second transmission of a document would do.
+// Idempotency says what a second attempt of a message would do.
 type Idempotency uint8
 
 const (
@@ -9,23 +9,23 @@
 	AtMostOnce                           // must never run twice
 )
 
-// MessageType is what the terms say of one document type; times in seconds.
+// MessageType is what the terms say of one message type; times in seconds.
 type MessageType struct {
 	Idempotency                  Idempotency
-	DeduplicatedPerZone          bool // numbered: only targets of one zone know the mark, not all of the destination
+	DeduplicatedPerZone          bool // numbered: only endpoints of one zone know the mark, not all of the destination
 	InOrder                      bool
 	LatencyObjective, TimeToLive float64
-	Value                        float64 // of one document; types that state none are all worth the same
+	Value                        float64 // of one message; types that state none are all worth the same
 	LateValueShare               float64 // of the value that is left at expiry
-	DeduplicationWindow          float64 // numbered: how long a mark is known, from the transmission on
+	DeduplicationWindow          float64 // numbered: how long a mark is known, from the attempt on
 }
 
 // Settings are what a forwarder is told at its start; times in seconds, rates in calls a second.
 type Settings struct {
 	Types                           []MessageType
-	TenantRate                      []float64 // documents a second, all forwarders together; empty without tenants
-	KindBatchSize                   []int     // per kind of destination: documents in one call at most
-	KindEndpointLimits              []bool    // per kind: targets are routes of their own
+	TenantRate                      []float64 // messages a second, all forwarders together; empty without tenants
+	KindBatchSize                   []int     // per kind of destination: messages in one call at most
+	KindEndpointLimits              []bool    // per kind: endpoints are routes of their own
 	Forwarders                      int
 	ConcurrencyLimit, QueueCapacity int
 	MaxAttempts                     int
@@ -41,21 +41,21 @@
 	LocalAgent                      bool    // what is asked for lies with an agent: it counts as told from the start on, heard or not
 	PollWithin                      float64 // the rules want a question for the list so often while it does not come; 0: not stated
 	ListedRateTolerance             float64 // the listed rate may be this many times too high; 0: none is listed
-	MaxStoredBytes                  int     // bytes of documents that can be kept beyond a restart; 0: no bound
+	MaxStoredBytes                  int     // bytes of messages that can be kept beyond a restart; 0: no bound
 	AwaitAcknowledgement            bool    // an answer is given only once NoticeAcknowledged says so
 }
 
-// RecoveredState is what an earlier process of this forwarder did with a document; times on the clock of SetTime.
+// RecoveredState is what an earlier process of this forwarder did with a message; times on the clock of SetTime.
 type RecoveredState struct {
-	Attempts   int     // transmissions spent
+	Attempts   int     // attempts spent
 	FirstRanAt float64 // begin of the first that may have run; 0: surely none ran
-	Zone       int     // of its target
+	Zone       int     // of its endpoint
 
 	Answered   bool // it has its final answer, of which NoticeAcknowledged has not spoken yet
 	CallerGone bool // its caller waited for the final answer, and went with that process
 }
 
-// Outcome is how a transmission ended.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 const (
@@ -69,16 +69,16 @@
 	NotSent              // not sent
 )
 
-// AttemptResult is the news of one transmission's end.
+// AttemptResult is the news of one attempt's end.
 type AttemptResult struct {
 	Outcome             Outcome
-	Final               bool    // the document has its final answer
+	Final               bool    // the message has its final answer
 	Latency, RetryAfter float64 // RetryAfter: told to stay away so long, whatever the outcome; 0 if not told
 	ReportedLimit       float64 // the reported limit in calls a second; 0 if nothing is told of it, under 0 if there is none
 	ReportedShare       float64 // the reported share of that limit that is left just now; 0 if not told, under 0 if none is
 }
 
-// EndpointState is what the list says of a target.
+// EndpointState is what the list says of an endpoint.
 type EndpointState uint8
 
 const (
@@ -103,7 +103,7 @@
 	Send(d *Message, t *Endpoint, timeout float64)
 	Reject(d *Message, comeBack float64)
 	Fail(d *Message)
-	CancelUnsent(t *Endpoint) // ends the calls to a target of which nothing has been sent, as NotSent
+	CancelUnsent(t *Endpoint) // ends the calls to an endpoint of which nothing has been sent, as NotSent
 	CloseIdle(t *Endpoint)
 	ReleaseEndpoint(t *Endpoint) // it is gone and nothing is heard of it any more
 	Wake(in float64)
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -149,7 +149,7 @@
 }
 
 func TestTheLineThatAFewCallsWouldClearIsNotTheOneThatIsCut(t *testing.T) {
-	h := start(terms) // room for forty; kind 1 takes ten documents in a call
+	h := start(terms) // room for forty; kind 1 takes ten messages in a call
 	together, apart := h.receiver(1, 0), h.receiver(0, 0)
 	h.flood(together, status, 26)
 	h.flood(apart, status, 14)
--- a/scheduler/ramp_test.go
+++ b/scheduler/ramp_test.go
@@ -27,7 +27,7 @@
 		h.pass(0.1)
 		h.answers(d, TimedOut)
 	}
-	require.InDelta(t, 7, len(h.sent)-n, 4) // a trial every two seconds or so, not fifteen documents at once
+	require.InDelta(t, 7, len(h.sent)-n, 4) // a trial every two seconds or so, not fifteen messages at once
 	h.pass(3)
 	n = len(h.sent)
 	h.answers(d, Delivered)
@@ -36,7 +36,7 @@
 	require.LessOrEqual(t, len(h.sent)-n, 2)
 }
 
-// A target that operators restarted while it was out returns cold: it is paced up as after an outage, not given
+// An endpoint that operators restarted while it was out returns cold: it is paced up as after an outage, not given
 // all that waited for it at once.
 func TestATargetBackFromOperatorsIsPacedUp(t *testing.T) {
 	sentIn := func(cold bool) int {
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -23,7 +23,7 @@
 	require.Positive(t, d.shared.pace)
 }
 
-// While a target hangs, its full queue refuses; that must not be taken for a limit when it is back.
+// While an endpoint hangs, its full queue refuses; that must not be taken for a limit when it is back.
 func TestRefusalsOfASickTargetAreNoLimit(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -168,8 +168,8 @@
 	}
 }
 
-// The window in which a target knows a repeat may be as short as a second, on days of restarts too: what may have run is
-// neither sent nor still waited for beyond it, and whatever is past its window ends as a failure, once.
+// The window in which an endpoint knows a repeat may be as short as a second, on days of restarts too: what may have
+// run is neither sent nor still waited for beyond it, and whatever is past its window ends as a failure, once.
 func TestAWindowOfASecondIsKeptOverARestart(t *testing.T) {
 	const window, life = 1.0, 20.0
 	short := onSockets()
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -104,7 +104,7 @@
 
 func TestManyWithFewCallsDoNotAskAgainSoon(t *testing.T) {
 	asked := 0
-	for seed := range uint64(60) { // each has one document more than the destination takes just then
+	for seed := range uint64(60) { // each has one message more than the destination takes just then
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
 		h.Scheduler = New(terms, seed, h.now, h)
 		d := h.receiver(0, 0)
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -3,7 +3,7 @@
 import "math"
 
 // ring is the destinations with waiting messages, in round-robin order from a cursor on. A destination none of whose
-// targets can take a call before some time is parked until then: it keeps its place in the order, and turns pass over
+// endpoints can take a call before some time is parked until then: it keeps its place in the order, and turns pass over
 // it without a look. The order is kept in a treap by position, so that the cost of a turn does not grow with the
 // number of parked members.
 type ring struct {
@@ -255,7 +255,7 @@
 	walk(n.right, max(0, from-left-1), end-left-1, call)
 }
 
-// park has turns pass over a destination while none of its targets may take a call. News of it ends that.
+// park has turns pass over a destination while none of its endpoints may take a call. News of it ends that.
 func (f *Scheduler) park(d *Destination) {
 	until := math.Inf(1)
 	for _, t := range d.targets {
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,14 +1,14 @@
-// Package choice decides which document goes out when, to which target, and which is given up.
+// Package choice decides which message goes out when, to which endpoint, and which is given up.
 //
 // How to call it: New at the start; then, for all that happens at one moment, SetTime, then the news in the
 // order of arrival (UpdateEndpoints, PollTimedOut, WatchBroken, WatchSilent, Accept, Recover, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and
-// Reconcile once. Where the room at the door is the module's to mind, Admit comes before Accept. The interface is
+// Reconcile once. Where the room at the door is the scheduler's to mind, Admit comes before Accept. The interface is
 // in port.go, what is remembered in state.go. The ordinary path is that of docs/design.md.
 //
 // Mechanisms beside the design:
-//  1. recovery: a target or route that fails is tried at a trickle, then paced up (cool, doubt, pace)
-//  2. limits: a learned pace, pauses, rests and told waits for each route (refusal, open)
-//  3. places: calls and connections that a target gets; fewer when it fails, none while silent (place, trust)
+//  1. recovery: an endpoint or route that fails is tried at a trickle, then paced up (cool, doubt, pace)
+//  2. limits: a learned pace, pauses, rests and Retry-After times for each route (refusal, open)
+//  3. places: calls and connections that an endpoint gets; fewer when it fails, none while silent (place, trust)
 //  4. time-outs from observed times (timeout)
 //  5. early answers: what cannot arrive, or what crowds the holding room (review, crowd, over)
 //  6. closing retries: one that is about to become impossible goes before fresh work (pick)
@@ -24,16 +24,16 @@
 	capIll            = 0.5  // one that failed lately or is silent
 	allIll            = 0.85 // of all slots, from here on none for a destination that failed lately
 	restored          = 3    // timely answers that restore the cap
-	turnSize          = 2    // documents a turn, more only where one call carries more
+	turnSize          = 2    // messages a turn, more only where one call carries more
 	roomFull          = 0.97 // of the holding room: from here on the longest line is cut
 	overdue           = 0.01 // seconds after expiry: the call's end should have come
 	lookAgain         = 0.02 // seconds between looks at lines that wait
 	lastCall          = 0.04 // seconds before expiry: nothing is sent after, so that the end is told in time
 	edge              = 0.1  // seconds before expiry: a delivery may count as late by its client's clock
 	firstGuess        = 0.9  // seconds a call takes before any was measured
-	blame             = 0.2  // weight of one failure in a target's share of failures, twice that if nothing was heard
-	mostFail          = 0.6  // share of failures from which on a target is sick
-	fewDocs           = 1.0  // documents a second for a destination: under it refusals teach no pace, two failures shut
+	blame             = 0.2  // weight of one failure in an endpoint's share of failures, twice that if nothing was heard
+	mostFail          = 0.6  // share of failures from which on an endpoint is sick
+	fewDocs           = 1.0  // messages a second for a destination: under it refusals teach no pace, two failures shut
 	shutWait          = 2.5  // seconds; a limit has room again sooner
 	manyLost          = 2.0  // losses on idle connections, a fifth of the calls on them, that end trust in them
 	fadeTime          = 8.0  // seconds in which a failure loses most of its weight in the choice between siblings
@@ -55,7 +55,7 @@
 	return d
 }
 
-// UpdateEndpoints takes news of the targets; whole means that all are named.
+// UpdateEndpoints takes news of the endpoints; whole means that all are named.
 func (f *Scheduler) UpdateEndpoints(whole bool, lines []EndpointUpdate) {
 	named := map[*Endpoint]bool{}
 	f.unlisted, f.broken, f.blind = 0, 0, f.blind && f.now == f.began
@@ -66,7 +66,7 @@
 		t, d := l.Endpoint, l.Destination
 		named[t] = true
 		if t.dest == nil {
-			// The first call goes anywhere: guards against all forwarders starting with the first target listed.
+			// The first call goes anywhere: guards against all forwarders starting with the first endpoint listed.
 			t.dest, t.places, t.route, t.standing, t.lastUsed = d, 2, d.shared, Removed, -f.dice.unit()
 			if l.Kind < len(f.terms.KindEndpointLimits) && f.terms.KindEndpointLimits[l.Kind] {
 				t.route = &Route{filled: f.now}
@@ -74,7 +74,7 @@
 			d.targets = append(d.targets, t)
 		}
 		if t.standing == Removed && l.State == Ready && f.now > f.began {
-			t.next = f.now + f.dice.unit()*0.3 // all forwarders hear of a new target at about the same time
+			t.next = f.now + f.dice.unit()*0.3 // all forwarders hear of a new endpoint at about the same time
 		}
 		if f.hear(d); l.State != Ready && len(t.calls) > 0 {
 			f.recall = append(f.recall, t)
@@ -129,7 +129,7 @@
 	return math.Min(float64(f.terms.Forwarders-1)/asksAtOnce, f.terms.PollWithin/2)
 }
 
-// Admit tells if a document is taken on, or when to come back with it.
+// Admit tells if a message is taken on, or when to come back with it.
 func (f *Scheduler) Admit(size int, left float64) (taken bool, comeBack float64) {
 	if f.held.count >= f.terms.QueueCapacity || f.terms.MaxStoredBytes > 0 && f.kept+size > f.terms.MaxStoredBytes || left <= lastCall {
 		return false, f.comeBack()
@@ -137,17 +137,17 @@
 	return true, 0
 }
 
-// Recover takes a document that an earlier process of this forwarder had taken on, in the order of taking.
+// Recover takes a message that an earlier process of this forwarder had taken on, in the order of taking.
 // Reason was out then may have run and is a retry now; what has no way left is answered by the next settling.
 func (f *Scheduler) Recover(d *Message, typ int, left float64, past RecoveredState) {
 	f.Accept(d, typ, left)
-	if past.CallerGone { // Its caller may have come again with another document for the same effect. Guards against a
+	if past.CallerGone { // Its caller may have come again with another message for the same effect. Guards against a
 		// second effect; hurts a caller that relied on this one. One that may still run lets its key rest.
 		if past.Attempts > 0 && d.chain != nil {
 			d.chain.rest = math.Max(d.chain.rest, f.now+f.terms.KeyCooldown+0.001)
 		}
 		f.finish(d)
-	} else if past.Answered { // and is not transmitted any more
+	} else if past.Answered { // and is not sent any more
 		d.telling = true
 		f.finish(d)
 	} else {
@@ -169,7 +169,7 @@
 // Done tells a stopping process that nothing is left to wait for.
 func (f *Scheduler) Done() bool { return f.until > 0 && f.out == 0 && f.held.count == 0 }
 
-// Accept accepts a document of a type, with so much time left.
+// Accept accepts a message of a type, with so much time left.
 func (f *Scheduler) Accept(d *Message, typ int, left float64) {
 	d.typ, d.expiry, d.time = &f.terms.Types[typ], f.now+left, left
 	d.taking = f.nextRank()
@@ -195,7 +195,7 @@
 }
 
 // over tells if a tenant has had its share of late, as far as this forwarder's even part of it goes, and
-// counts one more document. Guards against a tenant's burst crowding out what others have a right to.
+// counts one more message. Guards against a tenant's burst crowding out what others have a right to.
 func (f *Scheduler) over(tenant int) bool {
 	if tenant >= len(f.terms.TenantRate) {
 		return false
@@ -209,11 +209,11 @@
 	return false
 }
 
-// AttemptEnded takes the end of the transmission that is out for a document.
+// AttemptEnded takes the end of the attempt that is out for a message.
 func (f *Scheduler) AttemptEnded(d *Message, e AttemptResult) {
 	c := d.call
 	// On the edge of its time a delivery may be late by its client's clock, that is none. Guards against a
-	// document without an end; costs a needless notice.
+	// message without an end; costs a needless notice.
 	if e.Final && e.Outcome == Delivered && d.AnsweredByNotice && !d.answered && f.now > d.expiry-edge {
 		d.want, d.telling = wantAbandoned, true
 		f.changed = append(f.changed, d)
@@ -239,7 +239,7 @@
 		}
 	}
 	// Reason is on its way while a wait is told, but not sent, comes too late: connecting can take long.
-	if e.RetryAfter > 0 { // each document of a call may be told its own
+	if e.RetryAfter > 0 { // each message of a call may be told its own
 		for _, o := range t.dest.targets {
 			if o.route == t.route && len(o.calls) > 0 {
 				f.recall = append(f.recall, o)
@@ -300,7 +300,7 @@
 			if r.pace > 0 { // it was learned during the outage
 				r.pace = math.Max(r.pace, f.usual(t))
 			}
-			for _, o := range d.targets { // an outage mostly takes all of a route's targets, and ends for all
+			for _, o := range d.targets { // an outage mostly takes all of a route's endpoints, and ends for all
 				if o.route == r && o.state == sick {
 					o.state, o.since, o.failing = back, f.now, math.Min(o.failing, blame)
 					o.next = f.now + f.gap(o)
@@ -351,7 +351,7 @@
 	}
 }
 
-// doubt shuts a route after three failures in a row, two where documents are few; refusals count after the first,
+// doubt shuts a route after three failures in a row, two where messages are few; refusals count after the first,
 // one is quick, and no answer came for a while. Guards against many forwarders with few calls that go on until
 // each is sure, and together push a destination over as it returns. Hurts after chance failures.
 func (f *Scheduler) doubt(t *Endpoint) {
@@ -377,17 +377,17 @@
 	}
 }
 
-// cool begins or prolongs a target's sickness. Guards against pushing over a destination that returns cold,
+// cool begins or prolongs an endpoint's sickness. Guards against pushing over a destination that returns cold,
 // and feeding one that is down, hung, shut or failing. Hurts after chance failures.
 func (f *Scheduler) cool(t *Endpoint) {
 	t.state, t.places = sick, 1
 	t.next = math.Max(t.next, math.Max(f.now, t.route.closed)+f.gap(t)*f.dice.unit())
 }
 
-// gap is the random time between two calls to a target that is sick or back.
+// gap is the random time between two calls to an endpoint that is sick or back.
 func (f *Scheduler) gap(t *Endpoint) float64 { return (0.7 + 0.6*f.dice.unit()) / f.pace(t) }
 
-// pace is the calls a second that a target may get while it is sick or back, so that all forwarders
+// pace is the calls a second that an endpoint may get while it is sick or back, so that all forwarders
 // together, each judging by its own part, stay within what a cold destination stands.
 func (f *Scheduler) pace(t *Endpoint) float64 {
 	d, peers := t.dest, 0
@@ -397,14 +397,14 @@
 		}
 	}
 	cold := 1.2 * f.terms.OverloadMultiple * f.usual(t)
-	if t.state == sick { // all sick targets of a route share its trials
+	if t.state == sick { // all sick endpoints of a route share its trials
 		return math.Max(cold*f.terms.SlowStartShare, 1/float64(f.terms.Forwarders))
 	}
 	share := f.terms.SlowStartShare + (1-f.terms.SlowStartShare)*(f.now-t.since)/math.Max(0.1, f.terms.SlowStartDuration)
 	return cold * math.Max(0.05, share) / float64(max(1, peers))
 }
 
-// usual is the calls a second that this forwarder makes or may make to a target's destination as a rule: for
+// usual is the calls a second that this forwarder makes or may make to an endpoint's destination as a rule: for
 // what it takes, but no more than the destination got done while it was well. Guards against a ramp that
 // pushes over one that was asked for more than it can do. Hurts where its best is not known yet.
 func (f *Scheduler) usual(t *Endpoint) float64 {
@@ -416,7 +416,7 @@
 	return math.Max(rate*(d.calls+1)/(d.sent+1), f.known(t))
 }
 
-// rest is two calls' time, at most half a document's life.
+// rest is two calls' time, at most half a message's life.
 func (f *Scheduler) rest(t *Endpoint) float64 { return math.Min(2/f.usual(t), f.life/2) }
 
 // known is this forwarder's even part of the rate that a route surely takes; at least one a second for all.
@@ -452,7 +452,7 @@
 		return
 	}
 	r.heard = f.now
-	// Departure: few documents teach no pace where no report tells what is left. Guards against hundreds that
+	// Departure: few messages teach no pace where no report tells what is left. Guards against hundreds that
 	// ask again soon and use the limit up with refusals; hurts after a chance refusal.
 	few := r.most == 0 && f.few(t.dest)
 	if r.refused++; r.refused == 1 || e.RetryAfter > 0 && e.RetryAfter < shutWait {
@@ -470,7 +470,7 @@
 		// No debt of earlier calls; and where calls are few, those refused together are not back together.
 		r.tokens = (2.75*f.dice.unit() - 2) * math.Min(1, 0.5/r.rate)
 	}
-	// Reason a sick target turns away, or one that reports no limit, tells of none: the ramp sees to its return.
+	// Reason a sick endpoint turns away, or one that reports no limit, tells of none: the ramp sees to its return.
 	// Guards against next to no pace after a hang; hurts where the limit itself is the sickness.
 	limited := t.state != sick && r.most >= 0 && !few
 	if cut := r.rate; limited && r.refused > 1 {
@@ -494,7 +494,7 @@
 		r.pace = math.Max(0.7*cut, f.known(t))
 	}
 	// Refused away again a second later, or at once where reports say there is no limit, nothing let in: two
-	// calls' time without one. Guards against many with a document each that knock on a hung destination and
+	// calls' time without one. Guards against many with a message each that knock on a hung destination and
 	// push it over. Hurts at limits that soon have room.
 	if f.now > r.since+1 && !few || r.most < 0 && r.refused > 1 {
 		r.closed = math.Max(r.closed, f.now+f.rest(t)*(0.5+f.dice.unit()))
@@ -543,7 +543,7 @@
 	return d.good < restored || slices.ContainsFunc(d.targets, f.silent)
 }
 
-// dark tells that no target of a destination answers.
+// dark tells that no endpoint of a destination answers.
 func (f *Scheduler) dark(d *Destination) bool {
 	alive := func(t *Endpoint) bool { return t.standing == Ready && t.state != sick }
 	return !slices.ContainsFunc(d.targets, alive)
@@ -551,7 +551,7 @@
 
 func share(slots int, part float64) int { return max(1, int(part*float64(slots))) }
 
-// place finds the target of a destination that has a place free for one more call, nil if there is none.
+// place finds the endpoint of a destination that has a place free for one more call, nil if there is none.
 func (f *Scheduler) place(d *Destination) *Endpoint {
 	part := capWell
 	if f.ill(d) {
@@ -577,15 +577,15 @@
 			continue
 		}
 		if n := len(t.calls); n > 0 && d.batch > 1 && t.calls[n-1].began == f.now {
-			continue // one call a turn: more documents would join the same call
+			continue // one call a turn: more messages would join the same call
 		}
-		// A target that failed of late comes after its siblings. Guards against one that fails some documents
+		// An endpoint that failed of late comes after its siblings. Guards against one that fails some messages
 		// (all of one type, say) and would get half of them; hurts while its siblings are nearly full.
 		s := float64(len(t.calls))/t.places + t.failing*math.Exp((t.failedAt-f.now)/fadeTime)
 		if t.zone != f.terms.Zone {
 			s += 0.5
 		}
-		// Guards against a forwarder of few calls opening a connection to each target in turn.
+		// Guards against a forwarder of few calls opening a connection to each endpoint in turn.
 		if f.now-t.lastUsed > f.terms.IdleTimeout {
 			s += 0.01
 		}
@@ -596,7 +596,7 @@
 	return best
 }
 
-// ready tells if a document may be sent to a target now by the rules of order and repetition.
+// ready tells if a message may be sent to an endpoint now by the rules of order and repetition.
 func (f *Scheduler) ready(d *Message, t *Endpoint) bool {
 	if d.chain != nil && (d.chain.first != d || d.chain.rest > f.now && d.sent == 0) {
 		return false
@@ -607,15 +607,15 @@
 	return true
 }
 
-// pick takes up to n documents for a call to a target: fresh ones from the tenants' ring, or retries.
+// pick takes up to n messages for a call to an endpoint: fresh ones from the tenants' ring, or retries.
 func (f *Scheduler) pick(d *Destination, t *Endpoint, n int, retries bool) []*Message {
 	var batch []*Message
 	fresh := func(doc *Message) bool { return f.ready(doc, t) && !slices.Contains(batch, doc) }
-	// Departure: to a target that is sick or back first go retries, which have least to lose, and elsewhere
+	// Departure: to an endpoint that is sick or back first go retries, which have least to lose, and elsewhere
 	// those that soon cannot be sent any more. Guards against losing what may have run; delays fresh work.
 	all := retries || t.state != well
 	again := func(doc *Message) bool {
-		// Trials are not to use up one document's transmissions.
+		// Trials are not to use up one message's attempts.
 		spared := t.state == sick && doc.ranFrom == 0 && doc.sent > f.terms.MaxAttempts/2
 		return !spared && (all || f.now > doc.closesAt()) && fresh(doc)
 	}
@@ -709,7 +709,7 @@
 }
 
 // timeout is how long a call is waited for: well beyond the slow ones of late, less so for the last slots,
-// and longer while a target answers none or few were measured. Guards against lost answers holding all slots,
+// and longer while an endpoint answers none or few were measured. Guards against lost answers holding all slots,
 // and against calls cut off that a few quick answers made look late, each of which may have run.
 func (f *Scheduler) timeout(t *Endpoint) float64 {
 	beyond := 3 + 3*5/(5+t.dest.took.total)
@@ -738,8 +738,8 @@
 	}
 }
 
-// short tells that a document has less time left than calls to its destination mostly take, or its targets
-// are closed for. Guards against a long line sent just too late, each a time-out that makes its target look
+// short tells that a message has less time left than calls to its destination mostly take, or its endpoints
+// are closed for. Guards against a long line sent just too late, each a time-out that makes its endpoint look
 // sick, and against sitting on what cannot go out any more. Hurts quick ones. Reason a restart found untried is
 // held while there is time, whatever waits say; sent too late it would take the place of others.
 func (f *Scheduler) short(d *Message) bool {
@@ -749,7 +749,7 @@
 	return late || closed && (!d.owed || d.sent > 0)
 }
 
-// review answers the documents that have no way left to arrive.
+// review answers the messages that have no way left to arrive.
 func (f *Scheduler) review() {
 	for _, d := range f.collectDue() {
 		if d.answered || d.call != nil && f.now < d.expiry+overdue {
@@ -766,7 +766,7 @@
 }
 
 // crowd cuts what is worth least of the longest line while the room is nearly full. Guards against a sick or
-// flooded destination turning away everybody's documents at the door; hurts when the flood would have passed.
+// flooded destination turning away everybody's messages at the door; hurts when the flood would have passed.
 func (f *Scheduler) crowd() {
 	for float64(f.held.count) > roomFull*float64(f.terms.QueueCapacity) {
 		last := f.victim(f.longest())
@@ -777,7 +777,7 @@
 	}
 }
 
-// worth is what a document brings now. Where value falls evenly, one that is late loses no less by waiting.
+// worth is what a message brings now. Where value falls evenly, one that is late loses no less by waiting.
 func (f *Scheduler) worth(d *Message) float64 {
 	if late := f.now - d.expiry + d.typ.TimeToLive - d.typ.LatencyObjective; late > 0 && f.terms.HalvingValue {
 		return d.typ.Value * math.Max(d.typ.LateValueShare, math.Pow(2, -late/d.typ.LatencyObjective))
@@ -789,7 +789,7 @@
 	return b.surplus && !a.surplus || a.surplus == b.surplus && f.worth(a) > f.worth(b)
 }
 
-// line is the time in slots that a destination's waiting documents take: a few calls may clear a long one.
+// line is the time in slots that a destination's waiting messages take: a few calls may clear a long one.
 func line(d *Destination) float64 { return float64(d.waiting) * d.took.slow / float64(max(1, d.batch)) }
 
 // answer gives the final answer at once: a rejection where a second try is harmless, else an abandonment.
@@ -819,7 +819,7 @@
 	f.emit()
 }
 
-// emit brings the present state to the wanted one: transmissions, answers, the list, the next wake-up.
+// emit brings the present state to the wanted one: attempts, answers, the list, the next wake-up.
 func (f *Scheduler) emit() {
 	for _, t := range f.recall {
 		f.host.CancelUnsent(t)
--- a/scheduler/state.go
+++ b/scheduler/state.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Scheduler is one instance of the module.
+// Scheduler is one instance of the scheduler.
 type Scheduler struct {
 	terms    Settings
 	host     Host
@@ -25,7 +25,7 @@
 	recall   []*Endpoint    // whose calls are not wanted any more unless they have begun to be sent
 	unplug   []*Endpoint    // whose idle connections are not wanted
 	out      int
-	kept     int             // bytes of documents that are not over
+	kept     int             // bytes of messages that are not over
 	until    float64         // when a stopping process ends; 0: it does not stop
 	wake     float64         // the wake-up that is set
 	idle     odds            // how calls on idle connections end
@@ -61,13 +61,13 @@
 	return f
 }
 
-// Message is one document held by a forwarder. The caller sets the fields in capitals, once.
+// Message is one message held by a forwarder. The caller sets the fields in capitals, once.
 type Message struct {
 	ID     uint64 // the adapter's id
 	Tenant int
 	Key    uint64
 	Dest   *Destination
-	Size   int // bytes that it takes where documents are kept
+	Size   int // bytes that it takes where messages are kept
 
 	AnsweredByNotice bool // its final answer, unless it is delivered in time, is a notice to who judges the time by another clock
 
@@ -77,8 +77,8 @@
 	chain    *chain
 	lane     *lane
 	call     *call   // the call that carries it now
-	sent     int     // transmissions spent
-	ranFrom  float64 // issue of the first transmission that may have run; 0: surely never ran
+	sent     int     // attempts spent
+	ranFrom  float64 // issue of the first attempt that may have run; 0: surely never ran
 	ranZone  int
 	answered bool
 	queued   bool
@@ -108,7 +108,7 @@
 // AwaitingAcknowledgement tells that its final answer is still to be heard.
 func (d *Message) AwaitingAcknowledgement() bool { return d.telling }
 
-// Finished tells that nothing more can be heard of the document.
+// Finished tells that nothing more can be heard of the message.
 func (d *Message) Finished() bool { return d.answered && d.call == nil && !d.telling }
 
 type answer uint8
@@ -151,7 +151,7 @@
 	back // answering again, still cold
 )
 
-// Route is what a limit and a wait bind: all targets of a destination, or one where they are apart.
+// Route is what a limit and a wait bind: all endpoints of a destination, or one where they are apart.
 type Route struct {
 	closed   float64 // told to wait, or turned away: nothing before
 	pace     float64 // calls a second that seem to be let through; 0: no limit met
@@ -169,31 +169,31 @@
 	told     float64 // when the share of it that is left was last reported
 }
 
-// Destination is one receiver with all its targets.
+// Destination is one receiver with all its endpoints.
 type Destination struct {
 	ID uint64 // the adapter's number
 
 	targets            []*Endpoint
 	shared             *Route
-	batch              int     // documents in one call at most
+	batch              int     // messages in one call at most
 	listed             float64 // calls a second as listed
 	lanes              []*lane // the ring of tenants
-	byTenant           []lane  // the last for documents without a tenant
+	byTenant           []lane  // the last for messages without a tenant
 	surplus            lane    // beyond the tenants' shares: after all other fresh work
 	retries            retryLane
-	classes            []*class  // of held documents
+	classes            []*class  // of held messages
 	expiries           *expiries // of those that wait; nil while none does
 	lateAt             float64   // when the first of them is late
 	latePosition       int32     // in the heap by that time
 	touched            bool      // the next review looks at it
 	node               *ringNode // its place in the ring, nil while it is in none
-	held               int       // documents of it that a forwarder has not answered
+	held               int       // messages of it that a forwarder has not answered
 	waiting            int       // of these, the ones in a lane
 	out                int       // calls
-	taken, sent, calls float64   // since the start: documents taken, transmissions, calls made
-	won, fit           float64   // documents delivered while no target was sick or back, and the seconds of that
+	taken, sent, calls float64   // since the start: messages taken, attempts, calls made
+	won, fit           float64   // messages delivered while no endpoint was sick or back, and the seconds of that
 	seen               float64   // up to when fit is counted
-	unfit              bool      // a target is sick or back
+	unfit              bool      // an endpoint is sick or back
 	good               int       // timely answers in a row
 	took               hist
 	kind               int
@@ -202,11 +202,11 @@
 	mode               string
 }
 
-// call is one call, with one document or several.
+// call is one call, with one message or several.
 type call struct {
 	target *Endpoint
 	began  float64
-	docs   int // documents without an ending yet
+	docs   int // messages without an ending yet
 	noted  bool
 	reused bool // on a connection that had been idle, as far as can be told
 }
@@ -219,7 +219,7 @@
 	return reported
 }
 
-// HasType tells if the terms state this document type.
+// HasType tells if the terms state this message type.
 func (f *Scheduler) HasType(n int) bool { return n < len(f.terms.Types) }
 
 func (f *Scheduler) SetTime(now float64) { f.now = now }
@@ -237,16 +237,16 @@
 	}
 }
 
-// few tells that a destination gets few documents.
+// few tells that a destination gets few messages.
 func (f *Scheduler) few(d *Destination) bool { return d.taken/(f.now-f.began+2) < fewDocs }
 
 // TimerFired is a wake-up that was asked for.
 func (f *Scheduler) TimerFired() { f.wake = math.Inf(1) }
 
-// Withdraw says that the client does not want the document any more.
+// Withdraw says that the client does not want the message any more.
 func (f *Scheduler) Withdraw(d *Message) { f.finish(d) }
 
-// finish ends the forwarder's duty for a document; a call that carries it may still be out.
+// finish ends the forwarder's duty for a message; a call that carries it may still be out.
 func (f *Scheduler) finish(d *Message) {
 	if d.answered {
 		return
@@ -260,7 +260,7 @@
 	f.unchain(d)
 }
 
-// Forget lets go of a destination that no target is listed for and no document is held for, and tells if it did.
+// Forget lets go of a destination that no endpoint is listed for and no message is held for, and tells if it did.
 // MaxClients may name any.
 func (f *Scheduler) Forget(d *Destination) bool {
 	if len(d.targets) > 0 || d.held > 0 || d.ringed || d.heard {
@@ -270,13 +270,13 @@
 	return true
 }
 
-// NoticeAcknowledged says that the final answer of a document has reached those whom it is for.
+// NoticeAcknowledged says that the final answer of a message has reached those whom it is for.
 func (f *Scheduler) NoticeAcknowledged(d *Message) {
 	d.telling = false
 	f.unchain(d)
 }
 
-// letGo ends the memory of targets that are gone, once no call to them is out: new ones come all day.
+// letGo ends the memory of endpoints that are gone, once no call to them is out: new ones come all day.
 func (f *Scheduler) letGo(d *Destination) {
 	for i := len(d.targets) - 1; i >= 0; i-- {
 		if t := d.targets[i]; t.standing == Removed && len(t.calls) == 0 {
@@ -404,17 +404,17 @@
 	return list
 }
 
-// CallsInFlight tells how many transmissions are out.
+// CallsInFlight tells how many attempts are out.
 func (f *Scheduler) CallsInFlight() int { return f.out }
 
-// Ejected tells that a target is tried at a trickle only, after it failed.
+// Ejected tells that an endpoint is tried at a trickle only, after it failed.
 func (t *Endpoint) Ejected() bool { return t.state == sick }
 
-// BlockedUntil tells until when a target's route takes no call: a wait that it told, or a pause after refusals.
+// BlockedUntil tells until when an endpoint's route takes no call: a wait that it told, or a pause after refusals.
 func (t *Endpoint) BlockedUntil() float64 { return t.route.closed }
 
-// BlockUntil keeps a target's route shut until then, as an earlier process of this forwarder was told to. Called after the
-// target is listed.
+// BlockUntil keeps an endpoint's route shut until then, as an earlier process of this forwarder was told to. Called
+// after the endpoint is listed.
 func (f *Scheduler) BlockUntil(t *Endpoint, until float64) {
 	t.route.closed = math.Max(t.route.closed, until)
 	f.due.touch(t.dest)
--- a/transport/end.go
+++ b/transport/end.go
@@ -2,7 +2,7 @@
 
 import "spanflow/scheduler"
 
-// ResultCode is the way in which a connection ended for one document: by an answer, or by what befell the connection.
+// ResultCode is the way in which a connection ended for one message: by an answer, or by what befell the connection.
 type ResultCode uint8
 
 const (
@@ -11,8 +11,8 @@
 	ResultRetryAfter                          // 429, or "later" with a wait
 	ResultOverloaded                          // 503, or "later"
 	ResultNoSlot                              // 503 with X-Conn-StatusOverloaded: all slots of this forwarder are taken
-	ResultAttemptsExhausted                   // 504, or "exhausted": no transmission is left, the end is still owed
-	ResultGone                                // 410, or "gone": the document is over
+	ResultAttemptsExhausted                   // 504, or "exhausted": no attempt is left, the end is still owed
+	ResultGone                                // 410, or "gone": the message is over
 	ResultBadRequest                          // 400 or 413: the call could not be read, nothing of it ran
 	ResultConnectRefused                      // no connection: refused, unreachable, no descriptor
 	ResultConnectTimeout                      // no connection in time
@@ -22,7 +22,7 @@
 	ResultTimeout                             // no answer in the time allowed, the call written whole
 	ResultTimeoutBeforeSent                   // no answer in the time allowed, the call not written whole
 	ResultNotStarted                          // the forwarder itself could not begin the call
-	ResultCancelled                           // the module took the call back before its first byte
+	ResultCancelled                           // the scheduler took the call back before its first byte
 )
 
 var resultNames = [...]string{"took", "failed", "waiting", "turned away", "line busy", "spent", "gone", "unread", "refused",
@@ -30,7 +30,7 @@
 
 func (e ResultCode) String() string { return resultNames[e] }
 
-// MayHaveRun tells if the document may have run.
+// MayHaveRun tells if the message may have run.
 func (e ResultCode) MayHaveRun() bool {
 	return e <= ResultServerError || e == ResultClosed || e == ResultMalformed || e == ResultTimeout
 }
@@ -44,7 +44,7 @@
 	return true
 }
 
-// Outcome is the one place where an end becomes a word of the module; over: the document is over by it.
+// Outcome is the one place where an end becomes a word of the scheduler; over: the message is over by it.
 func (e ResultCode) Outcome() (o scheduler.Outcome, over bool) {
 	switch e {
 	case ResultOK:
