--- a/transport/seam.go
+++ b/transport/seam.go
@@ -1,20 +1,21 @@
-// Package seam is where fronts and outlets meet the owner of the decision module. A front turns its protocol into
-// documents handed in and tells each caller the answer at the door and, where the caller waits for it, the final one.
-// An outlet carries out calls to targets and reports one End for each document. A source brings the list of targets, a
-// teller takes the final answers that no caller waits for. NoAnswer of them knows another, and none chooses.
+// Package seam is where frontends and upstreams meet the event loop of the scheduler. A frontend turns its protocol
+// into messages handed in and tells each caller the answer at the door and, where the caller waits for it, the final
+// one. An upstream carries out calls to endpoints and reports one End for each message. A source brings the list of
+// endpoints, a teller takes the final answers that no caller waits for. NoAnswer of them knows another, and none
+// chooses.
 package transport
 
 import "time"
 
-// Message is a document as it travels. Its parts are not copied; they must last until the call has ended.
+// Message is a message as it travels. Its parts are not copied; they must last until the call has ended.
 type Message struct {
-	MessageID      uint64 // the owner's number
+	MessageID      uint64 // the event loop's number
 	ID             string
 	IdempotencyKey string // by which a repeat is known
 	Body           []byte
 }
 
-// Submission is a document handed in. It holds a copy of what was read: it outlives the front's buffer.
+// Submission is a message handed in. It holds a copy of what was read: it outlives the frontend's buffer.
 type Submission struct {
 	Key            uint64
 	ID             string
@@ -30,12 +31,12 @@
 	UnknownOption string // a name among those with values that is not known here
 }
 
-// Request is one thing that a caller wants: a document taken on, a sign of life, or, with Why, an answer to what could
+// Request is one thing that a caller wants: a message taken on, a sign of life, or, with Why, an answer to what could
 // not be understood.
 type Request struct {
 	From       Caller
-	Submission *Submission // a document handed in
-	Ping       bool        // asks for a sign of life from the owner
+	Submission *Submission // a message handed in
+	Ping       bool        // asks for a sign of life from the event loop
 	Malformed  string      // what was wrong with anything else that came
 	Close      bool        // after the answer the caller's connection ends
 }
@@ -44,10 +45,10 @@
 type Status uint8
 
 const (
-	StatusAccepted   Status = iota // the document is owed from now on
+	StatusAccepted   Status = iota // the message is owed from now on
 	StatusOverloaded               // not taken on; coming again is harmless
 	StatusInvalid                  // not taken on, with the reason
-	StatusAlive                    // the owner turns
+	StatusAlive                    // the event loop turns
 	StatusMalformed                // what came could not be understood
 )
 
@@ -59,16 +60,16 @@
 	Close      bool   // the connection ends after it
 }
 
-// Caller is who handed a document in. Its methods are called by the owner and must not block: a caller that does not
-// read is the front's to bound.
+// Caller is who handed a message in. Its methods are called by the event loop and must not block: a caller that does
+// not read is the frontend's to bound.
 type Caller interface {
 	Disconnected() bool // does not hear an answer any more
 	Answer(Reply) bool  // answers its oldest open request; false if nobody hears it
 }
 
-// WaitingCaller is a caller that is told the final answer itself, as its call stays open for it. Reason became of a document
-// whose WaitingCaller is gone is told to nobody: it is withdrawn. A front says so by Submitter.Withdraw, a process that starts
-// after another finds it so for all that came by such callers.
+// WaitingCaller is a caller that is told the final answer itself, as its call stays open for it. Reason became of a
+// message whose WaitingCaller is gone is told to nobody: it is withdrawn. A frontend says so by Submitter.Withdraw, a
+// process that starts after another finds it so for all that came by such callers.
 type WaitingCaller interface {
 	Caller
 	Complete(FinalAnswer)
@@ -85,7 +86,7 @@
 
 func (o Outcome) String() string { return [...]string{"delivered", "returned", "abandoned"}[o] }
 
-// FinalAnswer is a document's final answer.
+// FinalAnswer is a message's final answer.
 type FinalAnswer struct {
 	MessageID    uint64
 	ID           string
@@ -93,14 +94,14 @@
 	RetryAfterMs int // with Rejected: until the caller may come again; 0 if not told
 }
 
-// Submitter is where a front leaves what its callers want, in each one's order. Ask may block while too much of that front
-// waits there.
+// Submitter is where a frontend leaves what its callers want, in each one's order. Ask may block while too much of that
+// frontend waits there.
 type Submitter interface {
 	Submit(Request)
-	Withdraw(id string) // the WaitingCaller that handed a document in has gone
+	Withdraw(id string) // the WaitingCaller that handed a message in has gone
 }
 
-// ConnectionStats tells what became of a front's connections since the start.
+// ConnectionStats tells what became of a frontend's connections since the start.
 type ConnectionStats struct {
 	Open, Peak, Accepted        int
 	Refused                     int    // away unread, for want of room
@@ -121,9 +122,9 @@
 	Stop() // ends all
 }
 
-// Request is one call to a target with one paper or several.
+// Request is one call to an endpoint with one paper or several.
 type Call struct {
-	EndpointID uint64 // the owner's number of the target: connections are its own, also where another had its address
+	EndpointID uint64 // the event loop's number of the endpoint: connections are its own, also where another had its address
 	Address    string // its address
 	Messages   []Message
 	Timeout    time.Duration
@@ -140,7 +141,7 @@
 	Reason        string  // for the log: what could not be read, or why a connection failed
 }
 
-// ResultListener is where an outlet leaves the ends of calls. It never blocks.
+// ResultListener is where an upstream leaves the ends of calls. It never blocks.
 type ResultListener interface {
 	CallEnded(CallResult)
 }
@@ -148,12 +149,12 @@
 // Upstream carries out calls.
 type Upstream interface {
 	Send(*Call)
-	CancelUnsent(target uint64) // ends the calls to a target of which nothing has been sent, as ResultCancelled
+	CancelUnsent(target uint64) // ends the calls to an endpoint of which nothing has been sent, as ResultCancelled
 	CloseIdle(target uint64)
 	IdleConnections() int // connections without a call
 }
 
-// UpdateEndpoints is what a source says of targets: all of them, or changes.
+// UpdateEndpoints is what a source says of endpoints: all of them, or changes.
 type EndpointList struct {
 	Revision  int64      `json:"rev"`
 	Complete  bool       `json:"all"`
@@ -203,18 +204,18 @@
 	NoticesAcknowledged(doors []uint64)
 }
 
-// Notifier takes the final answers of documents that were not delivered and whose callers do not wait for them. It tells
+// Notifier takes the final answers of messages that were not delivered and whose callers do not wait for them. It tells
 // each again and again until it is heard.
 type Notifier interface {
 	Notify(FinalAnswer)
 }
 
-// Recorder counts what a forwarder does. Its methods are called by the owner and must not block.
+// Recorder counts what a forwarder does. Its methods are called by the event loop and must not block.
 type Recorder interface {
-	SubmissionAnswered(front string, word Status)       // a document's answer at the door
-	AttemptEnded(end ResultCode, took time.Duration)    // a transmission
-	FinalAnswered(outcome Outcome, after time.Duration) // a final answer, so long after the document was handed in
-	LoopTurn(news int, took time.Duration)              // a turn of the owner
+	SubmissionAnswered(front string, word Status)       // a message's answer at the door
+	AttemptEnded(end ResultCode, took time.Duration)    // an attempt
+	FinalAnswered(outcome Outcome, after time.Duration) // a final answer, so long after the message was handed in
+	LoopTurn(news int, took time.Duration)              // a turn of the event loop
 	Addr() string                                       // where the figures are served
 	Stop()
 }
