--- a/cmd/spanflow/daily_test.go
+++ b/cmd/spanflow/daily_test.go
@@ -198,7 +198,7 @@
 
 // The operators empty the forwarder: its frontend hears no at PING, a client idle is let go, one in the middle of a
 // message is answered and then let go, and the message reaches the endpoint. At the second call it says yes again.
-func TestALameduckSendsClientsAwayAndLosesNoDocument(t *testing.T) {
+func TestALameDuckSendsClientsAwayAndLosesNoMessage(t *testing.T) {
 	s := newStage(t, "single")
 	p := s.launch(nil)
 	_, text, _ := strings.Cut(p.log.Await(t, `"message":"ready"`), `"listen":"`)
@@ -256,7 +256,7 @@
 
 // An endpoint taken out by hand gets nothing new, also from the process that replaces the first, until it is put back;
 // an id that nobody has is owed a no.
-func TestATargetOutByHandStaysOutOverAnUpgrade(t *testing.T) {
+func TestAnEndpointOutByHandStaysOutOverAnUpgrade(t *testing.T) {
 	s := newStage(t, "single")
 	socket := s.handedDown()
 	first := s.launch(socket)
@@ -327,7 +327,7 @@
 
 // An endpoint tells the first process to wait; the process that replaces it in an upgrade heeds the wait, and sends
 // again only after it.
-func TestAWaitToldBeforeAnUpgradeIsHeededAfterIt(t *testing.T) {
+func TestARetryAfterToldBeforeAnUpgradeIsHeededAfterIt(t *testing.T) {
 	s := newStage(t, "single")
 	var told atomic.Int64
 	s.target.Do(func(c emulator.Call) emulator.Reply {
@@ -350,7 +350,7 @@
 }
 
 // An endpoint out by hand stays out when the forwarder is killed and started again on its folder.
-func TestATargetOutByHandStaysOutOverAKill(t *testing.T) {
+func TestAnEndpointOutByHandStaysOutOverAKill(t *testing.T) {
 	s := newStage(t, "single")
 	first := s.launch(nil)
 	first.log.Await(t, `"message":"ready"`)
--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -43,7 +43,7 @@
 
 // Seven of ten forwarders are killed at once with messages out and messages held, and started again on their folders:
 // each message ends once, by delivery or by a notice, and none that must not run twice is sent twice.
-func TestMostOfAFleetKilledAtOnceAnswersEveryDocumentOnce(t *testing.T) {
+func TestMostOfAFleetKilledAtOnceAnswersEveryMessageOnce(t *testing.T) {
 	s := newStage(t, "single")
 	hold := make(chan struct{})
 	var mu sync.Mutex
--- a/cmd/spanflow/main_test.go
+++ b/cmd/spanflow/main_test.go
@@ -161,7 +161,7 @@
 
 const zero = "0000000000000000"
 
-func TestADocumentReachesItsTargetUnchanged(t *testing.T) {
+func TestAMessageReachesItsEndpointUnchanged(t *testing.T) {
 	s := newStage(t, "single")
 	c := s.start()
 	body := "any\x00bytes\r\n\xff" + strings.Repeat("x", 60<<10)
@@ -296,7 +296,7 @@
 	require.Eventually(s.t, func() bool { return s.log.Count(word) > before }, 10*time.Second, 5*time.Millisecond)
 }
 
-func TestSeveralDocumentsTravelAsOneCallWithAnEndForEach(t *testing.T) {
+func TestSeveralMessagesTravelAsOneCallWithAnEndForEach(t *testing.T) {
 	s := newStage(t, "several")
 	hold := make(chan struct{})
 	s.target.Do(func(c emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
@@ -337,7 +337,7 @@
 	require.Empty(t, s.target.Calls)
 }
 
-func TestAFullRoomAndAFullLedgerAreRefusals(t *testing.T) {
+func TestAFullRoomAndAFullWriteAheadLogAreRefusals(t *testing.T) {
 	s := newStage(t, "single")
 	s.target.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: make(chan struct{})} })
 	s.room, s.diskMB = 20, 1
@@ -567,7 +567,7 @@
 	}
 }
 
-func TestKilledAgainAndAgainEveryDocumentEndsOnceAndInOrder(t *testing.T) {
+func TestKilledAgainAndAgainEveryMessageEndsOnceAndInOrder(t *testing.T) {
 	s := newStage(t, "several")
 	w := &witness{dice: rand.New(rand.NewPCG(3, 4)), over: map[string]bool{}, mayRun: map[string]bool{}}
 	s.target.Do(w.call)
--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -26,11 +26,11 @@
 "Limits":{"AttemptsCap":6,"MaxOpen":4000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,"ConnectTimeout":1500},
 "Report":{"Fields":[]},"Discovery":"ask","WeightKind":"silent","NInstances":1,"Tenants":[]}}`
 
-// BenchmarkDocument drives the whole way over loopback: RESP frontend, Exchange, owner, module, write-ahead log, HTTP
+// BenchmarkMessage drives the whole way over loopback: RESP frontend, Exchange, owner, module, write-ahead log, HTTP
 // upstream, eight endpoints that answer at once. An op is a message from the handing in to its delivery; sixteen
 // clients hand in, each its next one when the one before has its answer, up to 128 under way. A returned message fails
 // the run. cpu-ns/op is of the whole process, clients and endpoints included.
-func BenchmarkDocument(b *testing.B) {
+func BenchmarkMessage(b *testing.B) {
 	delivered := make(chan struct{}, 4096)
 	var list []emulator.Entry
 	for dest := range 8 {
--- a/forwarder/exchange_test.go
+++ b/forwarder/exchange_test.go
@@ -10,7 +10,7 @@
 	"spanflow/transport"
 )
 
-func TestAFullGateHoldsUpItsOwnFrontAlone(t *testing.T) {
+func TestAFullGateHoldsUpItsOwnFrontendAlone(t *testing.T) {
 	x := newExchange()
 	flood, other := x.gate("flood", "flood", 1000, 1<<20), x.gate("other", "other", 10, 100)
 	for range 1000 {
@@ -43,7 +43,7 @@
 	require.Equal(t, "the last", last.Malformed)
 }
 
-func TestAFrontThatHasEndedIsHeldUpByNothing(t *testing.T) {
+func TestAFrontendThatHasEndedIsHeldUpByNothing(t *testing.T) {
 	x := newExchange()
 	g := x.gate("a", "a", 1, 0)
 	g.Submit(transport.Request{Ping: true})
@@ -74,7 +74,7 @@
 	require.ErrorContains(t, err, "a: 4 connections are under the least, 5")
 }
 
-func TestASampleOfDocumentsIsTraced(t *testing.T) {
+func TestASampleOfMessagesIsTraced(t *testing.T) {
 	of := func(l Log) (n int) {
 		tr := newTrace(l)
 		for i := range 10_000 {
--- a/forwarder/last_test.go
+++ b/forwarder/last_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestWhatWasLearntOutlastsAKill(t *testing.T) {
+func TestWhatWasLearnedOutlastsAKill(t *testing.T) {
 	h := newHouse(t).start()
 	c := h.fronts["inner"].hand(transport.Submission{ID: "a", Type: "status", Destination: 7})
 	require.Equal(t, transport.StatusAccepted, (<-c.door).Status)
--- a/forwarder/learnt_test.go
+++ b/forwarder/learnt_test.go
@@ -37,7 +37,7 @@
 	return o, &said
 }
 
-func TestCallTimesOutlastARestartAndWhatIsSpoiltIsPassedOver(t *testing.T) {
+func TestCallTimesOutlastARestartAndWhatIsMalformedIsPassedOver(t *testing.T) {
 	folder := t.TempDir()
 	old, _ := learning(folder)
 	times := make([]float64, 16)
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -158,7 +158,7 @@
 	require.Empty(t, v.Pending)
 }
 
-func TestWhatAnAbandonedCallHandedInIsNotTransmitted(t *testing.T) {
+func TestWhatAnAbandonedCallHandedInIsNotSent(t *testing.T) {
 	h := newHouse(t).start()
 	in := h.fronts["inner"]
 	first := in.hand(transport.Submission{ID: "a", Type: "payment", Key: 5, Destination: 7})
@@ -208,7 +208,7 @@
 }
 
 // One frontend's callers flood without reading their answers; another's and the platform's go on being served.
-func TestAFrontThatFloodsStarvesNoOther(t *testing.T) {
+func TestAFrontendThatFloodsStarvesNoOther(t *testing.T) {
 	h := newHouse(t, forwarder.Frontend{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
 	end, flooded := make(chan struct{}), make(chan struct{})
 	var asked atomic.Int64
@@ -262,7 +262,7 @@
 	return ln.Addr().String()
 }
 
-func TestAFrontMovesToAnotherAddressWhileCallsAreOut(t *testing.T) {
+func TestAFrontendMovesToAnotherAddressWhileCallsAreOut(t *testing.T) {
 	h := newHouse(t)
 	next := *h.order
 	var fail error
@@ -304,7 +304,7 @@
 	require.NotEqual(t, old, addr)
 }
 
-func TestTargetsOfAnOrdersOwnListComeAndGoAtAReload(t *testing.T) {
+func TestEndpointsOfAnOrdersOwnListComeAndGoAtAReload(t *testing.T) {
 	h := newHouse(t)
 	next := *h.order
 	h.order.Reload = func() (*forwarder.Config, error) { o := next; return &o, nil }
@@ -323,7 +323,7 @@
 	h.hands.end(call, transport.ResultOK)
 }
 
-func TestTheCourseOfPickedDocumentsIsLogged(t *testing.T) {
+func TestTheCourseOfPickedMessagesIsLogged(t *testing.T) {
 	h := newHouse(t)
 	h.order.Log.Keys = []uint64{5}
 	h.start()
--- a/internal/commands/backlog_test.go
+++ b/internal/commands/backlog_test.go
@@ -109,7 +109,7 @@
 	return names[len(names)-1]
 }
 
-func TestStoredDocumentsAreListedByLaneAndFiltered(t *testing.T) {
+func TestStoredMessagesAreListedByLaneAndFiltered(t *testing.T) {
 	folder := newStore(t)
 	before := files(t, folder)
 	for _, c := range []struct {
@@ -160,7 +160,7 @@
 	require.Regexp(t, `(?m)^backlog.disk +256MB +default +reload$`, out)
 }
 
-func TestAStoredDocumentIsShownWithItsHistory(t *testing.T) {
+func TestAStoredMessageIsShownWithItsHistory(t *testing.T) {
 	folder := newStore(t)
 	out, code := run("backlog", "show", "id-3", "-f", folder)
 	require.Equal(t, 0, code, out)
@@ -178,7 +178,7 @@
 	require.Contains(t, out, folder+` stores no document with the id "id-3"`)
 }
 
-func TestStoredDocumentsAreSummedUp(t *testing.T) {
+func TestStoredMessagesAreSummedUp(t *testing.T) {
 	folder := newStore(t)
 	out, code := run("backlog", "stat", "-f", folder, "--json")
 	require.Equal(t, 0, code, out)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -141,7 +141,7 @@
 	}
 }
 
-func TestAFrontCanBeMadeByVariableAlone(t *testing.T) {
+func TestAFrontendCanBeMadeByVariableAlone(t *testing.T) {
 	text := strings.Replace(whole, "[[fronts]]\nlisten = \"127.0.0.1:6379\"\n", "", 1)
 	require.Contains(t, wrong(t, text, nil, nil), "fronts: there is none")
 	require.Empty(t, wrong(t, text, []string{"PROXY_LISTEN=127.0.0.1:1"}, nil))
--- a/internal/drains/rota_test.go
+++ b/internal/drains/rota_test.go
@@ -9,7 +9,7 @@
 	"spanflow/scheduler"
 )
 
-func TestATargetOutByHandDrainsWhateverTheListSays(t *testing.T) {
+func TestAnEndpointOutByHandDrainsWhateverTheListSays(t *testing.T) {
 	r := New(nil)
 	v, c := r.Drain("s1", true)
 	require.Equal(t, Accepted, v)
--- a/internal/respserver/intake_test.go
+++ b/internal/respserver/intake_test.go
@@ -17,7 +17,7 @@
 	return command(nil, b)
 }
 
-func TestADocumentIsReadFromItsCommand(t *testing.T) {
+func TestAMessageIsReadFromItsCommand(t *testing.T) {
 	p := ask("msg.put", "7f3a9c21e0b4d655", "9b1f", "c=notice,d=8000.5,k=5c0f,dest=7,t=x,r=1,again=1,q=1", "\x00body").Submission
 	require.NotNil(t, p)
 	require.Equal(t, []any{uint64(0x7f3a9c21e0b4d655), "9b1f", "notice", 8.0005, "5c0f", uint64(7), "x", "q", "\x00body"},
@@ -25,7 +25,7 @@
 	require.True(t, ask("ping").Ping)
 }
 
-func TestWhatIsNoDocumentIsToldSo(t *testing.T) {
+func TestWhatIsNoMessageIsToldSo(t *testing.T) {
 	const names = "c=notice,d=8000,dest=7"
 	for _, args := range [][]string{{"GET", "x"}, {"MSG.PUT", "0", "a", names}, {"MSG.PUT", "key", "a", names, ""},
 		{"MSG.PUT", "0", "", names, ""}, {"MSG.PUT", "0", "a b", names, ""}, {"MSG.PUT", "0", "a\r\nX: y", names, ""},
--- a/internal/settings/terms_test.go
+++ b/internal/settings/terms_test.go
@@ -12,7 +12,7 @@
 "Extra":{"CallsOut":3,"Decay":"halves","Unheard":1},"Limits":{"AttemptsCap":12,"MaxOpen":19,"RetryAfter":false,"MaxRetryAfter":3000,
 "SecondCopies":true},"NInstances":218,"WeightKind":"nominal"}`
 
-func TestTheSettingsOfTheMoveReachTheModule(t *testing.T) {
+func TestTheSettingsOfTheMoveReachTheScheduler(t *testing.T) {
 	got, _, err := Read([]byte(moved))
 	require.NoError(t, err)
 	require.True(t, got.HalvingValue)
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/wire_test.go
@@ -58,7 +58,7 @@
 	require.Equal(t, unhex("08000000 00000000"), out)
 }
 
-func TestADocumentIsTransmittedToItsTarget(t *testing.T) {
+func TestAMessageIsSentToItsEndpoint(t *testing.T) {
 	out, err := serve(t, frame(4, provision, manifest, discovery, demand))
 	require.NoError(t, err)
 	require.Contains(t, string(out), string(unhex("00 0300 c4913a5d 0a")), "to one of the two")
--- a/internal/upstream/outlet_test.go
+++ b/internal/upstream/outlet_test.go
@@ -106,7 +106,7 @@
 	require.Zero(t, s.IdleConnections())
 }
 
-func TestBytesOnTheirWayToTheOutletAreNotTheAnswerToTheNextCall(t *testing.T) {
+func TestBytesOnTheirWayToTheUpstreamAreNotTheAnswerToTheNextCall(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "b")
 	c := s.accepts()
@@ -156,7 +156,7 @@
 	s.ends(transport.ResultOK)
 }
 
-func TestAnAnswerOnItsWayToTheOutletEndsTheCallWhoseTimeIsOver(t *testing.T) {
+func TestAnAnswerOnItsWayToTheUpstreamEndsTheCallWhoseTimeIsOver(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "late")
 	late := s.accepts()
@@ -265,7 +265,7 @@
 const head = "HTTP/1.1 200 OK\r\n"
 
 // A message whose answer is spoilt has run, whatever a piece of the answer says; but one's own 200 is true.
-func TestASpoiltAnswerMayStandForADocumentThatRan(t *testing.T) {
+func TestAMalformedAnswerMayStandForAMessageThatRan(t *testing.T) {
 	s := newScene(t)
 	for text, want := range map[string]transport.ResultCode{
 		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                transport.ResultMalformed,
@@ -324,7 +324,7 @@
 	s.ends(transport.ResultCancelled)
 }
 
-func TestATargetDoesNotInheritTheConnectionsOfOneThatHadItsAddress(t *testing.T) {
+func TestAnEndpointDoesNotInheritTheConnectionsOfOneThatHadItsAddress(t *testing.T) {
 	s := newScene(t)
 	s.send(time.Minute, "b")
 	s.accepts().Write([]byte(ok))
--- a/internal/wal/ledger_test.go
+++ b/internal/wal/ledger_test.go
@@ -97,7 +97,7 @@
 	require.Len(t, l.Pending(), 2)
 }
 
-func TestALedgerAtItsLimitTakesNothingMoreButGoesOnServing(t *testing.T) {
+func TestAWriteAheadLogAtItsLimitTakesNothingMoreButGoesOnServing(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	var held []*Entry
@@ -192,7 +192,7 @@
 	})
 }
 
-func TestAnEntryKeepsTheFrontByWhichItCame(t *testing.T) {
+func TestAnEntryKeepsTheFrontendByWhichItCame(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	require.NoError(t, l.Append(&Entry{ID: "a", Type: "ticket", Frontend: "proxy", CallerWaits: true, Body: []byte("b")}))
@@ -288,7 +288,7 @@
 	<-ended
 }
 
-func TestADocumentThatWasElsewhereComesBackUnderItsNumber(t *testing.T) {
+func TestAMessageThatWasElsewhereComesBackUnderItsNumber(t *testing.T) {
 	dir := t.TempDir()
 	l := open(t, dir)
 	a := take(t, l, "a", 3)
--- a/internal/wal/restarts_test.go
+++ b/internal/wal/restarts_test.go
@@ -9,7 +9,7 @@
 
 // Each process begins a file. Those of processes that wrote less than a file holds are freed too, before they fill the
 // log: it would take nothing more and record no end, whatever little is owed.
-func TestManyShortProcessesDoNotFillTheLedger(t *testing.T) {
+func TestManyShortProcessesDoNotFillTheWriteAheadLog(t *testing.T) {
 	dir := t.TempDir()
 	kept := 0
 	for process := range 120 {
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -42,7 +42,7 @@
 	return all
 }
 
-func TestAHuntCatchesAModuleWithoutARampAndKeepsTheScene(t *testing.T) {
+func TestAHuntCatchesASchedulerWithoutARampAndKeepsTheScenario(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "when missing")
 	h := hunt(t, dir, rampless, 1, 16)
 	require.NotEmpty(t, h.Breaks)
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestEveryDrawnSceneIsSound(t *testing.T) {
+func TestEveryDrawnScenarioIsSound(t *testing.T) {
 	for seed := range uint64(2000) {
 		s := DrawAny(seed)
 		require.Empty(t, s.Check(), "seed %d", seed)
--- a/lab/receiver/partner_test.go
+++ b/lab/receiver/partner_test.go
@@ -112,7 +112,7 @@
 
 // Warm it does 40 a second; at its return it stands twice a quarter of that, 20 a second, as a budget for any second and a
 // half: a call beyond 31 within that time pushes it over, a short burst does not.
-func TestAColdTargetFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
+func TestAColdEndpointFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
 	terms := receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
 	for _, c := range []struct {
 		rate  float64
@@ -159,7 +159,7 @@
 	require.Equal(t, []bool{true, false, false, true}, []bool{n.all[0].Effect, n.all[1].Effect, n.all[2].Effect, n.all[3].Effect})
 }
 
-func TestTroublesDoWhatTheySay(t *testing.T) {
+func TestFaultsDoWhatTheySay(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
 	d := receiver.New(0, receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	target := d.Endpoints[0]
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -33,7 +33,7 @@
 	return n
 }
 
-func TestTheModuleKeepsTheRulesInEachKeptScene(t *testing.T) {
+func TestTheSchedulerKeepsTheRulesInEachKeptScenario(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		r := Play(kept(t, name), 1, Module)
 		require.Empty(t, r.Violations, name)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestTheSameSceneAndSeedGiveTheSameBytes(t *testing.T) {
+func TestTheSameScenarioAndSeedGiveTheSameBytes(t *testing.T) {
 	s := kept(t, "several-at-once")
 	want := Play(s, 7, Module).JSON()
 	for _, cores := range []int{1, 4} {
@@ -104,7 +104,7 @@
 }
 
 // One short scene on real sockets: the built program as processes, the same model of receivers.
-func TestASceneOnRealSockets(t *testing.T) {
+func TestAScenarioOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
--- a/scheduler/concurrency_test.go
+++ b/scheduler/concurrency_test.go
@@ -20,7 +20,7 @@
 	require.LessOrEqual(t, d.out, 4)
 }
 
-func TestManySickDestinationsLeaveSlotsToTheOthers(t *testing.T) {
+func TestManyEjectedDestinationsLeaveSlotsToTheOthers(t *testing.T) {
 	h := start(terms)
 	for range 6 {
 		d := h.receiver(0, 0, 0)
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -49,7 +49,7 @@
 	require.Equal(t, []string{"close 0"}, h.log) // its only call: an idle connection would not be used again
 }
 
-func TestForwardersStartAtDifferentTargetsAndStayThere(t *testing.T) {
+func TestForwardersStartAtDifferentEndpointsAndStayThere(t *testing.T) {
 	first := map[uint64]int{}
 	for seed := range uint64(40) {
 		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEveryDocumentGetsOneAnswerBeforeExpiry(t *testing.T) {
+func TestEveryMessageGetsOneAnswerBeforeExpiry(t *testing.T) {
 	h := start(terms)
 	nowhere := h.NewDestination(1)
 	doc := h.take(nowhere, ticket, 5)
@@ -28,7 +28,7 @@
 }
 
 // A long line in which each message is sent just too late would make a good endpoint look sick.
-func TestADocumentThatCallsMostlyOutlastIsAnsweredNotTransmitted(t *testing.T) {
+func TestAMessageThatCallsMostlyOutlastIsAnsweredNotSent(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	for range 50 {
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -125,7 +125,7 @@
 	}
 }
 
-func TestWhatAllRemainingTargetsAreClosedForIsAnsweredOnceAnotherIsLetGo(t *testing.T) {
+func TestWhatAllRemainingEndpointsAreClosedForIsAnsweredOnceAnotherIsLetGo(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0, 0)
 	out := h.take(d, status, 0)
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -88,7 +88,7 @@
 
 // A fleet of few messages each, some with far more, at an exact listed limit that refused calls use up: after a clump
 // the sum of their calls falls under the limit, and what comes then is let in.
-func TestManyUnevenForwardersLeaveAnExactLimitRoomAfterAClump(t *testing.T) {
+func TestManyUnevenForwardersLeaveAnExactLimitRoomAfterABurst(t *testing.T) {
 	f := newFleet(100, 10)
 	f.mute, f.debt = true, 5
 	for i, h := range f.nodes {
@@ -130,7 +130,7 @@
 	require.Less(t, calls, 4*6, "what the limit lets in, not what all hold")
 }
 
-func TestAFleetKilledAndStartedTogetherAnswersEachDocumentOnce(t *testing.T) {
+func TestAFleetKilledAndStartedTogetherAnswersEachMessageOnce(t *testing.T) {
 	f := newFleet(60, 20)
 	f.pass(5, 6)
 	again := newFleet(60, 20)
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNothingGoesToADrainingTarget(t *testing.T) {
+func TestNothingGoesToADrainingEndpoint(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0, 0)
 	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: d.targets[0], Destination: d, State: Draining}})
@@ -23,7 +23,7 @@
 	require.Len(t, h.sent, n)
 }
 
-func TestResetsAmongAnswersDoNotStopATarget(t *testing.T) {
+func TestResetsAmongAnswersDoNotStopAnEndpoint(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	for i := range 40 {
@@ -50,7 +50,7 @@
 	require.Contains(t, h.log, "close 0")
 }
 
-func TestSilentTargetGetsNothingBeforeTheTimeOut(t *testing.T) {
+func TestSilentEndpointGetsNothingBeforeTheTimeOut(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	h.flood(d, status, 1)
@@ -68,7 +68,7 @@
 	requireShutAfter(t, h, d, ServerError, Overloaded, Overloaded)
 }
 
-func TestTwoFailuresInARowShutARouteThatGetsFewDocuments(t *testing.T) {
+func TestTwoFailuresInARowShutARouteThatGetsFewMessages(t *testing.T) {
 	h := start(terms)
 	requireShutAfter(t, h, h.receiver(0, 0, 0), ServerError, Overloaded)
 }
@@ -90,7 +90,7 @@
 	require.Equal(t, sick, d.targets[1].state)
 }
 
-func TestSiblingsOfAFailingTargetComeFirst(t *testing.T) {
+func TestSiblingsOfAFailingEndpointComeFirst(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0, 0)
 	doc := h.take(d, status, 0)
@@ -130,7 +130,7 @@
 	require.Equal(t, []health{sick, sick}, []health{d.targets[0].state, d.targets[1].state})
 }
 
-func TestASlowHandshakeMakesNobodySick(t *testing.T) {
+func TestASlowHandshakeMakesNobodyEjected(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	for i := range 40 {
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBindingThatMayHaveRunIsAbandonedAtOnce(t *testing.T) {
+func TestAtMostOnceThatMayHaveRunIsAbandonedAtOnce(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	ran, never := h.take(d, payment, 0), h.take(d, payment, 0)
@@ -19,7 +19,7 @@
 	require.Equal(t, never, h.sent[len(h.sent)-1].doc)
 }
 
-func TestNumberedIsNotSentPastItsMemory(t *testing.T) {
+func TestIdempotentWithKeyIsNotSentPastItsMemory(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	doc := h.take(d, zoned, 0)
@@ -51,7 +51,7 @@
 
 // A numbered message that may have run is sent again only while its mark is known, and its call is given no time to
 // begin beyond that: a connection slow to come would carry a repeat outside its window.
-func TestARepeatOfANumberedDocumentEndsWithinItsWindow(t *testing.T) {
+func TestARepeatOfAMessageWithAnIdempotencyKeyEndsWithinItsWindow(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	tgt := d.targets[0]
@@ -69,7 +69,7 @@
 		again.at-first.at, again.timeout)
 }
 
-func TestABindingDocumentOverEveryOutcomeAndARestart(t *testing.T) {
+func TestAnAtMostOnceMessageOverEveryOutcomeAndARestart(t *testing.T) {
 	for o, may := range map[Outcome]bool{ServerError: true, TimedOut: true, Reset: true, Cancelled: true, Overloaded: false, NoConnection: false, NotSent: false} {
 		h := start(terms)
 		d := h.receiver(0, 0)
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestOneTransmissionAtATimeAndOneFinalAnswer(t *testing.T) {
+func TestOneAttemptAtATimeAndOneFinalAnswer(t *testing.T) {
 	h := start(terms)
 	doc := h.take(h.receiver(0, 0, 0), status, 0) // may be repeated, and two endpoints are idle
 	h.pass(19)
--- a/scheduler/ramp_test.go
+++ b/scheduler/ramp_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReturningTargetGetsATrickleThenARamp(t *testing.T) {
+func TestReturningEndpointGetsATrickleThenARamp(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	for range 40 { // two a second for twenty seconds
@@ -38,7 +38,7 @@
 
 // An endpoint that operators restarted while it was out returns cold: it is paced up as after an outage, not given
 // all that waited for it at once.
-func TestATargetBackFromOperatorsIsPacedUp(t *testing.T) {
+func TestAnEndpointBackFromOperatorsIsPacedUp(t *testing.T) {
 	sentIn := func(cold bool) int {
 		h := start(terms)
 		d := h.receiver(0, 0)
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -24,7 +24,7 @@
 }
 
 // While an endpoint hangs, its full queue refuses; that must not be taken for a limit when it is back.
-func TestRefusalsOfASickTargetAreNoLimit(t *testing.T) {
+func TestRefusalsOfAnEjectedEndpointAreNoLimit(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(0, 0)
 	for range 100 {
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachToldWaitOfACallIsHeeded(t *testing.T) {
+func TestEachRetryAfterOfACallIsHeeded(t *testing.T) {
 	h := start(terms)
 	d := h.receiver(1, 0, 0)
 	a, b := h.take(d, status, 0), h.take(d, status, 0)
--- a/scheduler/socket_test.go
+++ b/scheduler/socket_test.go
@@ -22,7 +22,7 @@
 	return taken
 }
 
-func TestADocumentIsTakenOnWhileThereIsRoomAndTime(t *testing.T) {
+func TestAMessageIsTakenOnWhileThereIsRoomAndTime(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
 	require.True(t, admits(h, 1000, 8))
@@ -133,7 +133,7 @@
 	require.Empty(t, h.done, "it stays owed")
 }
 
-func TestCallsNotYetBegunAreTakenBackWhenAWaitIsToldOrATargetDrains(t *testing.T) {
+func TestCallsNotYetBegunAreTakenBackWhenARetryAfterComesOrAnEndpointDrains(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0, 0)
 	first, other := h.take(d, status, 0), h.take(d, status, 0)
@@ -146,7 +146,7 @@
 	require.Len(t, h.recalled, 2)
 }
 
-func TestAWaitToldWithADeliveryBindsToo(t *testing.T) {
+func TestARetryAfterToldWithADeliveryBindsToo(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(1, 0)
 	doc := h.take(d, status, 0)
@@ -180,7 +180,7 @@
 }
 
 // Endpoints are replaced all day: those that are gone are let go of once no call to them is out, however they went.
-func TestTargetsThatAreGoneDoNotPileUp(t *testing.T) {
+func TestEndpointsThatAreGoneDoNotPileUp(t *testing.T) {
 	h := start(onSockets())
 	d := h.receiver(0, 0)
 	out := h.take(d, status, 0)
