--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts forwarders of the scheduler on the frames of standard input and output.
+// Command simadapter hosts forwarders of the scheduler on the frames of standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simproto.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- /dev/null
+++ b/cmd/spanlab/main.go
@@ -0,0 +1,17 @@
+// Command spanlab is the former name of spanflow-lab, kept as an alias.
+package main
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"spanflow/lab/commands"
+)
+
+func main() {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	os.Exit(commands.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
+}
--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,5 +1,5 @@
-// Command toy plays those around one forwarder: two endpoints, the ear for final answers, and a client. Without
-// arguments it serves; "toy DEST BODY" hands one message in; "toy demo" starts a forwarder too, hands two messages in
+// Command demo plays those around one forwarder: two endpoints, the ear for final answers, and a client. Without
+// arguments it serves; "demo DEST BODY" hands one message in; "demo demo" starts a forwarder too, hands two messages in
 // and shows what becomes of them.
 package main
 
@@ -34,10 +34,10 @@
 	case len(os.Args) == 3:
 		_, err = handIn(os.Args[1], os.Args[2])
 	default:
-		err = errors.New("usage: toy | toy demo | toy DEST BODY")
+		err = errors.New("usage: demo | demo demo | demo DEST BODY")
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "toy:", err)
+		fmt.Fprintln(os.Stderr, "demo:", err)
 		os.Exit(1)
 	}
 }
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -1,4 +1,4 @@
-// Package forward is the forwarder as a library: read an Config, then Run serves by it until its context ends.
+// Package forwarder is the forwarder as a library: read an Config, then Run serves by it until its context ends.
 //
 // One goroutine, the event loop, has the scheduler of package choice to itself. Frontends, upstreams and the list's
 // source (package seam says what each is) leave their news in the Exchange; the event loop takes them in batches, lets
--- a/internal/cli/shell.go
+++ b/internal/cli/shell.go
@@ -1,4 +1,4 @@
-// Package shell is what the command lines share: exit codes, and the telling of errors.
+// Package cli is what the command lines share: exit codes, and the telling of errors.
 package cli
 
 import (
--- a/internal/commands/command.go
+++ b/internal/commands/command.go
@@ -1,4 +1,4 @@
-// Package command is spanflow's command line.
+// Package commands is spanflow's command line.
 package commands
 
 import (
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -1,4 +1,4 @@
-// Package directory speaks with discovery: the list, the watch on its changes, and the notices.
+// Package discovery speaks with discovery: the list, the watch on its changes, and the notices.
 package discovery
 
 import (
--- a/internal/drains/rota.go
+++ b/internal/drains/rota.go
@@ -1,4 +1,4 @@
-// Package rota keeps the endpoints that operators took out by hand, and says what the scheduler is to be told of each.
+// Package drains keeps the endpoints that operators took out by hand, and says what the scheduler is to be told of each.
 // It does no I/O: the event loop keeps the set in the folder and tells the scheduler.
 //
 // An endpoint taken out stays out until it is put back, whatever the list says, over restarts and upgrades. Two calls
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -1,4 +1,4 @@
-// Package standin plays those whom a forwarder speaks with, after the protocol's pages: discovery, endpoints and a
+// Package emulator plays those whom a forwarder speaks with, after the protocol's pages: discovery, endpoints and a
 // client. It serves the integration tests and the example, not the program.
 package emulator
 
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what a forwarder does and serves the figures over HTTP. It is no part of the
+// Package metrics counts what a forwarder does and serves the figures over HTTP. It is no part of the
 // platform's program, whose memory it would raise by half: a program that wants it gives it to its Config.
 package metrics
 
--- a/internal/respserver/intake.go
+++ b/internal/respserver/intake.go
@@ -1,4 +1,4 @@
-// Package intake serves clients: it reads their commands and writes the answers. It chooses nothing.
+// Package respserver serves clients: it reads their commands and writes the answers. It chooses nothing.
 package respserver
 
 import (
--- a/internal/settings/terms.go
+++ b/internal/settings/terms.go
@@ -1,4 +1,4 @@
-// Package terms turns the operators' settings into what the scheduler is told at its start.
+// Package settings turns the operators' settings into what the scheduler is told at its start.
 package settings
 
 import (
--- a/internal/simproto/wire.go
+++ b/internal/simproto/wire.go
@@ -1,4 +1,4 @@
-// Package wire speaks the simulator's frames and translates them to the words of package choice.
+// Package simproto speaks the simulator's frames and translates them to the words of package choice.
 package simproto
 
 import (
--- a/internal/wal/ledger.go
+++ b/internal/wal/ledger.go
@@ -1,4 +1,4 @@
-// Package log keeps on disk what a forwarder owes: the messages that it has taken on, their attempts and
+// Package wal keeps on disk what a forwarder owes: the messages that it has taken on, their attempts and
 // ends. It is a row of files that are only appended to; the oldest is freed by writing what it still owes anew.
 package wal
 
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -130,7 +130,7 @@
 
 func (r *reckoned) fromCurve(target *Target, results *capacity.Results) error {
 	use := r.curve
-	r.command = "`spanlab capacity measure " + use.ref.role + "`"
+	r.command = "`spanflow-lab capacity measure " + use.ref.role + "`"
 	curve := curveOf(results, use.ref)
 	if curve == nil {
 		r.from = "no curve (" + use.ref.quantity + ")"
@@ -181,7 +181,7 @@
 }
 
 func (r *reckoned) fromTrial(target *Target, results *capacity.Results) {
-	r.command = "`spanlab capacity hollow " + hollowArgument[r.trial.scenario] + "`"
+	r.command = "`spanflow-lab capacity hollow " + hollowArgument[r.trial.scenario] + "`"
 	trials := r.trial.of(results)
 	if len(trials) == 0 {
 		r.from = r.trial.none()
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestThePageOfTheRepositoryIsCurrent holds docs/CAPACITY.md against the target size and the measured results. Where it
-// fails: bin/spanlab capacity page.
+// fails: bin/spanflow-lab capacity page.
 func TestThePageOfTheRepositoryIsCurrent(t *testing.T) {
 	text, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	page, err := Update(string(text), readTarget(t), results)
 	require.NoError(t, err)
-	require.Empty(t, page.Differs, "run 'spanlab capacity page'")
+	require.Empty(t, page.Differs, "run 'spanflow-lab capacity page'")
 	require.Equal(t, page.Text, string(text))
 }
 
@@ -73,12 +73,12 @@
 // TestQuotedBoundsAreThoseOfTheSource holds the bounds of today's text that the tables quote against it.
 func TestQuotedBoundsAreThoseOfTheSource(t *testing.T) {
 	for _, quoted := range []struct{ folder, constant, value string }{
-		{"internal/directory", "mostLine", "4 << 20"},           // mostWatchLine
-		{"internal/directory", "blankEvery", "2 * time.Second"}, // a watch is silent after one and a half of it: 3 s
-		{"forward", "mostLearnt", "1 << 12"},                    // 4,096 destinations
-		{"forward", "killAfter", "3700 * time.Millisecond"},     // 3.2 s to end, with killMargin
-		{"forward", "killMargin", "500 * time.Millisecond"},
-		{"choice", "roomFull", "0.97"},
+		{"internal/discovery", "mostLine", "4 << 20"},           // mostWatchLine
+		{"internal/discovery", "blankEvery", "2 * time.Second"}, // a watch is silent after one and a half of it: 3 s
+		{"forwarder", "mostLearnt", "1 << 12"},                  // 4,096 destinations
+		{"forwarder", "killAfter", "3700 * time.Millisecond"},   // 3.2 s to end, with killMargin
+		{"forwarder", "killMargin", "500 * time.Millisecond"},
+		{"scheduler", "roomFull", "0.97"},
 	} {
 		declared := regexp.MustCompile(`(?m)^\s*(const )?` + quoted.constant + `\s*= ` + regexp.QuoteMeta(quoted.value) + `(\s|$)`)
 		files, err := filepath.Glob("../../../" + quoted.folder + "/*.go")
@@ -197,7 +197,7 @@
 	known := row(t, rendered["control"], "memory of the known destinations")
 	require.Contains(t, known, "| 170 MB (extrapolated to 10 times the largest measured size) |")
 	require.Contains(t, known, "1 kB each of destinations, and 0 bytes at none; at all destinations (170,000)")
-	require.Contains(t, known, "`spanlab capacity measure known-destination`")
+	require.Contains(t, known, "`spanflow-lab capacity measure known-destination`")
 	require.Contains(t, known, "kept cheaper: **missing**")
 
 	beside := row(t, rendered["message-path"], "processor time of fresh messages")
--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -17,7 +17,7 @@
 
 const hollowProcess = "hollow-process"
 
-// hollowCommand is 'spanlab capacity hollow'.
+// hollowCommand is 'spanflow-lab capacity hollow'.
 func (s *session) hollowCommand() *cobra.Command {
 	config := hollow.Config{Forwarders: 500, Processes: 4, Destinations: 1700, Changes: 5, Lasts: 10 * time.Second, Seed: 1}
 	memoryMB, listMB, into := 0, 0, ""
@@ -35,7 +35,7 @@
 
 The number of forwarders is reduced, and the note says so, where the memory that one was measured to need does not allow
 them all. Interrupted, it ends all processes and prints what was finished.`,
-		Example: "  spanlab capacity hollow change --forwarders 500 --processes 4 --destinations 1700 --into docs/capacity/measured.json",
+		Example: "  spanflow-lab capacity hollow change --forwarders 500 --processes 4 --destinations 1700 --into docs/capacity/measured.json",
 		RunE: cli.Run(func(args []string) error {
 			self, err := os.Executable()
 			if err != nil {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// hollowProcessCommand is what 'spanlab capacity hollow' starts.
+// hollowProcessCommand is what 'spanflow-lab capacity hollow' starts.
 func (s *session) hollowProcessCommand() *cobra.Command {
 	return &cobra.Command{Use: hollowProcess + " ROLE", Hidden: true, Args: cobra.ExactArgs(1), Short: "A process of 'hollow'",
 		RunE: cli.Run(func(args []string) error {
--- a/lab/commands/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -25,7 +25,7 @@
 standard error with the progress.
 
 ` + measure.Describe(),
-		Example: "  spanlab capacity measure held-message restart\n  spanlab capacity measure --into docs/capacity/measured.json",
+		Example: "  spanflow-lab capacity measure held-message restart\n  spanflow-lab capacity measure --into docs/capacity/measured.json",
 		Args: func(_ *cobra.Command, names []string) error {
 			for _, name := range names {
 				if _, err := measure.Find(name); err != nil {
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -32,7 +32,7 @@
 out to the size; a curve that is not straight never is. What stands outside the generated tables is left as it is.
 
 With --check nothing is written: it ends with 1 and names the tables that are not current.`,
-		Example: "  spanlab capacity page --check"}
+		Example: "  spanflow-lab capacity page --check"}
 	c.RunE = cli.Run(func(args []string) error {
 		file := append(args, capacityPage)[0]
 		report, err := renderPage(file, target, measured, check)
@@ -97,7 +97,7 @@
 	differing := strings.Join(report.Differs, ", ")
 	switch {
 	case check && differing != "":
-		return fmt.Errorf("%s: not current: %s; run 'spanlab capacity page'", report.File, differing)
+		return fmt.Errorf("%s: not current: %s; run 'spanflow-lab capacity page'", report.File, differing)
 	case asJSON:
 	case differing == "":
 		fmt.Fprintf(c.OutOrStdout(), "%s: %d tables are current\n", report.File, len(report.Tables))
--- a/lab/commands/capacity_test.go
+++ b/lab/commands/capacity_test.go
@@ -12,15 +12,15 @@
 	"spanflow/lab/capacity"
 )
 
-// spanlab runs a command line.
-func spanlab(t *testing.T, args ...string) (code int, out, errOut string) {
+// runLab runs a command line.
+func runLab(t *testing.T, args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Main(t.Context(), args, &o, &e)
 	return code, o.String(), e.String()
 }
 
 func TestAnUnknownRoleIsAWrongCommandLine(t *testing.T) {
-	code, _, said := spanlab(t, "capacity", "measure", "restrat")
+	code, _, said := runLab(t, "capacity", "measure", "restrat")
 	require.Equal(t, cli.ExitUsage, code)
 	require.Contains(t, said, `unknown role "restrat"; the nearest is "restart"`)
 }
@@ -28,7 +28,7 @@
 func TestBoundsOfAMeasurementAreChecked(t *testing.T) {
 	for _, c := range []struct{ flag, value, want string }{
 		{"--memory", "much", "--memory"}, {"--memory", "900TB", "--memory"}, {"--lasts", "0s", "--lasts"}, {"--largest", "-1", "--largest"}} {
-		code, _, said := spanlab(t, "capacity", "measure", "down-destination", c.flag, c.value)
+		code, _, said := runLab(t, "capacity", "measure", "down-destination", c.flag, c.value)
 		require.Equal(t, cli.ExitError, code)
 		require.Contains(t, said, c.want)
 	}
@@ -36,7 +36,7 @@
 
 func TestMeasuredCurvesArePrintedAndMerged(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "measured.json")
-	code, out, said := spanlab(t, "capacity", "measure", "down-destination", "--largest", "10", "--json", "--into", path)
+	code, out, said := runLab(t, "capacity", "measure", "down-destination", "--largest", "10", "--json", "--into", path)
 	require.Equal(t, cli.ExitOK, code, said)
 	require.Contains(t, said, "forwarders")
 	var printed []capacity.Curve
@@ -45,7 +45,7 @@
 	require.NoError(t, err)
 	require.Equal(t, printed, kept.Curves)
 	require.NotEmpty(t, kept.Machine)
-	code, out, said = spanlab(t, "capacity", "measure", "down-destination", "--largest", "10", "-q", "--into", path)
+	code, out, said = runLab(t, "capacity", "measure", "down-destination", "--largest", "10", "-q", "--into", path)
 	require.Equal(t, cli.ExitOK, code, said)
 	require.Empty(t, said)
 	require.Contains(t, out, "RESIDUAL")
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -1,4 +1,4 @@
-// Package command is the laboratory's command line.
+// Package commands is the laboratory's command line.
 package commands
 
 import (
@@ -45,9 +45,9 @@
 }
 
 func (s *session) root() *cobra.Command {
-	root := &cobra.Command{Use: "spanlab", Short: "The laboratory of spanflow", Args: cobra.NoArgs,
+	root := &cobra.Command{Use: "spanflow-lab", Short: "The laboratory of spanflow", Args: cobra.NoArgs,
 		Long: `Plays scenes: partners with places, queues, limits and troubles, forwarders that are the real decision module, and
-open-loop load. Simulated days give the same result for the same scene and seed. 'spanlab load' loads a real forwarder.
+open-loop load. Simulated days give the same result for the same scene and seed. 'spanflow-lab load' loads a real forwarder.
 
 Exit codes: 0 fine; 1 a rule was broken, or it could not be done; 2 the command line cannot be understood.`,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
@@ -132,7 +132,7 @@
 func (s *session) run() *cobra.Command {
 	html := ""
 	c := s.played(&cobra.Command{Use: "run SCENE", Short: "Play a scene, simulated", Args: cobra.ExactArgs(1),
-		Example: "  spanlab run one-partner-hangs --seeds 8\n  spanlab run my.toml --html report.html",
+		Example: "  spanflow-lab run one-partner-hangs --seeds 8\n  spanflow-lab run my.toml --html report.html",
 		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
 			if err != nil {
@@ -190,7 +190,7 @@
 	c := s.played(&cobra.Command{Use: "compare SCENE [SCENE]", Short: "Play two arms in pairs by seed and tell what differs", Args: cobra.RangeArgs(1, 2),
 		Long: `Plays two scenes with one policy, or one scene with --policy and --with, each pair with the same seed. The differences of
 the pairs are resampled; where the middle 95% hold 0 it says that no difference is seen.`,
-		Example: "  spanlab compare returns-cold --policy backoff --with module --seeds 32",
+		Example: "  spanflow-lab compare returns-cold --policy backoff --with module --seeds 32",
 		RunE: cli.Run(func(args []string) error {
 			a, err := s.arm(args[0])
 			if err != nil {
@@ -231,7 +231,7 @@
 func (s *session) sweep() *cobra.Command {
 	axis, values := "", ""
 	c := s.played(&cobra.Command{Use: "sweep SCENE", Short: "Play a scene along an axis", Args: cobra.ExactArgs(1),
-		Example: "  spanlab sweep monday-morning --axis load --values 0.5,1,2,4 --seeds 4",
+		Example: "  spanflow-lab sweep monday-morning --axis load --values 0.5,1,2,4 --seeds 4",
 		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
 			if err != nil {
@@ -328,7 +328,7 @@
 		Long: `Starts a built forwarder for each of the scene's, with partners, discovery and clients on loopback, and plays the scene in
 real time; then the same seed simulated. Beyond loopback without privileges, and left out: reap and list; silence is a
 partner that takes calls and says nothing.`,
-		Example: "  spanlab real forwarders-restart-in-a-wave --program bin/spanflow --logs logs",
+		Example: "  spanflow-lab real forwarders-restart-in-a-wave --program bin/spanflow --logs logs",
 		RunE: cli.Run(func(args []string) error {
 			sc, err := scenario.Read(args[0])
 			if err != nil {
@@ -338,7 +338,7 @@
 				return err
 			}
 			if r.Folder == "" {
-				if r.Folder, err = os.MkdirTemp("", "spanlab"); err != nil {
+				if r.Folder, err = os.MkdirTemp("", "spanflow-lab"); err != nil {
 					return err
 				}
 				defer os.RemoveAll(r.Folder)
@@ -395,7 +395,7 @@
 
 A shape is a list of SECOND:SHARE points of --rate, joined by straight lines: 0:1,10:1,20:4. A trace is JSON lines
 (.jsonl) or CSV with a head (.csv): at (seconds), dest, type, and if told tenant, key, number, life, bytes.`,
-		Example: "  spanlab load 127.0.0.1:6379 --rate 200 --for 30 --shape 0:1,10:3 --types status-update\n  spanlab load 127.0.0.1:6379 --trace monday.jsonl --speed 10",
+		Example: "  spanflow-lab load 127.0.0.1:6379 --rate 200 --for 30 --shape 0:1,10:3 --types status-update\n  spanflow-lab load 127.0.0.1:6379 --trace monday.jsonl --speed 10",
 		RunE: cli.Run(func(args []string) error {
 			r.Addr, r.TimeToLive = args[0], life
 			if !s.quiet && !s.json {
--- a/lab/commands/hunt.go
+++ b/lab/commands/hunt.go
@@ -23,7 +23,7 @@
 each scene once. The folder keeps hunt.toml (seeds tried, what they covered, breaks found) and each break as a scene,
 shrunk as long as the same rule breaks. Started again with the folder it goes on with seeds not tried. The files are
 the same for the same seeds on any number of cores. Interrupted, it finishes what it has begun and keeps it.`,
-		Example: "  spanlab hunt --out hunted --lasts 10m\n  spanlab hunt --out hunted --from 1 --most 5000 --lasts 1h",
+		Example: "  spanflow-lab hunt --out hunted --lasts 10m\n  spanflow-lab hunt --out hunted --from 1 --most 5000 --lasts 1h",
 		RunE: cli.Run(func([]string) error {
 			if folder == "" {
 				return errors.New("--out: a folder is needed, that keeps which seeds were tried")
@@ -96,7 +96,7 @@
 func (s *session) findings() *cobra.Command {
 	seeds := 1
 	c := &cobra.Command{Use: "findings [SCENE...]", Short: "Play kept findings: rules hold and each delivers at least its floor", Args: cobra.ArbitraryArgs,
-		Example: "  spanlab findings\n  spanlab findings hunted/*.toml --seeds 8",
+		Example: "  spanflow-lab findings\n  spanflow-lab findings hunted/*.toml --seeds 8",
 		RunE: cli.Run(func(args []string) error {
 			if len(args) == 0 {
 				args = scenario.Found()
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -1,4 +1,4 @@
-// Package scene reads scenes: what receivers, forwarders and load are like, and what befalls them when. A scene is
+// Package scenario reads scenes: what receivers, forwarders and load are like, and what befalls them when. A scene is
 // TOML, checked as a whole like any configuration.
 package scenario
 
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,4 +1,4 @@
-// Package choice decides which message goes out when, to which endpoint, and which is given up.
+// Package scheduler decides which message goes out when, to which endpoint, and which is given up.
 //
 // How to call it: New at the start; then, for all that happens at one moment, SetTime, then the news in the
 // order of arrival (UpdateEndpoints, PollTimedOut, WatchBroken, WatchSilent, Accept, Recover, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and
--- a/transport/seam.go
+++ b/transport/seam.go
@@ -1,4 +1,4 @@
-// Package seam is where frontends and upstreams meet the event loop of the scheduler. A frontend turns its protocol
+// Package transport is where frontends and upstreams meet the event loop of the scheduler. A frontend turns its protocol
 // into messages handed in and tells each caller the answer at the door and, where the caller waits for it, the final
 // one. An upstream carries out calls to endpoints and reports one End for each message. A source brings the list of
 // endpoints, a teller takes the final answers that no caller waits for. NoAnswer of them knows another, and none
