--- a/cmd/spanflow/main_test.go
+++ b/cmd/spanflow/main_test.go
@@ -466,7 +466,7 @@
 		`"WeightKind":"silent"`, `"WeightKind":"nominal"`, `"RetryAfter":true`, `"RetryAfter":false,"SecondCopies":true`}
 	s.discovery.Set(emulator.Entry{UID: "s2", Endpoint: s.target.Addr, Zone: "a", Kind: "single", Destination: 9, State: "active"})
 	c = s.start()
-	s.await("learnt figures taken up")
+	s.await("learned latencies restored")
 	began := time.Now()
 	s.put(c, zero, "first", "c=status,d=8000,dest=7", "+OK")
 	require.ElementsMatch(t, []string{"owed", "first"}, []string{s.call().ID, s.call().ID})
@@ -474,7 +474,7 @@
 	s.stop()
 	require.NoError(t, os.WriteFile(filepath.Join(s.folder, "learnt"), []byte("spanflow learnt 1\n cut"), 0o600))
 	c = s.start()
-	s.await("learnt figures passed over")
+	s.await("learned latencies ignored")
 	s.put(c, zero, "last", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "last", s.call().ID)
 }
--- a/forwarder/admin.go
+++ b/forwarder/admin.go
@@ -6,6 +6,7 @@
 
 	"spanflow/internal/admin"
 	"spanflow/internal/drains"
+	"spanflow/internal/statefile"
 	"spanflow/scheduler"
 )
 
@@ -33,7 +34,7 @@
 // takeOver has calls go to the event loop from here on. It tells if clients are to be sent away.
 func (a *adminRequests) takeOver() (lame bool) {
 	if s := a.standby.Load(); s != nil {
-		return s.leave()
+		return s.takeOver()
 	}
 	return false
 }
@@ -87,8 +88,8 @@
 	if change == drains.Unchanged {
 		return answerOf(c, verdict)
 	}
-	if err := keepOut(o.order.Folder, o.rota.IDs()); err != nil {
-		o.rota = drains.New(readOut(o.order.Folder))
+	if err := statefile.WriteDrains(o.order.Folder, o.rota.IDs()); err != nil {
+		o.rota = drains.New(statefile.ReadDrains(o.order.Folder))
 		return notKept(err)
 	}
 	o.log.Info().Str("target", c.Name).Bool("out", change == drains.Drained).Int("out_by_hand", o.rota.Len()).Msg("target by hand")
--- /dev/null
+++ b/forwarder/command_spool.go
@@ -0,0 +1,45 @@
+package forwarder
+
+import (
+	"time"
+
+	"spanflow/internal/admin"
+	"spanflow/internal/statefile"
+)
+
+// spoolPollInterval is how often the process that holds the folder looks for commands: a drain binds a second after it
+// was asked for.
+const spoolPollInterval = 250 * time.Millisecond
+
+// spoolLogKey limits the log lines on the spool.
+const spoolLogKey = "command spool"
+
+// runSpooledCommands carries out the commands in the spool, the oldest first, and tells if there were any. One that
+// cannot be carried out stays for the next look, with those behind it.
+func (o *owner) runSpooledCommands() bool {
+	spool := statefile.NewSpool(o.order.Folder)
+	names := spool.Names()
+	for _, name := range names {
+		command, err := spool.Read(name)
+		if err == nil {
+			if a := o.byHand(requestOf(command), true); !a.OK {
+				o.log.Error().Str("endpoint", command.Endpoint).Str("reason", a.Text).Msg("spooled command not carried out")
+				return true
+			}
+		} else if o.mayLog(spoolLogKey) {
+			o.log.Error().Err(err).Msg("spooled command ignored")
+		}
+		if err := spool.Remove(name); err != nil && o.mayLog(spoolLogKey) {
+			o.log.Error().Err(err).Msg("spooled command not removed")
+		}
+	}
+	return len(names) > 0
+}
+
+// requestOf is the request that an operator's command stands for.
+func requestOf(c statefile.Command) admin.Request {
+	if c.Undrain {
+		return admin.Request{Operation: admin.Attach, Name: c.Endpoint}
+	}
+	return admin.Request{Operation: admin.Detach, Name: c.Endpoint}
+}
--- a/forwarder/forward.go
+++ b/forwarder/forward.go
@@ -22,6 +22,7 @@
 	"spanflow/internal/admin"
 	"spanflow/internal/dial"
 	"spanflow/internal/drains"
+	"spanflow/internal/statefile"
 	"spanflow/internal/wal"
 )
 
@@ -77,7 +78,7 @@
 	order.Scheduler.MaxStoredBytes, order.Scheduler.AwaitAcknowledgement = led.Capacity(), true
 	order.askForList()
 	o := newOwner(order, log, x)
-	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, drains.New(readOut(order.Folder)), logTo
+	o.asRead, o.ledger, o.operators, o.rota, o.logTo = asRead, led, operators, drains.New(statefile.ReadDrains(order.Folder)), logTo
 	if err := o.openBacklog(); err != nil {
 		return err
 	}
@@ -106,8 +107,8 @@
 	}
 	o.serve(ctx, again, dialer)
 	o.last()
-	o.keepWaits(o.clock(time.Now()))
-	o.keepLearnt()
+	o.writeRetryAfter(o.clock(time.Now()))
+	o.writeLatencies()
 	o.counts.write(log.Info()).Int("owed", len(led.Pending())).Msg("end")
 	return nil
 }
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -9,11 +9,11 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/admin"
 	"spanflow/internal/backlog"
 	"spanflow/internal/drains"
 	"spanflow/internal/golden"
 	"spanflow/internal/settings"
+	"spanflow/internal/statefile"
 	"spanflow/internal/wal"
 	"spanflow/scheduler"
 	"spanflow/transport"
@@ -47,8 +47,8 @@
 // goldenLatencyOwner is an event loop with a folder and the shape of the golden latencies.
 func goldenLatencyOwner(t *testing.T, folder string) *owner {
 	t.Helper()
-	o, said := learning(folder)
-	require.Empty(t, said.String())
+	o, logged := latencyOwner(folder)
+	require.Empty(t, logged.String())
 	return o
 }
 
@@ -56,7 +56,7 @@
 	folder := t.TempDir()
 	o := goldenLatencyOwner(t, folder)
 	require.True(t, o.f.RestoreLatencies(o.dest(goldenDestination), goldenTimes()))
-	o.keepLearnt()
+	o.writeLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
@@ -64,9 +64,9 @@
 	o := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies))
 	want := make([]float64, 16) // weighed by the scheduler, four digits each
 	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11
-	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.learnt)
+	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.learnedLatencies)
 
-	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).learnt
+	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).learnedLatencies
 	require.Len(t, several, 3)
 	require.Equal(t, 1.5, several[1][0])
 	require.Equal(t, 1e-7, several[1<<63][15])
@@ -75,7 +75,7 @@
 
 func TestKeepsLatenciesOfUnheardDestinationAsVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenLatencies)
-	goldenLatencyOwner(t, folder).keepLearnt()
+	goldenLatencyOwner(t, folder).writeLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
@@ -95,16 +95,16 @@
 	o := goldenEndpoints(folder)
 	o.f.BlockUntil(o.byUID["endpoint-1"].module, goldenNow+12.3456)
 	o.f.BlockUntil(o.byUID["endpoint-2"].module, goldenNow-1) // over
-	o.keepWaits(goldenNow)
+	o.writeRetryAfter(goldenNow)
 	golden.Compare(t, folder, goldenRetryAfter)
 }
 
 func TestReadsRetryAfterStateWrittenByVersion1(t *testing.T) {
 	require.Equal(t, map[string]float64{"endpoint-1": goldenNow + 12.346},
-		readWaits(golden.Copy(t, goldenRetryAfter), goldenNow))
+		statefile.ReadRetryAfter(golden.Copy(t, goldenRetryAfter), goldenNow))
 	require.Equal(t, map[string]float64{"endpoint-2": goldenNow + 0.001, "unlisted": goldenNow + 3600},
-		readWaits(golden.Copy(t, goldenRetries), goldenNow))
-	require.Empty(t, readWaits(t.TempDir(), goldenNow))
+		statefile.ReadRetryAfter(golden.Copy(t, goldenRetries), goldenNow))
+	require.Empty(t, statefile.ReadRetryAfter(t.TempDir(), goldenNow))
 }
 
 func TestWritesSameDrainsAsVersion1(t *testing.T) {
@@ -113,46 +113,47 @@
 	for _, id := range []string{"endpoint-2", "endpoint-10", "an id with spaces", "\u00e5"} {
 		drains.Drain(id, true)
 	}
-	require.NoError(t, keepOut(folder, drains.IDs()))
+	require.NoError(t, statefile.WriteDrains(folder, drains.IDs()))
 	golden.Compare(t, folder, goldenDrains)
-	require.NoError(t, keepOut(folder, nil))
+	require.NoError(t, statefile.WriteDrains(folder, nil))
 	golden.Compare(t, folder, goldenNoDrains)
 }
 
 func TestReadsDrainsWrittenByVersion1(t *testing.T) {
-	drains := drains.New(readOut(golden.Copy(t, goldenDrains)))
+	drains := drains.New(statefile.ReadDrains(golden.Copy(t, goldenDrains)))
 	require.Equal(t, []string{"an id with spaces", "endpoint-10", "endpoint-2", "\u00e5"}, drains.IDs())
-	require.Empty(t, readOut(golden.Copy(t, goldenNoDrains)))
+	require.Empty(t, statefile.ReadDrains(golden.Copy(t, goldenNoDrains)))
 }
 
-var goldenCommands = []admin.Request{
-	{Operation: admin.Detach, Name: "endpoint-1"},
-	{Operation: admin.Detach, Name: "an id with spaces"},
-	{Operation: admin.Attach, Name: "endpoint-1"},
+var goldenCommands = []statefile.Command{
+	{Endpoint: "endpoint-1"},
+	{Endpoint: "an id with spaces"},
+	{Endpoint: "endpoint-1", Undrain: true},
 }
 
 func TestWritesSameCommandSpoolAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	for _, c := range goldenCommands {
-		require.NoError(t, lay(folder, c))
+		require.NoError(t, statefile.NewSpool(folder).Put(c))
 	}
 	golden.Compare(t, folder, goldenSpool)
 }
 
 func TestReadsCommandSpoolWrittenByVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenSpool)
-	var commands []admin.Request
-	for _, name := range trayNames(folder) {
-		c, err := trayCall(folder, name)
+	spool := statefile.NewSpool(folder)
+	var commands []statefile.Command
+	for _, name := range spool.Names() {
+		c, err := spool.Read(name)
 		require.NoError(t, err)
 		commands = append(commands, c)
 	}
 	require.Equal(t, goldenCommands, commands)
 
 	o := goldenEndpoints(folder)
-	require.True(t, o.emptyTray())
+	require.True(t, o.runSpooledCommands())
 	require.Equal(t, []string{"an id with spaces"}, o.rota.IDs())
-	require.Empty(t, trayNames(folder))
+	require.Empty(t, spool.Names())
 }
 
 // goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
--- /dev/null
+++ b/forwarder/learned_latencies.go
@@ -0,0 +1,44 @@
+package forwarder
+
+import (
+	"fmt"
+	"strconv"
+
+	"github.com/rs/zerolog"
+
+	"spanflow/internal/statefile"
+)
+
+// Learned latencies are kept while a process runs and at its end, so that the process that follows on the folder,
+// perhaps in a fleet of another size, need not guess them. They are never needed: a file that is truncated, corrupt, or
+// from other message types and kinds of endpoints is ignored with a log line.
+
+// latencyDeployment names what learned latencies depend on: those at endpoints of other kinds, for other message types,
+// mean something else.
+func (o *Config) latencyDeployment() string {
+	return strconv.Quote(fmt.Sprint(o.Names.Kinds, o.Names.Types))
+}
+
+// writeLatencies writes the latencies measured at each destination, and those that an earlier process left for
+// destinations not heard of.
+func (o *owner) writeLatencies() {
+	var table statefile.LatencyTable
+	for number, d := range o.dests {
+		table.AddMeasured(number, d.Latencies())
+	}
+	for number, counts := range o.learnedLatencies {
+		table.AddInherited(number, counts)
+	}
+	if err := table.Write(o.order.Folder, o.order.latencyDeployment()); err != nil {
+		o.log.Error().Err(err).Msg("learned latencies not written")
+	}
+}
+
+// readLatencies reads the latencies that an earlier process of this deployment left, by destination.
+func readLatencies(folder, deployment string, log *zerolog.Logger) map[uint64][]float64 {
+	latencies, err := statefile.ReadLatencies(folder, deployment)
+	if err != nil {
+		log.Warn().Err(err).Msg("learned latencies ignored")
+	}
+	return latencies
+}
--- a/forwarder/learnt_test.go
+++ b/forwarder/learned_latencies_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/settings"
+	"spanflow/internal/statefile"
 	"spanflow/scheduler"
 )
 
@@ -26,54 +27,57 @@
 func (silentHost) WatchEndpoints()                                       {}
 func (silentHost) Log(string)                                            {}
 
-// learning is an owner with a module and a folder, no sockets.
-func learning(folder string) (*owner, *bytes.Buffer) {
-	var said bytes.Buffer
+// latencyOwner is an event loop with a scheduler and a folder, without sockets, and what it logs.
+func latencyOwner(folder string) (*owner, *bytes.Buffer) {
+	var logged bytes.Buffer
 	order := &Config{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
 	order.Scheduler = scheduler.Settings{Types: []scheduler.MessageType{{LatencyObjective: 3, TimeToLive: 16}}, Forwarders: 200, ConcurrencyLimit: 3, QueueCapacity: 19}
-	o := &owner{order: order, log: zerolog.New(&said), dests: map[uint64]*scheduler.Destination{}, sweepAt: leastSweep}
+	o := &owner{order: order, log: zerolog.New(&logged), dests: map[uint64]*scheduler.Destination{}, sweepAt: leastSweep}
 	o.f = scheduler.New(order.Scheduler, 7, 100, silentHost{})
-	o.learnt = readLearnt(folder, order.shape(), &o.log)
-	return o, &said
+	o.learnedLatencies = readLatencies(folder, order.latencyDeployment(), &o.log)
+	return o, &logged
 }
 
-func TestCallTimesOutlastARestartAndWhatIsMalformedIsPassedOver(t *testing.T) {
+func TestLatenciesOutlastRestartAndUnusableFileIsIgnored(t *testing.T) {
 	folder := t.TempDir()
-	old, _ := learning(folder)
+	old, _ := latencyOwner(folder)
 	times := make([]float64, 16)
 	times[9] = 40
 	require.True(t, old.f.RestoreLatencies(old.dest(7), times))
 	old.dest(8) // nothing was measured there
-	old.keepLearnt()
+	old.writeLatencies()
 
-	fresh, _ := learning(folder)
-	require.Len(t, fresh.learnt, 1)
+	fresh, _ := latencyOwner(folder)
+	require.Len(t, fresh.learnedLatencies, 1)
 	require.Equal(t, old.dests[7].Latencies(), fresh.dest(7).Latencies())
-	require.Empty(t, fresh.learnt, "given once")
+	require.Empty(t, fresh.learnedLatencies, "given once")
 	require.Nil(t, fresh.dest(8).Latencies())
 
-	unheard, _ := learning(folder) // a process that hears of no destination keeps what it was given
-	unheard.keepLearnt()
-	again, _ := learning(folder)
+	unheard, _ := latencyOwner(folder) // a process that hears of no destination keeps what it was given
+	unheard.writeLatencies()
+	again, _ := latencyOwner(folder)
 	require.Equal(t, old.dests[7].Latencies(), again.dest(7).Latencies())
 
-	file := filepath.Join(folder, learntFile)
+	file := filepath.Join(folder, statefile.LatenciesFile)
 	good, err := os.ReadFile(file)
 	require.NoError(t, err)
-	for why, text := range map[string]string{
-		"cut or spoilt":           strings.Replace(string(good), "7 ", "9 ", 1),
-		"cut or spoilt ":          string(good[:len(good)-3]),
-		"not of this form":        "something else",
-		"not of this form ":       "",
-		"of other types or kinds": strings.Replace(string(good), "new-order", "avisering", 1),
+	for _, unusable := range []struct {
+		text string
+		err  error
+	}{
+		{strings.Replace(string(good), "7 ", "9 ", 1), statefile.ErrLatenciesChecksum},
+		{string(good[:len(good)-3]), statefile.ErrLatenciesChecksum},
+		{"something else", statefile.ErrLatenciesFormat},
+		{"", statefile.ErrLatenciesFormat},
+		{strings.Replace(string(good), "new-order", "delivery-note", 1), statefile.ErrLatenciesDeployment},
 	} {
-		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		o, said := learning(folder)
-		require.Empty(t, o.learnt)
-		require.Contains(t, said.String(), strings.TrimSpace(why))
+		require.NoError(t, os.WriteFile(file, []byte(unusable.text), 0o600))
+		o, logged := latencyOwner(folder)
+		require.Empty(t, o.learnedLatencies)
+		require.Contains(t, logged.String(), unusable.err.Error())
 	}
 	require.NoError(t, os.Remove(file))
-	o, said := learning(folder)
-	require.Empty(t, o.learnt)
-	require.Empty(t, said.String(), "a first start is nothing to speak of")
+	o, logged := latencyOwner(folder)
+	require.Empty(t, o.learnedLatencies)
+	require.Empty(t, logged.String(), "a first start logs nothing")
 }
--- a/forwarder/list.go
+++ b/forwarder/list.go
@@ -34,8 +34,8 @@
 	}
 	o.f.UpdateEndpoints(whole, lines)
 	o.forgetUnused()
-	if len(o.waits) > 0 {
-		o.heedWaits()
+	if len(o.retryAfter) > 0 {
+		o.restoreRetryAfter()
 	}
 }
 
@@ -93,9 +93,9 @@
 	}
 	d := o.f.NewDestination(number)
 	o.dests[number] = d
-	if times := o.learnt[number]; times != nil {
+	if times := o.learnedLatencies[number]; times != nil {
 		o.f.RestoreLatencies(d, times)
-		delete(o.learnt, number)
+		delete(o.learnedLatencies, number)
 	}
 	return d
 }
--- a/forwarder/owner.go
+++ b/forwarder/owner.go
@@ -28,20 +28,20 @@
 	// Messages
 	docs      map[uint64]*paper
 	byID      map[string]*paper // the same, by the clients' ids
-	recentIDs recentlySeen      // ids of messages that were let go of
+	recentIDs recentIDs         // ids of messages that were let go of
 	types     map[string]int
 	unknown   map[string]bool // names that came with messages
 	untried   int             // recovered messages for which no call has begun yet
 
 	// Destinations and endpoints
-	dests    map[uint64]*scheduler.Destination
-	sweepAt  int                // so many destinations are looked through for those that clients alone have named
-	targets  map[uint64]*target // by number
-	lastDoor uint64             // number of the latest endpoint
-	byUID    map[string]*target
-	rota     *drains.Set          // endpoints out by hand
-	waits    map[string]float64   // of an earlier process, for endpoints not listed yet
-	learnt   map[uint64][]float64 // call times that an earlier process measured, for destinations not heard of yet
+	dests            map[uint64]*scheduler.Destination
+	sweepAt          int                // so many destinations are looked through for those that clients alone have named
+	targets          map[uint64]*target // by number
+	lastDoor         uint64             // number of the latest endpoint
+	byUID            map[string]*target
+	rota             *drains.Set          // drained endpoints
+	retryAfter       map[string]float64   // of an earlier process, for endpoints not listed yet
+	learnedLatencies map[uint64][]float64 // of an earlier process, for destinations not heard of yet
 
 	// Frontends and operators
 	fronts    []*listener
@@ -90,7 +90,7 @@
 		epoch:      time.Now(),
 		docs:       map[uint64]*paper{},
 		byID:       map[string]*paper{},
-		recentIDs:  newRecentlySeen(),
+		recentIDs:  newRecentIDs(),
 		targets:    map[uint64]*target{},
 		byUID:      map[string]*target{},
 		types:      map[string]int{},
--- /dev/null
+++ b/forwarder/recent_ids.go
@@ -0,0 +1,40 @@
+package forwarder
+
+import "hash/maphash"
+
+const maxRecentIDs = 4096
+
+// recentIDs remembers the ids of the latest messages that ended, so that no message is admitted under the id of one that
+// may have run. It keeps hashes: another id is taken for a recent one with a probability of about 2^-52.
+type recentIDs struct {
+	seed   maphash.Seed
+	hashes map[uint64]struct{}
+	ring   []uint64 // the hashes in the order of their end
+	oldest int      // in ring, once it is full
+}
+
+func newRecentIDs() recentIDs {
+	return recentIDs{seed: maphash.MakeSeed(), hashes: map[uint64]struct{}{}}
+}
+
+// has tells if an id is among the latest.
+func (r *recentIDs) has(id string) bool {
+	_, known := r.hashes[maphash.String(r.seed, id)]
+	return known
+}
+
+// add remembers an id in place of the oldest.
+func (r *recentIDs) add(id string) {
+	hash := maphash.String(r.seed, id)
+	if _, known := r.hashes[hash]; known {
+		return
+	}
+	if len(r.ring) < maxRecentIDs {
+		r.ring = append(r.ring, hash)
+	} else {
+		delete(r.hashes, r.ring[r.oldest])
+		r.ring[r.oldest] = hash
+		r.oldest = (r.oldest + 1) % maxRecentIDs
+	}
+	r.hashes[hash] = struct{}{}
+}
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"spanflow/internal/statefile"
 	"spanflow/internal/wal"
 	"spanflow/scheduler"
 	"spanflow/transport"
@@ -11,14 +12,14 @@
 // begin gives the scheduler the known list and what an earlier process owed.
 func (o *owner) begin(now time.Time) {
 	o.f = scheduler.New(o.order.Scheduler, o.order.Seed, o.clock(now), o)
-	if o.order.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the waits
-		o.waits = readWaits(o.order.Folder, o.clock(now))
+	if o.order.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the retry-after state
+		o.retryAfter = statefile.ReadRetryAfter(o.order.Folder, o.clock(now))
 	}
-	if o.learnt = readLearnt(o.order.Folder, o.order.shape(), &o.log); len(o.learnt) > 0 {
-		o.log.Info().Int("destinations", len(o.learnt)).Msg("learnt figures taken up")
+	if o.learnedLatencies = readLatencies(o.order.Folder, o.order.latencyDeployment(), &o.log); len(o.learnedLatencies) > 0 {
+		o.log.Info().Int("destinations", len(o.learnedLatencies)).Msg("learned latencies restored")
 	}
 	o.listed(&o.order.LastEndpoints, true)
-	o.emptyTray()
+	o.runSpooledCommands()
 	owed := o.ledger.Pending()
 	overtaking := o.resolve()
 	for _, e := range owed {
--- a/forwarder/serve.go
+++ b/forwarder/serve.go
@@ -35,11 +35,11 @@
 	defer report.Stop()
 	learn := time.NewTicker(learnEvery)
 	defer learn.Stop()
-	var tray <-chan time.Time
+	var spool <-chan time.Time
 	if o.order.InheritedListener > 0 { // a process that replaces this one may wait and be called
-		ticker := time.NewTicker(trayEvery)
+		ticker := time.NewTicker(spoolPollInterval)
 		defer ticker.Stop()
-		tray = ticker.C
+		spool = ticker.C
 	}
 	s := shutdown{asked: ctx.Done()}
 	for {
@@ -52,10 +52,10 @@
 			o.report(dialer)
 			continue
 		case <-learn.C:
-			o.keepLearnt()
+			o.writeLatencies()
 			continue
-		case <-tray:
-			if s.handing || !o.emptyTray() { // what is called once this one hands over, its successor takes up
+		case <-spool:
+			if s.handing || !o.runSpooledCommands() { // what is called once this one hands over, its successor takes up
 				continue
 			}
 		case <-again:
--- /dev/null
+++ b/internal/statefile/statefile_test.go
@@ -0,0 +1,96 @@
+package statefile
+
+import (
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestWriteReplacesTheFileAndLeavesNoTemporary(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, Write(dir, "state", "a long first content"))
+	require.NoError(t, Write(dir, "state", "second"))
+	text, err := os.ReadFile(filepath.Join(dir, "state"))
+	require.NoError(t, err)
+	require.Equal(t, "second", string(text))
+	entries, err := os.ReadDir(dir)
+	require.NoError(t, err)
+	require.Len(t, entries, 1)
+	require.ErrorIs(t, Write(filepath.Join(dir, "missing"), "state", ""), os.ErrNotExist)
+}
+
+func TestMissingFilesHoldNothing(t *testing.T) {
+	dir := t.TempDir()
+	latencies, err := ReadLatencies(dir, "deployment")
+	require.NoError(t, err)
+	require.Empty(t, latencies)
+	require.Empty(t, ReadRetryAfter(dir, 0))
+	require.Empty(t, ReadDrains(dir))
+	require.Empty(t, NewSpool(dir).Names())
+}
+
+func TestLatencyTableIsBounded(t *testing.T) {
+	dir := t.TempDir()
+	var table LatencyTable
+	for number := range uint64(maxLatencyLines) {
+		table.AddMeasured(number, []float64{1.23456, 2})
+	}
+	table.AddInherited(maxLatencyLines, []float64{3})
+	require.NoError(t, table.Write(dir, "deployment"))
+	latencies, err := ReadLatencies(dir, "deployment")
+	require.NoError(t, err)
+	require.Len(t, latencies, maxLatencyLines)
+	require.Equal(t, []float64{1.235, 2}, latencies[0])
+	require.NotContains(t, latencies, uint64(maxLatencyLines))
+}
+
+func TestMalformedLatencyLinesAreLeftOut(t *testing.T) {
+	dir, lines := t.TempDir(), "1 2.5\n\n2\nx 1\n3 y\n4 1 2\n"
+	text := latenciesHeader + "\ndeployment\n" + checksum(lines) + "\n" + lines
+	require.NoError(t, Write(dir, LatenciesFile, text))
+	latencies, err := ReadLatencies(dir, "deployment")
+	require.NoError(t, err)
+	require.Equal(t, map[uint64][]float64{1: {2.5}, 4: {1, 2}}, latencies)
+	_, err = ReadLatencies(dir, "another deployment")
+	require.ErrorIs(t, err, ErrLatenciesDeployment)
+}
+
+func TestRetryAfterStateThatIsOverOrMalformedIsLeftOut(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, Write(dir, RetryAfterFile, "over 99\nnow 100\nblocked 100.5\nmalformed\nmalformed x\n"))
+	require.Equal(t, map[string]float64{"blocked": 100.5}, ReadRetryAfter(dir, 100))
+}
+
+func TestSpoolIsBounded(t *testing.T) {
+	spool := NewSpool(t.TempDir())
+	for range maxSpooledCommands {
+		require.NoError(t, spool.Put(Command{Endpoint: "e"}))
+	}
+	var full *SpoolFullError
+	require.ErrorAs(t, spool.Put(Command{Endpoint: "e"}), &full)
+	require.Equal(t, maxSpooledCommands, full.Commands)
+	names := spool.Names()
+	require.NoError(t, spool.Remove(names[0]))
+	require.NoError(t, spool.Put(Command{Endpoint: "last", Undrain: true}))
+	names = spool.Names()
+	last, err := spool.Read(names[len(names)-1])
+	require.NoError(t, err)
+	require.Equal(t, Command{Endpoint: "last", Undrain: true}, last)
+}
+
+func TestSpoolTellsMalformedCommands(t *testing.T) {
+	folder := t.TempDir()
+	spool := NewSpool(folder)
+	require.NoError(t, spool.Put(Command{Endpoint: "e"}))
+	for _, text := range []string{"", "out", "out \n", "sideways e\n"} {
+		require.NoError(t, os.WriteFile(filepath.Join(folder, spoolDir, "00000002"), []byte(text), filePerm))
+		_, err := spool.Read("00000002")
+		var malformed *MalformedCommandError
+		require.ErrorAs(t, err, &malformed, "%q", text)
+		require.Equal(t, "00000002", malformed.Name)
+	}
+	_, err := spool.Read("00000003")
+	require.ErrorIs(t, err, os.ErrNotExist)
+}
