--- /dev/null
+++ b/internal/wal/append.go
@@ -0,0 +1,147 @@
+package wal
+
+import (
+	"encoding/binary"
+	"slices"
+)
+
+// Append records a message and gives it its number. With an error it is not recorded: ErrFull if the log has no room
+// for it, or one of the filesystem.
+func (l *Log) Append(e *Entry) error {
+	if !l.hasRoom(e, 0) {
+		return ErrFull
+	}
+	e.Seq = l.nextSeq
+	if err := l.appendEntry(e); err != nil {
+		return err
+	}
+	l.nextSeq++
+	l.entries[e.Seq] = e
+	l.pending += e.Size()
+	return nil
+}
+
+// Restore records an entry that has a number already, with its history: one that comes back from the backlog store. It
+// may be recorded already; the latest record counts. Errors are as with Append.
+func (l *Log) Restore(e *Entry) error {
+	replaced := 0
+	if old := l.entries[e.Seq]; old != nil {
+		replaced = old.Size()
+	}
+	if !l.hasRoom(e, replaced) {
+		return ErrFull
+	}
+	if err := l.appendEntry(e); err != nil {
+		return err
+	}
+	l.entries[e.Seq] = e
+	l.pending += e.Size() - replaced
+	l.Reserve(e.Seq)
+	return nil
+}
+
+// hasRoom tells if an entry may be recorded in place of one of so many bytes.
+func (l *Log) hasRoom(e *Entry, replaced int) bool {
+	size := e.Size()
+	return l.pending-replaced+size <= l.Capacity() && size <= maxPayload && len(e.Frontend) <= maxFrontendName
+}
+
+// RecordAttempt records that an attempt is about to begin. It does nothing for a message that is not pending.
+func (l *Log) RecordAttempt(seq uint64, at int64, zone int) error {
+	e := l.entries[seq]
+	if e == nil {
+		return nil
+	}
+	b := binary.LittleEndian.AppendUint64(l.beginRecord(kindAttempt), seq)
+	b = binary.LittleEndian.AppendUint64(b, uint64(at))
+	if err := l.append(binary.LittleEndian.AppendUint32(b, uint32(zone))); err != nil {
+		return err
+	}
+	e.attemptBegan(at, zone)
+	return nil
+}
+
+// RecordAttemptEnd records that an attempt has ended without an end of the message, and if it may have run. It does
+// nothing for a message that is not pending.
+func (l *Log) RecordAttemptEnd(seq uint64, ran bool) error {
+	e := l.entries[seq]
+	if e == nil {
+		return nil
+	}
+	e.attemptEnded(ran)
+	b := binary.LittleEndian.AppendUint64(l.beginRecord(kindAttemptEnd), seq)
+	if ran {
+		return l.append(append(b, 1))
+	}
+	return l.append(append(b, 0))
+}
+
+// RecordAnswer records the final answer before it is given; retryAfter is in milliseconds. It does nothing for a
+// message that is not pending.
+func (l *Log) RecordAnswer(seq uint64, answer Answer, retryAfter int) error {
+	e := l.entries[seq]
+	if e == nil {
+		return nil
+	}
+	e.Answer, e.RetryAfter = answer, retryAfter
+	b := append(binary.LittleEndian.AppendUint64(l.beginRecord(kindAnswer), seq), byte(answer))
+	return l.append(binary.LittleEndian.AppendUint32(b, uint32(retryAfter)))
+}
+
+// RecordDone records that a message is done. It does nothing for a message that is not pending.
+func (l *Log) RecordDone(seq uint64) error {
+	e := l.entries[seq]
+	if e == nil {
+		return nil
+	}
+	delete(l.entries, seq)
+	l.pending -= e.Size()
+	return l.append(binary.LittleEndian.AppendUint64(l.beginRecord(kindDone), seq))
+}
+
+// appendEntry records an entry whole in the last segment.
+func (l *Log) appendEntry(e *Entry) error {
+	if err := l.append(l.entryRecord(e)); err != nil {
+		return err
+	}
+	l.last().add(e)
+	return nil
+}
+
+// append seals a record and writes it, after making room.
+func (l *Log) append(record []byte) error {
+	sealRecord(record)
+	l.buf = record
+	switch {
+	case l.head == nil || l.last().size >= l.segmentSize():
+		if err := l.rotate(); err != nil {
+			return err
+		}
+		record = slices.Clone(record) // compaction uses the buffer
+		if err := l.makeRoom(len(record), 2*l.reserve()); err != nil {
+			return err
+		}
+	case l.Used()+int64(len(record))+l.reserve() > l.limit: // filled by the segments of processes that wrote little
+		record = slices.Clone(record)
+		_ = l.makeRoom(len(record), l.reserve()) // write tells if there is none
+	}
+	return l.write(record)
+}
+
+// write writes a sealed record to the last segment.
+func (l *Log) write(record []byte) error {
+	s := l.last()
+	if diskSize(s.size+int64(len(record)))-diskSize(s.size)+l.Used() > l.limit {
+		return ErrFull
+	}
+	n, err := l.head.Write(record)
+	if err != nil {
+		if n > 0 && l.head.Truncate(s.size) != nil {
+			s.size += int64(n) // the torn record stays; what follows goes to a new segment
+			_ = l.rotate()
+		}
+		return err
+	}
+	s.size += int64(n)
+	return nil
+}
--- /dev/null
+++ b/internal/wal/append_test.go
@@ -0,0 +1,117 @@
+package wal
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestRestoreKeepsTheNumberOfAMessage(t *testing.T) {
+	dir := t.TempDir()
+	l := openLog(t, dir)
+	a := appendMessage(t, l, "a", 3)
+	require.Equal(t, uint64(2), l.NextSeq())
+	b := appendMessage(t, l, "b", 3)
+	require.Equal(t, uint64(3), b.Seq)
+	require.NoError(t, l.RecordDone(a.Seq)) // it is recorded elsewhere
+	require.NoError(t, l.Restore(&Entry{Seq: a.Seq, ID: "a", Type: "ticket", Attempts: 2, FirstRanAt: 7, FirstRanZone: 1,
+		Body: []byte("x")}))
+	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket"}))
+	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket", Attempts: 1}), "twice: the latest counts")
+	l.Reserve(40)
+	l.Close()
+	l = openLog(t, dir)
+	defer l.Close()
+	got := l.Pending()
+	require.Len(t, got, 3)
+	require.Equal(t, []any{uint64(1), "a", 2, int64(7)}, []any{got[0].Seq, got[0].ID, got[0].Attempts, got[0].FirstRanAt})
+	require.Equal(t, []any{uint64(2), "c", 1}, []any{got[1].Seq, got[1].ID, got[1].Attempts})
+	require.Equal(t, uint64(4), appendMessage(t, l, "d", 3).Seq)
+}
+
+func TestRestoreWithoutRoomIsRefusedAndLeavesPendingEntries(t *testing.T) {
+	l := openLog(t, t.TempDir())
+	defer l.Close()
+	entry := appendMessage(t, l, "a", 3)
+	for l.pending+5104 < l.Capacity() {
+		appendMessage(t, l, "filling", 5000)
+	}
+	require.ErrorIs(t, l.Restore(&Entry{Seq: 1000, Body: make([]byte, 6000)}), ErrFull)
+	require.ErrorIs(t, l.Restore(&Entry{Seq: 1000, Body: make([]byte, maxPayload)}), ErrFull)
+	require.Nil(t, l.Entry(1000))
+	require.Same(t, entry, l.Entry(entry.Seq))
+}
+
+func TestEntryKeepsItsFrontend(t *testing.T) {
+	dir := t.TempDir()
+	l := openLog(t, dir)
+	require.NoError(t, l.Append(&Entry{ID: "a", Type: "ticket", Frontend: "proxy", CallerWaits: true, Body: []byte("b")}))
+	require.NoError(t, l.Append(&Entry{ID: "b", Type: "ticket"}))
+	require.ErrorIs(t, l.Append(&Entry{ID: "c", Frontend: string(make([]byte, maxFrontendName+1))}), ErrFull)
+	l.Close()
+	l = openLog(t, dir)
+	defer l.Close()
+	pending := l.Pending()
+	require.Equal(t, []any{"proxy", true}, []any{pending[0].Frontend, pending[0].CallerWaits})
+	require.Equal(t, []any{"", false}, []any{pending[1].Frontend, pending[1].CallerWaits})
+}
+
+func TestFailedWriteRecordsNothing(t *testing.T) {
+	dir := t.TempDir()
+	l := openLog(t, dir)
+	l.head.Close() // as if the disk had failed
+	require.Error(t, l.Append(&Entry{ID: "a"}))
+	require.Empty(t, l.Pending())
+}
+
+func restored(seq uint64, size int) *Entry {
+	return &Entry{Seq: seq, Key: 3, Destination: 4, Tenant: 1, Type: "order", ID: "id", IdempotencyKey: "k", Expiry: 99,
+		Attempts: 2, FirstRanAt: 55, FirstRanZone: 1,
+		Body: make([]byte, size), Frontend: "web", CallerWaits: true}
+}
+
+func TestRestoreKeepsNumberAndHistory(t *testing.T) {
+	dir := t.TempDir()
+	l, err := Open(dir, 1<<20)
+	require.NoError(t, err)
+	require.NoError(t, l.Append(&Entry{ID: "one"}))
+	require.Equal(t, uint64(2), l.NextSeq(), "given to the store")
+	require.NoError(t, l.Restore(restored(40, 10)))
+	require.NoError(t, l.Restore(restored(2, 10)))
+	require.NoError(t, l.Restore(restored(40, 100)), "again: the latest counts")
+	last := &Entry{ID: "last"}
+	require.NoError(t, l.Append(last))
+	require.Equal(t, uint64(41), last.Seq)
+	l.Reserve(7)
+	require.Equal(t, uint64(42), l.NextSeq())
+	l.Reserve(100)
+	require.Equal(t, uint64(101), l.NextSeq())
+	require.NoError(t, l.RecordDone(2))
+	live := l.pending
+	require.NoError(t, l.Close())
+
+	l, err = Open(dir, 1<<20)
+	require.NoError(t, err)
+	defer l.Close()
+	require.Equal(t, live, l.pending)
+	pending := l.Pending()
+	require.Len(t, pending, 3)
+	want := restored(40, 100)
+	want.segment = pending[1].segment
+	require.Equal(t, want, pending[1])
+}
+
+func TestRestoreIsRefusedWhenFull(t *testing.T) {
+	l, err := Open(t.TempDir(), 2<<20)
+	require.NoError(t, err)
+	defer l.Close()
+	seq := uint64(1)
+	for ; err == nil; seq++ {
+		err = l.Restore(restored(seq, 60<<10))
+	}
+	require.ErrorIs(t, err, ErrFull)
+	require.NoError(t, l.Restore(restored(1, 60<<10)), "what is there already takes no more room")
+	require.ErrorIs(t, l.Restore(restored(seq, 80<<10)), ErrFull)
+	require.NoError(t, l.RecordDone(1))
+	require.NoError(t, l.Restore(restored(seq, 60<<10)))
+}
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -17,13 +17,13 @@
 	goldenLog       = "version1"  // each kind of record
 	goldenCompacted = "compacted" // after old files were freed
 
-	smallLimit    = 350_000 // bytes, close to the least
-	compactedBody = 4_000   // bytes
-	compactedOwed = 50      // one in so many messages is owed at the end
-	ownerLock     = "owner" // holds the id of a process
+	smallLimit       = 350_000 // bytes, close to the least
+	compactedBody    = 4_000   // bytes
+	compactedPending = 50      // one in so many messages is pending at the end
+	processLock      = "owner" // holds the id of a process
 )
 
-// goldenMessage is an owed message with fixed content. Its idempotency shows in its type and key alone: messages whose
+// goldenMessage is a pending message with fixed content. Its idempotency shows in its type and key: messages whose
 // repeat is known by a key have one, the others none.
 func goldenMessage(id, kind, key string, body []byte) *Entry {
 	return &Entry{Key: 0x1122334455667788, Destination: 7, Tenant: 3, Type: kind, ID: id, IdempotencyKey: key,
@@ -77,7 +77,8 @@
 	require.NoError(t, l.Append(&Entry{}))
 	require.Equal(t, uint64(28), l.NextSeq(), "given to a message in the backlog store")
 	restored := goldenMessage("restored", "at-most-once", "", []byte("body"))
-	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone, restored.Frontend, restored.CallerWaits = 40, 2, 55, 1, "resp", true
+	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone = 40, 2, 55, 1
+	restored.Frontend, restored.CallerWaits = "resp", true
 	require.NoError(t, l.Restore(restored))
 	require.NoError(t, l.Restore(goldenMessageAgain(restored)))
 }
@@ -101,14 +102,15 @@
 	{Answer: Failed},
 }
 
-func goldenOwed() []*Entry {
-	var owed []*Entry
+func goldenPending() []*Entry {
+	var pending []*Entry
 	for k, kind := range [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}} {
 		for s, state := range goldenStates {
 			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), kind[0], kind[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
 			e.Seq, e.Attempts, e.Answer, e.RetryAfter = uint64(k*8+s+1), state.Attempts, state.Answer, state.RetryAfter
-			e.FirstRanAt, e.FirstRanZone, e.AttemptBegan, e.AttemptZone = state.FirstRanAt, state.FirstRanZone, state.AttemptBegan, state.AttemptZone
-			owed = append(owed, e)
+			e.FirstRanAt, e.FirstRanZone = state.FirstRanAt, state.FirstRanZone
+			e.AttemptBegan, e.AttemptZone = state.AttemptBegan, state.AttemptZone
+			pending = append(pending, e)
 		}
 	}
 	named := goldenMessage("named", "idempotent", "", []byte("body"))
@@ -116,24 +118,25 @@
 	named.Seq, named.Frontend = 25, "web"
 	waiting.Seq, waiting.CallerWaits = 26, true
 	restored := goldenMessage("restored", "at-most-once", "", []byte("second body"))
-	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone, restored.Frontend, restored.CallerWaits = 40, 3, 55, 1, "resp", true
-	return append(owed, named, waiting, &Entry{Seq: 27, Body: []byte{}}, restored)
+	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone = 40, 3, 55, 1
+	restored.Frontend, restored.CallerWaits = "resp", true
+	return append(pending, named, waiting, &Entry{Seq: 27, Body: []byte{}}, restored)
 }
 
-// requireOwed demands these messages and no others, whatever file they are in.
-func requireOwed(t *testing.T, want, got []*Entry) {
+// requirePending demands these messages and no others, whatever file they are in.
+func requirePending(t *testing.T, want, got []*Entry) {
 	t.Helper()
 	for _, e := range got {
-		e.file = 0
+		e.segment = 0
 	}
 	require.Equal(t, want, got)
 }
 
 func TestReadsLogWrittenByVersion1(t *testing.T) {
 	dir := golden.Copy(t, goldenLog)
-	l := open(t, dir)
+	l := openLog(t, dir)
 	require.Zero(t, l.DroppedRecords)
-	requireOwed(t, goldenOwed(), l.Pending())
+	requirePending(t, goldenPending(), l.Pending())
 	require.Equal(t, uint64(41), l.NextSeq())
 	require.NoError(t, l.Close())
 }
@@ -145,20 +148,20 @@
 	require.Len(t, v.Files, 1)
 	require.Equal(t, map[string]int{"document": 25, "document with front": 4, "transmission": 15, "end": 9, "over": 3,
 		"answer": 6}, v.Files[0].Records)
-	requireOwed(t, goldenOwed(), v.Pending)
+	requirePending(t, goldenPending(), v.Pending)
 }
 
 func TestWritesSameBytesAsVersion1(t *testing.T) {
 	dir := t.TempDir()
-	l := open(t, dir)
+	l := openLog(t, dir)
 	writeGoldenLog(t, l)
 	require.NoError(t, l.Close())
-	golden.Compare(t, dir, goldenLog, ownerLock)
+	golden.Compare(t, dir, goldenLog, processLock)
 }
 
-// writeCompactedLog fills a small log until its oldest files are freed, by which what they owe is written anew. It
-// returns the numbers that are owed at the end.
-func writeCompactedLog(t *testing.T, l *Log) (owed []uint64) {
+// writeCompactedLog fills a small log until its oldest segments are freed, by which what is pending in them is recorded
+// anew. It returns the numbers that are pending at the end.
+func writeCompactedLog(t *testing.T, l *Log) (pending []uint64) {
 	for i := range 150 {
 		e := goldenMessage(fmt.Sprintf("id-%d", i), "idempotent-with-key", "k", bytes.Repeat([]byte{byte(i)}, compactedBody))
 		if i%2 == 1 {
@@ -166,13 +169,13 @@
 		}
 		require.NoError(t, l.Append(e))
 		require.NoError(t, attempt(l, e.Seq, int64(100+i), i%3, i%5 == 0))
-		if i%compactedOwed == 0 {
-			owed = append(owed, e.Seq)
+		if i%compactedPending == 0 {
+			pending = append(pending, e.Seq)
 			continue
 		}
 		require.NoError(t, l.RecordDone(e.Seq))
 	}
-	return owed
+	return pending
 }
 
 func TestReadsCompactedLogWrittenByVersion1(t *testing.T) {
@@ -180,10 +183,11 @@
 	require.NoError(t, err)
 	require.Zero(t, l.DroppedRecords)
 	for i, e := range l.Pending() {
-		n := i * compactedOwed
+		n := i * compactedPending
 		body := bytes.Repeat([]byte{byte(n)}, compactedBody)
 		want := goldenMessage(fmt.Sprintf("id-%d", n), "idempotent-with-key", "k", body)
-		want.Seq, want.Attempts, want.FirstRanAt, want.FirstRanZone, want.file = uint64(n+1), 1, int64(100+n), n%3, e.file
+		want.Seq, want.Attempts, want.segment = uint64(n+1), 1, e.segment
+		want.FirstRanAt, want.FirstRanZone = int64(100+n), n%3
 		require.Equal(t, want, e)
 	}
 	require.Len(t, l.Pending(), 3)
@@ -194,13 +198,13 @@
 	dir := t.TempDir()
 	l, err := Open(dir, smallLimit)
 	require.NoError(t, err)
-	owed := writeCompactedLog(t, l)
-	require.Greater(t, l.files[0].number, 1, "the first file was freed")
+	pending := writeCompactedLog(t, l)
+	require.Greater(t, l.segments[0].number, 1, "the first file was freed")
 	var seqs []uint64
 	for _, e := range l.Pending() {
 		seqs = append(seqs, e.Seq)
 	}
-	require.True(t, slices.Equal(owed, seqs))
+	require.True(t, slices.Equal(pending, seqs))
 	require.NoError(t, l.Close())
-	golden.Compare(t, dir, goldenCompacted, ownerLock)
+	golden.Compare(t, dir, goldenCompacted, processLock)
 }
--- /dev/null
+++ b/internal/wal/lock.go
@@ -0,0 +1,89 @@
+package wal
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+)
+
+const (
+	lockFile     = "owner"
+	minLockWait  = time.Second // a process that was killed may hold the folder for a moment longer
+	lockRetry    = 20 * time.Millisecond
+	maxPIDLength = 32 // bytes read of a lock file
+)
+
+// LockedError is the error for a folder that another running process has.
+type LockedError struct {
+	Dir string
+	PID int // 0 if not known
+}
+
+func (e *LockedError) Error() string {
+	if e.PID == 0 {
+		return e.Dir + " belongs to another running process"
+	}
+	return fmt.Sprintf("%s belongs to another running process, pid %d", e.Dir, e.PID)
+}
+
+// lockFolder locks a folder for this process. Guards against two forwarders that both send what is pending in it. The
+// kernel lets go of the lock when the process ends, however it does, so that nothing is left to clear up. Where the
+// file cannot be made or locked (a full disk, a file system without locks) the forwarder goes on unguarded: nil.
+func lockFolder(ctx context.Context, dir string, wait time.Duration) (*os.File, error) {
+	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, filePerm)
+	if err != nil {
+		return nil, nil
+	}
+	for began := time.Now(); ; time.Sleep(lockRetry) {
+		err = syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
+		if !errors.Is(err, syscall.EWOULDBLOCK) && !errors.Is(err, syscall.EINTR) {
+			break
+		}
+		if ctx.Err() != nil {
+			return nil, errors.Join(ctx.Err(), f.Close())
+		}
+		if time.Since(began) > wait {
+			return nil, errors.Join(&LockedError{Dir: dir, PID: LockHolder(dir)}, f.Close())
+		}
+	}
+	if err != nil {
+		_ = f.Close() // it was not written to
+		return nil, nil
+	}
+	if f.Truncate(0) == nil {
+		_, _ = fmt.Fprintln(f, os.Getpid()) // for people; the lock holds without it
+	}
+	return f, nil
+}
+
+// LockHolder tells which running process has the log of a folder, 0 if none is known.
+func LockHolder(dir string) int { return LockHolderOfFile(filepath.Join(dir, lockFile)) }
+
+// LockHolderOfFile tells which running process holds a lock file that has the process's number in it, 0 if none is
+// known. It alters nothing, and keeps the lock from others for no longer than a moment.
+func LockHolderOfFile(lockFile string) int {
+	f, err := os.Open(lockFile)
+	if err != nil {
+		return 0
+	}
+	defer func() { _ = f.Close() }() // it was only read
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); err == nil {
+		return 0
+	}
+	text, err := io.ReadAll(io.LimitReader(f, maxPIDLength))
+	if err != nil {
+		return 0
+	}
+	pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
+	if err != nil {
+		return 0
+	}
+	return pid
+}
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -5,119 +5,145 @@
 	"hash/crc32"
 )
 
-// encode adds the entry's record to b.
-func (e *Entry) encode(b []byte) []byte {
-	for _, v := range []uint64{e.Seq, e.Key, e.Destination, uint64(e.Expiry), uint64(e.FirstRanAt), uint64(e.AttemptBegan)} {
-		b = binary.LittleEndian.AppendUint64(b, v)
+// A record is framed by its length, a checksum over kind and payload, and its kind. Numbers are little-endian.
+const (
+	checksumOffset = 4
+	kindOffset     = 8
+	frameHeader    = 9        // length, checksum, kind
+	maxPayload     = 72 << 10 // bytes of the largest record
+)
+
+// The kinds of records.
+const (
+	kindEntry             = iota + 1 // a message with all that is known of it
+	kindAttempt                      // an attempt is about to begin
+	kindAttemptEnd                   // an attempt has ended, the message is not done
+	kindDone                         // the message is done
+	kindAnswer                       // the final answer is about to be given
+	kindEntryWithFrontend            // as kindEntry, behind the frontend by which it came
+)
+
+// Sizes of the payloads, in bytes.
+const (
+	seqSize         = 8
+	attemptSize     = seqSize + 8 + 4 // begin, zone
+	attemptEndSize  = seqSize + 1     // may have run
+	answerSize      = seqSize + 1 + 4 // answer, retry-after
+	entryUint64s    = 6
+	entryUint32s    = 10
+	entryFixedSize  = entryUint64s*8 + entryUint32s*4
+	frontendHeader  = 2 // caller waits, length of the name
+	entryFieldCount = 4 // fields of variable length
+)
+
+// beginRecord begins a record in the log's buffer; sealRecord completes it.
+func (l *Log) beginRecord(kind byte) []byte {
+	return append(l.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0, kind)
+}
+
+// sealRecord sets length and checksum of a record.
+func sealRecord(record []byte) {
+	binary.LittleEndian.PutUint32(record, uint32(len(record)-frameHeader))
+	binary.LittleEndian.PutUint32(record[checksumOffset:], crc32.ChecksumIEEE(record[kindOffset:]))
+}
+
+// cutRecord cuts the first record off a segment's bytes; ok is false where none can be read. A record whose checksum
+// alone fails still gives the rest behind it.
+func cutRecord(b []byte) (kind byte, payload, rest []byte, ok bool) {
+	if len(b) < frameHeader {
+		return 0, nil, nil, false
 	}
-	for _, v := range []int{e.Tenant, e.Attempts, e.FirstRanZone, e.AttemptZone, int(e.Answer), e.RetryAfter, len(e.Type), len(e.ID), len(e.IdempotencyKey), len(e.Body)} {
-		b = binary.LittleEndian.AppendUint32(b, uint32(v))
+	length := binary.LittleEndian.Uint32(b)
+	if length > maxPayload || int(length) > len(b)-frameHeader {
+		return 0, nil, nil, false
 	}
-	b = append(append(append(b, e.Type...), e.ID...), e.IdempotencyKey...)
-	return append(b, e.Body...)
+	end := frameHeader + int(length)
+	sound := binary.LittleEndian.Uint32(b[checksumOffset:]) == crc32.ChecksumIEEE(b[kindOffset:end])
+	return b[kindOffset], b[frameHeader:end], b[end:], sound
 }
 
-const fixed = 6*8 + 10*4
-
-// decode reads an entry's record, nil if it is none.
-func decode(b []byte) *Entry {
-	if len(b) < fixed {
-		return nil
+// entryRecord begins the record of an entry in the log's buffer.
+func (l *Log) entryRecord(e *Entry) []byte {
+	if !e.namesFrontend() {
+		return e.encode(l.beginRecord(kindEntry))
 	}
-	long := func(i int) uint64 { return binary.LittleEndian.Uint64(b[8*i:]) }
-	word := func(i int) int { return int(binary.LittleEndian.Uint32(b[48+4*i:])) }
-	e := &Entry{Seq: long(0), Key: long(1), Destination: long(2), Expiry: int64(long(3)), FirstRanAt: int64(long(4)),
-		AttemptBegan: int64(long(5)), Tenant: word(0), Attempts: word(1), FirstRanZone: word(2), AttemptZone: word(3),
-		Answer: Answer(word(4)), RetryAfter: word(5)}
-	sizes := [4]int{word(6), word(7), word(8), word(9)}
-	if sizes[0]+sizes[1]+sizes[2]+sizes[3] != len(b)-fixed {
-		return nil
+	callerWaits := byte(0)
+	if e.CallerWaits {
+		callerWaits = 1
+	}
+	b := append(l.beginRecord(kindEntryWithFrontend), callerWaits, byte(len(e.Frontend)))
+	return e.encode(append(b, e.Frontend...))
+}
+
+// encode adds the entry's payload to b.
+func (e *Entry) encode(b []byte) []byte {
+	for _, v := range []uint64{
+		e.Seq, e.Key, e.Destination, uint64(e.Expiry), uint64(e.FirstRanAt), uint64(e.AttemptBegan),
+	} {
+		b = binary.LittleEndian.AppendUint64(b, v)
 	}
-	var texts [4]string
-	rest := b[fixed:]
-	for i, n := range sizes {
-		texts[i], rest = string(rest[:n]), rest[n:]
+	for _, v := range []int{
+		e.Tenant, e.Attempts, e.FirstRanZone, e.AttemptZone, int(e.Answer), e.RetryAfter,
+		len(e.Type), len(e.ID), len(e.IdempotencyKey), len(e.Body),
+	} {
+		b = binary.LittleEndian.AppendUint32(b, uint32(v))
 	}
-	e.Type, e.ID, e.IdempotencyKey, e.Body = texts[0], texts[1], texts[2], []byte(texts[3])
-	return e
+	b = append(b, e.Type...)
+	b = append(b, e.ID...)
+	b = append(b, e.IdempotencyKey...)
+	return append(b, e.Body...)
 }
 
-// entry reads an entry's record of either kind, nil if it is none.
-func entry(kind byte, b []byte) *Entry {
+// decodeEntry reads the payload of an entry's record of either kind, nil if it is malformed.
+func decodeEntry(kind byte, payload []byte) *Entry {
 	if kind == kindEntry {
-		return decode(b)
+		return decodeMessage(payload)
 	}
-	if len(b) < 2 || int(b[1]) > len(b)-2 || b[1] > mostFront {
+	if len(payload) < frontendHeader {
 		return nil
 	}
-	e := decode(b[2+b[1]:])
+	nameLength := int(payload[1])
+	if nameLength > len(payload)-frontendHeader || nameLength > maxFrontendName {
+		return nil
+	}
+	e := decodeMessage(payload[frontendHeader+nameLength:])
 	if e != nil {
-		e.CallerWaits, e.Frontend = b[0] == 1, string(b[2:2+b[1]])
+		e.CallerWaits = payload[0] == 1
+		e.Frontend = string(payload[frontendHeader : frontendHeader+nameLength])
 	}
 	return e
 }
 
-// record cuts the first record off a file's text; ok is false where none can be read.
-func record(b []byte) (kind byte, body, rest []byte, ok bool) {
-	if len(b) < header {
-		return 0, nil, nil, false
-	}
-	n := binary.LittleEndian.Uint32(b)
-	if n > mostEntry || int(n) > len(b)-header {
-		return 0, nil, nil, false
-	}
-	end := header + int(n)
-	sound := binary.LittleEndian.Uint32(b[4:]) == crc32.ChecksumIEEE(b[8:end])
-	return b[8], b[header:end], b[end:], sound
-}
-
-// replay applies a file's records. One whose checksum fails is passed over if another follows it; else the rest of
-// the file is a torn tail.
-func (l *Log) replay(b []byte, number int) {
-	for len(b) > 0 {
-		kind, body, rest, ok := record(b)
-		if !ok {
-			l.DroppedRecords++
-			if _, _, _, next := record(rest); !next {
-				return
-			}
-			b = rest
-			continue
-		}
-		b = rest
-		l.apply(kind, body, number)
+// decodeMessage reads what encode wrote, nil if it is malformed.
+func decodeMessage(b []byte) *Entry {
+	if len(b) < entryFixedSize {
+		return nil
 	}
-}
-
-func (l *Log) apply(kind byte, b []byte, number int) {
-	if kind == kindEntry || kind == kindFrom {
-		if e := entry(kind, b); e != nil {
-			e.file = number
-			l.entries[e.Seq] = e
-			l.next = max(l.next, e.Seq+1)
-			return
-		}
-		l.DroppedRecords++
-		return
+	uint64At := func(i int) uint64 { return binary.LittleEndian.Uint64(b[8*i:]) }
+	uint32At := func(i int) int { return int(binary.LittleEndian.Uint32(b[8*entryUint64s+4*i:])) }
+	e := &Entry{
+		Seq:          uint64At(0),
+		Key:          uint64At(1),
+		Destination:  uint64At(2),
+		Expiry:       int64(uint64At(3)),
+		FirstRanAt:   int64(uint64At(4)),
+		AttemptBegan: int64(uint64At(5)),
+		Tenant:       uint32At(0),
+		Attempts:     uint32At(1),
+		FirstRanZone: uint32At(2),
+		AttemptZone:  uint32At(3),
+		Answer:       Answer(uint32At(4)),
+		RetryAfter:   uint32At(5),
 	}
-	if len(b) < 8 {
-		l.DroppedRecords++
-		return
+	lengths := [entryFieldCount]int{uint32At(6), uint32At(7), uint32At(8), uint32At(9)}
+	if lengths[0]+lengths[1]+lengths[2]+lengths[3] != len(b)-entryFixedSize {
+		return nil
 	}
-	seq := binary.LittleEndian.Uint64(b)
-	l.next = max(l.next, seq+1)
-	e := l.entries[seq]
-	switch {
-	case e == nil: // of a message whose record has been freed
-	case kind == kindOut && len(b) == 20:
-		e.sent(int64(binary.LittleEndian.Uint64(b[8:])), int(binary.LittleEndian.Uint32(b[16:])))
-	case kind == kindBack && len(b) == 9:
-		e.back(b[8] == 1)
-	case kind == kindAnswer && len(b) == 13:
-		e.Answer, e.RetryAfter = Answer(b[8]), int(binary.LittleEndian.Uint32(b[9:]))
-	case kind == kindOver && len(b) == 8:
-		delete(l.entries, seq)
-	default:
-		l.DroppedRecords++
+	var fields [entryFieldCount]string
+	rest := b[entryFixedSize:]
+	for i, length := range lengths {
+		fields[i], rest = string(rest[:length]), rest[length:]
 	}
+	e.Type, e.ID, e.IdempotencyKey, e.Body = fields[0], fields[1], fields[2], []byte(fields[3])
+	return e
 }
--- /dev/null
+++ b/internal/wal/recover_test.go
@@ -0,0 +1,54 @@
+package wal
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestTornEndIsDropped(t *testing.T) {
+	dir := t.TempDir()
+	l := openLog(t, dir)
+	appendMessage(t, l, "a", 3)
+	appendMessage(t, l, "b", 3)
+	l.Close()
+	info, err := os.Stat(lastFile(t, dir))
+	require.NoError(t, err)
+	require.NoError(t, os.Truncate(lastFile(t, dir), info.Size()-1))
+	require.Equal(t, []string{"a"}, pendingIDs(t, dir))
+}
+
+func TestRecordWithWrongChecksumIsDropped(t *testing.T) {
+	dir := t.TempDir()
+	l := openLog(t, dir)
+	for _, id := range []string{"a", "bb", "c"} {
+		appendMessage(t, l, id, 3)
+	}
+	l.Close()
+	text, err := os.ReadFile(lastFile(t, dir))
+	require.NoError(t, err)
+	text[bytes.Index(text, []byte("bb"))]++
+	require.NoError(t, os.WriteFile(lastFile(t, dir), text, 0o600))
+	l = openLog(t, dir)
+	require.Equal(t, 1, l.DroppedRecords)
+	require.Len(t, l.Pending(), 2)
+}
+
+func FuzzReplay(f *testing.F) {
+	e := &Entry{Seq: 1, Type: "t", ID: "a", Body: []byte("b")}
+	f.Add(e.encode(make([]byte, frameHeader)))
+	f.Add([]byte{1, 0, 0, 0, 0, 0, 0, 0, kindDone, 0})
+	f.Fuzz(func(t *testing.T, text []byte) {
+		dir := t.TempDir()
+		require.NoError(t, os.WriteFile(filepath.Join(dir, "00000001"+segmentSuffix), text, 0o600))
+		l, err := Open(dir, testLimit)
+		require.NoError(t, err)
+		for kind := range byte(8) { // what a sound checksum lets through
+			l.apply(kind, text, 1)
+		}
+		require.NoError(t, l.Close())
+	})
+}
