--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -19,7 +19,8 @@
 var benchBounds = Bounds{Bytes: 8 << 30}
 
 func benchMessage(seq uint64) *Message {
-	return &Message{Seq: seq, Lane: Lane{seq % benchLanes, 1}, Key: seq, Type: "order", ID: fmt.Sprintf("01J9Z3T5-%016x", seq),
+	return &Message{Seq: seq, Lane: Lane{seq % benchLanes, 1}, Key: seq, Type: "order",
+		ID:   fmt.Sprintf("01J9Z3T5-%016x", seq),
 		Body: make([]byte, benchBody), Taken: int64(seq), Expiry: int64(seq) + 3_600_000_000}
 }
 
@@ -65,7 +66,7 @@
 }
 
 func (l *fileLog) Restore(m *Message) error {
-	l.buf = m.encode(beginRecord(l.buf[:0], kindOwed))
+	l.buf = m.encode(beginRecord(l.buf[:0], kindTestPending))
 	endRecord(l.buf, 0)
 	_, err := l.file.Write(l.buf)
 	return err
@@ -127,7 +128,8 @@
 }
 
 // Outages of all lengths: each step stores a message, and lanes come back at random, so that as many go as come. A
-// tenth of the lanes stays out and gets nothing new. Written bytes for each byte of record, in a store with much room and in a nearly full one.
+// tenth of the lanes stays out and gets nothing new. Written bytes for each byte of record, in a store with much
+// room and in a nearly full one.
 func BenchmarkChurn(b *testing.B) {
 	const live = 100_000
 	for name, bounds := range map[string]Bounds{"roomy": benchBounds, "nearly-full": {Bytes: 66 << 20}} {
@@ -167,7 +169,7 @@
 	b.ReportMetric(float64(s.Written()-before)/float64(bytes), "written/record")
 	b.ReportMetric(float64(peak)/float64(s.Bytes()), "peak-disk/live")
 	b.ReportMetric(float64(refused), "refused")
-	b.ReportMetric(float64(s.Bytes())/float64(s.bounds.room()), "live/room")
+	b.ReportMetric(float64(s.Bytes())/float64(s.bounds.capacity()), "live/room")
 }
 
 // 100,000 are due: a batch of the first 512 of them in the order of expiry.
--- /dev/null
+++ b/internal/backlog/entry.go
@@ -0,0 +1,41 @@
+package backlog
+
+// entry is what memory holds of a stored message.
+type entry struct {
+	seq     uint64
+	expiry  int64 // microseconds of the wall clock
+	segment uint32
+	offset  uint32
+	packed  uint32 // bytes of its record, and in the lowest bits its state and if it keeps the order of its key
+	heapAt  uint32 // its place in the lane's heap of expiries, from 1; 0 once it is released
+}
+
+const (
+	stateBits = 2
+	orderBit  = 1 << stateBits
+	sizeShift = stateBits + 1
+	blockSize = 16 // entries
+)
+
+func (e *entry) size() int64 { return int64(e.packed >> sizeShift) }
+
+func (e *entry) state() State { return State(e.packed & (1<<stateBits - 1)) }
+
+func (e *entry) live() bool { return e.heapAt != 0 }
+
+func (e *entry) keepsOrder() bool { return e.packed&orderBit != 0 }
+
+func pack(size int, s State, keepsOrder bool) uint32 {
+	packed := uint32(size)<<sizeShift | uint32(s)
+	if keepsOrder {
+		packed |= orderBit
+	}
+	return packed
+}
+
+func earlier(a, b *entry) bool {
+	if a.expiry != b.expiry {
+		return a.expiry < b.expiry
+	}
+	return a.seq < b.seq
+}
--- /dev/null
+++ b/internal/backlog/errors.go
@@ -0,0 +1,79 @@
+package backlog
+
+import (
+	"errors"
+	"fmt"
+	"syscall"
+)
+
+var (
+	// ErrFull is the error for a message that the store, or the disk under it, has no room for.
+	ErrFull = errors.New("the backlog store is full")
+	// ErrStored is the error for a message whose number is stored in its lane.
+	ErrStored = errors.New("a message with this number is in the backlog store")
+	// ErrOrder is the error for a message that is neither newer nor older than all that its lane has stored.
+	ErrOrder = errors.New("the message belongs between stored messages of its lane")
+	// ErrTooLarge is the error for a message whose body or one of whose texts is larger than a record can hold.
+	ErrTooLarge = errors.New("the message is too large for the backlog store")
+	// ErrClosed is the error of a store that is closed or was opened for reading alone.
+	ErrClosed = errors.New("the backlog store is not open for writing")
+)
+
+// FullError says why a message was not stored. It matches ErrFull by errors.Is.
+type FullError struct {
+	Bytes int64 // of stored messages
+	Bound int64 // for Bytes
+	Err   error // that of the disk; nil if the bound was reached
+}
+
+func (e *FullError) Error() string {
+	if e.Err != nil {
+		return fmt.Sprintf("%v: %v", ErrFull, e.Err)
+	}
+	return fmt.Sprintf("%v: %d of %d bytes", ErrFull, e.Bytes, e.Bound)
+}
+
+// Is tells that the error matches ErrFull.
+func (e *FullError) Is(target error) bool { return target == ErrFull }
+
+// Unwrap is the disk's error, nil if the bound was reached.
+func (e *FullError) Unwrap() error { return e.Err }
+
+func isDiskFull(err error) bool {
+	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
+}
+
+// DamageError is the error for a file of the store that is not as it was written.
+type DamageError struct {
+	File   string
+	Offset int64 // bytes from the file's begin
+	Reason string
+}
+
+func (e *DamageError) Error() string {
+	return fmt.Sprintf("%s: byte %d: %s", e.File, e.Offset, e.Reason)
+}
+
+// VersionError is the error for a file of the store that a newer program wrote.
+type VersionError struct {
+	File    string
+	Version uint32
+}
+
+func (e *VersionError) Error() string {
+	return fmt.Sprintf("%s: version %d of the backlog store, this program reads up to %d",
+		e.File, e.Version, segmentVersion)
+}
+
+// LockedError is the error for a store that another running process has.
+type LockedError struct {
+	Name string // of the lock file
+	PID  int    // of the process, 0 if not known
+}
+
+func (e *LockedError) Error() string {
+	if e.PID == 0 {
+		return e.Name + ": another running process has the backlog store"
+	}
+	return fmt.Sprintf("%s: another running process has the backlog store, pid %d", e.Name, e.PID)
+}
--- a/internal/backlog/expiry.go
+++ b/internal/backlog/expiry.go
@@ -1,6 +1,8 @@
 package backlog
 
-import "container/heap"
+import (
+	"container/heap"
+)
 
 // expiryNode is a place in the heaps of expiries: of a lane in the heap of lanes, or of a message in its lane's heap.
 type expiryNode struct {
@@ -16,10 +18,14 @@
 // node of a heap comes no sooner than the node.
 type expiryWalk struct{ nodes []expiryNode }
 
-func (w *expiryWalk) Len() int           { return len(w.nodes) }
+func (w *expiryWalk) Len() int { return len(w.nodes) }
+
 func (w *expiryWalk) Less(i, j int) bool { return earlier(w.nodes[i].entry(), w.nodes[j].entry()) }
-func (w *expiryWalk) Swap(i, j int)      { w.nodes[i], w.nodes[j] = w.nodes[j], w.nodes[i] }
-func (w *expiryWalk) Push(x any)         { w.nodes = append(w.nodes, x.(expiryNode)) }
+
+func (w *expiryWalk) Swap(i, j int) { w.nodes[i], w.nodes[j] = w.nodes[j], w.nodes[i] }
+
+func (w *expiryWalk) Push(x any) { w.nodes = append(w.nodes, x.(expiryNode)) }
+
 func (w *expiryWalk) Pop() any {
 	n := w.nodes[len(w.nodes)-1]
 	w.nodes = w.nodes[:len(w.nodes)-1]
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -208,7 +208,7 @@
 
 func openMoved(t *testing.T, dir string) (*wal.Log, *Store) {
 	t.Helper()
-	log, err := wal.Open(dir, ledgerBytes)
+	log, err := wal.Open(dir, walBytes)
 	require.NoError(t, err)
 	return log, openGolden(t, filepath.Join(dir, goldenStoreName))
 }
@@ -222,7 +222,7 @@
 func TestMovesWriteSameBytesAsVersion1(t *testing.T) {
 	dir := t.TempDir()
 	log, s := openMoved(t, dir)
-	mover := NewMover(ledgerLog{log}, s)
+	mover := NewMover(walLog{log}, s)
 	var messages []*Message
 	for seq := uint64(1); seq <= 12; seq++ {
 		m := movedMessage(seq)
@@ -258,7 +258,7 @@
 	for i, m := range stored {
 		require.Equal(t, movedMessage(uint64(6+i)), m)
 	}
-	overtaking, err := NewMover(ledgerLog{log}, s).Resolve(refs)
+	overtaking, err := NewMover(walLog{log}, s).Resolve(refs)
 	require.NoError(t, err)
 	require.Equal(t, refs[5:], overtaking, "brought back to be answered, as its time was over")
 	closeMoved(t, log, s)
--- a/internal/backlog/hashtable.go
+++ b/internal/backlog/hashtable.go
@@ -1,10 +1,12 @@
 package backlog
 
-import "math/bits"
+import (
+	"math/bits"
+)
 
 const (
 	idShards      = 256
-	leastSlots    = 8
+	minSlots      = 8
 	fullNumerator = 4 // a shard is filled up to 4/5
 	fullDivisor   = 5
 )
@@ -45,7 +47,7 @@
 func (t *hashTable[S]) insert(element S) {
 	shard := t.shard(element.hash())
 	if (shard.used+1)*fullDivisor > len(shard.slots)*fullNumerator {
-		shard.resize(max(leastSlots, len(shard.slots)+len(shard.slots)/2))
+		shard.resize(max(minSlots, len(shard.slots)+len(shard.slots)/2))
 	}
 	i, _ := shard.find(element)
 	shard.slots[i] = element
@@ -63,8 +65,8 @@
 	shard.clear(i)
 	shard.used--
 	t.count--
-	if len(shard.slots) > leastSlots && shard.used*4 < len(shard.slots) {
-		shard.resize(max(leastSlots, shard.used*2))
+	if len(shard.slots) > minSlots && shard.used*4 < len(shard.slots) {
+		shard.resize(max(minSlots, shard.used*2))
 	}
 }
 
@@ -80,7 +82,7 @@
 		return 0, false
 	}
 	var free S
-	for i := t.home(element.hash()); ; i = t.behind(i) {
+	for i := t.home(element.hash()); ; i = t.after(i) {
 		if t.slots[i] == free {
 			return i, false
 		}
@@ -90,7 +92,7 @@
 	}
 }
 
-func (t *hashShard[S]) behind(i int) int {
+func (t *hashShard[S]) after(i int) int {
 	if i++; i == len(t.slots) {
 		return 0
 	}
@@ -101,7 +103,7 @@
 func (t *hashShard[S]) clear(place int) {
 	var free S
 	n := len(t.slots)
-	for i := t.behind(place); t.slots[i] != free; i = t.behind(i) {
+	for i := t.after(place); t.slots[i] != free; i = t.after(i) {
 		fromHome := (i - t.home(t.slots[i].hash()) + n) % n
 		if fromFree := (i - place + n) % n; fromHome >= fromFree {
 			t.slots[place] = t.slots[i]
--- a/internal/backlog/idset.go
+++ b/internal/backlog/idset.go
@@ -6,7 +6,8 @@
 // idSlot is a hash; 0 marks a free slot.
 type idSlot uint64
 
-func (s idSlot) hash() uint64           { return uint64(s) }
+func (s idSlot) hash() uint64 { return uint64(s) }
+
 func (s idSlot) same(other idSlot) bool { return s == other }
 
 // element is a hash that can be told from a free slot.
--- a/internal/backlog/idset_test.go
+++ b/internal/backlog/idset_test.go
@@ -39,5 +39,5 @@
 	for i := range s.shards {
 		slots += len(s.shards[i].slots)
 	}
-	require.LessOrEqual(t, slots, idShards*leastSlots, "memory is given back")
+	require.LessOrEqual(t, slots, idShards*minSlots, "memory is given back")
 }
--- a/internal/backlog/keytable.go
+++ b/internal/backlog/keytable.go
@@ -10,11 +10,12 @@
 	messages uint32
 }
 
-func (s keySlot) hash() uint64            { return s.key }
+func (s keySlot) hash() uint64 { return s.key }
+
 func (s keySlot) same(other keySlot) bool { return s.key == other.key && s.lane == other.lane }
 
 // hashKey spreads keys over the table. It is the finalizer of SplitMix64, a bijection that leaves 0 as it is: no two
-// keys have the same hash. ReleaseEndpoint records hold it.
+// keys have the same hash. Release records hold it.
 func hashKey(key uint64) uint64 {
 	key = (key ^ key>>30) * 0xBF58476D1CE4E5B9
 	key = (key ^ key>>27) * 0x94D049BB133111EB
@@ -48,7 +49,7 @@
 	if len(shard.slots) == 0 {
 		return false
 	}
-	for i := shard.home(key); shard.slots[i].key != 0; i = shard.behind(i) {
+	for i := shard.home(key); shard.slots[i].key != 0; i = shard.after(i) {
 		if s := shard.slots[i]; s.key == key && s.lane != lane {
 			return true
 		}
@@ -62,7 +63,7 @@
 	free []uint32 // at most as many as there were lanes at once
 }
 
-func (n *laneNumbers) take() uint32 {
+func (n *laneNumbers) allocate() uint32 {
 	if last := len(n.free) - 1; last >= 0 {
 		number := n.free[last]
 		n.free = n.free[:last]
@@ -72,4 +73,4 @@
 	return n.last
 }
 
-func (n *laneNumbers) giveBack(number uint32) { n.free = append(n.free, number) }
+func (n *laneNumbers) release(number uint32) { n.free = append(n.free, number) }
--- a/internal/backlog/keytable_test.go
+++ b/internal/backlog/keytable_test.go
@@ -2,12 +2,8 @@
 
 import (
 	"errors"
-	"fmt"
 	"math/rand/v2"
-	"path/filepath"
-	"runtime"
 	"testing"
-	"unsafe"
 
 	"github.com/stretchr/testify/require"
 )
@@ -113,7 +109,7 @@
 	return err
 }
 
-func (w *keyModel) operate(s *Store, rng *rand.Rand) (err error) {
+func (w *keyModel) randomOperation(s *Store, rng *rand.Rand) (err error) {
 	switch rng.IntN(8) {
 	case 0, 1, 2, 3:
 		err = w.append(s, rng)
@@ -128,8 +124,8 @@
 	return err
 }
 
-// The counts of keys agree with a map over new messages, releases, spills back and forth, restarts, and kills that leave
-// copies of what is in segments that are being freed.
+// The counts of keys agree with a map over new messages, releases, spills back and forth, restarts, and kills that
+// leave copies of what is in segments that are being freed.
 func TestKeysAgreeWithAMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(31, 7))
 	files := newMemFS()
@@ -139,11 +135,11 @@
 	for range 600 {
 		toKill := rng.IntN(2) == 0
 		if toKill {
-			files.kill, files.failAt, files.failFor, files.leaving = true, files.calls+1+rng.IntN(30), 1, allDone
+			files.kill, files.failAt, files.failFor, files.leaves = true, files.calls+1+rng.IntN(30), 1, leavesAll
 		}
 		var err error
 		for range 20 {
-			if err = w.operate(s, rng); err != nil {
+			if err = w.randomOperation(s, rng); err != nil {
 				break
 			}
 			if !files.kill {
@@ -197,7 +193,7 @@
 	for i := range s.keys.shards {
 		slots += len(s.keys.shards[i].slots)
 	}
-	require.LessOrEqual(t, slots, idShards*leastSlots, "memory is given back")
+	require.LessOrEqual(t, slots, idShards*minSlots, "memory is given back")
 	require.LessOrEqual(t, s.numbers.last, uint32(50), "numbers of lanes are used again")
 }
 
@@ -214,7 +210,7 @@
 
 // A message spilled before a newer one of its lane, which has left since, and copied by a kill while its segment was
 // freed, is found once.
-func TestACopyOfASpilledMessageIsFoundOnce(t *testing.T) {
+func TestCopyOfASpilledMessageIsFoundOnce(t *testing.T) {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
 	newer, older := testMessage(testLanes[0], 10), testMessage(testLanes[0], 5)
@@ -236,43 +232,3 @@
 	require.Zero(t, s.Messages())
 	require.False(t, s.KeyElsewhere(3, testLanes[1]))
 }
-
-const mostKeyMemory = 32 // bytes that the distinct ordering key of a stored message adds to it
-
-// A stored message with an ordering key of its own takes at most 32 bytes more, also after a restart.
-func TestMemoryOfADistinctOrderingKey(t *testing.T) {
-	dir := t.TempDir()
-	bounds := Bounds{Bytes: 256 << 20}
-	for _, n := range []int{60_000, 110_000, 130_000, 200_000} {
-		before := liveBytes()
-		s, err := Open(OS{}, filepath.Join(dir, fmt.Sprint(n)), bounds)
-		require.NoError(t, err)
-		body := make([]byte, 300)
-		for seq := range n {
-			m := &Message{Seq: uint64(seq + 1), Lane: Lane{uint64(seq % 100), 1}, ID: fmt.Sprintf("an id of usual length %d", seq), Body: body,
-				Expiry: int64(seq * 7919 % n), Key: uint64(seq + 1), Ordered: true}
-			if err := s.Append(m); err != nil {
-				require.NoError(t, err)
-			}
-		}
-		each := float64(liveBytes()-before-fixedMemory) / float64(n)
-		require.Less(t, each, float64(mostMemory+mostKeyMemory), "%d appended", n)
-		require.NoError(t, s.Close())
-		s = nil
-		before = liveBytes()
-		s, err = Open(OS{}, filepath.Join(dir, fmt.Sprint(n)), bounds)
-		require.NoError(t, err)
-		again := float64(liveBytes()-before-fixedMemory) / float64(n)
-		require.Less(t, again, float64(mostMemory+mostKeyMemory), "%d read", n)
-		require.Equal(t, n, s.keys.count)
-		slots := 0
-		for i := range s.keys.shards {
-			slots += len(s.keys.shards[i].slots)
-		}
-		keys := float64(slots*int(unsafe.Sizeof(keySlot{}))) / float64(n)
-		require.Less(t, keys, float64(mostKeyMemory))
-		t.Logf("%d: %.1f bytes a message appended, %.1f read; %.1f of them for the key", n, each, again, keys)
-		require.NoError(t, s.Close())
-		runtime.KeepAlive(s)
-	}
-}
--- a/internal/backlog/lane.go
+++ b/internal/backlog/lane.go
@@ -2,38 +2,8 @@
 
 import "sort"
 
-// entry is what memory holds of a stored message.
-type entry struct {
-	seq     uint64
-	expiry  int64 // microseconds of the wall clock
-	segment uint32
-	offset  uint32
-	packed  uint32 // bytes of its record, and in the lowest bits its state and if it keeps the order of its key
-	heapAt  uint32 // its place in the lane's heap of expiries, from 1; 0 once it is released
-}
-
-const (
-	stateBits = 2
-	orderBit  = 1 << stateBits
-	sizeShift = stateBits + 1
-	blockSize = 16 // entries
-)
-
-func (e *entry) size() int64      { return int64(e.packed >> sizeShift) }
-func (e *entry) state() State     { return State(e.packed & (1<<stateBits - 1)) }
-func (e *entry) live() bool       { return e.heapAt != 0 }
-func (e *entry) keepsOrder() bool { return e.packed&orderBit != 0 }
-
-func pack(size int, s State, keepsOrder bool) uint32 {
-	packed := uint32(size)<<sizeShift | uint32(s)
-	if keepsOrder {
-		packed |= orderBit
-	}
-	return packed
-}
-
-// lane holds the entries of one lane in the order of taking, in blocks, and a heap of their expiries. The first and
-// the last entry are live. Positions are ordinals that wrap around.
+// lane holds the entries of one lane in the order of their numbers, in blocks, and a heap of their expiries. The first
+// and the last entry are live. Positions are ordinals that wrap around.
 type lane struct {
 	id     Lane
 	number uint32 // in the table of keys
@@ -49,16 +19,18 @@
 	late map[uint64]entry
 }
 
-func (l *lane) live() int { return len(l.heap) }
+func (l *lane) liveCount() int { return len(l.heap) }
 
 func (l *lane) at(ordinal uint32) *entry {
 	i := ordinal - l.base
 	return &l.blocks[i/blockSize][i%blockSize]
 }
 
-func (l *lane) empty() bool   { return l.begin == l.end }
+func (l *lane) empty() bool { return l.begin == l.end }
+
 func (l *lane) first() *entry { return l.at(l.begin) }
-func (l *lane) last() *entry  { return l.at(l.end - 1) }
+
+func (l *lane) last() *entry { return l.at(l.end - 1) }
 
 func (l *lane) pushBack(e entry) (ordinal uint32) {
 	if l.end-l.base == uint32(len(l.blocks)*blockSize) {
@@ -82,7 +54,7 @@
 // trim lets go of released entries at both ends, and of all that lie between once they are more than the live ones.
 func (l *lane) trim() {
 	l.trimEnds()
-	if int(l.end-l.begin) > 2*l.live()+4*blockSize {
+	if int(l.end-l.begin) > 2*l.liveCount()+4*blockSize {
 		l.rebuild(nil)
 	}
 }
@@ -153,13 +125,6 @@
 
 func (l *lane) less(i, j int) bool { return earlier(l.at(l.heap[i]), l.at(l.heap[j])) }
 
-func earlier(a, b *entry) bool {
-	if a.expiry != b.expiry {
-		return a.expiry < b.expiry
-	}
-	return a.seq < b.seq
-}
-
 func (l *lane) swap(i, j int) {
 	l.heap[i], l.heap[j] = l.heap[j], l.heap[i]
 	l.at(l.heap[i]).heapAt = uint32(i + 1)
@@ -217,17 +182,21 @@
 // laneHeap is all lanes, that with the earliest expiry first. It is for container/heap.
 type laneHeap []*lane
 
-func (h laneHeap) Len() int           { return len(h) }
+func (h laneHeap) Len() int { return len(h) }
+
 func (h laneHeap) Less(i, j int) bool { return earlier(h[i].next(), h[j].next()) }
+
 func (h laneHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapAt, h[j].heapAt = i, j
 }
+
 func (h *laneHeap) Push(x any) {
 	l := x.(*lane)
 	l.heapAt = len(*h)
 	*h = append(*h, l)
 }
+
 func (h *laneHeap) Pop() any {
 	old := *h
 	l := old[len(old)-1]
--- a/internal/backlog/fault_test.go
+++ b/internal/backlog/memfs_test.go
@@ -14,14 +14,14 @@
 	errFault  = errors.New("injected fault")
 )
 
-// damage is what a failing call leaves behind.
-type damage int
+// leftover is what a failing call leaves behind.
+type leftover int
 
 const (
-	nothingDone damage = iota
-	halfDone           // of a write; other calls do nothing
-	allDone            // the call does its work and fails all the same
-	shortWrite         // a write that writes half and gives no error
+	leavesNothing leftover = iota
+	leavesHalf             // of a write; other calls do nothing
+	leavesAll              // the call does its work and fails all the same
+	shortWrite             // a write that writes half and gives no error
 )
 
 // memFS is a filesystem in memory that fails at a chosen call: the process is killed there, or it gets an error.
@@ -30,14 +30,14 @@
 	locked   bool
 	capacity int // bytes; 0: no bound
 
-	calls    int // so far; those that alter something alone if kill is set
-	failAt   int // the call that fails, from 1; 0: none
-	failFor  int // so many calls behind it fail too
-	kill     bool
-	leaving  damage
-	dead     bool
-	open     int // files
-	mostOpen int
+	calls   int // so far; those that alter something alone if kill is set
+	failAt  int // the call that fails, from 1; 0: none
+	failFor int // so many calls behind it fail too
+	kill    bool
+	leaves  leftover
+	dead    bool
+	open    int // files
+	maxOpen int
 }
 
 func newMemFS() *memFS { return &memFS{files: map[string][]byte{}} }
@@ -53,22 +53,22 @@
 }
 
 // step counts a call. It gives the error of a call that fails, and what the call still does.
-func (m *memFS) step(alters bool) (damage, error) {
+func (m *memFS) step(alters bool) (leftover, error) {
 	if m.dead {
-		return nothingDone, errKilled
+		return leavesNothing, errKilled
 	}
 	if m.kill && !alters {
-		return allDone, nil
+		return leavesAll, nil
 	}
 	m.calls++
 	if m.failAt == 0 || m.calls < m.failAt || m.calls > m.failAt+m.failFor {
-		return allDone, nil
+		return leavesAll, nil
 	}
 	if m.kill {
 		m.dead = true
-		return m.leaving, errKilled
+		return m.leaves, errKilled
 	}
-	return m.leaving, errFault
+	return m.leaves, errFault
 }
 
 func (m *memFS) MakeDir(string) error {
@@ -91,10 +91,10 @@
 
 func (m *memFS) Create(name string) (File, error) {
 	left, err := m.step(true)
-	if _, has := m.files[name]; has && (err == nil || left == allDone) {
+	if _, has := m.files[name]; has && (err == nil || left == leavesAll) {
 		return nil, fs.ErrExist
 	}
-	if err == nil || left == allDone {
+	if err == nil || left == leavesAll {
 		m.files[name] = nil
 	}
 	if err != nil {
@@ -115,13 +115,13 @@
 
 func (m *memFS) opened(name string) File {
 	m.open++
-	m.mostOpen = max(m.mostOpen, m.open)
+	m.maxOpen = max(m.maxOpen, m.open)
 	return &memFile{fs: m, name: name}
 }
 
 func (m *memFS) Remove(name string) error {
 	left, err := m.step(true)
-	if err != nil && left != allDone {
+	if err != nil && left != leavesAll {
 		return err
 	}
 	if _, has := m.files[name]; !has {
@@ -170,7 +170,7 @@
 		return f.add(b)
 	}
 	switch left {
-	case halfDone:
+	case leavesHalf:
 		n, _ := f.add(b[:len(b)/2])
 		return n, err
 	case shortWrite:
@@ -179,7 +179,7 @@
 			return n, err
 		}
 		return n, nil
-	case allDone:
+	case leavesAll:
 		n, _ := f.add(b)
 		return n, err
 	}
@@ -222,7 +222,7 @@
 
 func (f *memFile) Truncate(size int64) error {
 	left, err := f.fs.step(true)
-	if err == nil || left == allDone {
+	if err == nil || left == leavesAll {
 		f.fs.files[f.name] = f.fs.files[f.name][:size:size]
 	}
 	return err
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -1,25 +1,27 @@
 package backlog
 
-import "errors"
+import (
+	"errors"
+)
 
-// Log is the write-ahead log, as far as moves need it.
+// Log is the write-ahead log as a Mover uses it.
 type Log interface {
 	// Restore records a message whole, with its history, under the number that it has. It may be recorded already: the
 	// latest record counts.
 	Restore(m *Message) error
-	// Forget records that the log owes nothing more for a number. It is no error if it owed nothing.
+	// Forget records that nothing is pending in the log for a number. It is no error if nothing was.
 	Forget(seq uint64) error
 }
 
-// Reconfigurable moves messages between the write-ahead log and the store, so that a kill at any line leaves a message in one,
-// or in both and known by its number. It is not safe for use by several goroutines.
+// Mover moves messages between the write-ahead log and the store, so that a kill at any line leaves a message in one,
+// or in both and known by its number. It is not safe for concurrent use.
 //
-// Out (Spill): 1. the store has the message; 2. the log forgets it.
-// RecordAttemptEnd (BringBack): 1. the log has the message; 2. the store releases it; only then is it handed to the scheduler.
+// Spill: 1. the store has the message; 2. the log forgets it.
+// BringBack: 1. the log has the message; 2. the store releases it; only then is it handed to the scheduler.
 //
 // Where both have a message, the log's copy counts: nothing happens to a message while the store has it, so the log's
 // is as new or newer. Messages leave for the store newest first and come back oldest first: at each moment all of a
-// lane that the log has were taken before all that the store has.
+// lane that the log has are older than all that the store has.
 type Mover struct {
 	log   Log
 	store *Store
@@ -29,7 +31,7 @@
 	unreleased Batch
 }
 
-// Batch is messages that have come back together.
+// Batch is a number of messages that have come back together.
 type Batch struct {
 	Messages []*Message
 	// Expired says that they must be answered without an attempt, as their time is over. If not, the scheduler takes
@@ -42,13 +44,13 @@
 	return &Mover{log: log, store: store, unforgotten: map[uint64]struct{}{}}
 }
 
-// Resolve ends the moves that a kill has cut short, before anything else is done after a start. Pending are the messages
-// that the log owes; those that the store has too are released from it. It gives those that the log owes though their
-// lane has older ones stored: they had been brought back to be answered at the end of their time, and must be answered
-// without an attempt, since one would overtake the older ones.
-func (m *Mover) Resolve(owed []Ref) (overtaking []Ref, err error) {
+// Resolve ends the moves that a kill has cut short, before anything else is done after a start. Given are the messages
+// that are pending in the log; those that the store has too are released from it. It returns those that the log has
+// though their lane has older ones stored: they had been brought back to be answered at the end of their time, and must
+// be answered without an attempt, since an attempt would overtake the older ones.
+func (m *Mover) Resolve(pending []Ref) (overtaking []Ref, err error) {
 	var both []Ref
-	for _, ref := range owed {
+	for _, ref := range pending {
 		if m.store.Contains(ref.Lane, ref.Seq) {
 			both = append(both, ref)
 		}
@@ -56,7 +58,7 @@
 	if err := m.store.Release(both); err != nil {
 		return nil, err
 	}
-	for _, ref := range owed {
+	for _, ref := range pending {
 		if l := m.store.lanes[ref.Lane]; l != nil && ref.Seq > l.first().seq {
 			overtaking = append(overtaking, ref)
 		}
@@ -64,9 +66,9 @@
 	return overtaking, nil
 }
 
-// Spill moves messages of one lane, given in the order of taking, out to the store, the newest first. NoAnswer of them may
-// be in flight. It gives how many of them, from the end, are in the store now; an error says why not all. With the
-// error of the log alone all those are moved, and the log is asked to forget them again later.
+// Spill moves messages of one lane, given in the order of their numbers, out to the store, the newest first. None of
+// them may be in flight. It returns how many of them, from the end, are in the store now; an error says why not all.
+// With the error of the log alone all those are moved, and the log is asked to forget them again later.
 func (m *Mover) Spill(messages []*Message) (moved int, err error) {
 	if err := m.Retry(); err != nil {
 		return 0, err
@@ -102,28 +104,28 @@
 	return nil
 }
 
-// BringBack moves the first n messages of a lane back to the log and gives those that the scheduler now has to take,
-// in the order of taking. A batch that an error has kept from coming back before comes in its place, whatever it was
-// for. With an error the batch may be shorter, also empty.
+// BringBack moves the first n messages of a lane back to the log and returns those that the scheduler now has to take,
+// in the order of their numbers. A batch that an error has kept from coming back before comes in its place, whatever it
+// was for. With an error the batch may be shorter, also empty.
 func (m *Mover) BringBack(lane Lane, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
 		return m.release()
 	}
 	messages, err := m.store.Head(lane, n)
-	return m.back(Batch{Messages: messages}, err)
+	return m.restore(Batch{Messages: messages}, err)
 }
 
-// BringBackExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. Reason
-// is said of BringBack holds here too.
+// BringBackExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. It
+// returns a batch that was kept from coming back, and errors, as BringBack does.
 func (m *Mover) BringBackExpired(now int64, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
 		return m.release()
 	}
 	messages, err := m.store.Expired(now, n)
-	return m.back(Batch{Messages: messages, Expired: true}, err)
+	return m.restore(Batch{Messages: messages, Expired: true}, err)
 }
 
-func (m *Mover) back(wanted Batch, err error) (Batch, error) {
+func (m *Mover) restore(wanted Batch, err error) (Batch, error) {
 	m.unreleased = Batch{Expired: wanted.Expired}
 	for _, message := range wanted.Messages {
 		if logErr := m.log.Restore(message); logErr != nil {
--- a/internal/backlog/move_ledger_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -21,78 +21,81 @@
 
 const (
 	forwarderDir   = "SPANFLOW_BACKLOG_FORWARDER" // set for the process that the test kills
-	ledgerBytes    = 1 << 20
+	walBytes       = 1 << 20
 	forwarderKills = 100
 )
 
-// ledgerLog is the write-ahead log as the mover needs it.
-type ledgerLog struct{ *wal.Log }
+// walLog is the write-ahead log as the mover needs it.
+type walLog struct{ *wal.Log }
 
-func (l ledgerLog) Restore(m *Message) error { return l.Log.Restore(entryOf(m)) }
-func (l ledgerLog) Forget(seq uint64) error  { return l.RecordDone(seq) }
+func (l walLog) Restore(m *Message) error { return l.Log.Restore(entryOf(m)) }
+
+func (l walLog) Forget(seq uint64) error { return l.RecordDone(seq) }
 
 func entryOf(m *Message) *wal.Entry {
-	return &wal.Entry{Seq: m.Seq, Key: m.Key, Destination: m.Lane.Destination, Tenant: int(m.Lane.Tenant), Type: m.Type, ID: m.ID,
-		IdempotencyKey: m.DeduplicationKey, Expiry: m.Expiry, Attempts: int(m.Attempts), FirstRanAt: m.MayHaveRun, FirstRanZone: int(m.MayHaveRunZone),
+	return &wal.Entry{Seq: m.Seq, Key: m.Key, Destination: m.Lane.Destination, Tenant: int(m.Lane.Tenant),
+		Type: m.Type, ID: m.ID, IdempotencyKey: m.DeduplicationKey, Expiry: m.Expiry, Attempts: int(m.Attempts),
+		FirstRanAt: m.MayHaveRun, FirstRanZone: int(m.MayHaveRunZone),
 		Body: m.Body, Frontend: m.Frontend, CallerWaits: m.CallerWaits}
 }
 
 func messageOf(e *wal.Entry) *Message {
-	return &Message{Seq: e.Seq, Key: e.Key, Lane: Lane{e.Destination, uint32(e.Tenant)}, Type: e.Type, ID: e.ID, DeduplicationKey: e.IdempotencyKey,
-		Expiry: e.Expiry, Attempts: uint32(e.Attempts), MayHaveRun: e.FirstRanAt, MayHaveRunZone: uint32(e.FirstRanZone), Body: e.Body,
+	return &Message{Seq: e.Seq, Key: e.Key, Lane: Lane{e.Destination, uint32(e.Tenant)}, Type: e.Type, ID: e.ID,
+		DeduplicationKey: e.IdempotencyKey, Expiry: e.Expiry, Attempts: uint32(e.Attempts), MayHaveRun: e.FirstRanAt,
+		MayHaveRunZone: uint32(e.FirstRanZone), Body: e.Body,
 		Frontend: e.Frontend, CallerWaits: e.CallerWaits}
 }
 
-// ledgerMessage is a test message with what the log keeps.
-func ledgerMessage(lane Lane, seq uint64) *Message {
+// walMessage is a test message with what the log keeps.
+func walMessage(lane Lane, seq uint64) *Message {
 	m := testMessage(lane, seq)
 	m.Taken, m.DeduplicationEnd, m.ID = 0, 0, fmt.Sprintf("client-%016x", rand.Uint64())
 	return m
 }
 
-// forwarder takes messages on, moves them between the real write-ahead log and the store, and ends them in order.
+// forwarder accepts messages, moves them between the real write-ahead log and the store, and delivers them in order.
 type forwarder struct {
-	log   *wal.Log
-	store *Store
-	mover *Mover
-	held  map[Lane][]*Message
-	over  []uint64 // found overtaking older ones that are stored
-	out   io.Writer
+	log        *wal.Log
+	store      *Store
+	mover      *Mover
+	held       map[Lane][]*Message
+	overtaking []uint64 // would overtake older ones that are stored
+	out        io.Writer
 }
 
 func startForwarder(dir string, out io.Writer) (*forwarder, error) {
 	f := &forwarder{held: map[Lane][]*Message{}, out: out}
 	var err error
-	if f.log, err = wal.Open(dir, ledgerBytes); err != nil {
+	if f.log, err = wal.Open(dir, walBytes); err != nil {
 		return nil, err
 	}
 	if f.store, err = Open(OS{}, filepath.Join(dir, "backlog"), killBounds); err != nil {
 		return nil, err
 	}
 	f.log.Reserve(f.store.LastSeq())
-	f.mover = NewMover(ledgerLog{f.log}, f.store)
-	var owed []Ref
+	f.mover = NewMover(walLog{f.log}, f.store)
+	var pending []Ref
 	for _, e := range f.log.Pending() {
 		m := messageOf(e)
-		owed = append(owed, m.Ref())
+		pending = append(pending, m.Ref())
 		f.held[m.Lane] = append(f.held[m.Lane], m)
 	}
-	overtaking, err := f.mover.Resolve(owed)
+	overtaking, err := f.mover.Resolve(pending)
 	for _, ref := range overtaking {
-		f.over = append(f.over, ref.Seq)
+		f.overtaking = append(f.overtaking, ref.Seq)
 	}
 	return f, err
 }
 
 func (f *forwarder) close() error { return errors.Join(f.store.Close(), f.log.Close()) }
 
-// operate does one operation drawn at random and says what clients and destinations hear: "+" a message is owed, "?" it
-// is about to have its effect, "!" that is recorded.
-func (f *forwarder) operate(rng *rand.Rand) error {
+// randomOperation does one operation drawn at random and prints what clients and destinations observe: "+" a message is
+// accepted, "?" it is about to have its effect, "!" that is recorded.
+func (f *forwarder) randomOperation(rng *rand.Rand) error {
 	lane := testLanes[rng.IntN(len(testLanes))]
 	switch rng.IntN(10) {
 	case 0, 1, 2, 3, 4:
-		return f.take(lane)
+		return f.accept(lane)
 	case 5:
 		held := f.held[lane]
 		if window := rng.IntN(6); len(held) > window {
@@ -107,20 +110,20 @@
 		}
 		return err
 	default:
-		return f.end(lane, 1+rng.IntN(8))
+		return f.finish(lane, 1+rng.IntN(8))
 	}
 	return nil
 }
 
-func (f *forwarder) take(lane Lane) error {
+func (f *forwarder) accept(lane Lane) error {
 	var m *Message
 	if f.store.Stored(lane) > 0 {
-		m = ledgerMessage(lane, f.log.NextSeq())
+		m = walMessage(lane, f.log.NextSeq())
 		if err := f.store.Append(m); err != nil {
 			return err
 		}
 	} else {
-		m = ledgerMessage(lane, 0)
+		m = walMessage(lane, 0)
 		e := entryOf(m)
 		if err := f.log.Append(e); err != nil {
 			return err
@@ -132,12 +135,12 @@
 	return nil
 }
 
-func (f *forwarder) end(lane Lane, n int) error {
+func (f *forwarder) finish(lane Lane, n int) error {
 	for ; n > 0 && len(f.held[lane]) > 0; n-- {
 		m := f.held[lane][0]
 		fmt.Fprintln(f.out, "?", m.Seq, lane.Destination, lane.Tenant)
 		if err := f.log.RecordDone(m.Seq); err != nil {
-			return fmt.Errorf("over: %v", err)
+			return fmt.Errorf("done: %w", err)
 		}
 		fmt.Fprintln(f.out, "!", m.Seq, lane.Destination, lane.Tenant)
 		f.held[lane] = f.held[lane][1:]
@@ -153,20 +156,20 @@
 	}
 	rng := rand.New(rand.NewPCG(rand.Uint64(), 1))
 	for {
-		if err := f.operate(rng); err != nil && !errors.Is(err, ErrFull) && !errors.Is(err, wal.ErrFull) {
+		if err := f.randomOperation(rng); err != nil && !errors.Is(err, ErrFull) && !errors.Is(err, wal.ErrFull) {
 			return err
 		}
 	}
 }
 
-// told is what clients and destinations of a forwarder have heard over all its processes.
-type told struct {
-	owed   map[uint64]Lane
-	ended  map[Lane][]uint64
-	ending map[uint64]Lane
+// observations are what clients and destinations of a forwarder have observed over all its processes.
+type observations struct {
+	pending    map[uint64]Lane
+	done       map[Lane][]uint64
+	unrecorded map[uint64]Lane
 }
 
-func (w *told) hear(line string) {
+func (w *observations) add(line string) {
 	var word string
 	var seq, destination uint64
 	var tenant uint32
@@ -176,31 +179,31 @@
 	lane := Lane{destination, tenant}
 	switch word {
 	case "+":
-		w.owed[seq] = lane
+		w.pending[seq] = lane
 	case "?":
-		w.ending[seq] = lane
+		w.unrecorded[seq] = lane
 	case "!":
 		w.effect(seq, lane)
 	}
 }
 
-func (w *told) effect(seq uint64, lane Lane) {
-	delete(w.owed, seq)
-	delete(w.ending, seq)
-	w.ended[lane] = append(w.ended[lane], seq)
+func (w *observations) effect(seq uint64, lane Lane) {
+	delete(w.pending, seq)
+	delete(w.unrecorded, seq)
+	w.done[lane] = append(w.done[lane], seq)
 }
 
-// compare holds what a fresh process finds against what was told.
-func (w *told) compare(t *testing.T, f *forwarder) {
-	require.Empty(t, f.over)
+// compare holds what a new process finds against what was observed.
+func (w *observations) compare(t *testing.T, f *forwarder) {
+	require.Empty(t, f.overtaking)
 	places := map[uint64]int{}
 	lanes := map[uint64]Lane{}
 	note := func(m *Message) {
 		places[m.Seq]++
 		lanes[m.Seq] = m.Lane
-		want := ledgerMessage(m.Lane, m.Seq)
-		if m.DeduplicationKey == "k0" { // taken into the log, before its number was known
-			want = ledgerMessage(m.Lane, 0)
+		want := walMessage(m.Lane, m.Seq)
+		if m.DeduplicationKey == "k0" { // accepted into the log, before its number was known
+			want = walMessage(m.Lane, 0)
 			want.Seq = m.Seq
 		}
 		want.ID = m.ID
@@ -224,23 +227,25 @@
 			note(m)
 		}
 	}
-	for seq, lane := range w.ending { // not heard whether it is recorded
+	for seq, lane := range w.unrecorded { // it was not observed if it is recorded
 		if places[seq] == 0 {
 			w.effect(seq, lane)
 		}
 	}
-	clear(w.ending)
-	for seq := range w.owed {
+	clear(w.unrecorded)
+	for seq := range w.pending {
 		require.Equal(t, 1, places[seq], "message %d", seq)
 	}
 	for seq, n := range places {
 		require.Equal(t, 1, n)
-		w.owed[seq] = lanes[seq] // also one whose client was not told any more
+		w.pending[seq] = lanes[seq] // also one whose client had no answer any more
 	}
-	for lane, seqs := range w.ended {
+	for lane, seqs := range w.done {
 		require.True(t, slices.IsSorted(seqs), "order of %v", lane)
 		for _, seq := range seqs {
-			require.Zero(t, places[seq], "message %d would have its effect twice, held %v stored %v", seq, slices.ContainsFunc(f.held[lane], func(m *Message) bool { return m.Seq == seq }), f.store.Contains(lane, seq))
+			held := slices.ContainsFunc(f.held[lane], func(m *Message) bool { return m.Seq == seq })
+			require.Zero(t, places[seq], "message %d would have its effect twice, held %v stored %v",
+				seq, held, f.store.Contains(lane, seq))
 		}
 	}
 }
@@ -248,7 +253,7 @@
 // Real processes with the real write-ahead log, killed by SIGKILL at random under load.
 func TestHundredKillsLoseAndRepeatNothing(t *testing.T) {
 	dir := t.TempDir()
-	w := told{owed: map[uint64]Lane{}, ended: map[Lane][]uint64{}, ending: map[uint64]Lane{}}
+	w := observations{pending: map[uint64]Lane{}, done: map[Lane][]uint64{}, unrecorded: map[uint64]Lane{}}
 	for range forwarderKills {
 		child := exec.Command(os.Args[0])
 		child.Env = append(os.Environ(), forwarderDir+"="+dir)
@@ -259,11 +264,11 @@
 		require.NoError(t, child.Start())
 		lines := bufio.NewScanner(out)
 		for most := 1 + rand.IntN(600); most > 0 && lines.Scan(); most-- { // by what it did, not by the clock
-			w.hear(lines.Text())
+			w.add(lines.Text())
 		}
 		require.NoError(t, child.Process.Kill())
 		for lines.Scan() {
-			w.hear(lines.Text())
+			w.add(lines.Text())
 		}
 		_ = child.Wait()
 		require.Empty(t, faults.String())
@@ -275,9 +280,9 @@
 		require.NoError(t, f.close())
 	}
 	ended := 0
-	for _, seqs := range w.ended {
+	for _, seqs := range w.done {
 		ended += len(seqs)
 	}
 	require.Greater(t, ended, 3000)
-	t.Logf("%d kills, %d messages ended, %d owed", forwarderKills, ended, len(w.owed))
+	t.Logf("%d kills, %d messages done, %d pending", forwarderKills, ended, len(w.pending))
 }
--- a/internal/backlog/policy/drain.go
+++ b/internal/backlog/policy/drain.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	leastWait  = time.Second
-	mostWait   = 30 * time.Second
-	rateWindow = 10 * time.Second // over which the rate is measured
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
+	rateWindow    = 10 * time.Second // over which the rate is measured
 )
 
 // drainRate measures how fast bytes leave the store.
@@ -15,8 +15,8 @@
 	previous float64   // bytes a second in the window before it
 }
 
-// left says that bytes have left the store.
-func (d *drainRate) left(bytes int64, now time.Time) {
+// add says that bytes have left the store.
+func (d *drainRate) add(bytes int64, now time.Time) {
 	d.roll(now)
 	d.bytes += bytes
 }
@@ -33,13 +33,13 @@
 	d.since, d.bytes = now, 0
 }
 
-// wait is when there may be room for so many bytes, between one second and thirty.
-func (d *drainRate) wait(bytes int64, now time.Time) time.Duration {
+// retryAfter is when there may be room for so many bytes, between one second and thirty.
+func (d *drainRate) retryAfter(bytes int64, now time.Time) time.Duration {
 	d.roll(now)
 	rate := max(d.previous, float64(d.bytes)/rateWindow.Seconds())
 	if rate <= 0 {
-		return mostWait
+		return maxRetryAfter
 	}
 	seconds := float64(bytes) / rate
-	return min(max(time.Duration(seconds*float64(time.Second)), leastWait), mostWait)
+	return min(max(time.Duration(seconds*float64(time.Second)), minRetryAfter), maxRetryAfter)
 }
--- a/internal/backlog/policy/memory_test.go
+++ b/internal/backlog/policy/memory_test.go
@@ -28,7 +28,7 @@
 	require.Equal(t, []Move{{Kind: BringBack, Lane: fresh, Count: 1}}, p.Due(), "as many as there is room for")
 }
 
-func TestLanesThatMemoryHasNoRoomForComeBackLater(t *testing.T) {
+func TestLanesWithoutRoomInMemoryComeBackLater(t *testing.T) {
 	p := boundedMemory(t, 4)
 	held := Lane{Destination: 1}
 	for range 4 {
@@ -52,7 +52,7 @@
 	require.Len(t, back, 1000)
 }
 
-func TestAMessageWithoutTimeOrRoomIsStoredOrRefused(t *testing.T) {
+func TestMessageWithoutTimeOrRoomIsStoredOrRefused(t *testing.T) {
 	p, lane := boundedMemory(t, 4), Lane{Destination: 1}
 	lead := testBounds().ExpiryLead
 	require.Equal(t, Memory, p.DecideWithin(lane, 100, time.Second, true, start).Place)
@@ -63,7 +63,7 @@
 	require.Equal(t, Refused, p.DecideWithin(lane, 1_000_000, time.Hour, false, start).Place, "a bound stands against it")
 }
 
-func TestADiscardedMessageFreesItsPart(t *testing.T) {
+func TestDiscardedMessageFreesItsBytes(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{Destination: 1, Tenant: 2}
 	p.Stored(lane, 1, 700)
 	p.Discarded(lane, 700)
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -1,5 +1,5 @@
 // Package policy decides which messages wait in memory and which in the backlog store: what is stored when, brought
-// back when, and refused at the door. It does no I/O and reads no clock: the event loop tells it what happened and
+// back when, and refused. It does no I/O and reads no clock: the event loop tells it what happened and
 // carries out what it decides (package backlog does the moving).
 package policy
 
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Lane is a queue of its own: messages of one tenant for one destination, in the order of taking.
+// Lane is a queue of its own: messages of one tenant for one destination, in the order of acceptance.
 type Lane struct {
 	Destination uint64
 	Tenant      uint32
 }
 
-// Bounds are the settings.
+// Bounds are the settings of a policy.
 type Bounds struct {
 	Bytes            int64            // stored messages in all
 	DestinationBytes int64            // of one destination
@@ -25,7 +25,7 @@
 	// Behind is how many messages of a lane stay in memory while its destination serves it and none is stored; more
 	// means that it is far behind.
 	Behind int
-	// DeduplicationWindow is how many messages of all lanes together stay in memory before new ones are stored; 0: no bound.
+	// Memory is how many messages of all lanes together stay in memory before new ones are stored; 0: no bound.
 	Memory int
 	// Batch is how many messages come back in one turn of the event loop, over all lanes.
 	Batch int
@@ -33,7 +33,7 @@
 	ExpiryLead time.Duration
 }
 
-// Check tells what is wrong, by field, with the names of the configuration.
+// Check returns an error that names the field that is wrong, as the configuration does.
 func (b *Bounds) Check() error {
 	switch {
 	case b.Bytes <= 0:
@@ -69,17 +69,17 @@
 // Place is where a new message goes.
 type Place uint8
 
-// The places.
+// The places of a new message.
 const (
 	Memory  Place = iota // to the write-ahead log and the scheduler
 	Store                // to the backlog store, behind all of its lane
-	Refused              // it is not taken on
+	Refused              // it is not accepted
 )
 
 // Bound is which bound stands against a message.
 type Bound uint8
 
-// The bounds.
+// The bounds that may stand against a message.
 const (
 	NoBound Bound = iota
 	TotalBound
@@ -89,6 +89,7 @@
 	KeyBound  // an earlier message of its ordering key is stored for another lane
 )
 
+// String names the bound in log lines and metrics.
 func (b Bound) String() string {
 	return [...]string{"none", "bytes in all", "bytes of the destination", "bytes of the tenant", "disk",
 		"an earlier message of its key is stored"}[b]
@@ -97,28 +98,28 @@
 // Decision is what becomes of a new message.
 type Decision struct {
 	Place      Place
-	Bound      Bound         // with ResultConnectRefused: what stands against it
-	RetryAfter time.Duration // with ResultConnectRefused: when there may be room
+	Bound      Bound         // with Refused: what stands against it
+	RetryAfter time.Duration // with Refused: when there may be room
 }
 
 // MoveKind is what is to be done with a lane.
 type MoveKind uint8
 
-// The moves.
+// The kinds of moves.
 const (
 	SpillTail MoveKind = iota // move the newest messages in memory out to the store
 	BringBack                 // move the oldest stored messages back
 )
 
-// Reconfigure is a move that is due.
+// Move is a move that is due.
 type Move struct {
 	Kind  MoveKind
 	Lane  Lane
 	Count int // messages at most
 }
 
-// amount is stored messages.
-type amount struct {
+// storedAmount is a number of stored messages.
+type storedAmount struct {
 	messages int
 	bytes    int64
 }
@@ -126,17 +127,17 @@
 type laneState struct {
 	id     Lane
 	held   int // messages in memory
-	stored amount
+	stored storedAmount
 	queued bool // waits for a move
 }
 
-// Policy knows how many messages of each lane are where. It is not safe for use by several goroutines.
+// Policy knows how many messages of each lane are where. It is not safe for concurrent use.
 type Policy struct {
 	bounds       Bounds
 	lanes        map[Lane]*laneState
 	destinations map[uint64]*destinationState
 	tenants      map[uint32]int64 // bytes
-	stored       amount
+	stored       storedAmount
 	held         int          // messages in memory
 	queue        []*laneState // lanes for which a move may be due, each once, served in turn
 	drain        drainRate
@@ -148,7 +149,7 @@
 	lanes map[Lane]*laneState
 }
 
-// New makes a policy for a store with nothing in it.
+// New makes a policy for an empty store. An error is that of Bounds.Check.
 func New(bounds Bounds) (*Policy, error) {
 	if err := bounds.Check(); err != nil {
 		return nil, err
@@ -157,23 +158,25 @@
 		tenants: map[uint32]int64{}}, nil
 }
 
-// SetBounds alters the settings. Reason is stored beyond lower bounds stays; new messages are refused until there is room.
+// SetBounds alters the settings. Messages stored beyond lower bounds stay; new messages are refused until there is
+// room. An error is that of Bounds.Check.
 func (p *Policy) SetBounds(bounds Bounds) error {
 	if err := bounds.Check(); err != nil {
 		return err
 	}
 	p.bounds = bounds
 	for _, l := range p.lanes {
-		p.consider(l)
+		p.queueIfDue(l)
 	}
 	return nil
 }
 
-// Decide tells where a new message goes. The event loop then calls CallerWaits or Stored, or ResultConnectRefused ones are forgotten.
+// Decide tells where a new message goes. The event loop then calls Held or Stored, as decided; a refused message is not
+// counted.
 func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
 	l := p.lanes[lane]
-	fits := l == nil || l.stored.messages == 0 && l.held < p.mostHeld(lane)
-	if fits && p.memoryFor(lane, p.memoryLeft(), p.held) > 0 {
+	fits := l == nil || l.stored.messages == 0 && l.held < p.maxHeld(lane)
+	if fits && p.freeMemoryFor(lane, p.freeMemory(), p.held) > 0 {
 		return Decision{Place: Memory}
 	}
 	return p.storeOrRefuse(lane, bytes, now)
@@ -189,11 +192,11 @@
 // Refuse is the answer to a message of so many bytes that a bound stands against, also one that the store itself has no
 // room for (DiskBound) or that has to go after a stored one of another lane (KeyBound).
 func (p *Policy) Refuse(bound Bound, bytes int64, now time.Time) Decision {
-	return Decision{Place: Refused, Bound: bound, RetryAfter: p.drain.wait(bytes, now)}
+	return Decision{Place: Refused, Bound: bound, RetryAfter: p.drain.retryAfter(bytes, now)}
 }
 
-// mostHeld is how many messages of a lane without stored ones may be in memory.
-func (p *Policy) mostHeld(lane Lane) int {
+// maxHeld is how many messages of a lane without stored ones may be in memory.
+func (p *Policy) maxHeld(lane Lane) int {
 	if d := p.destinations[lane.Destination]; d != nil && d.out {
 		return p.bounds.Window
 	}
@@ -217,28 +220,28 @@
 	return NoBound
 }
 
-// CallerWaits says that a new message of a lane, or one found in the log at the start, is in memory.
+// Held says that a new message of a lane, or one found in the log at the start, is in memory.
 func (p *Policy) Held(lane Lane) {
 	l := p.lane(lane)
 	l.held++
 	p.held++
-	p.consider(l)
+	p.queueIfDue(l)
 }
 
-// AttemptEnded says that a message of a lane has left memory, as it is over.
+// Ended says that a message of a lane has left memory, as it is done.
 func (p *Policy) Ended(lane Lane) {
 	l := p.lane(lane)
 	l.held--
 	p.held--
-	p.consider(l)
+	p.queueIfDue(l)
 	p.forget(l)
 }
 
 // Stored says that a new message of a lane, or so many found in the store at the start, are stored.
 func (p *Policy) Stored(lane Lane, messages int, bytes int64) {
 	l := p.lane(lane)
-	p.count(l, messages, bytes)
-	p.consider(l)
+	p.addStored(l, messages, bytes)
+	p.queueIfDue(l)
 }
 
 // Spilled says that a message of a lane has gone from memory to the store.
@@ -246,16 +249,16 @@
 	l := p.lane(lane)
 	l.held--
 	p.held--
-	p.count(l, 1, bytes)
+	p.addStored(l, 1, bytes)
 }
 
-// RecordAttemptEnd says that a message of a lane has come back from the store to memory.
+// Back says that a message of a lane has come back from the store to memory.
 func (p *Policy) Back(lane Lane, bytes int64, now time.Time) {
 	l := p.lane(lane)
 	l.held++
 	p.held++
-	p.count(l, -1, -bytes)
-	p.drain.left(bytes, now)
+	p.addStored(l, -1, -bytes)
+	p.drain.add(bytes, now)
 }
 
 // Out says whether a destination takes nothing for now.
@@ -269,17 +272,17 @@
 	}
 	d.out = out
 	for _, l := range d.lanes {
-		p.consider(l)
+		p.queueIfDue(l)
 	}
 	p.forgetDestination(destination, d)
 }
 
-// Due gives the moves that are due now, at most so many messages as Batch allows, lanes in turn. Reason it gives has to
-// be tried before it is called again; a lane whose move was not carried out is given again by Unmoved.
+// Due gives the moves that are due now, at most so many messages as Batch allows, lanes in turn. The moves have to be
+// tried before it is called again; a lane whose move was not carried out becomes due again by Unmoved.
 func (p *Policy) Due() []Move {
 	var moves []Move
-	left, memory, held := p.bounds.Batch, p.memoryLeft(), p.held
-	for range min(len(p.queue), mostLooked) {
+	left, memory, held := p.bounds.Batch, p.freeMemory(), p.held
+	for range min(len(p.queue), maxLanesPerTurn) {
 		if left == 0 {
 			break
 		}
@@ -294,11 +297,11 @@
 		}
 		most := left
 		if m.Kind == BringBack {
-			most = min(left, p.memoryFor(l.id, memory, held))
+			most = min(left, p.freeMemoryFor(l.id, memory, held))
 		}
 		if m.Count > most {
 			m.Count = most
-			p.push(l)
+			p.enqueue(l)
 		}
 		if m.Count == 0 { // memory is full: it waits for its turn
 			continue
@@ -316,7 +319,7 @@
 // Unmoved says that a move of a lane was not carried out whole: it is due again.
 func (p *Policy) Unmoved(lane Lane) {
 	if l := p.lanes[lane]; l != nil {
-		p.consider(l)
+		p.queueIfDue(l)
 	}
 }
 
@@ -325,7 +328,7 @@
 	switch {
 	case l.stored.messages > 0 && l.held <= p.bounds.Window/2:
 		return Move{Kind: BringBack, Lane: l.id, Count: min(p.bounds.Window-l.held, l.stored.messages)}
-	case l.stored.messages == 0 && l.held > p.mostHeld(l.id) && p.bound(l.id, 1) == NoBound:
+	case l.stored.messages == 0 && l.held > p.maxHeld(l.id) && p.bound(l.id, 1) == NoBound:
 		return Move{Kind: SpillTail, Lane: l.id, Count: l.held - p.bounds.Window}
 	}
 	return Move{}
@@ -359,7 +362,7 @@
 	return d
 }
 
-func (p *Policy) count(l *laneState, messages int, bytes int64) {
+func (p *Policy) addStored(l *laneState, messages int, bytes int64) {
 	l.stored.messages += messages
 	l.stored.bytes += bytes
 	p.stored.messages += messages
@@ -371,19 +374,19 @@
 	}
 }
 
-// consider queues a lane if a move is due.
-func (p *Policy) consider(l *laneState) {
+// queueIfDue queues a lane if a move is due.
+func (p *Policy) queueIfDue(l *laneState) {
 	if !l.queued && p.due(l).Count > 0 {
-		p.push(l)
+		p.enqueue(l)
 	}
 }
 
-func (p *Policy) push(l *laneState) {
+func (p *Policy) enqueue(l *laneState) {
 	l.queued = true
 	p.queue = append(p.queue, l)
 }
 
-// forget lets go of a lane with nothing in it.
+// forget removes a lane with nothing in it.
 func (p *Policy) forget(l *laneState) {
 	if l.held > 0 || l.stored.messages > 0 || l.queued {
 		return
--- a/internal/backlog/policy/policy_test.go
+++ b/internal/backlog/policy/policy_test.go
@@ -11,7 +11,8 @@
 var start = time.Unix(1_000_000, 0)
 
 func testBounds() Bounds {
-	return Bounds{Bytes: 100_000, DestinationBytes: 40_000, TenantBytes: 60_000, Window: 8, Behind: 20, Batch: 50, ExpiryLead: 10 * time.Second}
+	return Bounds{Bytes: 100_000, DestinationBytes: 40_000, TenantBytes: 60_000, Window: 8, Behind: 20, Batch: 50,
+		ExpiryLead: 10 * time.Second}
 }
 
 func newPolicy(t *testing.T, b Bounds) *Policy {
@@ -160,7 +161,7 @@
 }
 
 // However much one tenant sends, the others' part of the store stays free.
-func TestFloodOfOneTenantLeavesTheOthersPart(t *testing.T) {
+func TestFloodOfOneTenantLeavesRoomForOthers(t *testing.T) {
 	bounds := testBounds()
 	bounds.DestinationBytes = 100_000
 	bounds.Tenants = map[uint32]int64{7: 20_000}
@@ -294,15 +295,15 @@
 		require.Empty(t, p.lanes)
 		require.Empty(t, p.destinations)
 		require.Empty(t, p.tenants)
-		require.Equal(t, amount{}, p.stored)
+		require.Equal(t, storedAmount{}, p.stored)
 	}
 }
 
 // Lanes that fill memory do not keep out one with few messages, new or stored, unless its destination is out.
-func TestALaneWithFewInMemoryFindsRoomInTheReserve(t *testing.T) {
+func TestLaneWithFewInMemoryFindsRoomInTheReserve(t *testing.T) {
 	const memory = 120
-	p, err := New(Bounds{Bytes: 1000, DestinationBytes: 1000, TenantBytes: 1000, Window: memory, Behind: memory, Memory: memory, Batch: 50,
-		ExpiryLead: time.Second})
+	p, err := New(Bounds{Bytes: 1000, DestinationBytes: 1000, TenantBytes: 1000, Window: memory, Behind: memory,
+		Memory: memory, Batch: 50, ExpiryLead: time.Second})
 	require.NoError(t, err)
 	now := time.Unix(1000, 0)
 	for range memory {
@@ -310,19 +311,19 @@
 	}
 	require.Equal(t, Store, p.Decide(Lane{Destination: 1}, 10, now).Place)
 	lane := Lane{Destination: 2}
-	for range fewHeld {
+	for range reservedPerLane {
 		require.Equal(t, Memory, p.Decide(lane, 10, now).Place)
 		p.Held(lane)
 	}
 	require.Equal(t, Store, p.Decide(lane, 10, now).Place)
 	p.Stored(lane, 5, 50)
-	for range fewHeld {
+	for range reservedPerLane {
 		p.Ended(lane)
 	}
-	require.Equal(t, []Move{{Kind: BringBack, Lane: lane, Count: fewHeld}}, p.Due())
+	require.Equal(t, []Move{{Kind: BringBack, Lane: lane, Count: reservedPerLane}}, p.Due())
 	p.Out(3, true)
 	require.Equal(t, Store, p.Decide(Lane{Destination: 3}, 10, now).Place)
-	for range memory / reserveParts {
+	for range memory / reserveDivisor {
 		p.Held(Lane{Destination: 1})
 	}
 	require.Equal(t, Store, p.Decide(Lane{Destination: 4}, 10, now).Place, "the reserve is full")
--- a/internal/backlog/replay.go
+++ b/internal/backlog/replay.go
@@ -3,11 +3,14 @@
 import (
 	"cmp"
 	"container/heap"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
 )
 
+const replayBufferSize = 1 << 20 // bytes read at once at the start
+
 // load reads the segments of a folder without altering anything.
 func load(fs FS, dir string, bounds Bounds) (*Store, error) {
 	s := &Store{fs: fs, dir: dir, bounds: bounds, lanes: map[Lane]*lane{}}
@@ -22,29 +25,8 @@
 	return s, nil
 }
 
-// listSegments gives the numbers of a folder's segments, in order. It is an error if one between them is missing.
-func listSegments(fs FS, dir string) ([]uint32, error) {
-	names, err := fs.List(dir)
-	if err != nil {
-		return nil, err
-	}
-	var numbers []uint32
-	for _, name := range names {
-		if n, ok := segmentNumber(name); ok {
-			numbers = append(numbers, n)
-		}
-	}
-	slices.Sort(numbers)
-	for i := 1; i < len(numbers); i++ {
-		if numbers[i] != numbers[i-1]+1 {
-			return nil, &DamageError{File: segmentName(dir, numbers[i-1]+1), Reason: "missing"}
-		}
-	}
-	return numbers, nil
-}
-
-// opened is a segment's file at the start.
-type opened struct {
+// openedSegment is a segment's file at the start.
+type openedSegment struct {
 	file   File
 	name   string
 	size   int64
@@ -52,30 +34,29 @@
 }
 
 // openSegment opens a segment and reads its header. A cut header is no damage in the last segment.
-func openSegment(fs FS, dir string, number uint32, last bool) (*opened, error) {
-	o := &opened{name: segmentName(dir, number)}
+func openSegment(fs FS, dir string, number uint32, last bool) (*openedSegment, error) {
+	o := &openedSegment{name: segmentName(dir, number)}
 	var err error
 	if o.file, err = fs.Open(o.name); err != nil {
 		return nil, err
 	}
 	if err := o.readHeader(number, last); err != nil {
-		o.file.Close()
-		return nil, err
+		return nil, errors.Join(err, o.file.Close())
 	}
 	return o, nil
 }
 
-func (o *opened) readHeader(number uint32, last bool) (err error) {
+func (o *openedSegment) readHeader(number uint32, last bool) (err error) {
 	if o.size, err = o.file.Size(); err != nil {
 		return fmt.Errorf("%s: %w", o.name, err)
 	}
-	if o.size < segmentHeader {
+	if o.size < segmentHeaderSize {
 		if last {
 			return nil
 		}
 		return &DamageError{File: o.name, Reason: "the header is cut short"}
 	}
-	b := make([]byte, segmentHeader)
+	b := make([]byte, segmentHeaderSize)
 	if n, err := o.file.ReadAt(b, 0); n < len(b) {
 		return fmt.Errorf("%s: the header cannot be read: %w", o.name, err)
 	}
@@ -86,10 +67,10 @@
 // replayAll applies all segments in order. How much of one counts is said by the header of the next.
 func (s *Store) replayAll(numbers []uint32) error {
 	var buf []byte
-	var current *opened
+	var current *openedSegment
 	defer func() {
 		if current != nil {
-			current.file.Close()
+			_ = current.file.Close() // it was only read
 		}
 	}()
 	for i, number := range numbers {
@@ -99,10 +80,9 @@
 		}
 		if current != nil {
 			if err := s.replaySegment(current, next.header, &buf); err != nil {
-				next.file.Close()
-				return err
+				return errors.Join(err, next.file.Close())
 			}
-			current.file.Close()
+			_ = current.file.Close() // it was only read
 		}
 		current = next
 	}
@@ -113,28 +93,29 @@
 }
 
 // replaySegment applies a segment's records; next is the header of the one behind it, nil if there is none.
-func (s *Store) replaySegment(o *opened, next *header, buf *[]byte) error {
+func (s *Store) replaySegment(o *openedSegment, next *header, buf *[]byte) error {
 	s.lastSeq = max(s.lastSeq, o.header.lastSeq)
 	g := &segment{number: o.header.number, size: o.size}
 	if next != nil {
-		if g.size = int64(next.previous); g.size > o.size || g.size < segmentHeader {
-			return &DamageError{File: o.name, Offset: o.size, Reason: fmt.Sprintf("%d bytes long, the next segment says %d", o.size, g.size)}
+		if g.size = int64(next.previous); g.size > o.size || g.size < segmentHeaderSize {
+			reason := fmt.Sprintf("%d bytes long, the next segment says %d", o.size, g.size)
+			return &DamageError{File: o.name, Offset: o.size, Reason: reason}
 		}
 	}
 	s.segments = append(s.segments, g)
-	if want := min(replayBuffer, g.size); int64(len(*buf)) < want {
+	if want := min(replayBufferSize, g.size); int64(len(*buf)) < want {
 		*buf = make([]byte, want)
 	}
-	scan := scanner{file: o.file, name: o.name, end: g.size, torn: next == nil, buf: *buf}
-	sound, err := scan.scan(segmentHeader, func(r scanned) error { return s.replayRecord(g, o.name, r) })
+	scan := scanner{file: o.file, name: o.name, end: g.size, mayBeTorn: next == nil, buf: *buf}
+	sound, err := scan.scan(segmentHeaderSize, func(r scannedRecord) error { return s.replayRecord(g, o.name, r) })
 	g.size, g.excess, *buf = sound, o.size-sound, scan.buf
 	return err
 }
 
-func (s *Store) replayRecord(g *segment, name string, r scanned) error {
+func (s *Store) replayRecord(g *segment, name string, r scannedRecord) error {
 	switch r.payload[0] {
 	case kindMessage:
-		f, ok := decodeFixed(r.payload[1:])
+		f, ok := decodeMessageFixed(r.payload[1:])
 		if !ok {
 			return &DamageError{File: name, Offset: r.offset, Reason: "a message of a wrong form"}
 		}
@@ -150,13 +131,14 @@
 			s.replayRelease(ref)
 		}
 	default:
-		return &DamageError{File: name, Offset: r.offset, Reason: fmt.Sprintf("a record of the unknown kind %d", r.payload[0])}
+		reason := fmt.Sprintf("a record of the unknown kind %d", r.payload[0])
+		return &DamageError{File: name, Offset: r.offset, Reason: reason}
 	}
 	return nil
 }
 
-// replayMessage takes up a message. One that is known is a copy, which counts from then on.
-func (s *Store) replayMessage(g *segment, f *fixedPart, r scanned) {
+// replayMessage adds a message. One that is known is a copy, which counts from then on.
+func (s *Store) replayMessage(g *segment, f *messageFixed, r scannedRecord) {
 	id := Lane{f.destination, f.tenant}
 	l := s.lanes[id]
 	if l == nil {
@@ -164,7 +146,14 @@
 	}
 	s.ids.add(hashID(recordID(r.payload[1:], f)))
 	s.lastSeq = max(s.lastSeq, f.seq)
-	e := entry{seq: f.seq, expiry: f.expiry, segment: g.number, offset: uint32(r.offset), packed: pack(len(r.raw), f.state(), f.keepsOrder()), heapAt: 1}
+	e := entry{
+		seq:     f.seq,
+		expiry:  f.expiry,
+		segment: g.number,
+		offset:  uint32(r.offset),
+		packed:  pack(len(r.raw), f.state(), f.keepsOrder()),
+		heapAt:  1,
+	}
 	newest := l.empty() || f.seq > l.last().seq
 	if !newest {
 		if old := l.find(f.seq); old != nil {
@@ -210,7 +199,7 @@
 	}
 }
 
-// finishReplay makes the heaps and the sums.
+// finishReplay builds the heaps and the sums.
 func (s *Store) finishReplay() {
 	for _, l := range s.lanes {
 		late := slices.SortedFunc(maps.Values(l.late), func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
@@ -219,7 +208,7 @@
 		for ordinal := l.begin; ordinal != l.end; ordinal++ {
 			e := l.at(ordinal)
 			s.segment(e.segment).live++
-			s.count(l, e, 1)
+			s.addToSums(l, e, 1)
 		}
 		l.heapAt = len(s.expiries)
 		s.expiries = append(s.expiries, l)
--- a/internal/backlog/scan.go
+++ b/internal/backlog/scan.go
@@ -9,8 +9,8 @@
 // errStop ends a scan early without an error.
 var errStop = errors.New("stop")
 
-// scanned is one record within a segment.
-type scanned struct {
+// scannedRecord is one record within a segment.
+type scannedRecord struct {
 	offset  int64  // of its header
 	raw     []byte // the whole record; valid until the next one
 	payload []byte
@@ -18,29 +18,29 @@
 
 // scanner reads the records of one segment in order.
 type scanner struct {
-	file File
-	name string
-	end  int64  // bytes of the file that count
-	torn bool   // a record cut short at the end is no damage: the segment is the last, or still written to
-	buf  []byte // reused
-	at   int64  // offset of buf[0]
-	have int    // bytes in buf
+	file      File
+	name      string
+	end       int64  // bytes of the file that count
+	mayBeTorn bool   // a record cut short at the end is no damage: the segment is the last, or still written to
+	buf       []byte // reused
+	bufOffset int64  // offset of buf[0]
+	bufLength int    // bytes in buf
 }
 
 // scan calls each for every record from an offset on and gives the offset behind the last whole one.
-func (s *scanner) scan(from int64, each func(scanned) error) (sound int64, err error) {
-	s.at, s.have = from, 0
+func (s *scanner) scan(from int64, each func(scannedRecord) error) (sound int64, err error) {
+	s.bufOffset, s.bufLength = from, 0
 	for offset := from; offset < s.end; {
 		total, err := s.next(offset)
 		if err != nil || total == 0 {
 			return offset, err
 		}
-		raw := s.buf[offset-s.at:][:total]
-		payload, ok := soundPayload(raw)
+		raw := s.buf[offset-s.bufOffset:][:total]
+		payload, ok := checkedPayload(raw)
 		if !ok {
 			return offset, s.damage(offset, "a record fails its checksum")
 		}
-		err = each(scanned{offset: offset, raw: raw, payload: payload})
+		err = each(scannedRecord{offset: offset, raw: raw, payload: payload})
 		if err != nil && err != errStop {
 			return offset, err
 		}
@@ -55,25 +55,25 @@
 // next makes the record at an offset whole in the buffer and gives its length, 0 if the segment's end is torn there.
 func (s *scanner) next(offset int64) (total int, err error) {
 	left := s.end - offset
-	if left < recordHeader {
-		return 0, s.cut(offset)
+	if left < recordHeaderSize {
+		return 0, s.cutShort(offset)
 	}
-	if err := s.fill(offset, recordHeader); err != nil {
+	if err := s.fill(offset, recordHeaderSize); err != nil {
 		return 0, err
 	}
-	n, ok := payloadLength(s.buf[offset-s.at:])
+	n, ok := payloadLength(s.buf[offset-s.bufOffset:])
 	if !ok {
 		return 0, s.damage(offset, "a record's header fails its checksum")
 	}
-	total = recordHeader + n
+	total = recordHeaderSize + n
 	if int64(total) > left {
-		return 0, s.cut(offset)
+		return 0, s.cutShort(offset)
 	}
 	return total, s.fill(offset, total)
 }
 
-func (s *scanner) cut(offset int64) error {
-	if s.torn {
+func (s *scanner) cutShort(offset int64) error {
+	if s.mayBeTorn {
 		return nil
 	}
 	return s.damage(offset, fmt.Sprintf("cut short: %d bytes are no whole record", s.end-offset))
@@ -85,7 +85,7 @@
 
 // fill brings so many bytes from an offset on into the buffer, and what fits behind them.
 func (s *scanner) fill(offset int64, n int) error {
-	if offset >= s.at && offset+int64(n) <= s.at+int64(s.have) {
+	if offset >= s.bufOffset && offset+int64(n) <= s.bufOffset+int64(s.bufLength) {
 		return nil
 	}
 	if len(s.buf) < n {
@@ -99,6 +99,6 @@
 		}
 		return fmt.Errorf("%s: %w", s.name, err)
 	}
-	s.at, s.have = offset, got
+	s.bufOffset, s.bufLength = offset, got
 	return nil
 }
--- a/internal/backlog/sigkill_test.go
+++ b/internal/backlog/sigkill_test.go
@@ -16,7 +16,7 @@
 
 var killBounds = Bounds{Bytes: 4 << 20, SegmentBytes: 64 << 10}
 
-// TestMain is one of the processes that are killed, if it is told a folder.
+// TestMain is one of the processes that are killed, if it is given a folder.
 func TestMain(m *testing.M) {
 	for name, run := range map[string]func(dir string) error{childDir: storeForever, forwarderDir: forwardForever} {
 		if dir := os.Getenv(name); dir != "" {
@@ -70,11 +70,11 @@
 		require.NoError(t, child.Start())
 		lines := bufio.NewScanner(out)
 		for most := 200 + rand.IntN(4000); most > 0 && lines.Scan(); most-- { // by what it did, not by the clock
-			heard(lines.Text(), stored, leaving)
+			readStep(lines.Text(), stored, leaving)
 		}
 		require.NoError(t, child.Process.Kill())
 		for lines.Scan() {
-			heard(lines.Text(), stored, leaving)
+			readStep(lines.Text(), stored, leaving)
 		}
 		_ = child.Wait()
 		require.Empty(t, faults.String())
@@ -110,7 +110,7 @@
 	require.NotEmpty(t, stored)
 }
 
-func heard(line string, stored, leaving map[uint64]bool) {
+func readStep(line string, stored, leaving map[uint64]bool) {
 	var what string
 	var seq uint64
 	if n, _ := fmt.Sscan(line, &what, &seq); n < 2 {
--- /dev/null
+++ b/internal/backlog/stats.go
@@ -0,0 +1,117 @@
+package backlog
+
+import (
+	"slices"
+)
+
+// Usage is what a part of the store holds.
+type Usage struct {
+	Messages int             `json:"messages"`
+	Bytes    int64           `json:"bytes"`
+	States   [stateCount]int `json:"-"`                // messages by state
+	Oldest   int64           `json:"oldest,omitempty"` // when the oldest was accepted, in microseconds of the wall clock
+}
+
+func (u *Usage) add(l *lane, oldest int64) {
+	u.Messages += l.liveCount()
+	u.Bytes += l.bytes
+	for state, n := range l.states {
+		u.States[state] += n
+	}
+	if u.Oldest == 0 || oldest != 0 && oldest < u.Oldest {
+		u.Oldest = oldest
+	}
+}
+
+// Stats is what the store holds, in sum and by parts.
+type Stats struct {
+	Usage
+	Lanes        int
+	Destinations map[uint64]Usage
+	Tenants      map[uint32]Usage
+	DiskBytes    int64
+	Segments     int
+}
+
+// Stats sums up what is stored. It reads one record a lane, to tell when the oldest was accepted.
+func (s *Store) Stats() (*Stats, error) {
+	stats := &Stats{
+		Lanes:        len(s.lanes),
+		Destinations: map[uint64]Usage{},
+		Tenants:      map[uint32]Usage{},
+		DiskBytes:    s.Used(),
+		Segments:     len(s.segments),
+	}
+	for id, l := range s.lanes {
+		first, err := s.read(id, l.first())
+		if err != nil {
+			return nil, err
+		}
+		stats.add(l, first.Taken)
+		destination, tenant := stats.Destinations[id.Destination], stats.Tenants[id.Tenant]
+		destination.add(l, first.Taken)
+		tenant.add(l, first.Taken)
+		stats.Destinations[id.Destination], stats.Tenants[id.Tenant] = destination, tenant
+	}
+	return stats, nil
+}
+
+// LaneUsage is what a lane holds, without the time of its oldest message.
+func (s *Store) LaneUsage(id Lane) Usage {
+	l := s.lanes[id]
+	if l == nil {
+		return Usage{}
+	}
+	var u Usage
+	u.add(l, 0)
+	return u
+}
+
+// Lanes gives all lanes with stored messages, by destination and tenant.
+func (s *Store) Lanes() []Lane {
+	lanes := make([]Lane, 0, len(s.lanes))
+	for id := range s.lanes {
+		lanes = append(lanes, id)
+	}
+	slices.SortFunc(lanes, compareLanes)
+	return lanes
+}
+
+func compareLanes(a, b Lane) int {
+	switch {
+	case a.Destination < b.Destination, a.Destination == b.Destination && a.Tenant < b.Tenant:
+		return -1
+	case a == b:
+		return 0
+	}
+	return 1
+}
+
+// States is how many messages are stored in each state.
+func (s *Store) States() (counts [stateCount]int) {
+	for _, l := range s.lanes {
+		for state, n := range l.states {
+			counts[state] += n
+		}
+	}
+	return counts
+}
+
+// Oldest is when the oldest stored message was accepted, in microseconds of the wall clock; 0 if none is stored. It
+// reads one record.
+func (s *Store) Oldest() (int64, error) {
+	var oldest *lane
+	for _, l := range s.lanes {
+		if oldest == nil || l.first().seq < oldest.first().seq {
+			oldest = l
+		}
+	}
+	if oldest == nil {
+		return 0, nil
+	}
+	m, err := s.read(oldest.id, oldest.first())
+	if err != nil {
+		return 0, err
+	}
+	return m.Taken, nil
+}
