--- a/internal/backlog/message_codec.go
+++ b/internal/backlog/message_codec.go
@@ -6,11 +6,24 @@
 )
 
 const (
-	maxBodyLength    = 128 << 10      // bytes
-	maxTextLength    = math.MaxUint16 // bytes of a type, an id, a deduplication key or a frontend's name
-	messageFixedSize = 8*8 + 3*4 + 1 + 4*2 + 4
-	flagCallerWaits  = 1
-	flagOrdered      = 2
+	maxBodyLength = 128 << 10      // bytes
+	maxTextLength = math.MaxUint16 // bytes of a type, an id, a deduplication key or a frontend's name
+)
+
+// A message's record begins with numbers of fixed length, little-endian: 8 of 64 bits, the last of them unused, 3 of 32
+// bits, the flags, the lengths of the texts in 16 bits, and that of the body in 32. Texts and body follow.
+const (
+	messageTexts      = 4
+	uint32sOffset     = 8 * 8
+	flagsOffset       = uint32sOffset + 3*4
+	textLengthsOffset = flagsOffset + 1
+	bodyLengthOffset  = textLengthsOffset + messageTexts*2
+	messageFixedSize  = bodyLengthOffset + 4
+)
+
+const (
+	flagCallerWaits = 1 << iota
+	flagOrdered
 )
 
 // messageFixed is what a message's record begins with.
@@ -19,7 +32,7 @@
 	accepted, expiry, mayHaveRun, deduplicationEnd int64
 	tenant, attempts, mayHaveRunZone               uint32
 	flags                                          byte
-	textLengths                                    [4]int
+	textLengths                                    [messageTexts]int
 	bodyLength                                     int
 }
 
@@ -30,8 +43,9 @@
 
 func (f *messageFixed) keepsOrder() bool { return f.flags&flagOrdered != 0 && f.key != 0 }
 
-func (m *Message) texts() [4]string {
-	return [4]string{m.ID, m.Type, m.DeduplicationKey, m.Frontend}
+// texts are the message's texts in the order of its record.
+func (m *Message) texts() [messageTexts]string {
+	return [messageTexts]string{m.ID, m.Type, m.DeduplicationKey, m.Frontend}
 }
 
 // fits tells if the message's parts are within what a record can hold.
@@ -47,8 +61,10 @@
 // encode adds the message's record without its header to b.
 func (m *Message) encode(b []byte) []byte {
 	little := binary.LittleEndian
-	for _, v := range []uint64{m.Seq, m.Key, m.Lane.Destination, uint64(m.Taken), uint64(m.Expiry), uint64(m.MayHaveRun),
-		uint64(m.DeduplicationEnd), 0} {
+	for _, v := range []uint64{
+		m.Seq, m.Key, m.Lane.Destination, uint64(m.Taken), uint64(m.Expiry), uint64(m.MayHaveRun),
+		uint64(m.DeduplicationEnd), 0,
+	} {
 		b = little.AppendUint64(b, v)
 	}
 	for _, v := range []uint32{m.Lane.Tenant, m.Attempts, m.MayHaveRunZone} {
@@ -82,16 +98,16 @@
 	f.seq, f.key, f.destination = uint64At(0), uint64At(1), uint64At(2)
 	f.accepted, f.expiry = int64(uint64At(3)), int64(uint64At(4))
 	f.mayHaveRun, f.deduplicationEnd = int64(uint64At(5)), int64(uint64At(6))
-	b = b[64:]
-	f.tenant, f.attempts, f.mayHaveRunZone = little.Uint32(b), little.Uint32(b[4:]), little.Uint32(b[8:])
-	f.flags = b[12]
+	uint32At := func(i int) uint32 { return little.Uint32(b[uint32sOffset+4*i:]) }
+	f.tenant, f.attempts, f.mayHaveRunZone = uint32At(0), uint32At(1), uint32At(2)
+	f.flags = b[flagsOffset]
 	total := 0
 	for i := range f.textLengths {
-		f.textLengths[i] = int(little.Uint16(b[13+2*i:]))
+		f.textLengths[i] = int(little.Uint16(b[textLengthsOffset+2*i:]))
 		total += f.textLengths[i]
 	}
-	f.bodyLength = int(little.Uint32(b[21:]))
-	return f, total+f.bodyLength == len(b)-(messageFixedSize-64)
+	f.bodyLength = int(little.Uint32(b[bodyLengthOffset:]))
+	return f, total+f.bodyLength == len(b)-messageFixedSize
 }
 
 // decodeMessage reads a message's record; ok is false if it is malformed. The message shares no memory with b.
@@ -101,7 +117,7 @@
 		return nil, false
 	}
 	rest := b[messageFixedSize:]
-	var texts [4]string
+	var texts [messageTexts]string
 	for i, n := range f.textLengths {
 		texts[i], rest = string(rest[:n]), rest[n:]
 	}
--- a/internal/backlog/record.go
+++ b/internal/backlog/record.go
@@ -10,16 +10,35 @@
 // these eight bytes) and a payload, whose first byte is its kind. As the length has a checksum of its own, a record
 // that a kill has cut short can be told from one that is damaged.
 const (
-	segmentSuffix     = ".backlog"
-	segmentMagic      = "spanbklg"
-	segmentVersion    = 1
-	segmentHeaderSize = 32 // bytes: magic, version, number, length of the segment before, last number used, checksum
-	recordHeaderSize  = 12 // bytes
-	kindMessage       = 1
-	kindRelease       = 2
-	maxPayload        = 1 + messageFixedSize + 4*maxTextLength + maxBodyLength
-	releaseFixedSize  = 1 + 8 + 4 // bytes: kind, destination, tenant
-	releaseRefSize    = 8 + 8 + 8 // bytes: number, hash of the id, hash of the ordering key
+	recordHeaderSize      = 12 // bytes
+	payloadChecksumOffset = 4
+	recordHeaderSumOffset = 8
+	maxPayload            = 1 + messageFixedSize + messageTexts*maxTextLength + maxBodyLength
+)
+
+// The kinds of records.
+const (
+	kindMessage = 1
+	kindRelease = 2
+)
+
+// A segment's header: magic, version, number, length of the segment before, last number used, checksum.
+const (
+	segmentSuffix        = ".backlog"
+	segmentMagic         = "spanbklg"
+	segmentVersion       = 1
+	headerVersionOffset  = 8 // behind the magic
+	headerNumberOffset   = headerVersionOffset + 4
+	headerPreviousOffset = headerNumberOffset + 4
+	headerLastSeqOffset  = headerPreviousOffset + 4
+	headerSumOffset      = headerLastSeqOffset + 8
+	segmentHeaderSize    = headerSumOffset + 4
+)
+
+// The payload of a release.
+const (
+	releaseFixedSize = 1 + 8 + 4 // bytes: kind, destination, tenant
+	releaseRefSize   = 8 + 8 + 8 // bytes: number, hash of the id, hash of the ordering key
 	// singleReleaseSize is what the release of one message takes at most.
 	singleReleaseSize = recordHeaderSize + releaseFixedSize + releaseRefSize
 	maxReleased       = 512 // messages in one release record
@@ -47,16 +66,20 @@
 // decodeHeader reads a segment's header. The version goes before the checksum: newer ones may be laid out otherwise.
 func decodeHeader(file string, number uint32, b []byte) (*header, error) {
 	little := binary.LittleEndian
-	if len(b) < segmentHeaderSize || string(b[:8]) != segmentMagic {
+	if len(b) < segmentHeaderSize || string(b[:headerVersionOffset]) != segmentMagic {
 		return nil, &DamageError{File: file, Reason: "not a segment of a backlog store"}
 	}
-	if v := little.Uint32(b[8:]); v > segmentVersion {
+	if v := little.Uint32(b[headerVersionOffset:]); v > segmentVersion {
 		return nil, &VersionError{File: file, Version: v}
 	}
-	if little.Uint32(b[28:]) != crc32.Checksum(b[:28], castagnoli) {
+	if little.Uint32(b[headerSumOffset:]) != crc32.Checksum(b[:headerSumOffset], castagnoli) {
 		return nil, &DamageError{File: file, Reason: "the header fails its checksum"}
 	}
-	h := &header{number: little.Uint32(b[12:]), previous: little.Uint32(b[16:]), lastSeq: little.Uint64(b[20:])}
+	h := &header{
+		number:   little.Uint32(b[headerNumberOffset:]),
+		previous: little.Uint32(b[headerPreviousOffset:]),
+		lastSeq:  little.Uint64(b[headerLastSeqOffset:]),
+	}
 	if h.number != number {
 		return nil, &DamageError{File: file, Reason: fmt.Sprintf("the header is that of segment %d", h.number)}
 	}
@@ -74,14 +97,15 @@
 	little := binary.LittleEndian
 	payload := b[start+recordHeaderSize:]
 	little.PutUint32(b[start:], uint32(len(payload)))
-	little.PutUint32(b[start+4:], crc32.Checksum(payload, castagnoli))
-	little.PutUint32(b[start+8:], crc32.Checksum(b[start:start+8], castagnoli))
+	little.PutUint32(b[start+payloadChecksumOffset:], crc32.Checksum(payload, castagnoli))
+	headerSum := crc32.Checksum(b[start:start+recordHeaderSumOffset], castagnoli)
+	little.PutUint32(b[start+recordHeaderSumOffset:], headerSum)
 }
 
 // payloadLength reads a record's header; ok is false if it is damaged.
 func payloadLength(b []byte) (n int, ok bool) {
 	little := binary.LittleEndian
-	if little.Uint32(b[8:]) != crc32.Checksum(b[:8], castagnoli) {
+	if little.Uint32(b[recordHeaderSumOffset:]) != crc32.Checksum(b[:recordHeaderSumOffset], castagnoli) {
 		return 0, false
 	}
 	n = int(little.Uint32(b))
@@ -91,7 +115,8 @@
 // checkedPayload is the payload of a whole record; ok is false if it fails its checksum.
 func checkedPayload(b []byte) (payload []byte, ok bool) {
 	payload = b[recordHeaderSize:]
-	return payload, binary.LittleEndian.Uint32(b[4:]) == crc32.Checksum(payload, castagnoli)
+	sum := binary.LittleEndian.Uint32(b[payloadChecksumOffset:])
+	return payload, sum == crc32.Checksum(payload, castagnoli)
 }
 
 // encodeRelease adds a record that releases messages of one lane.
