--- a/internal/backlog/append.go
+++ b/internal/backlog/append.go
@@ -25,7 +25,7 @@
 	s.buf = m.encode(s.buf)
 	endRecord(s.buf, 0)
 	size := len(s.buf)
-	if err := s.ensureRoom(int64(size)); err != nil {
+	if err := s.ensureSpace(int64(size)); err != nil {
 		return err
 	}
 	where, offset, err := s.write(s.buf)
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -20,20 +20,20 @@
 // them. It returns how many bytes it looked through. A kill at any moment leaves messages in two places that say the
 // same. An error ends it, also that a segment cannot be removed: the next write tries again.
 func (s *Store) compactUpTo(budget int64) (spent int64) {
-	s.removeDeadSegments()
-	for spent < budget && s.worthCompacting() && len(s.segments) > 1 {
+	s.removeUnusedSegments()
+	for spent < budget && s.shouldCompact() && len(s.segments) > 1 {
 		n, err := s.copyLiveRecords()
 		if err != nil || n == 0 {
 			return spent
 		}
 		spent += n
-		s.removeDeadSegments()
+		s.removeUnusedSegments()
 	}
 	return spent
 }
 
-// worthCompacting tells if so much on disk is dead that the live rest of the oldest segment is worth copying.
-func (s *Store) worthCompacting() bool {
+// shouldCompact tells if so much on disk is dead that the live rest of the oldest segment is worth copying.
+func (s *Store) shouldCompact() bool {
 	dead := s.Used() - s.bytes
 	if s.ballast {
 		dead -= s.bounds.SegmentBytes
@@ -44,9 +44,9 @@
 	return dead > s.bytes+reservedSegments*s.bounds.SegmentBytes
 }
 
-// removeDeadSegments removes the oldest segments while nothing in them is live. Only the oldest may go: a release must
+// removeUnusedSegments removes the oldest segments while nothing in them is live. Only the oldest may go: a release must
 // outlast the message's record.
-func (s *Store) removeDeadSegments() {
+func (s *Store) removeUnusedSegments() {
 	if s.messages == 0 && len(s.segments) == 1 && s.segments[0].size > s.bounds.SegmentBytes/2 {
 		if s.rotate() != nil {
 			return
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -167,7 +167,7 @@
 	}
 	require.Less(t, len(s.segments), 3)
 	require.NoError(t, s.rotate())
-	s.removeDeadSegments()
+	s.removeUnusedSegments()
 	require.NoError(t, s.Close())
 	require.Equal(t, uint64(40), openStore(t, files, smallBounds).LastSeq())
 }
--- /dev/null
+++ b/internal/backlog/policy/decide.go
@@ -0,0 +1,104 @@
+package policy
+
+import (
+	"time"
+)
+
+// Place is where a new message goes.
+type Place uint8
+
+// The places of a new message.
+const (
+	Memory  Place = iota // to the write-ahead log and the scheduler
+	Store                // to the backlog store, behind all of its lane
+	Refused              // it is not accepted
+)
+
+// Bound is which bound stands against a message.
+type Bound uint8
+
+// The bounds that may stand against a message.
+const (
+	NoBound Bound = iota
+	TotalBound
+	DestinationBound
+	TenantBound
+	DiskBound // the store or the disk under it has no room
+	KeyBound  // an earlier message of its ordering key is stored for another lane
+)
+
+// String names the bound in log lines and metrics.
+func (b Bound) String() string {
+	return [...]string{"none", "bytes in all", "bytes of the destination", "bytes of the tenant", "disk",
+		"an earlier message of its key is stored"}[b]
+}
+
+// Decision is what becomes of a new message.
+type Decision struct {
+	Place      Place
+	Bound      Bound         // with Refused: what stands against it
+	RetryAfter time.Duration // with Refused: when there may be room
+}
+
+// Decide tells where a new message goes. The event loop then calls Held or Stored, as decided; a refused message is not
+// counted.
+func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
+	l := p.lanes[lane]
+	fits := l == nil || l.stored.messages == 0 && l.held < p.maxHeld(lane)
+	if fits && p.freeMemoryFor(lane, p.freeMemory(), p.held) > 0 {
+		return Decision{Place: Memory}
+	}
+	return p.storeOrRefuse(lane, bytes, now)
+}
+
+// DecideWithin is Decide for a message with so much time left, which memory and the log have room for or not (fits).
+// One that would have to be answered at once after it is stored is refused.
+func (p *Policy) DecideWithin(lane Lane, bytes int64, left time.Duration, fits bool, now time.Time) Decision {
+	d := p.Decide(lane, bytes, now)
+	if d.Place == Memory && !fits {
+		d = p.storeOrRefuse(lane, bytes, now)
+	}
+	if d.Place == Store && left <= p.bounds.ExpiryLead {
+		return p.Refuse(NoBound, bytes, now)
+	}
+	return d
+}
+
+// storeOrRefuse decides on a message that memory has no room for.
+func (p *Policy) storeOrRefuse(lane Lane, bytes int64, now time.Time) Decision {
+	if bound := p.bound(lane, bytes); bound != NoBound {
+		return p.Refuse(bound, bytes, now)
+	}
+	return Decision{Place: Store}
+}
+
+// Refuse is the answer to a message of so many bytes that a bound stands against, also one that the store itself has no
+// room for (DiskBound) or that has to go after a stored one of another lane (KeyBound).
+func (p *Policy) Refuse(bound Bound, bytes int64, now time.Time) Decision {
+	return Decision{Place: Refused, Bound: bound, RetryAfter: p.drain.retryAfter(bytes, now)}
+}
+
+// maxHeld is how many messages of a lane without stored ones may be in memory.
+func (p *Policy) maxHeld(lane Lane) int {
+	if d := p.destinations[lane.Destination]; d != nil && d.out {
+		return p.bounds.Window
+	}
+	return p.bounds.Behind
+}
+
+// bound tells which bound stands against storing so many bytes more.
+func (p *Policy) bound(lane Lane, bytes int64) Bound {
+	destination := int64(0)
+	if d := p.destinations[lane.Destination]; d != nil {
+		destination = d.bytes
+	}
+	switch {
+	case p.tenants[lane.Tenant]+bytes > p.bounds.tenant(lane.Tenant):
+		return TenantBound
+	case destination+bytes > p.bounds.DestinationBytes:
+		return DestinationBound
+	case p.stored.bytes+bytes > p.bounds.Bytes:
+		return TotalBound
+	}
+	return NoBound
+}
--- a/internal/backlog/policy/drain.go
+++ b/internal/backlog/policy/drain_rate.go
@@ -1,6 +1,8 @@
 package policy
 
-import "time"
+import (
+	"time"
+)
 
 const (
 	minRetryAfter = time.Second
@@ -21,6 +23,7 @@
 	d.bytes += bytes
 }
 
+// roll begins a new window once the present one is over.
 func (d *drainRate) roll(now time.Time) {
 	if d.since.IsZero() {
 		d.since = now
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -1,122 +1,9 @@
 // Package policy decides which messages wait in memory and which in the backlog store: what is stored when, brought
-// back when, and refused. It does no I/O and reads no clock: the event loop tells it what happened and
-// carries out what it decides (package backlog does the moving).
+// back when, and refused. It does no I/O and reads no clock: the event loop tells it what happened and carries out what
+// it decides (package backlog does the moving).
 package policy
 
-import (
-	"fmt"
-	"time"
-)
-
-// Lane is a queue of its own: messages of one tenant for one destination, in the order of acceptance.
-type Lane struct {
-	Destination uint64
-	Tenant      uint32
-}
-
-// Bounds are the settings of a policy.
-type Bounds struct {
-	Bytes            int64            // stored messages in all
-	DestinationBytes int64            // of one destination
-	TenantBytes      int64            // of one tenant
-	Tenants          map[uint32]int64 // bytes of tenants with a bound of their own
-	// Window is how many messages of a lane stay in memory before those that are stored.
-	Window int
-	// Behind is how many messages of a lane stay in memory while its destination serves it and none is stored; more
-	// means that it is far behind.
-	Behind int
-	// Memory is how many messages of all lanes together stay in memory before new ones are stored; 0: no bound.
-	Memory int
-	// Batch is how many messages come back in one turn of the event loop, over all lanes.
-	Batch int
-	// ExpiryLead is how long before the end of its time a stored message comes back to be answered.
-	ExpiryLead time.Duration
-}
-
-// Check returns an error that names the field that is wrong, as the configuration does.
-func (b *Bounds) Check() error {
-	switch {
-	case b.Bytes <= 0:
-		return fmt.Errorf("bytes: %d is not above 0", b.Bytes)
-	case b.DestinationBytes <= 0 || b.DestinationBytes > b.Bytes:
-		return fmt.Errorf("destination_bytes: %d is not between 1 and bytes (%d)", b.DestinationBytes, b.Bytes)
-	case b.TenantBytes <= 0 || b.TenantBytes > b.Bytes:
-		return fmt.Errorf("tenant_bytes: %d is not between 1 and bytes (%d)", b.TenantBytes, b.Bytes)
-	case b.Window < 1:
-		return fmt.Errorf("window: %d is less than 1", b.Window)
-	case b.Behind < b.Window:
-		return fmt.Errorf("behind: %d is less than window (%d)", b.Behind, b.Window)
-	case b.Batch < 1:
-		return fmt.Errorf("batch: %d is less than 1", b.Batch)
-	case b.ExpiryLead <= 0:
-		return fmt.Errorf("expiry_lead: %v is not above 0", b.ExpiryLead)
-	}
-	for tenant, bytes := range b.Tenants {
-		if bytes <= 0 || bytes > b.Bytes {
-			return fmt.Errorf("tenants: %d of tenant %d is not between 1 and bytes (%d)", bytes, tenant, b.Bytes)
-		}
-	}
-	return nil
-}
-
-func (b *Bounds) tenant(tenant uint32) int64 {
-	if own, ok := b.Tenants[tenant]; ok {
-		return own
-	}
-	return b.TenantBytes
-}
-
-// Place is where a new message goes.
-type Place uint8
-
-// The places of a new message.
-const (
-	Memory  Place = iota // to the write-ahead log and the scheduler
-	Store                // to the backlog store, behind all of its lane
-	Refused              // it is not accepted
-)
-
-// Bound is which bound stands against a message.
-type Bound uint8
-
-// The bounds that may stand against a message.
-const (
-	NoBound Bound = iota
-	TotalBound
-	DestinationBound
-	TenantBound
-	DiskBound // the store or the disk under it has no room
-	KeyBound  // an earlier message of its ordering key is stored for another lane
-)
-
-// String names the bound in log lines and metrics.
-func (b Bound) String() string {
-	return [...]string{"none", "bytes in all", "bytes of the destination", "bytes of the tenant", "disk",
-		"an earlier message of its key is stored"}[b]
-}
-
-// Decision is what becomes of a new message.
-type Decision struct {
-	Place      Place
-	Bound      Bound         // with Refused: what stands against it
-	RetryAfter time.Duration // with Refused: when there may be room
-}
-
-// MoveKind is what is to be done with a lane.
-type MoveKind uint8
-
-// The kinds of moves.
-const (
-	SpillTail MoveKind = iota // move the newest messages in memory out to the store
-	BringBack                 // move the oldest stored messages back
-)
-
-// Move is a move that is due.
-type Move struct {
-	Kind  MoveKind
-	Lane  Lane
-	Count int // messages at most
-}
+import "time"
 
 // storedAmount is a number of stored messages.
 type storedAmount struct {
@@ -124,6 +11,7 @@
 	bytes    int64
 }
 
+// laneState is what a policy knows of a lane.
 type laneState struct {
 	id     Lane
 	held   int // messages in memory
@@ -143,9 +31,10 @@
 	drain        drainRate
 }
 
+// destinationState is what a policy knows of a destination.
 type destinationState struct {
-	bytes int64
-	out   bool
+	bytes int64 // stored
+	out   bool  // it takes nothing for now
 	lanes map[Lane]*laneState
 }
 
@@ -171,55 +60,6 @@
 	return nil
 }
 
-// Decide tells where a new message goes. The event loop then calls Held or Stored, as decided; a refused message is not
-// counted.
-func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
-	l := p.lanes[lane]
-	fits := l == nil || l.stored.messages == 0 && l.held < p.maxHeld(lane)
-	if fits && p.freeMemoryFor(lane, p.freeMemory(), p.held) > 0 {
-		return Decision{Place: Memory}
-	}
-	return p.storeOrRefuse(lane, bytes, now)
-}
-
-func (p *Policy) storeOrRefuse(lane Lane, bytes int64, now time.Time) Decision {
-	if bound := p.bound(lane, bytes); bound != NoBound {
-		return p.Refuse(bound, bytes, now)
-	}
-	return Decision{Place: Store}
-}
-
-// Refuse is the answer to a message of so many bytes that a bound stands against, also one that the store itself has no
-// room for (DiskBound) or that has to go after a stored one of another lane (KeyBound).
-func (p *Policy) Refuse(bound Bound, bytes int64, now time.Time) Decision {
-	return Decision{Place: Refused, Bound: bound, RetryAfter: p.drain.retryAfter(bytes, now)}
-}
-
-// maxHeld is how many messages of a lane without stored ones may be in memory.
-func (p *Policy) maxHeld(lane Lane) int {
-	if d := p.destinations[lane.Destination]; d != nil && d.out {
-		return p.bounds.Window
-	}
-	return p.bounds.Behind
-}
-
-// bound tells which bound stands against storing so many bytes more.
-func (p *Policy) bound(lane Lane, bytes int64) Bound {
-	destination := int64(0)
-	if d := p.destinations[lane.Destination]; d != nil {
-		destination = d.bytes
-	}
-	switch {
-	case p.tenants[lane.Tenant]+bytes > p.bounds.tenant(lane.Tenant):
-		return TenantBound
-	case destination+bytes > p.bounds.DestinationBytes:
-		return DestinationBound
-	case p.stored.bytes+bytes > p.bounds.Bytes:
-		return TotalBound
-	}
-	return NoBound
-}
-
 // Held says that a new message of a lane, or one found in the log at the start, is in memory.
 func (p *Policy) Held(lane Lane) {
 	l := p.lane(lane)
@@ -261,6 +101,13 @@
 	p.drain.add(bytes, now)
 }
 
+// Discarded says that a stored message of a lane is gone without having come back.
+func (p *Policy) Discarded(lane Lane, bytes int64) {
+	l := p.lane(lane)
+	p.addStored(l, -1, -bytes)
+	p.forget(l)
+}
+
 // Out says whether a destination takes nothing for now.
 func (p *Policy) Out(destination uint64, out bool) {
 	d := p.destinations[destination]
@@ -277,72 +124,19 @@
 	p.forgetDestination(destination, d)
 }
 
-// Due gives the moves that are due now, at most so many messages as Batch allows, lanes in turn. The moves have to be
-// tried before it is called again; a lane whose move was not carried out becomes due again by Unmoved.
-func (p *Policy) Due() []Move {
-	var moves []Move
-	left, memory, held := p.bounds.Batch, p.freeMemory(), p.held
-	for range min(len(p.queue), maxLanesPerTurn) {
-		if left == 0 {
-			break
-		}
-		l := p.queue[0]
-		p.queue[0] = nil
-		p.queue = p.queue[1:]
-		l.queued = false
-		m := p.due(l)
-		if m.Count == 0 {
-			p.forget(l)
-			continue
-		}
-		most := left
-		if m.Kind == BringBack {
-			most = min(left, p.freeMemoryFor(l.id, memory, held))
-		}
-		if m.Count > most {
-			m.Count = most
-			p.enqueue(l)
-		}
-		if m.Count == 0 { // memory is full: it waits for its turn
-			continue
-		}
-		left -= m.Count
-		if m.Kind == BringBack {
-			memory = max(0, memory-m.Count)
-			held += m.Count
-		}
-		moves = append(moves, m)
-	}
-	return moves
-}
-
-// Unmoved says that a move of a lane was not carried out whole: it is due again.
-func (p *Policy) Unmoved(lane Lane) {
-	if l := p.lanes[lane]; l != nil {
-		p.queueIfDue(l)
-	}
-}
-
-// due is the move that a lane needs, with a Count of 0 if none.
-func (p *Policy) due(l *laneState) Move {
-	switch {
-	case l.stored.messages > 0 && l.held <= p.bounds.Window/2:
-		return Move{Kind: BringBack, Lane: l.id, Count: min(p.bounds.Window-l.held, l.stored.messages)}
-	case l.stored.messages == 0 && l.held > p.maxHeld(l.id) && p.bound(l.id, 1) == NoBound:
-		return Move{Kind: SpillTail, Lane: l.id, Count: l.held - p.bounds.Window}
-	}
-	return Move{}
-}
-
 // ExpiryDue tells up to which expiry stored messages have to come back now to be answered before it.
 func (p *Policy) ExpiryDue(now time.Time) time.Time { return now.Add(p.bounds.ExpiryLead) }
 
+// ExpiryBatch is how many messages are answered at the end of their time in one turn of the event loop.
+func (p *Policy) ExpiryBatch() int { return expiryBatch }
+
 // Amount is how many messages and bytes are stored.
 func (p *Policy) Amount() (messages int, bytes int64) { return p.stored.messages, p.stored.bytes }
 
 // TenantBytes is what a tenant has stored.
 func (p *Policy) TenantBytes(tenant uint32) int64 { return p.tenants[tenant] }
 
+// lane is the state of a lane, a new one if there is none.
 func (p *Policy) lane(id Lane) *laneState {
 	l := p.lanes[id]
 	if l == nil {
@@ -353,6 +147,7 @@
 	return l
 }
 
+// destination is the state of a destination, a new one if there is none.
 func (p *Policy) destination(number uint64) *destinationState {
 	d := p.destinations[number]
 	if d == nil {
@@ -362,6 +157,7 @@
 	return d
 }
 
+// addStored adds to what is stored of a lane, or takes off.
 func (p *Policy) addStored(l *laneState, messages int, bytes int64) {
 	l.stored.messages += messages
 	l.stored.bytes += bytes
@@ -374,18 +170,6 @@
 	}
 }
 
-// queueIfDue queues a lane if a move is due.
-func (p *Policy) queueIfDue(l *laneState) {
-	if !l.queued && p.due(l).Count > 0 {
-		p.enqueue(l)
-	}
-}
-
-func (p *Policy) enqueue(l *laneState) {
-	l.queued = true
-	p.queue = append(p.queue, l)
-}
-
 // forget removes a lane with nothing in it.
 func (p *Policy) forget(l *laneState) {
 	if l.held > 0 || l.stored.messages > 0 || l.queued {
@@ -397,8 +181,15 @@
 	p.forgetDestination(l.id.Destination, d)
 }
 
+// forgetDestination removes a destination without lanes that is not out.
 func (p *Policy) forgetDestination(number uint64, d *destinationState) {
 	if len(d.lanes) == 0 && !d.out {
 		delete(p.destinations, number)
 	}
 }
+
+// Lane is a queue of its own: messages of one tenant for one destination, in the order of acceptance.
+type Lane struct {
+	Destination uint64
+	Tenant      uint32
+}
--- a/internal/backlog/write.go
+++ b/internal/backlog/write.go
@@ -20,9 +20,9 @@
 // Written is how many bytes this process has written to the store.
 func (s *Store) Written() int64 { return s.written }
 
-// ensureRoom compacts at most a segment's bytes until a record has room, or returns a FullError. The room that the
+// ensureSpace compacts at most a segment's bytes until a record has room, or returns a FullError. The room that the
 // releases of all stored messages will take is never given to messages.
-func (s *Store) ensureRoom(size int64) error {
+func (s *Store) ensureSpace(size int64) error {
 	full := &FullError{Bytes: s.bytes, Bound: s.bounds.capacity()}
 	if s.bytes+size > s.bounds.capacity() {
 		return full
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -8,7 +8,7 @@
 // Append records a message and gives it its number. With an error it is not recorded: ErrFull if the log has no room
 // for it, or one of the filesystem.
 func (l *Log) Append(e *Entry) error {
-	if !l.hasRoom(e, 0) {
+	if !l.hasSpace(e, 0) {
 		return ErrFull
 	}
 	e.Seq = l.nextSeq
@@ -28,7 +28,7 @@
 	if old := l.entries[e.Seq]; old != nil {
 		replaced = old.Size()
 	}
-	if !l.hasRoom(e, replaced) {
+	if !l.hasSpace(e, replaced) {
 		return ErrFull
 	}
 	if err := l.appendEntry(e); err != nil {
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// hasRoom tells if an entry may be recorded in place of one of so many bytes.
-func (l *Log) hasRoom(e *Entry, replaced int) bool {
+// hasSpace tells if an entry may be recorded in place of one of so many bytes.
+func (l *Log) hasSpace(e *Entry, replaced int) bool {
 	size := e.Size()
 	return l.pending-replaced+size <= l.Capacity() && size <= maxPayload && len(e.Frontend) <= maxFrontendName
 }
@@ -118,12 +118,12 @@
 			return err
 		}
 		record = slices.Clone(record) // compaction uses the buffer
-		if err := l.makeRoom(len(record), 2*l.reserve()); err != nil {
+		if err := l.makeSpace(len(record), 2*l.reserve()); err != nil {
 			return err
 		}
 	case l.Used()+int64(len(record))+l.reserve() > l.limit: // filled by the segments of processes that wrote little
 		record = slices.Clone(record)
-		_ = l.makeRoom(len(record), l.reserve()) // write tells if there is none
+		_ = l.makeSpace(len(record), l.reserve()) // write tells if there is none
 	}
 	return l.write(record)
 }
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// makeRoom frees the oldest segments until a record of so many bytes has room, and so much is left beside it.
-func (l *Log) makeRoom(record int, left int64) error {
+// makeSpace frees the oldest segments until a record of so many bytes has room, and so much is left beside it.
+func (l *Log) makeSpace(record int, left int64) error {
 	for range len(l.segments) {
 		if l.Used()+int64(record)+left <= l.limit {
 			return nil
