--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -11,13 +11,13 @@
 var smallBounds = Bounds{Bytes: 32 << 10, SegmentBytes: 1 << 10, OpenFiles: 2}
 
 // runScript does the same operations each time, until an error that is a kill.
-func runScript(w *harness, operations int) error {
-	if err := w.start(); err != nil {
+func runScript(h *harness, operations int) error {
+	if err := h.start(); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range operations {
-		if err := w.randomOperation(rng); errors.Is(err, errKilled) {
+		if err := h.randomOperation(rng); errors.Is(err, errKilled) {
 			return err
 		}
 	}
@@ -31,19 +31,19 @@
 		for step := 1; ; step++ {
 			files := newMemFS()
 			files.kill, files.failAt, files.leaves = true, step, leaving
-			w := newHarness(files, smallBounds)
-			err := runScript(w, operations)
+			h := newHarness(files, smallBounds)
+			err := runScript(h, operations)
 			if err == nil {
 				break
 			}
 			require.ErrorIs(t, err, errKilled)
 			steps++
-			w.fs = files.reboot()
-			require.NoError(t, w.start(), "step %d", step)
-			w.check(t)
-			require.NoError(t, w.drain())
-			w.check(t)
-			require.Zero(t, w.store.Messages())
+			h.fs = files.reboot()
+			require.NoError(t, h.start(), "step %d", step)
+			h.check(t)
+			require.NoError(t, h.drain())
+			h.check(t)
+			require.Zero(t, h.store.Messages())
 		}
 	}
 	require.Greater(t, steps, 500)
@@ -57,19 +57,19 @@
 		for second := 1; ; second++ {
 			files := newMemFS()
 			files.kill, files.failAt, files.leaves = true, step, leavesHalf
-			w := newHarness(files, smallBounds)
-			if runScript(w, 150) == nil {
+			h := newHarness(files, smallBounds)
+			if runScript(h, 150) == nil {
 				break
 			}
-			w.fs = files.reboot()
-			w.fs.kill, w.fs.failAt, w.fs.leaves = true, second, leftover(second%3)
-			if w.start() == nil {
+			h.fs = files.reboot()
+			h.fs.kill, h.fs.failAt, h.fs.leaves = true, second, leftover(second%3)
+			if h.start() == nil {
 				break
 			}
 			kills++
-			w.fs = w.fs.reboot()
-			require.NoError(t, w.start())
-			w.check(t)
+			h.fs = h.fs.reboot()
+			require.NoError(t, h.start())
+			h.check(t)
 		}
 	}
 	require.Greater(t, kills, 40)
@@ -79,22 +79,22 @@
 	kills := 0
 	for seed := range uint64(4) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w := newHarness(newMemFS(), smallBounds)
+		h := newHarness(newMemFS(), smallBounds)
 		for range 30 {
-			w.fs = w.fs.reboot()
-			w.fs.kill, w.fs.failAt, w.fs.leaves = true, 1+rng.IntN(400), leftover(rng.IntN(3))
-			err := w.start()
+			h.fs = h.fs.reboot()
+			h.fs.kill, h.fs.failAt, h.fs.leaves = true, 1+rng.IntN(400), leftover(rng.IntN(3))
+			err := h.start()
 			for err == nil || !errors.Is(err, errKilled) {
-				err = w.randomOperation(rng)
+				err = h.randomOperation(rng)
 			}
 			kills++
-			w.fs = w.fs.reboot()
-			require.NoError(t, w.start(), "seed %d", seed)
-			w.check(t)
+			h.fs = h.fs.reboot()
+			require.NoError(t, h.start(), "seed %d", seed)
+			h.check(t)
 		}
-		require.NoError(t, w.drain())
-		w.check(t)
-		require.Greater(t, len(w.done), 200)
+		require.NoError(t, h.drain())
+		h.check(t)
+		require.Greater(t, len(h.done), 200)
 	}
 	require.GreaterOrEqual(t, kills, 100)
 }
@@ -127,32 +127,32 @@
 // faultAt runs the script with faults; it tells if it was long enough for them to come.
 func faultAt(t *testing.T, files *memFS) bool {
 	files.files = map[string][]byte{}
-	w := newHarness(files, smallBounds)
-	if err := runScript(w, 120); err != nil { // at the start: the next one finds all well
+	h := newHarness(files, smallBounds)
+	if err := runScript(h, 120); err != nil { // at the start: the next one finds all well
 		files.failAt, files.locked = 0, false
-		require.NoError(t, w.start())
+		require.NoError(t, h.start())
 	}
 	if files.failAt > 0 && files.calls < files.failAt {
 		return false
 	}
 	files.failAt = 0
-	require.NoError(t, w.mover.Retry())
-	require.NoError(t, w.bringBack(testLanes[0], 0)) // what was on the way
-	w.check(t)
-	w.fs = files.reboot()
-	require.NoError(t, w.start(), "call %d", files.calls)
-	w.check(t)
-	require.NoError(t, w.drain())
-	w.check(t)
+	require.NoError(t, h.mover.Retry())
+	require.NoError(t, h.bringBack(testLanes[0], 0)) // what was on the way
+	h.check(t)
+	h.fs = files.reboot()
+	require.NoError(t, h.start(), "call %d", files.calls)
+	h.check(t)
+	require.NoError(t, h.drain())
+	h.check(t)
 	return true
 }
 
 func TestOpenFilesAreBounded(t *testing.T) {
 	files := newMemFS()
-	w := newHarness(files, smallBounds)
-	require.NoError(t, runScript(w, 2000))
+	h := newHarness(files, smallBounds)
+	require.NoError(t, runScript(h, 2000))
 	require.LessOrEqual(t, files.maxOpen, smallBounds.OpenFiles+3, "readers, the last segment, a new one, the test's log")
-	require.NoError(t, w.store.Close())
+	require.NoError(t, h.store.Close())
 	require.Equal(t, 1, files.open, "the log")
 }
 
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -66,22 +66,22 @@
 }
 
 // start begins a process: it reads the log and the store and resolves what was on the way.
-func (w *harness) start() (err error) {
-	w.held = map[Lane][]*Message{}
-	if w.log, err = openTestLog(w.fs); err != nil {
+func (h *harness) start() (err error) {
+	h.held = map[Lane][]*Message{}
+	if h.log, err = openTestLog(h.fs); err != nil {
 		return err
 	}
-	if w.store, err = Open(w.fs, testDir, w.bounds); err != nil {
+	if h.store, err = Open(h.fs, testDir, h.bounds); err != nil {
 		return err
 	}
-	w.mover = NewMover(w.log, w.store)
+	h.mover = NewMover(h.log, h.store)
 	var pending []Ref
-	for _, m := range w.log.pending {
+	for _, m := range h.log.pending {
 		pending = append(pending, m.Ref())
-		w.next = max(w.next, m.Seq+1)
+		h.next = max(h.next, m.Seq+1)
 	}
-	w.next = max(w.next, w.store.LastSeq()+1)
-	overtaking, err := w.mover.Resolve(pending)
+	h.next = max(h.next, h.store.LastSeq()+1)
+	overtaking, err := h.mover.Resolve(pending)
 	if err != nil {
 		return err
 	}
@@ -89,16 +89,16 @@
 	for _, ref := range overtaking {
 		answer[ref.Seq] = true
 	}
-	for _, m := range w.log.pending {
+	for _, m := range h.log.pending {
 		if !answer[m.Seq] {
-			w.held[m.Lane] = append(w.held[m.Lane], m)
+			h.held[m.Lane] = append(h.held[m.Lane], m)
 		}
 	}
-	for _, ms := range w.held {
+	for _, ms := range h.held {
 		slices.SortFunc(ms, func(a, b *Message) int { return cmp.Compare(a.Seq, b.Seq) })
 	}
 	for _, ref := range overtaking {
-		if err := w.answerExpired(w.log.pending[ref.Seq]); err != nil {
+		if err := h.answerExpired(h.log.pending[ref.Seq]); err != nil {
 			return err
 		}
 	}
@@ -115,117 +115,117 @@
 }
 
 // accept takes a new message on: into the store if its lane has messages there, else into the log.
-func (w *harness) accept(lane Lane) error {
-	m := testMessage(lane, w.next)
-	w.next++
-	w.acceptUnanswered = m.Seq
+func (h *harness) accept(lane Lane) error {
+	m := testMessage(lane, h.next)
+	h.next++
+	h.acceptUnanswered = m.Seq
 	var err error
-	if w.store.Stored(lane) > 0 {
-		err = w.store.Append(m)
-	} else if err = w.log.Restore(m); err == nil {
-		w.held[lane] = append(w.held[lane], m)
+	if h.store.Stored(lane) > 0 {
+		err = h.store.Append(m)
+	} else if err = h.log.Restore(m); err == nil {
+		h.held[lane] = append(h.held[lane], m)
 	}
 	if errors.Is(err, errKilled) {
 		return err
 	}
-	w.acceptUnanswered = 0
+	h.acceptUnanswered = 0
 	if err == nil {
-		w.accepted[m.Seq] = m
+		h.accepted[m.Seq] = m
 	}
 	return err
 }
 
 // spill moves all but the first messages of a lane out to the store.
-func (w *harness) spill(lane Lane, window int) error {
-	ms := w.held[lane]
+func (h *harness) spill(lane Lane, window int) error {
+	ms := h.held[lane]
 	if len(ms) <= window {
 		return nil
 	}
-	moved, err := w.mover.Spill(ms[window:])
-	w.held[lane] = ms[:len(ms)-moved]
+	moved, err := h.mover.Spill(ms[window:])
+	h.held[lane] = ms[:len(ms)-moved]
 	return err
 }
 
-func (w *harness) bringBack(lane Lane, n int) error {
-	batch, err := w.mover.BringBack(lane, n)
-	return errors.Join(err, w.handOver(batch))
+func (h *harness) bringBack(lane Lane, n int) error {
+	batch, err := h.mover.BringBack(lane, n)
+	return errors.Join(err, h.handOver(batch))
 }
 
 // expire answers some whose time is over.
-func (w *harness) expire(now int64, n int) error {
-	batch, err := w.mover.BringBackExpired(now, n)
-	return errors.Join(err, w.handOver(batch))
+func (h *harness) expire(now int64, n int) error {
+	batch, err := h.mover.BringBackExpired(now, n)
+	return errors.Join(err, h.handOver(batch))
 }
 
 // handOver gives the scheduler messages that came back, or answers them.
-func (w *harness) handOver(batch Batch) (err error) {
+func (h *harness) handOver(batch Batch) (err error) {
 	for _, m := range batch.Messages {
 		if !batch.Expired {
-			w.held[m.Lane] = append(w.held[m.Lane], m)
-		} else if answerErr := w.answerExpired(m); answerErr != nil { // as today, it is answered again after a restart
+			h.held[m.Lane] = append(h.held[m.Lane], m)
+		} else if answerErr := h.answerExpired(m); answerErr != nil { // as today, it is answered again after a restart
 			err = answerErr
 		}
 	}
 	return err
 }
 
-func (w *harness) answerExpired(m *Message) error {
-	w.expired[m.Seq] = true
-	return w.log.Forget(m.Seq)
+func (h *harness) answerExpired(m *Message) error {
+	h.expired[m.Seq] = true
+	return h.log.Forget(m.Seq)
 }
 
 // finish gives the first messages of a lane their effect.
-func (w *harness) finish(lane Lane, n int) error {
+func (h *harness) finish(lane Lane, n int) error {
 	for range n {
-		if len(w.held[lane]) == 0 {
+		if len(h.held[lane]) == 0 {
 			return nil
 		}
-		m := w.held[lane][0]
-		w.doneUnrecorded = m.Seq
-		if err := w.log.Forget(m.Seq); err != nil {
+		m := h.held[lane][0]
+		h.doneUnrecorded = m.Seq
+		if err := h.log.Forget(m.Seq); err != nil {
 			if !errors.Is(err, errKilled) {
-				w.doneUnrecorded = 0
+				h.doneUnrecorded = 0
 			}
 			return err
 		}
-		w.effect(m)
-		w.held[lane] = w.held[lane][1:]
+		h.effect(m)
+		h.held[lane] = h.held[lane][1:]
 	}
 	return nil
 }
 
-func (w *harness) effect(m *Message) {
-	w.doneUnrecorded = 0
-	w.done[m.Seq] = true
-	w.doneByLane[m.Lane] = append(w.doneByLane[m.Lane], m.Seq)
+func (h *harness) effect(m *Message) {
+	h.doneUnrecorded = 0
+	h.done[m.Seq] = true
+	h.doneByLane[m.Lane] = append(h.doneByLane[m.Lane], m.Seq)
 }
 
 // locations tells in how many places messages are: in memory and in the store.
-func (w *harness) locations(t *testing.T) map[uint64]int {
+func (h *harness) locations(t *testing.T) map[uint64]int {
 	places := map[uint64]int{}
-	for lane, ms := range w.held {
+	for lane, ms := range h.held {
 		for _, m := range ms {
 			places[m.Seq]++
 			require.Equal(t, lane, m.Lane)
-			if known := w.accepted[m.Seq]; known != nil {
+			if known := h.accepted[m.Seq]; known != nil {
 				require.Equal(t, known, m, "as it was accepted, with its history")
 			}
 		}
 	}
-	for _, lane := range w.store.Lanes() {
-		ms, err := w.store.Head(lane, w.store.Stored(lane))
+	for _, lane := range h.store.Lanes() {
+		ms, err := h.store.Head(lane, h.store.Stored(lane))
 		require.NoError(t, err)
-		require.Len(t, ms, w.store.Stored(lane))
+		require.Len(t, ms, h.store.Stored(lane))
 		for i, m := range ms {
 			places[m.Seq]++
 			if i > 0 {
 				require.Greater(t, m.Seq, ms[i-1].Seq, "the order of taking")
 			}
-			if known := w.accepted[m.Seq]; known != nil {
+			if known := h.accepted[m.Seq]; known != nil {
 				require.Equal(t, known, m, "as it was accepted, with its history")
 			}
 		}
-		if held := w.held[lane]; len(held) > 0 && len(ms) > 0 {
+		if held := h.held[lane]; len(held) > 0 && len(ms) > 0 {
 			require.Less(t, held[len(held)-1].Seq, ms[0].Seq, "memory goes before the store")
 		}
 	}
@@ -234,48 +234,48 @@
 
 // check demands that nothing is lost and nothing is there twice. Messages on the way back are in neither place until
 // the store has released them; then strict is false.
-func (w *harness) check(t *testing.T) {
-	places := w.locations(t)
-	if w.acceptUnanswered != 0 { // its client had no answer: either is right
-		if places[w.acceptUnanswered] > 0 {
-			w.accepted[w.acceptUnanswered] = testMessage(w.find(w.acceptUnanswered).Lane, w.acceptUnanswered)
+func (h *harness) check(t *testing.T) {
+	places := h.locations(t)
+	if h.acceptUnanswered != 0 { // its client had no answer: either is right
+		if places[h.acceptUnanswered] > 0 {
+			h.accepted[h.acceptUnanswered] = testMessage(h.find(h.acceptUnanswered).Lane, h.acceptUnanswered)
 		}
-		w.acceptUnanswered = 0
+		h.acceptUnanswered = 0
 	}
-	if m := w.accepted[w.doneUnrecorded]; m != nil { // it had its effect, and the log may have recorded it
-		if places[w.doneUnrecorded] == 0 {
-			w.effect(m)
+	if m := h.accepted[h.doneUnrecorded]; m != nil { // it had its effect, and the log may have recorded it
+		if places[h.doneUnrecorded] == 0 {
+			h.effect(m)
 		}
-		w.doneUnrecorded = 0
+		h.doneUnrecorded = 0
 	}
-	for seq := range w.accepted {
-		if w.done[seq] {
+	for seq := range h.accepted {
+		if h.done[seq] {
 			require.Zero(t, places[seq], "message %d would have its effect twice", seq)
-		} else if w.expired[seq] { // answered; pending again only if the log could not be written
+		} else if h.expired[seq] { // answered; pending again only if the log could not be written
 			require.LessOrEqual(t, places[seq], 1, "message %d", seq)
 		} else {
 			require.Equal(t, 1, places[seq], "message %d", seq)
 		}
 	}
 	for seq := range places {
-		require.NotNil(t, w.accepted[seq], "message %d was refused and is there", seq)
+		require.NotNil(t, h.accepted[seq], "message %d was refused and is there", seq)
 	}
-	for lane, seqs := range w.doneByLane {
+	for lane, seqs := range h.doneByLane {
 		require.True(t, slices.IsSorted(seqs), "order of %v: %v", lane, seqs)
 	}
-	checkStore(t, w.store)
+	checkStore(t, h.store)
 }
 
-func (w *harness) find(seq uint64) *Message {
-	for _, ms := range w.held {
+func (h *harness) find(seq uint64) *Message {
+	for _, ms := range h.held {
 		for _, m := range ms {
 			if m.Seq == seq {
 				return m
 			}
 		}
 	}
-	for _, lane := range w.store.Lanes() {
-		ms, _ := w.store.Head(lane, w.store.Stored(lane))
+	for _, lane := range h.store.Lanes() {
+		ms, _ := h.store.Head(lane, h.store.Stored(lane))
 		for _, m := range ms {
 			if m.Seq == seq {
 				return m
@@ -327,32 +327,32 @@
 }
 
 // randomOperation does one operation drawn at random.
-func (w *harness) randomOperation(rng *rand.Rand) error {
+func (h *harness) randomOperation(rng *rand.Rand) error {
 	lane := testLanes[rng.IntN(len(testLanes))]
 	switch rng.IntN(9) {
 	case 0, 1, 2, 3:
-		return w.accept(lane)
+		return h.accept(lane)
 	case 4:
-		return w.spill(lane, rng.IntN(4))
+		return h.spill(lane, rng.IntN(4))
 	case 5, 6:
-		return w.bringBack(lane, 1+rng.IntN(5))
+		return h.bringBack(lane, 1+rng.IntN(5))
 	case 7:
-		return w.finish(lane, 1+rng.IntN(6))
+		return h.finish(lane, 1+rng.IntN(6))
 	}
-	return w.expire(int64(1000+rng.IntN(200)), 1+rng.IntN(4))
+	return h.expire(int64(1000+rng.IntN(200)), 1+rng.IntN(4))
 }
 
 // drain delivers all that is pending.
-func (w *harness) drain() error {
+func (h *harness) drain() error {
 	for _, lane := range testLanes {
 		for {
-			if err := w.finish(lane, len(w.held[lane])); err != nil {
+			if err := h.finish(lane, len(h.held[lane])); err != nil {
 				return err
 			}
-			if w.store.Stored(lane) == 0 && len(w.held[lane]) == 0 {
+			if h.store.Stored(lane) == 0 && len(h.held[lane]) == 0 {
 				break
 			}
-			if err := w.bringBack(lane, 5); err != nil {
+			if err := h.bringBack(lane, 5); err != nil {
 				return err
 			}
 		}
--- a/internal/backlog/keytable_test.go
+++ b/internal/backlog/keytable_test.go
@@ -24,22 +24,22 @@
 
 const modelKeys = 12 // few, and with 0
 
-// read takes up what a store holds, after a kill.
-func (w *keyModel) read(t *testing.T, s *Store) {
-	w.messages = map[uint64]*Message{}
+// read sets the model to what a store holds, after a kill.
+func (k *keyModel) read(t *testing.T, s *Store) {
+	k.messages = map[uint64]*Message{}
 	for _, lane := range s.Lanes() {
 		messages, err := s.Head(lane, s.Stored(lane))
 		require.NoError(t, err)
 		for _, m := range messages {
-			w.messages[m.Seq] = m
+			k.messages[m.Seq] = m
 		}
 	}
 }
 
 // check compares the store's counts and answers with the model's.
-func (w *keyModel) check(t *testing.T, s *Store) {
+func (k *keyModel) check(t *testing.T, s *Store) {
 	counts, lanesOf := map[keyInLane]uint32{}, map[uint64]map[Lane]bool{}
-	for _, m := range w.messages {
+	for _, m := range k.messages {
 		if !m.Ordered || m.Key == 0 {
 			continue
 		}
@@ -68,19 +68,19 @@
 }
 
 // append stores a new message.
-func (w *keyModel) append(s *Store, rng *rand.Rand) error {
-	m := testMessage(keyLanes[rng.IntN(len(keyLanes))], w.next)
-	w.next++
+func (k *keyModel) append(s *Store, rng *rand.Rand) error {
+	m := testMessage(keyLanes[rng.IntN(len(keyLanes))], k.next)
+	k.next++
 	m.Key, m.Ordered = rng.Uint64N(modelKeys), rng.IntN(4) > 0
 	err := s.Append(m)
 	if err == nil {
-		w.messages[m.Seq] = m
+		k.messages[m.Seq] = m
 	}
 	return err
 }
 
-// release lets go of some from the head of a lane, or of one from anywhere in it.
-func (w *keyModel) release(s *Store, rng *rand.Rand) (released []*Message, err error) {
+// release releases some from the head of a lane, or one from anywhere in it.
+func (k *keyModel) release(s *Store, rng *rand.Rand) (released []*Message, err error) {
 	lane := keyLanes[rng.IntN(len(keyLanes))]
 	messages, err := s.Head(lane, 1+rng.IntN(30))
 	if err != nil || len(messages) == 0 {
@@ -93,30 +93,30 @@
 		return nil, err
 	}
 	for _, m := range messages {
-		delete(w.messages, m.Seq)
+		delete(k.messages, m.Seq)
 	}
 	return messages, nil
 }
 
-// there and back: messages from the head leave and are spilled again, the newest first.
-func (w *keyModel) spillAgain(s *Store, rng *rand.Rand) error {
-	messages, err := w.release(s, rng)
+// spillAgain releases messages and stores them again, the newest first.
+func (k *keyModel) spillAgain(s *Store, rng *rand.Rand) error {
+	messages, err := k.release(s, rng)
 	for i := len(messages) - 1; i >= 0 && err == nil; i-- {
 		if err = s.Append(messages[i]); err == nil {
-			w.messages[messages[i].Seq] = messages[i]
+			k.messages[messages[i].Seq] = messages[i]
 		}
 	}
 	return err
 }
 
-func (w *keyModel) randomOperation(s *Store, rng *rand.Rand) (err error) {
+func (k *keyModel) randomOperation(s *Store, rng *rand.Rand) (err error) {
 	switch rng.IntN(8) {
 	case 0, 1, 2, 3:
-		err = w.append(s, rng)
+		err = k.append(s, rng)
 	case 4, 5:
-		_, err = w.release(s, rng)
+		_, err = k.release(s, rng)
 	default:
-		err = w.spillAgain(s, rng)
+		err = k.spillAgain(s, rng)
 	}
 	if errors.Is(err, ErrFull) || errors.Is(err, ErrOrder) {
 		return nil
@@ -130,7 +130,7 @@
 	rng := rand.New(rand.NewPCG(31, 7))
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
-	w := &keyModel{messages: map[uint64]*Message{}, next: 1}
+	k := &keyModel{messages: map[uint64]*Message{}, next: 1}
 	kills, reopens := 0, 0
 	for range 600 {
 		toKill := rng.IntN(2) == 0
@@ -139,32 +139,32 @@
 		}
 		var err error
 		for range 20 {
-			if err = w.randomOperation(s, rng); err != nil {
+			if err = k.randomOperation(s, rng); err != nil {
 				break
 			}
 			if !files.kill {
-				w.check(t, s)
+				k.check(t, s)
 			}
 		}
 		if err != nil || files.dead {
 			kills++
 			files = files.reboot()
 			s = openStore(t, files, smallBounds)
-			w.read(t, s)
+			k.read(t, s)
 		} else {
 			reopens++
 			files.kill, files.failAt = false, 0
 			require.NoError(t, s.Close())
 			s = openStore(t, files, smallBounds)
 		}
-		w.check(t, s)
+		k.check(t, s)
 	}
 	require.Greater(t, kills, 100)
 	require.Greater(t, reopens, 100)
 	require.Greater(t, s.segments[0].number, uint32(50), "segments were freed meanwhile")
 }
 
-// A key's last message gone, nothing is kept of it.
+// Nothing is kept of a key whose last message is released.
 func TestKeysOfReleasedMessagesAreForgotten(t *testing.T) {
 	const keys = 20_000
 	s := openStore(t, newMemFS(), Bounds{Bytes: 64 << 20})
@@ -197,7 +197,7 @@
 	require.LessOrEqual(t, s.numbers.last, uint32(50), "numbers of lanes are used again")
 }
 
-// A message of an unordered type, or without a key, stands in no other's way.
+// A message of an unordered type, or without a key, keeps no other back.
 func TestUnorderedMessagesAreNotCounted(t *testing.T) {
 	s := openStore(t, newMemFS(), smallBounds)
 	require.NoError(t, s.Append(&Message{Seq: 1, Lane: keyLanes[0], ID: "a", Key: 5}))
--- a/internal/backlog/move_wal_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -169,7 +169,7 @@
 	unrecorded map[uint64]Lane
 }
 
-func (w *observations) add(line string) {
+func (o *observations) add(line string) {
 	var word string
 	var seq, destination uint64
 	var tenant uint32
@@ -179,22 +179,22 @@
 	lane := Lane{destination, tenant}
 	switch word {
 	case "+":
-		w.pending[seq] = lane
+		o.pending[seq] = lane
 	case "?":
-		w.unrecorded[seq] = lane
+		o.unrecorded[seq] = lane
 	case "!":
-		w.effect(seq, lane)
+		o.effect(seq, lane)
 	}
 }
 
-func (w *observations) effect(seq uint64, lane Lane) {
-	delete(w.pending, seq)
-	delete(w.unrecorded, seq)
-	w.done[lane] = append(w.done[lane], seq)
+func (o *observations) effect(seq uint64, lane Lane) {
+	delete(o.pending, seq)
+	delete(o.unrecorded, seq)
+	o.done[lane] = append(o.done[lane], seq)
 }
 
 // compare holds what a new process finds against what was observed.
-func (w *observations) compare(t *testing.T, f *forwarder) {
+func (o *observations) compare(t *testing.T, f *forwarder) {
 	require.Empty(t, f.overtaking)
 	places := map[uint64]int{}
 	lanes := map[uint64]Lane{}
@@ -227,20 +227,20 @@
 			note(m)
 		}
 	}
-	for seq, lane := range w.unrecorded { // it was not observed if it is recorded
+	for seq, lane := range o.unrecorded { // it was not observed if it is recorded
 		if places[seq] == 0 {
-			w.effect(seq, lane)
+			o.effect(seq, lane)
 		}
 	}
-	clear(w.unrecorded)
-	for seq := range w.pending {
+	clear(o.unrecorded)
+	for seq := range o.pending {
 		require.Equal(t, 1, places[seq], "message %d", seq)
 	}
 	for seq, n := range places {
 		require.Equal(t, 1, n)
-		w.pending[seq] = lanes[seq] // also one whose client had no answer any more
+		o.pending[seq] = lanes[seq] // also one whose client had no answer any more
 	}
-	for lane, seqs := range w.done {
+	for lane, seqs := range o.done {
 		require.True(t, slices.IsSorted(seqs), "order of %v", lane)
 		for _, seq := range seqs {
 			held := slices.ContainsFunc(f.held[lane], func(m *Message) bool { return m.Seq == seq })
@@ -253,7 +253,7 @@
 // Real processes with the real write-ahead log, killed by SIGKILL at random under load.
 func TestHundredKillsLoseAndRepeatNothing(t *testing.T) {
 	dir := t.TempDir()
-	w := observations{pending: map[uint64]Lane{}, done: map[Lane][]uint64{}, unrecorded: map[uint64]Lane{}}
+	o := observations{pending: map[uint64]Lane{}, done: map[Lane][]uint64{}, unrecorded: map[uint64]Lane{}}
 	for range forwarderKills {
 		child := exec.Command(os.Args[0])
 		child.Env = append(os.Environ(), forwarderDir+"="+dir)
@@ -264,11 +264,11 @@
 		require.NoError(t, child.Start())
 		lines := bufio.NewScanner(out)
 		for most := 1 + rand.IntN(600); most > 0 && lines.Scan(); most-- { // by what it did, not by the clock
-			w.add(lines.Text())
+			o.add(lines.Text())
 		}
 		require.NoError(t, child.Process.Kill())
 		for lines.Scan() {
-			w.add(lines.Text())
+			o.add(lines.Text())
 		}
 		_ = child.Wait()
 		require.Empty(t, faults.String())
@@ -276,13 +276,13 @@
 		f, err := startForwarder(dir, io.Discard)
 		require.NoError(t, err)
 		checkStore(t, f.store)
-		w.compare(t, f)
+		o.compare(t, f)
 		require.NoError(t, f.close())
 	}
 	ended := 0
-	for _, seqs := range w.done {
+	for _, seqs := range o.done {
 		ended += len(seqs)
 	}
 	require.Greater(t, ended, 3000)
-	t.Logf("%d kills, %d messages done, %d pending", forwarderKills, ended, len(w.pending))
+	t.Logf("%d kills, %d messages done, %d pending", forwarderKills, ended, len(o.pending))
 }
--- a/internal/backlog/policy/decide.go
+++ b/internal/backlog/policy/decide.go
@@ -27,7 +27,7 @@
 	KeyBound  // an earlier message of its ordering key is stored for another lane
 )
 
-// String names the bound in log lines and metrics.
+// String names the bound in log lines.
 func (b Bound) String() string {
 	return [...]string{"none", "bytes in all", "bytes of the destination", "bytes of the tenant", "disk",
 		"an earlier message of its key is stored"}[b]
--- a/internal/backlog/testlog_test.go
+++ b/internal/backlog/testlog_test.go
@@ -12,7 +12,7 @@
 	kindTestDone    = 201
 )
 
-// testLog is a write-ahead log of the least kind, on the same filesystem as the store.
+// testLog is a minimal write-ahead log, on the same filesystem as the store.
 type testLog struct {
 	fs      *memFS
 	file    File
