--- a/internal/backlog/policy/policy_test.go
+++ b/internal/backlog/policy/policy_test.go
@@ -220,77 +220,101 @@
 	require.Equal(t, start.Add(10*time.Second), p.ExpiryDue(start))
 }
 
+// laneQueue is what a lane should have in memory and in the store.
+type laneQueue struct{ memory, store []int }
+
+// simulation is a policy with the queues that result from its decisions.
+type simulation struct {
+	policy *Policy
+	queues map[Lane]*laneQueue
+	next   int // number of the latest message
+}
+
+func (s *simulation) queue(lane Lane) *laneQueue {
+	if s.queues[lane] == nil {
+		s.queues[lane] = &laneQueue{}
+	}
+	return s.queues[lane]
+}
+
+// move carries out the moves that are due.
+func (s *simulation) move(t *testing.T) {
+	for _, m := range s.policy.Due() {
+		q := s.queues[m.Lane]
+		require.Positive(t, m.Count)
+		for range m.Count {
+			if m.Kind == SpillTail {
+				last := len(q.memory) - 1
+				q.store = append([]int{q.memory[last]}, q.store...)
+				q.memory = q.memory[:last]
+				s.policy.Spilled(m.Lane, 100)
+				continue
+			}
+			q.memory = append(q.memory, q.store[0])
+			q.store = q.store[1:]
+			s.policy.Back(m.Lane, 100, start)
+		}
+	}
+}
+
+// randomStep has a message of a random lane arrive or end, or its destination go out or come back.
+func (s *simulation) randomStep(t *testing.T, rng *rand.Rand) *laneQueue {
+	lane := Lane{rng.Uint64N(6), uint32(rng.IntN(2))}
+	q := s.queue(lane)
+	switch rng.IntN(5) {
+	case 0:
+		s.policy.Out(lane.Destination, rng.IntN(2) == 0)
+	case 1:
+		if len(q.memory) > 0 {
+			q.memory = q.memory[1:]
+			s.policy.Ended(lane)
+		}
+	default:
+		s.next++
+		switch arrive(s.policy, lane, 100).Place {
+		case Memory:
+			require.Empty(t, q.store)
+			q.memory = append(q.memory, s.next)
+		case Store:
+			q.store = append(q.store, s.next)
+		}
+	}
+	return q
+}
+
+// drain brings all messages back and ends them.
+func (s *simulation) drain(t *testing.T) {
+	for d := range uint64(6) {
+		s.policy.Out(d, false)
+	}
+	for lane, q := range s.queues {
+		for len(q.memory)+len(q.store) > 0 {
+			s.move(t)
+			for len(q.memory) > 0 {
+				q.memory = q.memory[1:]
+				s.policy.Ended(lane)
+			}
+		}
+	}
+}
+
 // Nothing is remembered of lanes and destinations that have gone, and at each moment a lane's messages in memory are
 // within bounds and go before those that are stored.
 func TestRandomLoadKeepsTheRulesAndForgets(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		p := newPolicy(t, testBounds())
-		type queue struct{ memory, store []int }
-		queues := map[Lane]*queue{}
-		next := 0
-		carryOut := func() {
-			for _, m := range p.Due() {
-				q := queues[m.Lane]
-				require.Positive(t, m.Count)
-				for range m.Count {
-					if m.Kind == SpillTail {
-						last := len(q.memory) - 1
-						q.store = append([]int{q.memory[last]}, q.store...)
-						q.memory = q.memory[:last]
-						p.Spilled(m.Lane, 100)
-						continue
-					}
-					q.memory = append(q.memory, q.store[0])
-					q.store = q.store[1:]
-					p.Back(m.Lane, 100, start)
-				}
-			}
-		}
+		s := simulation{policy: p, queues: map[Lane]*laneQueue{}}
 		for range 3000 {
-			lane := Lane{rng.Uint64N(6), uint32(rng.IntN(2))}
-			q := queues[lane]
-			if q == nil {
-				q = &queue{}
-				queues[lane] = q
-			}
-			switch rng.IntN(5) {
-			case 0:
-				p.Out(lane.Destination, rng.IntN(2) == 0)
-			case 1:
-				if len(q.memory) > 0 {
-					q.memory = q.memory[1:]
-					p.Ended(lane)
-				}
-			default:
-				next++
-				switch arrive(p, lane, 100).Place {
-				case Memory:
-					require.Empty(t, q.store)
-					q.memory = append(q.memory, next)
-				case Store:
-					q.store = append(q.store, next)
-				}
-			}
-			carryOut()
+			q := s.randomStep(t, rng)
+			s.move(t)
 			require.LessOrEqual(t, len(q.memory), 20)
 			all := append(append([]int(nil), q.memory...), q.store...)
 			for i := 1; i < len(all); i++ {
 				require.Less(t, all[i-1], all[i])
 			}
 		}
-		for d := range uint64(6) {
-			p.Out(d, false)
-		}
-		for lane, q := range queues {
-			for len(q.memory)+len(q.store) > 0 {
-				carryOut()
-				for len(q.memory) > 0 {
-					q.memory = q.memory[1:]
-					p.Ended(lane)
-				}
-			}
-		}
+		s.drain(t)
 		require.Empty(t, p.Due())
 		require.Empty(t, p.lanes)
 		require.Empty(t, p.destinations)
