--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -15,6 +15,10 @@
 
 var update = flag.Bool("update", false, "write the files in testdata anew")
 
+// Updating tells if the test runs with -update: then files in testdata are written in place of being compared. All
+// packages that compare with files ask here, as a test binary has but one flag of a name.
+func Updating() bool { return *update }
+
 const (
 	dirPerm  = 0o755
 	filePerm = 0o644
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -5,7 +5,6 @@
 package transcript
 
 import (
-	"flag"
 	"fmt"
 	"os"
 	"path/filepath"
@@ -13,9 +12,9 @@
 	"strconv"
 	"strings"
 	"testing"
-)
 
-var update = flag.Bool("update", false, "write the transcripts in testdata anew")
+	"spanflow/internal/golden"
+)
 
 // Transcript is what went over a wire, in its order. It is not safe for concurrent use.
 type Transcript struct {
@@ -63,7 +62,7 @@
 	tb.Helper()
 	path := filepath.Join("testdata", name)
 	got := t.text.String()
-	if *update {
+	if golden.Updating() {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			tb.Fatal(err)
 		}
