--- /dev/null
+++ b/internal/emulator/endpoint.go
@@ -0,0 +1,142 @@
+package emulator
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+)
+
+const (
+	batchPath     = "/hook/batch"
+	callsBuffered = 4096 // calls that a test need not have taken yet
+)
+
+// Call is a request as an endpoint got it.
+type Call struct {
+	Endpoint       string   // address that it came to
+	ID             string   // id of the first message
+	IDs            []string // ids of all messages
+	IdempotencyKey string
+	Body           string
+	Path           string
+}
+
+// Reply tells an endpoint what to do with a call. The zero value answers 200.
+type Reply struct {
+	Status int // of HTTP; 0 stands for 200
+	Fields map[string]string
+	Body   string        // if empty, a call with several messages is answered "ok" for each
+	Break  bool          // end the connection without an answer
+	Hold   chan struct{} // answer once this is closed, or never if the connection ends before
+}
+
+// Endpoint serves calls. It is safe for concurrent use.
+type Endpoint struct {
+	Addr  string    // where it listens
+	Calls chan Call // each call, once its reply is decided and before it is sent
+
+	mu    sync.Mutex
+	reply func(Call) Reply
+}
+
+// NewEndpoint listens at addr, or at a free port of loopback if addr is empty, until the program ends. The function reply
+// decides on each call and may be called concurrently; nil answers 200 to all.
+func NewEndpoint(addr string, reply func(Call) Reply) (*Endpoint, error) {
+	e := &Endpoint{Calls: make(chan Call, callsBuffered), reply: reply}
+	var err error
+	e.Addr, err = serve(addr, e)
+	return e, err
+}
+
+// Do replaces the function that decides on calls, as NewEndpoint takes it.
+func (e *Endpoint) Do(reply func(Call) Reply) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.reply = reply
+}
+
+// ServeHTTP handles one call.
+func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	call := Call{
+		Endpoint:       e.Addr,
+		ID:             r.Header.Get("X-Txn"),
+		IdempotencyKey: r.Header.Get("Idempotency-Key"),
+		Body:           string(body),
+		Path:           r.URL.Path,
+	}
+	call.IDs = []string{call.ID}
+	if r.URL.Path == batchPath {
+		if call.IDs = batchIDs(body); len(call.IDs) == 0 {
+			w.WriteHeader(http.StatusBadRequest)
+			return
+		}
+		call.ID = call.IDs[0]
+	}
+	reply := e.decide(call)
+	e.Calls <- call
+	if reply.Hold != nil {
+		select {
+		case <-reply.Hold:
+		case <-r.Context().Done():
+			return
+		}
+	}
+	reply.write(w, call)
+}
+
+// decide asks the present function for the reply to a call.
+func (e *Endpoint) decide(call Call) Reply {
+	e.mu.Lock()
+	reply := e.reply
+	e.mu.Unlock()
+	if reply == nil {
+		return Reply{}
+	}
+	return reply(call)
+}
+
+// batchIDs returns the ids of the messages in the body of a call with several, nil if the body cannot be read.
+func batchIDs(body []byte) (ids []string) {
+	var messages []struct{ ID string }
+	if json.Unmarshal(body, &messages) != nil {
+		return nil
+	}
+	for _, message := range messages {
+		ids = append(ids, message.ID)
+	}
+	return ids
+}
+
+// write sends a reply, or ends the connection without one.
+func (r Reply) write(w http.ResponseWriter, call Call) {
+	if r.Break {
+		panic(http.ErrAbortHandler)
+	}
+	for name, value := range r.Fields {
+		w.Header().Set(name, value)
+	}
+	if r.Status > 0 {
+		w.WriteHeader(r.Status)
+	}
+	body := r.Body
+	if body == "" && len(call.IDs) > 1 && r.Status <= http.StatusOK {
+		body = allDelivered(call.IDs)
+	}
+	_, _ = io.WriteString(w, body) // a forwarder that has gone is no concern of the endpoint
+}
+
+// allDelivered is the body of an answer that tells "ok" of each message.
+func allDelivered(ids []string) string {
+	var states []string
+	for _, id := range ids {
+		states = append(states, fmt.Sprintf(`{"id":%q,"state":"ok"}`, id))
+	}
+	return "[" + strings.Join(states, ",") + "]"
+}
--- /dev/null
+++ b/internal/emulator/lock.go
@@ -0,0 +1,28 @@
+package emulator
+
+import (
+	"runtime"
+	"strings"
+	"time"
+)
+
+const (
+	stackBytes  = 1 << 20          // room for the stacks of all goroutines
+	lockPoll    = time.Millisecond // between two looks at them
+	waitsAtLock = "[sync.Mutex.Lock"
+)
+
+// AwaitAtLock waits until a goroutine with a call of function on its stack, such as "upstream.(*trunk).Data(", waits for
+// a mutex. A test that holds the mutex thereby knows that the program stands just before it.
+func AwaitAtLock(t Test, function string) {
+	t.Helper()
+	stacks := make([]byte, stackBytes)
+	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(lockPoll) {
+		for goroutine := range strings.SplitSeq(string(stacks[:runtime.Stack(stacks, true)]), "\n\n") {
+			if strings.Contains(goroutine, function) && strings.Contains(goroutine, waitsAtLock) {
+				return
+			}
+		}
+	}
+	t.Fatalf("no call of %s waits for a lock", function)
+}
--- a/internal/emulator/log.go
+++ b/internal/emulator/log.go
@@ -6,53 +6,57 @@
 	"time"
 )
 
-// Log takes a program's log lines and lets a test wait for one.
+// Log takes a program's log lines as an io.Writer and lets a test wait for one. It is safe for concurrent use, but only
+// one goroutine at a time may wait.
 type Log struct {
-	mu   sync.Mutex
-	text strings.Builder
-	more chan struct{}
+	mu      sync.Mutex
+	text    strings.Builder
+	written chan struct{} // has an item if something was written since the last wait
 }
 
-// Test is what of a test the log needs.
-type Test interface {
-	Helper()
-	Fatalf(format string, args ...any)
-}
-
-const patience = 15 * time.Second
-
-// NewLog is empty.
-func NewLog() *Log { return &Log{more: make(chan struct{}, 1)} }
+// NewLog makes an empty log.
+func NewLog() *Log { return &Log{written: make(chan struct{}, 1)} }
 
+// Write adds lines to the log. It never fails.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case l.more <- struct{}{}:
+	case l.written <- struct{}{}:
 	default:
 	}
 	return l.text.Write(p)
 }
 
+// String returns all that was written.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Has tells if a word was written, Count how often.
-func (l *Log) Has(word string) bool  { return strings.Contains(l.String(), word) }
-func (l *Log) Count(word string) int { return strings.Count(l.String(), word) }
+// Has tells if text was written.
+func (l *Log) Has(text string) bool { return strings.Contains(l.String(), text) }
+
+// Count tells how often text was written.
+func (l *Log) Count(text string) int { return strings.Count(l.String(), text) }
+
+// Await waits until text was written and returns the whole log. It ends the test if text does not come within 15 s.
+func (l *Log) Await(t Test, text string) string {
+	t.Helper()
+	return l.AwaitCount(t, text, 1)
+}
 
-// Await waits for a word and returns the log.
-func (l *Log) Await(t Test, word string) string {
+// AwaitCount waits until text was written so many times and returns the whole log. It ends the test if that takes more
+// than 15 s.
+func (l *Log) AwaitCount(t Test, text string, count int) string {
 	t.Helper()
-	late := time.After(patience)
-	for !l.Has(word) {
+	expired := time.After(patience)
+	for l.Count(text) < count {
 		select {
-		case <-l.more:
-		case <-late:
-			t.Fatalf("no %q in the log:\n%s", word, l)
+		case <-l.written:
+		case <-expired:
+			t.Fatalf("%d times %q in the log, want %d:\n%s", l.Count(text), text, count, l)
 		}
 	}
 	return l.String()
--- a/internal/transcript/server.go
+++ b/internal/transcript/server.go
@@ -12,34 +12,42 @@
 	"time"
 )
 
-const patience = 15 * time.Second // a bound on what would otherwise hang
+// patience ends a wait for something that does not come.
+const patience = 15 * time.Second
 
-// Server is an HTTP/1.1 peer that keeps each request as it came, byte for byte, and answers at the test's word.
+const (
+	buffered        = 99 // requests and ended connections that a test need not have taken yet
+	firstConnection = 1
+)
+
+// Server is an HTTP/1.1 server that keeps each request byte for byte as it came and answers only when the test calls
+// Answer.
 type Server struct {
-	Addr     string
+	Addr     string // where it listens
 	tb       testing.TB
 	requests chan *Request
-	ended    chan int // connections that the other side has ended
+	ended    chan int // numbers of the connections that the other side has ended
 }
 
 // Request is one request as it came.
 type Request struct {
-	Connection int    // counted from 1 in the order of their coming
+	Connection int    // its number, from 1 in the order in which connections came
 	Raw        []byte // head and body
 	conn       net.Conn
 }
 
-// NewServer listens at a free port of a loopback host until the test ends.
+// NewServer listens at a free port of host, which is one of loopback, until the test ends. It ends the test if it cannot.
 func NewServer(tb testing.TB, host string) *Server {
 	tb.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s := &Server{Addr: listener.Addr().String(), tb: tb, requests: make(chan *Request, 99), ended: make(chan int, 99)}
+	s := &Server{Addr: listener.Addr().String(), tb: tb, requests: make(chan *Request, buffered),
+		ended: make(chan int, buffered)}
 	tb.Cleanup(func() { listener.Close() })
 	go func() {
-		for connection := 1; ; connection++ {
+		for connection := firstConnection; ; connection++ {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
@@ -51,7 +59,7 @@
 	return s
 }
 
-// read takes the requests of one connection.
+// read reads the requests of one connection until it ends.
 func (s *Server) read(connection int, conn net.Conn) {
 	for {
 		var raw bytes.Buffer
@@ -64,12 +72,12 @@
 	}
 }
 
-// oneByte reads no more than was asked for: a buffered reader above it never holds a part of the next request.
+// oneByte reads one byte at a time, so that a buffered reader on it never holds a part of the next request.
 type oneByte struct{ io.Reader }
 
 func (r oneByte) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
 
-// readRequest reads one request with a body of a told length.
+// readRequest reads one request, whose body is as long as Content-Length says.
 func readRequest(r *bufio.Reader) error {
 	text := textproto.NewReader(r)
 	if _, err := text.ReadLine(); err != nil {
@@ -84,14 +92,14 @@
 	return err
 }
 
-// Next waits for the next request, on whichever connection it comes.
+// Next waits for the next request on any connection. It ends the test if none comes within 15 s.
 func (s *Server) Next() *Request {
 	s.tb.Helper()
 	return await(s.tb, s.requests, "request")
 }
 
-// AttemptEnded waits for the next end of a connection and returns its number. Reason ends and what comes on another connection
-// have no order among them.
+// Ended waits for the next end of a connection and returns its number. It ends the test if none comes within 15 s. Ends
+// and the requests on other connections have no order among them.
 func (s *Server) Ended() int {
 	s.tb.Helper()
 	return await(s.tb, s.ended, "end of a connection")
@@ -108,10 +116,10 @@
 	}
 }
 
-// RecordAnswer writes bytes on the connection that the request came by.
+// Answer writes raw as it is on the connection by which the request came.
 func (r *Request) Answer(raw string) {
 	_, _ = io.WriteString(r.conn, raw) // a peer that has gone is seen by what it does next
 }
 
-// BlockUntil ends the connection that the request came by.
+// Close closes the connection by which the request came.
 func (r *Request) Close() { r.conn.Close() }
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -16,7 +16,7 @@
 	"spanflow/internal/golden"
 )
 
-// Transcript is what went over a wire, in its order. It is not safe for concurrent use.
+// Transcript holds what went over a wire, in order. It is not safe for concurrent use.
 type Transcript struct {
 	text  strings.Builder
 	masks []mask
@@ -38,7 +38,7 @@
 	fmt.Fprintf(&t.text, "# "+format+"\n", args...)
 }
 
-// Bytes adds bytes, one quoted line for each line of theirs, after the name of who sent them.
+// Bytes adds bytes, one quoted line for each line of theirs, after the name of their sender.
 func (t *Transcript) Bytes(sender string, b []byte) {
 	text := string(b)
 	for _, m := range t.masks {
@@ -52,12 +52,13 @@
 	}
 }
 
-// Conn adds a line as it is, after the name of who sent it.
+// Line adds a line as it is, after the name of its sender.
 func (t *Transcript) Line(sender, line string) {
 	fmt.Fprintf(&t.text, "%s: %s\n", sender, line)
 }
 
-// Compare fails the test if the transcript differs from testdata/name by as much as a byte.
+// Compare ends the test if the transcript differs from testdata/name by as much as a byte. With -update it writes that
+// file instead.
 func (t *Transcript) Compare(tb testing.TB, name string) {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
@@ -93,7 +94,7 @@
 	return "(nothing)"
 }
 
-// Command is a command of RESP2, an array of bulk strings.
+// Command encodes a command of RESP2, an array of bulk strings.
 func Command(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
