--- /dev/null
+++ b/cmd/spanflowctl/history_check_test.go
@@ -0,0 +1,132 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	repeatMargin        = time.Second // on the way from the forwarder's clock to an endpoint's
+	outOfOrderShown     = 5
+	violationNotice     = "a notice that a message that has run may not have"
+	violationTwoAnswers = "two different final answers"
+	violationRanTwice   = "ran twice and must not"
+	violationRanLate    = "ran again after its key was forgotten"
+)
+
+// requireRight requires that nothing seen of any message breaks a rule.
+func (h *history) requireRight(t *testing.T) {
+	t.Helper()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	require.Empty(t, h.outOfOrder[:min(outOfOrderShown, len(h.outOfOrder))], "%d of %d calls", len(h.outOfOrder), h.calls)
+	for id, m := range h.messages {
+		require.Empty(t, m.violations(id), "%s: %s", id, m)
+	}
+}
+
+// violations names the rules that the history of a message breaks: it has one final answer, which a restart may repeat
+// with the same state; its notice is one that its type allows after a run; and it runs no more often than that.
+func (m *messageHistory) violations(id string) (found []string) {
+	typ, _, _ := strings.Cut(id, "-")
+	for _, state := range m.notices {
+		if state != m.notices[0] {
+			found = append(found, violationTwoAnswers)
+			break
+		}
+	}
+	if len(m.notices) > 0 && m.runs > 0 && !m.noticeAllowedAfterRun(typ) {
+		found = append(found, violationNotice)
+	}
+	switch {
+	case typ == "payment" && m.runs > 1:
+		found = append(found, violationRanTwice)
+	case typ == "ticket" && m.lastRun.Sub(m.firstRun) > deduplicationWindow+repeatMargin:
+		found = append(found, violationRanLate)
+	}
+	return found
+}
+
+// noticeAllowedAfterRun tells if the first notice may stand beside a run. A message that may run again can end in any
+// way unless it was delivered. One with an idempotency key may be returned after its last run, while its destination
+// knows the key: its client may repeat it, and the destination drops the repeat. All others have to be reported as
+// failed.
+func (m *messageHistory) noticeAllowedAfterRun(typ string) bool {
+	switch {
+	case typ == "status":
+		return m.delivered == 0
+	case typ == "ticket" && m.notices[0] == noticeReturned:
+		return !m.noticedAt.Before(m.lastRun) && !m.noticedAt.After(m.firstRun.Add(deduplicationWindow))
+	default:
+		return m.notices[0] == noticeFailed
+	}
+}
+
+// String gives times since the first run.
+func (m *messageHistory) String() string {
+	return fmt.Sprintf("%d runs within %v, %d of them delivered, notices %q, the first %v after the first run",
+		m.runs, m.lastRun.Sub(m.firstRun), m.delivered, m.notices, m.noticedAt.Sub(m.firstRun))
+}
+
+func TestHistoryViolationsAreFound(t *testing.T) {
+	const (
+		answer = violationNotice
+	)
+	start := time.Now()
+	at := func(after time.Duration) time.Time { return start.Add(after) }
+	seen := func(delivered int, lastRun, notice time.Duration, notices ...string) *messageHistory {
+		return &messageHistory{runs: 1, firstRun: start, lastRun: at(lastRun), delivered: delivered,
+			noticedAt: at(notice), notices: notices}
+	}
+	repeated := func(m *messageHistory) *messageHistory {
+		m.runs++
+		return m
+	}
+	never := func(notices ...string) *messageHistory { return &messageHistory{notices: notices, noticedAt: start} }
+	const window = deduplicationWindow
+	for _, c := range []struct {
+		what    string
+		id      string
+		history *messageHistory
+		breaks  []string
+	}{
+		{"delivered", "ticket-1", seen(1, 0, 0), nil},
+		{"never run, returned", "ticket-1", never("returned"), nil},
+		{"never run, failed", "payment-1", never("failed"), nil},
+		{"repeated with the same state", "ticket-1", never("failed", "failed"), nil},
+		{"two states", "ticket-1", never("failed", "returned"), []string{violationTwoAnswers}},
+		{"two states after a run", "ticket-1", seen(1, 0, window/2, "returned", "failed"), []string{violationTwoAnswers}},
+
+		{"key known, delivered, answer cut off, returned", "ticket-1", seen(1, 0, window*2/3, "returned"), nil},
+		{"key known, ran with an error, returned", "ticket-1", seen(0, 0, window*2/3, "returned"), nil},
+		{"key known to the last moment, returned", "ticket-1", seen(1, 0, window, "returned"), nil},
+		{"key forgotten, delivered, returned", "ticket-1", seen(1, 0, window+1, "returned"), []string{answer}},
+		{"key forgotten, ran with an error, returned", "ticket-1", seen(0, 0, window+1, "returned"), []string{answer}},
+		{"key known from the first run, not from a repeat", "ticket-1",
+			repeated(seen(1, window/2, window+1, "returned")), []string{answer}},
+		{"returned, then run", "ticket-1", seen(1, window/2, window/4, "returned"), []string{answer}},
+		{"key forgotten, failed", "ticket-1", seen(1, 0, time.Hour, "failed"), nil},
+		{"key known, failed", "ticket-1", seen(1, 0, window/2, "failed"), nil},
+		{"an unknown state", "ticket-1", seen(1, 0, window/2, "delivered"), []string{answer}},
+
+		{"must not run twice, delivered, failed", "payment-1", seen(1, 0, window/2, "failed"), nil},
+		{"must not run twice, delivered, returned", "payment-1", seen(1, 0, window/2, "returned"), []string{answer}},
+		{"must not run twice, ran with an error, returned", "payment-1", seen(0, 0, window/2, "returned"), []string{answer}},
+		{"must not run twice, ran twice", "payment-1", repeated(seen(1, window/2, 0)), []string{violationRanTwice}},
+
+		{"may run again, ran with an error, returned", "status-1", seen(0, 0, time.Hour, "returned"), nil},
+		{"may run again, ran again", "status-1", repeated(seen(1, time.Hour, 0)), nil},
+		{"may run again, delivered, returned", "status-1", seen(1, 0, window/2, "returned"), []string{answer}},
+		{"may run again, delivered, failed", "status-1", seen(1, 0, window/2, "failed"), []string{answer}},
+
+		{"repeated while its key is known", "ticket-1", repeated(seen(1, window, 0)), nil},
+		{"repeated when its key is forgotten", "ticket-1", repeated(seen(1, window+2*time.Second, 0)),
+			[]string{violationRanLate}},
+	} {
+		require.Equal(t, c.breaks, c.history.violations(c.id), c.what)
+	}
+}
--- a/cmd/spanflowctl/history_test.go
+++ b/cmd/spanflowctl/history_test.go
@@ -1,66 +1,209 @@
 package main
 
 import (
+	"fmt"
+	"strings"
+	"sync"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/emulator"
+)
+
+// States of a notice.
+const (
+	noticeFailed   = "failed"   // the message may have run and is given up
+	noticeReturned = "returned" // the client may submit the message again
 )
 
-func TestHistoriesThatBreakARuleAreFound(t *testing.T) {
-	const (
-		answer = "a notice that a message that has run may not have"
-	)
-	start := time.Now()
-	at := func(after time.Duration) time.Time { return start.Add(after) }
-	seen := func(delivered int, lastRun, notice time.Duration, notices ...string) *course {
-		return &course{ran: 1, first: start, last: at(lastRun), delivered: delivered, told: at(notice), notices: notices}
+// messageHistory is what is known of one message.
+type messageHistory struct {
+	submission
+	accepted  bool // answered +OK
+	runs      int  // calls that the endpoint ran, as if it dropped no repeat
+	firstRun  time.Time
+	lastRun   time.Time
+	delivered int      // runs answered 200
+	notices   []string // states, in order
+	noticedAt time.Time
+	deadline  time.Time // at the latest, by the client's clock when it read +OK
+}
+
+func (m *messageHistory) ended() bool { return m.delivered > 0 || len(m.notices) > 0 }
+
+// history is what clients, endpoints and the receiver of notices have seen. It is safe for concurrent use.
+type history struct {
+	mu         sync.Mutex
+	messages   map[string]*messageHistory
+	keys       map[int][]*messageHistory // accepted ones, in the order of submission
+	endedOfKey map[int]int               // so many of a key, from the first, have ended
+	calls      int
+	ended      int // messages with a final answer
+	outOfOrder []string
+}
+
+func newHistory() *history {
+	return &history{
+		messages:   map[string]*messageHistory{},
+		keys:       map[int][]*messageHistory{},
+		endedOfKey: map[int]int{},
+	}
+}
+
+// message returns the history of a message, a new one if there is none. The lock is held.
+func (h *history) message(id string) *messageHistory {
+	m := h.messages[id]
+	if m == nil {
+		m = &messageHistory{}
+		h.messages[id] = m
+	}
+	return m
+}
+
+// accepted notes that a client has read +OK.
+func (h *history) accepted(s submission) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	m := h.message(s.id())
+	m.submission, m.accepted, m.deadline = s, true, time.Now().Add(s.timeToLive)
+	if s.key != 0 && s.typ != "payment" {
+		h.keys[s.key] = append(h.keys[s.key], m)
+	}
+}
+
+// run notes that an endpoint runs a call. No earlier message of its key that its client knows as accepted may be open.
+// The lock is held.
+func (h *history) run(c emulator.Call, delivered bool) {
+	h.calls++
+	h.checkOrder(c.ID)
+	now := time.Now()
+	m := h.message(c.ID)
+	if m.runs++; m.runs == 1 {
+		m.firstRun = now
+	}
+	m.lastRun = now
+	if delivered {
+		if !m.ended() {
+			h.ended++
+		}
+		m.delivered++
+	}
+}
+
+// checkOrder notes if a message runs before an earlier one of its key has ended. The lock is held.
+func (h *history) checkOrder(id string) {
+	key, number := orderOf(id)
+	ofKey := h.keys[key]
+	for h.endedOfKey[key] < len(ofKey) && ofKey[h.endedOfKey[key]].ended() {
+		h.endedOfKey[key]++
 	}
-	repeated := func(c *course) *course {
-		c.ran++
-		return c
+	if first := h.endedOfKey[key]; key != 0 && first < len(ofKey) && ofKey[first].number < number {
+		h.outOfOrder = append(h.outOfOrder, fmt.Sprintf("%s runs before %s has ended", id, ofKey[first].id()))
+	}
+}
+
+// orderOf is the key and the number in an id; key 0 stands for none that is in order.
+func orderOf(id string) (key, number int) {
+	parts := strings.Split(id, "-")
+	if len(parts) != 5 || parts[0] == "payment" {
+		return 0, 0
 	}
-	never := func(notices ...string) *course { return &course{notices: notices, told: start} }
-	const window = sceneMemory
-	for _, c := range []struct {
-		what    string
-		id      string
-		history *course
-		breaks  []string
-	}{
-		{"delivered", "ticket-1", seen(1, 0, 0), nil},
-		{"never run, returned", "ticket-1", never("returned"), nil},
-		{"never run, failed", "payment-1", never("failed"), nil},
-		{"told again in the same words", "ticket-1", never("failed", "failed"), nil},
-		{"told in other words", "ticket-1", never("failed", "returned"), []string{"two different final answers"}},
-		{"told in other words after a run", "ticket-1", seen(1, 0, window/2, "returned", "failed"), []string{"two different final answers"}},
-
-		{"key known, delivered, answer cut off, returned", "ticket-1", seen(1, 0, window*2/3, "returned"), nil},
-		{"key known, ran with an error, returned", "ticket-1", seen(0, 0, window*2/3, "returned"), nil},
-		{"key known to the last moment, returned", "ticket-1", seen(1, 0, window, "returned"), nil},
-		{"key forgotten, delivered, returned", "ticket-1", seen(1, 0, window+1, "returned"), []string{answer}},
-		{"key forgotten, ran with an error, returned", "ticket-1", seen(0, 0, window+1, "returned"), []string{answer}},
-		{"key known from the first run, not from a repeat", "ticket-1",
-			repeated(seen(1, window/2, window+1, "returned")), []string{answer}},
-		{"returned, then run", "ticket-1", seen(1, window/2, window/4, "returned"), []string{answer}},
-		{"key forgotten, failed", "ticket-1", seen(1, 0, time.Hour, "failed"), nil},
-		{"key known, failed", "ticket-1", seen(1, 0, window/2, "failed"), nil},
-		{"a word that is none", "ticket-1", seen(1, 0, window/2, "delivered"), []string{answer}},
-
-		{"must not run twice, delivered, failed", "payment-1", seen(1, 0, window/2, "failed"), nil},
-		{"must not run twice, delivered, returned", "payment-1", seen(1, 0, window/2, "returned"), []string{answer}},
-		{"must not run twice, ran with an error, returned", "payment-1", seen(0, 0, window/2, "returned"), []string{answer}},
-		{"must not run twice, ran twice", "payment-1", repeated(seen(1, window/2, 0)), []string{"ran twice and must not"}},
-
-		{"may run again, ran with an error, returned", "status-1", seen(0, 0, time.Hour, "returned"), nil},
-		{"may run again, ran again", "status-1", repeated(seen(1, time.Hour, 0)), nil},
-		{"may run again, delivered, returned", "status-1", seen(1, 0, window/2, "returned"), []string{answer}},
-		{"may run again, delivered, failed", "status-1", seen(1, 0, window/2, "failed"), []string{answer}},
-
-		{"repeated while its key is known", "ticket-1", repeated(seen(1, window, 0)), nil},
-		{"repeated when its key is forgotten", "ticket-1", repeated(seen(1, window+2*time.Second, 0)),
-			[]string{"ran again after its key was forgotten"}},
-	} {
-		require.Equal(t, c.breaks, c.history.violations(c.id), c.what)
+	_, _ = fmt.Sscan(parts[3], &key)
+	_, _ = fmt.Sscan(parts[4], &number)
+	return key, number
+}
+
+// deliver runs a call and answers 200.
+func (h *history) deliver(c emulator.Call) emulator.Reply {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.run(c, true)
+	return emulator.Reply{}
+}
+
+// fail runs a call and gives a reply that says nothing of that.
+func (h *history) fail(c emulator.Call, reply emulator.Reply) emulator.Reply {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.run(c, false)
+	return reply
+}
+
+// notice notes that a notice has come.
+func (h *history) notice(n emulator.Notice) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	m := h.message(n.ID)
+	if !m.ended() {
+		h.ended++
+	}
+	if m.noticedAt.IsZero() {
+		m.noticedAt = time.Now()
+	}
+	m.notices = append(m.notices, n.State)
+}
+
+// answered tells how many messages have a final answer.
+func (h *history) answered() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.ended
+}
+
+// delivered tells if a message was delivered.
+func (h *history) delivered(s submission) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.message(s.id()).delivered > 0
+}
+
+// open returns the ids of accepted messages that have no final answer.
+func (h *history) open() (ids []string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, m := range h.messages {
+		if m.accepted && !m.ended() {
+			ids = append(ids, id)
+		}
+	}
+	return ids
+}
+
+// count returns how many messages were accepted and how many runs and notices there were.
+func (h *history) count() (accepted, runs, notices int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, m := range h.messages {
+		if m.accepted {
+			accepted++
+		}
+		runs += m.runs
+		notices += len(m.notices)
+	}
+	return accepted, runs, notices
+}
+
+// requireNoNotices requires that all of a type were delivered.
+func (h *history) requireNoNotices(t *testing.T, typ string) {
+	t.Helper()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, m := range h.messages {
+		if strings.HasPrefix(id, typ+"-") {
+			require.Empty(t, m.notices, id)
+		}
+	}
+}
+
+// requireInTime requires that each notice came before its message's deadline.
+func (h *history) requireInTime(t *testing.T) {
+	t.Helper()
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, m := range h.messages {
+		late := len(m.notices) > 0 && m.noticedAt.After(m.deadline)
+		require.False(t, late, "%s: answered %v late", id, m.noticedAt.Sub(m.deadline))
 	}
 }
