--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,5 +1,5 @@
-// Command demo plays those around one forwarder: two endpoints, the ear for final answers, and a client. Without
-// arguments it serves; "demo DEST BODY" hands one message in; "demo demo" starts a forwarder too, hands two messages in
+// Command demo plays the parties around one forwarder: two endpoints, the receiver of notices and a client. Without
+// arguments it serves; "demo DEST BODY" submits one message; "demo demo" also starts a forwarder, submits two messages
 // and shows what becomes of them.
 package main
 
@@ -17,11 +17,13 @@
 )
 
 const (
-	forwarder = "127.0.0.1:6379"
-	discovery = "127.0.0.1:8500" // here it only takes final answers
-	good      = "127.0.0.1:9001" // destination 1: takes everything
-	shut      = "127.0.0.1:9002" // destination 2: turns everything away
-	patience  = 15 * time.Second
+	forwarderAddr = "127.0.0.1:6379"
+	discoveryAddr = "127.0.0.1:8500" // here it only takes notices
+	acceptingAddr = "127.0.0.1:9001" // destination 1: accepts everything
+	rejectingAddr = "127.0.0.1:9002" // destination 2: rejects everything
+	configFile    = "example/spanflow.toml"
+	patience      = 15 * time.Second // of the whole demonstration
+	dialInterval  = 50 * time.Millisecond
 )
 
 func main() {
@@ -30,9 +32,9 @@
 	case len(os.Args) == 1:
 		err = serve(nil)
 	case len(os.Args) == 2 && os.Args[1] == "demo":
-		err = demo()
+		err = demonstrate()
 	case len(os.Args) == 3:
-		_, err = handIn(os.Args[1], os.Args[2])
+		_, err = submit(os.Args[1], os.Args[2])
 	default:
 		err = errors.New("usage: demo | demo demo | demo DEST BODY")
 	}
@@ -42,35 +44,38 @@
 	}
 }
 
-// serve plays endpoints and ear; each message that ends is told to ended, if not nil.
+// serve plays the endpoints and the receiver of notices and returns only if they cannot listen. If ended is not nil, it
+// gets an empty string once they serve and then the id of each message that ends.
 func serve(ended chan<- string) error {
-	d, err := emulator.NewDiscovery(discovery)
+	discovery, err := emulator.NewDiscovery(discoveryAddr)
 	if err != nil {
 		return err
 	}
-	takes, err := emulator.NewEndpoint(good, nil)
+	accepting, err := emulator.NewEndpoint(acceptingAddr, nil)
 	if err != nil {
 		return err
 	}
-	away, err := emulator.NewEndpoint(shut, func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
+	rejecting, err := emulator.NewEndpoint(rejectingAddr, func(emulator.Call) emulator.Reply {
+		return emulator.Reply{Status: 503}
+	})
 	if err != nil {
 		return err
 	}
-	fmt.Println("targets serve")
+	fmt.Println("endpoints serve")
 	if ended != nil {
 		ended <- ""
 	}
 	for {
 		id := ""
 		select {
-		case c := <-takes.Calls:
-			fmt.Printf("delivered    %s %q\n", c.ID, c.Body)
-			id = c.ID
-		case c := <-away.Calls:
-			fmt.Printf("turned away  %s\n", c.ID)
-		case n := <-d.Notices:
-			fmt.Printf("notice       %s %s, come back after %d ms\n", n.ID, n.State, n.AfterMs)
-			id = n.ID
+		case call := <-accepting.Calls:
+			fmt.Printf("delivered    %s %q\n", call.ID, call.Body)
+			id = call.ID
+		case call := <-rejecting.Calls:
+			fmt.Printf("rejected     %s\n", call.ID)
+		case notice := <-discovery.Notices:
+			fmt.Printf("notice       %s %s, submit it again after %d ms\n", notice.ID, notice.State, notice.AfterMs)
+			id = notice.ID
 		}
 		if ended != nil && id != "" {
 			ended <- id
@@ -78,55 +83,82 @@
 	}
 }
 
-func handIn(dest, body string) (string, error) {
-	c, err := emulator.NewClient(forwarder)
+// submit submits a message for a destination and returns its id.
+func submit(destination, body string) (string, error) {
+	client, err := emulator.NewClient(forwarderAddr)
 	if err != nil {
 		return "", err
 	}
-	defer c.Close()
+	defer client.Close()
 	id := fmt.Sprintf("%016x", rand.Uint64())
-	answer, err := c.Put("0000000000000000", id, "c=status-update,d=5000,dest="+dest, body)
-	fmt.Printf("handed in    %s for destination %s: %s\n", id, dest, answer)
+	answer, err := client.Put("0000000000000000", id, "c=status-update,d=5000,dest="+destination, body)
+	fmt.Printf("submitted    %s for destination %s: %s\n", id, destination, answer)
 	return id, err
 }
 
-// demo ends once both messages have.
-func demo() error {
+// demonstrate starts a forwarder, submits a message for each destination and returns once both have ended.
+func demonstrate() error {
 	ended, failed := make(chan string), make(chan error, 1)
 	go func() { failed <- serve(ended) }()
-	late := time.After(patience)
+	expired := time.After(patience)
 	select {
 	case err := <-failed:
 		return err
 	case <-ended:
 	}
-	self, err := os.Executable()
+	forwarder, exited, err := startForwarder()
 	if err != nil {
 		return err
 	}
-	f := exec.Command(filepath.Join(filepath.Dir(self), "spanflow"), "run", "--config", "example/spanflow.toml")
-	f.Stdout, f.Stderr = os.Stdout, os.Stderr
-	if err := f.Start(); err != nil {
+	if err := awaitForwarder(exited, expired); err != nil {
+		return err
+	}
+	if err := submitBoth(ended, expired); err != nil {
 		return err
 	}
-	gone := make(chan error, 1)
-	go func() { gone <- f.Wait() }()
+	_ = forwarder.Process.Signal(syscall.SIGTERM) // it may have ended already
+	<-exited
+	fmt.Println("both messages have ended")
+	return nil
+}
+
+// startForwarder starts the program beside this one. The channel gets the error of its end.
+func startForwarder() (*exec.Cmd, <-chan error, error) {
+	self, err := os.Executable()
+	if err != nil {
+		return nil, nil, err
+	}
+	forwarder := exec.Command(filepath.Join(filepath.Dir(self), "spanflow"), "run", "--config", configFile)
+	forwarder.Stdout, forwarder.Stderr = os.Stdout, os.Stderr
+	if err := forwarder.Start(); err != nil {
+		return nil, nil, err
+	}
+	exited := make(chan error, 1)
+	go func() { exited <- forwarder.Wait() }()
+	return forwarder, exited, nil
+}
+
+// awaitForwarder waits until the forwarder listens for clients.
+func awaitForwarder(exited <-chan error, expired <-chan time.Time) error {
 	for {
-		if c, err := emulator.NewClient(forwarder); err == nil {
-			c.Close()
-			break
+		if client, err := emulator.NewClient(forwarderAddr); err == nil {
+			return client.Close()
 		}
 		select {
-		case err := <-gone:
-			return fmt.Errorf("the forwarder ended: %v", err)
-		case <-late:
+		case err := <-exited:
+			return fmt.Errorf("the forwarder ended: %v", err) // nil if it ended with status 0
+		case <-expired:
 			return errors.New("the forwarder does not listen")
-		case <-time.After(50 * time.Millisecond):
+		case <-time.After(dialInterval):
 		}
 	}
+}
+
+// submitBoth submits a message for each destination and waits until both have ended.
+func submitBoth(ended <-chan string, expired <-chan time.Time) error {
 	open := map[string]bool{}
-	for _, dest := range []string{"1", "2"} {
-		id, err := handIn(dest, "hello")
+	for _, destination := range []string{"1", "2"} {
+		id, err := submit(destination, "hello")
 		if err != nil {
 			return err
 		}
@@ -136,12 +168,9 @@
 		select {
 		case id := <-ended:
 			delete(open, id)
-		case <-late:
-			return errors.New("a document did not end in time")
+		case <-expired:
+			return errors.New("a message did not end in time")
 		}
 	}
-	f.Process.Signal(syscall.SIGTERM)
-	<-gone
-	fmt.Println("both documents have ended")
 	return nil
 }
