--- a/cmd/spanflow/suspended_test.go
+++ b/cmd/spanflow/suspended_test.go
@@ -42,6 +42,13 @@
 	r.notices[n.ID] = append(r.notices[n.ID], n.State)
 }
 
+// noticesOf returns the states of a message's notices.
+func (r *messageRecords) noticesOf(id string) []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.notices[id]
+}
+
 // answer records a call and answers 200.
 func (r *messageRecords) answer(call emulator.Call) emulator.Reply {
 	r.addCall(call)
@@ -221,7 +228,7 @@
 
 	s.records.requireDelivered(t, slices.Concat([]string{"meanwhile"}, out, waiting, fresh))
 	s.records.requireExpiredWhileOut(t, outExpiring)
-	require.Equal(t, []string{"failed"}, s.records.notices["out-payment-12"], "it may not be submitted again")
+	require.Equal(t, []string{"failed"}, s.records.noticesOf("out-payment-12"), "it may not be submitted again")
 	s.records.requireReturned(t, expiring)
 	log := s.process.Log
 	require.True(t, log.Has(fmt.Sprintf(`"taken":%d,"recovered":0,"refused":0`, len(all)+len(fresh))), log.String())
