--- a/internal/emulator/log.go
+++ b/internal/emulator/log.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// countTimeout ends a wait for a further line of a kind that was logged before.
+const countTimeout = 10 * time.Second
+
 // Log takes a program's log lines as an io.Writer and lets a test wait for one. It is safe for concurrent use, but only
 // one goroutine at a time may wait.
 type Log struct {
@@ -44,14 +47,19 @@
 // Await waits until text was written and returns the whole log. It ends the test if text does not come within 15 s.
 func (l *Log) Await(t Test, text string) string {
 	t.Helper()
-	return l.AwaitCount(t, text, 1)
+	return l.await(t, text, 1, patience)
 }
 
 // AwaitCount waits until text was written so many times and returns the whole log. It ends the test if that takes more
-// than 15 s.
+// than 10 s.
 func (l *Log) AwaitCount(t Test, text string, count int) string {
 	t.Helper()
-	expired := time.After(patience)
+	return l.await(t, text, count, countTimeout)
+}
+
+func (l *Log) await(t Test, text string, count int, within time.Duration) string {
+	t.Helper()
+	expired := time.After(within)
 	for l.Count(text) < count {
 		select {
 		case <-l.written:
