--- /dev/null
+++ b/internal/upstream/answer.go
@@ -0,0 +1,147 @@
+package upstream
+
+import (
+	"encoding/json"
+	"strconv"
+	"strings"
+
+	"spanflow/internal/http1"
+	"spanflow/scheduler"
+	"spanflow/transport"
+)
+
+// HTTP statuses with a meaning of their own; any other is a server error.
+const (
+	statusOK                 = 200
+	statusBadRequest         = 400
+	statusGone               = 410
+	statusTooLarge           = 413
+	statusTooManyRequests    = 429
+	statusServiceUnavailable = 503
+	statusGatewayTimeout     = 504
+)
+
+// Bounds of figures in answers; what lies beyond is ignored as absurd.
+const (
+	maxRetryAfter    = 1e6 // seconds
+	maxReportedValue = 1e9
+)
+
+// answer is what is kept of an answer while it is received. It is an http1.Handler.
+type answer struct {
+	status     int
+	retryAfter float64 // seconds, 0 if not given
+	noSlot     bool    // the 503 concerns only this forwarder's slots
+	loadReport string
+	keepBody   bool // the body has results of its own, as for a batch
+	body       []byte
+}
+
+// Status keeps the status.
+func (a *answer) Status(code int) { a.status = code }
+
+// Field keeps the fields that are used.
+func (a *answer) Field(name, value []byte) {
+	switch {
+	case http1.HasToken(name, "retry-after"):
+		if s, err := strconv.ParseFloat(string(value), 64); err == nil && s > 0 && s < maxRetryAfter {
+			a.retryAfter = s
+		}
+	case http1.HasToken(name, "x-line-busy"):
+		a.noSlot = string(value) == "1"
+	case http1.HasToken(name, "x-pressure"):
+		a.loadReport = string(value)
+	}
+}
+
+// Body keeps the body if it is used.
+func (a *answer) Body(piece []byte) error {
+	if a.keepBody {
+		a.body = append(a.body, piece...)
+	}
+	return nil
+}
+
+// resultCodes returns the meaning of a complete answer for each message of a call.
+func (a *answer) resultCodes(call *transport.Call) []transport.ResultCode {
+	codes := make([]transport.ResultCode, len(call.Messages))
+	for i := range codes {
+		codes[i] = a.resultCode()
+	}
+	if a.status != statusOK || len(call.Messages) == 1 {
+		return codes
+	}
+	states := a.batchStates()
+	for i, m := range call.Messages {
+		codes[i] = a.batchResultCode(states[m.ID])
+	}
+	return codes
+}
+
+// batchStates returns the states of the body by message ID; none if the body cannot be read.
+func (a *answer) batchStates() map[string]string {
+	var entries []struct{ ID, State string }
+	if json.Unmarshal(a.body, &entries) != nil {
+		entries = nil
+	}
+	states := make(map[string]string, len(entries))
+	for _, entry := range entries {
+		states[entry.ID] = entry.State
+	}
+	return states
+}
+
+// batchResultCode returns the meaning of a message's state in the body of a batch's answer.
+func (a *answer) batchResultCode(state string) transport.ResultCode {
+	switch state {
+	case "ok":
+		return transport.ResultOK
+	case "later":
+		if a.retryAfter > 0 {
+			return transport.ResultRetryAfter
+		}
+		return transport.ResultOverloaded
+	case "gone":
+		return transport.ResultGone
+	case "exhausted":
+		return transport.ResultAttemptsExhausted
+	default: // "error", missing or unknown: it may have run
+		return transport.ResultServerError
+	}
+}
+
+// resultCode returns the meaning of the status alone.
+func (a *answer) resultCode() transport.ResultCode {
+	switch a.status {
+	case statusOK:
+		return transport.ResultOK
+	case statusTooManyRequests:
+		return transport.ResultRetryAfter
+	case statusServiceUnavailable:
+		if a.noSlot {
+			return transport.ResultNoSlot
+		}
+		return transport.ResultOverloaded
+	case statusGatewayTimeout:
+		return transport.ResultAttemptsExhausted
+	case statusGone:
+		return transport.ResultGone
+	case statusBadRequest, statusTooLarge:
+		return transport.ResultBadRequest
+	default:
+		return transport.ResultServerError
+	}
+}
+
+// reportedValue finds a field of a load report ("x0=0.4,x1=25"). It is 0 if the report lacks the field or has no valid
+// value for it, and below 0 if the report says 0.
+func reportedValue(report, field string) float64 {
+	for pair := range strings.SplitSeq(report, ",") {
+		if name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name == field {
+			if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v < maxReportedValue {
+				return scheduler.ReportedValue(v)
+			}
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/upstream/connection_test.go
@@ -0,0 +1,133 @@
+package upstream
+
+import (
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/emulator"
+	"spanflow/transport"
+)
+
+// The network's one goroutine waits at the lock with another call's answer, so that this one's stays in the socket until
+// its timeout, as after the process was suspended.
+func TestUnreadAnswerEndsCallAtTimeout(t *testing.T) {
+	f := newFixture(t)
+	f.send(time.Minute, "other")
+	other := f.acceptCall()
+	f.send(time.Minute, "late")
+	late := f.acceptCall()
+	f.mu.Lock()
+	other.Write([]byte(emptyOK))
+	emulator.AwaitAtLock(t, "upstream.(*connection).Data(")
+	late.Write([]byte(emptyOK))
+	conn, generation := f.connectionOf("late")
+	conn.timerFiredLocked(generation)
+	f.mu.Unlock()
+	f.requireResult(transport.ResultOK)
+	f.requireResult(transport.ResultOK)
+}
+
+func TestUndeliveredAnswerEndsCallAtTimeout(t *testing.T) {
+	f := newFixture(t)
+	f.send(time.Minute, "late")
+	late := f.acceptCall()
+	f.mu.Lock()
+	conn, generation := f.connectionOf("late")
+	late.Write([]byte(emptyOK))
+	emulator.AwaitAtLock(t, "upstream.(*connection).Data(")
+	conn.timerFiredLocked(generation)
+	require.NotNil(t, conn.call, "its answer is delivered by Data")
+	f.mu.Unlock()
+	f.requireResult(transport.ResultOK)
+}
+
+func TestResultOfBrokenConnectionDependsOnWhatWasWritten(t *testing.T) {
+	f := newFixture(t)
+	f.send(time.Minute, "b")
+	f.acceptCall().Close()
+	f.requireResult(transport.ResultClosed)
+	huge := strings.Repeat("x", 32<<20) // more than the sockets take
+	f.send(time.Minute, huge)
+	f.acceptCall().Close()
+	f.requireResult(transport.ResultClosedBeforeSent)
+	f.send(100*time.Millisecond, huge)
+	c := f.acceptCall()
+	f.requireResult(transport.ResultTimeoutBeforeSent)
+	c.Close()
+	f.send(time.Second, "b")
+	c = f.acceptCall()
+	f.requireResult(transport.ResultTimeout)
+	_, err := c.Read(make([]byte, 1))
+	require.Error(t, err, "a call given up closes its connection")
+	f.send(time.Minute, "b")
+	f.acceptCall().Write([]byte("what is this\r\n"))
+	require.NotEmpty(t, f.requireResult(transport.ResultMalformed).Reason)
+	f.listener.Close()
+	f.send(time.Minute, "b")
+	f.requireResult(transport.ResultConnectRefused)
+}
+
+func TestStatusHoldsFromItsLineOn(t *testing.T) {
+	f := newFixture(t)
+	f.send(time.Minute, "b")
+	c := f.acceptCall()
+	c.Write([]byte("HTTP/1.1 200 OK\r\nContent-Le"))
+	c.Close()
+	f.requireResult(transport.ResultOK)
+	f.send(time.Minute, strings.Repeat("x", 32<<20))
+	f.acceptCall().Write([]byte("HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n")) // before the call was written
+	f.requireResult(transport.ResultBadRequest)
+	require.Zero(t, f.IdleConnections())
+}
+
+// An endpoint runs a call when its last byte has arrived: a 200 before that is noise, or the answer to another.
+func Test200BeforeCallIsWrittenDeliversNothing(t *testing.T) {
+	f := newFixture(t)
+	for _, text := range []string{emptyOK, "HTTP/1.1 200 OK\r\nContent-Le"} {
+		f.send(time.Minute, strings.Repeat("x", 32<<20))
+		c := f.acceptCall()
+		c.Write([]byte(text))
+		c.(*net.TCPConn).CloseWrite() // it reads no more of the call
+		f.requireResult(transport.ResultClosedBeforeSent)
+		c.Close()
+	}
+}
+
+// A message whose answer is malformed may have run, whatever a piece of the answer says; but a 200 holds.
+func TestMalformedAnswerMayStandForMessageThatRan(t *testing.T) {
+	f := newFixture(t)
+	for text, want := range map[string]transport.ResultCode{
+		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                transport.ResultMalformed,
+		"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: -1\r\n\r\n":                transport.ResultMalformed,
+		"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.ResultMalformed,
+		"HTTP/1.1 504 Spent\r\nA: " + strings.Repeat("x", 9000):                            transport.ResultMalformed,
+		"\x00\xff noise": transport.ResultMalformed, // and nothing after
+		headOK + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.ResultOK,
+		headOK + "Content-Length: 90\r\n\r\nshort":                             transport.ResultOK,
+		headOK + "no colon\r\n":                                                transport.ResultOK} {
+		f.send(time.Second, "b")
+		c := f.acceptCall()
+		c.Write([]byte(text))
+		require.Zero(t, f.requireResult(want).RetryAfter, text)
+		_, err := c.Read(make([]byte, 1))
+		require.Error(t, err, "the connection is not used again")
+	}
+	require.Zero(t, f.IdleConnections())
+	f.Send(&transport.Call{
+		EndpointID: f.endpointID,
+		Address:    f.listener.Addr().String(),
+		Messages:   []transport.Message{{ID: "a"}, {ID: "b"}},
+		Timeout:    time.Minute,
+	})
+	f.acceptCall().Write([]byte(headOK + "Content-Length: 9\r\n\r\n[{\"id\":\"a\""))
+	f.send(time.Minute, "b")
+	c := f.acceptCall()
+	c.Write([]byte("HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort")) // and its connection breaks
+	c.Close()
+	want := [][]transport.ResultCode{{transport.ResultServerError, transport.ResultServerError}, {transport.ResultClosed}}
+	require.ElementsMatch(t, want, [][]transport.ResultCode{(<-f.results).Codes, (<-f.results).Codes})
+}
--- /dev/null
+++ b/internal/upstream/request.go
@@ -0,0 +1,75 @@
+package upstream
+
+import (
+	"encoding/base64"
+	"encoding/json"
+	"strconv"
+
+	"spanflow/internal/http1"
+	"spanflow/transport"
+)
+
+// Paths and fields of requests.
+const (
+	singlePath          = "/hook"
+	batchPath           = "/hook/batch"
+	idField             = "X-Txn"
+	idempotencyKeyField = "Idempotency-Key"
+	timeLeftField       = "X-Remaining-Ms"
+
+	headBytes        = 256 // room for a request's head
+	batchEntryBytes  = 64  // room for the framing of a message in a batch
+	batchFramingSize = 16
+)
+
+// encodeRequest returns a call as an HTTP request: a single message with its body as it is, several as a JSON array.
+func encodeRequest(call *transport.Call) []byte {
+	timeLeft := strconv.FormatInt(call.Timeout.Milliseconds(), 10)
+	if len(call.Messages) == 1 {
+		return encodeSingle(call.Address, timeLeft, &call.Messages[0])
+	}
+	body := encodeBatchBody(call.Messages)
+	b := http1.AppendRequestLine(make([]byte, 0, headBytes+len(body)), "POST", batchPath, call.Address)
+	b = http1.AppendField(b, "Content-Type", "application/json")
+	b = http1.AppendField(b, timeLeftField, timeLeft)
+	return http1.AppendBody(b, body)
+}
+
+func encodeSingle(address, timeLeft string, message *transport.Message) []byte {
+	b := make([]byte, 0, headBytes+len(message.Body))
+	b = http1.AppendRequestLine(b, "POST", singlePath, address)
+	b = http1.AppendField(b, idField, message.ID)
+	if message.IdempotencyKey != "" {
+		b = http1.AppendField(b, idempotencyKeyField, message.IdempotencyKey)
+	}
+	b = http1.AppendField(b, timeLeftField, timeLeft)
+	return http1.AppendBody(b, message.Body)
+}
+
+// encodeBatchBody returns [{"id":...,"key":...,"body":...},...] with the bodies in base64.
+func encodeBatchBody(messages []transport.Message) []byte {
+	size := batchFramingSize
+	for _, m := range messages {
+		size += len(m.Body)*4/3 + len(m.ID) + len(m.IdempotencyKey) + batchEntryBytes
+	}
+	body := append(make([]byte, 0, size), '[')
+	for i, m := range messages {
+		if i > 0 {
+			body = append(body, ',')
+		}
+		body = appendQuoted(append(body, `{"id":`...), m.ID)
+		if m.IdempotencyKey != "" {
+			body = appendQuoted(append(body, `,"key":`...), m.IdempotencyKey)
+		}
+		body = append(body, `,"body":"`...)
+		body = base64.StdEncoding.AppendEncode(body, m.Body)
+		body = append(body, `"}`...)
+	}
+	return append(body, ']')
+}
+
+// appendQuoted appends s as a JSON string.
+func appendQuoted(b []byte, s string) []byte {
+	quoted, _ := json.Marshal(s) // a string always has a JSON form
+	return append(b, quoted...)
+}
