--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -124,7 +124,7 @@
 		}
 		conn := conns[len(conns)-1]
 		cl.removeIdle(conn)
-		if conn.conn.QuietFor() {
+		if conn.conn.IsQuiet() {
 			return conn
 		}
 		conn.close()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -61,7 +61,7 @@
 	if c.generation != generation || c.state != awaitingSilence {
 		return
 	}
-	if !c.conn.QuietFor() {
+	if !c.conn.IsQuiet() {
 		c.redial()
 		return
 	}
@@ -123,7 +123,7 @@
 func (c *connection) takeUnreadAnswer(generation int) bool {
 	buffer := make([]byte, unreadBufferBytes)
 	for {
-		n, pending := c.conn.HasUnread(buffer)
+		n, pending := c.conn.ReadPending(buffer)
 		switch {
 		case pending:
 			c.timer = time.AfterFunc(dataHandoverTime, func() { c.timerFired(generation) })
@@ -141,7 +141,7 @@
 func (c *connection) Data(b []byte) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
-	c.conn.HasReceived()
+	c.conn.MarkDelivered()
 	switch c.state {
 	case idle, closed: // nothing is expected
 		c.client.removeIdle(c)
