--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -11,32 +11,51 @@
 	"spanflow/transport"
 )
 
-// Client is one connection.
+// Client is one connection. It is a transport.Caller.
 type Client struct {
-	intake         *Server
+	server         *Server
 	conn           *nbio.Conn
-	reading        sync.Mutex // held while something is read: what is closed meanwhile may have been read and never answered
+	reading        sync.Mutex // held while the socket is read: else what was read might never be answered
 	reader         resp.Reader
 	unanswered     atomic.Int32 // commands without an answer
 	partial        atomic.Bool  // a command is read in part
-	gone           atomic.Bool
-	refused        atomic.Bool // what came could not be understood: nothing more is read
-	discardedBytes int         // bytes that came after that
+	disconnected   atomic.Bool
+	refused        atomic.Bool // what arrived could not be parsed or did not continue: the rest is discarded
+	discardedBytes int         // bytes that arrived after that
 
-	// Under the intake's lock:
-	hadCommand   bool      // a whole command has come
-	openedAt     time.Time // when the connection came
-	lastReadAt   time.Time // when something came last, or the connection
+	// Guarded by the server's lock:
+	hadCommand   bool      // a complete command has arrived
+	openedAt     time.Time // when the connection was accepted
+	lastReadAt   time.Time // when something arrived last, or the connection
 	commandBegan time.Time // when the command that is read in part began
-	closeAt      time.Time // told its last answer: closed from then on
+	closeAt      time.Time // when it closes after its last answer; zero before that
 }
 
-// idle tells that closing the connection takes no answer from anybody, as long as nothing is read meanwhile.
+// Disconnected reports whether the client can no longer receive an answer.
+func (c *Client) Disconnected() bool { return c.disconnected.Load() }
+
+// Answer writes the answer to the oldest unanswered command. It reports whether the connection took it.
+func (c *Client) Answer(r transport.Reply) bool {
+	_, err := c.conn.Write(encodeReply(r))
+	c.unanswered.Add(-1)
+	c.server.mu.Lock()
+	draining := c.server.draining
+	if r.Close {
+		c.closeAt = time.Now().Add(closeDelay)
+	}
+	c.server.mu.Unlock()
+	if draining && !r.Close {
+		c.closeIfIdle()
+	}
+	return err == nil
+}
+
+// idle reports whether closing the connection loses nobody an answer, as long as nothing is read meanwhile.
 func (c *Client) idle() bool { return c.unanswered.Load() == 0 && !c.partial.Load() }
 
-// closeIfIdle closes the connection if it is idle still and nothing is being read from it. Guards against a command that
-// is read between the question and the close, whose caller would never be answered; one that waits unread in the socket
-// is the client's to send once more. A connection that is read from just then is asked about again by its reader.
+// closeIfIdle closes the connection if it is still idle and nothing is being read from it. It guards against a command
+// that is read between the check and the close, whose caller would never be answered; one that waits unread in the
+// socket the client has to send again. A connection that is being read from is checked again by its reader.
 func (c *Client) closeIfIdle() bool {
 	if !c.reading.TryLock() {
 		return false
@@ -55,29 +74,10 @@
 	defer c.reading.Unlock()
 }
 
-// refuse leaves a connection's last answer at the desk and reads nothing more.
-func (c *Client) refuse(why string) {
+// refuse submits a connection's last answer; from then on what arrives is discarded.
+func (c *Client) refuse(reason string) {
 	if c.refused.CompareAndSwap(false, true) {
 		c.unanswered.Add(1)
-		c.intake.desk.Submit(transport.Request{From: c, Malformed: why, Close: true})
+		c.server.submitter.Submit(transport.Request{From: c, Malformed: reason, Close: true})
 	}
 }
-
-// Removed tells if the client does not hear an answer any more.
-func (c *Client) Disconnected() bool { return c.gone.Load() }
-
-// RecordAnswer writes the answer to the oldest command without one. It tells if the connection stood.
-func (c *Client) Answer(r transport.Reply) bool {
-	_, err := c.conn.Write(line(r))
-	c.unanswered.Add(-1)
-	c.intake.mu.Lock()
-	leaving := c.intake.leaving
-	if r.Close {
-		c.closeAt = time.Now().Add(lingerFor)
-	}
-	c.intake.mu.Unlock()
-	if leaving && !r.Close {
-		c.closeIfIdle()
-	}
-	return err == nil
-}
--- a/internal/respserver/command.go
+++ b/internal/respserver/command.go
@@ -10,107 +10,144 @@
 	"spanflow/transport"
 )
 
-// command makes a request of a command's words.
-func command(c *Client, args [][]byte) transport.Request {
-	a := transport.Request{From: c}
+const (
+	maxTimeLeftMs          = 86_400_000
+	maxIDBytes             = 128
+	maxIdempotencyKeyBytes = 128
+	maxBodyBytes           = 64 << 10
+	msPerSecond            = 1000
+)
+
+// Arguments of MSG.PUT by their place.
+const (
+	argKey = iota + 1 // after the command's name
+	argID
+	argOptions
+	argBody
+	putArgs // how many, with the name
+)
+
+// Errors of a MSG.PUT that cannot be taken on; their texts are part of the protocol.
+var (
+	errPutArgs        = errors.New("MSG.PUT takes a key, an id, names with values, and a body")
+	errKey            = errors.New("the key is not a hexadecimal number")
+	errBodySize       = errors.New("the body is over 64 KiB")
+	errIDBytes        = errors.New("the id holds bytes that it may not")
+	errDestination    = errors.New("dest is not a number")
+	errIdempotencyKey = errors.New("k holds bytes that it may not")
+	errMissingOption  = errors.New("d or dest is missing")
+	errTimeLeft       = errors.New("d is not a time in milliseconds")
+)
+
+// parseCommand returns the request that a command makes. It copies what it keeps of the arguments.
+func parseCommand(c *Client, args [][]byte) transport.Request {
+	request := transport.Request{From: c}
 	switch name := strings.ToUpper(string(args[0])); name {
 	case "PING":
-		a.Ping = true
+		request.Ping = true
 	case "MSG.PUT":
-		p, err := put(args)
-		if a.Submission = p; err != nil {
-			a.Submission, a.Malformed = nil, "ERR "+err.Error()
+		submission, err := parsePut(args)
+		if err != nil {
+			request.Malformed = "ERR " + err.Error()
+			return request
 		}
+		request.Submission = submission
 	default:
-		a.Malformed = "ERR unknown command"
+		request.Malformed = "ERR unknown command"
 	}
-	return a
+	return request
 }
 
-const (
-	maxLeftMs    = 86_400_000
-	maxIDBytes   = 128
-	maxMarkBytes = 128
-	maxBodyBytes = 64 << 10
-	putWords     = 5
-)
-
-// plain tells that a word can travel in the head of a call.
-func plain(word string) bool {
-	for i := range len(word) {
-		if word[i] <= ' ' || word[i] >= 0x7f {
-			return false
-		}
+// parsePut parses the arguments of MSG.PUT: a key, an ID, options, and a body.
+func parsePut(args [][]byte) (*transport.Submission, error) {
+	if len(args) != putArgs || len(args[argID]) == 0 || len(args[argID]) > maxIDBytes {
+		return nil, errPutArgs
 	}
-	return true
-}
-
-var errPut = errors.New("MSG.PUT takes a key, an id, names with values, and a body")
-
-// put reads the words of MSG.PUT: its name, a key, an id, names with values, and a body.
-func put(args [][]byte) (*transport.Submission, error) {
-	if len(args) != putWords || len(args[2]) == 0 || len(args[2]) > maxIDBytes {
-		return nil, errPut
-	}
-	key, err := strconv.ParseUint(string(args[1]), 16, 64)
+	key, err := strconv.ParseUint(string(args[argKey]), 16, 64)
 	if err != nil {
-		return nil, errors.New("the key is not a hexadecimal number")
+		return nil, errKey
 	}
-	if len(args[4]) > maxBodyBytes {
-		return nil, errors.New("the body is over 64 KiB")
+	if len(args[argBody]) > maxBodyBytes {
+		return nil, errBodySize
 	}
-	if !plain(string(args[2])) {
-		return nil, errors.New("the id holds bytes that it may not")
+	if !isPrintable(string(args[argID])) {
+		return nil, errIDBytes
 	}
-	p := &transport.Submission{Key: key, ID: string(args[2]), Body: bytes.Clone(args[4]), ReceivedAt: time.Now()}
-	if err := putOptions(p, string(args[3])); err != nil {
+	submission := &transport.Submission{
+		Key:        key,
+		ID:         string(args[argID]),
+		Body:       bytes.Clone(args[argBody]),
+		ReceivedAt: time.Now(),
+	}
+	if err := parseOptions(submission, string(args[argOptions])); err != nil {
 		return nil, err
 	}
-	return p, nil
+	return submission, nil
 }
 
-// putOptions reads names with values, "c=notice,d=8000,dest=7". Of those that are not known one is kept, for the log.
-func putOptions(p *transport.Submission, text string) error {
-	left, dest := false, false
+// parseOptions parses names with values, "c=notice,d=8000,dest=7". Of the unknown ones one is kept, for the log.
+func parseOptions(submission *transport.Submission, text string) error {
+	hasTimeLeft, hasDestination := false, false
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		var err error
 		switch name {
 		case "c":
-			p.Type = value
+			submission.Type = value
 		case "d":
-			p.SecondsLeft, err = secondsLeft(value)
-			left = true
+			submission.SecondsLeft, err = parseTimeLeft(value)
+			hasTimeLeft = true
 		case "dest":
-			if p.Destination, err = strconv.ParseUint(value, 10, 32); err != nil {
-				err = errors.New("dest is not a number")
-			}
-			dest = true
+			submission.Destination, err = parseDestination(value)
+			hasDestination = true
 		case "k":
-			if p.IdempotencyKey = value; !plain(value) || len(value) > maxMarkBytes {
-				err = errors.New("k holds bytes that it may not")
-			}
+			submission.IdempotencyKey, err = parseIdempotencyKey(value)
 		case "t":
-			p.Tenant = value
+			submission.Tenant = value
 		case "r", "again", "":
 		default:
-			p.UnknownOption = name
+			submission.UnknownOption = name
 		}
 		if err != nil {
 			return err
 		}
 	}
-	if !left || !dest {
-		return errors.New("d or dest is missing")
+	if !hasTimeLeft || !hasDestination {
+		return errMissingOption
 	}
 	return nil
 }
 
-// secondsLeft reads a time in milliseconds, digits and a point alone.
-func secondsLeft(value string) (float64, error) {
+// parseTimeLeft returns a time in milliseconds, digits and a point alone, in seconds.
+func parseTimeLeft(value string) (float64, error) {
 	ms, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(ms >= 0 && ms < maxLeftMs) || strings.Trim(value, "0123456789.") != "" {
-		return 0, errors.New("d is not a time in milliseconds")
+	if err != nil || !(ms >= 0 && ms < maxTimeLeftMs) || strings.Trim(value, "0123456789.") != "" {
+		return 0, errTimeLeft
+	}
+	return ms / msPerSecond, nil
+}
+
+func parseDestination(value string) (uint64, error) {
+	destination, err := strconv.ParseUint(value, 10, 32)
+	if err != nil {
+		return 0, errDestination
+	}
+	return destination, nil
+}
+
+func parseIdempotencyKey(value string) (string, error) {
+	if !isPrintable(value) || len(value) > maxIdempotencyKeyBytes {
+		return "", errIdempotencyKey
+	}
+	return value, nil
+}
+
+// isPrintable reports whether text can be sent as a field of an HTTP head: printable ASCII without spaces.
+func isPrintable(text string) bool {
+	for i := range len(text) {
+		if text[i] <= ' ' || text[i] >= 0x7f {
+			return false
+		}
 	}
-	return ms / 1000, nil
+	return true
 }
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -5,27 +5,24 @@
 	"io"
 	"syscall"
 	"time"
+
+	"github.com/lesismal/nbio"
 )
 
-// read takes what a connection has; while it does, nobody else closes it.
-func (in *Server) read(c *Client, buffer []byte) {
-	_, halted := in.state()
-	if halted { // the process ends within moments
-		time.Sleep(haltedPause)
+// read handles what a connection has received; until it returns, nobody else closes the connection.
+func (s *Server) read(c *Client, buffer []byte) {
+	_, stopped := s.readingState()
+	if stopped { // the process ends within moments
+		time.Sleep(stoppedReadPause)
 		return
 	}
 	c.reading.Lock()
-	_, halted = in.state() // asked again: StopReading may have passed between the two lines
+	_, stopped = s.readingState() // checked again: StopReading may have passed between the two lines
 	var err error
-	for n, i := len(buffer), 0; i < maxReadsInARow && n == len(buffer) && !halted; i++ {
-		for n, err = c.conn.Read(buffer); errors.Is(err, syscall.EINTR); {
-			n, err = c.conn.Read(buffer)
-		}
-		if n == 0 && err == nil {
-			err = io.EOF
-		}
+	for n, i := len(buffer), 0; i < maxReadsInARow && n == len(buffer) && !stopped; i++ {
+		n, err = readSocket(c.conn, buffer)
 		if n > 0 {
-			in.data(c, buffer[:n])
+			s.feed(c, buffer[:n])
 		}
 	}
 	c.reading.Unlock()
@@ -33,37 +30,50 @@
 		c.conn.CloseWithError(err)
 		return
 	}
-	if leaving, _ := in.state(); leaving {
+	if draining, _ := s.readingState(); draining {
 		c.closeIfIdle()
 	}
 }
 
-func (in *Server) state() (leaving, halted bool) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.leaving, in.halted
+// readSocket reads once, with io.EOF at the end of the connection.
+func readSocket(conn *nbio.Conn, buffer []byte) (n int, err error) {
+	for n, err = conn.Read(buffer); errors.Is(err, syscall.EINTR); {
+		n, err = conn.Read(buffer)
+	}
+	if n == 0 && err == nil {
+		err = io.EOF
+	}
+	return n, err
+}
+
+// readingState returns what decides on reading and on closing after it.
+func (s *Server) readingState() (draining, stopped bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.draining, s.readingStopped
 }
 
-func (in *Server) data(c *Client, b []byte) {
+// feed parses bytes from a connection and submits the commands that are complete. Client.reading is held.
+func (s *Server) feed(c *Client, b []byte) {
 	if c.refused.Load() {
 		if c.discardedBytes += len(b); c.discardedBytes > maxDiscardedBytes {
 			c.conn.Close()
 		}
 		return
 	}
-	now, whole := time.Now(), false
+	now, complete := time.Now(), false
 	err := c.reader.Feed(b, func(args [][]byte) error {
-		whole = true
+		complete = true
 		c.unanswered.Add(1)
-		in.desk.Submit(command(c, args))
+		s.submitter.Submit(parseCommand(c, args))
 		return nil
 	})
-	in.mu.Lock()
-	c.lastReadAt, c.hadCommand = now, c.hadCommand || whole
-	if whole || !c.partial.Load() {
+	s.mu.Lock()
+	c.lastReadAt, c.hadCommand = now, c.hadCommand || complete
+	if complete || !c.partial.Load() {
 		c.commandBegan = now
 	}
-	in.mu.Unlock()
+	s.mu.Unlock()
 	c.partial.Store(c.reader.Waiting() > 0)
 	if err != nil {
 		c.refuse("ERR " + err.Error())
--- a/internal/respserver/reply.go
+++ b/internal/respserver/reply.go
@@ -6,17 +6,17 @@
 )
 
 var (
-	taken = resp.SimpleString("OK")
-	alive = resp.SimpleString("PONG")
+	replyOK   = resp.SimpleString("OK")
+	replyPong = resp.SimpleString("PONG")
 )
 
-// line is an answer as it goes over the wire.
-func line(r transport.Reply) []byte {
+// encodeReply returns a reply as it is sent to the client.
+func encodeReply(r transport.Reply) []byte {
 	switch r.Status {
 	case transport.StatusAccepted:
-		return taken
+		return replyOK
 	case transport.StatusAlive:
-		return alive
+		return replyPong
 	case transport.StatusOverloaded:
 		return resp.BusyReply(r.RetryAfter)
 	case transport.StatusInvalid:
--- a/internal/respserver/sweep.go
+++ b/internal/respserver/sweep.go
@@ -2,88 +2,92 @@
 
 import "time"
 
-func (in *Server) watch() {
+// sweepPeriodically sweeps until Stop.
+func (s *Server) sweepPeriodically() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-in.stop:
+		case <-s.stop:
 			return
 		case now := <-tick.C:
-			in.sweep(now)
+			s.sweep(now)
 		}
 	}
 }
 
-// sweep ends connections that have had their last answer or have been without an open command for too long, and says
-// so to those that stopped within one.
-func (in *Server) sweep(now time.Time) {
-	over, stuck := in.overdue(now)
-	for _, c := range over {
+// sweep closes connections that have had their last answer or have been without an open command for too long, and gives
+// those that stopped within a command their last answer.
+func (s *Server) sweep(now time.Time) {
+	overdue, incomplete := s.overdue(now)
+	for _, c := range overdue {
 		if c.refused.Load() { // it has had its last answer
 			c.conn.Close()
 		} else {
 			c.closeIfIdle()
 		}
 	}
-	for _, c := range stuck {
-		in.refuseStuck(c, now)
+	for _, c := range incomplete {
+		s.refuseIncomplete(c, now)
 	}
 }
 
-// overdue lists the connections that are to end, and those that stopped within a command.
-func (in *Server) overdue(now time.Time) (over, stuck []*Client) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	for c := range in.clients {
+// overdue returns the connections that are to be closed, and those that stopped within a command.
+func (s *Server) overdue(now time.Time) (overdue, incomplete []*Client) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.clients {
 		switch {
 		case !c.closeAt.IsZero():
 			if now.After(c.closeAt) {
-				over = append(over, c)
+				overdue = append(overdue, c)
 			}
 		case c.refused.Load() || c.unanswered.Load() > 0:
-		case in.leaving && c.hadCommand && !c.partial.Load(): // its answer and its reader each left the close to the other
-			over = append(over, c)
+		case s.draining && c.hadCommand && !c.partial.Load(): // its answer and its reader each left the close to the other
+			overdue = append(overdue, c)
 		case c.partial.Load():
-			if in.stuck(c, now) {
-				stuck = append(stuck, c)
+			if s.incomplete(c, now) {
+				incomplete = append(incomplete, c)
 			}
-		case !c.hadCommand && longAgo(c.lastReadAt, in.patience.FirstCommand, now):
-			in.counts.NeverSent++
-			over = append(over, c)
-		case longAgo(c.lastReadAt, in.patience.Idle, now):
-			in.counts.Idle++
-			over = append(over, c)
+		case !c.hadCommand && olderThan(c.lastReadAt, s.timeouts.FirstCommand, now):
+			s.stats.NeverSent++
+			overdue = append(overdue, c)
+		case olderThan(c.lastReadAt, s.timeouts.Idle, now):
+			s.stats.Idle++
+			overdue = append(overdue, c)
 		}
 	}
-	return over, stuck
+	return overdue, incomplete
 }
 
-// stuck tells if a connection stopped within a command. The intake's lock is held.
-func (in *Server) stuck(c *Client, now time.Time) bool {
+// incomplete reports whether a connection stopped within a command. The server's lock is held.
+func (s *Server) incomplete(c *Client, now time.Time) bool {
 	if !c.partial.Load() {
 		return false
 	}
-	return longAgo(c.commandBegan, in.patience.FirstCommand, now) || !c.hadCommand && longAgo(c.openedAt, in.patience.FirstCommand, now)
+	limit := s.timeouts.FirstCommand
+	return olderThan(c.commandBegan, limit, now) || !c.hadCommand && olderThan(c.openedAt, limit, now)
 }
 
-// refuseStuck gives a connection that stopped within a command its last answer, if it has not gone on meanwhile. Guards
-// against a command whose rest is being read just now: it would be refused and then taken on as well.
-func (in *Server) refuseStuck(c *Client, now time.Time) {
+// refuseIncomplete gives a connection that stopped within a command its last answer, if it has not continued meanwhile.
+// It guards against a command whose last bytes are being read just now: it would be refused and then submitted as well.
+func (s *Server) refuseIncomplete(c *Client, now time.Time) {
 	if !c.reading.TryLock() {
 		return
 	}
 	defer c.reading.Unlock()
-	in.mu.Lock()
-	still := c.unanswered.Load() == 0 && in.stuck(c, now)
-	if still {
-		in.counts.Incomplete++
+	s.mu.Lock()
+	refuse := c.unanswered.Load() == 0 && s.incomplete(c, now)
+	if refuse {
+		s.stats.Incomplete++
 	}
-	in.mu.Unlock()
-	if still {
+	s.mu.Unlock()
+	if refuse {
 		c.refuse("ERR the command did not go on in time")
 	}
 }
 
-// longAgo tells if t lies more than so many seconds before now.
-func longAgo(t time.Time, seconds float64, now time.Time) bool { return now.Sub(t).Seconds() > seconds }
+// olderThan reports whether t is more than the given number of seconds before now.
+func olderThan(t time.Time, seconds float64, now time.Time) bool {
+	return now.Sub(t).Seconds() > seconds
+}
--- a/internal/respserver/transcript_test.go
+++ b/internal/respserver/transcript_test.go
@@ -14,35 +14,36 @@
 	"spanflow/transport"
 )
 
-// desk gives each request the answer that the test has laid out for it, or answers what could not be understood.
-type desk chan transport.Reply
+// submitter gives each request the next answer of the test, and malformed ones their reason.
+type submitter chan transport.Reply
 
-func (d desk) Withdraw(string) {}
+func (s submitter) Withdraw(string) {}
 
-func (d desk) Submit(a transport.Request) {
-	if a.Malformed != "" {
-		a.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: a.Malformed, Close: a.Close})
+func (s submitter) Submit(request transport.Request) {
+	if request.Malformed != "" {
+		reply := transport.Reply{Status: transport.StatusMalformed, Reason: request.Malformed, Close: request.Close}
+		request.From.Answer(reply)
 		return
 	}
-	a.From.Answer(<-d)
+	request.From.Answer(<-s)
 }
 
 const ping = "*1\r\n$4\r\nPING\r\n"
 
 // clients is the transcript of what clients send and are answered.
 type clients struct {
-	t      *testing.T
-	desk   desk
-	addr   string
-	script transcript.Transcript
+	t         *testing.T
+	submitter submitter
+	addr      string
+	script    transcript.Transcript
 }
 
-func newClients(t *testing.T, patience respserver.Timeouts) *clients {
-	c := &clients{t: t, desk: make(desk, 9)}
-	in, err := respserver.Open("127.6.0.2:0", 20, 24, patience, c.desk)
+func newClients(t *testing.T, timeouts respserver.Timeouts) *clients {
+	c := &clients{t: t, submitter: make(submitter, 9)}
+	server, err := respserver.Open("127.6.0.2:0", 20, 24, timeouts, c.submitter)
 	require.NoError(t, err)
-	t.Cleanup(in.Stop)
-	c.addr = in.Addr()
+	t.Cleanup(server.Stop)
+	c.addr = server.Addr()
 	return c
 }
 
@@ -58,14 +59,14 @@
 	return conn
 }
 
-const mostShown = 400 // bytes of a request that stand in the transcript
+const maxShownBytes = 400 // bytes of a request that stand in the transcript
 
 // note adds what a client has sent to the transcript.
 func (c *clients) note(what, raw string) {
 	c.script.Note("%s", what)
-	if len(raw) > mostShown {
-		c.script.Note("%d bytes, of which the first %d", len(raw), mostShown)
-		raw = raw[:mostShown]
+	if len(raw) > maxShownBytes {
+		c.script.Note("%d bytes, of which the first %d", len(raw), maxShownBytes)
+		raw = raw[:maxShownBytes]
 	}
 	c.script.Bytes("client", []byte(raw))
 }
@@ -106,10 +107,10 @@
 		{"declined", transport.Reply{Status: transport.StatusInvalid, Reason: "the reason"}},
 		{"malformed", transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason"}},
 	} {
-		c.desk <- reply.reply
+		c.submitter <- reply.reply
 		c.asks(reply.what, ping)
 	}
-	c.desk <- transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason", Close: true}
+	c.submitter <- transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason", Close: true}
 	c.isClosed(c.sends(ping), "malformed, and the connection ends", ping)
 	c.script.Compare(t, "answers.txt")
 }
