--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -111,8 +111,8 @@
 	return n, err
 }
 
-// MarkDelivered says that the handler has what was read. A handler that calls IsQuiet or ReadPending under a lock of its
-// own calls MarkDelivered under that lock.
+// MarkDelivered says that the handler has what was read. A handler that calls IsQuiet or ReadPending under a lock of
+// its own calls MarkDelivered under that lock.
 func (c *Conn) MarkDelivered() {
 	c.reading.Lock()
 	c.undelivered = false
@@ -158,8 +158,8 @@
 }
 
 // ReadPending reads what has arrived and was not delivered yet, for a handler that is about to close the connection. It
-// returns 0 if nothing has arrived. If pending, bytes read before are on their way to the handler by Data, and nothing is
-// read.
+// returns 0 if nothing has arrived. If pending, bytes read before are on their way to the handler by Data, and nothing
+// is read.
 func (c *Conn) ReadPending(buffer []byte) (n int, pending bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +178,8 @@
 	return n, false
 }
 
-// Sent reports whether the socket took the last byte of all that was written. On an open connection this may become true
-// a moment later; to act on its being false, Abort the connection.
+// Sent reports whether the socket took the last byte of all that was written. On an open connection this may become
+// true a moment later; to act on its being false, Abort the connection.
 func (c *Conn) Sent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/dial/conn_test.go
+++ b/internal/dial/conn_test.go
@@ -55,8 +55,8 @@
 	closeTimeout = 30 * time.Second // only a connection that is never closed takes so long
 )
 
-// A connection that is established between two steps of Abort must not carry what Abort reports as never sent. The order
-// is brought about by the connection's lock: Abort waits for it first, and the establishing goroutine is next.
+// A connection that is established between two steps of Abort must not carry what Abort reports as never sent. The
+// order is brought about by the connection's lock: Abort waits for it first, and the establishing goroutine is next.
 func TestConnectionEstablishedDuringAbortCarriesNothing(t *testing.T) {
 	const tries = 100
 	ln, err := net.Listen("tcp", "127.3.2.2:0")
--- a/internal/dial/dialer.go
+++ b/internal/dial/dialer.go
@@ -88,10 +88,10 @@
 // Full reports whether a further connection would exceed the limit.
 func (d *Dialer) Full() bool { return d.open.Load() >= d.maxOpen }
 
-// Dial begins to open a connection, which fails with ErrConnectTimeout after the timeout. Any failure, even an immediate
-// one, is reported by h.Closed, never from within this call. The connection is made by the standard library and handed to
-// nbio once it is established: nbio's own dialer takes an IPv4 address for 0.0.0.0, and does not check whether connecting
-// failed.
+// Dial begins to open a connection, which fails with ErrConnectTimeout after the timeout. Any failure, even an
+// immediate one, is reported by h.Closed, never from within this call. The connection is made by the standard library
+// and handed to nbio once it is established: nbio's own dialer takes an IPv4 address for 0.0.0.0, and does not check
+// whether connecting failed.
 func (d *Dialer) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c := &Conn{dialer: d, handler: h, cancel: cancel}
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// AppendRequestLine starts a request with its first line and the Host field. AppendField adds further fields, AppendBody
-// ends the head.
+// AppendRequestLine starts a request with its first line and the Host field. AppendField adds further fields,
+// AppendBody ends the head.
 func AppendRequestLine(b []byte, method, path, host string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -97,8 +97,8 @@
 	return args, at, nil
 }
 
-// parseLength parses a type byte, a number and a line's end, starting at b[at]. next is where they end, 0 while they are not
-// complete.
+// parseLength parses a type byte, a number and a line's end, starting at b[at]. next is where they end, 0 while they
+// are not complete.
 func parseLength(b []byte, at int, typeByte byte) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
--- a/internal/respserver/eviction.go
+++ b/internal/respserver/eviction.go
@@ -7,8 +7,8 @@
 )
 
 // evictionRank says which connections are closed first to make room; it indexes transport.ConnectionStats.Evicted. One
-// that was served comes before one that was not yet: its client expects that an idle connection may end, while the first
-// command of the other, which may be slow to arrive, would be lost.
+// that was served comes before one that was not yet: its client expects that an idle connection may end, while the
+// first command of the other, which may be slow to arrive, would be lost.
 type evictionRank int
 
 const (
@@ -49,8 +49,8 @@
 	s.mu.Unlock()
 }
 
-// evictionCandidate returns the connection to close if one more is opened: the first by rank, then the one that has been
-// silent longest. It is nil below the soft limit and if all are busy. It counts the eviction.
+// evictionCandidate returns the connection to close if one more is opened: the first by rank, then the one that has
+// been silent longest. It is nil below the soft limit and if all are busy. It counts the eviction.
 func (s *Server) evictionCandidate() *Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/simproto/wire_test.go
+++ b/internal/simproto/host_test.go
@@ -38,11 +38,11 @@
 	manifest = unhex(`07 0000 02000000
 		3900 0000 0000000000000000 0000803f 0a124a07 5b1b 0000 01
 		3900 0000 0000000000d4b740 0000c03f 0a9011f2 841b 0000 01`)
-	discovery = unhex("00 0300 2900000000000000 02 0000")
-	demand    = unhex("0a 0300 c4913a5d 00 0000 640ad2557c3bf091 0000000000006e40 0000000000002840 00006442 01")
-	kill      = unhex("04 0300")
-	ended     = unhex("01 0300 c4913a5d 0a124a07 5b1b 01 0000000000803240 00000000 0000 c800 02 cdcccc3e0000a03f")
-	withdrawn = unhex("02 0300 192b6f0e")
+	discovery    = unhex("00 0300 2900000000000000 02 0000")
+	submission   = unhex("0a 0300 c4913a5d 00 0000 640ad2557c3bf091 0000000000006e40 0000000000002840 00006442 01")
+	removal      = unhex("04 0300")
+	attemptEnded = unhex("01 0300 c4913a5d 0a124a07 5b1b 01 0000000000803240 00000000 0000 c800 02 cdcccc3e0000a03f")
+	withdrawal   = unhex("02 0300 192b6f0e")
 )
 
 func serve(t *testing.T, in ...[]byte) ([]byte, error) {
@@ -58,32 +58,32 @@
 	require.Equal(t, unhex("08000000 00000000"), out)
 }
 
-func TestAMessageIsSentToItsEndpoint(t *testing.T) {
-	out, err := serve(t, frame(4, provision, manifest, discovery, demand))
+func TestMessageIsSentToItsEndpoint(t *testing.T) {
+	out, err := serve(t, frame(4, provision, manifest, discovery, submission))
 	require.NoError(t, err)
 	require.Contains(t, string(out), string(unhex("00 0300 c4913a5d 0a")), "to one of the two")
-	_, err = serve(t, frame(4, provision, manifest, discovery, demand), frame(4, ended, withdrawn, kill, provision))
+	_, err = serve(t, frame(4, provision, manifest, discovery, submission), frame(4, attemptEnded, withdrawal, removal, provision))
 	require.NoError(t, err)
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestMalformedInputIsAnErrorThatSaysWhy(t *testing.T) {
 	huge := append([]byte{}, manifest[:3]...)
 	for want, in := range map[string][]byte{
-		"out of range":             {1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0},
-		"batch header":             {16, 0, 0},
-		"cut short":                frame(1, kill)[:18],
-		"unknown event code 77":    frame(1, []byte{77, 0, 0}),
-		"overruns the frame":       frame(1, append(huge, 255, 255, 255, 255)),
-		"unknown instance 3":       frame(1, demand),
-		"after 1 of 9 records":     frame(9, manifest),
-		"follow the last record":   frame(1, manifest, kill),
-		"settings of instance 3":   frame(1, unhex("06 0300 0102030405060708 02000000 7b7b")),
-		"a field overruns":         frame(2, provision, demand[:20]),
-		"list 0 was never":         frame(2, provision, discovery),
-		"unknown outcome":          frame(2, provision, bytes.Replace(ended, []byte{0xc8, 0}, []byte{7, 0}, 1)),
-		"document type 9":          frame(2, provision, bytes.Replace(demand, []byte{0x5d, 0}, []byte{0x5d, 9}, 1)),
-		"clock is not finite":      append(append(frame(0)[:8:8], 0, 0, 0, 0, 0, 0, 0xf0, 0x7f), kill[:0]...),
-		"unknown target status 44": frame(1, append(append([]byte{}, manifest[:len(manifest)-1]...), 44)),
+		"out of range":               {1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0},
+		"batch header":               {16, 0, 0},
+		"cut short":                  frame(1, removal)[:18],
+		"unknown event code 77":      frame(1, []byte{77, 0, 0}),
+		"overruns the frame":         frame(1, append(huge, 255, 255, 255, 255)),
+		"unknown instance 3":         frame(1, submission),
+		"after 1 of 9 records":       frame(9, manifest),
+		"follow the last record":     frame(1, manifest, removal),
+		"settings of instance 3":     frame(1, unhex("06 0300 0102030405060708 02000000 7b7b")),
+		"a field overruns":           frame(2, provision, submission[:20]),
+		"list 0 was never":           frame(2, provision, discovery),
+		"unknown outcome":            frame(2, provision, bytes.Replace(attemptEnded, []byte{0xc8, 0}, []byte{7, 0}, 1)),
+		"message type 9":             frame(2, provision, bytes.Replace(submission, []byte{0x5d, 0}, []byte{0x5d, 9}, 1)),
+		"clock is not finite":        append(append(frame(0)[:8:8], 0, 0, 0, 0, 0, 0, 0xf0, 0x7f), removal[:0]...),
+		"unknown endpoint status 44": frame(1, append(append([]byte{}, manifest[:len(manifest)-1]...), 44)),
 	} {
 		_, err := serve(t, in)
 		require.ErrorContains(t, err, want)
@@ -91,34 +91,34 @@
 }
 
 func FuzzBatch(f *testing.F) {
-	f.Add(uint32(5), bytes.Join([][]byte{provision, manifest, discovery, demand, ended}, nil))
-	f.Add(uint32(2), bytes.Join([][]byte{provision, demand}, nil))
+	f.Add(uint32(5), bytes.Join([][]byte{provision, manifest, discovery, submission, attemptEnded}, nil))
+	f.Add(uint32(2), bytes.Join([][]byte{provision, submission}, nil))
 	f.Fuzz(func(t *testing.T, records uint32, body []byte) {
 		h := NewHost()
 		if _, err := h.Batch(records, 254000, body); err == nil {
-			_, _ = h.Batch(1, 254100, withdrawn)
+			_, _ = h.Batch(1, 254100, withdrawal)
 		}
-		require.NotContains(t, string(h.out.b), "goroutine", "the module panicked")
+		require.NotContains(t, string(h.out.data), "goroutine", "the scheduler panicked")
 	})
 }
 
 func TestTheLargestFleetInOneBatch(t *testing.T) {
-	const targets, docs = 1200, 6000
+	const endpoints, messages = 1200, 6000
 	list, body := unhex("07 0000 b0040000"), []byte{}
-	for i := range targets {
-		e := binary.LittleEndian.AppendUint16(nil, uint16(i/2))
-		e = append(append(e, make([]byte, 14)...), 10, 0, byte(i>>8), byte(i), 1, 1, 0, 0, 1)
-		list = append(list, e...)
+	for i := range endpoints {
+		entry := binary.LittleEndian.AppendUint16(nil, uint16(i/2))
+		entry = append(append(entry, make([]byte, 14)...), 10, 0, byte(i>>8), byte(i), 1, 1, 0, 0, 1)
+		list = append(list, entry...)
 	}
-	for i := range docs {
-		d := bytes.Clone(demand)
+	for i := range messages {
+		d := bytes.Clone(submission)
 		binary.LittleEndian.PutUint32(d[3:], uint32(i+1))
-		binary.LittleEndian.PutUint32(d[34:], math.Float32bits(float32(i%(targets/2))))
+		binary.LittleEndian.PutUint32(d[34:], math.Float32bits(float32(i%(endpoints/2))))
 		body = append(body, d...)
 	}
 	began := time.Now()
-	out, err := serve(t, frame(3+docs, provision, list, discovery, body))
+	out, err := serve(t, frame(3+messages, provision, list, discovery, body))
 	require.NoError(t, err)
 	require.Less(t, time.Since(began), 10*time.Second)
-	require.Greater(t, binary.LittleEndian.Uint32(out[4:]), uint32(docs-200)) // the room holds ninety
+	require.Greater(t, binary.LittleEndian.Uint32(out[4:]), uint32(messages-200)) // ninety may be held at once
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,10 +1,10 @@
 // Package upstream sends calls to endpoints over reused HTTP/1.1 connections and reports how each call ended. It makes
 // no decisions: which call goes where, and what follows from its result, is the scheduler's.
 //
-// A Client owns its connections. Each carries one call at a time and is either idle, listed under its endpoint, or has a
-// call; see connectionState. The package alone closes them: an idle one when its idle time is over, when room is needed
-// or when CloseIdle asks for it, one with a call when the call fails or its answer forbids reuse. One lock, Client.mu,
-// guards the client and all its connections; it is taken before the lock of a dial.Conn, never after.
+// A Client owns its connections. Each carries one call at a time and is either idle, listed under its endpoint, or has
+// a call; see connectionState. The package alone closes them: an idle one when its idle time is over, when room is
+// needed or when CloseIdle asks for it, one with a call when the call fails or its answer forbids reuse. One lock,
+// Client.mu, guards the client and all its connections; it is taken before the lock of a dial.Conn, never after.
 package upstream
 
 import (
@@ -47,8 +47,8 @@
 	maybeUnsent map[*connection]struct{}
 }
 
-// New returns a client without connections. It dials through d, which stays the caller's to stop, and reports the end of
-// each call to results.
+// New returns a client without connections. It dials through d, which stays the caller's to stop, and reports the end
+// of each call to results.
 func New(d *dial.Dialer, results transport.ResultListener, settings Settings) *Client {
 	if settings.ReuseProof == 0 {
 		settings.ReuseProof = defaultReuseProof
@@ -74,8 +74,8 @@
 	conn.begin(call)
 }
 
-// CancelUnsent ends the calls to an endpoint of which nothing has been written, with ResultCancelled: their connection is
-// not established, or not proven silent.
+// CancelUnsent ends the calls to an endpoint of which nothing has been written, with ResultCancelled: their connection
+// is not established, or not proven silent.
 func (cl *Client) CancelUnsent(endpointID uint64) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -142,7 +142,8 @@
 	return conn
 }
 
-// closeLongestIdle closes the connection that has been idle longest, so that a call finds a descriptor. The lock is held.
+// closeLongestIdle closes the connection that has been idle longest, so that a call finds a descriptor. The lock is
+// held.
 func (cl *Client) closeLongestIdle() {
 	var longest *connection
 	for _, conns := range cl.idle {
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -81,8 +81,8 @@
 	f.requireResult(transport.ResultServerError)
 }
 
-// A second copy of an answer comes while the next call waits for the connection to be proven silent: the call moves to a
-// new one. The wait has no end here, so that the copy comes within it on any machine.
+// A second copy of an answer comes while the next call waits for the connection to be proven silent: the call moves to
+// a new one. The wait has no end here, so that the copy comes within it on any machine.
 func TestBytesAfterAnswerAreNotTheNextAnswer(t *testing.T) {
 	f := newFixtureWith(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, ReuseProof: time.Hour}, nil)
 	for range 20 {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -118,8 +118,8 @@
 
 // takeUnreadAnswer feeds the answer that has arrived but was not read yet, and reports whether the call has ended by it
 // or is about to. It guards against a call timing out with its answer in the socket: after the process has been
-// suspended its timers and its sockets are due at the same moment. It costs a read of the socket for each call that times
-// out. The client's lock is held.
+// suspended its timers and its sockets are due at the same moment. It costs a read of the socket for each call that
+// times out. The client's lock is held.
 func (c *connection) takeUnreadAnswer(generation int) bool {
 	buffer := make([]byte, unreadBufferBytes)
 	for {
@@ -271,7 +271,8 @@
 	c.timer = time.AfterFunc(cl.settings.KeepIdle, func() { c.timerFired(generation) })
 }
 
-// close closes the socket; dial does not call Closed for it. A call on the connection is the caller's to finish or move.
+// close closes the socket; dial does not call Closed for it. A call on the connection is the caller's to finish or
+// move.
 func (c *connection) close() {
 	c.state = closed
 	c.conn.Close()
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -12,8 +12,8 @@
 	"spanflow/transport"
 )
 
-// The network's one goroutine waits at the lock with another call's answer, so that this one's stays in the socket until
-// its timeout, as after the process was suspended.
+// The network's one goroutine waits at the lock with another call's answer, so that this one's stays in the socket
+// until its timeout, as after the process was suspended.
 func TestUnreadAnswerEndsCallAtTimeout(t *testing.T) {
 	f := newFixture(t)
 	f.send(time.Minute, "other")
