--- a/internal/metrics/meter_test.go
+++ b/internal/metrics/server_test.go
@@ -10,11 +10,11 @@
 	"spanflow/transport"
 )
 
-func TestALevelIsServedWithItsLabels(t *testing.T) {
-	levels := []transport.Gauge{{Name: "plain", Read: func() float64 { return 1 }},
+func TestGaugesAreServedWithTheirLabels(t *testing.T) {
+	gauges := []transport.Gauge{{Name: "plain", Read: func() float64 { return 1 }},
 		{Name: "backlog_documents", Labels: []string{"state", "untried"}, Read: func() float64 { return 2 }},
 		{Name: "backlog_documents", Labels: []string{"state", "tried"}, Read: func() float64 { return 3 }}}
-	m, err := New("127.0.0.1:0", "", "n1", []string{"resp"}, levels)
+	m, err := New("127.0.0.1:0", "", "n1", []string{"resp"}, gauges)
 	require.NoError(t, err)
 	defer m.Stop()
 	answer, err := http.Get("http://" + m.Addr() + "/metrics")
