--- a/internal/dial/conn_test.go
+++ b/internal/dial/conn_test.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/emulator"
 )
 
-// eventRecorder passes what a Handler is told to a test.
+// eventRecorder passes the calls of a Handler to a test.
 type eventRecorder struct {
 	data   chan string
 	closed chan error
--- a/internal/dial/dialer.go
+++ b/internal/dial/dialer.go
@@ -28,8 +28,8 @@
 )
 
 // Handler receives what happens on a connection. Its methods are called by the engine's goroutines, or by the one that
-// dials, one at a time. The bytes given to Data are valid until it returns. Closed is called at most once, as the last,
-// and not if the caller of Dial closed the connection.
+// dials. The bytes given to Data are valid until it returns. Closed is called at most once, as the last, and not if the
+// caller of Dial closed the connection.
 type Handler interface {
 	Data(b []byte)
 	Closed(cause error)
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -76,7 +76,7 @@
 
 // Feed parses what has been received. It returns how many bytes of data belong to this answer, and whether it is
 // complete.
-func (r *Reader) Feed(data []byte, h Handler) (used int, whole bool, err error) {
+func (r *Reader) Feed(data []byte, h Handler) (used int, done bool, err error) {
 	b := data
 	for r.state != complete {
 		switch r.state {
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -16,17 +16,17 @@
 func (s *recorder) Body(b []byte) error  { s.text.Write(b); return nil }
 
 // read feeds text in pieces of a size until an answer is complete.
-func read(text string, size int) (got, unused string, whole bool, err error) {
+func read(text string, size int) (got, unused string, done bool, err error) {
 	r, s := Reader{MaxBody: 1000}, &recorder{}
-	for len(text) > 0 && !whole && err == nil {
+	for len(text) > 0 && !done && err == nil {
 		n := min(size, len(text))
 		var used int
-		used, whole, err = r.Feed([]byte(text[:n]), s)
+		used, done, err = r.Feed([]byte(text[:n]), s)
 		if err == nil {
 			text = text[used:]
 		}
 	}
-	return s.text.String(), text, whole || r.Ended(), err
+	return s.text.String(), text, done || r.Ended(), err
 }
 
 func TestAnswersAreParsedAlikeInPiecesOfAnySize(t *testing.T) {
@@ -37,9 +37,9 @@
 		"HTTP/1.0 500 No\r\n\r\nto the end":                                                                "500 to the end",
 		"HTTP/1.1 204 None\r\n\r\n":                                                                        "204 "} {
 		for size := 1; size <= len(text); size++ {
-			got, unused, whole, err := read(text, size)
+			got, unused, done, err := read(text, size)
 			require.NoError(t, err)
-			require.True(t, whole, "%q in pieces of %d", text, size)
+			require.True(t, done, "%q in pieces of %d", text, size)
 			require.Equal(t, want, got)
 			require.Empty(t, unused)
 		}
@@ -62,9 +62,9 @@
 }
 
 func TestBytesAfterAnswerAreNotUsed(t *testing.T) {
-	got, unused, whole, err := read("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP", 100)
+	got, unused, done, err := read("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP", 100)
 	require.NoError(t, err)
-	require.True(t, whole)
+	require.True(t, done)
 	require.Equal(t, []string{"200 Content-Length=2 hi", "HTTP"}, []string{got, unused})
 }
 
@@ -77,11 +77,11 @@
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n0\r\n\r\n", 3)
 	f.Add("HTTP/1.1 100 C\r\n\r\nHTTP/1.1 429 F\r\nRetry-After: 0.5\r\nContent-Length: 2\r\n\r\nab", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		got, unused, whole, err := read(text, len(text)+1)
-		got2, unused2, whole2, err2 := read(text, max(1, size))
+		got, unused, done, err := read(text, len(text)+1)
+		got2, unused2, done2, err2 := read(text, max(1, size))
 		require.Equal(t, err == nil, err2 == nil)
 		if err == nil {
-			require.Equal(t, []any{got, unused, whole}, []any{got2, unused2, whole2})
+			require.Equal(t, []any{got, unused, done}, []any{got2, unused2, done2})
 		}
 	})
 }
--- a/internal/metrics/server_test.go
+++ b/internal/metrics/server_test.go
@@ -22,7 +22,8 @@
 	defer answer.Body.Close()
 	text, err := io.ReadAll(answer.Body)
 	require.NoError(t, err)
-	for _, line := range []string{`spanflow_plain{forwarder="n1"} 1`, `spanflow_backlog_documents{forwarder="n1",state="untried"} 2`,
+	for _, line := range []string{`spanflow_plain{forwarder="n1"} 1`,
+		`spanflow_backlog_documents{forwarder="n1",state="untried"} 2`,
 		`spanflow_backlog_documents{forwarder="n1",state="tried"} 3`} {
 		require.Contains(t, string(text), line+"\n")
 	}
--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -37,7 +37,8 @@
 }
 
 func TestMalformedAndOversizedCommandsAreErrors(t *testing.T) {
-	for text, want := range map[string]error{"GET / HTTP/1.1\r\n": ErrFraming, "*x\r\n": ErrFraming, "*0\r\n": ErrFraming, "*-1\r\n": ErrFraming, "*1\r\n:1\r\n": ErrFraming,
+	for text, want := range map[string]error{"GET / HTTP/1.1\r\n": ErrFraming, "*x\r\n": ErrFraming,
+		"*0\r\n": ErrFraming, "*-1\r\n": ErrFraming, "*1\r\n:1\r\n": ErrFraming,
 		"*1\r\n$3\r\nabcd\r\n": ErrFraming, "*1\r\n$-1\r\n": ErrFraming, "*" + strings.Repeat("1", 40): ErrFraming,
 		"*99\r\n": ErrSize, "*1\r\n$70000\r\n": ErrSize} {
 		_, err := read(text, 7)
@@ -58,9 +59,9 @@
 	f.Add("*1\r\n$4\r\nPING\r\n", 3)
 	f.Add("*2\r\n$1\r\na\r\n$3\r\n\r\n\r\r\n*", 1)
 	f.Fuzz(func(t *testing.T, text string, size int) {
-		whole, err := read(text, len(text)+1)
+		atOnce, err := read(text, len(text)+1)
 		pieces, again := read(text, max(1, size))
 		require.Equal(t, err == nil, again == nil)
-		require.Equal(t, whole, pieces)
+		require.Equal(t, atOnce, pieces)
 	})
 }
--- a/internal/respserver/close_test.go
+++ b/internal/respserver/close_test.go
@@ -96,12 +96,12 @@
 func TestCommandBeingCompletedIsNotRefusedAsIncomplete(t *testing.T) {
 	f := newFixture(t, 9, 1800)
 	c, from := f.connect()
-	whole := emulator.Command("PING")
-	_, err := io.WriteString(c, whole[:5])
+	ping := emulator.Command("PING")
+	_, err := io.WriteString(c, ping[:5])
 	require.NoError(t, err)
 	require.Eventually(t, from.partial.Load, 5*time.Second, time.Millisecond)
 	from.reading.Lock() // the remainder is read, and not counted yet
-	_, err = io.WriteString(c, whole[5:])
+	_, err = io.WriteString(c, ping[5:])
 	require.NoError(t, err)
 	f.server.sweep(time.Now().Add(time.Hour))
 	require.Empty(t, f.requests)
@@ -159,12 +159,12 @@
 func TestPartialCommandKeepsItsConnectionDuringDrain(t *testing.T) {
 	f := newFixture(t, 9, 1800)
 	c, from := f.connect()
-	whole := emulator.Command("PING")
-	_, err := io.WriteString(c, whole[:5])
+	ping := emulator.Command("PING")
+	_, err := io.WriteString(c, ping[:5])
 	require.NoError(t, err)
 	require.Eventually(t, from.partial.Load, 5*time.Second, time.Millisecond)
 	f.server.Drain()
-	_, err = io.WriteString(c, whole[5:])
+	_, err = io.WriteString(c, ping[5:])
 	require.NoError(t, err)
 	f.answerPing(c)
 }
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -42,7 +42,7 @@
 	409: scheduler.NotSent,
 }
 
-// decode reads one event of the instance whole and returns what it does to the scheduler.
+// decode reads one complete event of the instance and returns what it does to the scheduler.
 func (in *instance) decode(code eventCode, r *reader) (func(), error) {
 	switch code {
 	case eventEndpoints:
--- a/internal/simproto/host_test.go
+++ b/internal/simproto/host_test.go
@@ -62,7 +62,8 @@
 	out, err := serve(t, frame(4, provision, manifest, discovery, submission))
 	require.NoError(t, err)
 	require.Contains(t, string(out), string(unhex("00 0300 c4913a5d 0a")), "to one of the two")
-	_, err = serve(t, frame(4, provision, manifest, discovery, submission), frame(4, attemptEnded, withdrawal, removal, provision))
+	_, err = serve(t, frame(4, provision, manifest, discovery, submission),
+		frame(4, attemptEnded, withdrawal, removal, provision))
 	require.NoError(t, err)
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -173,7 +173,7 @@
 	if !reusable {
 		c.close()
 	}
-	if c.answer.status == statusOK && !reusable && !c.conn.Sent() { // an endpoint without the whole call has not run it
+	if c.answer.status == statusOK && !reusable && !c.conn.Sent() { // an endpoint without the complete call has not run it
 		c.finish(c.sameCodes(transport.ResultClosedBeforeSent), "an answer before the call was written")
 		return
 	}
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -81,13 +81,15 @@
 		transport.Message{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
 	e.answered(e.call("without a body", time.Hour, transport.Message{ID: "9b1f03aa5c7e2d43"}), answer200)
 	e.answered(e.call("a batch: with a key, without, without a body", 2*time.Second,
-		transport.Message{ID: "9b1f03aa5c7e2d44", IdempotencyKey: "5c0f", Body: body}, transport.Message{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
+		transport.Message{ID: "9b1f03aa5c7e2d44", IdempotencyKey: "5c0f", Body: body},
+		transport.Message{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
 		transport.Message{ID: "9b1f03aa5c7e2d46"}), answer200)
 	e.answered(e.call("a batch whose ids and keys hold marks of JSON", 2*time.Second,
 		transport.Message{ID: `a"b\c<d>&e`, IdempotencyKey: `"\<>&`}, transport.Message{ID: "f"}), answer200)
 	e.answered(e.call("the same message once more, in a call of its own: id and key again", 1500*time.Millisecond,
 		transport.Message{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59", Body: body}), answer200)
-	large := e.call("the largest body, after its head", time.Minute, transport.Message{ID: "large", Body: bytes.Repeat([]byte("0123456789abcdef"), 4096)})
+	largest := bytes.Repeat([]byte("0123456789abcdef"), 4096)
+	large := e.call("the largest body, after its head", time.Minute, transport.Message{ID: "large", Body: largest})
 	head, rest, _ := bytes.Cut(large.Raw, []byte("\r\n\r\n"))
 	require.Len(t, rest, 64<<10)
 	e.script.Note("%x is the body's SHA-256", sha256.Sum256(rest))
--- a/transport/frontend.go
+++ b/transport/frontend.go
@@ -56,8 +56,8 @@
 }
 
 // WaitingCaller is a caller that receives the final answer itself, as its call stays open until then. If it
-// disconnects, nobody is told what became of its message, which is withdrawn: a frontend says so by Submitter.Withdraw,
-// and a process that starts after another withdraws all messages of such callers.
+// disconnects, nobody receives the final answer of its message, which is withdrawn: a frontend says so by
+// Submitter.Withdraw, and a process that starts after another withdraws all messages of such callers.
 type WaitingCaller interface {
 	Caller
 	// Complete gives the caller the final answer.
