--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -78,7 +78,7 @@
 		{"forwarder", "mostLearnt", "1 << 12"},                  // 4,096 destinations
 		{"forwarder", "killAfter", "3700 * time.Millisecond"},   // 3.2 s to end, with killMargin
 		{"forwarder", "killMargin", "500 * time.Millisecond"},
-		{"scheduler", "roomFull", "0.97"},
+		{"scheduler", "sheddingThreshold", "0.97"},
 	} {
 		declared := regexp.MustCompile(`(?m)^\s*(const )?` + quoted.constant + `\s*= ` + regexp.QuoteMeta(quoted.value) + `(\s|$)`)
 		files, err := filepath.Glob("../../../" + quoted.folder + "/*.go")
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -8,35 +8,35 @@
 // bare is a host that keeps only what is to be answered.
 type bare struct{ out []*Message }
 
-func (b *bare) Send(d *Message, _ *Endpoint, _ float64) { b.out = append(b.out, d) }
-func (b *bare) Reject(*Message, float64)                {}
-func (b *bare) Fail(*Message)                           {}
-func (b *bare) CancelUnsent(*Endpoint)                  {}
-func (b *bare) CloseIdle(*Endpoint)                     {}
-func (b *bare) ReleaseEndpoint(*Endpoint)               {}
-func (b *bare) Wake(float64)                            {}
-func (b *bare) WatchEndpoints()                         {}
-func (b *bare) Log(string)                              {}
+func (b *bare) Send(message *Message, _ *Endpoint, _ float64) { b.out = append(b.out, message) }
+func (b *bare) Reject(*Message, float64)                      {}
+func (b *bare) Fail(*Message)                                 {}
+func (b *bare) CancelUnsent(*Endpoint)                        {}
+func (b *bare) CloseIdle(*Endpoint)                           {}
+func (b *bare) ReleaseEndpoint(*Endpoint)                     {}
+func (b *bare) Wake(float64)                                  {}
+func (b *bare) WatchEndpoints()                               {}
+func (b *bare) Log(string)                                    {}
 
 const benchLife = 1e6 // seconds
 
 func benchTerms(room int) Settings {
-	t := terms
+	t := testSettings
 	t.Types, t.ConcurrencyLimit, t.QueueCapacity = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchLife}}, 256, room
 	return t
 }
 
 // decide takes a message, lets the scheduler settle, ends the call and lets it settle: one message's decisions.
-func decide(f *Scheduler, h *bare, now *float64, to *Destination) {
+func decide(s *Scheduler, h *bare, now *float64, to *Destination) {
 	*now += 0.001
-	f.SetTime(*now)
-	f.Accept(&Message{Dest: to, Tenant: 9}, 0, benchLife)
-	f.Reconcile()
-	for _, d := range h.out {
-		f.AttemptEnded(d, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
+	s.SetTime(*now)
+	s.Accept(&Message{Dest: to, Tenant: 9}, 0, benchLife)
+	s.Reconcile()
+	for _, message := range h.out {
+		s.AttemptEnded(message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 	}
 	h.out = h.out[:0]
-	f.Reconcile()
+	s.Reconcile()
 }
 
 // BenchmarkDestinations is the cost of a message's decisions with so many destinations known, 100 of them in use.
@@ -44,17 +44,17 @@
 	for _, n := range []int{10, 100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			h, now := &bare{}, 100.0
-			f := New(benchTerms(1000), 7, now, h)
-			var dests []*Destination
+			s := New(benchTerms(1000), 7, now, h)
+			var destinations []*Destination
 			for i := range n {
-				d := f.NewDestination(uint64(i))
-				f.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
-				dests = append(dests, d)
+				d := s.NewDestination(uint64(i))
+				s.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
+				destinations = append(destinations, d)
 			}
-			f.Reconcile()
+			s.Reconcile()
 			i := 0
 			for b.Loop() {
-				decide(f, h, &now, dests[i%min(n, 100)*(n/min(n, 100))])
+				decide(s, h, &now, destinations[i%min(n, 100)*(n/min(n, 100))])
 				i++
 			}
 		})
@@ -66,13 +66,13 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, h, now, other := heldFor(n)
+			s, h, now, other := heldFor(n)
 			for b.Loop() {
-				decide(f, h, &now, other)
+				decide(s, h, &now, other)
 			}
 			b.StopTimer()
-			if f.held.count != n+1 { // the one that told the wait waits as well
-				b.Fatalf("%d messages are held in place of %d", f.held.count, n+1)
+			if s.held.count != n+1 { // the one that told the wait waits as well
+				b.Fatalf("%d messages are held in place of %d", s.held.count, n+1)
 			}
 		})
 	}
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -21,9 +21,9 @@
 	terms.Forwarders, terms.QueueCapacity, terms.ConcurrencyLimit = forwarders, 4000, 40
 	var nodes []*fake
 	for i := range forwarders {
-		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
 		h.Scheduler = New(terms, uint64(1000*forwarders+i), h.now, h)
-		h.receiver(0, 0)
+		h.addDestination(0, 0)
 		nodes = append(nodes, h)
 	}
 	seen, credit := make([]int, forwarders), make([]float64, forwarders)
@@ -47,7 +47,7 @@
 			h.now = now
 			h.SetTime(now)
 			for credit[i] += step * capacity * load / float64(forwarders); credit[i] >= 1; credit[i]-- {
-				h.take(h.dests[0], status, 0)
+				h.accept(h.destinations[0], status, 0)
 			}
 			h.TimerFired()
 			h.Reconcile()
@@ -59,7 +59,7 @@
 				} else if now > 100+wellFor {
 					calls = append(calls, call{now, told[i]})
 				}
-				late = append(late, due{now + 0.1, h, h.sent[seen[i]].doc, end})
+				late = append(late, due{now + 0.1, h, h.sent[seen[i]].message, end})
 			}
 		}
 	}
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestDeadIdleConnectionsAreGivenUp(t *testing.T) {
-	h := start(terms)
+	h := newFake(testSettings)
 	var receivers []*Destination
 	for range 3 {
-		receivers = append(receivers, h.receiver(0, 0))
+		receivers = append(receivers, h.addDestination(0, 0))
 	}
 	call := func(d *Destination, o Outcome) {
-		h.take(d, status, 0)
-		h.pass(0.4)
-		h.answers(d, o)
+		h.accept(d, status, 0)
+		h.advance(0.4)
+		h.endAttempts(d, o)
 	}
 	for _, o := range []Outcome{Delivered, Delivered, TimedOut, Delivered} {
 		for _, d := range receivers {
@@ -24,61 +24,61 @@
 	}
 	h.log = nil
 	call(receivers[0], Delivered)
-	h.settle()
+	h.reconcile()
 	require.Contains(t, h.log, "close 0")
 }
 
 func TestFailedConnectsCloseIdleConnections(t *testing.T) {
-	h := start(terms)
-	d, quiet := h.receiver(0, 0, 0), h.receiver(0, 0)
-	doc := h.take(d, status, 0)
-	h.settle()
-	h.ends(doc, NoConnection, 0)
-	h.settle()
+	h := newFake(testSettings)
+	d, quiet := h.addDestination(0, 0, 0), h.addDestination(0, 0)
+	message := h.accept(d, status, 0)
+	h.reconcile()
+	h.endAttempt(message, NoConnection, 0)
+	h.reconcile()
 	require.Contains(t, h.log, "close 0")
 	require.Contains(t, h.log, "close 1") // the idle one may be at the sibling
-	h.pass(3)
+	h.advance(3)
 	h.log = nil
-	h.answers(d, Delivered)
-	h.take(quiet, status, 0)
-	h.settle()
-	require.Contains(t, h.log, "close "+string('0'+byte(doc.to.ID)))
+	h.endAttempts(d, Delivered)
+	h.accept(quiet, status, 0)
+	h.reconcile()
+	require.Contains(t, h.log, "close "+string('0'+byte(message.endpoint.ID)))
 	h.log = nil
-	h.answers(quiet, Delivered)
-	h.settle()
+	h.endAttempts(quiet, Delivered)
+	h.reconcile()
 	require.Equal(t, []string{"close 0"}, h.log) // its only call: an idle connection would not be used again
 }
 
 func TestForwardersStartAtDifferentEndpointsAndStayThere(t *testing.T) {
 	first := map[uint64]int{}
 	for seed := range uint64(40) {
-		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Scheduler = New(terms, seed, h.now, h)
-		d := h.receiver(0, 0, 0)
+		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
+		h.Scheduler = New(testSettings, seed, h.now, h)
+		d := h.addDestination(0, 0, 0)
 		for range 3 {
-			h.take(d, status, 0)
-			h.pass(6) // the connection of the call before is still there
-			h.answers(d, Delivered)
+			h.accept(d, status, 0)
+			h.advance(6) // the connection of the call before is still there
+			h.endAttempts(d, Delivered)
 		}
-		first[h.sent[0].target.ID]++
-		require.Equal(t, h.sent[0].target, h.sent[1].target)
-		require.Equal(t, h.sent[0].target, h.sent[2].target)
+		first[h.sent[0].endpoint.ID]++
+		require.Equal(t, h.sent[0].endpoint, h.sent[1].endpoint)
+		require.Equal(t, h.sent[0].endpoint, h.sent[2].endpoint)
 	}
 	require.Greater(t, min(first[0], first[1]), 10, "all began with the first of the list")
 }
 
 func TestAConnectionThatIsNotUsedAgainInTimeIsClosed(t *testing.T) {
-	h := start(terms)
-	seldom, often := h.receiver(0, 0), h.receiver(0, 0)
-	often.targets[0].ID = 9
+	h := newFake(testSettings)
+	seldom, often := h.addDestination(0, 0), h.addDestination(0, 0)
+	often.endpoints[0].ID = 9
 	for range 4 {
-		h.take(seldom, status, 0)
+		h.accept(seldom, status, 0)
 		for range 4 {
-			h.take(often, status, 0)
-			h.pass(1)
-			h.answers(often, Delivered)
-			h.answers(seldom, Delivered)
-			h.pass(2)
+			h.accept(often, status, 0)
+			h.advance(1)
+			h.endAttempts(often, Delivered)
+			h.endAttempts(seldom, Delivered)
+			h.advance(2)
 		}
 	}
 	n := map[string]int{}
@@ -90,14 +90,14 @@
 }
 
 func TestAFailedConnectTellsOfAllDestinationsOfTheKind(t *testing.T) {
-	h := start(terms)
-	full, same, other := h.receiver(0, 0), h.receiver(0, 0), h.receiver(1, 0)
-	same.targets[0].ID, other.targets[0].ID = 8, 9
+	h := newFake(testSettings)
+	full, same, other := h.addDestination(0, 0), h.addDestination(0, 0), h.addDestination(1, 0)
+	same.endpoints[0].ID, other.endpoints[0].ID = 8, 9
 	round := func(o Outcome) {
 		for _, d := range []*Destination{full, same, other} {
-			h.take(d, status, 0)
-			h.pass(0.4)
-			h.answers(d, o)
+			h.accept(d, status, 0)
+			h.advance(0.4)
+			h.endAttempts(d, o)
 			o = Delivered
 		}
 	}
@@ -105,7 +105,7 @@
 	round(Delivered)
 	h.log = nil
 	round(NoConnection)
-	h.settle()
+	h.reconcile()
 	require.Contains(t, h.log, "close 8")
 	require.NotContains(t, h.log, "close 9")
 }
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -7,59 +7,59 @@
 )
 
 func TestEveryMessageGetsOneAnswerBeforeExpiry(t *testing.T) {
-	h := start(terms)
+	h := newFake(testSettings)
 	nowhere := h.NewDestination(1)
-	doc := h.take(nowhere, ticket, 5)
-	h.pass(22)
+	message := h.accept(nowhere, ticket, 5)
+	h.advance(22)
 	require.Empty(t, h.done)
-	h.pass(4)
-	require.Equal(t, map[*Message]string{doc: "rejected"}, h.done)
-	require.Positive(t, h.back[doc])
+	h.advance(4)
+	require.Equal(t, map[*Message]string{message: "rejected"}, h.done)
+	require.Positive(t, h.retryAfters[message])
 	require.Empty(t, h.sent)
 }
 
 func TestExpiryIsKeptThoughTheCallNeverEnds(t *testing.T) {
-	h := start(terms)
-	doc := h.take(h.receiver(0, 0), payment, 0)
-	h.pass(20.5)
-	require.Equal(t, "abandoned", h.done[doc])
-	h.ends(doc, TimedOut, 0)
-	require.True(t, doc.Finished())
+	h := newFake(testSettings)
+	message := h.accept(h.addDestination(0, 0), payment, 0)
+	h.advance(20.5)
+	require.Equal(t, "abandoned", h.done[message])
+	h.endAttempt(message, TimedOut, 0)
+	require.True(t, message.Finished())
 }
 
 // A long line in which each message is sent just too late would make a good endpoint look sick.
 func TestAMessageThatCallsMostlyOutlastIsAnsweredNotSent(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(0, 0)
+	h := newFake(testSettings)
+	d := h.addDestination(0, 0)
 	for range 50 {
-		h.AttemptEnded(h.out1(d), AttemptResult{Outcome: Delivered, Final: true, Latency: 1})
+		h.AttemptEnded(h.sendOne(d), AttemptResult{Outcome: Delivered, Final: true, Latency: 1})
 	}
-	d.targets[0].standing = Draining
-	late := h.take(d, status, 0)
-	h.pass(19.2) // of 20
-	d.targets[0].standing = Ready
+	d.endpoints[0].state = Draining
+	late := h.accept(d, status, 0)
+	h.advance(19.2) // of 20
+	d.endpoints[0].state = Ready
 	sent := len(h.sent)
-	h.pass(0.1)
+	h.advance(0.1)
 	require.Len(t, h.sent, sent)
 	require.Equal(t, "rejected", h.done[late])
 	fresh := &Message{Dest: d}
 	h.Accept(fresh, status, 0.5)
-	h.settle()
-	require.Equal(t, fresh, h.sent[sent].doc, "handed in with little time, it is tried at once")
+	h.reconcile()
+	require.Equal(t, fresh, h.sent[sent].message, "handed in with little time, it is tried at once")
 }
 
 func TestWhatIsClosedBeyondItsExpiryIsAnsweredAtOnce(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(0, 0)
-	first, long := h.take(d, status, 0), h.take(d, status, 0)
+	h := newFake(testSettings)
+	d := h.addDestination(0, 0)
+	first, long := h.accept(d, status, 0), h.accept(d, status, 0)
 	short := &Message{Dest: d, Tenant: 9}
 	h.Accept(short, status, 4)
-	h.settle()
-	h.ends(first, Overloaded, 9)
-	h.settle()
-	h.ends(long, Overloaded, 0)
-	h.ends(short, Overloaded, 0)
-	h.settle()
+	h.reconcile()
+	h.endAttempt(first, Overloaded, 9)
+	h.reconcile()
+	h.endAttempt(long, Overloaded, 0)
+	h.endAttempt(short, Overloaded, 0)
+	h.reconcile()
 	require.Equal(t, "rejected", h.done[short], "there is no way left before its end")
 	require.Empty(t, h.done[long])
 }
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -7,21 +7,21 @@
 )
 
 func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
-	asks := terms
+	asks := testSettings
 	asks.PollEndpoints = true
-	h := start(asks)
-	h.settle()
-	require.Equal(t, 1, h.asks)
+	h := newFake(asks)
+	h.reconcile()
+	require.Equal(t, 1, h.polls)
 	h.PollTimedOut()
-	h.pass(2)
-	require.Equal(t, 2, h.asks)
+	h.advance(2)
+	require.Equal(t, 2, h.polls)
 }
 
 // Thirty-six forwarders start at once beside a discovery that takes their calls in turn, six a second, and fails one
 // that has waited for two seconds, its work done in vain. Each is served within half a minute, since those that
 // failed come back ever later; asked again within a second, most never were.
 func TestManyForwardersThatAskAtOnceAreAllServed(t *testing.T) {
-	asks := terms
+	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 36
 	type call struct {
 		of   *fake
@@ -31,9 +31,9 @@
 	var line []call
 	asked, served := map[*fake]int{}, map[*fake]bool{}
 	for seed := range asks.Forwarders {
-		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
 		h.Scheduler = New(asks, uint64(seed), h.now, h)
-		h.receiver(0, 0)
+		h.addDestination(0, 0)
 		fleet = append(fleet, h)
 	}
 	news := []EndpointUpdate{}
@@ -41,8 +41,8 @@
 		now := 100 + float64(tick)*0.02
 		for _, h := range fleet {
 			h.now = now
-			h.settle()
-			for ; asked[h] < h.asks; asked[h]++ {
+			h.reconcile()
+			for ; asked[h] < h.polls; asked[h]++ {
 				line = append(line, call{h, now})
 			}
 		}
@@ -63,33 +63,33 @@
 }
 
 func TestAForwarderWithoutAListAsksAtOnce(t *testing.T) {
-	asks := terms
+	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
-	h := start(asks)
-	h.settle()
-	require.Equal(t, 1, h.asks)
+	h := newFake(asks)
+	h.reconcile()
+	require.Equal(t, 1, h.polls)
 
-	h = start(asks)
-	h.receiver(0, 0) // known from before
-	h.settle()
-	require.Zero(t, h.asks)
-	h.pass(asks.PollWithin / 2)
-	require.Equal(t, 1, h.asks)
+	h = newFake(asks)
+	h.addDestination(0, 0) // known from before
+	h.reconcile()
+	require.Zero(t, h.polls)
+	h.advance(asks.PollWithin / 2)
+	require.Equal(t, 1, h.polls)
 }
 
 func TestQuestionsForTheListStayWithinWhatTheRulesWant(t *testing.T) {
-	asks := terms
+	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
-	h := start(asks)
-	h.settle()
+	h := newFake(asks)
+	h.reconcile()
 	for range 20 { // four times the time is theirs after a failure
-		was := h.asks
+		was := h.polls
 		h.PollTimedOut()
-		h.pass(1.4 * asks.PollWithin)
-		require.Greater(t, h.asks, was)
+		h.advance(1.4 * asks.PollWithin)
+		require.Greater(t, h.polls, was)
 	}
 	h.UpdateEndpoints(true, nil)
 	h.PollTimedOut()
-	h.pass(1.3*asks.PollWithin/2 + 0.1) // the first failure after a list counts as the first
-	require.Equal(t, 22, h.asks)
+	h.advance(1.3*asks.PollWithin/2 + 0.1) // the first failure after a list counts as the first
+	require.Equal(t, 22, h.polls)
 }
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -11,50 +11,50 @@
 )
 
 // missed is the first message that a review should have answered and did not, found by a walk over all that is held.
-func missed(f *Scheduler) (d *Message, why string) {
-	for d := range f.held.all() {
-		mayRun := d.ranFrom > 0 && d.typ.Idempotency != Idempotent
+func missed(s *Scheduler) (message *Message, why string) {
+	for message := range s.held.all() {
+		mayRun := message.firstRanAt > 0 && message.messageType.Idempotency != Idempotent
 		switch {
-		case d.call != nil && f.now < d.expiry+overdue:
-		case d.call != nil:
-			return d, "its call is overdue"
-		case mayRun && d.typ.Idempotency == AtMostOnce:
-			return d, "it may have run and must not run twice"
-		case mayRun && f.now > d.forgottenAt():
-			return d, "its number is forgotten"
-		case mayRun && !d.typ.DeduplicatedPerZone && f.now > d.fadesAt() && f.dark(d.Dest):
-			return d, "its number is soon forgotten and nothing answers"
-		case f.short(d):
-			return d, "its time is too short"
-		case f.terms.MaxAttempts > 0 && d.sent >= f.terms.MaxAttempts:
-			return d, "it has no call left"
+		case message.call != nil && s.now < message.deadline+deadlineGrace:
+		case message.call != nil:
+			return message, "its call is overdue"
+		case mayRun && message.messageType.Idempotency == AtMostOnce:
+			return message, "it may have run and must not run twice"
+		case mayRun && s.now > message.keyExpiredAt():
+			return message, "its number is forgotten"
+		case mayRun && !message.messageType.DeduplicatedPerZone && s.now > message.keyExpiringAt() && s.allEjected(message.Dest):
+			return message, "its number is soon forgotten and nothing answers"
+		case s.tooLate(message):
+			return message, "its time is too short"
+		case s.settings.MaxAttempts > 0 && message.attempts >= s.settings.MaxAttempts:
+			return message, "it has no call left"
 		}
 	}
 	return nil, ""
 }
 
 // inconsistent is the first held message or destination that is not in just the structures that its state asks for.
-func inconsistent(f *Scheduler) (what any, why string) {
+func inconsistent(s *Scheduler) (what any, why string) {
 	waiting := map[*Destination]int{}
-	for d := range f.held.all() {
-		first := d.chain == nil || d.chain.first == d
+	for message := range s.held.all() {
+		first := message.keyQueue == nil || message.keyQueue.first == message
 		switch {
-		case d.queued != (d.call == nil):
-			return d, "it waits if no call carries it"
-		case d.call != nil != (d.stage == stageOut):
-			return d, "its stage is that of a call"
-		case d.queued && first != (d.queueAt > 0):
-			return d, "it is visible to turns if none of its key is before it"
+		case message.queued != (message.call == nil):
+			return message, "it waits if no call carries it"
+		case message.call != nil != (message.stage == stageInFlight):
+			return message, "its stage is that of a call"
+		case message.queued && first != (message.queuePosition > 0):
+			return message, "it is visible to turns if none of its key is before it"
 		}
-		if d.queued {
-			waiting[d.Dest]++
+		if message.queued {
+			waiting[message.Dest]++
 		}
 	}
-	for _, d := range f.dests {
+	for _, d := range s.destinations {
 		switch {
 		case waiting[d] != d.waiting:
 			return d, "its waiting messages are counted"
-		case d.ringed != (d.node != nil) || d.waiting > 0 && !d.ringed:
+		case d.inRing != (d.ringNode != nil) || d.waiting > 0 && !d.inRing:
 			return d, "it is in the ring while messages wait"
 		}
 	}
@@ -64,49 +64,49 @@
 // randomDay plays random messages, answers, lists and waits and calls check after each review.
 func randomDay(seed uint64, check func(*Scheduler)) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	day := terms
+	day := testSettings
 	day.Forwarders, day.ConcurrencyLimit, day.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
 	day.HalvingValue, day.AwaitAcknowledgement, day.TenantRate = random.IntN(2) == 0, random.IntN(2) == 0, []float64{5, 20}
-	h := start(day)
-	var dests []*Destination
+	h := newFake(day)
+	var destinations []*Destination
 	for kind := range 3 {
-		dests = append(dests, h.receiver(kind, 0, 1))
+		destinations = append(destinations, h.addDestination(kind, 0, 1))
 	}
 	for range 30 {
-		doc := &Message{Dest: dests[random.IntN(3)], Key: uint64(random.IntN(4))}
-		typ := random.IntN(len(day.Types))
-		h.Recover(doc, typ, random.Float64()*day.Types[typ].TimeToLive, RecoveredState{Attempts: random.IntN(3), FirstRanAt: h.now - 20*random.Float64()})
+		message := &Message{Dest: destinations[random.IntN(3)], Key: uint64(random.IntN(4))}
+		messageType := random.IntN(len(day.Types))
+		h.Recover(message, messageType, random.Float64()*day.Types[messageType].TimeToLive, RecoveredState{Attempts: random.IntN(3), FirstRanAt: h.now - 20*random.Float64()})
 	}
 	answered := map[*Message]bool{}
 	for range 1500 {
 		h.now += 0.03 * random.ExpFloat64()
 		h.SetTime(h.now)
-		if doc := (&Message{Dest: dests[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}); random.IntN(3) > 0 {
-			typ := random.IntN(len(day.Types))
-			if taken, _ := h.Admit(0, day.Types[typ].TimeToLive); taken {
-				h.Accept(doc, typ, day.Types[typ].TimeToLive*random.Float64())
+		if message := (&Message{Dest: destinations[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}); random.IntN(3) > 0 {
+			messageType := random.IntN(len(day.Types))
+			if taken, _ := h.Admit(0, day.Types[messageType].TimeToLive); taken {
+				h.Accept(message, messageType, day.Types[messageType].TimeToLive*random.Float64())
 			}
 		}
 		for _, s := range h.sent {
-			if s.doc.call != nil && random.IntN(4) == 0 {
+			if s.message.call != nil && random.IntN(4) == 0 {
 				outcome := Outcome(random.IntN(int(NotSent) + 1))
-				h.AttemptEnded(s.doc, AttemptResult{Outcome: outcome, Final: outcome == Delivered, Latency: random.Float64(), RetryAfter: max(0, 8*random.Float64()-6)})
+				h.AttemptEnded(s.message, AttemptResult{Outcome: outcome, Final: outcome == Delivered, Latency: random.Float64(), RetryAfter: max(0, 8*random.Float64()-6)})
 			}
 		}
-		h.sent = slices.DeleteFunc(h.sent, func(s transmission) bool { return s.doc.call == nil })
-		for doc := range h.done {
-			if doc.AwaitingAcknowledgement() && !answered[doc] && random.IntN(3) == 0 {
-				answered[doc] = true
-				h.NoticeAcknowledged(doc)
+		h.sent = slices.DeleteFunc(h.sent, func(s sentCall) bool { return s.message.call == nil })
+		for message := range h.done {
+			if message.AwaitingAcknowledgement() && !answered[message] && random.IntN(3) == 0 {
+				answered[message] = true
+				h.NoticeAcknowledged(message)
 			}
 		}
 		if random.IntN(40) == 0 {
-			target := dests[random.IntN(3)].targets
+			target := destinations[random.IntN(3)].endpoints
 			if len(target) > 0 {
-				h.list(target[0], EndpointState(random.IntN(2)))
+				h.updateState(target[0], EndpointState(random.IntN(2)))
 			}
 		}
-		h.review()
+		h.endExpired()
 		check(h.Scheduler)
 		h.Reconcile()
 	}
@@ -114,11 +114,11 @@
 
 func TestAReviewFindsAllThatIsDueWithoutAWalk(t *testing.T) {
 	for seed := range uint64(40) {
-		randomDay(seed, func(f *Scheduler) {
-			if d, why := missed(f); d != nil {
-				require.Fail(t, why, "seed %d: %+v", seed, d)
+		randomDay(seed, func(s *Scheduler) {
+			if message, why := missed(s); message != nil {
+				require.Fail(t, why, "seed %d: %+v", seed, message)
 			}
-			if what, why := inconsistent(f); what != nil {
+			if what, why := inconsistent(s); what != nil {
 				require.Fail(t, why, "seed %d: %+v", seed, what)
 			}
 		})
@@ -126,65 +126,65 @@
 }
 
 func TestWhatAllRemainingEndpointsAreClosedForIsAnsweredOnceAnotherIsLetGo(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(0, 0, 0)
-	out := h.take(d, status, 0)
-	h.settle()
-	leaving := h.sent[0].target
-	closed := d.targets[0]
+	h := newFake(testSettings)
+	d := h.addDestination(0, 0, 0)
+	out := h.accept(d, status, 0)
+	h.reconcile()
+	leaving := h.sent[0].endpoint
+	closed := d.endpoints[0]
 	if closed == leaving {
-		closed = d.targets[1]
+		closed = d.endpoints[1]
 	}
-	h.list(leaving, Removed) // its call is out, so that it is not let go of yet
-	h.settle()
+	h.updateState(leaving, Removed) // its call is out, so that it is not let go of yet
+	h.reconcile()
 	h.BlockUntil(closed, h.now+100)
-	waits := h.take(d, status, 0)
-	h.settle()
+	waits := h.accept(d, status, 0)
+	h.reconcile()
 	require.Empty(t, h.done)
-	h.ends(out, Delivered, 0)
-	h.settle()
+	h.endAttempt(out, Delivered, 0)
+	h.reconcile()
 	require.Equal(t, []*Endpoint{leaving}, h.released)
-	h.settle()
+	h.reconcile()
 	require.Equal(t, "rejected", h.done[waits])
 }
 
 // heldFor makes a forwarder that holds n messages for a destination that told a wait shorter than their life, and has
 // another destination that answers.
-func heldFor(n int) (f *Scheduler, h *bare, now float64, other *Destination) {
+func heldFor(n int) (s *Scheduler, h *bare, now float64, other *Destination) {
 	h, now = &bare{}, 100.0
-	f = New(benchTerms(10*n), 7, now, h)
-	var dests []*Destination
+	s = New(benchTerms(10*n), 7, now, h)
+	var destinations []*Destination
 	for i := range 2 {
-		d := f.NewDestination(uint64(i))
-		f.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
-		dests = append(dests, d)
+		d := s.NewDestination(uint64(i))
+		s.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
+		destinations = append(destinations, d)
 	}
-	f.SetTime(now)
-	f.Accept(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
-	f.Reconcile()
-	f.AttemptEnded(h.out[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchLife / 10})
+	s.SetTime(now)
+	s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchLife)
+	s.Reconcile()
+	s.AttemptEnded(h.out[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchLife / 10})
 	h.out = h.out[:0]
 	for range n {
-		f.Accept(&Message{Dest: dests[1], Tenant: 9}, 0, benchLife)
+		s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchLife)
 	}
-	f.Reconcile()
-	return f, h, now, dests[0]
+	s.Reconcile()
+	return s, h, now, destinations[0]
 }
 
 func TestWhatIsHeldIsNotLookedAtBeforeItIsDue(t *testing.T) {
-	f, h, now, other := heldFor(20_000)
+	s, h, now, other := heldFor(20_000)
 	for range 20 {
 		now += 0.02
-		f.SetTime(now)
-		f.TimerFired()
-		f.Accept(&Message{Dest: other, Tenant: 9}, 0, benchLife)
-		require.LessOrEqual(t, len(f.collectDue()), 3, "the fresh message alone, not those that wait")
-		f.Reconcile()
+		s.SetTime(now)
+		s.TimerFired()
+		s.Accept(&Message{Dest: other, Tenant: 9}, 0, benchLife)
+		require.LessOrEqual(t, len(s.collectDue()), 3, "the fresh message alone, not those that wait")
+		s.Reconcile()
 		require.Len(t, h.out, 1)
-		f.AttemptEnded(h.out[0], AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
+		s.AttemptEnded(h.out[0], AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 		h.out = h.out[:0]
 	}
-	require.Equal(t, 20_001, f.held.count)
+	require.Equal(t, 20_001, s.held.count)
 }
 
 // requireLinear checks that the cost of a message does not grow with their number: a hundred times as many may cost at
@@ -206,10 +206,10 @@
 
 func TestTakingAndGivingUpManyAtOnceIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		f, _, now, _ := heldFor(n)
-		f.SetTime(now + 2*benchLife)
-		f.Reconcile()
-		require.Zero(t, f.held.count)
+		s, _, now, _ := heldFor(n)
+		s.SetTime(now + 2*benchLife)
+		s.Reconcile()
+		require.Zero(t, s.held.count)
 	})
 }
 
@@ -217,45 +217,45 @@
 	requireLinear(t, func(n int) {
 		day := benchTerms(10 * n)
 		day.Types[0].InOrder = true
-		f := New(day, 7, 100, &bare{})
-		d := f.NewDestination(1)
+		s := New(day, 7, 100, &bare{})
+		d := s.NewDestination(1)
 		for range n {
-			f.Accept(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
 		}
-		f.Reconcile()
-		f.SetTime(100 + 2*benchLife)
-		f.Reconcile()
-		require.Zero(t, f.held.count)
+		s.Reconcile()
+		s.SetTime(100 + 2*benchLife)
+		s.Reconcile()
+		require.Zero(t, s.held.count)
 	})
 }
 
 func TestRecoveringManyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		f := New(benchTerms(10*n), 7, 100, &bare{})
-		d := f.NewDestination(1)
+		s := New(benchTerms(10*n), 7, 100, &bare{})
+		d := s.NewDestination(1)
 		for i := range n {
-			f.Recover(&Message{Dest: d, Tenant: 9}, 0, benchLife, RecoveredState{Attempts: i % 2})
+			s.Recover(&Message{Dest: d, Tenant: 9}, 0, benchLife, RecoveredState{Attempts: i % 2})
 		}
-		f.Reconcile()
-		require.Equal(t, n, f.held.count)
+		s.Reconcile()
+		require.Equal(t, n, s.held.count)
 	})
 }
 
 func TestDrainingALongLaneIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		h, now := &bare{}, 100.0
-		f := New(benchTerms(10*n), 7, now, h)
-		d := f.NewDestination(1)
+		s := New(benchTerms(10*n), 7, now, h)
+		d := s.NewDestination(1)
 		for range n {
-			f.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 		}
-		f.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{}, Destination: d, State: Ready}})
-		for f.held.count > 0 {
+		s.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{}, Destination: d, State: Ready}})
+		for s.held.count > 0 {
 			now += 0.01
-			f.SetTime(now)
-			f.Reconcile()
-			for _, doc := range h.out {
-				f.AttemptEnded(doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
+			s.SetTime(now)
+			s.Reconcile()
+			for _, message := range h.out {
+				s.AttemptEnded(message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 			}
 			h.out = h.out[:0]
 		}
@@ -265,15 +265,15 @@
 func TestMakingRoomInAFullForwarderIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		day := benchTerms(n)
-		f := New(day, 7, 100, &bare{})
-		d := f.NewDestination(1)
+		s := New(day, 7, 100, &bare{})
+		d := s.NewDestination(1)
 		for range n / 2 {
-			f.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
 		}
 		for range n {
-			f.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
-			f.Reconcile()
+			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			s.Reconcile()
 		}
-		require.LessOrEqual(t, float64(f.held.count), roomFull*float64(n))
+		require.LessOrEqual(t, float64(s.held.count), sheddingThreshold*float64(n))
 	})
 }
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -30,13 +30,13 @@
 }
 
 func newFleet(n int, limit float64) *fleet {
-	t := terms
+	t := testSettings
 	t.Forwarders = n
 	f := &fleet{now: 100, limit: limit, room: limit / 2, debt: 1, seen: make([]int, n), took: map[*Message]int{}}
 	for i := range n {
-		h := start(t)
+		h := newFake(t)
 		h.Scheduler = New(t, uint64(i+1), 100, h)
-		h.receiver(0, 0)
+		h.addDestination(0, 0)
 		f.nodes = append(f.nodes, h)
 	}
 	return f
@@ -51,7 +51,7 @@
 			h.now = f.now
 			h.SetTime(f.now)
 			if every > 0 && int(f.now/every+float64(i)/7) != int((f.now-0.02)/every+float64(i)/7) {
-				h.take(h.dests[0], status, 0)
+				h.accept(h.destinations[0], status, 0)
 			}
 		}
 		for len(f.late) > 0 && f.late[0].at <= f.now {
@@ -63,14 +63,14 @@
 			h.TimerFired()
 			h.Reconcile()
 			for ; f.seen[i] < len(h.sent); f.seen[i]++ {
-				f.call(h, h.sent[f.seen[i]].doc)
+				f.call(h, h.sent[f.seen[i]].message)
 			}
 		}
 	}
 	return f.calls, f.full
 }
 
-func (f *fleet) call(h *fake, doc *Message) {
+func (f *fleet) call(h *fake, message *Message) {
 	f.calls++
 	e := AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: f.limit, ReportedShare: ReportedValue(max(0, (f.room-1)/(f.limit/2)))}
 	if f.room--; f.hung || f.room < 0 {
@@ -78,12 +78,12 @@
 		f.room = max(f.room, -f.debt) // refused calls use it up too
 		e = AttemptResult{Outcome: Overloaded, Latency: 0.05, ReportedLimit: f.limit, ReportedShare: -1}
 	} else {
-		f.took[doc]++
+		f.took[message]++
 	}
 	if f.mute {
 		e.ReportedLimit, e.ReportedShare = 0, 0
 	}
-	f.late = append(f.late, due{f.now + 0.1, h, doc, e})
+	f.late = append(f.late, due{f.now + 0.1, h, message, e})
 }
 
 // A fleet of few messages each, some with far more, at an exact listed limit that refused calls use up: after a clump
@@ -92,9 +92,9 @@
 	f := newFleet(100, 10)
 	f.mute, f.debt = true, 5
 	for i, h := range f.nodes {
-		h.terms.ListedRateTolerance, h.dests[0].listed = 1, 10
+		h.settings.ListedRateTolerance, h.destinations[0].listedRate = 1, 10
 		if i%4 == 0 { // two and a half seconds of the limit, all at once
-			h.flood(h.dests[0], status, 1+i%8/4*2)
+			h.flood(h.destinations[0], status, 1+i%8/4*2)
 		}
 	}
 	f.pass(4, 20) // half of the limit
@@ -136,22 +136,22 @@
 	again := newFleet(60, 20)
 	owed := map[*Message]bool{}
 	for i, h := range f.nodes {
-		for d := range h.held.all() {
+		for earlier := range h.held.all() {
 			n := again.nodes[i]
-			doc := &Message{ID: d.ID, Dest: n.dests[0], Tenant: 9}
-			n.Recover(doc, status, 15, RecoveredState{Attempts: d.sent, FirstRanAt: d.ranFrom})
-			owed[doc] = true
+			message := &Message{ID: earlier.ID, Dest: n.destinations[0], Tenant: 9}
+			n.Recover(message, status, 15, RecoveredState{Attempts: earlier.attempts, FirstRanAt: earlier.firstRanAt})
+			owed[message] = true
 		}
 		for range 3 { // and what was handed in meanwhile
-			owed[again.nodes[i].take(again.nodes[i].dests[0], status, 0)] = true
+			owed[again.nodes[i].accept(again.nodes[i].destinations[0], status, 0)] = true
 		}
 	}
 	calls, full := again.pass(21, 0)
 	require.Less(t, float64(full), 0.5*float64(calls))
-	for doc := range owed {
-		answered := again.took[doc]
+	for message := range owed {
+		answered := again.took[message]
 		for _, h := range again.nodes {
-			answered += len(h.done[doc]) / len("rejected")
+			answered += len(h.done[message]) / len("rejected")
 		}
 		require.Equal(t, 1, answered)
 	}
@@ -162,7 +162,7 @@
 	f := newFleet(200, 20)
 	f.mute, f.hung = true, true
 	for _, h := range f.nodes {
-		h.terms.ListedRateTolerance, h.dests[0].listed = 1, 20
+		h.settings.ListedRateTolerance, h.destinations[0].listedRate = 1, 20
 	}
 	f.pass(10, 20)
 	calls, _ := f.pass(2, 0) // as it returns
--- a/scheduler/heap.go
+++ b/scheduler/heap.go
@@ -1,6 +1,6 @@
 package scheduler
 
-const shrinkFrom = 64 // members; the array of a smaller heap is kept when it empties
+const minShrinkCapacity = 64 // members; the array of a smaller heap is kept when it empties
 
 // ordering is the order of a binary heap and the place where each member keeps its own position in it, so that any
 // member can be removed in logarithmic time. A member is in at most one heap of an ordering at a time.
@@ -32,7 +32,7 @@
 		o.down(h, i)
 		o.up(h, int(*o.position(moved))-1)
 	}
-	if cap(h) > shrinkFrom && len(h) < cap(h)/4 {
+	if cap(h) > minShrinkCapacity && len(h) < cap(h)/4 {
 		h = append(make([]T, 0, cap(h)/2), h...)
 	}
 	*heap = h
--- a/scheduler/heap_test.go
+++ b/scheduler/heap_test.go
@@ -51,7 +51,7 @@
 		requireHeap(t, heap)
 	}
 	require.Empty(t, heap)
-	require.LessOrEqual(t, cap(heap), 2*shrinkFrom, "a heap that was large gives its memory back")
+	require.LessOrEqual(t, cap(heap), 2*minShrinkCapacity, "a heap that was large gives its memory back")
 }
 
 func TestFirstAndVisitFindWhatAWalkWouldFind(t *testing.T) {
--- a/scheduler/held.go
+++ b/scheduler/held.go
@@ -11,256 +11,256 @@
 	count       int
 }
 
-func (l *heldList) add(d *Message) {
-	d.previous = l.last
+func (l *heldList) add(message *Message) {
+	message.previous = l.last
 	if l.last == nil {
-		l.first = d
+		l.first = message
 	} else {
-		l.last.next = d
+		l.last.next = message
 	}
-	l.last = d
+	l.last = message
 	l.count++
 }
 
-func (l *heldList) remove(d *Message) {
-	if d.previous == nil {
-		l.first = d.next
+func (l *heldList) remove(message *Message) {
+	if message.previous == nil {
+		l.first = message.next
 	} else {
-		d.previous.next = d.next
+		message.previous.next = message.next
 	}
-	if d.next == nil {
-		l.last = d.previous
+	if message.next == nil {
+		l.last = message.previous
 	} else {
-		d.next.previous = d.previous
+		message.next.previous = message.previous
 	}
-	d.previous, d.next = nil, nil
+	message.previous, message.next = nil, nil
 	l.count--
 }
 
 func (l *heldList) all() iter.Seq[*Message] {
 	return func(yield func(*Message) bool) {
-		for d := l.first; d != nil; d = d.next {
-			if !yield(d) {
+		for message := l.first; message != nil; message = message.next {
+			if !yield(message) {
 				return
 			}
 		}
 	}
 }
 
-// class is a destination's held messages of one type that are alike in being beyond their tenant's share or not, in
+// shedClass is a destination's held messages of one type that are alike in being beyond their tenant's share or not, in
 // the order of taking: what may have to make room for others. Messages that a restart found untried are in none.
-type class struct {
-	docType     *MessageType
+type shedClass struct {
+	messageType *MessageType
 	surplus     bool
 	first, last *Message
 }
 
-// classify enters a message that was just taken in its class.
-func (d *Destination) classify(doc *Message) {
-	c := d.class(doc)
-	doc.class, doc.classPrevious = c, c.last
-	if c.last == nil {
-		c.first = doc
+// addToShedClass enters a message that was just taken in its class.
+func (d *Destination) addToShedClass(message *Message) {
+	class := d.findShedClass(message)
+	message.shedClass, message.shedPrevious = class, class.last
+	if class.last == nil {
+		class.first = message
 	} else {
-		c.last.classNext = doc
+		class.last.shedNext = message
 	}
-	c.last = doc
+	class.last = message
 }
 
-func (d *Destination) class(doc *Message) *class {
-	for _, c := range d.classes {
-		if c.docType == doc.typ && c.surplus == doc.surplus {
-			return c
+func (d *Destination) findShedClass(message *Message) *shedClass {
+	for _, class := range d.shedClasses {
+		if class.messageType == message.messageType && class.surplus == message.overQuota {
+			return class
 		}
 	}
-	c := &class{docType: doc.typ, surplus: doc.surplus}
-	d.classes = append(d.classes, c)
-	return c
+	class := &shedClass{messageType: message.messageType, surplus: message.overQuota}
+	d.shedClasses = append(d.shedClasses, class)
+	return class
 }
 
-// declassify takes a message out of its class.
-func (doc *Message) declassify() {
-	c := doc.class
-	if c == nil {
+// leaveShedClass takes a message out of its class.
+func (m *Message) leaveShedClass() {
+	class := m.shedClass
+	if class == nil {
 		return
 	}
-	if doc.classPrevious == nil {
-		c.first = doc.classNext
+	if m.shedPrevious == nil {
+		class.first = m.shedNext
 	} else {
-		doc.classPrevious.classNext = doc.classNext
+		m.shedPrevious.shedNext = m.shedNext
 	}
-	if doc.classNext == nil {
-		c.last = doc.classPrevious
+	if m.shedNext == nil {
+		class.last = m.shedPrevious
 	} else {
-		doc.classNext.classPrevious = doc.classPrevious
+		m.shedNext.shedPrevious = m.shedPrevious
 	}
-	doc.class, doc.classPrevious, doc.classNext = nil, nil, nil
+	m.shedClass, m.shedPrevious, m.shedNext = nil, nil, nil
 }
 
 // oldest is the first message of a class that waits for a call, nil if none does.
-func (c *class) oldest() *Message {
-	doc := c.first
-	for doc != nil && !doc.queued {
-		doc = doc.classNext
+func (c *shedClass) oldest() *Message {
+	message := c.first
+	for message != nil && !message.queued {
+		message = message.shedNext
 	}
-	return doc
+	return message
 }
 
-// cheapest is the message of a class that waits, surely has not run and is worth least now; of several the latest.
+// leastValuable is the message of a class that waits, surely has not run and is worth least now; of several the latest.
 // While value does not change with age the search ends at the first one from the end of the class.
-func (f *Scheduler) cheapest(c *class) *Message {
+func (s *Scheduler) leastValuable(class *shedClass) *Message {
 	var least *Message
-	for doc := c.last; doc != nil; doc = doc.classPrevious {
-		if !doc.queued || doc.ranFrom != 0 {
+	for message := class.last; message != nil; message = message.shedPrevious {
+		if !message.queued || message.firstRanAt != 0 {
 			continue
 		}
-		if least == nil || f.worth(doc) < f.worth(least) {
-			least = doc
+		if least == nil || s.currentValue(message) < s.currentValue(least) {
+			least = message
 		}
-		if !f.terms.HalvingValue {
+		if !s.settings.HalvingValue {
 			break
 		}
 	}
 	return least
 }
 
-// victim is the waiting message of a destination that makes room for others: of those that surely have not run the one
+// shedCandidate is the waiting message of a destination that makes room for others: of those that surely have not run the one
 // worth least, of several the latest; the oldest one if only it is worth less or nothing else waits. Nil: none waits.
-func (f *Scheduler) victim(d *Destination) *Message {
-	if d == nil {
+func (s *Scheduler) shedCandidate(destination *Destination) *Message {
+	if destination == nil {
 		return nil
 	}
 	var oldest, least *Message
-	for _, c := range d.classes {
-		if doc := c.oldest(); doc != nil && (oldest == nil || doc.taking < oldest.taking) {
-			oldest = doc
+	for _, class := range destination.shedClasses {
+		if message := class.oldest(); message != nil && (oldest == nil || message.sequence < oldest.sequence) {
+			oldest = message
 		}
-		doc := f.cheapest(c)
-		if doc == nil {
+		message := s.leastValuable(class)
+		if message == nil {
 			continue
 		}
-		if least == nil || f.dearer(least, doc) || !f.dearer(doc, least) && doc.taking > least.taking {
-			least = doc
+		if least == nil || s.worthMore(least, message) || !s.worthMore(message, least) && message.sequence > least.sequence {
+			least = message
 		}
 	}
-	if least == nil || f.dearer(least, oldest) {
+	if least == nil || s.worthMore(least, oldest) {
 		return oldest
 	}
 	return least
 }
 
-// chain is the messages of one ordering key that are not over, in the order of taking.
-type chain struct {
-	first, last *Message
-	rest        float64 // nothing new before
+// keyQueue is the messages of one ordering key that are not over, in the order of taking.
+type keyQueue struct {
+	first, last   *Message
+	cooldownUntil float64 // nothing new before
 }
 
-// chain puts a message behind the earlier ones of its key.
-func (f *Scheduler) chain(d *Message) {
-	if !d.typ.InOrder || d.Key == 0 {
+// joinKeyQueue puts a message behind the earlier ones of its key.
+func (s *Scheduler) joinKeyQueue(message *Message) {
+	if !message.messageType.InOrder || message.Key == 0 {
 		return
 	}
-	if d.chain = f.chains[d.Key]; d.chain == nil {
-		f.forgetRestedKeys()
-		d.chain = &chain{}
-		f.chains[d.Key] = d.chain
+	if message.keyQueue = s.keyQueues[message.Key]; message.keyQueue == nil {
+		s.dropIdleKeys()
+		message.keyQueue = &keyQueue{}
+		s.keyQueues[message.Key] = message.keyQueue
 	}
-	c := d.chain
-	d.chainPrevious = c.last
-	if c.last == nil {
-		c.first = d
+	queue := message.keyQueue
+	message.keyPrevious = queue.last
+	if queue.last == nil {
+		queue.first = message
 	} else {
-		c.last.chainNext = d
+		queue.last.keyNext = message
 	}
-	c.last = d
+	queue.last = message
 }
 
-// forgetRestedKeys lets go of the keys whose last message ended while they rested, once there are many.
-func (f *Scheduler) forgetRestedKeys() {
-	if len(f.chains) <= 2*f.held.count+64 {
+// dropIdleKeys lets go of the keys whose last message ended while they rested, once there are many.
+func (s *Scheduler) dropIdleKeys() {
+	if len(s.keyQueues) <= 2*s.held.count+64 {
 		return
 	}
-	for key, c := range f.chains {
-		if c.first == nil && c.rest <= f.now {
-			delete(f.chains, key)
+	for key, queue := range s.keyQueues {
+		if queue.first == nil && queue.cooldownUntil <= s.now {
+			delete(s.keyQueues, key)
 		}
 	}
 }
 
-// unchain lets go of a message of which nothing more can be heard. The next one of its key may be sent then.
-func (f *Scheduler) unchain(d *Message) {
-	if !d.Finished() {
+// leaveKeyQueue lets go of a message of which nothing more can be heard. The next one of its key may be sent then.
+func (s *Scheduler) leaveKeyQueue(message *Message) {
+	if !message.Finished() {
 		return
 	}
-	if !d.freed {
-		d.freed = true
-		f.kept -= d.Size
+	if !message.bytesReleased {
+		message.bytesReleased = true
+		s.storedBytes -= message.Size
 	}
-	c := d.chain
-	if c == nil {
+	queue := message.keyQueue
+	if queue == nil {
 		return
 	}
-	d.chain = nil
-	wasFirst := c.first == d
-	c.remove(d)
-	if c.first == nil {
-		if c.rest <= f.now {
-			delete(f.chains, d.Key)
+	message.keyQueue = nil
+	wasFirst := queue.first == message
+	queue.remove(message)
+	if queue.first == nil {
+		if queue.cooldownUntil <= s.now {
+			delete(s.keyQueues, message.Key)
 		}
-	} else if wasFirst && c.first.queued {
-		c.first.expose()
+	} else if wasFirst && queue.first.queued {
+		queue.first.expose()
 	}
 }
 
-func (c *chain) remove(d *Message) {
-	if d.chainPrevious == nil {
-		c.first = d.chainNext
+func (q *keyQueue) remove(message *Message) {
+	if message.keyPrevious == nil {
+		q.first = message.keyNext
 	} else {
-		d.chainPrevious.chainNext = d.chainNext
+		message.keyPrevious.keyNext = message.keyNext
 	}
-	if d.chainNext == nil {
-		c.last = d.chainPrevious
+	if message.keyNext == nil {
+		q.last = message.keyPrevious
 	} else {
-		d.chainNext.chainPrevious = d.chainPrevious
+		message.keyNext.keyPrevious = message.keyPrevious
 	}
-	d.chainPrevious, d.chainNext = nil, nil
+	message.keyPrevious, message.keyNext = nil, nil
 }
 
 // NextOfKey is the next message of the same ordering key that is not over, in the order of taking; nil if there is none
 // or the message's type does not keep the order of keys.
-func (d *Message) NextOfKey() *Message { return d.chainNext }
+func (m *Message) NextOfKey() *Message { return m.keyNext }
 
 // ResultRetryAfter tells that a message waits for a call: it may be taken back by Withdraw without a trace.
-func (d *Message) Waiting() bool { return d.queued }
+func (m *Message) Waiting() bool { return m.queued }
 
 // Dark tells that no endpoint of a destination answers.
-func (f *Scheduler) Dark(d *Destination) bool { return f.dark(d) }
+func (s *Scheduler) Dark(destination *Destination) bool { return s.allEjected(destination) }
 
 // Stored counts a message for a destination that is kept elsewhere from its taking on: it is asked for all the same.
-func (f *Scheduler) Stored(d *Destination) { d.taken++ }
+func (s *Scheduler) Stored(destination *Destination) { destination.accepted++ }
 
 // Uncount takes a message off what a destination is asked for: it was counted before, or by an earlier process.
-func (f *Scheduler) Uncount(d *Destination) { d.taken-- }
+func (s *Scheduler) Uncount(destination *Destination) { destination.accepted-- }
 
 // Answered tells that a destination has answered as it should since the start.
-func (f *Scheduler) Answered(d *Destination) bool {
-	return slices.ContainsFunc(d.targets, func(t *Endpoint) bool { return t.lastGood > 0 })
+func (s *Scheduler) Answered(destination *Destination) bool {
+	return slices.ContainsFunc(destination.endpoints, func(endpoint *Endpoint) bool { return endpoint.lastSuccess > 0 })
 }
 
 // TakeBack takes a message that was kept elsewhere, with its history, before anything newer of its key.
-func (f *Scheduler) TakeBack(d *Message, typ int, left float64, past RecoveredState) {
-	if past.Attempts > 0 {
-		f.Recover(d, typ, left, past)
+func (s *Scheduler) TakeBack(message *Message, messageType int, left float64, recovered RecoveredState) {
+	if recovered.Attempts > 0 {
+		s.Recover(message, messageType, left, recovered)
 	} else {
-		f.Accept(d, typ, left)
+		s.Accept(message, messageType, left)
 	}
 }
 
 // GiveUp takes a message that was kept elsewhere, with its history, and has the next settling answer it without a call.
-func (f *Scheduler) GiveUp(d *Message, typ int, left float64, past RecoveredState) {
-	f.Recover(d, typ, left, past)
-	f.Uncount(d.Dest)
-	if !d.answered {
-		f.answer(d)
+func (s *Scheduler) GiveUp(message *Message, messageType int, left float64, recovered RecoveredState) {
+	s.Recover(message, messageType, left, recovered)
+	s.Uncount(message.Dest)
+	if !message.answered {
+		s.rejectOrFail(message)
 	}
 }
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -4,116 +4,116 @@
 
 // lane is a tenant's messages that wait for their first call.
 type lane struct {
-	waiting int         // messages, those behind others of their key included
-	queues  []typeQueue // by type, of those types that came here
-	ringed  bool
-	dearest bool // the latest turn went by value
+	waiting    int         // messages, those behind others of their key included
+	queues     []typeQueue // by type, of those types that came here
+	inRotation bool
+	byValue    bool // the latest turn went by value
 }
 
 // typeQueue is the messages of one type in a lane that no other of their key is before: a heap in the order of taking.
 type typeQueue struct {
-	docType *MessageType
-	docs    []*Message
+	messageType *MessageType
+	messages    []*Message
 }
 
 // retryLane is a destination's messages that wait for a further call, without those behind others of their key.
 type retryLane struct {
-	docs    []*Message // heap in the order of coming back
-	closing []*Message // the same messages, a heap by the time from which they go before fresh ones
+	messages []*Message // heap in the order of coming back
+	urgent   []*Message // the same messages, a heap by the time from which they go before fresh ones
 }
 
 var (
 	byRank = ordering[*Message]{
 		before:   func(a, b *Message) bool { return a.rank < b.rank },
-		position: func(d *Message) *int32 { return &d.queueAt },
+		position: func(message *Message) *int32 { return &message.queuePosition },
 	}
-	byClosing = ordering[*Message]{
-		before:   func(a, b *Message) bool { return a.closesAt() < b.closesAt() },
-		position: func(d *Message) *int32 { return &d.closingAt },
+	byUrgency = ordering[*Message]{
+		before:   func(a, b *Message) bool { return a.urgentAt() < b.urgentAt() },
+		position: func(message *Message) *int32 { return &message.urgencyPosition },
 	}
 )
 
-func (f *Scheduler) nextRank() uint64 {
-	f.rank++
-	return f.rank
+func (s *Scheduler) nextRank() uint64 {
+	s.lastRank++
+	return s.lastRank
 }
 
 // enqueue makes a message wait for a call, in its lane or, if it has none, among the retries.
-func (f *Scheduler) enqueue(d *Message) {
-	d.queued = true
-	d.Dest.waiting++
-	if d.lane != nil {
-		d.lane.waiting++
+func (s *Scheduler) enqueue(message *Message) {
+	message.queued = true
+	message.Dest.waiting++
+	if message.lane != nil {
+		message.lane.waiting++
 	}
-	if d.chain == nil || d.chain.first == d {
-		d.expose()
+	if message.keyQueue == nil || message.keyQueue.first == message {
+		message.expose()
 	}
-	if !d.Dest.ringed {
-		d.Dest.ringed = true
-		f.ring.add(d.Dest)
+	if !message.Dest.inRing {
+		message.Dest.inRing = true
+		s.ring.add(message.Dest)
 	}
 }
 
 // retry makes a message wait for a further call.
-func (f *Scheduler) retry(d *Message) {
-	d.rank = f.nextRank()
-	f.enqueue(d)
+func (s *Scheduler) retry(message *Message) {
+	message.rank = s.nextRank()
+	s.enqueue(message)
 }
 
 // resume makes a message that a restart found wait as its history asks for: untried, or for a further call.
-func (f *Scheduler) resume(d *Message) {
-	if d.owed {
-		d.declassify() // it is not given up for room
+func (s *Scheduler) resume(message *Message) {
+	if message.recoveredUntried {
+		message.leaveShedClass() // it is not given up for room
 	} else {
-		f.dequeue(d)
-		f.retry(d)
+		s.dequeue(message)
+		s.retry(message)
 	}
-	f.await(d)
+	s.awaitCall(message)
 }
 
 // dequeue ends a message's waiting. It can come back only as a retry.
-func (f *Scheduler) dequeue(d *Message) {
-	if !d.queued {
+func (s *Scheduler) dequeue(message *Message) {
+	if !message.queued {
 		return
 	}
-	d.queued = false
-	if d.Dest.waiting--; d.Dest.waiting == 0 {
-		f.ring.unpark(d.Dest.node)
+	message.queued = false
+	if message.Dest.waiting--; message.Dest.waiting == 0 {
+		s.ring.unpark(message.Dest.ringNode)
 	}
-	if d.lane == nil {
-		d.Dest.retries.remove(d)
+	if message.lane == nil {
+		message.Dest.retries.remove(message)
 		return
 	}
-	d.lane.waiting--
-	d.lane.remove(d)
-	d.lane = nil
+	message.lane.waiting--
+	message.lane.remove(message)
+	message.lane = nil
 }
 
 // expose makes a waiting message that no other of its key is before visible to turns.
-func (d *Message) expose() {
-	if d.lane == nil {
-		d.Dest.retries.add(d)
+func (m *Message) expose() {
+	if m.lane == nil {
+		m.Dest.retries.add(m)
 	} else {
-		d.lane.add(d)
+		m.lane.add(m)
 	}
 }
 
-func (l *lane) add(d *Message) {
+func (l *lane) add(message *Message) {
 	for i := range l.queues {
-		if l.queues[i].docType == d.typ {
-			byRank.push(&l.queues[i].docs, d)
+		if l.queues[i].messageType == message.messageType {
+			byRank.push(&l.queues[i].messages, message)
 			return
 		}
 	}
-	q := typeQueue{docType: d.typ}
-	byRank.push(&q.docs, d)
+	q := typeQueue{messageType: message.messageType}
+	byRank.push(&q.messages, message)
 	l.queues = append(l.queues, q)
 }
 
-func (l *lane) remove(d *Message) {
+func (l *lane) remove(message *Message) {
 	for i := range l.queues {
-		if l.queues[i].docType == d.typ {
-			byRank.remove(&l.queues[i].docs, d)
+		if l.queues[i].messageType == message.messageType {
+			byRank.remove(&l.queues[i].messages, message)
 		}
 	}
 }
@@ -122,64 +122,64 @@
 func (l *lane) first(accept func(*Message) bool) *Message {
 	var next *Message
 	for _, q := range l.queues {
-		if d, found := byRank.first(q.docs, accept); found && (next == nil || d.rank < next.rank) {
-			next = d
+		if message, found := byRank.first(q.messages, accept); found && (next == nil || message.rank < next.rank) {
+			next = message
 		}
 	}
 	return next
 }
 
-// dearestOf is the accepted message of a lane that is worth most now, of several the earliest. While value does not
+// mostValuable is the accepted message of a lane that is worth most now, of several the earliest. While value does not
 // change with age that is the first of a type; else all that waits in the lane is looked at.
-func (f *Scheduler) dearestOf(l *lane, accept func(*Message) bool) *Message {
+func (s *Scheduler) mostValuable(lane *lane, accept func(*Message) bool) *Message {
 	var next *Message
-	consider := func(d *Message) {
-		if next == nil || f.dearer(d, next) || !f.dearer(next, d) && d.rank < next.rank {
-			next = d
+	consider := func(message *Message) {
+		if next == nil || s.worthMore(message, next) || !s.worthMore(next, message) && message.rank < next.rank {
+			next = message
 		}
 	}
-	for _, q := range l.queues {
-		if !f.terms.HalvingValue {
-			if d, found := byRank.first(q.docs, accept); found {
-				consider(d)
+	for _, q := range lane.queues {
+		if !s.settings.HalvingValue {
+			if message, found := byRank.first(q.messages, accept); found {
+				consider(message)
 			}
 			continue
 		}
-		for _, d := range q.docs {
-			if accept(d) {
-				consider(d)
+		for _, message := range q.messages {
+			if accept(message) {
+				consider(message)
 			}
 		}
 	}
 	return next
 }
 
-func (r *retryLane) add(d *Message) {
-	byRank.push(&r.docs, d)
-	byClosing.push(&r.closing, d)
+func (r *retryLane) add(message *Message) {
+	byRank.push(&r.messages, message)
+	byUrgency.push(&r.urgent, message)
 }
 
-func (r *retryLane) remove(d *Message) {
-	byRank.remove(&r.docs, d)
-	byClosing.remove(&r.closing, d)
+func (r *retryLane) remove(message *Message) {
+	byRank.remove(&r.messages, message)
+	byUrgency.remove(&r.urgent, message)
 }
 
 // first is the earliest message that is accepted, nil if none is.
 func (r *retryLane) first(accept func(*Message) bool) *Message {
-	d, _ := byRank.first(r.docs, accept)
-	return d
+	message, _ := byRank.first(r.messages, accept)
+	return message
 }
 
-// anyClosing tells if some message soon cannot be sent any more.
-func (r *retryLane) anyClosing(now float64) bool {
-	return len(r.closing) > 0 && now > r.closing[0].closesAt()
+// anyUrgent tells if some message soon cannot be sent any more.
+func (r *retryLane) anyUrgent(now float64) bool {
+	return len(r.urgent) > 0 && now > r.urgent[0].urgentAt()
 }
 
-// closesAt is when a retry begins to go before fresh messages.
-func (d *Message) closesAt() float64 {
-	at := d.expiry - d.typ.TimeToLive/2
-	if d.ranFrom > 0 && d.typ.Idempotency == IdempotentWithKey {
-		at = math.Min(at, d.ranFrom+d.typ.DeduplicationWindow/3)
+// urgentAt is when a retry begins to go before fresh messages.
+func (m *Message) urgentAt() float64 {
+	at := m.deadline - m.messageType.TimeToLive/2
+	if m.firstRanAt > 0 && m.messageType.Idempotency == IdempotentWithKey {
+		at = math.Min(at, m.firstRanAt+m.messageType.DeduplicationWindow/3)
 	}
 	return at
 }
--- a/scheduler/port.go
+++ b/scheduler/port.go
@@ -100,12 +100,12 @@
 
 // Host carries out what a forwarder decides. All calls are made from within Reconcile.
 type Host interface {
-	Send(d *Message, t *Endpoint, timeout float64)
-	Reject(d *Message, comeBack float64)
-	Fail(d *Message)
-	CancelUnsent(t *Endpoint) // ends the calls to an endpoint of which nothing has been sent, as NotSent
-	CloseIdle(t *Endpoint)
-	ReleaseEndpoint(t *Endpoint) // it is gone and nothing is heard of it any more
+	Send(message *Message, endpoint *Endpoint, timeout float64)
+	Reject(message *Message, comeBack float64)
+	Fail(message *Message)
+	CancelUnsent(endpoint *Endpoint) // ends the calls to an endpoint of which nothing has been sent, as NotSent
+	CloseIdle(endpoint *Endpoint)
+	ReleaseEndpoint(endpoint *Endpoint) // it is gone and nothing is heard of it any more
 	Wake(in float64)
 	WatchEndpoints()
 	Log(line string)
--- a/scheduler/ramp_test.go
+++ b/scheduler/ramp_test.go
@@ -7,32 +7,32 @@
 )
 
 func TestReturningEndpointGetsATrickleThenARamp(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(0, 0)
+	h := newFake(testSettings)
+	d := h.addDestination(0, 0)
 	for range 40 { // two a second for twenty seconds
-		h.take(d, status, 0)
-		h.settle()
-		h.answers(d, Delivered)
-		h.pass(0.5)
+		h.accept(d, status, 0)
+		h.reconcile()
+		h.endAttempts(d, Delivered)
+		h.advance(0.5)
 	}
 	for range 4 {
-		h.take(d, status, 0)
-		h.settle()
-		h.answers(d, TimedOut)
+		h.accept(d, status, 0)
+		h.reconcile()
+		h.endAttempts(d, TimedOut)
 	}
-	require.Equal(t, sick, d.targets[0].state)
+	require.Equal(t, ejected, d.endpoints[0].health)
 	h.flood(d, status, 15)
 	n := len(h.sent)
 	for range 100 {
-		h.pass(0.1)
-		h.answers(d, TimedOut)
+		h.advance(0.1)
+		h.endAttempts(d, TimedOut)
 	}
 	require.InDelta(t, 7, len(h.sent)-n, 4) // a trial every two seconds or so, not fifteen messages at once
-	h.pass(3)
+	h.advance(3)
 	n = len(h.sent)
-	h.answers(d, Delivered)
-	require.Equal(t, back, d.targets[0].state)
-	h.pass(1.4)
+	h.endAttempts(d, Delivered)
+	require.Equal(t, recovering, d.endpoints[0].health)
+	h.advance(1.4)
 	require.LessOrEqual(t, len(h.sent)-n, 2)
 }
 
@@ -40,17 +40,17 @@
 // all that waited for it at once.
 func TestAnEndpointBackFromOperatorsIsPacedUp(t *testing.T) {
 	sentIn := func(cold bool) int {
-		h := start(terms)
-		d := h.receiver(0, 0)
-		tgt := d.targets[0]
+		h := newFake(testSettings)
+		d := h.addDestination(0, 0)
+		tgt := d.endpoints[0]
 		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Draining}})
 		h.flood(d, status, 30)
-		h.pass(0.5)
+		h.advance(0.5)
 		require.Empty(t, h.sent)
 		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Ready, WarmingUp: cold}})
 		for range 25 { // a second, each call answered at once
-			h.pass(0.04)
-			h.answers(d, Delivered)
+			h.advance(0.04)
+			h.endAttempts(d, Delivered)
 		}
 		return len(h.sent)
 	}
@@ -65,35 +65,35 @@
 // ramp goes by what it got done, not by what was asked of it.
 func TestARampGoesByWhatADestinationGotDone(t *testing.T) {
 	met := func(done int) int { // calls in the first four seconds of its return, of twelve a second asked
-		h := start(terms)
-		d := h.receiver(0, 0)
-		h.busy(d)
+		h := newFake(testSettings)
+		d := h.addDestination(0, 0)
+		h.keepBusy(d)
 		for range 10 {
 			for i := range 12 {
-				h.take(d, payment, 0)
-				h.pass(0.08)
+				h.accept(d, payment, 0)
+				h.advance(0.08)
 				if i < done {
-					h.answers(d, Delivered)
+					h.endAttempts(d, Delivered)
 				} else {
-					h.answers(d, Overloaded)
+					h.endAttempts(d, Overloaded)
 				}
 			}
 		}
 		for range 100 { // an outage
-			h.take(d, payment, 0)
-			h.pass(0.08)
-			h.answers(d, NoConnection)
+			h.accept(d, payment, 0)
+			h.advance(0.08)
+			h.endAttempts(d, NoConnection)
 		}
-		for d.targets[0].Ejected() { // it is back: a trial succeeds
-			h.take(d, payment, 0)
-			h.pass(0.08)
-			h.answers(d, Delivered)
+		for d.endpoints[0].Ejected() { // it is back: a trial succeeds
+			h.accept(d, payment, 0)
+			h.advance(0.08)
+			h.endAttempts(d, Delivered)
 		}
 		before := len(h.sent)
 		for range 50 {
-			h.take(d, payment, 0)
-			h.pass(0.08)
-			h.answers(d, Delivered)
+			h.accept(d, payment, 0)
+			h.advance(0.08)
+			h.endAttempts(d, Delivered)
 		}
 		return len(h.sent) - before
 	}
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -9,139 +9,139 @@
 // Stories of rare moments: what a restart finds, a list that falls silent, one that is not heard yet.
 
 func TestWhatARestartFindsUntriedIsTriedThoughLittleTimeIsLeft(t *testing.T) {
-	h := start(onSockets())
-	d := h.receiver(0, 0)
-	slow := make([]float64, len(d.took.bins))
-	slow[d.took.bin(4)] = 5
+	h := newFake(onSockets())
+	d := h.addDestination(0, 0)
+	slow := make([]float64, len(d.latency.counts))
+	slow[d.latency.bin(4)] = 5
 	require.True(t, h.RestoreLatencies(d, slow))
 	owed, fresh := &Message{Dest: d}, &Message{Dest: d}
 	h.Recover(owed, status, 0.3, RecoveredState{})
 	h.Accept(fresh, status, 0.3)
-	fresh.time = 20 // it waited here for most of its life
-	h.settle()
+	fresh.lifetime = 20 // it waited here for most of its life
+	h.reconcile()
 	require.Equal(t, "rejected", h.done[fresh], "calls mostly take longer")
 	require.Empty(t, h.done[owed])
-	require.Equal(t, owed, h.sent[0].doc)
-	h.pass(0.4)
+	require.Equal(t, owed, h.sent[0].message)
+	h.advance(0.4)
 	require.Equal(t, "rejected", h.done[owed], "tried, and answered in its time")
 }
 
 func TestAWaitOfBeforeDoesNotGiveUpWhatARestartFoundUntried(t *testing.T) {
-	h := start(onSockets())
-	d := h.receiver(0, 0)
+	h := newFake(onSockets())
+	d := h.addDestination(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 2, RecoveredState{})
-	h.BlockUntil(d.targets[0], h.now+30)
-	h.settle()
+	h.BlockUntil(d.endpoints[0], h.now+30)
+	h.reconcile()
 	require.Empty(t, h.done, "it is held as long as there is time: another target may come")
 	sibling := &Endpoint{ID: 9}
 	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: sibling, Destination: d, Kind: 0, State: Ready}})
-	sibling.route = &Route{filled: h.now}
-	h.pass(0.4)
-	require.Equal(t, owed, h.sent[0].doc)
+	sibling.route = &Route{refilledAt: h.now}
+	h.advance(0.4)
+	require.Equal(t, owed, h.sent[0].message)
 }
 
 // Of hundreds that a restart finds, those that would arrive too late leave the places to those that are in time.
 func TestWhatARestartFoundIsNotSentTooLateInThePlaceOfOthers(t *testing.T) {
-	h := start(onSockets())
-	d := h.receiver(0, 0)
+	h := newFake(onSockets())
+	d := h.addDestination(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 4, RecoveredState{})
-	h.BlockUntil(d.targets[0], h.now+3.8)
-	h.pass(3.9) // calls take 0.9 s, as far as is known
+	h.BlockUntil(d.endpoints[0], h.now+3.8)
+	h.advance(3.9) // calls take 0.9 s, as far as is known
 	require.Empty(t, h.sent)
 	require.Equal(t, "rejected", h.done[owed])
 }
 
 func TestACrowdedRoomKeepsWhatARestartFoundUntried(t *testing.T) {
-	h := start(onSockets())
+	h := newFake(onSockets())
 	d := h.NewDestination(1)
 	owed := map[*Message]bool{}
-	for range h.terms.QueueCapacity {
-		doc := &Message{Dest: d}
-		owed[doc] = true
-		h.Recover(doc, status, 20, RecoveredState{})
+	for range h.settings.QueueCapacity {
+		message := &Message{Dest: d}
+		owed[message] = true
+		h.Recover(message, status, 20, RecoveredState{})
 	}
-	h.settle()
+	h.reconcile()
 	require.Empty(t, h.done)
 	require.False(t, admits(h, 1, 8), "the door is shut meanwhile")
 }
 
 func TestAListThatFellSilentIsAskedForBeforeWhatItMissedCountsAsTold(t *testing.T) {
-	asks := terms
+	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	for seed := range uint64(50) {
-		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
+		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
 		h.Scheduler = New(asks, seed, h.now, h)
-		h.settle()
-		require.Equal(t, 1, h.asks, "nothing known: at once")
-		h.pass(5)
+		h.reconcile()
+		require.Equal(t, 1, h.polls, "nothing known: at once")
+		h.advance(5)
 		h.WatchSilent()
-		h.pass(1.02)
-		require.Equal(t, 2, h.asks, "it was silent for three seconds when that was noticed, and six count as told")
+		h.advance(1.02)
+		require.Equal(t, 2, h.polls, "it was silent for three seconds when that was noticed, and six count as told")
 	}
 }
 
 func TestAnAgentsListIsHeardBeforeAnythingIsSent(t *testing.T) {
 	told := onSockets()
 	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
-	h := start(told)
-	d := h.receiver(0, 0) // as last known: by now it may drain
-	h.take(d, status, 0)
-	h.settle()
-	require.Equal(t, 1, h.asks, "nobody else asks this agent: no need to spread")
+	h := newFake(told)
+	d := h.addDestination(0, 0) // as last known: by now it may drain
+	h.accept(d, status, 0)
+	h.reconcile()
+	require.Equal(t, 1, h.polls, "nobody else asks this agent: no need to spread")
 	require.Empty(t, h.sent)
 	h.now += 0.01
-	h.settle()
-	h.UpdateEndpoints(true, []EndpointUpdate{{Endpoint: d.targets[0], Destination: d, Kind: 0, State: Draining}})
-	h.pass(1)
+	h.reconcile()
+	h.UpdateEndpoints(true, []EndpointUpdate{{Endpoint: d.endpoints[0], Destination: d, Kind: 0, State: Draining}})
+	h.advance(1)
 	require.Empty(t, h.sent)
 
-	h = start(told)
-	d = h.receiver(0, 0)
-	h.take(d, status, 0)
-	h.pass(0.02)
+	h = newFake(told)
+	d = h.addDestination(0, 0)
+	h.accept(d, status, 0)
+	h.advance(0.02)
 	h.PollTimedOut() // discovery is down: the agent knows nothing either
-	h.pass(0.02)
+	h.advance(0.02)
 	require.Len(t, h.sent, 1)
 }
 
 func TestAnAgentIsAskedAgainAtOnceHoweverLongDiscoveryWasDown(t *testing.T) {
 	told := onSockets()
 	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
-	h := start(told)
-	h.receiver(0, 0)
-	h.settle()
+	h := newFake(told)
+	h.addDestination(0, 0)
+	h.reconcile()
 	for n := range 10 { // each question goes wrong at once
-		require.Equal(t, n+1, h.asks)
+		require.Equal(t, n+1, h.polls)
 		h.PollTimedOut()
-		h.pass(0.56)
+		h.advance(0.56)
 	}
 }
 
 func TestADeliveryOnTheEdgeOfItsTimeIsToldTooAndItsKeyWaits(t *testing.T) {
-	h := start(onSockets())
-	d := h.receiver(0, 0)
+	h := newFake(onSockets())
+	d := h.addDestination(0, 0)
 	onEdge := func(noticed bool, ends float64) *Message {
-		doc := &Message{Dest: d, Key: 5, AnsweredByNotice: noticed}
-		h.Accept(doc, ticket, 1)
-		h.settle()
+		message := &Message{Dest: d, Key: 5, AnsweredByNotice: noticed}
+		h.Accept(message, ticket, 1)
+		h.reconcile()
 		h.now += ends
 		h.SetTime(h.now)
-		h.ends(doc, Delivered, 0)
-		h.settle()
-		return doc
+		h.endAttempt(message, Delivered, 0)
+		h.reconcile()
+		return message
 	}
 	require.Empty(t, h.done[onEdge(true, 0.8)], "in its time by any clock")
 	require.Empty(t, h.done[onEdge(false, 0.98)], "nobody judges it by another clock")
 	first := onEdge(true, 0.98)
 	require.Equal(t, "abandoned", h.done[first])
-	next := h.take(d, ticket, 5)
-	h.pass(0.2)
-	require.NotEqual(t, next, h.sent[len(h.sent)-1].doc, "the one before may count as open until its end is heard")
+	next := h.accept(d, ticket, 5)
+	h.advance(0.2)
+	require.NotEqual(t, next, h.sent[len(h.sent)-1].message, "the one before may count as open until its end is heard")
 	h.NoticeAcknowledged(first)
-	h.pass(0.04)
-	require.Equal(t, next, h.sent[len(h.sent)-1].doc)
+	h.advance(0.04)
+	require.Equal(t, next, h.sent[len(h.sent)-1].message)
 	require.Equal(t, "abandoned", h.done[first], "once")
 }
 
@@ -149,19 +149,19 @@
 // could be reached. A connection that never comes up takes a second and a half of that.
 func TestTheListIsAskedForSoonAfterAnOutageOfDiscoveryHoweverLong(t *testing.T) {
 	const toldIn, failsIn = 6.0, 1.5
-	asks := terms
+	asks := testSettings
 	asks.PollEndpoints = true
 	for _, within := range []float64{0, 2, 10} { // not stated, short, and long
 		for _, forwarders := range []int{1, 3, 30, 500} {
 			asks.PollWithin, asks.Forwarders = within, forwarders
 			for seed := range uint64(20) {
-				h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
+				h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
 				h.Scheduler = New(asks, seed, h.now, h)
-				h.settle()
+				h.reconcile()
 				for n := range 12 {
-					require.Equal(t, n+1, h.asks, "%d forwarders, asked within %v", forwarders, within)
+					require.Equal(t, n+1, h.polls, "%d forwarders, asked within %v", forwarders, within)
 					h.WatchBroken()
-					h.pass(toldIn - failsIn - 0.9) // what is left is for the answer
+					h.advance(toldIn - failsIn - 0.9) // what is left is for the answer
 				}
 			}
 		}
@@ -176,24 +176,24 @@
 	short.Types = append([]MessageType{}, short.Types...)
 	short.Types[ticket].DeduplicationWindow = window
 	for age := 0.0; age < 1.6; age += 0.04 { // of the call that was out when the process was killed
-		h := start(short)
-		d := h.receiver(0, 0, 0)
-		doc, ran := &Message{Dest: d, Key: 5}, h.now-age
-		h.Recover(doc, ticket, life, RecoveredState{Attempts: 1, FirstRanAt: ran})
-		h.settle()
+		h := newFake(short)
+		d := h.addDestination(0, 0, 0)
+		message, ran := &Message{Dest: d, Key: 5}, h.now-age
+		h.Recover(message, ticket, life, RecoveredState{Attempts: 1, FirstRanAt: ran})
+		h.reconcile()
 		for h.now < 100+life {
-			h.pass(0.02)
-			if n := len(h.sent); n > 0 && doc.call != nil && h.now >= h.sent[n-1].at+h.sent[n-1].timeout {
-				h.ends(doc, TimedOut, 0)
+			h.advance(0.02)
+			if n := len(h.sent); n > 0 && message.call != nil && h.now >= h.sent[n-1].at+h.sent[n-1].timeout {
+				h.endAttempt(message, TimedOut, 0)
 			}
 		}
 		for _, s := range h.sent {
 			require.Less(t, s.at, ran+window, "killed %.2f s into its call", age)
 			require.Less(t, s.at+s.timeout, ran+window+0.001, "killed %.2f s into its call", age)
 		}
-		require.Contains(t, []string{"abandoned", "rejected"}, h.done[doc], "once, killed %.2f s into its call", age)
+		require.Contains(t, []string{"abandoned", "rejected"}, h.done[message], "once, killed %.2f s into its call", age)
 		if age > window+0.01 {
-			require.Equal(t, "abandoned", h.done[doc], "a repeat is not harmless any more")
+			require.Equal(t, "abandoned", h.done[message], "a repeat is not harmless any more")
 		}
 		if age < 0.3 {
 			require.NotEmpty(t, h.sent, "there was time")
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -8,73 +8,73 @@
 )
 
 func TestEachRetryAfterOfACallIsHeeded(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(1, 0, 0)
-	a, b := h.take(d, status, 0), h.take(d, status, 0)
-	h.settle()
+	h := newFake(testSettings)
+	d := h.addDestination(1, 0, 0)
+	a, b := h.accept(d, status, 0), h.accept(d, status, 0)
+	h.reconcile()
 	require.Len(t, h.sent, 2)
-	require.Equal(t, 1, h.out)
-	h.ends(a, Overloaded, 0.2)
-	h.ends(b, Overloaded, 1)
-	h.pass(0.98)
+	require.Equal(t, 1, h.callsInFlight)
+	h.endAttempt(a, Overloaded, 0.2)
+	h.endAttempt(b, Overloaded, 1)
+	h.advance(0.98)
 	require.Len(t, h.sent, 2)
-	h.pass(2)
+	h.advance(2)
 	require.Greater(t, len(h.sent), 2)
 }
 
 func TestWaitBindsOnlyTheRouteWhereRoutesAreApart(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(2, 0, 0)
-	doc := h.take(d, status, 0)
-	h.settle()
-	h.ends(doc, Overloaded, 5)
-	h.pass(0.1)
+	h := newFake(testSettings)
+	d := h.addDestination(2, 0, 0)
+	message := h.accept(d, status, 0)
+	h.reconcile()
+	h.endAttempt(message, Overloaded, 5)
+	h.advance(0.1)
 	require.Len(t, h.sent, 2)
-	require.NotEqual(t, h.sent[0].target, h.sent[1].target)
+	require.NotEqual(t, h.sent[0].endpoint, h.sent[1].endpoint)
 }
 
 func TestRefusalAfterALongRunOfCallsLeavesNoDebt(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(0, 0)
+	h := newFake(testSettings)
+	d := h.addDestination(0, 0)
 	for range 60 {
-		h.take(d, status, 0)
-		h.settle()
-		h.answers(d, Delivered)
-		h.pass(0.1)
+		h.accept(d, status, 0)
+		h.reconcile()
+		h.endAttempts(d, Delivered)
+		h.advance(0.1)
 	}
-	doc := h.take(d, status, 0)
-	h.settle()
-	h.ends(doc, Overloaded, 0)
-	h.pass(1.5)
-	require.Equal(t, doc, h.sent[len(h.sent)-1].doc)
-	require.Equal(t, 2, doc.sent)
+	message := h.accept(d, status, 0)
+	h.reconcile()
+	h.endAttempt(message, Overloaded, 0)
+	h.advance(1.5)
+	require.Equal(t, message, h.sent[len(h.sent)-1].message)
+	require.Equal(t, 2, message.attempts)
 }
 
 func TestRefusedAgainASecondLaterRests(t *testing.T) {
-	many := terms
+	many := testSettings
 	many.Forwarders = 100
-	h := start(many)
-	d := h.receiver(0, 0)
-	doc := h.take(d, status, 0)
-	h.settle()
-	h.ends(doc, Overloaded, 0)
-	h.pass(9)
-	require.Equal(t, 2, doc.sent)
-	h.ends(doc, Overloaded, 0)
-	h.pass(4)
-	require.Equal(t, 2, doc.sent)
+	h := newFake(many)
+	d := h.addDestination(0, 0)
+	message := h.accept(d, status, 0)
+	h.reconcile()
+	h.endAttempt(message, Overloaded, 0)
+	h.advance(9)
+	require.Equal(t, 2, message.attempts)
+	h.endAttempt(message, Overloaded, 0)
+	h.advance(4)
+	require.Equal(t, 2, message.attempts)
 }
 
 func TestRefusedTogetherDoNotReturnTogether(t *testing.T) {
 	var waits []float64
 	for seed := range uint64(8) {
-		h := start(terms)
-		h.dice = newChance(seed)
-		doc := h.take(h.receiver(0, 0), status, 0)
-		h.settle()
-		h.ends(doc, Overloaded, 0)
-		for doc.sent < 2 {
-			h.pass(0.02)
+		h := newFake(testSettings)
+		h.random = newRandomSource(seed)
+		message := h.accept(h.addDestination(0, 0), status, 0)
+		h.reconcile()
+		h.endAttempt(message, Overloaded, 0)
+		for message.attempts < 2 {
+			h.advance(0.02)
 		}
 		waits = append(waits, h.now-100)
 	}
@@ -82,20 +82,20 @@
 }
 
 func TestTwoRefusalsWhereThereIsNoLimitAreARest(t *testing.T) {
-	h := start(terms)
-	d := h.receiver(0, 0)
+	h := newFake(testSettings)
+	d := h.addDestination(0, 0)
 	for range 30 { // few calls: one a second
-		h.take(d, status, 0)
-		h.pass(1)
-		h.answers(d, Delivered)
+		h.accept(d, status, 0)
+		h.advance(1)
+		h.endAttempts(d, Delivered)
 	}
 	n := len(h.sent)
 	h.flood(d, status, 2)
 	for range 100 { // its queue is full while it hangs
-		h.pass(0.02)
+		h.advance(0.02)
 		for _, s := range h.sent[n:] {
-			if s.doc.call != nil {
-				h.AttemptEnded(s.doc, AttemptResult{Outcome: Overloaded, Latency: 0.02, ReportedLimit: -1, ReportedShare: -1})
+			if s.message.call != nil {
+				h.AttemptEnded(s.message, AttemptResult{Outcome: Overloaded, Latency: 0.02, ReportedLimit: -1, ReportedShare: -1})
 			}
 		}
 	}
@@ -105,15 +105,15 @@
 func TestManyWithFewCallsDoNotAskAgainSoon(t *testing.T) {
 	asked := 0
 	for seed := range uint64(60) { // each has one message more than the destination takes just then
-		h := &fake{now: 100, done: map[*Message]string{}, back: map[*Message]float64{}}
-		h.Scheduler = New(terms, seed, h.now, h)
-		d := h.receiver(0, 0)
-		h.take(d, status, 0)
-		h.settle()
-		h.answers(d, Overloaded)
+		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
+		h.Scheduler = New(testSettings, seed, h.now, h)
+		d := h.addDestination(0, 0)
+		h.accept(d, status, 0)
+		h.reconcile()
+		h.endAttempts(d, Overloaded)
 		for range 25 {
-			h.pass(0.2)
-			h.answers(d, Overloaded)
+			h.advance(0.2)
+			h.endAttempts(d, Overloaded)
 		}
 		asked += len(h.sent) - 1
 	}
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -47,7 +47,7 @@
 }
 
 // add puts a destination behind all others: right before the cursor.
-func (r *ring) add(d *Destination) {
+func (r *ring) add(destination *Destination) {
 	r.random ^= r.random<<13 | 1
 	r.random ^= r.random >> 17
 	r.random ^= r.random << 5
@@ -57,9 +57,9 @@
 	} else {
 		r.spare = n.right
 	}
-	*n = ringNode{destination: d, priority: r.random}
+	*n = ringNode{destination: destination, priority: r.random}
 	n.update()
-	d.node = n
+	destination.ringNode = n
 	before, after := split(r.root, r.cursor)
 	r.setRoot(merge(merge(before, n), after))
 	r.cursor++
@@ -70,7 +70,7 @@
 
 // next moves the cursor to the first member from it on that is not parked and tells how many parked ones it passed,
 // at most limit. If it finds none within the limit the cursor stands that many further on, and next returns nil.
-func (r *ring) next(limit int) (d *Destination, passed int) {
+func (r *ring) next(limit int) (destination *Destination, passed int) {
 	size := r.size()
 	position := firstActive(r.root, r.cursor)
 	if position < 0 { // around the end
@@ -95,7 +95,7 @@
 	before, rest := split(r.root, r.cursor)
 	member, after := split(rest, 1)
 	r.unpark(member)
-	member.destination.node = nil
+	member.destination.ringNode = nil
 	*member = ringNode{right: r.spare}
 	r.spare = member
 	r.setRoot(merge(before, after))
@@ -256,29 +256,29 @@
 }
 
 // park has turns pass over a destination while none of its endpoints may take a call. News of it ends that.
-func (f *Scheduler) park(d *Destination) {
+func (s *Scheduler) park(destination *Destination) {
 	until := math.Inf(1)
-	for _, t := range d.targets {
-		if t.standing != Ready {
+	for _, endpoint := range destination.endpoints {
+		if endpoint.state != Ready {
 			continue
 		}
-		if f.now >= t.next {
+		if s.now >= endpoint.notBefore {
 			return
 		}
-		until = math.Min(until, t.next)
+		until = math.Min(until, endpoint.notBefore)
 	}
-	if d.waiting > 0 {
-		f.ring.park(d.node, until)
+	if destination.waiting > 0 {
+		s.ring.park(destination.ringNode, until)
 	}
 }
 
-// longest is the destination whose waiting messages take the most time, of several the one whose turn is next; nil if
+// longestBacklog is the destination whose waiting messages take the most time, of several the one whose turn is next; nil if
 // none waits.
-func (f *Scheduler) longest() *Destination {
+func (s *Scheduler) longestBacklog() *Destination {
 	var longest *Destination
-	f.ring.each(func(d *Destination) {
-		if d.waiting > 0 && (longest == nil || line(d) > line(longest)) {
-			longest = d
+	s.ring.each(func(destination *Destination) {
+		if destination.waiting > 0 && (longest == nil || backlogTime(destination) > backlogTime(longest)) {
+			longest = destination
 		}
 	})
 	return longest
--- a/scheduler/ring_test.go
+++ b/scheduler/ring_test.go
@@ -15,7 +15,7 @@
 func (p *plainRing) next(limit int) (*Destination, int) {
 	for passed := range limit {
 		first := (*p)[0]
-		if !first.node.isParked {
+		if !first.ringNode.isParked {
 			return first, passed
 		}
 		*p = append((*p)[1:], first)
@@ -41,14 +41,14 @@
 			r.add(d)
 			plain = append(plain, d)
 		case action < 5:
-			r.park(plain[random.IntN(len(plain))].node, now+10*random.Float64())
+			r.park(plain[random.IntN(len(plain))].ringNode, now+10*random.Float64())
 		case action < 6:
-			r.unpark(plain[random.IntN(len(plain))].node)
+			r.unpark(plain[random.IntN(len(plain))].ringNode)
 		case action < 7:
 			now += random.Float64()
 			r.wake(now)
 			for _, d := range plain {
-				require.False(t, d.node.isParked && d.node.until <= now)
+				require.False(t, d.ringNode.isParked && d.ringNode.until <= now)
 			}
 		default:
 			limit := 1 + random.IntN(len(plain))
@@ -60,7 +60,7 @@
 			}
 			if random.IntN(3) == 0 {
 				r.drop()
-				require.Nil(t, got.node)
+				require.Nil(t, got.ringNode)
 				plain = plain[1:]
 			} else {
 				r.advance()
--- a/scheduler/timeout_test.go
+++ b/scheduler/timeout_test.go
@@ -9,15 +9,15 @@
 
 func TestAFewQuickAnswersDoNotShortenTheTimeOutMuch(t *testing.T) {
 	after := func(n int) float64 {
-		h := start(terms)
-		d := h.receiver(0, 0)
+		h := newFake(testSettings)
+		d := h.addDestination(0, 0)
 		for range n {
-			h.take(d, status, 0)
-			h.pass(0.4)
-			h.answers(d, Delivered)
+			h.accept(d, status, 0)
+			h.advance(0.4)
+			h.endAttempts(d, Delivered)
 		}
-		h.take(d, status, 0)
-		h.settle()
+		h.accept(d, status, 0)
+		h.reconcile()
 		return h.sent[n].timeout
 	}
 	require.Greater(t, after(2), 1.3*after(60))
@@ -25,30 +25,30 @@
 
 func TestRememberedTimesRuleTheFirstCallsAndGiveWay(t *testing.T) {
 	learnt := func(d *Destination, h *fake) float64 {
-		h.take(d, status, 0)
-		h.settle()
+		h.accept(d, status, 0)
+		h.reconcile()
 		return h.sent[len(h.sent)-1].timeout
 	}
-	old := start(terms)
-	slow := old.receiver(0, 0)
+	old := newFake(testSettings)
+	slow := old.addDestination(0, 0)
 	for range 30 {
-		old.take(slow, status, 0)
-		old.pass(0.1)
-		old.AttemptEnded(old.sent[len(old.sent)-1].doc, AttemptResult{Outcome: Delivered, Final: true, Latency: 3})
+		old.accept(slow, status, 0)
+		old.advance(0.1)
+		old.AttemptEnded(old.sent[len(old.sent)-1].message, AttemptResult{Outcome: Delivered, Final: true, Latency: 3})
 	}
-	h := start(terms)
-	fresh, known := h.receiver(0, 0), h.receiver(0, 0)
+	h := newFake(testSettings)
+	fresh, known := h.addDestination(0, 0), h.addDestination(0, 0)
 	require.True(t, h.RestoreLatencies(known, slow.Latencies()))
 	require.Greater(t, learnt(known, h), 1.3*learnt(fresh, h))
-	h.answers(known, Delivered)
+	h.endAttempts(known, Delivered)
 	for range 80 {
-		h.take(known, status, 0)
-		h.pass(0.1)
-		h.answers(known, Delivered)
+		h.accept(known, status, 0)
+		h.advance(0.1)
+		h.endAttempts(known, Delivered)
 	}
 	require.Less(t, learnt(known, h), 1.0, "quick calls outweigh it")
 	for _, spoilt := range [][]float64{nil, {1}, make([]float64, 16), append(make([]float64, 15), -1), append(make([]float64, 15), math.NaN())} {
-		require.False(t, h.RestoreLatencies(h.receiver(0, 0), spoilt))
+		require.False(t, h.RestoreLatencies(h.addDestination(0, 0), spoilt))
 	}
 	require.False(t, h.RestoreLatencies(known, slow.Latencies()), "it has measured by itself")
 }
