--- /dev/null
+++ b/scheduler/attempts.go
@@ -0,0 +1,135 @@
+package scheduler
+
+import "math"
+
+// Trade-off: within noticeMargin of its deadline a delivery may be late by its client's clock, and the client would
+// then have no answer. It is also told by a notice, which is needless where the clocks agree.
+const noticeMargin = 0.1 // seconds
+
+const (
+	retryAfterMargin = 0.002 // seconds beyond a Retry-After, and
+	retryAfterSpread = 0.05  // seconds at random, before the next call
+	cooldownMargin   = 0.001 // seconds beyond the cooldown of an ordering key
+	rateAverageTime  = 2     // seconds over which the recent rate of a route is averaged
+)
+
+// call is one call that carries one message or several.
+type call struct {
+	endpoint   *Endpoint
+	began      float64
+	pending    int // messages whose attempt has not ended
+	recorded   bool
+	reusesIdle bool // on a connection that had been idle, as far as can be told
+}
+
+// startCall begins a call with messages to an endpoint; apply hands the messages to the host.
+func (s *Scheduler) startCall(endpoint *Endpoint, messages []*Message) {
+	destination := endpoint.destination
+	call := &call{endpoint: endpoint, began: s.now, pending: len(messages), reusesIdle: s.reusesIdle(endpoint)}
+	endpoint.calls = append(endpoint.calls, call)
+	endpoint.calledOften = s.now-endpoint.lastUsed < s.settings.IdleTimeout
+	endpoint.lastUsed = s.now
+	endpoint.route.tokens--
+	endpoint.route.recentRate += 1.0 / rateAverageTime
+	destination.callsInFlight++
+	destination.calls++
+	destination.attempts += float64(len(messages))
+	s.callsInFlight++
+	s.delayProbes(endpoint)
+	timeout := s.timeout(endpoint)
+	for _, message := range messages {
+		s.startAttempt(message, call, timeout)
+	}
+}
+
+// delayProbes sets the earliest time of the next call to a recovering endpoint, or to the ejected ones of a route.
+func (s *Scheduler) delayProbes(endpoint *Endpoint) {
+	for _, other := range endpoint.destination.endpoints {
+		recovers := other == endpoint && endpoint.health == recovering
+		probed := other.route == endpoint.route && other.health == ejected && endpoint.health == ejected
+		if recovers || probed {
+			other.notBefore = math.Max(other.notBefore, s.now+s.probeInterval(endpoint))
+		}
+	}
+}
+
+func (s *Scheduler) startAttempt(message *Message, call *call, timeout float64) {
+	s.dequeue(message)
+	s.trackInFlight(message)
+	message.call, message.action, message.endpoint = call, actionSend, call.endpoint
+	message.attempts++
+	message.timeout = math.Min(timeout, message.deadline-s.now)
+	if message.hasUsedKey() { // a repeat ends while its idempotency key is known
+		known := message.firstRanAt + message.messageType.DeduplicationWindow
+		message.timeout = math.Min(message.timeout, known-s.now)
+	}
+	s.changed = append(s.changed, message)
+}
+
+// AttemptEnded takes the end of a message's attempt, or its final answer if no attempt is in flight.
+func (s *Scheduler) AttemptEnded(message *Message, result AttemptResult) {
+	call := message.call
+	if result.Final {
+		s.confirmLateDelivery(message, result.Outcome)
+		s.finish(message)
+	}
+	if call == nil {
+		return
+	}
+	endpoint := call.endpoint
+	s.markUpdated(endpoint.destination)
+	message.call = nil
+	s.endCall(call)
+	if result.RetryAfter > 0 { // each message of a call may have its own
+		s.recordRetryAfter(endpoint, result.RetryAfter)
+	}
+	if !call.recorded {
+		call.recorded = true
+		s.recordResult(endpoint, call, result)
+	}
+	s.recordPossibleRun(message, call, result.Outcome)
+	if result.Outcome == Delivered && !endpoint.destination.degraded {
+		endpoint.destination.healthyDeliveries++
+	}
+	s.leaveKeyQueue(message)
+	if !message.answered {
+		s.retry(message)
+		s.awaitCall(message)
+	}
+}
+
+// confirmLateDelivery has a delivery close to its deadline told by a notice as well, see noticeMargin.
+func (s *Scheduler) confirmLateDelivery(message *Message, outcome Outcome) {
+	if outcome != Delivered || !message.AnsweredByNotice || message.answered {
+		return
+	}
+	if s.now > message.deadline-noticeMargin {
+		message.action, message.awaitingAcknowledgement = actionFail, true
+		s.changed = append(s.changed, message)
+	}
+}
+
+// endCall notes that one of a call's messages has its result; with the last one the call is over.
+func (s *Scheduler) endCall(call *call) {
+	call.pending--
+	if call.pending > 0 {
+		return
+	}
+	endpoint := call.endpoint
+	s.callsInFlight--
+	endpoint.destination.callsInFlight--
+	endpoint.calls, endpoint.idleConnection = without(endpoint.calls, call), true
+	if !s.keepsIdle(endpoint) {
+		s.closeIdle = append(s.closeIdle, endpoint)
+	}
+}
+
+// recordPossibleRun notes what the end of an attempt means for the repetition of the message and for its key.
+func (s *Scheduler) recordPossibleRun(message *Message, call *call, outcome Outcome) {
+	if outcome.mayStillRun() && message.keyQueue != nil {
+		s.pauseKey(message.keyQueue)
+	}
+	if (outcome.mayStillRun() || outcome == ServerError) && message.firstRanAt == 0 {
+		message.firstRanAt, message.firstRanZone = call.began, call.endpoint.zone
+	}
+}
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -5,37 +5,39 @@
 	"testing"
 )
 
-// bare is a host that keeps only what is to be answered.
-type bare struct{ out []*Message }
+// recordingHost is a host that keeps only what is to be answered.
+type recordingHost struct{ sent []*Message }
 
-func (b *bare) Send(message *Message, _ *Endpoint, _ float64) { b.out = append(b.out, message) }
-func (b *bare) Reject(*Message, float64)                      {}
-func (b *bare) Fail(*Message)                                 {}
-func (b *bare) CancelUnsent(*Endpoint)                        {}
-func (b *bare) CloseIdle(*Endpoint)                           {}
-func (b *bare) ReleaseEndpoint(*Endpoint)                     {}
-func (b *bare) Wake(float64)                                  {}
-func (b *bare) WatchEndpoints()                               {}
-func (b *bare) Log(string)                                    {}
+func (b *recordingHost) Send(message *Message, _ *Endpoint, _ float64) {
+	b.sent = append(b.sent, message)
+}
+func (b *recordingHost) Reject(*Message, float64)  {}
+func (b *recordingHost) Fail(*Message)             {}
+func (b *recordingHost) CancelUnsent(*Endpoint)    {}
+func (b *recordingHost) CloseIdle(*Endpoint)       {}
+func (b *recordingHost) ReleaseEndpoint(*Endpoint) {}
+func (b *recordingHost) Wake(float64)              {}
+func (b *recordingHost) WatchEndpoints()           {}
+func (b *recordingHost) Log(string)                {}
 
 const benchLife = 1e6 // seconds
 
-func benchTerms(room int) Settings {
+func benchSettings(room int) Settings {
 	t := testSettings
 	t.Types, t.ConcurrencyLimit, t.QueueCapacity = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchLife}}, 256, room
 	return t
 }
 
-// decide takes a message, lets the scheduler settle, ends the call and lets it settle: one message's decisions.
-func decide(s *Scheduler, h *bare, now *float64, to *Destination) {
+// deliverOne takes a message, lets the scheduler settle, ends the call and lets it settle: one message's decisions.
+func deliverOne(s *Scheduler, h *recordingHost, now *float64, to *Destination) {
 	*now += 0.001
 	s.SetTime(*now)
 	s.Accept(&Message{Dest: to, Tenant: 9}, 0, benchLife)
 	s.Reconcile()
-	for _, message := range h.out {
+	for _, message := range h.sent {
 		s.AttemptEnded(message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 	}
-	h.out = h.out[:0]
+	h.sent = h.sent[:0]
 	s.Reconcile()
 }
 
@@ -43,8 +45,8 @@
 func BenchmarkDestinations(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			h, now := &bare{}, 100.0
-			s := New(benchTerms(1000), 7, now, h)
+			h, now := &recordingHost{}, 100.0
+			s := New(benchSettings(1000), 7, now, h)
 			var destinations []*Destination
 			for i := range n {
 				d := s.NewDestination(uint64(i))
@@ -54,7 +56,7 @@
 			s.Reconcile()
 			i := 0
 			for b.Loop() {
-				decide(s, h, &now, destinations[i%min(n, 100)*(n/min(n, 100))])
+				deliverOne(s, h, &now, destinations[i%min(n, 100)*(n/min(n, 100))])
 				i++
 			}
 		})
@@ -66,9 +68,9 @@
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s, h, now, other := heldFor(n)
+			s, h, now, other := newHeld(n)
 			for b.Loop() {
-				decide(s, h, &now, other)
+				deliverOne(s, h, &now, other)
 			}
 			b.StopTimer()
 			if s.held.count != n+1 { // the one that told the wait waits as well
--- a/scheduler/cold_test.go
+++ b/scheduler/cold_test.go
@@ -17,7 +17,7 @@
 func coldReturn(t *testing.T, forwarders int, capacity, load float64) (worst float64) {
 	t.Helper()
 	const step, wellFor, downFor, watchedFor = 0.02, 20.0, 10.0, 14.0
-	terms := onSockets()
+	terms := socketSettings()
 	terms.Forwarders, terms.QueueCapacity, terms.ConcurrencyLimit = forwarders, 4000, 40
 	var nodes []*fake
 	for i := range forwarders {
@@ -30,7 +30,7 @@
 	for i := range credit { // messages come evenly, not to all at once
 		credit[i] = float64(i) / float64(forwarders)
 	}
-	var late []due
+	var late []scheduledResult
 	type call struct {
 		at   float64
 		told bool
@@ -39,7 +39,7 @@
 	told := make([]bool, forwarders)
 	for now := 100.0; now < 100+wellFor+downFor+watchedFor; now += step {
 		for len(late) > 0 && late[0].at <= now {
-			late[0].node.AttemptEnded(late[0].doc, late[0].end)
+			late[0].forwarder.AttemptEnded(late[0].message, late[0].result)
 			late = late[1:]
 		}
 		down := now > 100+wellFor && now <= 100+wellFor+downFor
@@ -59,7 +59,7 @@
 				} else if now > 100+wellFor {
 					calls = append(calls, call{now, told[i]})
 				}
-				late = append(late, due{now + 0.1, h, h.sent[seen[i]].message, end})
+				late = append(late, scheduledResult{now + 0.1, h, h.sent[seen[i]].message, end})
 			}
 		}
 	}
--- /dev/null
+++ b/scheduler/discovery.go
@@ -0,0 +1,61 @@
+package scheduler
+
+import "math"
+
+const (
+	agentPollInterval       = 0.4 // seconds between polls of a local agent: its list counts as known to us
+	fleetPollRate           = 4.0 // polls a second, of all forwarders together
+	unreachablePollInterval = 2.7 // seconds to the next poll, 1.3 times that at most, if discovery was out of reach
+	maxPollDoublings        = 4   // by failures in a row
+	minPollWait             = 1   // seconds, before doubling
+	minPollSpread           = 0.3 // a wait is 0.3 to 1.3 times as long
+	maxPollSpreadDivisor    = 2   // polls spread over PollWithin divided by this at most
+)
+
+// PollTimedOut reports that a poll for the endpoint list failed or that the list stopped coming. Each failure in a row
+// doubles the time to the next poll.
+//
+// Trade-off: all forwarders together do not keep discovery's queue so long that nobody is served in time; when
+// discovery was down, its return is noticed later.
+func (s *Scheduler) PollTimedOut() { s.schedulePoll(&s.failedPolls, s.settings.PollWithin) }
+
+// WatchBroken reports that the list stopped coming, or that discovery is down or out of reach, so that no queue of
+// polls has to be kept short. A change counts as known to us six seconds after discovery could be reached, so that the
+// next poll cannot wait longer.
+//
+// Trade-off: an endpoint that began to drain in an outage gets no calls, at the price of polls in vain.
+func (s *Scheduler) WatchBroken() {
+	s.schedulePoll(&s.failedWatches, math.Min(s.settings.PollWithin, unreachablePollInterval))
+}
+
+// schedulePoll sets the next poll after a failure; maxWait bounds the wait in seconds, before its random part.
+func (s *Scheduler) schedulePoll(failures *int, maxWait float64) {
+	wait := math.Min(math.Max(minPollWait, s.pollSpread())*math.Pow(2, float64(*failures)), maxWait)
+	*failures, s.listStale = min(*failures+1, maxPollDoublings), false
+	s.nextPoll = s.now + wait*(minPollSpread+s.random.uniform())
+}
+
+// WatchSilent reports that the watched list fell silent. What it missed soon counts as known to us, so that the poll
+// cannot wait.
+func (s *Scheduler) WatchSilent() {
+	s.nextPoll = s.now + math.Min(minPollWait, s.pollSpread())*s.random.uniform()
+}
+
+// pollSpread returns the seconds over which forwarders that poll at the same moment are spread: those of a fleet are
+// started, or lose discovery, together. It is at most half of the time in which a poll is wanted.
+func (s *Scheduler) pollSpread() float64 {
+	if s.settings.LocalAgent { // nobody else polls it
+		return 0
+	}
+	return math.Min(float64(s.settings.Forwarders-1)/fleetPollRate, s.settings.PollWithin/maxPollSpreadDivisor)
+}
+
+// recordListArrival notes that the endpoint list came. A list that comes at the start is the last known one; the first
+// poll can then wait, and the list stays stale.
+func (s *Scheduler) recordListArrival(hasEndpoints bool) {
+	atStart := s.now == s.startedAt
+	s.failedPolls, s.failedWatches, s.listStale = 0, 0, s.listStale && atStart
+	if atStart && s.nextPoll == s.now && hasEndpoints {
+		s.nextPoll += s.pollSpread() * s.random.uniform()
+	}
+}
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -6,14 +6,17 @@
 	"slices"
 )
 
-// Reason a review has to look at is found by time and by news, never by a walk over all held messages. Heaps tell a
-// superset of what can be due, and review decides on each by its exact conditions. A message that waits for a call is
-// looked at when it begins to wait, when its timer fires, and when news of its destination or the time makes it late
-// there; one that is out, once its expiry is over.
+// What a check of deadlines has to look at is found by time and by events, never by a walk over all held messages.
+// Heaps give a superset of what can be due, and endExpired decides on each by its exact conditions. A message that
+// waits for a call is looked at when it begins to wait, when its timer fires, and when an event of its destination or
+// the time makes it late there; one that is in flight, once its deadline is over.
 
 const (
-	timerSlack = 1e-6 // seconds: a message is looked at so much early, as sums of times are rounded
-	maxScratch = 4096 // candidates for which the array is kept from one review to the next
+	timerSlack         = 1e-6 // seconds: a message is looked at so much early, as sums of times are rounded
+	maxScratch         = 4096 // candidates for which the array is kept from one check to the next
+	keyExpiredMargin   = 0.05 // seconds before its deduplication window ends, a message is not repeated any more
+	keyExpiringFactor  = 2    // of three parts of that window: from here on only while an endpoint answers
+	keyExpiringDivisor = 3
 )
 
 // stage is where a held message is kept until it is due.
@@ -21,28 +24,31 @@
 
 const (
 	stageNone            stage = iota
-	stageInFlight              // a call carries it: in Scheduler.flying
-	stageWaiting               // waits and cannot be late yet: in expiries.young
-	stageAtRisk                // waits and is late once its destination is slow enough: in expiries.aged
-	stageRecoveredAtRisk       // as stageAtRisk, for one that a restart found untried: in expiries.owed
-	stageRecovered             // as stageWaiting, for one that a restart found untried: in no heap but the timers
+	stageInFlight              // a call carries it: in dueMessages.inFlight
+	stageWaiting               // waits and cannot be late yet: in deadlineHeaps.waiting
+	stageAtRisk                // waits and is late once its destination is slow enough: in deadlineHeaps.atRisk
+	stageRecoveredAtRisk       // the same for one recovered untried: in deadlineHeaps.recoveredAtRisk
+	stageRecovered             // as stageWaiting, for one recovered untried: in no heap but the timers
 )
 
-// dueMessages is where a review finds what it has to look at.
+// dueMessages is where a check of deadlines finds what it has to look at.
 type dueMessages struct {
-	inFlight   []*Message     // those that calls carry, a heap by expiry
+	inFlight   []*Message     // a heap by deadline
 	timers     []*Message     // those that wait, a heap by their timers
 	late       []*Destination // a heap by the time at which their first waiting message is late
-	touched    []*Destination // with news since the last review
+	touched    []*Destination // with events since the last check
 	candidates []*Message
-	reviewed   []*Message // the candidates of the latest review
-	fired      []*Message // of this review
+	reviewed   []*Message // the candidates of the latest check
+	fired      []*Message // of this check
 }
 
-// deadlineHeaps is the waiting messages of one destination, each in one heap by expiry.
+// deadlineHeaps is the waiting messages of one destination, each in one heap by deadline.
 type deadlineHeaps struct {
 	waiting, atRisk, recoveredAtRisk []*Message
-	keyExpiring                      []*Message // whose numbers are soon forgotten; those that do not wait any more are removed later
+
+	// keyExpiring is the messages whose idempotency keys are soon forgotten; those that do not wait any more are
+	// removed later.
+	keyExpiring []*Message
 }
 
 var (
@@ -60,27 +66,31 @@
 	}
 )
 
-// atRiskAt is when a message can be late first, however slow its destination: see short.
-func (m *Message) atRiskAt() float64 { return m.deadline - math.Max(minTimeLeft, m.lifetime/8) }
+// atRiskAt returns when a message can be late first, however slow its destination: see tooLate.
+func (m *Message) atRiskAt() float64 {
+	return m.deadline - math.Max(minTimeLeft, m.lifetime/lateLifetimeDivisor)
+}
 
-// keyExpiringAt is when a repeat of a message is given up if nothing answers, and keyExpiredAt when it is in any case.
+// keyExpiringAt returns when a repeat of a message is given up if no endpoint answers.
 func (m *Message) keyExpiringAt() float64 {
-	return m.firstRanAt + m.messageType.DeduplicationWindow*2/3
+	return m.firstRanAt + m.messageType.DeduplicationWindow*keyExpiringFactor/keyExpiringDivisor
 }
+
+// keyExpiredAt returns when a repeat of a message is given up in any case.
 func (m *Message) keyExpiredAt() float64 {
-	return m.firstRanAt + m.messageType.DeduplicationWindow - 0.05
+	return m.firstRanAt + m.messageType.DeduplicationWindow - keyExpiredMargin
 }
 
-// awaitCall keeps a message that waits for a call, from its taking or from the end of a call on.
+// awaitCall keeps a message that waits for a call, from its admission or from the end of a call on.
 func (s *Scheduler) awaitCall(message *Message) {
 	s.unstage(message)
 	s.due.consider(message)
 	s.due.touch(message.Dest)
 	untried := message.recoveredUntried && message.attempts == 0
-	switch old := s.now+timerSlack >= message.atRiskAt(); {
-	case old && untried:
+	switch atRisk := s.now+timerSlack >= message.atRiskAt(); {
+	case atRisk && untried:
 		message.Dest.pushStage(message, stageRecoveredAtRisk)
-	case old:
+	case atRisk:
 		message.Dest.pushStage(message, stageAtRisk)
 	case untried:
 		message.stage = stageRecovered
@@ -109,17 +119,17 @@
 	message.stage = stageNone
 }
 
-func (d *Destination) pushStage(message *Message, s stage) {
+func (d *Destination) pushStage(message *Message, stage stage) {
 	if d.deadlines == nil {
 		d.deadlines = &deadlineHeaps{}
 	}
-	message.stage = s
-	byDeadline.push(d.stageHeap(s), message)
+	message.stage = stage
+	byDeadline.push(d.stageHeap(stage), message)
 }
 
-// stageHeap is where messages of a stage are, nil for those that are in none of the destination's.
-func (d *Destination) stageHeap(s stage) *[]*Message {
-	switch s {
+// stageHeap returns where messages of a stage are, nil for those that are in none of the destination's heaps.
+func (d *Destination) stageHeap(stage stage) *[]*Message {
+	switch stage {
 	case stageWaiting:
 		return &d.deadlines.waiting
 	case stageAtRisk:
@@ -138,7 +148,7 @@
 	if message.stage == stageWaiting || message.stage == stageRecovered {
 		message.timer = message.atRiskAt()
 	}
-	if message.firstRanAt > 0 && message.messageType.Idempotency == IdempotentWithKey {
+	if message.hasUsedKey() {
 		for _, at := range [...]float64{message.keyExpiringAt(), message.keyExpiredAt()} {
 			if !(s.now > at) {
 				message.timer = math.Min(message.timer, at)
@@ -150,7 +160,7 @@
 	}
 }
 
-// consider has the next review look at a message.
+// consider has the next check look at a message.
 func (u *dueMessages) consider(message *Message) {
 	if !message.considered {
 		message.considered = true
@@ -158,7 +168,7 @@
 	}
 }
 
-// touch has the next review look at what news of a destination may have made due.
+// touch has the next check look at what an event of a destination may have made due.
 func (u *dueMessages) touch(destination *Destination) {
 	if !destination.touched {
 		destination.touched = true
@@ -166,7 +176,8 @@
 	}
 }
 
-// collectDue is the messages that the review has to look at, in the order of taking. They are valid until the next call.
+// collectDue returns the messages that the check has to look at, in the order of admission. They are valid until the
+// next call.
 func (s *Scheduler) collectDue() []*Message {
 	u := &s.due
 	limit := s.now + timerSlack
@@ -188,7 +199,7 @@
 	return found
 }
 
-// scratch is the array of the latest review's candidates, emptied, unless it is large.
+// scratch returns the array of the latest check's candidates, emptied, unless it is large.
 func (u *dueMessages) scratch() []*Message {
 	if cap(u.reviewed) > maxScratch {
 		return nil
@@ -218,15 +229,15 @@
 	s.setTimer(message)
 }
 
-// trackKeyExpiry enters a message whose number is soon forgotten among those that are given up if nothing answers.
+// trackKeyExpiry enters a message whose key is soon forgotten among those that are given up if nothing answers.
 func (s *Scheduler) trackKeyExpiry(message *Message, limit float64) {
-	if message.firstRanAt > 0 && message.messageType.Idempotency == IdempotentWithKey && !message.keyExpiring && limit >= message.keyExpiringAt() {
+	if message.hasUsedKey() && !message.keyExpiring && limit >= message.keyExpiringAt() {
 		message.keyExpiring = true
 		message.Dest.deadlines.keyExpiring = append(message.Dest.deadlines.keyExpiring, message)
 	}
 }
 
-// moveToAtRisk makes a message one that may be late.
+// moveToAtRisk moves a message on to those that may be late.
 func (s *Scheduler) moveToAtRisk(message *Message) {
 	next := stageAtRisk
 	switch message.stage {
@@ -241,7 +252,8 @@
 	s.due.touch(message.Dest)
 }
 
-// examine finds what may be due at a destination: what its waits outlast, what is late, and what its silence ends.
+// examine finds what may be due at a destination: what is blocked beyond its deadline, what is late, and what must not
+// wait while nothing answers.
 func (s *Scheduler) examine(destination *Destination, limit float64) {
 	heaps := destination.deadlines
 	if heaps == nil {
@@ -286,7 +298,8 @@
 	}
 }
 
-// blockedUntil is the time before which no endpoint of a destination takes a call; far in the past if one may any time.
+// blockedUntil returns the time before which no endpoint of a destination takes a call; negative infinity if one may
+// any time.
 func (d *Destination) blockedUntil() float64 {
 	until := math.Inf(1)
 	for _, endpoint := range d.endpoints {
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// missed is the first message that a review should have answered and did not, found by a walk over all that is held.
-func missed(s *Scheduler) (message *Message, why string) {
+// missedDue is the first message that a review should have answered and did not, found by a walk over all that is held.
+func missedDue(s *Scheduler) (message *Message, why string) {
 	for message := range s.held.all() {
 		mayRun := message.firstRanAt > 0 && message.messageType.Idempotency != Idempotent
 		switch {
@@ -61,8 +61,8 @@
 	return nil, ""
 }
 
-// randomDay plays random messages, answers, lists and waits and calls check after each review.
-func randomDay(seed uint64, check func(*Scheduler)) {
+// randomRun plays random messages, answers, lists and waits and calls check after each review.
+func randomRun(seed uint64, check func(*Scheduler)) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	day := testSettings
 	day.Forwarders, day.ConcurrencyLimit, day.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
@@ -114,8 +114,8 @@
 
 func TestAReviewFindsAllThatIsDueWithoutAWalk(t *testing.T) {
 	for seed := range uint64(40) {
-		randomDay(seed, func(s *Scheduler) {
-			if message, why := missed(s); message != nil {
+		randomRun(seed, func(s *Scheduler) {
+			if message, why := missedDue(s); message != nil {
 				require.Fail(t, why, "seed %d: %+v", seed, message)
 			}
 			if what, why := inconsistent(s); what != nil {
@@ -148,11 +148,11 @@
 	require.Equal(t, "rejected", h.done[waits])
 }
 
-// heldFor makes a forwarder that holds n messages for a destination that told a wait shorter than their life, and has
+// newHeld makes a forwarder that holds n messages for a destination that told a wait shorter than their life, and has
 // another destination that answers.
-func heldFor(n int) (s *Scheduler, h *bare, now float64, other *Destination) {
-	h, now = &bare{}, 100.0
-	s = New(benchTerms(10*n), 7, now, h)
+func newHeld(n int) (s *Scheduler, h *recordingHost, now float64, other *Destination) {
+	h, now = &recordingHost{}, 100.0
+	s = New(benchSettings(10*n), 7, now, h)
 	var destinations []*Destination
 	for i := range 2 {
 		d := s.NewDestination(uint64(i))
@@ -162,8 +162,8 @@
 	s.SetTime(now)
 	s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchLife)
 	s.Reconcile()
-	s.AttemptEnded(h.out[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchLife / 10})
-	h.out = h.out[:0]
+	s.AttemptEnded(h.sent[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchLife / 10})
+	h.sent = h.sent[:0]
 	for range n {
 		s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchLife)
 	}
@@ -172,7 +172,7 @@
 }
 
 func TestWhatIsHeldIsNotLookedAtBeforeItIsDue(t *testing.T) {
-	s, h, now, other := heldFor(20_000)
+	s, h, now, other := newHeld(20_000)
 	for range 20 {
 		now += 0.02
 		s.SetTime(now)
@@ -180,9 +180,9 @@
 		s.Accept(&Message{Dest: other, Tenant: 9}, 0, benchLife)
 		require.LessOrEqual(t, len(s.collectDue()), 3, "the fresh message alone, not those that wait")
 		s.Reconcile()
-		require.Len(t, h.out, 1)
-		s.AttemptEnded(h.out[0], AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
-		h.out = h.out[:0]
+		require.Len(t, h.sent, 1)
+		s.AttemptEnded(h.sent[0], AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
+		h.sent = h.sent[:0]
 	}
 	require.Equal(t, 20_001, s.held.count)
 }
@@ -206,7 +206,7 @@
 
 func TestTakingAndGivingUpManyAtOnceIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		s, _, now, _ := heldFor(n)
+		s, _, now, _ := newHeld(n)
 		s.SetTime(now + 2*benchLife)
 		s.Reconcile()
 		require.Zero(t, s.held.count)
@@ -215,9 +215,9 @@
 
 func TestGivingUpManyOfOneKeyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		day := benchTerms(10 * n)
+		day := benchSettings(10 * n)
 		day.Types[0].InOrder = true
-		s := New(day, 7, 100, &bare{})
+		s := New(day, 7, 100, &recordingHost{})
 		d := s.NewDestination(1)
 		for range n {
 			s.Accept(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
@@ -231,7 +231,7 @@
 
 func TestRecoveringManyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		s := New(benchTerms(10*n), 7, 100, &bare{})
+		s := New(benchSettings(10*n), 7, 100, &recordingHost{})
 		d := s.NewDestination(1)
 		for i := range n {
 			s.Recover(&Message{Dest: d, Tenant: 9}, 0, benchLife, RecoveredState{Attempts: i % 2})
@@ -243,8 +243,8 @@
 
 func TestDrainingALongLaneIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		h, now := &bare{}, 100.0
-		s := New(benchTerms(10*n), 7, now, h)
+		h, now := &recordingHost{}, 100.0
+		s := New(benchSettings(10*n), 7, now, h)
 		d := s.NewDestination(1)
 		for range n {
 			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
@@ -254,18 +254,18 @@
 			now += 0.01
 			s.SetTime(now)
 			s.Reconcile()
-			for _, message := range h.out {
+			for _, message := range h.sent {
 				s.AttemptEnded(message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
 			}
-			h.out = h.out[:0]
+			h.sent = h.sent[:0]
 		}
 	})
 }
 
 func TestMakingRoomInAFullForwarderIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		day := benchTerms(n)
-		s := New(day, 7, 100, &bare{})
+		day := benchSettings(n)
+		s := New(day, 7, 100, &recordingHost{})
 		d := s.NewDestination(1)
 		for range n / 2 {
 			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
--- a/scheduler/health_test.go
+++ b/scheduler/health_test.go
@@ -65,16 +65,16 @@
 	h := newFake(testSettings)
 	d := h.addDestination(0, 0, 0)
 	d.accepted = 1e4 // it gets many messages
-	requireShutAfter(t, h, d, ServerError, Overloaded, Overloaded)
+	requireEjectedAfter(t, h, d, ServerError, Overloaded, Overloaded)
 }
 
 func TestTwoFailuresInARowShutARouteThatGetsFewMessages(t *testing.T) {
 	h := newFake(testSettings)
-	requireShutAfter(t, h, h.addDestination(0, 0, 0), ServerError, Overloaded)
+	requireEjectedAfter(t, h, h.addDestination(0, 0, 0), ServerError, Overloaded)
 }
 
-// requireShutAfter ends a message's calls so in turn: only the last end makes the endpoints sick.
-func requireShutAfter(t *testing.T, h *fake, d *Destination, ends ...Outcome) {
+// requireEjectedAfter ends a message's calls so in turn: only the last end makes the endpoints sick.
+func requireEjectedAfter(t *testing.T, h *fake, d *Destination, ends ...Outcome) {
 	message := h.accept(d, status, 0)
 	h.reconcile()
 	for _, o := range ends {
--- /dev/null
+++ b/scheduler/keyqueue.go
@@ -0,0 +1,87 @@
+package scheduler
+
+import "math"
+
+const maxIdleKeys = 64 // keys beyond twice the number of held messages, before idle ones are looked for
+
+// keyQueue is the unfinished messages of one ordering key, in the order of admission. Only the first may be sent.
+type keyQueue struct {
+	first, last   *Message
+	cooldownUntil float64 // no first attempt before
+}
+
+// pauseKey starts the cooldown of an ordering key, as one of its messages may still run.
+func (s *Scheduler) pauseKey(queue *keyQueue) {
+	queue.cooldownUntil = math.Max(queue.cooldownUntil, s.now+s.settings.KeyCooldown+cooldownMargin)
+}
+
+// joinKeyQueue puts a message behind the earlier ones of its key.
+func (s *Scheduler) joinKeyQueue(message *Message) {
+	if !message.messageType.InOrder || message.Key == 0 {
+		return
+	}
+	if message.keyQueue = s.keyQueues[message.Key]; message.keyQueue == nil {
+		s.dropIdleKeys()
+		message.keyQueue = &keyQueue{}
+		s.keyQueues[message.Key] = message.keyQueue
+	}
+	queue := message.keyQueue
+	message.keyPrevious = queue.last
+	if queue.last == nil {
+		queue.first = message
+	} else {
+		queue.last.keyNext = message
+	}
+	queue.last = message
+}
+
+// dropIdleKeys lets go of the keys whose last message finished during their cooldown, once there are many.
+func (s *Scheduler) dropIdleKeys() {
+	if len(s.keyQueues) <= 2*s.held.count+maxIdleKeys {
+		return
+	}
+	for key, queue := range s.keyQueues {
+		if queue.first == nil && queue.cooldownUntil <= s.now {
+			delete(s.keyQueues, key)
+		}
+	}
+}
+
+// leaveKeyQueue lets go of a message to which nothing more can happen. The next one of its key may be sent then.
+func (s *Scheduler) leaveKeyQueue(message *Message) {
+	if !message.Finished() {
+		return
+	}
+	if !message.bytesReleased {
+		message.bytesReleased = true
+		s.storedBytes -= message.Size
+	}
+	queue := message.keyQueue
+	if queue == nil {
+		return
+	}
+	message.keyQueue = nil
+	wasFirst := queue.first == message
+	queue.remove(message)
+	if queue.first == nil {
+		if queue.cooldownUntil <= s.now {
+			delete(s.keyQueues, message.Key)
+		}
+	} else if wasFirst && queue.first.queued {
+		queue.first.expose()
+	}
+}
+
+func (q *keyQueue) remove(message *Message) {
+	if message.keyPrevious == nil {
+		q.first = message.keyNext
+	} else {
+		message.keyPrevious.keyNext = message.keyNext
+	}
+	if message.keyNext == nil {
+		q.last = message.keyPrevious
+	} else {
+		message.keyNext.keyPrevious = message.keyPrevious
+	}
+	message.keyPrevious, message.keyNext = nil, nil
+}
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -1,38 +1,40 @@
 package scheduler
 
-import "math"
-
 // lane is a tenant's messages that wait for their first call.
 type lane struct {
 	waiting    int         // messages, those behind others of their key included
-	queues     []typeQueue // by type, of those types that came here
-	inRotation bool
-	byValue    bool // the latest turn went by value
+	queues     []typeQueue // by type, of those types that were seen here
+	inRotation bool        // it is in Destination.lanes
+	byValue    bool        // the latest message was chosen by value
 }
 
-// typeQueue is the messages of one type in a lane that no other of their key is before: a heap in the order of taking.
+// typeQueue is the messages of one type in a lane that are first of their key: a heap in the order of admission.
 type typeQueue struct {
 	messageType *MessageType
 	messages    []*Message
 }
 
-// retryLane is a destination's messages that wait for a further call, without those behind others of their key.
-type retryLane struct {
-	messages []*Message // heap in the order of coming back
-	urgent   []*Message // the same messages, a heap by the time from which they go before fresh ones
+var byRank = ordering[*Message]{
+	before:   func(a, b *Message) bool { return a.rank < b.rank },
+	position: func(m *Message) *int32 { return &m.queuePosition },
 }
 
-var (
-	byRank = ordering[*Message]{
-		before:   func(a, b *Message) bool { return a.rank < b.rank },
-		position: func(message *Message) *int32 { return &message.queuePosition },
+// assignLane gives a fresh message its lane: its tenant's, or that of the messages beyond the quotas.
+func (s *Scheduler) assignLane(message *Message) {
+	destination := message.Dest
+	if message.overQuota = s.takeQuota(message.Tenant); message.overQuota {
+		message.lane = &destination.overQuotaLane
+		return
 	}
-	byUrgency = ordering[*Message]{
-		before:   func(a, b *Message) bool { return a.urgentAt() < b.urgentAt() },
-		position: func(message *Message) *int32 { return &message.urgencyPosition },
+	lane := &destination.tenantLanes[min(message.Tenant, len(s.settings.TenantRate))]
+	message.lane = lane
+	if !lane.inRotation {
+		lane.inRotation = true
+		destination.lanes = append(destination.lanes, lane)
 	}
-)
+}
 
+// nextRank returns the next number in the order of admission and of coming back as a retry.
 func (s *Scheduler) nextRank() uint64 {
 	s.lastRank++
 	return s.lastRank
@@ -54,23 +56,6 @@
 	}
 }
 
-// retry makes a message wait for a further call.
-func (s *Scheduler) retry(message *Message) {
-	message.rank = s.nextRank()
-	s.enqueue(message)
-}
-
-// resume makes a message that a restart found wait as its history asks for: untried, or for a further call.
-func (s *Scheduler) resume(message *Message) {
-	if message.recoveredUntried {
-		message.leaveShedClass() // it is not given up for room
-	} else {
-		s.dequeue(message)
-		s.retry(message)
-	}
-	s.awaitCall(message)
-}
-
 // dequeue ends a message's waiting. It can come back only as a retry.
 func (s *Scheduler) dequeue(message *Message) {
 	if !message.queued {
@@ -89,7 +74,7 @@
 	message.lane = nil
 }
 
-// expose makes a waiting message that no other of its key is before visible to turns.
+// expose lets rounds find a waiting message that is first of its key.
 func (m *Message) expose() {
 	if m.lane == nil {
 		m.Dest.retries.add(m)
@@ -118,7 +103,7 @@
 	}
 }
 
-// first is the earliest message that is accepted, nil if none is.
+// first returns the earliest message that is accepted, nil if none is.
 func (l *lane) first(accept func(*Message) bool) *Message {
 	var next *Message
 	for _, q := range l.queues {
@@ -129,12 +114,12 @@
 	return next
 }
 
-// mostValuable is the accepted message of a lane that is worth most now, of several the earliest. While value does not
-// change with age that is the first of a type; else all that waits in the lane is looked at.
+// mostValuable returns the accepted message of a lane that is worth most now, of several the earliest. While value does
+// not change with age that is the first of a type; else all that waits in the lane is looked at.
 func (s *Scheduler) mostValuable(lane *lane, accept func(*Message) bool) *Message {
 	var next *Message
 	consider := func(message *Message) {
-		if next == nil || s.worthMore(message, next) || !s.worthMore(next, message) && message.rank < next.rank {
+		if next == nil || s.moreValuable(message, next) || !s.moreValuable(next, message) && message.rank < next.rank {
 			next = message
 		}
 	}
@@ -153,33 +138,3 @@
 	}
 	return next
 }
-
-func (r *retryLane) add(message *Message) {
-	byRank.push(&r.messages, message)
-	byUrgency.push(&r.urgent, message)
-}
-
-func (r *retryLane) remove(message *Message) {
-	byRank.remove(&r.messages, message)
-	byUrgency.remove(&r.urgent, message)
-}
-
-// first is the earliest message that is accepted, nil if none is.
-func (r *retryLane) first(accept func(*Message) bool) *Message {
-	message, _ := byRank.first(r.messages, accept)
-	return message
-}
-
-// anyUrgent tells if some message soon cannot be sent any more.
-func (r *retryLane) anyUrgent(now float64) bool {
-	return len(r.urgent) > 0 && now > r.urgent[0].urgentAt()
-}
-
-// urgentAt is when a retry begins to go before fresh messages.
-func (m *Message) urgentAt() float64 {
-	at := m.deadline - m.messageType.TimeToLive/2
-	if m.firstRanAt > 0 && m.messageType.Idempotency == IdempotentWithKey {
-		at = math.Min(at, m.firstRanAt+m.messageType.DeduplicationWindow/3)
-	}
-	return at
-}
--- a/scheduler/queue_test.go
+++ b/scheduler/queue_test.go
@@ -107,8 +107,8 @@
 	require.Equal(t, 7, n)
 }
 
-// twoValues is a forwarder with two slots and two types, the second worth twice as much.
-func twoValues(room int) (*fake, *Destination) {
+// newTwoValues is a forwarder with two slots and two types, the second worth twice as much.
+func newTwoValues(room int) (*fake, *Destination) {
 	two := testSettings
 	two.Types = []MessageType{{Idempotency: AtMostOnce, LatencyObjective: 3, TimeToLive: 16, Value: 1}, {Idempotency: IdempotentWithKey, LatencyObjective: 2, TimeToLive: 28, DeduplicationWindow: 7, Value: 2}}
 	two.ConcurrencyLimit, two.QueueCapacity = 2, room
@@ -117,7 +117,7 @@
 }
 
 func TestTheDearerTypeGoesFirstAndNeitherStarves(t *testing.T) {
-	h, d := twoValues(20)
+	h, d := newTwoValues(20)
 	h.flood(d, 0, 12)
 	h.flood(d, 1, 6)
 	var order []int
@@ -137,7 +137,7 @@
 }
 
 func TestACrowdedRoomLosesTheCheaperTypeFirst(t *testing.T) {
-	h, d := twoValues(18)
+	h, d := newTwoValues(18)
 	h.flood(d, 1, 8)
 	h.flood(d, 0, 6)
 	h.flood(d, 1, 6)
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -9,7 +9,7 @@
 // Stories of rare moments: what a restart finds, a list that falls silent, one that is not heard yet.
 
 func TestWhatARestartFindsUntriedIsTriedThoughLittleTimeIsLeft(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	slow := make([]float64, len(d.latency.counts))
 	slow[d.latency.bin(4)] = 5
@@ -27,7 +27,7 @@
 }
 
 func TestAWaitOfBeforeDoesNotGiveUpWhatARestartFoundUntried(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 2, RecoveredState{})
@@ -43,7 +43,7 @@
 
 // Of hundreds that a restart finds, those that would arrive too late leave the places to those that are in time.
 func TestWhatARestartFoundIsNotSentTooLateInThePlaceOfOthers(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 4, RecoveredState{})
@@ -54,7 +54,7 @@
 }
 
 func TestACrowdedRoomKeepsWhatARestartFoundUntried(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.NewDestination(1)
 	owed := map[*Message]bool{}
 	for range h.settings.QueueCapacity {
@@ -83,7 +83,7 @@
 }
 
 func TestAnAgentsListIsHeardBeforeAnythingIsSent(t *testing.T) {
-	told := onSockets()
+	told := socketSettings()
 	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
 	h := newFake(told)
 	d := h.addDestination(0, 0) // as last known: by now it may drain
@@ -107,7 +107,7 @@
 }
 
 func TestAnAgentIsAskedAgainAtOnceHoweverLongDiscoveryWasDown(t *testing.T) {
-	told := onSockets()
+	told := socketSettings()
 	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
 	h := newFake(told)
 	h.addDestination(0, 0)
@@ -120,7 +120,7 @@
 }
 
 func TestADeliveryOnTheEdgeOfItsTimeIsToldTooAndItsKeyWaits(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	onEdge := func(noticed bool, ends float64) *Message {
 		message := &Message{Dest: d, Key: 5, AnsweredByNotice: noticed}
@@ -172,7 +172,7 @@
 // run is neither sent nor still waited for beyond it, and whatever is past its window ends as a failure, once.
 func TestAWindowOfASecondIsKeptOverARestart(t *testing.T) {
 	const window, life = 1.0, 20.0
-	short := onSockets()
+	short := socketSettings()
 	short.Types = append([]MessageType{}, short.Types...)
 	short.Types[ticket].DeduplicationWindow = window
 	for age := 0.0; age < 1.6; age += 0.04 { // of the call that was out when the process was killed
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -254,32 +254,3 @@
 	}
 	walk(n.right, max(0, from-left-1), end-left-1, call)
 }
-
-// park has turns pass over a destination while none of its endpoints may take a call. News of it ends that.
-func (s *Scheduler) park(destination *Destination) {
-	until := math.Inf(1)
-	for _, endpoint := range destination.endpoints {
-		if endpoint.state != Ready {
-			continue
-		}
-		if s.now >= endpoint.notBefore {
-			return
-		}
-		until = math.Min(until, endpoint.notBefore)
-	}
-	if destination.waiting > 0 {
-		s.ring.park(destination.ringNode, until)
-	}
-}
-
-// longestBacklog is the destination whose waiting messages take the most time, of several the one whose turn is next; nil if
-// none waits.
-func (s *Scheduler) longestBacklog() *Destination {
-	var longest *Destination
-	s.ring.each(func(destination *Destination) {
-		if destination.waiting > 0 && (longest == nil || backlogTime(destination) > backlogTime(longest)) {
-			longest = destination
-		}
-	})
-	return longest
-}
--- /dev/null
+++ b/scheduler/slowstart.go
@@ -0,0 +1,70 @@
+package scheduler
+
+import "math"
+
+const (
+	recoveryMargin        = 1.2  // on the usual rate, as a base of the ramp
+	minRecoveryFraction   = 0.05 // of the usual rate, even where the settings allow less
+	minSlowStartDuration  = 0.1  // seconds
+	minProbeSpread        = 0.7  // of the mean time between probes
+	probeSpread           = 0.6  // random part of it
+	cooldownCalls         = 2    // usual times between calls that a route rests
+	minGuaranteedRate     = 1    // calls a second that a route surely takes, of all forwarders together
+	healthyCallsAssumed   = 1    // added to the calls of a destination's healthy time
+	healthySecondsAssumed = 2    // added to that time, so that the first calls give no extreme rate
+)
+
+// probeInterval returns a random time between two calls to an endpoint that is ejected or recovering, in seconds.
+func (s *Scheduler) probeInterval(endpoint *Endpoint) float64 {
+	return (minProbeSpread + probeSpread*s.random.uniform()) / s.recoveryRate(endpoint)
+}
+
+// recoveryRate returns the calls a second that an endpoint may get while it is ejected or recovering, so that all
+// forwarders together, each judging by its own part, stay within what a cold destination stands.
+func (s *Scheduler) recoveryRate(endpoint *Endpoint) float64 {
+	peers := 0
+	for _, other := range endpoint.destination.endpoints {
+		if other.route == endpoint.route && other.state == Ready && other.health == endpoint.health {
+			peers++
+		}
+	}
+	settings := &s.settings
+	ceiling := recoveryMargin * settings.OverloadMultiple * s.usualRate(endpoint)
+	if endpoint.health == ejected { // all ejected endpoints of a route share its probes
+		return math.Max(ceiling*settings.SlowStartShare, 1/float64(settings.Forwarders))
+	}
+	duration := math.Max(minSlowStartDuration, settings.SlowStartDuration)
+	share := settings.SlowStartShare + (1-settings.SlowStartShare)*(s.now-endpoint.recoveringSince)/duration
+	return ceiling * math.Max(minRecoveryFraction, share) / float64(max(1, peers))
+}
+
+// usualRate returns the calls a second that this forwarder makes or may make to an endpoint's destination as a rule:
+// its demand, but no more than the destination got done while it was healthy.
+//
+// Trade-off: a ramp does not push over a destination that was asked for more than it can do, but is too slow where the
+// destination's best is not known yet.
+func (s *Scheduler) usualRate(endpoint *Endpoint) float64 {
+	destination := endpoint.destination
+	rate := destination.accepted / (s.now - s.startedAt + startWindow)
+	if destination.healthyDeliveries > 0 {
+		healthyRate := (destination.healthyDeliveries + healthyCallsAssumed) /
+			(destination.healthySeconds + healthySecondsAssumed)
+		rate = math.Min(rate, healthyRate)
+	}
+	return math.Max(rate*(destination.calls+1)/(destination.attempts+1), s.guaranteedRate(endpoint))
+}
+
+// cooldown returns how long a route rests after failures, in seconds: the usual time of two calls, at most half of a
+// message's time to live.
+func (s *Scheduler) cooldown(endpoint *Endpoint) float64 {
+	return math.Min(cooldownCalls/s.usualRate(endpoint), s.shortestTimeToLive/2)
+}
+
+// guaranteedRate returns this forwarder's even part of the rate that a route surely takes.
+func (s *Scheduler) guaranteedRate(endpoint *Endpoint) float64 {
+	rate := math.Max(minGuaranteedRate, endpoint.route.reportedLimit)
+	if s.settings.ListedRateTolerance > 0 {
+		rate = math.Max(rate, endpoint.destination.listedRate/s.settings.ListedRateTolerance)
+	}
+	return rate / float64(s.settings.Forwarders)
+}
--- a/scheduler/socket_test.go
+++ b/scheduler/socket_test.go
@@ -8,7 +8,7 @@
 
 // Stories of what sockets add: the room at the door, restarts, stops, answers that must be heard.
 
-func onSockets() Settings {
+func socketSettings() Settings {
 	t := testSettings
 	t.MaxStoredBytes, t.AwaitAcknowledgement = 1000, true
 	return t
@@ -23,7 +23,7 @@
 }
 
 func TestAMessageIsTakenOnWhileThereIsRoomAndTime(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	require.True(t, admits(h, 1000, 8))
 	require.False(t, admits(h, 1001, 8), "no room on disk")
@@ -40,7 +40,7 @@
 }
 
 func TestRoomOnDiskIsFreeOnceTheAnswerIsHeard(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	message := &Message{Dest: h.NewDestination(1), Size: 600}
 	h.Accept(message, status, 1)
 	h.advance(1.1)
@@ -52,7 +52,7 @@
 }
 
 func TestTheNextOfAKeyWaitsUntilAnAnswerIsHeard(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	first := &Message{Dest: d, Key: 5}
 	h.Accept(first, ticket, 0.5)
@@ -70,7 +70,7 @@
 }
 
 func TestWhatWasOutWhenTheProcessEndedIsTreatedAsIfItHadRun(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0, 0)
 	recover := func(messageType int, left float64, past RecoveredState) *Message {
 		message := &Message{Dest: d, Key: 5}
@@ -99,7 +99,7 @@
 }
 
 func TestWhatWasAnsweredBeforeARestartIsOnlyWaitedFor(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	message := &Message{Dest: d, Key: 5, Size: 10}
 	h.Recover(message, ticket, 20, RecoveredState{Attempts: 1, Answered: true})
@@ -114,7 +114,7 @@
 }
 
 func TestAStopBeginsNoCallThatWouldBeCutOff(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	soon := h.accept(d, status, 0)
 	h.reconcile()
@@ -134,7 +134,7 @@
 }
 
 func TestCallsNotYetBegunAreTakenBackWhenARetryAfterComesOrAnEndpointDrains(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0, 0)
 	first, other := h.accept(d, status, 0), h.accept(d, status, 0)
 	h.reconcile()
@@ -147,7 +147,7 @@
 }
 
 func TestARetryAfterToldWithADeliveryBindsToo(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(1, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -160,7 +160,7 @@
 }
 
 func TestNeitherKeysNorNamesOfDestinationsPileUp(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	for key := range 500 {
 		message := h.accept(d, ticket, uint64(key+1))
@@ -181,7 +181,7 @@
 
 // Endpoints are replaced all day: those that are gone are let go of once no call to them is out, however they went.
 func TestEndpointsThatAreGoneDoNotPileUp(t *testing.T) {
-	h := newFake(onSockets())
+	h := newFake(socketSettings())
 	d := h.addDestination(0, 0)
 	out := h.accept(d, status, 0)
 	h.reconcile()
