--- a/scheduler/socket_test.go
+++ b/scheduler/admission_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Stories of what sockets add: the room at the door, restarts, stops, answers that must be heard.
+// Admission, restarts, stops and answers that must be acknowledged, as real frontends need them.
 
 func socketSettings() Settings {
 	t := testSettings
@@ -14,7 +14,7 @@
 	return t
 }
 
-func admits(h *fake, size int, left float64) bool {
+func admits(h *harness, size int, left float64) bool {
 	taken, back := h.Admit(size, left)
 	if !taken {
 		h.retryAfters[nil] = back
@@ -22,11 +22,11 @@
 	return taken
 }
 
-func TestAMessageIsTakenOnWhileThereIsRoomAndTime(t *testing.T) {
-	h := newFake(socketSettings())
+func TestAdmitsWhileThereIsCapacityAndTime(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	require.True(t, admits(h, 1000, 8))
-	require.False(t, admits(h, 1001, 8), "no room on disk")
+	require.False(t, admits(h, 1001, 8), "no storage left")
 	require.Equal(t, 2.0, h.retryAfters[nil])
 	require.False(t, admits(h, 10, 0.01), "no time")
 	message := &Message{Dest: d, Size: 600}
@@ -36,23 +36,23 @@
 	h.endAttempt(message, Delivered, 0)
 	require.True(t, admits(h, 600, 8))
 	h.flood(d, status, h.settings.QueueCapacity)
-	require.False(t, admits(h, 10, 8), "no room")
+	require.False(t, admits(h, 10, 8), "queue full")
 }
 
-func TestRoomOnDiskIsFreeOnceTheAnswerIsHeard(t *testing.T) {
-	h := newFake(socketSettings())
+func TestStoredBytesAreReleasedOnAcknowledgement(t *testing.T) {
+	h := newHarness(socketSettings())
 	message := &Message{Dest: h.NewDestination(1), Size: 600}
 	h.Accept(message, status, 1)
 	h.advance(1.1)
-	require.Equal(t, "rejected", h.done[message])
+	require.Equal(t, "rejected", h.answers[message])
 	require.False(t, admits(h, 600, 8))
 	h.NoticeAcknowledged(message)
 	require.True(t, message.Finished())
 	require.True(t, admits(h, 600, 8))
 }
 
-func TestTheNextOfAKeyWaitsUntilAnAnswerIsHeard(t *testing.T) {
-	h := newFake(socketSettings())
+func TestNextOfKeyWaitsForAcknowledgement(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	first := &Message{Dest: d, Key: 5}
 	h.Accept(first, ticket, 0.5)
@@ -60,7 +60,7 @@
 	second := &Message{Dest: d, Key: 5}
 	h.Accept(second, ticket, 20)
 	h.advance(0.6)
-	require.Equal(t, "rejected", h.done[first])
+	require.Equal(t, "rejected", h.answers[first])
 	h.updateState(d.endpoints[0], Ready)
 	h.advance(1)
 	require.Empty(t, h.sent)
@@ -69,8 +69,8 @@
 	require.Equal(t, second, h.sent[0].message)
 }
 
-func TestWhatWasOutWhenTheProcessEndedIsTreatedAsIfItHadRun(t *testing.T) {
-	h := newFake(socketSettings())
+func TestRecoveredAttemptCountsAsPossiblyRun(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0, 0)
 	recover := func(messageType int, left float64, past RecoveredState) *Message {
 		message := &Message{Dest: d, Key: 5}
@@ -85,7 +85,9 @@
 	spent := recover(status, 10, RecoveredState{Attempts: 6})
 	late := recover(status, -1, RecoveredState{})
 	h.reconcile()
-	require.Equal(t, map[*Message]string{binding: "abandoned", forgotten: "abandoned", spent: "rejected", late: "rejected"}, h.done)
+	require.Equal(t, map[*Message]string{
+		binding: "abandoned", forgotten: "abandoned", spent: "rejected", late: "rejected",
+	}, h.answers)
 	h.advance(0.1)
 	var sent []*Message
 	for _, s := range h.sent {
@@ -98,8 +100,8 @@
 	require.Equal(t, behind, h.sent[len(h.sent)-1].message)
 }
 
-func TestWhatWasAnsweredBeforeARestartIsOnlyWaitedFor(t *testing.T) {
-	h := newFake(socketSettings())
+func TestRecoveredAnswerIsOnlyAwaited(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	message := &Message{Dest: d, Key: 5, Size: 10}
 	h.Recover(message, ticket, 20, RecoveredState{Attempts: 1, Answered: true})
@@ -107,14 +109,14 @@
 	h.Recover(behind, ticket, 20, RecoveredState{})
 	h.advance(1)
 	require.Empty(t, h.sent)
-	require.Empty(t, h.done)
+	require.Empty(t, h.answers)
 	h.NoticeAcknowledged(message)
 	h.advance(0.1)
 	require.Equal(t, behind, h.sent[0].message)
 }
 
-func TestAStopBeginsNoCallThatWouldBeCutOff(t *testing.T) {
-	h := newFake(socketSettings())
+func TestStopBeginsNoCallThatWouldBeCutOff(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	soon := h.accept(d, status, 0)
 	h.reconcile()
@@ -130,11 +132,11 @@
 	h.accept(d, status, 0)
 	h.advance(0.2)
 	require.Len(t, h.sent, 2)
-	require.Empty(t, h.done, "it stays owed")
+	require.Empty(t, h.answers, "it is left to the next process")
 }
 
-func TestCallsNotYetBegunAreTakenBackWhenARetryAfterComesOrAnEndpointDrains(t *testing.T) {
-	h := newFake(socketSettings())
+func TestCancelsUnsentCallsOnRetryAfterAndDrain(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0, 0)
 	first, other := h.accept(d, status, 0), h.accept(d, status, 0)
 	h.reconcile()
@@ -146,8 +148,8 @@
 	require.Len(t, h.cancelled, 2)
 }
 
-func TestARetryAfterToldWithADeliveryBindsToo(t *testing.T) {
-	h := newFake(socketSettings())
+func TestHeedsRetryAfterOfDelivery(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(1, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -159,13 +161,13 @@
 	require.Len(t, h.sent, 2)
 }
 
-func TestNeitherKeysNorNamesOfDestinationsPileUp(t *testing.T) {
-	h := newFake(socketSettings())
+func TestForgetsIdleKeysAndDestinations(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	for key := range 500 {
 		message := h.accept(d, ticket, uint64(key+1))
 		h.reconcile()
-		h.AttemptEnded(message, AttemptResult{Outcome: Cancelled, Final: true}) // its key rests on
+		h.AttemptEnded(message, AttemptResult{Outcome: Cancelled, Final: true}) // its key pauses on
 		h.advance(0.2)
 	}
 	require.Less(t, len(h.keyQueues), 70)
@@ -179,9 +181,9 @@
 	require.False(t, h.Forget(d))
 }
 
-// Endpoints are replaced all day: those that are gone are let go of once no call to them is out, however they went.
-func TestEndpointsThatAreGoneDoNotPileUp(t *testing.T) {
-	h := newFake(socketSettings())
+// Endpoints are replaced all day: removed ones are released once no call to them is in flight, however they went.
+func TestReleasesRemovedEndpoints(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	out := h.accept(d, status, 0)
 	h.reconcile()
@@ -190,7 +192,7 @@
 		next := &Endpoint{ID: d.endpoints[len(d.endpoints)-1].ID + 1}
 		h.UpdateEndpoints(true, []EndpointUpdate{{Endpoint: next, Destination: d, State: Ready}})
 		h.reconcile()
-		require.Contains(t, d.endpoints, first, "a call to it is out")
+		require.Contains(t, d.endpoints, first, "a call to it is in flight")
 		require.LessOrEqual(t, len(d.endpoints), 2)
 	}
 	require.Len(t, h.released, 999)
@@ -199,20 +201,20 @@
 	require.NotContains(t, d.endpoints, first)
 }
 
-// Reason callers of an earlier process waited for is not sent. Where it may still run, its key rests.
-func TestWhatACallerThatLeftWaitedForIsNotSentAndLetsItsKeyRest(t *testing.T) {
+// A message that a caller of an earlier process waited for is not sent. Where it may still run, its key pauses.
+func TestDoesNotSendMessageWhoseCallerIsGone(t *testing.T) {
 	for _, sent := range []int{0, 1} {
-		h := newFake(testSettings)
+		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		left := &Message{Key: 5, Dest: d, Tenant: 9}
 		h.Recover(left, ticket, 20, RecoveredState{Attempts: sent, FirstRanAt: h.now - 1, CallerGone: true})
 		require.True(t, left.Finished())
 		after := h.accept(d, ticket, 5)
 		h.reconcile()
-		require.Equal(t, sent == 0, len(h.sent) == 1, "a key with nothing sent rests not")
+		require.Equal(t, sent == 0, len(h.sent) == 1, "a key of which nothing was sent does not pause")
 		h.advance(0.2)
 		require.Len(t, h.sent, 1)
 		require.Same(t, after, h.sent[0].message)
-		require.Empty(t, h.done[left])
+		require.Empty(t, h.answers[left])
 	}
 }
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -24,7 +24,8 @@
 
 func benchSettings(room int) Settings {
 	t := testSettings
-	t.Types, t.ConcurrencyLimit, t.QueueCapacity = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchLife}}, 256, room
+	t.Types = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchLife}}
+	t.ConcurrencyLimit, t.QueueCapacity = 256, room
 	return t
 }
 
@@ -50,7 +51,8 @@
 			var destinations []*Destination
 			for i := range n {
 				d := s.NewDestination(uint64(i))
-				s.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{ID: uint64(i)}, Destination: d, State: Ready}})
+				endpoint := &Endpoint{ID: uint64(i)}
+				s.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, State: Ready}})
 				destinations = append(destinations, d)
 			}
 			s.Reconcile()
@@ -63,7 +65,7 @@
 	}
 }
 
-// BenchmarkHeld is the same with so many messages held for a destination that told a wait. The wait is shorter than
+// BenchmarkHeld is the same with so many messages held for a destination that sent a Retry-After. It is shorter than
 // their life, so that they stay held while the benchmark runs.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
@@ -73,7 +75,7 @@
 				deliverOne(s, h, &now, other)
 			}
 			b.StopTimer()
-			if s.held.count != n+1 { // the one that told the wait waits as well
+			if s.held.count != n+1 { // the one that got the Retry-After waits as well
 				b.Fatalf("%d messages are held in place of %d", s.held.count, n+1)
 			}
 		})
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDeadIdleConnectionsAreGivenUp(t *testing.T) {
-	h := newFake(testSettings)
+func TestClosesIdleConnectionsAfterLosses(t *testing.T) {
+	h := newHarness(testSettings)
 	var receivers []*Destination
 	for range 3 {
 		receivers = append(receivers, h.addDestination(0, 0))
@@ -28,8 +28,8 @@
 	require.Contains(t, h.log, "close 0")
 }
 
-func TestFailedConnectsCloseIdleConnections(t *testing.T) {
-	h := newFake(testSettings)
+func TestFailedConnectClosesIdleConnections(t *testing.T) {
+	h := newHarness(testSettings)
 	d, quiet := h.addDestination(0, 0, 0), h.addDestination(0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -49,11 +49,10 @@
 	require.Equal(t, []string{"close 0"}, h.log) // its only call: an idle connection would not be used again
 }
 
-func TestForwardersStartAtDifferentEndpointsAndStayThere(t *testing.T) {
+func TestForwardersSpreadOverEndpointsAndReuseConnections(t *testing.T) {
 	first := map[uint64]int{}
 	for seed := range uint64(40) {
-		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
-		h.Scheduler = New(testSettings, seed, h.now, h)
+		h := newSeededHarness(testSettings, seed)
 		d := h.addDestination(0, 0, 0)
 		for range 3 {
 			h.accept(d, status, 0)
@@ -67,8 +66,8 @@
 	require.Greater(t, min(first[0], first[1]), 10, "all began with the first of the list")
 }
 
-func TestAConnectionThatIsNotUsedAgainInTimeIsClosed(t *testing.T) {
-	h := newFake(testSettings)
+func TestClosesConnectionsOfRareCalls(t *testing.T) {
+	h := newHarness(testSettings)
 	seldom, often := h.addDestination(0, 0), h.addDestination(0, 0)
 	often.endpoints[0].ID = 9
 	for range 4 {
@@ -89,8 +88,8 @@
 	require.Equal(t, 1, n["close 9"], "but for the first")
 }
 
-func TestAFailedConnectTellsOfAllDestinationsOfTheKind(t *testing.T) {
-	h := newFake(testSettings)
+func TestFailedConnectClosesIdleConnectionsOfTheSameKind(t *testing.T) {
+	h := newHarness(testSettings)
 	full, same, other := h.addDestination(0, 0), h.addDestination(0, 0), h.addDestination(1, 0)
 	same.endpoints[0].ID, other.endpoints[0].ID = 8, 9
 	round := func(o Outcome) {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -7,7 +7,7 @@
 
 const (
 	deadlineGrace       = 0.01 // seconds after the deadline: the end of the call should have come
-	lateLifetimeDivisor = 8    // a message is not sent later than its lifetime divided by this before the deadline at least
+	lateLifetimeDivisor = 8    // a message may be sent while its lifetime divided by this is left
 )
 
 // tooLate reports whether a message has less time left than calls to its destination mostly take, or its endpoints are
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -6,30 +6,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEveryMessageGetsOneAnswerBeforeExpiry(t *testing.T) {
-	h := newFake(testSettings)
+func TestUndeliverableMessageIsRejectedBeforeDeadline(t *testing.T) {
+	h := newHarness(testSettings)
 	nowhere := h.NewDestination(1)
 	message := h.accept(nowhere, ticket, 5)
 	h.advance(22)
-	require.Empty(t, h.done)
+	require.Empty(t, h.answers)
 	h.advance(4)
-	require.Equal(t, map[*Message]string{message: "rejected"}, h.done)
+	require.Equal(t, map[*Message]string{message: "rejected"}, h.answers)
 	require.Positive(t, h.retryAfters[message])
 	require.Empty(t, h.sent)
 }
 
-func TestExpiryIsKeptThoughTheCallNeverEnds(t *testing.T) {
-	h := newFake(testSettings)
+func TestAnswersAtDeadlineThoughCallNeverEnds(t *testing.T) {
+	h := newHarness(testSettings)
 	message := h.accept(h.addDestination(0, 0), payment, 0)
 	h.advance(20.5)
-	require.Equal(t, "abandoned", h.done[message])
+	require.Equal(t, "abandoned", h.answers[message])
 	h.endAttempt(message, TimedOut, 0)
 	require.True(t, message.Finished())
 }
 
 // A long line in which each message is sent just too late would make a good endpoint look sick.
-func TestAMessageThatCallsMostlyOutlastIsAnsweredNotSent(t *testing.T) {
-	h := newFake(testSettings)
+func TestRejectsMessageWithLessTimeThanCallsTake(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 50 {
 		h.AttemptEnded(h.sendOne(d), AttemptResult{Outcome: Delivered, Final: true, Latency: 1})
@@ -41,15 +41,15 @@
 	sent := len(h.sent)
 	h.advance(0.1)
 	require.Len(t, h.sent, sent)
-	require.Equal(t, "rejected", h.done[late])
+	require.Equal(t, "rejected", h.answers[late])
 	fresh := &Message{Dest: d}
 	h.Accept(fresh, status, 0.5)
 	h.reconcile()
 	require.Equal(t, fresh, h.sent[sent].message, "handed in with little time, it is tried at once")
 }
 
-func TestWhatIsClosedBeyondItsExpiryIsAnsweredAtOnce(t *testing.T) {
-	h := newFake(testSettings)
+func TestRejectsMessageBlockedBeyondItsDeadline(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	first, long := h.accept(d, status, 0), h.accept(d, status, 0)
 	short := &Message{Dest: d, Tenant: 9}
@@ -60,6 +60,6 @@
 	h.endAttempt(long, Overloaded, 0)
 	h.endAttempt(short, Overloaded, 0)
 	h.reconcile()
-	require.Equal(t, "rejected", h.done[short], "there is no way left before its end")
-	require.Empty(t, h.done[long])
+	require.Equal(t, "rejected", h.answers[short], "there is no way left before its end")
+	require.Empty(t, h.answers[long])
 }
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestListIsAskedForAgainAfterAFailure(t *testing.T) {
+func TestPollsAgainAfterFailure(t *testing.T) {
 	asks := testSettings
 	asks.PollEndpoints = true
-	h := newFake(asks)
+	h := newHarness(asks)
 	h.reconcile()
 	require.Equal(t, 1, h.polls)
 	h.PollTimedOut()
@@ -20,19 +20,18 @@
 // Thirty-six forwarders start at once beside a discovery that takes their calls in turn, six a second, and fails one
 // that has waited for two seconds, its work done in vain. Each is served within half a minute, since those that
 // failed come back ever later; asked again within a second, most never were.
-func TestManyForwardersThatAskAtOnceAreAllServed(t *testing.T) {
+func TestFleetOfPollingForwardersIsServed(t *testing.T) {
 	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 36
 	type call struct {
-		of   *fake
+		of   *harness
 		came float64
 	}
-	var fleet []*fake
+	var fleet []*harness
 	var line []call
-	asked, served := map[*fake]int{}, map[*fake]bool{}
+	asked, served := map[*harness]int{}, map[*harness]bool{}
 	for seed := range asks.Forwarders {
-		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
-		h.Scheduler = New(asks, uint64(seed), h.now, h)
+		h := newSeededHarness(asks, uint64(seed))
 		h.addDestination(0, 0)
 		fleet = append(fleet, h)
 	}
@@ -62,14 +61,14 @@
 	require.Len(t, served, asks.Forwarders)
 }
 
-func TestAForwarderWithoutAListAsksAtOnce(t *testing.T) {
+func TestPollsAtOnceWithoutEndpointList(t *testing.T) {
 	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
-	h := newFake(asks)
+	h := newHarness(asks)
 	h.reconcile()
 	require.Equal(t, 1, h.polls)
 
-	h = newFake(asks)
+	h = newHarness(asks)
 	h.addDestination(0, 0) // known from before
 	h.reconcile()
 	require.Zero(t, h.polls)
@@ -77,10 +76,10 @@
 	require.Equal(t, 1, h.polls)
 }
 
-func TestQuestionsForTheListStayWithinWhatTheRulesWant(t *testing.T) {
+func TestPollsWithinConfiguredTime(t *testing.T) {
 	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
-	h := newFake(asks)
+	h := newHarness(asks)
 	h.reconcile()
 	for range 20 { // four times the time is theirs after a failure
 		was := h.polls
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// missedDue is the first message that a review should have answered and did not, found by a walk over all that is held.
+// missedDue returns the first message that a check of deadlines should have
+// answered and did not, found by a walk over all held messages.
 func missedDue(s *Scheduler) (message *Message, why string) {
 	for message := range s.held.all() {
 		mayRun := message.firstRanAt > 0 && message.messageType.Idempotency != Idempotent
@@ -21,9 +22,10 @@
 		case mayRun && message.messageType.Idempotency == AtMostOnce:
 			return message, "it may have run and must not run twice"
 		case mayRun && s.now > message.keyExpiredAt():
-			return message, "its number is forgotten"
-		case mayRun && !message.messageType.DeduplicatedPerZone && s.now > message.keyExpiringAt() && s.allEjected(message.Dest):
-			return message, "its number is soon forgotten and nothing answers"
+			return message, "its key is forgotten"
+		case mayRun && !message.messageType.DeduplicatedPerZone && s.now > message.keyExpiringAt() &&
+			s.allEjected(message.Dest):
+			return message, "its key is soon forgotten and nothing answers"
 		case s.tooLate(message):
 			return message, "its time is too short"
 		case s.settings.MaxAttempts > 0 && message.attempts >= s.settings.MaxAttempts:
@@ -33,7 +35,8 @@
 	return nil, ""
 }
 
-// inconsistent is the first held message or destination that is not in just the structures that its state asks for.
+// inconsistent returns the first held message or destination that is not in just the structures that its state asks
+// for.
 func inconsistent(s *Scheduler) (what any, why string) {
 	waiting := map[*Destination]int{}
 	for message := range s.held.all() {
@@ -44,7 +47,7 @@
 		case message.call != nil != (message.stage == stageInFlight):
 			return message, "its stage is that of a call"
 		case message.queued && first != (message.queuePosition > 0):
-			return message, "it is visible to turns if none of its key is before it"
+			return message, "rounds find it if none of its key is before it"
 		}
 		if message.queued {
 			waiting[message.Dest]++
@@ -61,13 +64,14 @@
 	return nil, ""
 }
 
-// randomRun plays random messages, answers, lists and waits and calls check after each review.
+// randomRun plays random messages, answers, lists and Retry-Afters and calls check after each check of deadlines.
 func randomRun(seed uint64, check func(*Scheduler)) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	day := testSettings
 	day.Forwarders, day.ConcurrencyLimit, day.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
-	day.HalvingValue, day.AwaitAcknowledgement, day.TenantRate = random.IntN(2) == 0, random.IntN(2) == 0, []float64{5, 20}
-	h := newFake(day)
+	day.HalvingValue, day.AwaitAcknowledgement = random.IntN(2) == 0, random.IntN(2) == 0
+	day.TenantRate = []float64{5, 20}
+	h := newHarness(day)
 	var destinations []*Destination
 	for kind := range 3 {
 		destinations = append(destinations, h.addDestination(kind, 0, 1))
@@ -75,13 +79,16 @@
 	for range 30 {
 		message := &Message{Dest: destinations[random.IntN(3)], Key: uint64(random.IntN(4))}
 		messageType := random.IntN(len(day.Types))
-		h.Recover(message, messageType, random.Float64()*day.Types[messageType].TimeToLive, RecoveredState{Attempts: random.IntN(3), FirstRanAt: h.now - 20*random.Float64()})
+		left := random.Float64() * day.Types[messageType].TimeToLive
+		recovered := RecoveredState{Attempts: random.IntN(3), FirstRanAt: h.now - 20*random.Float64()}
+		h.Recover(message, messageType, left, recovered)
 	}
 	answered := map[*Message]bool{}
 	for range 1500 {
 		h.now += 0.03 * random.ExpFloat64()
 		h.SetTime(h.now)
-		if message := (&Message{Dest: destinations[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}); random.IntN(3) > 0 {
+		message := &Message{Dest: destinations[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}
+		if random.IntN(3) > 0 {
 			messageType := random.IntN(len(day.Types))
 			if taken, _ := h.Admit(0, day.Types[messageType].TimeToLive); taken {
 				h.Accept(message, messageType, day.Types[messageType].TimeToLive*random.Float64())
@@ -90,11 +97,12 @@
 		for _, s := range h.sent {
 			if s.message.call != nil && random.IntN(4) == 0 {
 				outcome := Outcome(random.IntN(int(NotSent) + 1))
-				h.AttemptEnded(s.message, AttemptResult{Outcome: outcome, Final: outcome == Delivered, Latency: random.Float64(), RetryAfter: max(0, 8*random.Float64()-6)})
+				h.AttemptEnded(s.message, AttemptResult{Outcome: outcome, Final: outcome == Delivered,
+					Latency: random.Float64(), RetryAfter: max(0, 8*random.Float64()-6)})
 			}
 		}
 		h.sent = slices.DeleteFunc(h.sent, func(s sentCall) bool { return s.message.call == nil })
-		for message := range h.done {
+		for message := range h.answers {
 			if message.AwaitingAcknowledgement() && !answered[message] && random.IntN(3) == 0 {
 				answered[message] = true
 				h.NoticeAcknowledged(message)
@@ -112,7 +120,7 @@
 	}
 }
 
-func TestAReviewFindsAllThatIsDueWithoutAWalk(t *testing.T) {
+func TestDeadlineCheckFindsAllDueMessages(t *testing.T) {
 	for seed := range uint64(40) {
 		randomRun(seed, func(s *Scheduler) {
 			if message, why := missedDue(s); message != nil {
@@ -125,8 +133,8 @@
 	}
 }
 
-func TestWhatAllRemainingEndpointsAreClosedForIsAnsweredOnceAnotherIsLetGo(t *testing.T) {
-	h := newFake(testSettings)
+func TestRejectsMessageOnceOnlyBlockedEndpointsRemain(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	out := h.accept(d, status, 0)
 	h.reconcile()
@@ -140,16 +148,16 @@
 	h.BlockUntil(closed, h.now+100)
 	waits := h.accept(d, status, 0)
 	h.reconcile()
-	require.Empty(t, h.done)
+	require.Empty(t, h.answers)
 	h.endAttempt(out, Delivered, 0)
 	h.reconcile()
 	require.Equal(t, []*Endpoint{leaving}, h.released)
 	h.reconcile()
-	require.Equal(t, "rejected", h.done[waits])
+	require.Equal(t, "rejected", h.answers[waits])
 }
 
-// newHeld makes a forwarder that holds n messages for a destination that told a wait shorter than their life, and has
-// another destination that answers.
+// newHeld returns a forwarder that holds n messages for a destination that sent a Retry-After shorter than their time
+// to live, and has another destination that answers.
 func newHeld(n int) (s *Scheduler, h *recordingHost, now float64, other *Destination) {
 	h, now = &recordingHost{}, 100.0
 	s = New(benchSettings(10*n), 7, now, h)
@@ -171,7 +179,7 @@
 	return s, h, now, destinations[0]
 }
 
-func TestWhatIsHeldIsNotLookedAtBeforeItIsDue(t *testing.T) {
+func TestDeadlineCheckSkipsMessagesThatAreNotDue(t *testing.T) {
 	s, h, now, other := newHeld(20_000)
 	for range 20 {
 		now += 0.02
@@ -188,7 +196,7 @@
 }
 
 // requireLinear checks that the cost of a message does not grow with their number: a hundred times as many may cost at
-// most eight times as much each, the best of some tries. Reason grows with the square would cost a hundred times as much.
+// most eight times as much each, the best of some tries. Quadratic growth would cost a hundred times as much.
 func requireLinear(t *testing.T, work func(n int)) {
 	const few, many, tries = 1000, 100_000, 4
 	best := func(n int) time.Duration {
@@ -204,7 +212,7 @@
 	require.Less(t, each, 8*one, fmt.Sprintf("%v each of %d, %v each of %d", one, few, each, many))
 }
 
-func TestTakingAndGivingUpManyAtOnceIsLinear(t *testing.T) {
+func TestAcceptingAndExpiringManyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		s, _, now, _ := newHeld(n)
 		s.SetTime(now + 2*benchLife)
@@ -213,7 +221,7 @@
 	})
 }
 
-func TestGivingUpManyOfOneKeyIsLinear(t *testing.T) {
+func TestExpiringManyOfOneKeyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		day := benchSettings(10 * n)
 		day.Types[0].InOrder = true
@@ -262,7 +270,7 @@
 	})
 }
 
-func TestMakingRoomInAFullForwarderIsLinear(t *testing.T) {
+func TestSheddingLoadIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		day := benchSettings(n)
 		s := New(day, 7, 100, &recordingHost{})
--- a/scheduler/concurrency_test.go
+++ b/scheduler/endpoints_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestADestinationKeepsToItsShareOfTheSlots(t *testing.T) {
-	h := newFake(testSettings)
+func TestDestinationIsLimitedToItsFractionOfConcurrency(t *testing.T) {
+	h := newHarness(testSettings)
 	d, other := h.addDestination(0, 0, 0, 0, 0), h.addDestination(0, 0)
 	h.flood(d, status, 30)
 	h.reconcile()
@@ -20,8 +20,8 @@
 	require.LessOrEqual(t, d.callsInFlight, 4)
 }
 
-func TestManyEjectedDestinationsLeaveSlotsToTheOthers(t *testing.T) {
-	h := newFake(testSettings)
+func TestImpairedDestinationsLeaveConcurrencyToHealthyOnes(t *testing.T) {
+	h := newHarness(testSettings)
 	for range 6 {
 		d := h.addDestination(0, 0, 0)
 		h.accept(d, status, 0)
@@ -37,8 +37,8 @@
 	require.Same(t, good, h.sent[len(h.sent)-1].message.Dest)
 }
 
-func TestOneErrorDoesNotShutADestinationOutOfFullSlots(t *testing.T) {
-	h := newFake(testSettings)
+func TestImpairedDestinationGetsOneCallAtFullConcurrency(t *testing.T) {
+	h := newHarness(testSettings)
 	fast, one, two := h.addDestination(0, 0), h.addDestination(0, 0, 0), h.addDestination(0, 0, 0)
 	h.accept(fast, status, 0)
 	h.advance(0.4)
@@ -54,8 +54,8 @@
 	require.Equal(t, 1, fast.callsInFlight)
 }
 
-func TestTheLastSlotsAreWaitedForLess(t *testing.T) {
-	h := newFake(testSettings)
+func TestTimeoutIsShorterNearConcurrencyLimit(t *testing.T) {
+	h := newHarness(testSettings)
 	one, two := h.addDestination(0, 0, 0), h.addDestination(0, 0, 0)
 	h.flood(one, status, 4)
 	h.reconcile()
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -7,16 +7,16 @@
 )
 
 // fleet is many forwarders of the scheduler in front of one destination that all share. It lets in so many calls a
-// second, counting those that it refuses too, and reports its limit and what is left of it.
+// second, counting those that it rejects too, and reports its limit and what is left of it.
 type fleet struct {
-	forwarders      []*fake
+	forwarders      []*harness
 	now             float64
 	limit           float64
 	capacity        float64 // calls that the limit still lets in
-	hung            bool    // its queue is full: it refuses all
+	hung            bool    // its queue is full: it rejects all
 	silentReports   bool    // it reports nothing
-	debt            float64 // refused calls use the limit up by so many beyond it
-	noted           []int   // attempts of each node that were taken note of
+	debt            float64 // rejected calls use the limit up by so many beyond it
+	noted           []int   // attempts of each forwarder that were answered
 	pending         []scheduledResult
 	calls, rejected int
 	delivered       map[*Message]int
@@ -24,7 +24,7 @@
 
 type scheduledResult struct {
 	at        float64
-	forwarder *fake
+	forwarder *harness
 	message   *Message
 	result    AttemptResult
 }
@@ -32,17 +32,18 @@
 func newFleet(n int, limit float64) *fleet {
 	t := testSettings
 	t.Forwarders = n
-	f := &fleet{now: 100, limit: limit, capacity: limit / 2, debt: 1, noted: make([]int, n), delivered: map[*Message]int{}}
+	f := &fleet{now: 100, limit: limit, capacity: limit / 2, debt: 1,
+		noted: make([]int, n), delivered: map[*Message]int{}}
 	for i := range n {
-		h := newFake(t)
-		h.Scheduler = New(t, uint64(i+1), 100, h)
+		h := newSeededHarness(t, uint64(i+1))
 		h.addDestination(0, 0)
 		f.forwarders = append(f.forwarders, h)
 	}
 	return f
 }
 
-// advance lets the fleet run, one message in so many seconds for each node, and returns the calls and those refused.
+// advance lets the fleet run, one message in so many seconds for each forwarder, and returns the calls and those
+// rejected.
 func (f *fleet) advance(seconds, every float64) (calls, full int) {
 	f.calls, f.rejected = 0, 0
 	for end := f.now + seconds; f.now < end; f.now += 0.02 {
@@ -70,12 +71,13 @@
 	return f.calls, f.rejected
 }
 
-func (f *fleet) call(h *fake, message *Message) {
+func (f *fleet) call(h *harness, message *Message) {
 	f.calls++
-	e := AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: f.limit, ReportedShare: ReportedValue(max(0, (f.capacity-1)/(f.limit/2)))}
+	e := AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: f.limit,
+		ReportedShare: ReportedValue(max(0, (f.capacity-1)/(f.limit/2)))}
 	if f.capacity--; f.hung || f.capacity < 0 {
 		f.rejected++
-		f.capacity = max(f.capacity, -f.debt) // refused calls use it up too
+		f.capacity = max(f.capacity, -f.debt) // rejected calls use it up too
 		e = AttemptResult{Outcome: Overloaded, Latency: 0.05, ReportedLimit: f.limit, ReportedShare: -1}
 	} else {
 		f.delivered[message]++
@@ -86,9 +88,9 @@
 	f.pending = append(f.pending, scheduledResult{f.now + 0.1, h, message, e})
 }
 
-// A fleet of few messages each, some with far more, at an exact listed limit that refused calls use up: after a clump
+// A fleet of few messages each, some with far more, at an exact listed limit that rejected calls use up: after a burst
 // the sum of their calls falls under the limit, and what comes then is let in.
-func TestManyUnevenForwardersLeaveAnExactLimitRoomAfterABurst(t *testing.T) {
+func TestUnevenFleetStaysBelowExactLimitAfterBurst(t *testing.T) {
 	f := newFleet(100, 10)
 	f.silentReports, f.debt = true, 5
 	for i, h := range f.forwarders {
@@ -105,7 +107,7 @@
 	require.Greater(t, len(f.delivered)-before, 38)
 }
 
-func TestALimitLoweredUnderManyIsNotUsedUpByRefusedCalls(t *testing.T) {
+func TestFleetFollowsLoweredLimit(t *testing.T) {
 	f := newFleet(60, 30)
 	_, full := f.advance(10, 4) // half of the limit
 	require.Less(t, full, 30)
@@ -121,16 +123,16 @@
 	require.Greater(t, len(f.delivered)-before, 120, "whole again, it is used again")
 }
 
-func TestManyThatAreRefusedByAHungDestinationDoNotMeetItsReturn(t *testing.T) {
+func TestFleetDoesNotRushRecoveredDestination(t *testing.T) {
 	f := newFleet(200, 6)
 	f.advance(10, 40)
 	f.hung = true
-	f.advance(20, 20) // each has a message or two, and is refused with nothing left
+	f.advance(20, 20) // each has a message or two, and is rejected with nothing left
 	calls, _ := f.advance(4, 0)
 	require.Less(t, calls, 4*6, "what the limit lets in, not what all hold")
 }
 
-func TestAFleetKilledAndStartedTogetherAnswersEachMessageOnce(t *testing.T) {
+func TestRestartedFleetAnswersEachMessageOnce(t *testing.T) {
 	f := newFleet(60, 20)
 	f.advance(5, 6)
 	again := newFleet(60, 20)
@@ -151,14 +153,14 @@
 	for message := range owed {
 		answered := again.delivered[message]
 		for _, h := range again.forwarders {
-			answered += len(h.done[message]) / len("rejected")
+			answered += len(h.answers[message]) / len("rejected")
 		}
 		require.Equal(t, 1, answered)
 	}
 }
 
 // Nearly all forwarders start anew while a destination is hung; it returns and takes a fifth of its load.
-func TestAFleetStartedAnewDoesNotPushOverADestinationThatReturnsCold(t *testing.T) {
+func TestRestartedFleetDoesNotOverloadColdDestination(t *testing.T) {
 	f := newFleet(200, 20)
 	f.silentReports, f.hung = true, true
 	for _, h := range f.forwarders {
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -6,21 +6,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAtMostOnceThatMayHaveRunIsAbandonedAtOnce(t *testing.T) {
-	h := newFake(testSettings)
+func TestAtMostOnceThatMayHaveRunFailsAtOnce(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	ran, never := h.accept(d, payment, 0), h.accept(d, payment, 0)
 	h.reconcile()
 	h.endAttempt(ran, TimedOut, 0)
 	h.endAttempt(never, NoConnection, 0)
 	h.reconcile()
-	require.Equal(t, map[*Message]string{ran: "abandoned"}, h.done)
+	require.Equal(t, map[*Message]string{ran: "abandoned"}, h.answers)
 	h.advance(4)
 	require.Equal(t, never, h.sent[len(h.sent)-1].message)
 }
 
-func TestIdempotentWithKeyIsNotSentPastItsMemory(t *testing.T) {
-	h := newFake(testSettings)
+func TestDoesNotRepeatAfterDeduplicationWindow(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	message := h.accept(d, zoned, 0)
 	h.reconcile()
@@ -28,14 +28,14 @@
 	h.advance(1)
 	h.endAttempt(message, Reset, 0)
 	h.advance(3.9)
-	require.Empty(t, h.done)
+	require.Empty(t, h.answers)
 	h.advance(0.3)
-	require.Equal(t, "abandoned", h.done[message]) // known only to a zone: a rejection would not be harmless
+	require.Equal(t, "abandoned", h.answers[message]) // known only to a zone: a rejection would not be harmless
 	require.Len(t, h.sent, 1)
 }
 
-func TestZoneGroupKeepsToTheFirstZone(t *testing.T) {
-	h := newFake(testSettings)
+func TestRepeatsInZoneOfFirstAttempt(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 1)
 	message := h.accept(d, zoned, 0)
 	h.reconcile()
@@ -51,8 +51,8 @@
 
 // A numbered message that may have run is sent again only while its mark is known, and its call is given no time to
 // begin beyond that: a connection slow to come would carry a repeat outside its window.
-func TestARepeatOfAMessageWithAnIdempotencyKeyEndsWithinItsWindow(t *testing.T) {
-	h := newFake(testSettings)
+func TestRepeatEndsWithinDeduplicationWindow(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	tgt := d.endpoints[0]
 	message := h.accept(d, zoned, 0)
@@ -65,26 +65,29 @@
 	h.advance(0.3)
 	require.Len(t, h.sent, 2)
 	again := h.sent[1]
-	require.LessOrEqual(t, again.at+again.timeout, first.at+h.settings.Types[zoned].DeduplicationWindow+1e-9, "sent at %.2f for %.2f",
+	window := h.settings.Types[zoned].DeduplicationWindow
+	require.LessOrEqual(t, again.at+again.timeout, first.at+window+1e-9, "sent at %.2f for %.2f",
 		again.at-first.at, again.timeout)
 }
 
-func TestAnAtMostOnceMessageOverEveryOutcomeAndARestart(t *testing.T) {
-	for o, may := range map[Outcome]bool{ServerError: true, TimedOut: true, Reset: true, Cancelled: true, Overloaded: false, NoConnection: false, NotSent: false} {
-		h := newFake(testSettings)
+func TestAtMostOnceOverEveryOutcomeAndRestart(t *testing.T) {
+	mayRun := map[Outcome]bool{ServerError: true, TimedOut: true, Reset: true, Cancelled: true,
+		Overloaded: false, NoConnection: false, NotSent: false}
+	for o, may := range mayRun {
+		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		message := h.accept(d, payment, 0)
 		h.reconcile()
 		h.endAttempt(message, o, 0)
 		h.advance(15)
 		if may {
-			require.Equal(t, "abandoned", h.done[message], "%d", o)
+			require.Equal(t, "abandoned", h.answers[message], "%d", o)
 			require.Len(t, h.sent, 1)
 		} else {
-			require.Empty(t, h.done[message], "%d", o)
+			require.Empty(t, h.answers[message], "%d", o)
 			require.Greater(t, len(h.sent), 1, "it surely never ran")
 		}
-		next, again := newFake(testSettings), &Message{Tenant: 9} // the process ended, and the next one recovers it
+		next, again := newHarness(testSettings), &Message{Tenant: 9} // the process ended, and the next one recovers it
 		again.Dest = next.addDestination(0, 0)
 		past := RecoveredState{Attempts: 1}
 		if may {
@@ -92,13 +95,13 @@
 		}
 		next.Recover(again, payment, 15, past)
 		next.advance(2)
-		require.Equal(t, may, next.done[again] == "abandoned")
+		require.Equal(t, may, next.answers[again] == "abandoned")
 		require.Equal(t, !may, len(next.sent) == 1)
 	}
 }
 
 func TestOneAttemptAtATimeAndOneFinalAnswer(t *testing.T) {
-	h := newFake(testSettings)
+	h := newHarness(testSettings)
 	message := h.accept(h.addDestination(0, 0, 0), status, 0) // may be repeated, and two endpoints are idle
 	h.advance(19)
 	require.Len(t, h.sent, 1, "while one is out there is no second")
@@ -109,5 +112,5 @@
 		h.endAttempt(message, TimedOut, 0)
 		h.advance(2)
 	}
-	require.Equal(t, "rejected", h.done[message])
+	require.Equal(t, "rejected", h.answers[message])
 }
--- a/scheduler/health_test.go
+++ b/scheduler/outlier_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNothingGoesToADrainingEndpoint(t *testing.T) {
-	h := newFake(testSettings)
+func TestSendsNothingToDrainingEndpoint(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: d.endpoints[0], Destination: d, State: Draining}})
 	h.flood(d, status, 6)
@@ -23,8 +23,8 @@
 	require.Len(t, h.sent, n)
 }
 
-func TestResetsAmongAnswersDoNotStopAnEndpoint(t *testing.T) {
-	h := newFake(testSettings)
+func TestOccasionalResetsDoNotEject(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for i := range 40 {
 		h.accept(d, status, 0)
@@ -34,8 +34,8 @@
 	require.Equal(t, healthy, d.endpoints[0].health)
 }
 
-func TestLossesBetweenAnswersLeaveNoRamp(t *testing.T) {
-	h := newFake(testSettings)
+func TestLossesBetweenSuccessesCauseNoSlowStart(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	h.accept(d, status, 0)
 	h.reconcile()
@@ -50,8 +50,8 @@
 	require.Contains(t, h.log, "close 0")
 }
 
-func TestSilentEndpointGetsNothingBeforeTheTimeOut(t *testing.T) {
-	h := newFake(testSettings)
+func TestSilentEndpointGetsNoFurtherCalls(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	h.flood(d, status, 1)
 	h.advance(3.6)
@@ -61,20 +61,20 @@
 	require.True(t, h.impaired(d))
 }
 
-func TestThreeFailuresInARowShutARoute(t *testing.T) {
-	h := newFake(testSettings)
+func TestThreeConsecutiveFailuresEject(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	d.accepted = 1e4 // it gets many messages
 	requireEjectedAfter(t, h, d, ServerError, Overloaded, Overloaded)
 }
 
-func TestTwoFailuresInARowShutARouteThatGetsFewMessages(t *testing.T) {
-	h := newFake(testSettings)
+func TestTwoConsecutiveFailuresEjectAtLowVolume(t *testing.T) {
+	h := newHarness(testSettings)
 	requireEjectedAfter(t, h, h.addDestination(0, 0, 0), ServerError, Overloaded)
 }
 
 // requireEjectedAfter ends a message's calls so in turn: only the last end makes the endpoints sick.
-func requireEjectedAfter(t *testing.T, h *fake, d *Destination, ends ...Outcome) {
+func requireEjectedAfter(t *testing.T, h *harness, d *Destination, ends ...Outcome) {
 	message := h.accept(d, status, 0)
 	h.reconcile()
 	for _, o := range ends {
@@ -90,8 +90,8 @@
 	require.Equal(t, ejected, d.endpoints[1].health)
 }
 
-func TestSiblingsOfAFailingEndpointComeFirst(t *testing.T) {
-	h := newFake(testSettings)
+func TestPrefersSiblingsOfFailingEndpoint(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -107,8 +107,8 @@
 	}
 }
 
-func TestOneFailedConnectSoonAfterAnAnswerIsNoOutage(t *testing.T) {
-	h := newFake(testSettings)
+func TestFailedConnectSoonAfterSuccessDoesNotEject(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for _, o := range []Outcome{Delivered, NoConnection, NoConnection, Delivered} {
 		h.accept(d, status, 0)
@@ -118,8 +118,8 @@
 	require.Equal(t, healthy, d.endpoints[0].health)
 }
 
-func TestATimeOutAndASilentConnectShutARoute(t *testing.T) {
-	h := newFake(testSettings)
+func TestTimeoutAndSilentConnectEject(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -130,8 +130,8 @@
 	require.Equal(t, []health{ejected, ejected}, []health{d.endpoints[0].health, d.endpoints[1].health})
 }
 
-func TestASlowHandshakeMakesNobodyEjected(t *testing.T) {
-	h := newFake(testSettings)
+func TestSlowHandshakeDoesNotEject(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for i := range 40 {
 		message := h.accept(d, status, 0)
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -203,8 +203,8 @@
 	return float64(inFlight) / endpoint.destination.latency.p90
 }
 
-// coolDownAfterRejections has a route rest that rejects again a second later, or at once where it reports no limit, with
-// nothing let in between.
+// coolDownAfterRejections has a route rest that rejects again a second later, or at once where it reports no limit,
+// with nothing let in between.
 //
 // Trade-off: many forwarders with a message each do not go on calling a hung destination and push it over; limits that
 // soon have room are used later.
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAnOutdatedLimitIsFoundByRefusalsInARow(t *testing.T) {
+func TestLearnsLoweredLimitFromRejections(t *testing.T) {
 	listed := testSettings
 	listed.ListedRateTolerance = 1.5
-	h := newFake(listed)
+	h := newHarness(listed)
 	d := h.addDestination(0, 0)
 	d.listedRate = 30 // it takes far less by now
 	h.keepBusy(d)
@@ -23,9 +23,9 @@
 	require.Positive(t, d.sharedRoute.learnedRate)
 }
 
-// While an endpoint hangs, its full queue refuses; that must not be taken for a limit when it is back.
-func TestRefusalsOfAnEjectedEndpointAreNoLimit(t *testing.T) {
-	h := newFake(testSettings)
+// While an endpoint hangs, its full queue rejects; that must not be taken for a limit when it is back.
+func TestRejectionsOfEjectedEndpointTeachNoLimit(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 100 {
 		h.endAttempt(h.sendOne(d), Delivered, 0)
@@ -51,10 +51,10 @@
 	require.Greater(t, len(h.sent), sent+15)
 }
 
-// A clump above a limit is turned away all at once; that is one sign of the limit, not a dozen in a row.
-func TestRefusalsThatComeTogetherCutThePaceOnce(t *testing.T) {
+// A burst above a limit is rejected all at once; that is one sign of the limit, not a dozen in a row.
+func TestSimultaneousRejectionsCutTheRateOnce(t *testing.T) {
 	pace := func(n int) float64 {
-		h := newFake(testSettings)
+		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		for range 100 {
 			h.endAttempt(h.sendOne(d), Delivered, 0)
@@ -70,9 +70,9 @@
 	require.GreaterOrEqual(t, pace(6), pace(1))
 }
 
-// A clump that a full queue turns away teaches a pace far below what the destination takes. It is not paid for long.
-func TestAPaceThatMeetsNoRefusalGrowsFasterAndFaster(t *testing.T) {
-	h := newFake(testSettings)
+// A burst that a full queue rejects teaches a rate far below what the destination takes. It is not paid for long.
+func TestLearnedRateGrowthAcceleratesWithoutRejections(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 20 {
 		h.endAttempt(h.sendOne(d), Delivered, 0)
@@ -105,10 +105,10 @@
 	require.Less(t, grown(2), late, "a refusal begins it anew")
 }
 
-// A clump of calls of which one meets a full queue while the others are worked on: the pace is what these come to.
-func TestAFirstRefusalAmongManyCallsOutLeavesThePaceThatTheyShow(t *testing.T) {
+// A burst of calls of which one meets a full queue while the others are worked on: the rate is what these come to.
+func TestFirstRejectionKeepsObservedThroughput(t *testing.T) {
 	pace := func(out int) float64 {
-		h := newFake(testSettings)
+		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		for range 200 {
 			h.endAttempt(h.sendOne(d), Delivered, 0)
@@ -127,8 +127,8 @@
 	require.Less(t, pace(1), 10.0)
 }
 
-func TestThePaceFollowsTheShareOfTheLimitThatIsLeft(t *testing.T) {
-	h := newFake(testSettings)
+func TestLearnedRateFollowsRemainingLimit(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	r := d.endpoints[0].route
 	report := func(left float64) {
@@ -136,7 +136,8 @@
 		h.advance(1)
 		for _, s := range h.sent {
 			if s.message.call != nil {
-				h.AttemptEnded(s.message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: 8, ReportedShare: left})
+				h.AttemptEnded(s.message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1,
+					ReportedLimit: 8, ReportedShare: left})
 			}
 		}
 	}
@@ -150,13 +151,13 @@
 	low := r.learnedRate
 	require.Less(t, low, 2.0)
 	for range 4 {
-		report(1) // and others leave theirs: more than a pace that grows by time would have
+		report(1) // and others leave theirs: more than a rate that grows by time would have
 	}
 	require.Greater(t, r.learnedRate, 2.5*low)
 }
 
-func TestAnAbsurdReportHarmsNobody(t *testing.T) {
-	h := newFake(testSettings)
+func TestIgnoresAbsurdReports(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for _, left := range []float64{-1, math.NaN(), 1e300, math.Inf(1), -1e300, math.NaN()} {
 		for _, most := range []float64{8, 1e300, math.NaN(), -8} {
@@ -164,7 +165,8 @@
 			h.advance(5)
 			for _, s := range h.sent {
 				if s.message.call != nil {
-					h.AttemptEnded(s.message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1, ReportedLimit: most, ReportedShare: left})
+					h.AttemptEnded(s.message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1,
+						ReportedLimit: most, ReportedShare: left})
 				}
 			}
 		}
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Stories of rare moments: what a restart finds, a list that falls silent, one that is not heard yet.
+// Rare moments: recovered messages, a list that falls silent, one that has not arrived yet.
 
-func TestWhatARestartFindsUntriedIsTriedThoughLittleTimeIsLeft(t *testing.T) {
-	h := newFake(socketSettings())
+func TestTriesRecoveredMessageThoughLittleTimeIsLeft(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	slow := make([]float64, len(d.latency.counts))
 	slow[d.latency.bin(4)] = 5
@@ -19,21 +19,21 @@
 	h.Accept(fresh, status, 0.3)
 	fresh.lifetime = 20 // it waited here for most of its life
 	h.reconcile()
-	require.Equal(t, "rejected", h.done[fresh], "calls mostly take longer")
-	require.Empty(t, h.done[owed])
+	require.Equal(t, "rejected", h.answers[fresh], "calls mostly take longer")
+	require.Empty(t, h.answers[owed])
 	require.Equal(t, owed, h.sent[0].message)
 	h.advance(0.4)
-	require.Equal(t, "rejected", h.done[owed], "tried, and answered in its time")
+	require.Equal(t, "rejected", h.answers[owed], "tried, and answered in its time")
 }
 
-func TestAWaitOfBeforeDoesNotGiveUpWhatARestartFoundUntried(t *testing.T) {
-	h := newFake(socketSettings())
+func TestKeepsRecoveredMessageDespiteEarlierRetryAfter(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 2, RecoveredState{})
 	h.BlockUntil(d.endpoints[0], h.now+30)
 	h.reconcile()
-	require.Empty(t, h.done, "it is held as long as there is time: another target may come")
+	require.Empty(t, h.answers, "it is held as long as there is time: another endpoint may come")
 	sibling := &Endpoint{ID: 9}
 	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: sibling, Destination: d, Kind: 0, State: Ready}})
 	sibling.route = &Route{refilledAt: h.now}
@@ -41,20 +41,20 @@
 	require.Equal(t, owed, h.sent[0].message)
 }
 
-// Of hundreds that a restart finds, those that would arrive too late leave the places to those that are in time.
-func TestWhatARestartFoundIsNotSentTooLateInThePlaceOfOthers(t *testing.T) {
-	h := newFake(socketSettings())
+// Of hundreds of recovered messages, those that would arrive too late leave the slots to those that are in time.
+func TestRejectsRecoveredMessageThatWouldArriveLate(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	owed := &Message{Dest: d}
 	h.Recover(owed, status, 4, RecoveredState{})
 	h.BlockUntil(d.endpoints[0], h.now+3.8)
 	h.advance(3.9) // calls take 0.9 s, as far as is known
 	require.Empty(t, h.sent)
-	require.Equal(t, "rejected", h.done[owed])
+	require.Equal(t, "rejected", h.answers[owed])
 }
 
-func TestACrowdedRoomKeepsWhatARestartFoundUntried(t *testing.T) {
-	h := newFake(socketSettings())
+func TestDoesNotShedRecoveredMessages(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.NewDestination(1)
 	owed := map[*Message]bool{}
 	for range h.settings.QueueCapacity {
@@ -63,16 +63,15 @@
 		h.Recover(message, status, 20, RecoveredState{})
 	}
 	h.reconcile()
-	require.Empty(t, h.done)
-	require.False(t, admits(h, 1, 8), "the door is shut meanwhile")
+	require.Empty(t, h.answers)
+	require.False(t, admits(h, 1, 8), "nothing is admitted meanwhile")
 }
 
-func TestAListThatFellSilentIsAskedForBeforeWhatItMissedCountsAsTold(t *testing.T) {
+func TestPollsSoonAfterWatchFallsSilent(t *testing.T) {
 	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	for seed := range uint64(50) {
-		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
-		h.Scheduler = New(asks, seed, h.now, h)
+		h := newSeededHarness(asks, seed)
 		h.reconcile()
 		require.Equal(t, 1, h.polls, "nothing known: at once")
 		h.advance(5)
@@ -82,10 +81,10 @@
 	}
 }
 
-func TestAnAgentsListIsHeardBeforeAnythingIsSent(t *testing.T) {
+func TestWaitsForAgentsListBeforeSending(t *testing.T) {
 	told := socketSettings()
 	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
-	h := newFake(told)
+	h := newHarness(told)
 	d := h.addDestination(0, 0) // as last known: by now it may drain
 	h.accept(d, status, 0)
 	h.reconcile()
@@ -97,7 +96,7 @@
 	h.advance(1)
 	require.Empty(t, h.sent)
 
-	h = newFake(told)
+	h = newHarness(told)
 	d = h.addDestination(0, 0)
 	h.accept(d, status, 0)
 	h.advance(0.02)
@@ -106,10 +105,10 @@
 	require.Len(t, h.sent, 1)
 }
 
-func TestAnAgentIsAskedAgainAtOnceHoweverLongDiscoveryWasDown(t *testing.T) {
+func TestPollsAgentWithoutBackoff(t *testing.T) {
 	told := socketSettings()
 	told.PollEndpoints, told.LocalAgent, told.Forwarders = true, true, 300
-	h := newFake(told)
+	h := newHarness(told)
 	h.addDestination(0, 0)
 	h.reconcile()
 	for n := range 10 { // each question goes wrong at once
@@ -119,8 +118,8 @@
 	}
 }
 
-func TestADeliveryOnTheEdgeOfItsTimeIsToldTooAndItsKeyWaits(t *testing.T) {
-	h := newFake(socketSettings())
+func TestDeliveryAtDeadlineIsNotifiedAndItsKeyWaits(t *testing.T) {
+	h := newHarness(socketSettings())
 	d := h.addDestination(0, 0)
 	onEdge := func(noticed bool, ends float64) *Message {
 		message := &Message{Dest: d, Key: 5, AnsweredByNotice: noticed}
@@ -132,22 +131,22 @@
 		h.reconcile()
 		return message
 	}
-	require.Empty(t, h.done[onEdge(true, 0.8)], "in its time by any clock")
-	require.Empty(t, h.done[onEdge(false, 0.98)], "nobody judges it by another clock")
+	require.Empty(t, h.answers[onEdge(true, 0.8)], "in its time by any clock")
+	require.Empty(t, h.answers[onEdge(false, 0.98)], "nobody judges it by another clock")
 	first := onEdge(true, 0.98)
-	require.Equal(t, "abandoned", h.done[first])
+	require.Equal(t, "abandoned", h.answers[first])
 	next := h.accept(d, ticket, 5)
 	h.advance(0.2)
 	require.NotEqual(t, next, h.sent[len(h.sent)-1].message, "the one before may count as open until its end is heard")
 	h.NoticeAcknowledged(first)
 	h.advance(0.04)
 	require.Equal(t, next, h.sent[len(h.sent)-1].message)
-	require.Equal(t, "abandoned", h.done[first], "once")
+	require.Equal(t, "abandoned", h.answers[first], "once")
 }
 
-// Whatever a failed, refused or given-up question allows, a change counts as told six seconds after discovery had it and
+// Whatever a failed, rejected or abandoned poll allows, a change counts as known six seconds after discovery had it and
 // could be reached. A connection that never comes up takes a second and a half of that.
-func TestTheListIsAskedForSoonAfterAnOutageOfDiscoveryHoweverLong(t *testing.T) {
+func TestPollsSoonAfterDiscoveryOutage(t *testing.T) {
 	const toldIn, failsIn = 6.0, 1.5
 	asks := testSettings
 	asks.PollEndpoints = true
@@ -155,8 +154,7 @@
 		for _, forwarders := range []int{1, 3, 30, 500} {
 			asks.PollWithin, asks.Forwarders = within, forwarders
 			for seed := range uint64(20) {
-				h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
-				h.Scheduler = New(asks, seed, h.now, h)
+				h := newSeededHarness(asks, seed)
 				h.reconcile()
 				for n := range 12 {
 					require.Equal(t, n+1, h.polls, "%d forwarders, asked within %v", forwarders, within)
@@ -170,13 +168,13 @@
 
 // The window in which an endpoint knows a repeat may be as short as a second, on days of restarts too: what may have
 // run is neither sent nor still waited for beyond it, and whatever is past its window ends as a failure, once.
-func TestAWindowOfASecondIsKeptOverARestart(t *testing.T) {
+func TestKeepsShortDeduplicationWindowOverRestart(t *testing.T) {
 	const window, life = 1.0, 20.0
 	short := socketSettings()
 	short.Types = append([]MessageType{}, short.Types...)
 	short.Types[ticket].DeduplicationWindow = window
 	for age := 0.0; age < 1.6; age += 0.04 { // of the call that was out when the process was killed
-		h := newFake(short)
+		h := newHarness(short)
 		d := h.addDestination(0, 0, 0)
 		message, ran := &Message{Dest: d, Key: 5}, h.now-age
 		h.Recover(message, ticket, life, RecoveredState{Attempts: 1, FirstRanAt: ran})
@@ -191,9 +189,10 @@
 			require.Less(t, s.at, ran+window, "killed %.2f s into its call", age)
 			require.Less(t, s.at+s.timeout, ran+window+0.001, "killed %.2f s into its call", age)
 		}
-		require.Contains(t, []string{"abandoned", "rejected"}, h.done[message], "once, killed %.2f s into its call", age)
+		final := []string{"abandoned", "rejected"}
+		require.Contains(t, final, h.answers[message], "once, killed %.2f s into its call", age)
 		if age > window+0.01 {
-			require.Equal(t, "abandoned", h.done[message], "a repeat is not harmless any more")
+			require.Equal(t, "abandoned", h.answers[message], "a repeat is not harmless any more")
 		}
 		if age < 0.3 {
 			require.NotEmpty(t, h.sent, "there was time")
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachRetryAfterOfACallIsHeeded(t *testing.T) {
-	h := newFake(testSettings)
+func TestHeedsEachRetryAfterOfACall(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(1, 0, 0)
 	a, b := h.accept(d, status, 0), h.accept(d, status, 0)
 	h.reconcile()
@@ -22,8 +22,8 @@
 	require.Greater(t, len(h.sent), 2)
 }
 
-func TestWaitBindsOnlyTheRouteWhereRoutesAreApart(t *testing.T) {
-	h := newFake(testSettings)
+func TestRetryAfterBlocksOnlyItsRoute(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(2, 0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -33,8 +33,8 @@
 	require.NotEqual(t, h.sent[0].endpoint, h.sent[1].endpoint)
 }
 
-func TestRefusalAfterALongRunOfCallsLeavesNoDebt(t *testing.T) {
-	h := newFake(testSettings)
+func TestRejectionAfterManyCallsLeavesNoDebt(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 60 {
 		h.accept(d, status, 0)
@@ -50,10 +50,10 @@
 	require.Equal(t, 2, message.attempts)
 }
 
-func TestRefusedAgainASecondLaterRests(t *testing.T) {
+func TestPersistentRejectionsCauseCooldown(t *testing.T) {
 	many := testSettings
 	many.Forwarders = 100
-	h := newFake(many)
+	h := newHarness(many)
 	d := h.addDestination(0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -65,10 +65,10 @@
 	require.Equal(t, 2, message.attempts)
 }
 
-func TestRefusedTogetherDoNotReturnTogether(t *testing.T) {
+func TestForwardersRejectedTogetherDoNotReturnTogether(t *testing.T) {
 	var waits []float64
 	for seed := range uint64(8) {
-		h := newFake(testSettings)
+		h := newHarness(testSettings)
 		h.random = newRandomSource(seed)
 		message := h.accept(h.addDestination(0, 0), status, 0)
 		h.reconcile()
@@ -81,8 +81,8 @@
 	require.Greater(t, slices.Max(waits), slices.Min(waits)+1)
 }
 
-func TestTwoRefusalsWhereThereIsNoLimitAreARest(t *testing.T) {
-	h := newFake(testSettings)
+func TestTwoRejectionsWithoutLimitCauseCooldown(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 30 { // few calls: one a second
 		h.accept(d, status, 0)
@@ -95,18 +95,18 @@
 		h.advance(0.02)
 		for _, s := range h.sent[n:] {
 			if s.message.call != nil {
-				h.AttemptEnded(s.message, AttemptResult{Outcome: Overloaded, Latency: 0.02, ReportedLimit: -1, ReportedShare: -1})
+				h.AttemptEnded(s.message, AttemptResult{Outcome: Overloaded, Latency: 0.02,
+					ReportedLimit: -1, ReportedShare: -1})
 			}
 		}
 	}
 	require.LessOrEqual(t, len(h.sent)-n, 4, "not at 0.1, 0.3, 0.7 and 1.5 s too")
 }
 
-func TestManyWithFewCallsDoNotAskAgainSoon(t *testing.T) {
+func TestLowVolumeBacksOffLonger(t *testing.T) {
 	asked := 0
 	for seed := range uint64(60) { // each has one message more than the destination takes just then
-		h := &fake{now: 100, done: map[*Message]string{}, retryAfters: map[*Message]float64{}}
-		h.Scheduler = New(testSettings, seed, h.now, h)
+		h := newSeededHarness(testSettings, seed)
 		d := h.addDestination(0, 0)
 		h.accept(d, status, 0)
 		h.reconcile()
--- a/scheduler/queue_test.go
+++ b/scheduler/scheduling_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestKeysGoInOrderAndRest(t *testing.T) {
-	h := newFake(testSettings)
+func TestKeepsOrderOfKeysAndTheirCooldown(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	first, second := h.accept(d, ticket, 5), h.accept(d, ticket, 5)
 	h.advance(0.1)
@@ -24,8 +24,8 @@
 	require.True(t, first.Finished())
 }
 
-func TestFreshWorkGoesBeforeRetries(t *testing.T) {
-	h := newFake(testSettings)
+func TestFreshMessagesGoBeforeRetries(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	old := h.accept(d, status, 0)
 	h.reconcile()
@@ -41,7 +41,7 @@
 func TestTenantsTakeTurns(t *testing.T) {
 	with := testSettings
 	with.TenantRate = []float64{9, 9}
-	h := newFake(with)
+	h := newHarness(with)
 	d := h.addDestination(0, 0)
 	for i := range 6 {
 		message := &Message{Dest: d, Tenant: i / 5}
@@ -51,23 +51,23 @@
 	require.Equal(t, []int{0, 1}, []int{h.sent[0].message.Tenant, h.sent[1].message.Tenant})
 }
 
-func TestAFloodedLineIsCutBeforeTheRoomIsFull(t *testing.T) {
-	h := newFake(testSettings)
+func TestShedsLongestBacklogBeforeQueueIsFull(t *testing.T) {
+	h := newHarness(testSettings)
 	flooded, other := h.addDestination(0), h.addDestination(0)
 	h.flood(other, status, 5)
 	h.flood(flooded, status, 34)
 	h.reconcile()
-	require.Len(t, h.done, 1)
-	for message, answer := range h.done {
+	require.Len(t, h.answers, 1)
+	for message, answer := range h.answers {
 		require.Equal(t, flooded, message.Dest)
 		require.Equal(t, "rejected", answer)
 	}
 }
 
-func TestSurplusOfATenantWaitsAndIsCutFirst(t *testing.T) {
+func TestMessagesOverQuotaWaitAndAreShedFirst(t *testing.T) {
 	with := testSettings
 	with.TenantRate = []float64{4, 4} // two a second at each of two forwarders
-	h := newFake(with)
+	h := newHarness(with)
 	d := h.addDestination(0)
 	take := func(tenant int) *Message {
 		message := &Message{Dest: d, Tenant: tenant}
@@ -86,13 +86,13 @@
 	}
 	require.False(t, take(0).overQuota && !slices.Collect(h.held.all())[20].overQuota)
 	h.reconcile()
-	for message := range h.done {
+	for message := range h.answers {
 		require.True(t, message.overQuota)
 	}
 }
 
-func TestACallThatLeavesHalfEmptyTakesRetriesAlong(t *testing.T) {
-	h := newFake(testSettings)
+func TestHalfEmptyCallIsFilledWithRetries(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(1, 0)
 	h.flood(d, status, 6)
 	h.reconcile()
@@ -101,22 +101,25 @@
 	h.advance(9)
 	n := 0
 	for _, s := range h.sent[6:] {
-		require.Equal(t, h.sent[6].at, s.at, "one call carries what is fresh and what was turned away")
+		require.Equal(t, h.sent[6].at, s.at, "one call carries what is fresh and what was rejected")
 		n++
 	}
 	require.Equal(t, 7, n)
 }
 
-// newTwoValues is a forwarder with two slots and two types, the second worth twice as much.
-func newTwoValues(room int) (*fake, *Destination) {
+// newTwoValues returns a forwarder with two slots and two types, the second worth twice as much.
+func newTwoValues(room int) (*harness, *Destination) {
 	two := testSettings
-	two.Types = []MessageType{{Idempotency: AtMostOnce, LatencyObjective: 3, TimeToLive: 16, Value: 1}, {Idempotency: IdempotentWithKey, LatencyObjective: 2, TimeToLive: 28, DeduplicationWindow: 7, Value: 2}}
+	two.Types = []MessageType{
+		{Idempotency: AtMostOnce, LatencyObjective: 3, TimeToLive: 16, Value: 1},
+		{Idempotency: IdempotentWithKey, LatencyObjective: 2, TimeToLive: 28, DeduplicationWindow: 7, Value: 2},
+	}
 	two.ConcurrencyLimit, two.QueueCapacity = 2, room
-	h := newFake(two)
+	h := newHarness(two)
 	return h, h.addDestination(0, 0)
 }
 
-func TestTheDearerTypeGoesFirstAndNeitherStarves(t *testing.T) {
+func TestMoreValuableTypeGoesFirstAndNeitherStarves(t *testing.T) {
 	h, d := newTwoValues(20)
 	h.flood(d, 0, 12)
 	h.flood(d, 1, 6)
@@ -132,39 +135,40 @@
 	for _, v := range order[:8] {
 		dear += v - 1
 	}
-	require.GreaterOrEqual(t, dear, 4, "a clump of twelve was taken before")
-	require.LessOrEqual(t, dear, 5, "the others have their turns")
+	require.GreaterOrEqual(t, dear, 4, "a burst of twelve was accepted before")
+	require.LessOrEqual(t, dear, 5, "the others have their rounds")
 }
 
-func TestACrowdedRoomLosesTheCheaperTypeFirst(t *testing.T) {
+func TestShedsLessValuableTypeFirst(t *testing.T) {
 	h, d := newTwoValues(18)
 	h.flood(d, 1, 8)
 	h.flood(d, 0, 6)
 	h.flood(d, 1, 6)
 	h.reconcile()
-	require.Len(t, h.done, 3)
-	for message := range h.done {
+	require.Len(t, h.answers, 3)
+	for message := range h.answers {
 		require.Equal(t, 1.0, message.messageType.Value)
 	}
 }
 
-func TestTheLineThatAFewCallsWouldClearIsNotTheOneThatIsCut(t *testing.T) {
-	h := newFake(testSettings) // room for forty; kind 1 takes ten messages in a call
+func TestShedsBacklogByTimeNotByLength(t *testing.T) {
+	h := newHarness(testSettings) // capacity for forty; kind 1 takes ten messages in a call
 	together, apart := h.addDestination(1, 0), h.addDestination(0, 0)
 	h.flood(together, status, 26)
 	h.flood(apart, status, 14)
 	h.reconcile()
-	require.NotEmpty(t, h.done)
-	for message := range h.done {
+	require.NotEmpty(t, h.answers)
+	for message := range h.answers {
 		require.Equal(t, apart, message.Dest)
 	}
 }
 
-func TestWhereWorthHalvesWhatIsInTimeGoesFirst(t *testing.T) {
+func TestMessageInTimeGoesFirstWhereValueHalves(t *testing.T) {
 	halves := testSettings
 	halves.HalvingValue, halves.ConcurrencyLimit = true, 2
-	halves.Types = []MessageType{{}, {Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: 20, Value: 1, LateValueShare: 0.5}}
-	h := newFake(halves)
+	halves.Types = []MessageType{{},
+		{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: 20, Value: 1, LateValueShare: 0.5}}
+	h := newHarness(halves)
 	d := h.addDestination(0, 0)
 	late := &Message{Dest: d, Tenant: 9}
 	h.Accept(late, status, 12) // of twenty seconds: five late
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -59,7 +59,7 @@
 // the order of admission. Messages that an earlier process had not tried are in none: they are not shed.
 type shedClass struct {
 	messageType *MessageType
-	surplus     bool
+	overQuota   bool
 	first, last *Message
 }
 
@@ -77,11 +77,11 @@
 
 func (d *Destination) findShedClass(message *Message) *shedClass {
 	for _, class := range d.shedClasses {
-		if class.messageType == message.messageType && class.surplus == message.overQuota {
+		if class.messageType == message.messageType && class.overQuota == message.overQuota {
 			return class
 		}
 	}
-	class := &shedClass{messageType: message.messageType, surplus: message.overQuota}
+	class := &shedClass{messageType: message.messageType, overQuota: message.overQuota}
 	d.shedClasses = append(d.shedClasses, class)
 	return class
 }
--- a/scheduler/ramp_test.go
+++ b/scheduler/slowstart_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReturningEndpointGetsATrickleThenARamp(t *testing.T) {
-	h := newFake(testSettings)
+func TestEjectedEndpointIsProbedThenRampedUp(t *testing.T) {
+	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 40 { // two a second for twenty seconds
 		h.accept(d, status, 0)
@@ -36,11 +36,11 @@
 	require.LessOrEqual(t, len(h.sent)-n, 2)
 }
 
-// An endpoint that operators restarted while it was out returns cold: it is paced up as after an outage, not given
+// An endpoint that operators restarted while it was drained returns cold: it gets a slow start as after an outage, not
 // all that waited for it at once.
-func TestAnEndpointBackFromOperatorsIsPacedUp(t *testing.T) {
+func TestWarmingEndpointGetsSlowStart(t *testing.T) {
 	sentIn := func(cold bool) int {
-		h := newFake(testSettings)
+		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		tgt := d.endpoints[0]
 		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Draining}})
@@ -61,11 +61,11 @@
 	require.Positive(t, cold)
 }
 
-// A destination that was asked for four times what it gets done (the rest is turned away) goes down and returns cold: the
+// A destination that was asked for four times what it gets done (the rest is rejected) goes down and returns cold: the
 // ramp goes by what it got done, not by what was asked of it.
-func TestARampGoesByWhatADestinationGotDone(t *testing.T) {
+func TestSlowStartFollowsHealthyThroughput(t *testing.T) {
 	met := func(done int) int { // calls in the first four seconds of its return, of twelve a second asked
-		h := newFake(testSettings)
+		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		h.keepBusy(d)
 		for range 10 {
