--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Trade-off: within noticeMargin of its deadline a delivery may be late by its client's clock, and the client would
-// then have no answer. It is also told by a notice, which is needless where the clocks agree.
+// then have no answer. A notice goes out as well, which is needless where the clocks agree.
 const noticeMargin = 0.1 // seconds
 
 const (
@@ -98,7 +98,7 @@
 	}
 }
 
-// confirmLateDelivery has a delivery close to its deadline told by a notice as well, see noticeMargin.
+// confirmLateDelivery has a notice sent of a delivery close to its deadline, see noticeMargin.
 func (s *Scheduler) confirmLateDelivery(message *Message, outcome Outcome) {
 	if outcome != Delivered || !message.AnsweredByNotice || message.answered {
 		return
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -37,14 +37,14 @@
 			continue
 		}
 		noAttemptLeft := s.settings.MaxAttempts > 0 && message.attempts >= s.settings.MaxAttempts
-		if s.repeatForbidden(message) || s.tooLate(message) || noAttemptLeft {
+		if s.repeatUnsafe(message) || s.tooLate(message) || noAttemptLeft {
 			s.rejectOrFail(message)
 		}
 	}
 }
 
-// repeatForbidden reports whether a message may have run and a further attempt could run a second time.
-func (s *Scheduler) repeatForbidden(message *Message) bool {
+// repeatUnsafe reports whether a message may have run and a further attempt could run a second time.
+func (s *Scheduler) repeatUnsafe(message *Message) bool {
 	messageType := message.messageType
 	if !message.mayHaveRun() || messageType.Idempotency == Idempotent {
 		return false
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -17,7 +17,7 @@
 	newConnectionCost     = 0.01 // the same: a few calls do not open a connection to each endpoint in turn
 	silenceMin            = 0.4  // seconds without an answer that are not silence yet
 	silenceMultiple       = 3    // times the high latency: from here on a call without an answer is silence
-	unknownRate           = 1e9  // a listed or reported rate of so much tells nothing
+	unknownRate           = 1e9  // a listed or reported rate of this or more is ignored
 	slowObjectiveDivisor  = 2    // a destination is slow if its latency is beyond this part of the objective
 )
 
@@ -45,7 +45,7 @@
 	notBefore           float64 // it gets no call before
 }
 
-// UpdateEndpoints takes news of the endpoint list. If whole, all endpoints are named and those that are not were
+// UpdateEndpoints applies a change of the endpoint list. If whole, all endpoints are named and those that are not were
 // removed.
 func (s *Scheduler) UpdateEndpoints(whole bool, updates []EndpointUpdate) {
 	named := map[*Endpoint]bool{}
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -22,7 +22,7 @@
 const (
 	healthy    health = iota
 	ejected           // gets no calls but probes
-	recovering        // answers again, its calls are paced up
+	recovering        // answers again, its rate is raised slowly
 )
 
 // Ejected reports whether an endpoint gets probes only, after it failed.
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -15,7 +15,7 @@
 	for _, s := range h.sent {
 		require.Equal(t, d.endpoints[1], s.endpoint)
 	}
-	h.UpdateEndpoints(true, nil) // a whole list without an endpoint: it is gone
+	h.UpdateEndpoints(true, nil) // a whole list without an endpoint: it was removed
 	h.flood(d, status, 1)
 	n := len(h.sent)
 	h.endAttempts(d, Delivered)
@@ -73,7 +73,7 @@
 	requireEjectedAfter(t, h, h.addDestination(0, 0, 0), ServerError, Overloaded)
 }
 
-// requireEjectedAfter ends a message's calls so in turn: only the last end makes the endpoints sick.
+// requireEjectedAfter ends a message's calls one after the other: only the last result ejects the endpoints.
 func requireEjectedAfter(t *testing.T, h *harness, d *Destination, ends ...Outcome) {
 	message := h.accept(d, status, 0)
 	h.reconcile()
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -15,12 +15,15 @@
 	burstDuration       = 0.3  // seconds of the learned rate that may be called at once
 	firstBackoff        = 0.1  // seconds, doubled by each rejection in a row
 	maxBackoffDoublings = 4
-	slowBackoff         = 6   // seconds, the same at low volume
-	maxSlowBackoff      = 24  // seconds
-	minBackoffSpread    = 0.5 // a backoff is 0.5 to 1.5 times as long
-	longRetryAfter      = 2.5 // seconds: a limit has room again sooner, a closed destination has not
-	closedRejections    = 5   // rejections in a row from which on a destination may be closed
-	persistentAfter     = 1   // seconds after the first rejection in a row
+	slowBackoff         = 6    // seconds, the same at low volume
+	maxSlowBackoff      = 24   // seconds
+	minBackoffSpread    = 0.5  // a backoff is 0.5 to 1.5 times as long
+	longRetryAfter      = 2.5  // seconds: a limit has room again sooner, a closed destination has not
+	closedRejections    = 5    // rejections in a row from which on a destination may be closed
+	persistentAfter     = 1    // seconds after the first rejection in a row
+	tokenDebt           = 2    // calls: largest debt of tokens after a first rejection, in units of the factor below
+	tokenSpread         = 2.75 // calls: random part of the tokens then, so that forwarders do not return together
+	fullDebtRate        = 0.5  // calls a second: recent rate below which that applies in full; above, less the higher
 )
 
 // Route is what a rate limit and a Retry-After bind: all endpoints of a destination, or one where each has a limit of
@@ -79,7 +82,7 @@
 	}
 	faster := (s.now - route.lastRejection) / growthDoubling
 	if route.consecutiveRejections > 0 && route.reportedLimit > 0 {
-		faster = 0 // nothing was let in since, and others use the limit up: no news is no good news
+		faster = 0 // nothing was let in since, as others use the limit up: silence does not mean capacity
 	}
 	route.learnedRate *= 1 + learnedRateGrowth*elapsed*(1+faster)
 }
@@ -95,7 +98,7 @@
 	endpoint.route.block(s.now + retryAfter + retryAfterMargin + retryAfterSpread*s.random.uniform())
 }
 
-// recordReports takes what a result reports of the route's limit. What is no number, or none of calls, tells nothing.
+// recordReports takes what a result reports of the route's limit. Values that cannot be a rate of calls are ignored.
 func (s *Scheduler) recordReports(endpoint *Endpoint, result AttemptResult) {
 	route := endpoint.route
 	if result.ReportedLimit != 0 && math.Abs(result.ReportedLimit) < unknownRate {
@@ -124,10 +127,10 @@
 }
 
 // recordRejection learns from a call that was turned away before it was looked at: above the limit, queue full, or
-// closed. Calls that were in flight at the last rejection tell nothing new.
+// closed. Calls that were in flight at the last rejection carry no new information and are ignored.
 //
 // Trade-offs: a dozen rejections at once are not taken for a dozen in a row, even where those that follow are rejected
-// again. At low volume no rate is learned where no report tells what is left, so that hundreds of forwarders do not ask
+// again. At low volume no rate is learned without a report of what is left, so that hundreds of forwarders do not ask
 // again soon and use the limit up with rejections; a chance rejection then costs a long backoff.
 func (s *Scheduler) recordRejection(endpoint *Endpoint, call *call, result AttemptResult) {
 	route := endpoint.route
@@ -146,9 +149,9 @@
 	if route.consecutiveRejections == 1 {
 		route.firstRejection = s.now
 		// No debt of earlier calls; and where calls are few, those rejected together do not come back together.
-		route.tokens = (2.75*s.random.uniform() - 2) * math.Min(1, 0.5/route.recentRate)
+		route.tokens = (tokenSpread*s.random.uniform() - tokenDebt) * math.Min(1, fullDebtRate/route.recentRate)
 	}
-	// What an ejected endpoint rejects, or one that reports no limit, tells of none: the ramp sees to its return.
+	// Rejections of an ejected endpoint, or of one that reports no limit, teach no rate: slow start covers its return.
 	// Trade-off: no tiny rate is learned during a hang, but nothing is learned where the limit itself is the cause.
 	if endpoint.health != ejected && route.reportedLimit >= 0 && !lowVolume {
 		s.learnRate(endpoint, result)
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -7,7 +7,7 @@
 	minWake         = 0.001 // seconds
 )
 
-// Reconcile decides all that follows from the events since the last time, and tells the host.
+// Reconcile decides all that follows from the events since the last time, and calls the host.
 func (s *Scheduler) Reconcile() {
 	s.endExpired()
 	s.serveRounds(false)
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -3,12 +3,12 @@
 import "math"
 
 // ring is the destinations with waiting messages, in round-robin order from a cursor on. A destination none of whose
-// endpoints can take a call before some time is parked until then: it keeps its place in the order, and turns pass over
-// it without a look. The order is kept in a treap by position, so that the cost of a turn does not grow with the
+// endpoints can take a call before some time is parked until then: it keeps its place in the order, and is passed over
+// without a look. The order is kept in a treap by position, so that the cost of a round does not grow with the
 // number of parked members.
 type ring struct {
 	root   *ringNode
-	cursor int         // position whose turn is next
+	cursor int         // position whose round is next
 	parked []*ringNode // heap by the end of the parking
 	spare  *ringNode   // nodes to be used again, linked by right
 	random uint32      // state of the generator of treap priorities, apart from the one that decisions draw from
@@ -68,7 +68,7 @@
 	}
 }
 
-// next moves the cursor to the first member from it on that is not parked and tells how many parked ones it passed,
+// next moves the cursor to the first member from it on that is not parked and returns how many parked ones it passed,
 // at most limit. If it finds none within the limit the cursor stands that many further on, and next returns nil.
 func (r *ring) next(limit int) (destination *Destination, passed int) {
 	size := r.size()
@@ -104,7 +104,7 @@
 	}
 }
 
-// park has turns pass over a member until a time.
+// park has rounds pass over a member until a time.
 func (r *ring) park(n *ringNode, until float64) {
 	r.unpark(n)
 	n.until = until
@@ -115,7 +115,7 @@
 	}
 }
 
-// unpark gives a member its turns again.
+// unpark gives a member its rounds again.
 func (r *ring) unpark(n *ringNode) {
 	if n == nil || !n.isParked {
 		return
@@ -160,7 +160,7 @@
 	}
 }
 
-// recount computes the counts anew from a member up to the root.
+// recount recomputes the counts from a member up to the root.
 func (n *ringNode) recount() {
 	for ; n != nil; n = n.parent {
 		n.update()
@@ -209,7 +209,7 @@
 	}
 }
 
-// at is the member at a position.
+// at returns the member at a position.
 func at(n *ringNode, position int) *ringNode {
 	left := int(sizeOf(n.left))
 	switch {
@@ -222,7 +222,7 @@
 	}
 }
 
-// firstActive is the first position, from one on, of a member that is not parked; -1 if there is none.
+// firstActive returns the first position, from one on, of a member that is not parked; -1 if there is none.
 func firstActive(n *ringNode, from int) int {
 	if n == nil || n.active == 0 || from >= int(n.size) {
 		return -1
--- a/scheduler/ring_test.go
+++ b/scheduler/ring_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plainRing is what ring has to do, by a slice whose first member's turn is next.
+// plainRing does the same as ring by a slice whose first member's round is next.
 type plainRing []*Destination
 
 // next visits members until one is not parked, at most limit.
