--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -65,7 +65,7 @@
 	if ran && (messageType.Idempotency == AtMostOnce || messageType.Idempotency == IdempotentWithKey && keyForgotten) {
 		message.action = actionFail
 	}
-	if !message.mayHaveRun() { // else its key is soon forgotten: it may come back at once
+	if !message.mayHaveRun() { // else its key is soon forgotten
 		message.retryAfter = s.rejectionRetryAfter()
 	}
 	message.awaitingAcknowledgement = s.settings.AwaitAcknowledgement
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -1,6 +1,7 @@
 package scheduler
 
-// Host carries out what a scheduler decides. All methods are called from within Reconcile, and must not call back.
+// Host carries out what a scheduler decides. All methods are called from within Reconcile: a host reports results as
+// later events, not from within these methods.
 type Host interface {
 	// Send begins an attempt of a message. The host reports its end by AttemptEnded, after timeout seconds at the
 	// latest.
--- a/scheduler/random.go
+++ b/scheduler/random.go
@@ -1,7 +1,7 @@
 package scheduler
 
-// randomSource is a permuted congruential generator (PCG-XSH-RR 64/32). It is not from the standard library so that
-// a seed gives the same decisions with every version of Go.
+// randomSource is a permuted congruential generator (PCG-XSH-RR 64/32). Simulations rely on it: the same seed gives the
+// same decisions.
 type randomSource struct{ state uint64 }
 
 const (
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -90,7 +90,7 @@
 	return s
 }
 
-// SetTime sets the present time in seconds, for the events that follow and Reconcile. Time never goes back.
+// SetTime sets the present time in seconds, for the events that follow and Reconcile.
 func (s *Scheduler) SetTime(now float64) { s.now = now }
 
 // TimerFired reports that the wake-up the host was asked for has come.
