--- a/forwarder/connect.go
+++ b/forwarder/connect.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/discovery"
+	"spanflow/internal/notify"
 	"spanflow/transport"
 )
 
@@ -64,8 +64,8 @@
 func (o *owner) connectSource(dialer *dial.Dialer, connect time.Duration) {
 	order, x := o.order, o.exchange
 	if order.Discovery != "" {
-		d := discovery.New(dialer, order.Discovery, connect, x)
-		d.MaxLineBytes = order.ListBytes
+		d := newControlPlane(dialer, order.Discovery, connect, x)
+		d.endpoints.MaxLineBytes = order.ListBytes
 		o.source, o.moves = d, d
 		if order.noticeAddress == "" {
 			o.teller = d
@@ -79,7 +79,7 @@
 		o.source = o.own
 	}
 	if order.noticeAddress != "" {
-		d := discovery.New(dialer, order.noticeAddress, connect, x)
+		d := notify.New(dialer, order.noticeAddress, connect, x)
 		o.teller, o.notices = d, d
 	}
 }
--- /dev/null
+++ b/forwarder/control_plane.go
@@ -0,0 +1,43 @@
+package forwarder
+
+import (
+	"time"
+
+	"spanflow/internal/dial"
+	"spanflow/internal/discovery"
+	"spanflow/internal/notify"
+	"spanflow/transport"
+)
+
+// controlPlane is a discovery service that takes the notices too, at the same address: a transport.EndpointSource,
+// transport.Notifier and transport.Reconfigurable.
+type controlPlane struct {
+	endpoints *discovery.Client
+	notices   *notify.Client
+}
+
+func newControlPlane(d *dial.Dialer, addr string, connectTimeout time.Duration, x *Exchange) *controlPlane {
+	return &controlPlane{
+		endpoints: discovery.New(d, addr, connectTimeout, x),
+		notices:   notify.New(d, addr, connectTimeout, x),
+	}
+}
+
+// Watch implements transport.EndpointSource.
+func (c *controlPlane) Watch(revision int64) { c.endpoints.Watch(revision) }
+
+// Notify implements transport.Notifier.
+func (c *controlPlane) Notify(notice transport.FinalAnswer) { c.notices.Notify(notice) }
+
+// Reconfigure leaves the address for another: notices without an acknowledgement go there, and the list is watched there
+// from a revision on.
+func (c *controlPlane) Reconfigure(addr string, revision int64) {
+	c.notices.Reconfigure(addr, revision)
+	c.endpoints.Reconfigure(addr, revision)
+}
+
+// Stop closes both connections.
+func (c *controlPlane) Stop() {
+	c.endpoints.Stop()
+	c.notices.Stop()
+}
--- /dev/null
+++ b/internal/discovery/objects_test.go
@@ -0,0 +1,72 @@
+package discovery
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/peertest"
+	"spanflow/transport"
+)
+
+func TestObjectMayBeIndentedOverSeveralLines(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(1)
+	conn, _ := h.peer.Accept(t)
+	list := "{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n    {\n      \"uid\": \"a}\\\"{\",\n      \"state\": \"active\"\n    }\n  ]\n}\n\n"
+	conn.Write([]byte(answerUnsized))
+	for i := range list { // cut anywhere
+		conn.Write([]byte(list[i : i+1]))
+	}
+	require.Equal(t, transport.EndpointList{Revision: 7, Complete: true, Endpoints: []transport.Endpoint{{UID: `a}"{`, State: "active"}}},
+		*peertest.Next(t, h.lists))
+	conn.Write([]byte(`{"rev":8,"all":false,"targets":[]}` + "\n" + `{"rev":9,"all":false,"targets":[]}` + "\n"))
+	require.Equal(t, []int64{8, 9}, []int64{h.nextRevision(t), h.nextRevision(t)})
+}
+
+func TestMaxLineBytesBoundsAnObject(t *testing.T) {
+	const bound = 1000
+	for _, bytes := range []int{bound, bound + 1} {
+		h := newHarness(t)
+		h.MaxLineBytes = bound
+		h.Watch(0)
+		conn, _ := h.peer.Accept(t)
+		line := `{"rev":1,"all":true,"targets":[]}`
+		line += strings.Repeat(" ", bytes-len(line)-1) + "\n"
+		_, err := fmt.Fprintf(conn, "%s%x\r\n%s\r\n", answerChunked, len(line), line)
+		require.NoError(t, err)
+		if bytes == bound {
+			require.EqualValues(t, 1, h.nextRevision(t))
+		} else {
+			require.Equal(t, errLineTooLong.Error(), h.nextReason(t))
+		}
+		conn.Close()
+		h.Stop()
+	}
+}
+
+// What has come of an object is not searched again with each piece.
+func TestTimeToReadAnObjectIsLinearInItsSize(t *testing.T) {
+	const (
+		small, factor = 512 << 10, 16
+		pieceBytes    = 512
+	)
+	took := func(bytes int) time.Duration {
+		least := time.Hour
+		for range 3 {
+			w := &watch{client: &Client{}, status: 200, objects: objectReader{maxBytes: bytes + 1}}
+			text := []byte(`{"rev":1,"all":true,"targets":[{"uid":"` + strings.Repeat("x", bytes))
+			began := time.Now()
+			for ; len(text) > pieceBytes; text = text[pieceBytes:] {
+				require.NoError(t, w.Body(text[:pieceBytes]))
+			}
+			least = min(least, time.Since(began))
+		}
+		return least
+	}
+	one, many := took(small), took(factor*small)
+	require.Less(t, many, factor*4*one, "%d times the size took %s against %s; squared it would be %d times", factor, many, one, factor*factor)
+}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,206 @@
+package discovery
+
+import (
+	"context"
+	"net"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/internal/emulator"
+	"spanflow/internal/peertest"
+	"spanflow/transport"
+)
+
+func TestWatchReportsChangesAndItsEnd(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(41)
+	conn, request := h.peer.Accept(t)
+	require.Contains(t, request, "GET /v1/endpoints?stream=1&index=41 HTTP/1.1\r\n")
+	conn.Write([]byte(answerChunked + "1\r\n\n\r\n" + "1a\r\n{\"rev\":43,\"all\":false,\"tar\r\n"))
+	conn.Write([]byte("2d\r\ngets\":[{\"uid\":\"s1\",\"state\":\"left\"}]}\n{\"rev\":\r\n"))
+	list := peertest.Next(t, h.lists)
+	require.Equal(t, transport.EndpointList{Revision: 43, Endpoints: []transport.Endpoint{{UID: "s1", State: "left"}}}, *list)
+	conn.Close()
+	h.nextReason(t)
+}
+
+func TestMalformedLineEndsWatchWithoutAnUpdate(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(1)
+	conn, _ := h.peer.Accept(t)
+	conn.Write([]byte(answerChunked + "5\r\n{bad\n\r\n"))
+	require.Contains(t, h.nextReason(t), "cannot be read")
+	h.Watch(1)
+	conn, _ = h.peer.Accept(t)
+	conn.Write([]byte(answerBusy))
+	require.Equal(t, "answered 503", h.nextReason(t))
+	require.Empty(t, h.lists)
+}
+
+func TestWatchEndsWhenSilentAfterALine(t *testing.T) {
+	h := newHarness(t)
+	h.afterFunc = time.AfterFunc
+	h.Watch(1)
+	conn, _ := h.peer.Accept(t)
+	conn.Write([]byte(answerChunked + "1\r\n\n\r\n"))
+	require.Equal(t, watchEnd{"silent", transport.WatchSilent}, peertest.Next(t, h.ends))
+}
+
+func TestWatchEndsWhenSilentFromTheStart(t *testing.T) {
+	h := newHarness(t)
+	h.afterFunc = time.AfterFunc
+	h.Watch(1)
+	h.peer.Accept(t)
+	require.Equal(t, watchEnd{"silent", transport.WatchTimeout}, peertest.Next(t, h.ends))
+}
+
+func TestWatchEndsWhenBytesTrickleButNoLineComes(t *testing.T) {
+	h := newHarness(t)
+	h.afterFunc = time.AfterFunc
+	h.Watch(1)
+	conn, _ := h.peer.Accept(t)
+	conn.Write([]byte(answerUnsized + "{\"rev\":1,\"all\":true,\"targets\":[]}\n{"))
+	peertest.Next(t, h.lists)
+	stop := make(chan struct{})
+	go func() {
+		tick := time.NewTicker(100 * time.Millisecond)
+		defer tick.Stop()
+		for {
+			select {
+			case <-stop:
+				return
+			case <-tick.C:
+				conn.Write([]byte(" "))
+			}
+		}
+	}()
+	defer close(stop)
+	require.Equal(t, watchEnd{"silent", transport.WatchSilent}, peertest.Next(t, h.ends))
+}
+
+func TestLateTimerDoesNotEndWatch(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(1)
+	conn, _ := h.peer.Accept(t)
+	h.mu.Lock()
+	w := h.watch
+	late := w.waits
+	h.mu.Unlock()
+	conn.Write([]byte(answerUnsized + "{\"rev\":1,\"all\":true,\"targets\":[]}\n"))
+	peertest.Next(t, h.lists)
+	h.mu.Lock() // the reader has gone on to wait anew
+	waits := w.waits
+	h.mu.Unlock()
+	require.Greater(t, waits, late)
+	w.timedOut(late)
+	require.Empty(t, h.ends)
+	conn.Write([]byte("{\"rev\":2,\"all\":false,\"targets\":[]}\n"))
+	require.Equal(t, int64(2), h.nextRevision(t))
+}
+
+func TestStaleRevisionEndsWatchWithoutAnUpdate(t *testing.T) {
+	for name, lines := range map[string][]string{
+		"in answer to the request": {`{"rev":6,"all":false,"targets":[]}`},
+		"later":                    {`{"rev":8,"all":false,"targets":[]}`, `{"rev":7,"all":true,"targets":[]}`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			h.Watch(7)
+			conn, _ := h.peer.Accept(t)
+			conn.Write([]byte(answerUnsized + strings.Join(lines, "\n") + "\n"))
+			require.Contains(t, h.nextReason(t), "of the list came after version")
+			require.Len(t, h.lists, len(lines)-1)
+		})
+	}
+}
+
+func TestCompleteListMayCountRevisionsAnew(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(7)
+	conn, _ := h.peer.Accept(t)
+	conn.Write([]byte(answerUnsized + `{"rev":2,"all":true,"targets":[]}` + "\n" + `{"rev":2,"all":false,"targets":[]}` + "\n"))
+	require.Equal(t, []int64{2, 2}, []int64{h.nextRevision(t), h.nextRevision(t)}, "a revision that comes twice is not stale")
+}
+
+// What an old watch's reader had in hand when the list was asked for again is not reported: the new watch brings it.
+func TestReplacedWatchReportsNothingMore(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(1)
+	conn, _ := h.peer.Accept(t)
+	h.mu.Lock()
+	conn.Write([]byte(answerUnsized + "{\"rev\":2,\"all\":true,\"targets\":[]}\n"))
+	emulator.AwaitAtLock(t, "discovery.(*watch).Data(")
+	h.watch.close() // what Watch and Reconfigure do first, with the lock held
+	h.mu.Unlock()
+	h.Watch(1)
+	conn, _ = h.peer.Accept(t)
+	conn.Write([]byte(answerUnsized + "{\"rev\":3,\"all\":true,\"targets\":[]}\n"))
+	require.Equal(t, int64(3), h.nextRevision(t))
+	require.Empty(t, h.lists)
+	require.Empty(t, h.ends)
+}
+
+func TestReconfigureWatchesNothingThatWasNotWatched(t *testing.T) {
+	h := newHarness(t)
+	h.Reconfigure(h.peer.Addr, 7)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	require.Nil(t, h.watch)
+}
+
+// How a request failed decides when the next one follows: one that waited in vain shows that discovery has more of them
+// than it can answer; no other end does.
+func TestWatchEndTellsOverloadFromBreakage(t *testing.T) {
+	const list = answerUnsized + "{\"rev\":2,\"all\":true,\"targets\":[]}\n"
+	for name, c := range map[string]struct {
+		waited time.Duration // for the answer
+		answer string        // then the connection ends
+		want   transport.WatchEnd
+	}{
+		"rejected at once":       {0, answerBusy, transport.WatchBroken},
+		"rejected after a wait":  {2 * time.Second, answerBusy, transport.WatchTimeout},
+		"reset at once":          {0, "", transport.WatchBroken},
+		"reset after a wait":     {2 * time.Second, "", transport.WatchTimeout},
+		"ended behind an update": {2 * time.Second, list, transport.WatchBroken},
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(t)
+			began := time.Now()
+			h.now = func() time.Time { return began }
+			h.Watch(1)
+			conn, _ := h.peer.Accept(t)
+			h.mu.Lock()
+			h.now = func() time.Time { return began.Add(c.waited) }
+			h.mu.Unlock()
+			conn.Write([]byte(c.answer))
+			conn.Close()
+			require.Equal(t, c.want, peertest.Next(t, h.ends).how)
+		})
+	}
+}
+
+func TestWatchThatCannotConnectIsBroken(t *testing.T) {
+	h := newHarness(t)
+	began := time.Now()
+	h.now = func() time.Time { return began }
+	h.dialer.Connect = func(context.Context, string) (net.Conn, error) {
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.now = func() time.Time { return began.Add(2 * time.Second) }
+		return nil, syscall.ETIMEDOUT
+	}
+	h.Watch(1)
+	require.Equal(t, transport.WatchBroken, peertest.Next(t, h.ends).how)
+}
+
+func TestWatchWithoutAnAnswerTimesOut(t *testing.T) {
+	h := newHarness(t)
+	h.Watch(1)
+	h.peer.Accept(t)
+	h.timers.Next(t).Fire()
+	require.Equal(t, transport.WatchTimeout, peertest.Next(t, h.ends).how)
+}
--- /dev/null
+++ b/internal/notify/connection.go
@@ -0,0 +1,149 @@
+package notify
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+	"time"
+
+	"spanflow/internal/dial"
+	"spanflow/internal/http1"
+	"spanflow/transport"
+)
+
+// connection carries notices, a call at a time. All of it is guarded by the client's lock.
+type connection struct {
+	client  *Client
+	conn    *dial.Conn
+	reader  http1.Reader
+	status  int                     // of the answer
+	notices []transport.FinalAnswer // of the call in progress; empty: there is none
+
+	timer *time.Timer
+	calls int // so far, so that a timer that fires late is known as such
+}
+
+func (c *Client) connect() {
+	c.conn = &connection{client: c, reader: http1.Reader{MaxBody: maxAnswerBytes}}
+	c.conn.conn = c.dialer.Dial(c.addr, c.connectTimeout, c.conn)
+}
+
+// post begins a call with notices, which are copied.
+func (n *connection) post(notices []transport.FinalAnswer) {
+	c := n.client
+	n.notices = append(n.notices, notices...)
+	n.reader.Reset()
+	n.conn.Write(http1.AppendBody(http1.AppendRequestLine(nil, "POST", "/v1/notices", c.addr), appendNotices(nil, n.notices)))
+	n.calls++
+	call := n.calls
+	n.timer = c.afterFunc(answerTimeout<<min(c.unanswered, maxDoublings), func() { n.timedOut(call) })
+}
+
+// appendNotices appends notices as they go over the wire, a line of JSON each.
+func appendNotices(b []byte, notices []transport.FinalAnswer) []byte {
+	for _, notice := range notices {
+		id, _ := json.Marshal(notice.ID) // a string cannot fail
+		b = append(append(b, `{"id":`...), id...)
+		switch {
+		case notice.Outcome != transport.Rejected:
+			b = append(b, `,"state":"failed"`...)
+		case notice.RetryAfterMs > 0:
+			b = append(b, `,"state":"returned","after_ms":`...)
+			b = strconv.AppendInt(b, int64(notice.RetryAfterMs), 10)
+		default:
+			b = append(b, `,"state":"returned"`...)
+		}
+		b = append(b, "}\n"...)
+	}
+	return b
+}
+
+// timedOut makes a call that is not answered again at once, on a new connection. Guards against a final answer sent right
+// at a message's expiry on a connection that has died unnoticed: a message is lost 300 ms after its expiry.
+func (n *connection) timedOut(call int) {
+	c := n.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn != n || n.calls != call || len(n.notices) == 0 { // the answer came while this waited for the lock
+		return
+	}
+	c.unanswered++
+	c.listener.NoticesUnanswered("no answer")
+	n.drop()
+	c.send()
+}
+
+// fail drops the connection and has its notices sent again a little later. The lock is held.
+func (n *connection) fail(reason string) {
+	c := n.client
+	if c.conn != n {
+		return
+	}
+	if len(n.notices) > 0 {
+		c.listener.NoticesUnanswered(reason)
+	}
+	n.drop()
+	c.sendLater()
+}
+
+// drop closes the connection and puts its notices back before those that wait.
+func (n *connection) drop() {
+	if n.timer != nil {
+		n.timer.Stop()
+	}
+	n.conn.Close()
+	n.client.waiting = append(n.notices, n.client.waiting...)
+	n.client.conn = nil
+}
+
+// Data implements dial.Handler.
+func (n *connection) Data(b []byte) {
+	c := n.client
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.conn != n || len(n.notices) == 0 {
+		n.fail("unasked answer")
+		return
+	}
+	_, complete, err := n.reader.Feed(b, n)
+	if err != nil || complete && n.status/100 != 2 {
+		n.fail(fmt.Sprintf("answered %d", n.status))
+		return
+	}
+	if complete {
+		n.acknowledged()
+	}
+}
+
+// acknowledged reports the notices of the call and begins the next one.
+func (n *connection) acknowledged() {
+	c := n.client
+	n.timer.Stop()
+	c.unanswered = 0
+	ids := make([]uint64, len(n.notices))
+	for i, notice := range n.notices {
+		ids[i] = notice.MessageID
+	}
+	n.notices = nil
+	if n.reader.Close {
+		n.drop()
+	}
+	c.listener.NoticesAcknowledged(ids)
+	c.send()
+}
+
+// Closed implements dial.Handler.
+func (n *connection) Closed(cause error) {
+	n.client.mu.Lock()
+	defer n.client.mu.Unlock()
+	n.fail(fmt.Sprint(cause))
+}
+
+// Status implements http1.Handler.
+func (n *connection) Status(code int) { n.status = code }
+
+// Field implements http1.Handler.
+func (n *connection) Field(_, _ []byte) {}
+
+// Body implements http1.Handler: what an answer says beside its status does not matter.
+func (n *connection) Body([]byte) error { return nil }
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -73,10 +73,10 @@
 // TestQuotedBoundsAreThoseOfTheSource holds the bounds of today's text that the tables quote against it.
 func TestQuotedBoundsAreThoseOfTheSource(t *testing.T) {
 	for _, quoted := range []struct{ folder, constant, value string }{
-		{"internal/discovery", "mostLine", "4 << 20"},           // mostWatchLine
-		{"internal/discovery", "blankEvery", "2 * time.Second"}, // a watch is silent after one and a half of it: 3 s
-		{"forwarder", "mostLearnt", "1 << 12"},                  // 4,096 destinations
-		{"forwarder", "killAfter", "3700 * time.Millisecond"},   // 3.2 s to end, with killMargin
+		{"internal/discovery", "maxLineBytes", "4 << 20"},              // mostWatchLine
+		{"internal/discovery", "heartbeatInterval", "2 * time.Second"}, // a watch is silent after one and a half of it: 3 s
+		{"forwarder", "mostLearnt", "1 << 12"},                         // 4,096 destinations
+		{"forwarder", "killAfter", "3700 * time.Millisecond"},          // 3.2 s to end, with killMargin
 		{"forwarder", "killMargin", "500 * time.Millisecond"},
 		{"scheduler", "roomFull", "0.97"},
 	} {
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -36,7 +36,7 @@
 	watchLine = &budget{name: "the bound of `internal/discovery` on a line", value: func(*Target) float64 { return mostWatchLine }}
 )
 
-// mostWatchLine is mostLine of internal/directory, in bytes.
+// mostWatchLine is maxLineBytes of internal/discovery, in bytes.
 const mostWatchLine = 4 << 20
 
 // restartCurve is the time until a forwarder that owes so many messages is ready.
