--- a/internal/admin/transcript_test.go
+++ b/internal/admin/transcript_test.go
@@ -13,30 +13,30 @@
 	"spanflow/internal/transcript"
 )
 
-// owner answers calls as the test has it.
-type owner struct {
-	ready  atomic.Bool
-	answer atomic.Pointer[admin.Response] // nil: none comes
+// scriptedHandler answers requests as the test says.
+type scriptedHandler struct {
+	ready    atomic.Bool
+	response atomic.Pointer[admin.Response] // nil: none comes
 }
 
-func (o *owner) Ready() bool { return o.ready.Load() }
+func (h *scriptedHandler) Ready() bool { return h.ready.Load() }
 
-func (o *owner) Handle(_ admin.Request, reply func(admin.Response)) {
-	if a := o.answer.Load(); a != nil {
-		reply(*a)
+func (h *scriptedHandler) Handle(_ admin.Request, reply func(admin.Response)) {
+	if r := h.response.Load(); r != nil {
+		reply(*r)
 	}
 }
 
-func TestAnswersOfTheAdminAddressForEachAnswerOfItsOwner(t *testing.T) {
+func TestResponsesOfTheAdminAddress(t *testing.T) {
 	const vars = "GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"
-	o := &owner{}
-	a, err := admin.Open("127.7.0.2:0", o)
+	h := &scriptedHandler{}
+	server, err := admin.Open("127.7.0.2:0", h)
 	require.NoError(t, err)
-	t.Cleanup(a.Stop)
+	t.Cleanup(server.Stop)
 	var script transcript.Transcript
 	script.Mask(`Date: [^\r]*`, "Date: DATE")
 	ask := func(what, request string) {
-		conn, err := net.Dial("tcp", a.Addr())
+		conn, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
 		defer conn.Close()
 		require.NoError(t, conn.SetDeadline(time.Now().Add(15*time.Second)))
@@ -60,10 +60,10 @@
 		{"no, with a status", admin.Response{Status: 503, Text: "why"}},
 		{"no, without a status", admin.Response{Text: "why"}},
 	} {
-		o.answer.Store(&c.answer)
+		h.response.Store(&c.answer)
 		ask(c.what, vars)
 	}
-	o.ready.Store(true)
+	h.ready.Store(true)
 	ask("ready", "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	ask("HTTP/1.0", "GET /_ready HTTP/1.0\r\n\r\n")
 	ask("a connection that is to be kept is closed", "GET /_ready HTTP/1.1\r\nHost: x\r\nConnection: keep-alive\r\n\r\n")
