--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -16,7 +16,7 @@
 	"spanflow/internal/backlog/policy"
 )
 
-const stored = `[backlog]
+const backlogSection = `[backlog]
 folder = "stored"
 disk = "64MB"
 destination = "16MB"
@@ -25,33 +25,33 @@
 behind = 500
 `
 
-// notes are what is worth a word about a text in which nothing is wrong.
-func notes(t *testing.T, text string) string {
-	l, err := Load(file(t, text), nil, nil)
+// notesOf returns the notes on a configuration without problems, as one text.
+func notesOf(t *testing.T, text string) string {
+	l, err := Load(writeFile(t, text), nil, nil)
 	require.NoError(t, err)
-	wrong, notes := l.Check()
-	require.Empty(t, wrong)
+	problems, notes := l.Check()
+	require.Empty(t, problems)
 	return notes.Error()
 }
 
-func TestWithoutAFolderThereIsNoBacklogStore(t *testing.T) {
-	o, err := ForwarderConfig(file(t, whole), nil, nil)
+func TestNoBacklogStoreWithoutAFolder(t *testing.T) {
+	o, err := ForwarderConfig(writeFile(t, validConfig), nil, nil)
 	require.NoError(t, err)
 	require.Nil(t, o.Backlog)
-	require.NotContains(t, notes(t, whole), "backlog")
-	unused := strings.Replace(stored, "folder = \"stored\"\n", "", 1)
-	o, err = ForwarderConfig(file(t, whole+unused), nil, nil)
+	require.NotContains(t, notesOf(t, validConfig), "backlog")
+	unused := strings.Replace(backlogSection, "folder = \"stored\"\n", "", 1)
+	o, err = ForwarderConfig(writeFile(t, validConfig+unused), nil, nil)
 	require.NoError(t, err)
 	require.Nil(t, o.Backlog)
 	for _, name := range []string{"disk", "destination", "tenant", "window", "behind"} {
-		require.Contains(t, notes(t, whole+unused), "backlog."+name+": has no use, as backlog.folder is empty")
+		require.Contains(t, notesOf(t, validConfig+unused), "backlog."+name+": has no use, as backlog.folder is empty")
 	}
-	tight := strings.Replace(whole, "[limits]", "[dispatch]\nroom = 10\n[limits]\ndescriptors = 64", 1)
-	require.NotContains(t, notes(t, tight), "backlog", "the defaults are held against nothing")
+	tight := strings.Replace(validConfig, "[limits]", "[dispatch]\nroom = 10\n[limits]\ndescriptors = 64", 1)
+	require.NotContains(t, notesOf(t, tight), "backlog", "the defaults are held against nothing")
 }
 
-func TestAnOrderTellsTheBacklogStore(t *testing.T) {
-	path := file(t, whole+stored)
+func TestForwarderConfigOfABacklogStore(t *testing.T) {
+	path := writeFile(t, validConfig+backlogSection)
 	o, err := ForwarderConfig(path, nil, nil)
 	require.NoError(t, err)
 	folder := filepath.Join(filepath.Dir(path), "stored")
@@ -61,12 +61,12 @@
 	require.NoError(t, err)
 	require.Equal(t, o.Backlog, next.Backlog)
 
-	o, err = ForwarderConfig(file(t, whole+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
+	o, err = ForwarderConfig(writeFile(t, validConfig+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, &forwarder.Backlog{Folder: "/var/none/stored", Bytes: 256e6, Window: 64, Behind: 1000}, o.Backlog, "the defaults")
 }
 
-func TestWhatIsWrongWithTheBacklogStoreIsNamedByField(t *testing.T) {
+func TestProblemsOfTheBacklogStoreNameTheField(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
 		{`folder = "stored"`, `folder = "c.toml"`, "c.toml:23: backlog.folder: c.toml is not a folder"},
 		{`folder = "stored"`, `folder = "state"`, "c.toml:23: backlog.folder: "},
@@ -87,50 +87,50 @@
 		{"window = 32\nbehind = 500", "window = 2001\nbehind = 2001", "c.toml:27: backlog.window: 2001 is over dispatch.room, 2000"},
 		{`behind = 500`, "behind = 500\n[limits]\ndescriptors = 73", "limits.descriptors: 73 is under the least with a backlog store, 74"},
 	} {
-		text := strings.Replace(whole+stored, c.old, c.new, 1)
-		require.NotEqual(t, whole+stored, text)
+		text := strings.Replace(validConfig+backlogSection, c.old, c.new, 1)
+		require.NotEqual(t, validConfig+backlogSection, text)
 		if strings.Contains(c.new, "[limits]") {
 			text = strings.Replace(text, "[limits]\nmemory = \"48MB\"\n", "", 1)
 		}
-		require.Contains(t, wrong(t, text, nil, nil), c.says, c.new)
+		require.Contains(t, problemsOf(t, text, nil, nil), c.says, c.new)
 	}
-	require.Empty(t, wrong(t, whole+stored, nil, nil))
-	require.Contains(t, wrong(t, whole+stored, nil, []string{"backlog.disk=1MB"}), "backlog.disk: 1MB is under the least")
-	require.Contains(t, wrong(t, whole+stored, []string{"SPANFLOW_BACKLOG_WINDOW=many"}, nil), `SPANFLOW_BACKLOG_WINDOW: "many" is not a whole number`)
+	require.Empty(t, problemsOf(t, validConfig+backlogSection, nil, nil))
+	require.Contains(t, problemsOf(t, validConfig+backlogSection, nil, []string{"backlog.disk=1MB"}), "backlog.disk: 1MB is under the least")
+	require.Contains(t, problemsOf(t, validConfig+backlogSection, []string{"SPANFLOW_BACKLOG_WINDOW=many"}, nil), `SPANFLOW_BACKLOG_WINDOW: "many" is not a whole number`)
 }
 
 // A folder that is reached by another name is the same folder.
-func TestALinkToTheLedgersFolderIsNoFolderOfItsOwn(t *testing.T) {
+func TestLinkToTheLogsFolderIsTheSameFolder(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.Mkdir(filepath.Join(dir, "state"), 0o700))
 	require.NoError(t, os.Symlink("state", filepath.Join(dir, "link")))
 	for folder, says := range map[string]string{"link": "is ledger.folder too", "link/new/deep": "lies within ledger.folder"} {
 		path := filepath.Join(dir, "c.toml")
-		require.NoError(t, os.WriteFile(path, []byte(whole+strings.Replace(stored, `"stored"`, fmt.Sprintf("%q", folder), 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(validConfig+strings.Replace(backlogSection, `"stored"`, fmt.Sprintf("%q", folder), 1)), 0o600))
 		l, err := Load(path, nil, nil)
 		require.NoError(t, err)
-		wrong, _ := l.Check()
-		require.ErrorContains(t, wrong, says)
+		problems, _ := l.Check()
+		require.ErrorContains(t, problems, says)
 	}
 }
 
-func TestWhatTheBacklogStoreNeedsIsWorthAWord(t *testing.T) {
+func TestNotesOnWhatTheBacklogStoreNeeds(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
 		{"window = 32", "window = 126", "backlog.window: dispatch.room, 2000, holds the windows of 15 lanes only"},
 		{"behind = 500", "behind = 2001", "backlog.behind: 2001 is over dispatch.room, 2000: a destination that answers never counts as far behind"},
 		{`disk = "64MB"`, `disk = "1GB"`, "backlog.disk: full of messages of 300 bytes it takes up to 160MB of memory for their places, over half of limits.memory, 48MB"},
 	} {
-		require.Contains(t, notes(t, strings.Replace(whole+stored, c.old, c.new, 1)), c.says)
+		require.Contains(t, notesOf(t, strings.Replace(validConfig+backlogSection, c.old, c.new, 1)), c.says)
 	}
-	require.NotContains(t, notes(t, whole+stored), "backlog")
-	require.NotContains(t, notes(t, "[backlog]\nfolder = \"stored\"\n"+strings.NewReplacer(`name = "n1"`+"\n", "", `zones = ["a", "b"]`+"\n", "",
-		`zone = "b"`+"\n", "", `memory = "48MB"`, "").Replace(whole)), "backlog", "nothing about the defaults")
+	require.NotContains(t, notesOf(t, validConfig+backlogSection), "backlog")
+	require.NotContains(t, notesOf(t, "[backlog]\nfolder = \"stored\"\n"+strings.NewReplacer(`name = "n1"`+"\n", "", `zones = ["a", "b"]`+"\n", "",
+		`zone = "b"`+"\n", "", `memory = "48MB"`, "").Replace(validConfig)), "backlog", "nothing about the defaults")
 }
 
-// Reason passes the check is taken by the packages that the order goes to: the bounds here are those there.
-func TestTheStoreAndItsPolicyTakeWhatPassesTheCheck(t *testing.T) {
+// What passes the check is accepted by the packages that the configuration goes to: the bounds here are those there.
+func TestStoreAndPolicyAcceptWhatPassesTheCheck(t *testing.T) {
 	check := func(flags ...string) (*forwarder.Backlog, error) {
-		o, err := ForwarderConfig(file(t, whole+stored), nil, flags)
+		o, err := ForwarderConfig(writeFile(t, validConfig+backlogSection), nil, flags)
 		if err != nil {
 			return nil, err
 		}
@@ -162,11 +162,11 @@
 	sound, err := check()
 	require.NoError(t, err)
 	for flag, spoil := range map[string]func(*forwarder.Backlog){
-		fmt.Sprintf("backlog.disk=%dB", leastBacklog-1): func(b *forwarder.Backlog) { b.Bytes = leastBacklog - 1 },
-		"backlog.destination=65MB":                      func(b *forwarder.Backlog) { b.DestinationBytes = 65e6 },
-		"backlog.tenant=65MB":                           func(b *forwarder.Backlog) { b.TenantBytes = 65e6 },
-		"backlog.window=0":                              func(b *forwarder.Backlog) { b.Window = 0 },
-		"backlog.behind=31":                             func(b *forwarder.Backlog) { b.Behind = 31 },
+		fmt.Sprintf("backlog.disk=%dB", minBacklog-1): func(b *forwarder.Backlog) { b.Bytes = minBacklog - 1 },
+		"backlog.destination=65MB":                    func(b *forwarder.Backlog) { b.DestinationBytes = 65e6 },
+		"backlog.tenant=65MB":                         func(b *forwarder.Backlog) { b.TenantBytes = 65e6 },
+		"backlog.window=0":                            func(b *forwarder.Backlog) { b.Window = 0 },
+		"backlog.behind=31":                           func(b *forwarder.Backlog) { b.Behind = 31 },
 	} {
 		_, err := check(flag)
 		require.Error(t, err, flag)
@@ -176,8 +176,8 @@
 	}
 }
 
-func TestTheBacklogStoresFieldsComeInLayers(t *testing.T) {
-	path := file(t, whole+stored)
+func TestBacklogFieldsComeInLayers(t *testing.T) {
+	path := writeFile(t, validConfig+backlogSection)
 	l, err := Load(path, []string{"SPANFLOW_BACKLOG_DISK=128MB", "SPANFLOW_BACKLOG_WINDOW=16"}, []string{"backlog.window=8", "backlog.tenant=0B"})
 	require.NoError(t, err)
 	require.Equal(t, Backlog{Folder: "stored", Disk: 128e6, Destination: 16e6, Tenant: 0, Window: 8, Behind: 500}, l.Backlog)
@@ -190,8 +190,8 @@
 	_, notes := l.Check()
 	require.Contains(t, notes.Error(), "backlog.window: --set goes before line 27 of the file")
 
-	again := whole + "[backlog]\n"
-	for _, v := range l.Values() { // what is shown can be told again
+	again := validConfig + "[backlog]\n"
+	for _, v := range l.Values() { // what is shown can be read again
 		if name, is := strings.CutPrefix(v.Field, "backlog."); is {
 			value := fmt.Sprint(v.Value)
 			if reflect.TypeOf(v.Value).Kind() != reflect.Int {
@@ -200,13 +200,13 @@
 			again += fmt.Sprintf("%s = %s\n", name, value)
 		}
 	}
-	other, err := Load(file(t, again), nil, nil)
+	other, err := Load(writeFile(t, again), nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, l.Backlog, other.Backlog)
 }
 
-func TestTheBoundsOfTheBacklogStoreChangeByReloadAndItsFolderAtAStart(t *testing.T) {
-	for _, name := range keys(reflect.TypeFor[Backlog](), nil) {
+func TestBacklogBoundsChangeOnReloadAndFolderOnRestart(t *testing.T) {
+	for _, name := range keys(reflect.TypeFor[Backlog]()) {
 		want := forwarder.OnReload
 		if name == "folder" {
 			want = forwarder.OnRestart
@@ -225,7 +225,7 @@
 }
 
 // The lines of the example file, taken out of their comment, say what holds without them.
-func TestTheExampleFilesBacklogLinesAreTheDefaults(t *testing.T) {
+func TestBacklogLinesOfTheExampleFileAreTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/spanflow.toml")
 	require.NoError(t, err)
 	begin := strings.Index(string(text), "# [backlog]\n")
@@ -233,15 +233,15 @@
 	section, rest, found := strings.Cut(string(text[begin:]), "\n\n")
 	require.True(t, found)
 	section = strings.ReplaceAll("\n"+section, "\n# ", "\n")
-	l, err := Load(file(t, string(text[:begin])+section+"\n\n"+rest), nil, nil)
+	l, err := Load(writeFile(t, string(text[:begin])+section+"\n\n"+rest), nil, nil)
 	require.NoError(t, err)
-	wrong, notes := l.Check()
-	require.Empty(t, wrong)
+	problems, notes := l.Check()
+	require.Empty(t, problems)
 	require.NotContains(t, notes.Error(), "backlog")
 	want := Defaults().Backlog
 	want.Folder = "/var/lib/spanflow-backlog"
 	require.Equal(t, want, l.Backlog)
-	for _, name := range keys(reflect.TypeFor[Backlog](), nil) {
+	for _, name := range keys(reflect.TypeFor[Backlog]()) {
 		require.Contains(t, section, "\n"+name+" = ", "each field is there")
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 	"spanflow/forwarder"
 )
 
-const whole = `name = "n1"
+const validConfig = `name = "n1"
 zones = ["a", "b"]
 zone = "b"
 [limits]
@@ -38,15 +38,15 @@
 dest = 7
 `
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "c.toml")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// wrong is all that is wrong with a text, by lines.
-func wrong(t *testing.T, text string, environ, flags []string) string {
-	path := file(t, text)
+// problemsOf returns the problems of a configuration, as one text; the file is c.toml.
+func problemsOf(t *testing.T, text string, environ, flags []string) string {
+	path := writeFile(t, text)
 	l, err := Load(path, environ, flags)
 	if err == nil {
 		if p, _ := l.Check(); len(p) > 0 {
@@ -59,8 +59,8 @@
 	return strings.ReplaceAll(err.Error(), path, "c.toml")
 }
 
-func TestAnOrderIsMadeOfAConfiguration(t *testing.T) {
-	path := file(t, whole)
+func TestForwarderConfigOfAFile(t *testing.T) {
+	path := writeFile(t, validConfig)
 	o, err := ForwarderConfig(path, nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, []any{"n1", 48, 1024, 1, 7, 1},
@@ -76,7 +76,7 @@
 	require.Equal(t, o.Seed, next.Seed, "drawn once")
 }
 
-func TestWhatIsWrongIsNamedByFileLineAndField(t *testing.T) {
+func TestProblemsNameFileLineAndField(t *testing.T) {
 	for _, c := range []struct{ old, new, says string }{
 		{`memory = "48MB"`, `memroy = "48MB"`, "c.toml:5: limits.memroy: unknown key; memory may be meant"},
 		{`[limits]`, `[limit]`, "c.toml:4: limit: unknown key; limits may be meant"},
@@ -93,26 +93,26 @@
 		{`listen = "127.0.0.1:6379"`, `listen = "here"`, `c.toml:7: fronts[0].listen: "here" is not an address with a port`},
 		{`listen = "127.0.0.1:6379"`, `protocol = "smtp"`, `fronts[0].protocol: unknown protocol "smtp"`},
 		{"[[targets]]\n", "[[targets]]\nuid = \"t1\"\naddress = \":1\"\n[[targets]]\n", "targets[1].uid: targets[0] has it too"},
-		{"[[targets]]\n", "[discovery]\naddress = \"127.0.0.1:1\"\n[[targets]]\n", "targets: discovery.address is told as well"},
+		{"[[targets]]\n", "[discovery]\naddress = \"127.0.0.1:1\"\n[[targets]]\n", "targets: discovery.address is set as well"},
 		{"[[targets]]\n", "[dispatch]\nask_within = \"0s\"\n[[targets]]\n", "dispatch.ask_within: 0s leaves no time"},
 		{`dest = 7`, `dest = -7`, "c.toml:21: targets.dest"},
 		{`per_second = 2.5`, `per_second = nan`, "c.toml:17: tenants[0].per_second: NaN is not a rate"},
 		{"[[tenants]]\n", "[[kinds]]\nname = \"k\"\noutlet = \"smtp\"\n[[tenants]]\n", `kinds[0].outlet: "smtp" is the name of none of outlets`},
 		{"[[tenants]]\n", "[[outlets]]\nprotocol = \"smtp\"\n[[tenants]]\n", `outlets[0].protocol: unknown protocol "smtp"`},
 		{`[limits]`, "[limits]\ndescriptors = 64\n[ledger]\nfolder = \"c.toml\"\n[limitz]", "limitz"}} {
-		text := strings.Replace(whole, c.old, c.new, 1)
-		require.NotEqual(t, whole, text)
-		require.Contains(t, wrong(t, text, nil, nil), c.says, c.new)
+		text := strings.Replace(validConfig, c.old, c.new, 1)
+		require.NotEqual(t, validConfig, text)
+		require.Contains(t, problemsOf(t, text, nil, nil), c.says, c.new)
 	}
-	require.Contains(t, wrong(t, whole+"[[fronts]]\nlisten = \"127.0.0.1:6379\"\n", nil, nil), "fronts[1].listen: fronts[0] listens there too")
-	require.Contains(t, wrong(t, whole, nil, []string{"limits.descriptors=64", "fronts[0].connections=60"}),
+	require.Contains(t, problemsOf(t, validConfig+"[[fronts]]\nlisten = \"127.0.0.1:6379\"\n", nil, nil), "fronts[1].listen: fronts[0] listens there too")
+	require.Contains(t, problemsOf(t, validConfig, nil, []string{"limits.descriptors=64", "fronts[0].connections=60"}),
 		"fronts: their connections, 60 and at least 8 for each other one, are more than the 22")
 	_, err := Load("/nowhere/c.toml", nil, nil)
 	require.ErrorContains(t, err, "/nowhere/c.toml: no such file")
 }
 
-func TestFlagsGoBeforeVariablesAndVariablesBeforeTheFile(t *testing.T) {
-	path := file(t, whole)
+func TestFlagsOverrideVariablesAndVariablesOverrideTheFile(t *testing.T) {
+	path := writeFile(t, validConfig)
 	l, err := Load(path, []string{"SPANFLOW_LIMITS_MEMORY=64MB", "SPANFLOW_LIMITS_CORES=2", "PROXY_LISTEN=127.0.0.9:1", "SPANFLOW_ZONES=a, b,c",
 		"SPANFLOW_CONFIG=x", "OTHER=1"}, []string{"limits.memory=96MB", "targets.t1.dest=8"})
 	require.NoError(t, err)
@@ -128,30 +128,30 @@
 	require.Contains(t, notes.Error(), "fronts[0].listen: PROXY_LISTEN goes before line 7 of the file", "they contradict")
 }
 
-func TestVariablesAndFlagsThatMeanNothingAreNamed(t *testing.T) {
-	require.Contains(t, wrong(t, whole, []string{"SPANFLOW_LIMITS_MEMROY=1MB"}, nil), "SPANFLOW_LIMITS_MEMROY: unknown variable; SPANFLOW_LIMITS_MEMORY may be meant")
-	require.Contains(t, wrong(t, whole, []string{"SPANFLOW_LIMITS_MEMORY=much"}, nil), `SPANFLOW_LIMITS_MEMORY: "much" is not a size`)
+func TestUnknownVariablesAndFlagsAreProblems(t *testing.T) {
+	require.Contains(t, problemsOf(t, validConfig, []string{"SPANFLOW_LIMITS_MEMROY=1MB"}, nil), "SPANFLOW_LIMITS_MEMROY: unknown variable; SPANFLOW_LIMITS_MEMORY may be meant")
+	require.Contains(t, problemsOf(t, validConfig, []string{"SPANFLOW_LIMITS_MEMORY=much"}, nil), `SPANFLOW_LIMITS_MEMORY: "much" is not a size`)
 	for flag, says := range map[string]string{"limits": "--set limits" + "", "limits=1": "is a table", "limits.memroy=1MB": "memory may be meant",
 		"targets.t9.dest=1": `there is none named "t9"`, "targets[4].dest=1": "there is no number 4", "limits.cores=many": `"many" is not a number`,
 		"zones.a=b": "is set as a whole", "fronts=x": "is a list of tables", "name.x=1": "name has no parts"} {
 		if flag == "limits" {
 			says = "limits: is not FIELD=VALUE"
 		}
-		require.Contains(t, wrong(t, whole, nil, []string{flag}), says, flag)
+		require.Contains(t, problemsOf(t, validConfig, nil, []string{flag}), says, flag)
 	}
 }
 
-func TestAFrontendCanBeMadeByVariableAlone(t *testing.T) {
-	text := strings.Replace(whole, "[[fronts]]\nlisten = \"127.0.0.1:6379\"\n", "", 1)
-	require.Contains(t, wrong(t, text, nil, nil), "fronts: there is none")
-	require.Empty(t, wrong(t, text, []string{"PROXY_LISTEN=127.0.0.1:1"}, nil))
+func TestVariableAddsAFrontend(t *testing.T) {
+	text := strings.Replace(validConfig, "[[fronts]]\nlisten = \"127.0.0.1:6379\"\n", "", 1)
+	require.Contains(t, problemsOf(t, text, nil, nil), "fronts: there is none")
+	require.Empty(t, problemsOf(t, text, []string{"PROXY_LISTEN=127.0.0.1:1"}, nil))
 }
 
-// A file that is written to or put in the place of another while it is read is read anew.
-func TestAFileThatChangesWhileItIsReadIsReadAnew(t *testing.T) {
-	path := file(t, "one")
+// A file that is written to or replaced while it is read is read again.
+func TestFileThatChangesWhileReadIsReadAgain(t *testing.T) {
+	path := writeFile(t, "one")
 	touched := false
-	text, steady, err := readOnce(path, func(string) (os.FileInfo, error) {
+	text, stable, err := readOnce(path, func(string) (os.FileInfo, error) {
 		if !touched {
 			touched = true
 			require.NoError(t, os.WriteFile(path, []byte("two"), 0o600))
@@ -161,9 +161,9 @@
 		return os.Stat(path)
 	})
 	require.NoError(t, err)
-	require.Equal(t, []any{"one", false}, []any{string(text), steady})
-	_, steady, err = readOnce(path, func(string) (os.FileInfo, error) {
-		other := file(t, "two")
+	require.Equal(t, []any{"one", false}, []any{string(text), stable})
+	_, stable, err = readOnce(path, func(string) (os.FileInfo, error) {
+		other := writeFile(t, "two")
 		was, err := os.Stat(path)
 		require.NoError(t, err)
 		require.NoError(t, os.Chtimes(other, was.ModTime(), was.ModTime()))
@@ -171,15 +171,15 @@
 		return os.Stat(path)
 	})
 	require.NoError(t, err)
-	require.False(t, steady, "another file of the same length and time")
-	_, steady, err = readOnce(path, func(string) (os.FileInfo, error) { return nil, os.ErrNotExist })
-	require.True(t, err == nil && !steady)
-	text, err = read(path)
+	require.False(t, stable, "another file of the same length and time")
+	_, stable, err = readOnce(path, func(string) (os.FileInfo, error) { return nil, os.ErrNotExist })
+	require.True(t, err == nil && !stable)
+	text, err = readFile(path)
 	require.Equal(t, []any{"two", nil}, []any{string(text), err})
 }
 
-func TestSecretsStandInFilesOfTheirOwnAndAreNotShown(t *testing.T) {
-	path := file(t, "[metrics]\nlisten = \"127.0.0.1:9100\"\ntoken_file = \"token\"\n"+strings.Replace(whole, `name = "n1"`+"\nzones = [\"a\", \"b\"]\nzone = \"b\"\n", "", 1))
+func TestTokenIsInAPrivateFileAndNotShown(t *testing.T) {
+	path := writeFile(t, "[metrics]\nlisten = \"127.0.0.1:9100\"\ntoken_file = \"token\"\n"+strings.Replace(validConfig, `name = "n1"`+"\nzones = [\"a\", \"b\"]\nzone = \"b\"\n", "", 1))
 	token := filepath.Join(filepath.Dir(path), "token")
 	l, err := Load(path, nil, nil)
 	require.NoError(t, err)
@@ -196,7 +196,7 @@
 	require.False(t, bytes.Contains(shown, []byte("hush")))
 }
 
-func TestTheSchemaKnowsEachFieldAndEachFieldHasAnAnswerToAReload(t *testing.T) {
+func TestSchemaAndConfigPartsKnowEachField(t *testing.T) {
 	b, err := Schema()
 	require.NoError(t, err)
 	var s struct {
@@ -204,7 +204,7 @@
 		Additional any `json:"additionalProperties"`
 	}
 	require.NoError(t, json.Unmarshal(b, &s))
-	for _, name := range keys(reflect.TypeFor[File](), nil) {
+	for _, name := range keys(reflect.TypeFor[File]()) {
 		require.Contains(t, s.Properties, name)
 		known := false
 		for _, p := range forwarder.ConfigParts {
@@ -219,7 +219,7 @@
 	require.Equal(t, forwarder.OnRestart, Reload("limits.memory"))
 }
 
-func TestUnitsAreReadAndWritten(t *testing.T) {
+func TestUnitsSurviveReadingAndWriting(t *testing.T) {
 	for text, want := range map[string]Size{"48MB": 48e6, "4MiB": 4 << 20, "1.5kB": 1500, "0B": 0} {
 		var s Size
 		require.NoError(t, s.UnmarshalText([]byte(text)))
@@ -241,13 +241,13 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(whole)
-	f.Add(whole + stored)
+	f.Add(validConfig)
+	f.Add(validConfig + backlogSection)
 	f.Fuzz(func(t *testing.T, text string) {
 		l := &Loaded{File: Defaults(), Path: "c.toml", Sources: map[string]Source{}, lines: map[string]int{}}
 		if l.parse([]byte(text)) == nil {
-			l.perElement()
-			if wrong, _ := l.Check(); len(wrong) == 0 {
+			l.applyElementDefaults()
+			if problems, _ := l.Check(); len(problems) == 0 {
 				_, err := l.ForwarderConfig()
 				require.NoError(t, err)
 			}
@@ -255,8 +255,8 @@
 	})
 }
 
-func TestTheOperatorsAddressComesFromTheFileOrTheVariable(t *testing.T) {
-	path := file(t, "admin = \"127.0.0.1:9800\"\n"+whole)
+func TestAdminAddressComesFromFileOrVariable(t *testing.T) {
+	path := writeFile(t, "admin = \"127.0.0.1:9800\"\n"+validConfig)
 	l, err := Load(path, nil, nil)
 	require.NoError(t, err)
 	o, err := l.ForwarderConfig()
@@ -267,5 +267,5 @@
 	o, err = l.ForwarderConfig()
 	require.NoError(t, err)
 	require.Equal(t, "127.0.0.1:9801", o.Admin)
-	require.Contains(t, wrong(t, "admin = \"nowhere\"\n"+whole, nil, nil), "admin")
+	require.Contains(t, problemsOf(t, "admin = \"nowhere\"\n"+validConfig, nil, nil), "admin")
 }
--- /dev/null
+++ b/internal/config/decode.go
@@ -0,0 +1,145 @@
+package config
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"reflect"
+	"strings"
+
+	"github.com/agnivade/levenshtein"
+	"github.com/pelletier/go-toml/v2"
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+const (
+	maxEditDistance = 3 // letters by which a suggested name may differ
+	tomlErrorPrefix = "toml: "
+)
+
+// Decode reads a TOML text into a form, a pointer to a struct, strictly: a key that the form does not have is a Problem
+// that suggests the nearest known one. path names the file in Problems.
+func Decode(path string, text []byte, form any) error {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(form)
+	var unknown *toml.StrictMissingError
+	var malformed *toml.DecodeError
+	switch {
+	case err == nil:
+		return nil
+	case errors.As(err, &unknown):
+		return unknownKeys(path, unknown, reflect.TypeOf(form).Elem())
+	case errors.As(err, &malformed):
+		line, _ := malformed.Position()
+		field := strings.Join(malformed.Key(), ".")
+		return Problems{{File: path, Line: line, Field: field, Reason: strings.TrimPrefix(malformed.Error(), tomlErrorPrefix)}}
+	}
+	return Problems{{File: path, Reason: strings.TrimPrefix(err.Error(), tomlErrorPrefix)}}
+}
+
+func unknownKeys(path string, unknown *toml.StrictMissingError, form reflect.Type) Problems {
+	var problems Problems
+	for _, e := range unknown.Errors {
+		key := e.Key()
+		line, _ := e.Position()
+		table, last := key[:len(key)-1], key[len(key)-1]
+		problems = append(problems, Problem{
+			File:   path,
+			Line:   line,
+			Field:  strings.Join(key, "."),
+			Reason: "unknown key" + suggestion(last, tableKeys(form, table)),
+		})
+	}
+	return problems
+}
+
+// fieldLines finds the line of each field and table of a TOML text: "limits.memory", "fronts[0].listen". What cannot be
+// parsed has none; the decoder says what is wrong with it.
+func fieldLines(text []byte) map[string]int {
+	lines := map[string]int{}
+	parser := unstable.Parser{}
+	parser.Reset(text)
+	line := func(key unstable.Iterator) int {
+		if key.Next() {
+			return parser.Shape(key.Node().Raw).Start.Line
+		}
+		return 0
+	}
+	prefix, elements := "", map[string]int{}
+	for parser.NextExpression() {
+		switch e := parser.Expression(); e.Kind {
+		case unstable.Table:
+			name := keyPath(e.Key())
+			lines[name] = line(e.Key())
+			prefix = name + "."
+		case unstable.ArrayTable:
+			name := keyPath(e.Key())
+			element := fmt.Sprintf("%s[%d]", name, elements[name])
+			lines[element] = line(e.Key())
+			elements[name]++
+			prefix = element + "."
+		case unstable.KeyValue:
+			lines[prefix+keyPath(e.Key())] = line(e.Key())
+		}
+	}
+	return lines
+}
+
+func keyPath(key unstable.Iterator) string {
+	var parts []string
+	for key.Next() {
+		parts = append(parts, string(key.Node().Data))
+	}
+	return strings.Join(parts, ".")
+}
+
+// tableKeys are the keys that a table of a form has; nil: the form has no such table.
+func tableKeys(form reflect.Type, table []string) []string {
+	for _, name := range table {
+		f, ok := fieldOf(form, name)
+		if !ok {
+			return nil
+		}
+		if form = f.Type; form.Kind() == reflect.Slice {
+			form = form.Elem()
+		}
+		if form.Kind() != reflect.Struct {
+			return nil
+		}
+	}
+	return keys(form)
+}
+
+// keys are the keys of a struct's fields.
+func keys(t reflect.Type) []string {
+	var all []string
+	for i := range t.NumField() {
+		all = append(all, key(t.Field(i)))
+	}
+	return all
+}
+
+func key(f reflect.StructField) string { return f.Tag.Get("toml") }
+
+// fieldOf is the field of a struct that a key names.
+func fieldOf(t reflect.Type, name string) (reflect.StructField, bool) {
+	for i := range t.NumField() {
+		if f := t.Field(i); key(f) == name {
+			return f, true
+		}
+	}
+	return reflect.StructField{}, false
+}
+
+// suggestion names the known name that is nearest to an unknown one; empty: none is near.
+func suggestion(name string, known []string) string {
+	shortest, nearest := maxEditDistance+1, ""
+	for _, k := range known {
+		if distance := levenshtein.ComputeDistance(strings.ToLower(name), strings.ToLower(k)); distance < shortest {
+			shortest, nearest = distance, k
+		}
+	}
+	if nearest == "" {
+		return ""
+	}
+	return fmt.Sprintf("; %s may be meant", nearest)
+}
--- /dev/null
+++ b/internal/config/defaults.go
@@ -0,0 +1,82 @@
+package config
+
+import "slices"
+
+// Names of what exists without being configured.
+const (
+	defaultUpstream = protocolHTTP
+	defaultKind     = "partners"
+)
+
+// Defaults returns the values of the fields that nothing sets.
+func Defaults() File {
+	return File{
+		Name:    "spanflow",
+		Zones:   []string{"a"},
+		Zone:    "a",
+		Ledger:  Ledger{Folder: "state", Disk: 64e6},
+		Backlog: Backlog{Disk: 256e6, Window: 64, Behind: 1000},
+		Limits:  Limits{Cores: 1, Memory: 192e6, Descriptors: 1024},
+		Dispatch: Dispatch{
+			ConcurrencyLimit:  64,
+			QueueCapacity:     2000,
+			MaxAttempts:       6,
+			Forwarders:        1,
+			MaxRetryAfter:     2,
+			Connect:           1.5,
+			IdleTimeout:       10,
+			KeyCooldown:       0.1,
+			SlowStartShare:    0.2,
+			SlowStartDuration: 10,
+			PollWithin:        10,
+			OverloadMultiple:  2,
+			Late:              lateLine,
+			ListedRates:       ratesNone,
+			ReportLimit:       "x1",
+			ReportShare:       "x0",
+		},
+		Log: Log{Level: "info", Format: formatJSON},
+	}
+}
+
+// applyElementDefaults gives each element of the lists of tables the values that it lacks.
+func (f *File) applyElementDefaults() {
+	if len(f.Kinds) == 0 {
+		f.Kinds = []Kind{{Name: defaultKind}}
+	}
+	for i := range f.Frontends {
+		Or(&f.Frontends[i].Protocol, protocolRESP)
+		Or(&f.Frontends[i].Name, f.Frontends[i].Protocol)
+	}
+	for i := range f.Upstreams {
+		Or(&f.Upstreams[i].Protocol, protocolHTTP)
+		Or(&f.Upstreams[i].Name, f.Upstreams[i].Protocol)
+	}
+	if !slices.ContainsFunc(f.Upstreams, func(u Upstream) bool { return u.Name == defaultUpstream }) {
+		f.Upstreams = append(f.Upstreams, Upstream{Name: defaultUpstream, Protocol: protocolHTTP})
+	}
+	for i := range f.Kinds {
+		Or(&f.Kinds[i].Batch, 1)
+		Or(&f.Kinds[i].Upstream, defaultUpstream)
+	}
+	for i := range f.Types {
+		Or(&f.Types[i].Group, groupAll)
+		Or(&f.Types[i].Value, 1)
+	}
+	for i := range f.Endpoints {
+		endpoint := &f.Endpoints[i]
+		Or(&endpoint.State, stateActive)
+		Or(&endpoint.Kind, f.Kinds[0].Name)
+		if len(f.Zones) > 0 {
+			Or(&endpoint.Zone, f.Zones[0])
+		}
+	}
+}
+
+// Or sets a value that is zero to another.
+func Or[T comparable](value *T, other T) {
+	var zero T
+	if *value == zero {
+		*value = other
+	}
+}
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -2,74 +2,7 @@
 // whole, with the source of each value known. It makes a forwarder's Config of it.
 package config
 
-import (
-	"encoding/json"
-	"errors"
-	"fmt"
-	"math"
-	"slices"
-	"strconv"
-	"strings"
-	"time"
-
-	"github.com/dustin/go-humanize"
-	"github.com/invopop/jsonschema"
-)
-
-// Duration is a time, written with its unit: "3s", "100ms".
-type Duration float64
-
-func (s *Duration) UnmarshalText(b []byte) error {
-	d, err := time.ParseDuration(string(b))
-	if err != nil || d < 0 {
-		return fmt.Errorf(`%q is not a time with its unit, such as "3s" or "100ms"`, b)
-	}
-	*s = Duration(d.Seconds())
-	return nil
-}
-
-func (s Duration) String() string {
-	return time.Duration(math.Round(float64(s) * 1e9)).String()
-}
-
-func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-func (Duration) JSONSchema() *jsonschema.Schema {
-	return &jsonschema.Schema{Type: "string", Pattern: `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`, Description: "a time with its unit"}
-}
-
-// Size is a number of bytes, written with its unit: "48MB", "64KiB".
-type Size int64
-
-func (s *Size) UnmarshalText(b []byte) error {
-	text := strings.TrimSpace(string(b))
-	n, err := humanize.ParseBytes(text)
-	if err != nil || n > math.MaxInt64 || strings.Trim(text, "0123456789.") == "" {
-		return fmt.Errorf(`%q is not a size with its unit, such as "48MB" or "64KiB"`, b)
-	}
-	*s = Size(n)
-	return nil
-}
-
-func (s Size) String() string {
-	for _, u := range []struct {
-		n    Size
-		name string
-	}{{1 << 30, "GiB"}, {1e9, "GB"}, {1 << 20, "MiB"}, {1e6, "MB"}, {1 << 10, "KiB"}, {1e3, "kB"}} {
-		if s >= u.n && s%u.n == 0 {
-			return strconv.FormatInt(int64(s/u.n), 10) + u.name
-		}
-	}
-	return strconv.FormatInt(int64(s), 10) + "B"
-}
-
-func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
-
-func (Size) JSONSchema() *jsonschema.Schema {
-	return &jsonschema.Schema{Type: "string", Pattern: `^[0-9]+(\.[0-9]+)? ?[kKMGT]?i?B$`, Description: "a number of bytes with its unit"}
-}
-
-// File is the form of a configuration.
+// File is the form of a configuration file. Its descriptions stand in the schema that operators see.
 type File struct {
 	Name      string     `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
 	Seed      string     `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
@@ -91,7 +24,7 @@
 	Endpoints []Endpoint `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
 }
 
-// Log is where what is owed is kept.
+// Ledger is the write-ahead log.
 type Ledger struct {
 	Folder string `toml:"folder" jsonschema_description:"The folder that lasts, relative to the file. It is made if missing."`
 	Disk   Size   `toml:"disk" jsonschema_description:"Space that the folder may take, 1 MB at least."`
@@ -114,13 +47,13 @@
 	Descriptors int     `toml:"descriptors" jsonschema_description:"File descriptors, 64 at least. A third is for targets, the rest for clients."`
 }
 
-// Discovery is the service that tells the list.
+// Discovery is the service that has the list of endpoints.
 type Discovery struct {
 	Address string `toml:"address" jsonschema_description:"Address and port. Empty: the targets of this file are the list."`
 	Notices string `toml:"notices" jsonschema_description:"Where the final answers go that no caller waits for. Empty: to address; without one, into the log alone."`
 }
 
-// Dispatch are the figures by which the scheduler decides.
+// Dispatch are the settings by which the scheduler decides.
 type Dispatch struct {
 	ConcurrencyLimit  int      `toml:"slots" jsonschema_description:"Calls out at once, all destinations together."`
 	QueueCapacity     int      `toml:"room" jsonschema_description:"Documents held at once."`
@@ -140,7 +73,7 @@
 	ReportShare       string   `toml:"report_left" jsonschema_description:"Field of a load report that tells the share of the limit that is left, 0 to 1."`
 }
 
-// Log is what is written to standard error.
+// Log are the lines written to standard error.
 type Log struct {
 	Level  string   `toml:"level" jsonschema:"enum=trace,enum=debug,enum=info,enum=warn,enum=error" jsonschema_description:"Least level of lines."`
 	Format string   `toml:"format" jsonschema:"enum=json,enum=console" jsonschema_description:"json, or console for people."`
@@ -155,7 +88,7 @@
 	TokenFile string `toml:"token_file" jsonschema_description:"File with the bearer token that a reader has to show. Empty: anybody may read."`
 }
 
-// Frontend is one way in.
+// Frontend is an address where messages come in.
 type Frontend struct {
 	Name         string `toml:"name" jsonschema_description:"Its name in the ledger, log lines and metrics; lower case, digits, hyphens."`
 	Protocol     string `toml:"protocol" jsonschema_description:"resp"`
@@ -165,7 +98,7 @@
 	WaitingBytes Size   `toml:"waiting_bytes" jsonschema_description:"Bytes of documents among them. 0B: 4 MiB."`
 }
 
-// Upstream is one way out.
+// Upstream is a way to call endpoints.
 type Upstream struct {
 	Name     string   `toml:"name" jsonschema_description:"By which kinds name it."`
 	Protocol string   `toml:"protocol" jsonschema_description:"http"`
@@ -186,7 +119,7 @@
 	LateValueShare float64 `toml:"late_share" jsonschema_description:"Share of the value that is left at the end of life, 0 to 1."`
 }
 
-// Kind is a kind of destinations.
+// Kind is a kind of destinations; their endpoints are called alike.
 type Kind struct {
 	Name           string `toml:"name"`
 	Batch          int    `toml:"batch" jsonschema_description:"Documents that one call carries at most."`
@@ -194,13 +127,13 @@
 	Upstream       string `toml:"outlet" jsonschema_description:"Name of the outlet by which its targets are called."`
 }
 
-// Tenant is one with a share.
+// Tenant is a tenant with a rate of its own.
 type Tenant struct {
 	Name      string  `toml:"name"`
 	PerSecond float64 `toml:"per_second" jsonschema_description:"Documents a second, all forwarders together."`
 }
 
-// Address is one line of the file's own list.
+// Endpoint is one endpoint of the file's own list.
 type Endpoint struct {
 	UID         string  `toml:"uid" jsonschema_description:"Its name, the same at every forwarder."`
 	Address     string  `toml:"address" jsonschema_description:"Address and port."`
@@ -210,69 +143,3 @@
 	State       string  `toml:"state" jsonschema:"enum=active,enum=leaving" jsonschema_description:"active, or leaving: it finishes what it has and gets nothing new. Empty: active."`
 	PerSecond   float64 `toml:"per_second" jsonschema_description:"Calls a second that the destination takes. 0: not known."`
 }
-
-const usualOutlet = "http"
-
-// Defaults are what holds where nothing is said.
-func Defaults() File {
-	return File{Name: "spanflow", Zones: []string{"a"}, Zone: "a",
-		Ledger:  Ledger{Folder: "state", Disk: 64e6},
-		Backlog: Backlog{Disk: 256e6, Window: 64, Behind: 1000},
-		Limits:  Limits{Cores: 1, Memory: 192e6, Descriptors: 1024},
-		Dispatch: Dispatch{ConcurrencyLimit: 64, QueueCapacity: 2000, MaxAttempts: 6, Forwarders: 1, MaxRetryAfter: 2, Connect: 1.5, IdleTimeout: 10,
-			KeyCooldown: 0.1, PollWithin: 10, SlowStartShare: 0.2, SlowStartDuration: 10, OverloadMultiple: 2, Late: "line", ListedRates: "none", ReportLimit: "x1", ReportShare: "x0"},
-		Log: Log{Level: "info", Format: "json"}}
-}
-
-// perElement are the defaults within lists of tables: each element that lacks a value gets it.
-func (f *File) perElement() {
-	if len(f.Kinds) == 0 {
-		f.Kinds = []Kind{{Name: "partners"}}
-	}
-	for i := range f.Frontends {
-		Or(&f.Frontends[i].Protocol, "resp")
-		Or(&f.Frontends[i].Name, f.Frontends[i].Protocol)
-	}
-	for i := range f.Upstreams {
-		Or(&f.Upstreams[i].Protocol, "http")
-		Or(&f.Upstreams[i].Name, f.Upstreams[i].Protocol)
-	}
-	if !slices.ContainsFunc(f.Upstreams, func(o Upstream) bool { return o.Name == usualOutlet }) {
-		f.Upstreams = append(f.Upstreams, Upstream{Name: usualOutlet, Protocol: "http"})
-	}
-	for i := range f.Kinds {
-		Or(&f.Kinds[i].Batch, 1)
-		Or(&f.Kinds[i].Upstream, usualOutlet)
-	}
-	for i := range f.Types {
-		Or(&f.Types[i].Group, "all")
-		Or(&f.Types[i].Value, 1)
-	}
-	for i := range f.Endpoints {
-		t := &f.Endpoints[i]
-		Or(&t.State, "active")
-		Or(&t.Kind, f.Kinds[0].Name)
-		if len(f.Zones) > 0 {
-			Or(&t.Zone, f.Zones[0])
-		}
-	}
-}
-
-// Or sets what was not told.
-func Or[T comparable](v *T, other T) {
-	var none T
-	if *v == none {
-		*v = other
-	}
-}
-
-// Schema is the form as JSON Schema, made from the types.
-func Schema() ([]byte, error) {
-	r := jsonschema.Reflector{FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, DoNotReference: true, Anonymous: true}
-	s := r.Reflect(&File{})
-	if s == nil {
-		return nil, errors.New("the form has no schema")
-	}
-	s.Title, s.Description = "spanflow", "Configuration of a spanflow forwarder (TOML)."
-	return json.MarshalIndent(s, "", "  ")
-}
--- /dev/null
+++ b/internal/config/metrics_token.go
@@ -0,0 +1,41 @@
+package config
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"os"
+)
+
+const (
+	maxTokenBytes     = 4 << 10
+	othersPermissions = 0o007
+)
+
+// metricsToken reads the secret that a reader of metrics has to show; empty: none is asked for. It stands in a file of
+// its own, never in a configuration, and is shown nowhere.
+func (l *Loaded) metricsToken() (string, error) {
+	if l.Metrics.TokenFile == "" {
+		return "", nil
+	}
+	f, err := os.Open(l.resolve(l.Metrics.TokenFile))
+	if err != nil {
+		return "", err
+	}
+	defer f.Close()
+	info, err := f.Stat()
+	if err != nil {
+		return "", err
+	}
+	if mode := info.Mode().Perm(); mode&othersPermissions != 0 {
+		return "", fmt.Errorf("%s is open to everybody (mode %o): take the last digit away", f.Name(), mode)
+	}
+	text, err := io.ReadAll(io.LimitReader(f, maxTokenBytes))
+	if err != nil {
+		return "", err
+	}
+	if text = bytes.TrimSpace(text); len(text) == 0 {
+		return "", fmt.Errorf("%s is empty", f.Name())
+	}
+	return string(text), nil
+}
--- a/internal/settings/platform_settings.go
+++ b/internal/settings/platform_settings.go
@@ -74,7 +74,7 @@
 	decayLine   = "line"
 	decayHalves = "halves"
 
-	discoveryAsk = "ask"
+	discoveryPoll = "ask"
 
 	weightSilent  = "silent"
 	weightNominal = "nominal"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -73,7 +73,7 @@
 		OverloadMultiple:   p.Guarantees.OverloadMultiple,
 		IdleTimeout:        p.Limits.IdleTimeout / millisecondsPerSecond,
 		HalvingValue:       p.Extra.Decay == decayHalves,
-		PollEndpoints:      p.Discovery == discoveryAsk,
+		PollEndpoints:      p.Discovery == discoveryPoll,
 		PollWithin:         p.Guarantees.PollWithin / millisecondsPerSecond,
 	}
 	if p.Limits.RetryAfter {
