--- a/cmd/spanflow/main.go
+++ b/cmd/spanflow/main.go
@@ -1,6 +1,6 @@
-// Command spanflow is one forwarder, told by its environment what to do. With arguments it becomes spanflowctl, which
-// lies beside it and has the commands, the configuration format and metrics: their libraries would raise the memory of
-// a forwarder that uses none of them by half.
+// Command spanflow is one forwarder, configured by its environment. With arguments it becomes spanflowctl, which lies
+// beside it and has the commands, the operators' configuration and metrics: their libraries would raise the memory of a
+// forwarder that uses none of them by half.
 package main
 
 import (
@@ -15,43 +15,48 @@
 	"spanflow/forwarder"
 )
 
+// commandsProgram has the commands.
+const commandsProgram = "spanflowctl"
+
 func main() {
-	err := error(nil)
-	if len(os.Args) > 1 {
-		err = become("spanflowctl")
-	} else {
-		err = serve()
-	}
-	if err != nil {
+	if err := run(os.Args[1:]); err != nil {
 		fmt.Fprintln(os.Stderr, "spanflow:", err)
 		os.Exit(1)
 	}
 }
 
+func run(args []string) error {
+	if len(args) > 0 {
+		return replaceProcess(commandsProgram, args)
+	}
+	return serve()
+}
+
+// serve runs a forwarder until SIGTERM or SIGINT. SIGHUP reloads its configuration.
 func serve() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	order, err := forwarder.ConfigFromEnvironment(os.Getenv)
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	config, err := forwarder.ConfigFromEnvironment(os.Getenv)
 	if err != nil {
 		return err
 	}
-	order.ApplyProcessLimits()
-	return forwarder.Run(ctx, order, again, os.Stderr, nil)
+	config.ApplyProcessLimits()
+	return forwarder.Run(ctx, config, reload, os.Stderr, nil)
 }
 
-// become puts another program of the same build in this one's place, with its arguments.
-func become(name string) error {
+// replaceProcess runs another program of the same build in the place of this one. It returns only with an error.
+func replaceProcess(program string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(filepath.Dir(self), name)
+	path := filepath.Join(filepath.Dir(self), program)
 	if _, err := os.Stat(path); err != nil {
-		if path, err = exec.LookPath(name); err != nil {
-			return fmt.Errorf("the commands are in %s, which is neither beside %s nor on the path", name, self)
+		if path, err = exec.LookPath(program); err != nil {
+			return fmt.Errorf("the commands are in %s, which is neither beside %s nor on the path", program, self)
 		}
 	}
-	return syscall.Exec(path, append([]string{"spanflow"}, os.Args[1:]...), os.Environ())
+	return syscall.Exec(path, append([]string{"spanflow"}, args...), os.Environ())
 }
--- a/cmd/spanflowctl/main.go
+++ b/cmd/spanflowctl/main.go
@@ -1,4 +1,4 @@
-// Command spanflowctl is spanflow with all its commands. cmd/spanflow calls it where it is given arguments.
+// Command spanflowctl is spanflow with all its commands. The spanflow program becomes this one if it has arguments.
 package main
 
 import (
--- a/internal/cli/shell.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the command lines share: exit codes, and the telling of errors.
+// Package cli is what the command lines share: exit codes, and the printing of errors and values.
 package cli
 
 import (
@@ -20,7 +20,10 @@
 // failure is an error of a command that was understood.
 type failure struct{ error }
 
-// ErrFound says that what is wrong has been printed.
+// Unwrap returns the command's own error.
+func (f failure) Unwrap() error { return f.error }
+
+// ErrFound is returned by a command that has printed what is wrong itself: Main exits with ExitError and prints nothing.
 var ErrFound error = failure{errors.New("")}
 
 // Run wraps a command's work: an error of it is a failure, not a wrong command line.
@@ -33,30 +36,30 @@
 	}
 }
 
-// Main runs a command line and returns the exit code.
+// Main runs a command line, prints its error to errOut and returns the exit code.
 func Main(root *cobra.Command, args []string, out, errOut io.Writer) int {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errOut)
 	err := root.Execute()
-	var f failure
-	switch {
-	case err == nil:
+	if err == nil {
 		return ExitOK
-	case errors.As(err, &f):
-		if f.Error() != "" {
-			fmt.Fprintf(errOut, "%s: %v\n", root.Name(), f.error)
-		}
-		return ExitError
 	}
-	fmt.Fprintf(errOut, "%s: %v\nTry '%s --help'.\n", root.Name(), err, root.Name())
-	return ExitUsage
+	var failed failure
+	if !errors.As(err, &failed) {
+		fmt.Fprintf(errOut, "%s: %v\nTry '%s --help'.\n", root.Name(), err, root.Name())
+		return ExitUsage
+	}
+	if failed.Error() != "" {
+		fmt.Fprintf(errOut, "%s: %v\n", root.Name(), failed.error)
+	}
+	return ExitError
 }
 
-// Print writes a value as JSON.
+// Print writes a value as indented JSON.
 func Print(w io.Writer, v any) error {
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
--- /dev/null
+++ b/internal/commands/commands.go
@@ -0,0 +1,132 @@
+// Package commands is spanflow's command line, one file a command.
+package commands
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"slices"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"spanflow/forwarder"
+	"spanflow/internal/cli"
+	"spanflow/internal/config"
+)
+
+// platformConfigVariable names a configuration in the platform's form.
+const platformConfigVariable = "PROXY_CONFIG"
+
+// session is one run of the command line: its surroundings and the flags that several commands have.
+type session struct {
+	environ  []string // NAME=VALUE
+	out, err io.Writer
+
+	json       bool
+	configPath string
+	set        []string // FIELD=VALUE
+}
+
+// Main runs a command line and returns the exit code.
+func Main(args, environ []string, out, errOut io.Writer) int {
+	s := &session{environ: environ, out: out, err: errOut}
+	return cli.Main(s.root(), args, out, errOut)
+}
+
+func (s *session) root() *cobra.Command {
+	root := &cobra.Command{
+		Use:   "spanflow",
+		Short: "A dispatcher of messages to outside receivers",
+		Long: `spanflow takes messages for destinations, holds them for seconds if need be, and sends each to one of the destination's
+endpoints. It keeps order, retries, and heeds Retry-After times and endpoints that are warming up.
+
+Without any argument it runs as the platform's PROXY_CONFIG and further variables say. The commands below read a
+configuration of their own, in TOML; SPANFLOW_CONFIG names it where --config does not.
+
+Exit codes: 0 fine; 1 something is wrong, and has been named; 2 the command line cannot be understood.`,
+		Args:      cobra.NoArgs,
+		ValidArgs: []cobra.Completion{cobra.CompletionWithDesc(walAlias, "The former name of "+walName)}, // an alias is not offered otherwise
+		RunE:      showHelp,
+	}
+	root.PersistentFlags().BoolVar(&s.json, "json", false, "output for programs, as JSON")
+	root.CompletionOptions.SetDefaultShellCompDirective(cobra.ShellCompDirectiveDefault)
+	root.AddCommand(s.runCommand(), s.checkCommand(), s.configCommand(), s.walCommand(), s.backlogCommand(), s.versionCommand())
+	return root
+}
+
+// showHelp is what a command does that has only subcommands.
+func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
+
+// getenv is the last value of a variable; empty: it is not set.
+func (s *session) getenv(name string) string {
+	for _, entry := range slices.Backward(s.environ) {
+		if n, value, ok := strings.Cut(entry, "="); ok && n == name {
+			return value
+		}
+	}
+	return ""
+}
+
+// withConfigFlags gives a command the flags that name a configuration.
+func (s *session) withConfigFlags(c *cobra.Command) *cobra.Command {
+	c.Flags().StringVarP(&s.configPath, "config", "c", "", "configuration (TOML, or the platform's form where it ends in .json)")
+	c.Flags().StringArrayVar(&s.set, "set", nil, "FIELD=VALUE that overrides file and variables, say limits.memory=48MB")
+	must(c.MarkFlagFilename("config", "toml", "json"))
+	return c
+}
+
+// must panics with an error that only a mistake in the program can cause.
+func must(err error) {
+	if err != nil {
+		panic(err)
+	}
+}
+
+// configFile is the path of the configuration that is asked for, and whether it has the platform's form.
+func (s *session) configFile() (path string, platform bool, err error) {
+	if path = s.configPath; path == "" {
+		path = s.getenv(config.ConfigVariable)
+	}
+	if path == "" {
+		path = s.getenv(platformConfigVariable)
+		platform = path != ""
+	}
+	if path == "" {
+		return "", false, errors.New("no configuration: use --config FILE or SPANFLOW_CONFIG")
+	}
+	return path, platform || strings.HasSuffix(path, ".json"), nil
+}
+
+// forwarderConfig reads the configuration, whichever form it has.
+func (s *session) forwarderConfig() (*forwarder.Config, error) {
+	path, platform, err := s.configFile()
+	if err != nil {
+		return nil, err
+	}
+	if !platform {
+		return config.ForwarderConfig(path, s.environ, s.set)
+	}
+	if len(s.set) > 0 {
+		return nil, errors.New("--set has no use with the platform's form")
+	}
+	return forwarder.ConfigFromEnvironment(func(name string) string {
+		if name == platformConfigVariable {
+			return path
+		}
+		return s.getenv(name)
+	})
+}
+
+// reportProblems prints the problems of a configuration, a line each, and returns cli.ErrFound for them. Other errors are
+// returned as they are.
+func (s *session) reportProblems(err error) error {
+	var problems config.Problems
+	if !errors.As(err, &problems) {
+		return err
+	}
+	for _, p := range problems {
+		fmt.Fprintln(s.err, p)
+	}
+	return cli.ErrFound
+}
--- /dev/null
+++ b/internal/commands/wal_stat.go
@@ -0,0 +1,101 @@
+package commands
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"slices"
+	"time"
+
+	"spanflow/internal/cli"
+	"spanflow/internal/wal"
+)
+
+// walStats are what wal stat prints.
+type walStats struct {
+	Folder       string             `json:"folder"`
+	HolderPID    int                `json:"owner_pid,omitempty"`
+	Files        int                `json:"files"`
+	DiskBytes    int64              `json:"bytes_on_disk"`
+	Owed         int                `json:"owed"`
+	OwedBytes    int                `json:"bytes_owed"`
+	States       map[string]int     `json:"by_state"`
+	Destinations []destinationStats `json:"by_destination"`
+	FirstExpiry  time.Time          `json:"first_expiry,omitzero"`
+}
+
+// destinationStats are what is owed for one destination.
+type destinationStats struct {
+	Destination uint64 `json:"dest"`
+	Owed        int    `json:"owed"`
+	Expired     int    `json:"past_expiry"`
+}
+
+func (s *session) walStat(flags *inspectFlags) error {
+	view, _, err := s.inspectWAL(flags)
+	if err != nil {
+		return err
+	}
+	stats := sumWAL(view, time.Now())
+	if s.json {
+		return cli.Print(s.out, stats)
+	}
+	return stats.write(s.out)
+}
+
+// sumWAL sums up a write-ahead log, the destinations with the most messages first.
+func sumWAL(view *wal.View, now time.Time) *walStats {
+	stats := &walStats{
+		Folder:    view.Dir,
+		HolderPID: view.HolderPID,
+		Files:     len(view.Files),
+		DiskBytes: view.Bytes,
+		Owed:      len(view.Pending),
+		States:    map[string]int{},
+	}
+	destinations := map[uint64]*destinationStats{}
+	for _, e := range view.Pending {
+		stats.States[e.State()]++
+		stats.OwedBytes += e.Size()
+		d := destinations[e.Destination]
+		if d == nil {
+			d = &destinationStats{Destination: e.Destination}
+			destinations[e.Destination] = d
+		}
+		d.Owed++
+		if e.Expiry < now.UnixMicro() {
+			d.Expired++
+		}
+		if expiry := time.UnixMicro(e.Expiry); stats.FirstExpiry.IsZero() || expiry.Before(stats.FirstExpiry) {
+			stats.FirstExpiry = expiry
+		}
+	}
+	for _, d := range destinations {
+		stats.Destinations = append(stats.Destinations, *d)
+	}
+	slices.SortFunc(stats.Destinations, func(a, b destinationStats) int {
+		return cmp.Or(cmp.Compare(b.Owed, a.Owed), cmp.Compare(a.Destination, b.Destination))
+	})
+	return stats
+}
+
+// write prints the sums for people.
+func (s *walStats) write(w io.Writer) error {
+	t := newColumns(w)
+	fmt.Fprintf(t, "folder\t%s\n", s.Folder)
+	fmt.Fprintf(t, "owner\t%s\n", holderText(s.HolderPID))
+	fmt.Fprintf(t, "files\t%d, %d bytes on disk\n", s.Files, s.DiskBytes)
+	fmt.Fprintf(t, "owed\t%d documents, %d bytes\n", s.Owed, s.OwedBytes)
+	if s.Owed > 0 {
+		fmt.Fprintf(t, "first expiry\t%s\n", s.FirstExpiry.Format(time.RFC3339))
+	}
+	for _, state := range wal.States() {
+		if n := s.States[state]; n > 0 {
+			fmt.Fprintf(t, "%s\t%d\n", state, n)
+		}
+	}
+	for _, d := range s.Destinations {
+		fmt.Fprintf(t, "destination %d\t%d, %d of them past expiry\n", d.Destination, d.Owed, d.Expired)
+	}
+	return t.Flush()
+}
