--- a/internal/admin/bounded_listener.go
+++ b/internal/admin/bounded_listener.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// boundedListener keeps a bounded number of connections open. For a new one over the bound it closes the oldest on which
-// no request has come yet, or else the new one.
+// boundedListener keeps a bounded number of connections open. For a new one over the bound it closes the oldest on
+// which no request has come yet, or else the new one.
 type boundedListener struct {
 	net.Listener
 	max int
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Times of a request. Callers that send nothing, or half a request, are cut off before an answer would be late; the event
-// loop has what is left of the second.
+// Times of a request. Callers that send nothing, or half a request, are cut off before an answer would be late; the
+// event loop has what is left of the second.
 const (
 	// RequestTimeout bounds a request, from its connection to the end of its response.
 	RequestTimeout   = time.Second
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -23,7 +23,8 @@
 // Unwrap returns the command's own error.
 func (f failure) Unwrap() error { return f.error }
 
-// ErrFound is returned by a command that has printed what is wrong itself: Main exits with ExitError and prints nothing.
+// ErrFound is returned by a command that has printed what is wrong itself: Main exits with ExitError and prints
+// nothing.
 var ErrFound error = failure{errors.New("")}
 
 // Run wraps a command's work: an error of it is a failure, not a wrong command line.
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -47,7 +47,9 @@
 		RunE: showHelp,
 	}
 	flags := &inspectFlags{}
-	for _, sub := range []*cobra.Command{s.backlogListCommand(flags), s.backlogShowCommand(flags), s.backlogStatCommand(flags), s.backlogVerifyCommand(flags)} {
+	for _, sub := range []*cobra.Command{
+		s.backlogListCommand(flags), s.backlogShowCommand(flags), s.backlogStatCommand(flags), s.backlogVerifyCommand(flags),
+	} {
 		c.AddCommand(s.withFolderFlags(sub, flags))
 	}
 	return c
@@ -60,14 +62,17 @@
 		Args:  cobra.NoArgs,
 		Long: `Lists messages by destination and tenant, and within them in the order in which they were taken on. States: untried (no
 attempt yet), tried (attempted, surely never run), may-have-run.`,
-		Example: "  spanflow backlog list -f /var/lib/spanflow-backlog --dest 7 --limit 20\n  spanflow backlog list -c spanflow.toml --expires-within 1m --json",
-		RunE:    cli.Run(func([]string) error { return s.backlogList(flags) }),
+		Example: "  spanflow backlog list -f /var/lib/spanflow-backlog --dest 7 --limit 20\n" +
+			"  spanflow backlog list -c spanflow.toml --expires-within 1m --json",
+		RunE: cli.Run(func([]string) error { return s.backlogList(flags) }),
 	}
 	flags.addLaneFlags(c)
-	c.Flags().StringVar(&flags.state, "state", "", "only in this state")
-	c.Flags().DurationVar(&flags.expiresWithin, "expires-within", 0, "only those whose expiry is past or comes within so long")
-	c.Flags().IntVar(&flags.limit, "limit", 0, "so many at most; 0: all")
-	must(c.RegisterFlagCompletionFunc("state", cobra.FixedCompletions(backlogStates(), cobra.ShellCompDirectiveNoFileComp)))
+	f := c.Flags()
+	f.StringVar(&flags.state, "state", "", "only in this state")
+	f.DurationVar(&flags.expiresWithin, "expires-within", 0, "only those whose expiry is past or comes within so long")
+	f.IntVar(&flags.limit, "limit", 0, "so many at most; 0: all")
+	states := cobra.FixedCompletions(backlogStates(), cobra.ShellCompDirectiveNoFileComp)
+	must(c.RegisterFlagCompletionFunc("state", states))
 	return c
 }
 
@@ -221,9 +226,10 @@
 
 func (s *session) printSegments(segments []segmentReport, damaged bool) {
 	for _, r := range segments {
-		fmt.Fprintf(s.out, "%s: %d bytes, %d documents, %d releases\n", filepath.Base(r.File), r.Bytes, r.Messages, r.Releases)
+		name := filepath.Base(r.File)
+		fmt.Fprintf(s.out, "%s: %d bytes, %d documents, %d releases\n", name, r.Bytes, r.Messages, r.Releases)
 		if r.Torn > 0 {
-			fmt.Fprintf(s.out, "%s: a torn end of %d bytes, no damage\n", filepath.Base(r.File), r.Torn)
+			fmt.Fprintf(s.out, "%s: a torn end of %d bytes, no damage\n", name, r.Torn)
 		}
 		if r.Damage != "" {
 			fmt.Fprintln(s.out, r.Damage)
--- a/internal/commands/backlog_read.go
+++ b/internal/commands/backlog_read.go
@@ -43,7 +43,8 @@
 }
 
 func (f *backlogFilter) matchesLane(lane backlog.Lane) bool {
-	return (f.destination == nil || lane.Destination == *f.destination) && (f.tenant == nil || int64(lane.Tenant) == int64(*f.tenant))
+	return (f.destination == nil || lane.Destination == *f.destination) &&
+		(f.tenant == nil || int64(lane.Tenant) == int64(*f.tenant))
 }
 
 func (f *backlogFilter) matches(m *backlog.Message) bool {
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -45,13 +45,15 @@
 configuration of their own, in TOML; SPANFLOW_CONFIG names it where --config does not.
 
 Exit codes: 0 fine; 1 something is wrong, and has been named; 2 the command line cannot be understood.`,
-		Args:      cobra.NoArgs,
-		ValidArgs: []cobra.Completion{cobra.CompletionWithDesc(walAlias, "The former name of "+walName)}, // an alias is not offered otherwise
+		Args: cobra.NoArgs,
+		// Shells complete commands, but not their aliases.
+		ValidArgs: []cobra.Completion{cobra.CompletionWithDesc(walAlias, "The former name of "+walName)},
 		RunE:      showHelp,
 	}
 	root.PersistentFlags().BoolVar(&s.json, "json", false, "output for programs, as JSON")
 	root.CompletionOptions.SetDefaultShellCompDirective(cobra.ShellCompDirectiveDefault)
-	root.AddCommand(s.runCommand(), s.checkCommand(), s.configCommand(), s.walCommand(), s.backlogCommand(), s.versionCommand())
+	root.AddCommand(s.runCommand(), s.checkCommand(), s.configCommand())
+	root.AddCommand(s.walCommand(), s.backlogCommand(), s.versionCommand())
 	return root
 }
 
@@ -70,8 +72,9 @@
 
 // withConfigFlags gives a command the flags that name a configuration.
 func (s *session) withConfigFlags(c *cobra.Command) *cobra.Command {
-	c.Flags().StringVarP(&s.configPath, "config", "c", "", "configuration (TOML, or the platform's form where it ends in .json)")
-	c.Flags().StringArrayVar(&s.set, "set", nil, "FIELD=VALUE that overrides file and variables, say limits.memory=48MB")
+	f := c.Flags()
+	f.StringVarP(&s.configPath, "config", "c", "", "configuration (TOML, or the platform's form where it ends in .json)")
+	f.StringArrayVar(&s.set, "set", nil, "FIELD=VALUE that overrides file and variables, say limits.memory=48MB")
 	must(c.MarkFlagFilename("config", "toml", "json"))
 	return c
 }
@@ -118,8 +121,8 @@
 	})
 }
 
-// reportProblems prints the problems of a configuration, a line each, and returns cli.ErrFound for them. Other errors are
-// returned as they are.
+// reportProblems prints the problems of a configuration, a line each, and returns cli.ErrFound for them. Other errors
+// are returned as they are.
 func (s *session) reportProblems(err error) error {
 	var problems config.Problems
 	if !errors.As(err, &problems) {
--- a/internal/commands/messages.go
+++ b/internal/commands/messages.go
@@ -88,8 +88,8 @@
 	if t.objects != nil {
 		return t.objects.Encode(m)
 	}
-	_, err := fmt.Fprintf(t.text, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%d\n", m.ID, m.State, m.Destination, m.Type, m.Tenant, m.Key, m.Frontend,
-		m.Attempts, m.Expiry.Format(time.RFC3339), m.Bytes)
+	_, err := fmt.Fprintf(t.text, "%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%s\t%d\n",
+		m.ID, m.State, m.Destination, m.Type, m.Tenant, m.Key, m.Frontend, m.Attempts, m.Expiry.Format(time.RFC3339), m.Bytes)
 	if err == nil && t.rows%rowsPerFlush == 0 {
 		err = t.text.Flush()
 	}
--- a/internal/commands/wal.go
+++ b/internal/commands/wal.go
@@ -37,7 +37,9 @@
 		RunE: showHelp,
 	}
 	flags := &inspectFlags{}
-	for _, sub := range []*cobra.Command{s.walListCommand(flags), s.walShowCommand(flags), s.walStatCommand(flags), s.walVerifyCommand(flags)} {
+	for _, sub := range []*cobra.Command{
+		s.walListCommand(flags), s.walShowCommand(flags), s.walStatCommand(flags), s.walVerifyCommand(flags),
+	} {
 		c.AddCommand(s.withFolderFlags(sub, flags))
 	}
 	return c
@@ -50,8 +52,9 @@
 		Args:  cobra.NoArgs,
 		Long: `Lists messages in the order in which they were taken on. States: held (no attempt yet), tried (attempted, surely never
 run), out (an attempt is in progress), may-have-run, returned and abandoned (answered; the answer is not confirmed yet).`,
-		Example: "  spanflow wal list -f /var/lib/spanflow --dest 7 --state may-have-run\n  spanflow wal list -f state --expired-for 10s --json",
-		RunE:    cli.Run(func([]string) error { return s.walList(flags) }),
+		Example: "  spanflow wal list -f /var/lib/spanflow --dest 7 --state may-have-run\n" +
+			"  spanflow wal list -f state --expired-for 10s --json",
+		RunE: cli.Run(func([]string) error { return s.walList(flags) }),
 	}
 	flags.addLaneFlags(c)
 	f := c.Flags()
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -229,7 +229,8 @@
 	c.oneOf("dispatch.late", d.Late, lateLine, lateHalves)
 	c.oneOf("dispatch.listed_rates", d.ListedRates, ratesNone, ratesExact, ratesRough)
 	if connections := c.Limits.Descriptors / 3; d.ConcurrencyLimit > connections {
-		c.note("dispatch.slots", "%d calls find at most %d connections, a third of limits.descriptors", d.ConcurrencyLimit, connections)
+		c.note("dispatch.slots", "%d calls find at most %d connections, a third of limits.descriptors",
+			d.ConcurrencyLimit, connections)
 	}
 }
 
--- a/internal/config/check_backlog.go
+++ b/internal/config/check_backlog.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// checkBacklogFolder checks the store's folder against the write-ahead log's: each is locked by one process and counts its
-// own files.
+// checkBacklogFolder checks the store's folder against the write-ahead log's: each is locked by one process and
+// counts its own files.
 func (c *checker) checkBacklogFolder() {
 	folder := c.BacklogFolder()
 	c.checkFolder("backlog.folder", folder)
@@ -74,7 +74,8 @@
 // within tells if a resolved path lies under another.
 func within(path, folder string) bool {
 	relative, err := filepath.Rel(folder, path)
-	return err == nil && relative != "." && relative != ".." && !strings.HasPrefix(relative, ".."+string(filepath.Separator))
+	return err == nil && relative != "." && relative != ".." &&
+		!strings.HasPrefix(relative, ".."+string(filepath.Separator))
 }
 
 // checkBacklogBounds checks the bounds against each other.
@@ -112,10 +113,11 @@
 		c.note("backlog.window", "dispatch.room, %d, holds the windows of %d lanes only", capacity, capacity/max(b.Window, 1))
 	}
 	if b.Behind > capacity && b.Window <= capacity {
-		c.note("backlog.behind", "%d is over dispatch.room, %d: a destination that answers never counts as far behind", b.Behind, capacity)
+		c.note("backlog.behind", "%d is over dispatch.room, %d: a destination that answers never counts as far behind",
+			b.Behind, capacity)
 	}
 	if index := b.Disk / storedMessageBytes * indexEntryBytes; index > c.Limits.Memory/2 {
-		c.note("backlog.disk", "full of messages of 300 bytes it takes up to %dMB of memory for their places, over half of limits.memory, %s",
-			index/1e6, c.Limits.Memory)
+		c.note("backlog.disk", "full of messages of 300 bytes it takes up to %dMB of memory for their places, "+
+			"over half of limits.memory, %s", index/1e6, c.Limits.Memory)
 	}
 }
--- a/internal/config/check_frontends.go
+++ b/internal/config/check_frontends.go
@@ -68,8 +68,8 @@
 		}
 	}
 	if allowed := forwarder.MaxClients(c.Limits.Descriptors); connections+unset*minConnections > allowed {
-		c.problem("fronts", "their connections, %d and at least %d for each other one, are more than the %d that limits.descriptors allows",
-			connections, minConnections, allowed)
+		c.problem("fronts", "their connections, %d and at least %d for each other one, "+
+			"are more than the %d that limits.descriptors allows", connections, minConnections, allowed)
 	}
 	if waiting > c.Limits.Memory/2 {
 		c.problem("fronts", "%s of waiting messages are more than half of limits.memory, %s", waiting, c.Limits.Memory)
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -31,8 +31,8 @@
 	lines   map[string]int    // of the file, by field or table
 }
 
-// Load reads a file (none if path is empty) and applies variables (NAME=VALUE) and flags (FIELD=VALUE) over it. An error
-// is Problems.
+// Load reads a file (none if path is empty) and applies variables (NAME=VALUE) and flags (FIELD=VALUE) over it. An
+// error is Problems.
 func Load(path string, environ, flags []string) (*Loaded, error) {
 	l := &Loaded{File: Defaults(), Path: path, Sources: map[string]Source{}, lines: map[string]int{}}
 	if path != "" {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Watch asks for the changes since a revision, on a new connection. An earlier watch is closed and reports nothing more.
-// The listener hears each list, and once that the watch has ended.
+// Watch asks for the changes since a revision, on a new connection. An earlier watch is closed and reports nothing
+// more. The listener hears each list, and once that the watch has ended.
 func (c *Client) Watch(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/notify/client.go
+++ b/internal/notify/client.go
@@ -55,8 +55,8 @@
 	c.send()
 }
 
-// Reconfigure leaves the address for another, where the notices without an acknowledgement go. Notices have no revision;
-// the parameter makes the client a transport.Reconfigurable.
+// Reconfigure leaves the address for another, where the notices without an acknowledgement go. Notices have no
+// revision; the parameter makes the client a transport.Reconfigurable.
 func (c *Client) Reconfigure(addr string, _ int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/notify/client_test.go
+++ b/internal/notify/client_test.go
@@ -20,8 +20,8 @@
 func (l *recordingListener) NoticesUnanswered(reason string)  { l.lost <- reason }
 func (l *recordingListener) NoticesAcknowledged(ids []uint64) { l.acknowledged <- ids }
 
-// harness is a client of a receiver of notices that the test plays. The timers fire when the test says so: a pause of the
-// machine changes nothing.
+// harness is a client of a receiver of notices that the test plays. The timers fire when the test says so: a pause of
+// the machine changes nothing.
 type harness struct {
 	*Client
 	*recordingListener
--- a/internal/notify/connection.go
+++ b/internal/notify/connection.go
@@ -33,7 +33,8 @@
 	c := n.client
 	n.notices = append(n.notices, notices...)
 	n.reader.Reset()
-	n.conn.Write(http1.AppendBody(http1.AppendRequestLine(nil, "POST", "/v1/notices", c.addr), appendNotices(nil, n.notices)))
+	request := http1.AppendRequestLine(nil, "POST", "/v1/notices", c.addr)
+	n.conn.Write(http1.AppendBody(request, appendNotices(nil, n.notices)))
 	n.calls++
 	call := n.calls
 	n.timer = c.afterFunc(answerTimeout<<min(c.unanswered, maxDoublings), func() { n.timedOut(call) })
@@ -58,8 +59,8 @@
 	return b
 }
 
-// timedOut makes a call that is not answered again at once, on a new connection. Guards against a final answer sent right
-// at a message's expiry on a connection that has died unnoticed: a message is lost 300 ms after its expiry.
+// timedOut makes a call that is not answered again at once, on a new connection. Guards against a final answer sent
+// right at a message's expiry on a connection that has died unnoticed: a message is lost 300 ms after its expiry.
 func (n *connection) timedOut(call int) {
 	c := n.client
 	c.mu.Lock()
--- a/internal/settings/platform_settings.go
+++ b/internal/settings/platform_settings.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// platformSettings is the platform's settings as they are written. Keys match whatever their case; unknown ones pass. Times are
-// in milliseconds.
+// platformSettings is the platform's settings as they are written. Keys match whatever their case; unknown ones pass.
+// Times are in milliseconds.
 type platformSettings struct {
 	Classes    []class
 	Tenants    []tenant
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the platform's settings, a JSON document, into what the scheduler is told at its start.
+// Package settings reads the platform's settings, written in JSON, into those of the scheduler.
 package settings
 
 import (
