--- a/cmd/spanflow/harness_test.go
+++ b/cmd/spanflow/harness_test.go
@@ -27,8 +27,8 @@
 // Texts of log lines that tests wait for.
 const (
 	logNoticesUnanswered = "notices not answered"
-	logReloaded          = "order taken up"
-	logReloadFailed      = "order not taken up"
+	logReloaded          = "configuration reloaded"
+	logReloadFailed      = "configuration not reloaded"
 	logStopping          = `"message":"stopping"`
 	logHandingOver       = `"message":"handing over"`
 	logWatchEnded        = "watch ended"
--- a/cmd/spanflowctl/harness_test.go
+++ b/cmd/spanflowctl/harness_test.go
@@ -18,8 +18,8 @@
 
 // Texts of log lines that tests wait for.
 const (
-	logReloaded        = "order taken up"
-	logReloadedConsole = "INF order taken up"
+	logReloaded        = "configuration reloaded"
+	logReloadedConsole = "INF configuration reloaded"
 )
 
 var programFolder string // holds the built programs
