--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -8,130 +8,145 @@
 	"spanflow/transport"
 )
 
-// asked carries out what a caller wants.
-func (o *owner) asked(a *asked) {
+const (
+	maxRetryAfterMs   = 9_999_999   // told to a caller
+	firstListWithin   = time.Second // until discovery has told its list, most likely
+	maxUnknownOptions = 16          // unknown names that get a line
+)
+
+// handleRequest carries out what a caller wants.
+func (loop *eventLoop) handleRequest(r *request) {
 	switch {
-	case a.Ping && o.lame: // clients are sent elsewhere: their frontend asks, and takes this for a no
-		a.From.Answer(transport.Reply{Status: transport.StatusInvalid, Reason: "lameduck: this forwarder is being emptied"})
-	case a.Ping:
-		a.From.Answer(transport.Reply{Status: transport.StatusAlive})
-	case a.Submission != nil:
-		reply := o.handedIn(a)
-		o.meter.SubmissionAnswered(a.front.front, reply.Status)
-		if typ, known := o.types[a.Submission.Type]; known && reply.Status == transport.StatusOverloaded {
-			o.figures.count(&o.figures.throttled, typ)
-		}
-		if reply.Status != transport.StatusAccepted && !a.From.Disconnected() {
-			a.From.Answer(reply)
-		}
+	case r.Ping && loop.operators.lameDuck: // clients are sent elsewhere: their frontend asks, and takes this for a no
+		r.From.Answer(invalid("lameduck: this forwarder is being emptied"))
+	case r.Ping:
+		r.From.Answer(transport.Reply{Status: transport.StatusAlive})
+	case r.Submission != nil:
+		loop.handleSubmission(r)
 	default:
-		if o.mayLog("bad command") {
-			o.log.Warn().Str("answer", a.Malformed).Msg("bad command")
+		if loop.telemetry.mayLog("bad command") {
+			loop.telemetry.log.Warn().Str("answer", r.Malformed).Msg("bad command")
 		}
-		a.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: a.Malformed, Close: a.Close})
+		r.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: r.Malformed, Close: r.Close})
 	}
 }
 
-const (
-	refuseMost = 9_999_999   // milliseconds
-	lateList   = time.Second // until discovery has told its list, most likely
-	mostNames  = 16          // unknown names that get a line
-)
-
-func declined(why string) transport.Reply {
-	return transport.Reply{Status: transport.StatusInvalid, Reason: why}
+// handleSubmission answers a caller that hands a message in.
+func (loop *eventLoop) handleSubmission(r *request) {
+	reply := loop.admit(r)
+	loop.telemetry.recorder.SubmissionAnswered(r.from.frontend, reply.Status)
+	if typ, known := loop.messages.types[r.Submission.Type]; known && reply.Status == transport.StatusOverloaded {
+		loop.telemetry.figures.count(&loop.telemetry.figures.throttled, typ)
+	}
+	if reply.Status != transport.StatusAccepted && !r.From.Disconnected() {
+		r.From.Answer(reply)
+	}
 }
 
-// handedIn takes a message on, if the scheduler will, and answers its caller then; any other answer it returns.
-func (o *owner) handedIn(a *asked) transport.Reply {
-	in := a.Submission
-	typ, known := o.types[in.Type]
+// admit accepts a message, if the scheduler has room for it, and answers its caller then; any other answer is the
+// caller's of admit to give.
+func (loop *eventLoop) admit(r *request) transport.Reply {
+	submission := r.Submission
+	typ, known := loop.messages.types[submission.Type]
 	if !known {
-		return declined("unknown type of document")
+		return invalid("unknown type of document")
 	}
-	if reply, refused := o.refused(in, typ); refused {
+	if reply, ok := loop.checkSubmission(submission, typ); !ok {
 		return reply
 	}
-	if a.From.Disconnected() { // nobody hears the answer: whatever happened to it would count for nothing
+	if r.From.Disconnected() { // nobody hears the answer: whatever happened to it would count for nothing
 		return transport.Reply{Status: transport.StatusOverloaded}
 	}
-	e := o.entry(a)
-	left := in.SecondsLeft - time.Since(in.ReceivedAt).Seconds()
-	o.noteUnknown(in.UnknownOption)
-	if reply, done := o.toBacklog(a, e, left); done {
+	entry := loop.newEntry(r)
+	secondsLeft := submission.SecondsLeft - time.Since(submission.ReceivedAt).Seconds()
+	loop.logUnknownOption(submission.UnknownOption)
+	if reply, done := loop.admitToBacklog(r, entry, secondsLeft); done {
 		return reply
 	}
-	if taken, back := o.f.Admit(e.Size(), left); !taken {
-		o.counts.refused++
-		return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(back*1000), refuseMost)}
+	if admitted, retryAfter := loop.scheduler.Admit(entry.Size(), secondsLeft); !admitted {
+		loop.telemetry.counts.refused++
+		return overloaded(retryAfter)
 	}
-	if err := o.ledger.Append(e); err != nil {
-		o.logLedgerError(err)
+	if err := loop.wal.Append(entry); err != nil {
+		loop.logWALError(err)
 		return transport.Reply{Status: transport.StatusOverloaded}
 	}
-	o.take(a, e, typ, left)
+	loop.accept(r, entry, typ, secondsLeft)
 	return transport.Reply{Status: transport.StatusAccepted}
 }
 
-// refused tells if a message is turned away for what it says, and with which answer.
-func (o *owner) refused(in *transport.Submission, typ int) (reply transport.Reply, refused bool) {
-	_, listed := o.dests[in.Destination]
+// checkSubmission reports whether a message may be accepted for what it says; if not, reply is the answer.
+func (loop *eventLoop) checkSubmission(s *transport.Submission, typ int) (reply transport.Reply, ok bool) {
+	_, listed := loop.endpoints.destinations[s.Destination]
 	switch {
-	case o.byID[in.ID] != nil || o.recentIDs.has(in.ID) || o.stored.knows(in.ID):
-		return declined("a document with this id was taken on"), true
-	case o.order.Scheduler.Types[typ].Idempotency == scheduler.IdempotentWithKey && in.IdempotencyKey == "":
-		return declined("k is missing, by which a repeat is known"), true
-	case !listed && o.heard:
-		return declined("unknown destination"), true
+	case loop.messages.byID[s.ID] != nil || loop.messages.recentIDs.has(s.ID) || loop.backlog.hasID(s.ID):
+		return invalid("a document with this id was taken on"), false
+	case loop.config.Scheduler.Types[typ].Idempotency == scheduler.IdempotentWithKey && s.IdempotencyKey == "":
+		return invalid("k is missing, by which a repeat is known"), false
+	case !listed && loop.discovery.listReceived:
+		return invalid("unknown destination"), false
 	case !listed: // the list may be old
-		return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: int(1000 * min(lateList.Seconds(), o.order.Scheduler.MaxRetryAfter))}, true
+		return overloaded(min(firstListWithin.Seconds(), loop.config.Scheduler.MaxRetryAfter)), false
 	}
-	return transport.Reply{}, false
+	return transport.Reply{}, true
+}
+
+// invalid is the answer to what can never be accepted.
+func invalid(why string) transport.Reply {
+	return transport.Reply{Status: transport.StatusInvalid, Reason: why}
+}
+
+// overloaded is the answer to what may be handed in again after so many seconds.
+func overloaded(retryAfter float64) transport.Reply {
+	return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(retryAfter*1000), maxRetryAfterMs)}
 }
 
-// entry is what the write-ahead log keeps of a message.
-func (o *owner) entry(a *asked) *wal.Entry {
-	in := a.Submission
-	_, held := a.From.(transport.WaitingCaller)
+// newEntry is what the write-ahead log keeps of a message.
+func (loop *eventLoop) newEntry(r *request) *wal.Entry {
+	submission := r.Submission
+	_, callerWaits := r.From.(transport.WaitingCaller)
 	return &wal.Entry{
-		Key:            in.Key,
-		Destination:    in.Destination,
-		Tenant:         index(o.order.Names.Tenants, in.Tenant),
-		Type:           in.Type,
-		ID:             in.ID,
-		IdempotencyKey: in.IdempotencyKey,
-		Body:           in.Body,
-		Expiry:         in.ReceivedAt.UnixMicro() + micros(in.SecondsLeft),
-		Frontend:       a.front.name,
-		CallerWaits:    held,
+		Key:            submission.Key,
+		Destination:    submission.Destination,
+		Tenant:         index(loop.config.Names.Tenants, submission.Tenant),
+		Type:           submission.Type,
+		ID:             submission.ID,
+		IdempotencyKey: submission.IdempotencyKey,
+		Body:           submission.Body,
+		Expiry:         submission.ReceivedAt.UnixMicro() + micros(submission.SecondsLeft),
+		Frontend:       r.from.walName,
+		CallerWaits:    callerWaits,
 	}
 }
 
-// noteUnknown logs a name that came with a message and is not known here, each once.
-func (o *owner) noteUnknown(name string) {
-	if name != "" && !o.unknown[name] && len(o.unknown) < mostNames {
-		o.unknown[name] = true
-		o.log.Warn().Str("name", name).Msg("unknown name with a document")
+// logUnknownOption logs a name that came with a message and is not known here, each once.
+func (loop *eventLoop) logUnknownOption(name string) {
+	logged := loop.messages.unknownOptions
+	if name != "" && !logged[name] && len(logged) < maxUnknownOptions {
+		logged[name] = true
+		loop.telemetry.log.Warn().Str("name", name).Msg("unknown name with a document")
 	}
 }
 
-// take gives the scheduler a message that the write-ahead log has, and answers its caller.
-func (o *owner) take(a *asked, e *wal.Entry, typ int, left float64) {
-	in := a.Submission
-	p := o.paper(e, typ)
-	p.holder, _ = a.From.(transport.WaitingCaller)
-	p.came = in.ReceivedAt
-	p.doc.AnsweredByNotice = p.doc.AnsweredByNotice && p.holder == nil
-	o.f.Accept(p.doc, typ, left)
-	o.inMemory(p)
-	if !a.From.Answer(transport.Reply{Status: transport.StatusAccepted}) { // not heard: its caller hands it in again under another id
-		o.f.Withdraw(p.doc)
-		o.recordDone(p)
-		o.removeIfDone(p)
+// accept gives the scheduler a message that the write-ahead log has, and answers its caller.
+func (loop *eventLoop) accept(r *request, entry *wal.Entry, typ int, secondsLeft float64) {
+	submission := r.Submission
+	m := loop.track(entry, typ)
+	m.waitingCaller, _ = r.From.(transport.WaitingCaller)
+	m.receivedAt = submission.ReceivedAt
+	m.scheduled.AnsweredByNotice = m.scheduled.AnsweredByNotice && m.waitingCaller == nil
+	loop.scheduler.Accept(m.scheduled, typ, secondsLeft)
+	loop.noteInMemory(m)
+	if !r.From.Answer(transport.Reply{Status: transport.StatusAccepted}) {
+		// Not heard: its caller hands it in again under another id.
+		loop.scheduler.Withdraw(m.scheduled)
+		loop.recordDone(m)
+		loop.removeIfFinished(m)
 		return
 	}
-	if p.traced {
-		o.log.Info().Str("id", p.ID).Uint64("dest", in.Destination).Str("type", in.Type).Float64("left_s", left).Msg("trace: taken")
+	if m.traced {
+		loop.telemetry.log.Info().Str("id", m.ID).Uint64("dest", submission.Destination).Str("type", submission.Type).
+			Float64("left_s", secondsLeft).Msg("trace: taken")
 	}
-	o.counts.taken++
+	loop.telemetry.counts.accepted++
 }
--- /dev/null
+++ b/forwarder/admission_queue.go
@@ -0,0 +1,107 @@
+package forwarder
+
+import (
+	"slices"
+	"sync"
+
+	"spanflow/transport"
+)
+
+// Requests of a frontend wait up to these bounds, unless the configuration has others; then reading from its callers
+// pauses until some are taken.
+const (
+	defaultWaiting      = 4096
+	defaultWaitingBytes = 4 << 20 // of message bodies
+)
+
+// admissionQueue is one frontend's part of the event queue, with bounds of its own. Guards against a frontend that
+// floods: it waits for room in its own queue, and the others' requests do not wait behind its own. It is the frontend's
+// transport.Submitter.
+type admissionQueue struct {
+	queue        *eventQueue
+	frontend     string // its name
+	walName      string // the same as the write-ahead log has it
+	maxWaiting   int
+	maxBytes     int
+	room         sync.Cond // on the event queue's lock, which guards what follows
+	waiting      []request
+	spare        []request // what the event loop is working on
+	waitingBytes int
+	closed       bool // the frontend has ended
+}
+
+// newAdmissionQueue adds a frontend's queue; a bound that is 0 is the default.
+func (q *eventQueue) newAdmissionQueue(frontend, walName string, maxWaiting, maxBytes int) *admissionQueue {
+	a := &admissionQueue{queue: q, frontend: frontend, walName: walName, maxWaiting: maxWaiting, maxBytes: maxBytes}
+	if a.maxWaiting <= 0 {
+		a.maxWaiting = defaultWaiting
+	}
+	if a.maxBytes <= 0 {
+		a.maxBytes = defaultWaitingBytes
+	}
+	a.room.L = &q.mu
+	q.mu.Lock()
+	q.admissions = append(q.admissions, a)
+	q.mu.Unlock()
+	return a
+}
+
+// close takes the queue of a frontend that has ended out of the event queue. What still waits in it is dropped.
+func (a *admissionQueue) close() {
+	q := a.queue
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	a.closed = true
+	if i := slices.Index(q.admissions, a); i >= 0 {
+		q.admissions = append(q.admissions[:i:i], q.admissions[i+1:]...)
+	}
+	a.room.Broadcast()
+}
+
+// Submit adds what a caller wants. It blocks while too much of its frontend waits.
+func (a *admissionQueue) Submit(r transport.Request) {
+	q := a.queue
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for !q.closed && !a.closed && (len(a.waiting) >= a.maxWaiting || a.waitingBytes >= a.maxBytes) {
+		a.room.Wait()
+	}
+	if a.closed {
+		return
+	}
+	q.wake(q.empty())
+	a.waitingBytes += bodySize(&r)
+	a.waiting = append(a.waiting, request{r, a})
+}
+
+// Withdraw says that the caller that waited for a message has gone.
+func (a *admissionQueue) Withdraw(id string) { a.queue.push(callerGone(id)) }
+
+// take moves the n oldest requests to events, as pointers into the slice in which they waited; the lock is held.
+func (a *admissionQueue) take(events []event, n int) []event {
+	taken := a.waiting[:n]
+	for i := range taken {
+		events = append(events, &taken[i])
+	}
+	if n == len(a.waiting) { // events points into the one slice, the other is filled anew
+		clear(a.spare)
+		a.waiting, a.spare, a.waitingBytes = a.spare[:0], a.waiting, 0
+	} else {
+		for i := range taken {
+			a.waitingBytes -= bodySize(&taken[i].Request)
+		}
+		a.waiting = a.waiting[n:]
+	}
+	if n > 0 {
+		a.room.Broadcast()
+	}
+	return events
+}
+
+// bodySize is the size of the message that a request hands in, in bytes; 0 for any other request.
+func bodySize(r *transport.Request) int {
+	if r.Submission == nil {
+		return 0
+	}
+	return len(r.Submission.Body)
+}
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -5,61 +5,68 @@
 	"spanflow/transport"
 )
 
-// ended takes in the end of a call.
-func (o *owner) ended(e transport.CallResult) {
-	for pass := range 2 { // delivered ones first: the scheduler judges a call by the first end
-		for i, p := range e.Call.Messages {
-			if (e.Codes[i] == transport.ResultOK) == (pass == 0) {
-				o.end(p.MessageID, e.Codes[i], &e)
+// handleCallResult takes in the result of a call.
+func (loop *eventLoop) handleCallResult(result *transport.CallResult) {
+	for _, delivered := range [...]bool{true, false} { // delivered ones first: the scheduler judges a call by the first end
+		for i := range result.Call.Messages {
+			if (result.Codes[i] == transport.ResultOK) == delivered {
+				loop.handleAttemptEnd(result.Call.Messages[i].MessageID, result.Codes[i], result)
 			}
 		}
 	}
-	if e.Reason != "" {
-		o.log.Info().Str("target", e.Call.Address).Stringer("end", e.Codes[0]).Dur("took_ms", e.Latency).Str("why", e.Reason).
-			Msg("call failed")
+	if result.Reason != "" {
+		loop.telemetry.log.Info().Str("target", result.Call.Address).Stringer("end", result.Codes[0]).
+			Dur("took_ms", result.Latency).Str("why", result.Reason).Msg("call failed")
 	}
 }
 
-// end takes in the end of one message's attempt.
-func (o *owner) end(door uint64, end transport.ResultCode, e *transport.CallResult) {
-	o.counts.ends[end]++
-	o.meter.AttemptEnded(end, e.Latency)
-	p := o.docs[door]
-	if p == nil {
+// handleAttemptEnd takes in how the attempt of one message of a call ended.
+func (loop *eventLoop) handleAttemptEnd(number uint64, code transport.ResultCode, result *transport.CallResult) {
+	loop.telemetry.counts.ends[code]++
+	loop.telemetry.recorder.AttemptEnded(code, result.Latency)
+	m := loop.messages.byNumber[number]
+	if m == nil {
 		return
 	}
-	if p.traced {
-		o.log.Info().Str("id", p.ID).Stringer("end", end).Dur("took_ms", e.Latency).Msg("trace: end of a transmission")
+	if m.traced {
+		loop.telemetry.log.Info().Str("id", m.ID).Stringer("end", code).Dur("took_ms", result.Latency).
+			Msg("trace: end of a transmission")
 	}
-	outcome, over := end.Outcome()
-	if end.Written() {
-		o.figures.relayed++
+	if code.Written() {
+		loop.telemetry.figures.relayed++
 	}
-	o.f.AttemptEnded(p.doc, scheduler.AttemptResult{Outcome: outcome, Final: over, Latency: e.Latency.Seconds(), RetryAfter: e.RetryAfter, ReportedLimit: e.ReportedLimit,
-		ReportedShare: e.ReportedShare})
+	outcome, final := code.Outcome()
+	loop.scheduler.AttemptEnded(m.scheduled, scheduler.AttemptResult{
+		Outcome:       outcome,
+		Final:         final,
+		Latency:       result.Latency.Seconds(),
+		RetryAfter:    result.RetryAfter,
+		ReportedLimit: result.ReportedLimit,
+		ReportedShare: result.ReportedShare,
+	})
 	switch {
-	case over && p.doc.AwaitingAcknowledgement(): // owed until that is heard, so it stays recorded
-	case over:
-		o.finish(p, outcome)
+	case final && m.scheduled.AwaitingAcknowledgement(): // owed until that is heard, so it stays recorded
+	case final:
+		loop.completeMessage(m, outcome)
 	default:
-		if err := o.ledger.RecordAttemptEnd(door, end.MayHaveRun()); err != nil {
-			o.logLedgerError(err)
+		if err := loop.wal.RecordAttemptEnd(number, code.MayHaveRun()); err != nil {
+			loop.logWALError(err)
 		}
 	}
-	o.noteOutage(p.doc.Dest)
-	o.removeIfDone(p)
+	loop.noteReachability(m.scheduled.Dest)
+	loop.removeIfFinished(m)
 }
 
-// finish records and tells the final answer of a message whose last attempt gave it.
-func (o *owner) finish(p *paper, outcome scheduler.Outcome) {
-	o.recordDone(p)
+// completeMessage records and tells the final answer of a message whose last attempt gave it.
+func (loop *eventLoop) completeMessage(m *trackedMessage, outcome scheduler.Outcome) {
+	loop.recordDone(m)
 	final := transport.Failed
 	if outcome == scheduler.Delivered {
 		final = transport.Delivered
-		o.counts.delivered++
+		loop.telemetry.counts.delivered++
 	}
-	o.final(p, final)
-	if p.holder != nil && !p.withdrawn {
-		p.holder.Complete(transport.FinalAnswer{MessageID: p.MessageID, ID: p.ID, Outcome: final})
+	loop.countFinalAnswer(m, final)
+	if m.waitingCaller != nil && !m.withdrawn {
+		m.waitingCaller.Complete(transport.FinalAnswer{MessageID: m.MessageID, ID: m.ID, Outcome: final})
 	}
 }
--- /dev/null
+++ b/forwarder/backlog_admission.go
@@ -0,0 +1,89 @@
+package forwarder
+
+import (
+	"errors"
+	"time"
+
+	"spanflow/internal/backlog"
+	"spanflow/internal/backlog/policy"
+	"spanflow/internal/wal"
+	"spanflow/transport"
+)
+
+// admitToBacklog decides whether a message that is handed in waits in the store, and stores it. done is false for one
+// that goes to memory.
+func (loop *eventLoop) admitToBacklog(r *request, e *wal.Entry, secondsLeft float64) (reply transport.Reply, done bool) {
+	if loop.backlog == nil {
+		return transport.Reply{}, false
+	}
+	now := time.Now()
+	m := loop.storedMessage(e, r.Submission.ReceivedAt)
+	decision := loop.placeSubmission(e, m, secondsLeft, now)
+	switch decision.Place {
+	case policy.Memory:
+		return transport.Reply{}, false
+	case policy.Refused:
+		return loop.backlogRefusal(decision), true
+	}
+	loop.telemetry.counts.accepted++
+	loop.backlog.counts.stored++
+	if !r.From.Answer(transport.Reply{Status: transport.StatusAccepted}) {
+		loop.discardStored(m) // not heard: its caller hands it in again under another id
+	}
+	return transport.Reply{Status: transport.StatusAccepted}, true
+}
+
+// placeSubmission decides where a new message goes, and stores it if that is the store.
+func (loop *eventLoop) placeSubmission(
+	e *wal.Entry, m *backlog.Message, secondsLeft float64, now time.Time,
+) policy.Decision {
+	decisions, size := loop.backlog.policy, int64(m.Size())
+	if loop.keyElsewhere(e) { // in memory, or in the store of its own lane, it could go first
+		return decisions.Refuse(policy.KeyBound, size, now)
+	}
+	fits, _ := loop.scheduler.Admit(e.Size(), secondsLeft)
+	timeLeft := time.Duration(secondsLeft * float64(time.Second))
+	decision := decisions.DecideWithin(policyLane(m.Lane), size, timeLeft, fits, now)
+	if decision.Place != policy.Store {
+		return decision
+	}
+	if e.CallerWaits { // its caller does not wait for hours
+		return decisions.Refuse(policy.NoBound, size, now)
+	}
+	return loop.storeSubmission(m, now)
+}
+
+// storeSubmission stores a new message, or refuses it as the disk has no room for it.
+func (loop *eventLoop) storeSubmission(m *backlog.Message, now time.Time) policy.Decision {
+	m.Seq = loop.wal.NextSeq()
+	if err := loop.backlog.store.Append(m); err != nil {
+		if !errors.Is(err, backlog.ErrFull) {
+			loop.logBacklogError(err)
+		}
+		return loop.backlog.policy.Refuse(policy.DiskBound, int64(m.Size()), now)
+	}
+	loop.backlog.policy.Stored(policyLane(m.Lane), 1, int64(m.Size()))
+	loop.scheduler.Stored(loop.destination(m.Lane.Destination))
+	return policy.Decision{Place: policy.Store}
+}
+
+// discardStored lets go of a stored message that its caller does not know to be accepted.
+func (loop *eventLoop) discardStored(m *backlog.Message) {
+	if err := loop.backlog.store.Release([]backlog.Ref{m.Ref()}); err != nil {
+		loop.logBacklogError(err) // it goes out once more; its caller hands it in under another id
+		return
+	}
+	loop.backlog.policy.Discarded(policyLane(m.Lane), int64(m.Size()))
+}
+
+// backlogRefusal is the answer to a message that the policy refuses.
+func (loop *eventLoop) backlogRefusal(decision policy.Decision) transport.Reply {
+	loop.telemetry.counts.refused++
+	loop.backlog.counts.refused++
+	if loop.telemetry.mayLog("backlog refused") {
+		messages, bytes := loop.backlog.policy.Amount()
+		loop.telemetry.log.Warn().Stringer("bound", decision.Bound).Int("messages", messages).Int64("bytes", bytes).
+			Msg("backlog refused")
+	}
+	return overloaded(min(decision.RetryAfter.Seconds(), loop.config.Scheduler.MaxRetryAfter))
+}
--- /dev/null
+++ b/forwarder/calls.go
@@ -0,0 +1,120 @@
+package forwarder
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"spanflow/internal/dial"
+	"spanflow/transport"
+)
+
+// callBatch holds the upstreams, and the calls of the current turn until they are sent.
+type callBatch struct {
+	upstreams map[string]transport.Upstream // by name
+	pending   []pendingCall
+}
+
+// pendingCall is a call that messages are still added to.
+type pendingCall struct {
+	upstream transport.Upstream
+	call     *transport.Call
+}
+
+const (
+	maxConnectTimeout = 30 * time.Second
+	defaultUpstream   = "http" // name and protocol
+)
+
+// add puts a message into a pending call to the endpoint that has room for it, or into a new one.
+func (b *callBatch) add(m *trackedMessage, to *trackedEndpoint, timeout time.Duration) {
+	for i := range b.pending {
+		if call := b.pending[i].call; call.EndpointID == to.scheduled.ID && len(call.Messages) < to.batchSize {
+			call.Messages = append(call.Messages, m.Message)
+			call.Timeout = min(call.Timeout, timeout)
+			return
+		}
+	}
+	call := newCall(m, to)
+	call.Timeout = timeout
+	b.pending = append(b.pending, pendingCall{to.upstream, call})
+}
+
+// newCall is a call to an endpoint with one message.
+func newCall(m *trackedMessage, to *trackedEndpoint) *transport.Call {
+	return &transport.Call{EndpointID: to.scheduled.ID, Address: to.address, Messages: []transport.Message{m.Message}}
+}
+
+// send sends the pending calls.
+func (b *callBatch) send() {
+	for i := range b.pending {
+		b.pending[i].upstream.Send(b.pending[i].call)
+	}
+	clear(b.pending)
+	b.pending = b.pending[:0]
+}
+
+// idleConnections counts the connections to endpoints that carry no call.
+func (b *callBatch) idleConnections() (idle int) {
+	for _, upstream := range b.upstreams {
+		idle += upstream.IdleConnections()
+	}
+	return idle
+}
+
+// upstreamOf is the upstream by which endpoints of a kind are reached.
+func (loop *eventLoop) upstreamOf(kind string) transport.Upstream {
+	if upstream := loop.calls.upstreams[loop.config.KindUpstream[kind]]; upstream != nil {
+		return upstream
+	}
+	return loop.calls.upstreams[defaultUpstream]
+}
+
+// connect opens the upstreams, the source of the endpoint list and the notifier that the configuration asks for.
+func (loop *eventLoop) connect(dialer *dial.Dialer) error {
+	timeout := time.Duration(loop.config.Names.Connect * float64(time.Second))
+	if timeout <= 0 {
+		timeout = maxConnectTimeout
+	}
+	if err := loop.openUpstreams(dialer, timeout); err != nil {
+		return err
+	}
+	loop.openDiscovery(dialer, timeout)
+	return nil
+}
+
+// openUpstreams opens the upstreams of the configuration, and the default one unless the configuration has its own by
+// that name.
+func (loop *eventLoop) openUpstreams(dialer *dial.Dialer, connectTimeout time.Duration) error {
+	config := loop.config
+	loop.calls.upstreams = map[string]transport.Upstream{}
+	for _, u := range append(slices.Clone(config.Upstreams), Upstream{Name: defaultUpstream, Protocol: defaultUpstream}) {
+		if loop.calls.upstreams[u.Name] != nil { // the configuration's own in place of the default
+			continue
+		}
+		open := config.carriage(u.Protocol)
+		if open == nil {
+			return fmt.Errorf("outlets: %s: unknown protocol %q", u.Name, u.Protocol)
+		}
+		loop.calls.upstreams[u.Name] = open(dialer, config.upstreamSettings(u, connectTimeout), loop.queue)
+	}
+	for kind, name := range config.KindUpstream {
+		if loop.calls.upstreams[name] == nil {
+			return fmt.Errorf("kinds: %s: unknown outlet %q", kind, name)
+		}
+	}
+	return nil
+}
+
+// upstreamSettings is what an upstream is told.
+func (o *Config) upstreamSettings(u Upstream, connectTimeout time.Duration) UpstreamSettings {
+	if u.Connect > 0 {
+		connectTimeout = time.Duration(u.Connect * float64(time.Second))
+	}
+	return UpstreamSettings{
+		Connect:            connectTimeout,
+		KeepIdle:           time.Duration(o.Scheduler.KeepIdle() * float64(time.Second)),
+		ReportedLimitField: o.Names.LimitField,
+		ReportedShareField: o.Names.ShareField,
+	}
+}
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"strings"
-	"time"
 
 	"github.com/rs/zerolog"
 
@@ -11,15 +10,16 @@
 	"spanflow/transport"
 )
 
-// counts are for the log.
+// counts are what has happened since the start, for the log. Its fields there keep the names that they had first.
 type counts struct {
-	taken, refused, delivered, returned, abandoned, recovered, withdrawn int
+	accepted, refused, delivered, rejected, failed, recovered, withdrawn int
 	ends                                                                 [transport.ResultCancelled + 1]int
 }
 
+// write adds the counts to a log line.
 func (c *counts) write(e *zerolog.Event) *zerolog.Event {
-	e = e.Int("taken", c.taken).Int("recovered", c.recovered).Int("refused", c.refused).Int("delivered", c.delivered).
-		Int("returned", c.returned).Int("abandoned", c.abandoned)
+	e = e.Int("taken", c.accepted).Int("recovered", c.recovered).Int("refused", c.refused).Int("delivered", c.delivered).
+		Int("returned", c.rejected).Int("abandoned", c.failed)
 	if c.withdrawn > 0 {
 		e = e.Int("withdrawn", c.withdrawn)
 	}
@@ -31,45 +31,24 @@
 	return e
 }
 
-// levels are the figures that are read when they are asked for.
-func (o *owner) levels(dialer *dial.Dialer) []transport.Gauge {
-	levels := []transport.Gauge{
-		{Name: "held_documents", Read: func() float64 { return float64(o.held.Load()) }},
-		{Name: "ledger_bytes", Read: func() float64 { return float64(o.onDisk.Load()) }},
-		{Name: "outgoing_connections", Read: func() float64 { return float64(dialer.Open()) }},
+// logCounts writes the counts to the log, the first frontend's with the forwarder's own.
+func (loop *eventLoop) logCounts(dialer *dial.Dialer) {
+	log := &loop.telemetry.log
+	e := loop.telemetry.counts.write(log.Info()).Int("held", len(loop.messages.byNumber))
+	e = writeConnectionStats(e, loop.frontends.open[0].Stats())
+	if loop.backlog != nil {
+		e = loop.backlog.counts.write(e).Int("backlog", loop.backlog.store.Messages())
 	}
-	return append(levels, o.backlogGauges()...)
-}
-
-// report writes the counts, the first frontend's with the forwarder's own.
-func (o *owner) report(dialer *dial.Dialer) {
-	idle := 0
-	for _, by := range o.outlets {
-		idle += by.IdleConnections()
-	}
-	e := tally(o.counts.write(o.log.Info()).Int("held", len(o.docs)), o.fronts[0].Stats())
-	if o.stored != nil {
-		e = o.stored.counts.write(e).Int("backlog", o.stored.store.Messages())
-	}
-	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).Int("idle_lines", idle).
-		Int64("disk", o.ledger.Used()).Msg("counts")
-	for _, l := range o.fronts[1:] {
-		tally(o.log.Info().Str("front", l.terms.Name), l.Stats()).Msg("counts of a front")
+	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).Int("idle_lines", loop.calls.idleConnections()).
+		Int64("disk", loop.wal.Used()).Msg("counts")
+	for _, l := range loop.frontends.open[1:] {
+		writeConnectionStats(log.Info().Str("front", l.terms.Name), l.Stats()).Msg("counts of a front")
 	}
 }
 
-func tally(e *zerolog.Event, c transport.ConnectionStats) *zerolog.Event {
+// writeConnectionStats adds what became of a frontend's connections to a log line.
+func writeConnectionStats(e *zerolog.Event, c transport.ConnectionStats) *zerolog.Event {
 	return e.Int("clients", c.Open).Int("most_clients", c.Peak).
 		Int("clients_came", c.Accepted).Int("clients_turned_away", c.Refused).Ints("clients_closed_for_room", c.Evicted[:]).
 		Int("clients_silent", c.NeverSent).Int("clients_quiet", c.Idle).Int("clients_stuck", c.Incomplete)
 }
-
-// noMeter counts nothing.
-type noMeter struct{}
-
-func (noMeter) SubmissionAnswered(string, transport.Status)      {}
-func (noMeter) AttemptEnded(transport.ResultCode, time.Duration) {}
-func (noMeter) FinalAnswered(transport.Outcome, time.Duration)   {}
-func (noMeter) LoopTurn(int, time.Duration)                      {}
-func (noMeter) Addr() string                                     { return "" }
-func (noMeter) Stop()                                            {}
--- /dev/null
+++ b/forwarder/discovery.go
@@ -0,0 +1,55 @@
+package forwarder
+
+import (
+	"time"
+
+	"spanflow/internal/dial"
+	"spanflow/internal/discovery"
+	"spanflow/transport"
+)
+
+// discoveryState is where the list of endpoints comes from, and how far it was heard.
+type discoveryState struct {
+	source       transport.EndpointSource
+	movable      transport.Reconfigurable // the source, if it is discovery
+	static       *static                  // the source, if it is a list of the configuration
+	revision     int64                    // of the list at hand
+	listReceived bool                     // discovery has told its list since the start
+}
+
+// openDiscovery opens the source of the list, discovery or a list of the configuration, and the notifier.
+func (loop *eventLoop) openDiscovery(dialer *dial.Dialer, connectTimeout time.Duration) {
+	config := loop.config
+	if config.Discovery != "" {
+		client := discovery.New(dialer, config.Discovery, connectTimeout, loop.queue)
+		client.MaxLineBytes = config.ListBytes
+		loop.discovery.source, loop.discovery.movable = client, client
+		if config.toldNotices == "" {
+			loop.notices.notifier = client
+		}
+	} else {
+		loop.discovery.static = &static{board: loop.queue}
+		if config.StaticEndpoints != nil {
+			loop.discovery.static.list = *config.StaticEndpoints
+		}
+		config.LastEndpoints = loop.discovery.static.list
+		loop.discovery.source = loop.discovery.static
+	}
+	if config.toldNotices != "" {
+		client := discovery.New(dialer, config.toldNotices, connectTimeout, loop.queue)
+		loop.notices.notifier, loop.notices.movable = client, client
+	}
+}
+
+// handleWatchEnd tells the scheduler that the list is not heard of any more.
+func (loop *eventLoop) handleWatchEnd(end watchEnded) {
+	loop.telemetry.log.Warn().Str("why", end.why).Msg("watch ended")
+	switch end.how {
+	case transport.WatchSilent:
+		loop.scheduler.WatchSilent()
+	case transport.WatchTimeout:
+		loop.scheduler.PollTimedOut()
+	default:
+		loop.scheduler.WatchBroken()
+	}
+}
--- a/forwarder/watch_test.go
+++ b/forwarder/discovery_test.go
@@ -28,19 +28,19 @@
 		for seed := range uint64(seeds) {
 			host, now := &wakeHost{}, 100.0
 			terms := scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 3, PollEndpoints: true, PollWithin: askWithin}
-			o := &owner{f: scheduler.New(terms, seed, now, host), log: zerolog.Nop()}
-			o.f.SetTime(now)
-			o.f.Reconcile()
+			o := &eventLoop{scheduler: scheduler.New(terms, seed, now, host), telemetry: telemetry{log: zerolog.Nop()}}
+			o.scheduler.SetTime(now)
+			o.scheduler.Reconcile()
 			require.Equal(t, 1, host.asks)
 			for n := range failures {
-				o.f.SetTime(now)
-				o.hear(watchEnded{"as the test has it", how})
-				o.f.Reconcile()
+				o.scheduler.SetTime(now)
+				o.handle(watchEnded{"as the test has it", how})
+				o.scheduler.Reconcile()
 				wait = max(wait, host.in)
 				now += host.in + 0.001
-				o.f.SetTime(now)
-				o.f.TimerFired()
-				o.f.Reconcile()
+				o.scheduler.SetTime(now)
+				o.scheduler.TimerFired()
+				o.scheduler.Reconcile()
 				require.Equal(t, n+2, host.asks)
 			}
 		}
--- a/forwarder/list_test.go
+++ b/forwarder/endpoints_test.go
@@ -13,11 +13,11 @@
 )
 
 // listOwner is an event loop that hears of lists alone.
-func listOwner() *owner {
+func listOwner() *eventLoop {
 	order := &Config{Scheduler: scheduler.Settings{Types: []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}}, ConcurrencyLimit: 4, QueueCapacity: 40, Forwarders: 1}}
-	o := newOwner(order, zerolog.Nop(), newExchange())
-	o.rota = drains.New(nil)
-	o.f = scheduler.New(order.Scheduler, 1, 100, &wakeHost{})
+	o := newEventLoop(order, zerolog.Nop(), newEventQueue())
+	o.operators.drains = drains.New(nil)
+	o.scheduler = scheduler.New(order.Scheduler, 1, 100, &wakeHost{})
 	return o
 }
 
@@ -30,27 +30,27 @@
 
 // While a first list is read its destinations have no endpoints yet: none of them may be taken for unused.
 func TestAFirstListOfManyDestinationsIsKeptWhole(t *testing.T) {
-	const count = 10 * leastSweep
+	const count = 10 * minSweep
 	o := listOwner()
-	o.listed(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: manyTargets(0, count)}, true)
-	o.f.Reconcile()
-	require.Len(t, o.dests, count)
-	kept := o.dests[0]
-	o.listed(&transport.EndpointList{Revision: 2, Endpoints: manyTargets(count, 3*count)}, false)
-	require.Len(t, o.dests, 3*count)
-	require.Same(t, kept, o.dests[0])
+	o.updateEndpoints(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: manyTargets(0, count)}, true)
+	o.scheduler.Reconcile()
+	require.Len(t, o.endpoints.destinations, count)
+	kept := o.endpoints.destinations[0]
+	o.updateEndpoints(&transport.EndpointList{Revision: 2, Endpoints: manyTargets(count, 3*count)}, false)
+	require.Len(t, o.endpoints.destinations, 3*count)
+	require.Same(t, kept, o.endpoints.destinations[0])
 }
 
 func TestDestinationsThatAreListedNoMoreAreForgotten(t *testing.T) {
-	const count = 10 * leastSweep
+	const count = 10 * minSweep
 	o := listOwner()
 	for round := range 20 {
-		o.listed(&transport.EndpointList{Revision: int64(round + 1), Complete: true, Endpoints: manyTargets(round*count, (round+1)*count)}, true)
-		o.f.Reconcile()
+		o.updateEndpoints(&transport.EndpointList{Revision: int64(round + 1), Complete: true, Endpoints: manyTargets(round*count, (round+1)*count)}, true)
+		o.scheduler.Reconcile()
 	}
 	// Each list leaves the ones before until their endpoints are let go of, and a sweep waits until there are twice as
 	// many.
-	require.Less(t, len(o.dests), 6*count)
+	require.Less(t, len(o.endpoints.destinations), 6*count)
 }
 
 func (h *wakeHost) ReleaseEndpoint(*scheduler.Endpoint) {}
--- a/forwarder/exchange_test.go
+++ b/forwarder/event_queue_test.go
@@ -11,8 +11,8 @@
 )
 
 func TestAFullGateHoldsUpItsOwnFrontendAlone(t *testing.T) {
-	x := newExchange()
-	flood, other := x.gate("flood", "flood", 1000, 1<<20), x.gate("other", "other", 10, 100)
+	x := newEventQueue()
+	flood, other := x.newAdmissionQueue("flood", "flood", 1000, 1<<20), x.newAdmissionQueue("other", "other", 10, 100)
 	for range 1000 {
 		flood.Submit(transport.Request{Ping: true})
 	}
@@ -25,41 +25,41 @@
 	x.CallEnded(transport.CallResult{})
 	news, _ := x.take()
 	require.Len(t, news, 1+turnShare+1, "an end, a share of the flood, all of the other")
-	require.Same(t, other, news[len(news)-1].(*asked).front)
+	require.Same(t, other, news[len(news)-1].(*request).from)
 	<-held // there is room again
 	other.Submit(transport.Request{Ping: true})
 	other.Withdraw("x")
 	n := 0
 	for n < 1000-turnShare+1 {
-		<-x.bell // what was left over rings it again
+		<-x.wakeups // what was left over rings it again
 		news, _ = x.take()
 		for _, a := range news {
-			if a, is := a.(*asked); is && a.front == flood {
+			if a, is := a.(*request); is && a.from == flood {
 				n++
 			}
 		}
 	}
-	last := news[len(news)-1].(*asked)
+	last := news[len(news)-1].(*request)
 	require.Equal(t, "the last", last.Malformed)
 }
 
 func TestAFrontendThatHasEndedIsHeldUpByNothing(t *testing.T) {
-	x := newExchange()
-	g := x.gate("a", "a", 1, 0)
+	x := newEventQueue()
+	g := x.newAdmissionQueue("a", "a", 1, 0)
 	g.Submit(transport.Request{Ping: true})
 	ended := make(chan struct{})
 	go func() {
 		g.Submit(transport.Request{Ping: true})
 		close(ended)
 	}()
-	x.shutGate(g)
+	g.close()
 	<-ended
 	news, _ := x.take()
 	require.Empty(t, news)
-	g = x.gate("b", "b", 0, 0)
-	require.Equal(t, []int{mostWaiting, waitingBytes}, []int{g.most, g.mostBytes})
+	g = x.newAdmissionQueue("b", "b", 0, 0)
+	require.Equal(t, []int{defaultWaiting, defaultWaitingBytes}, []int{g.maxWaiting, g.maxBytes})
 	x.close()
-	for range mostWaiting + 1 { // nobody takes news any more
+	for range defaultWaiting + 1 { // nobody takes news any more
 		g.Submit(transport.Request{Ping: true})
 	}
 }
@@ -105,30 +105,30 @@
 		return o
 	}
 	m, notices := &moved{}, &moved{}
-	o := &owner{order: read(config, "127.0.0.9:1"), moves: m, notices: notices}
-	o.asRead = o.order.Scheduler
-	require.Equal(t, "127.0.0.9:1", o.order.Notices())
-	require.NoError(t, o.takeUp(read(config, "")))
+	o := &eventLoop{config: read(config, "127.0.0.9:1"), discovery: discoveryState{movable: m}, notices: noticeState{movable: notices}}
+	o.configuredScheduler = o.config.Scheduler
+	require.Equal(t, "127.0.0.9:1", o.config.Notices())
+	require.NoError(t, o.applyConfig(read(config, "")))
 	require.Empty(t, m.to)
 	other := strings.Replace(config, "127.0.0.5:8500", "127.0.0.6:8500", 1)
-	require.NoError(t, o.takeUp(read(other, "")))
+	require.NoError(t, o.applyConfig(read(other, "")))
 	require.Equal(t, []string{"127.0.0.6:8500"}, m.to)
-	require.Equal(t, "127.0.0.6:8500", o.order.Notices())
-	o.order.DiscoveryMovable = true
+	require.Equal(t, "127.0.0.6:8500", o.config.Notices())
+	o.config.DiscoveryMovable = true
 	next := read(other, "")
-	next.DiscoveryMovable, next.Seed, next.toldNotices = true, o.order.Seed, "127.0.0.7:1"
-	require.ErrorContains(t, o.takeUp(next), "discovery.notices")
-	o.order.toldNotices = "127.0.0.8:1"
-	require.NoError(t, o.takeUp(next))
+	next.DiscoveryMovable, next.Seed, next.toldNotices = true, o.config.Seed, "127.0.0.7:1"
+	require.ErrorContains(t, o.applyConfig(next), "discovery.notices")
+	o.config.toldNotices = "127.0.0.8:1"
+	require.NoError(t, o.applyConfig(next))
 	require.Equal(t, []string{"127.0.0.7:1"}, notices.to)
 	require.Len(t, m.to, 1)
 }
 
 func TestNoMoreWaitsAtAGateThanItsBound(t *testing.T) {
-	x := newExchange()
-	few, small := x.gate("few", "few", 3, 0), x.gate("small", "small", 0, 100)
+	x := newEventQueue()
+	few, small := x.newAdmissionQueue("few", "few", 3, 0), x.newAdmissionQueue("small", "small", 0, 100)
 	const each = 5000
-	for _, g := range []*gate{few, small} {
+	for _, g := range []*admissionQueue{few, small} {
 		go func() {
 			for range each {
 				g.Submit(transport.Request{Submission: &transport.Submission{Body: make([]byte, 60)}})
@@ -136,11 +136,11 @@
 		}()
 	}
 	for left := 2 * each; left > 0; {
-		<-x.bell
+		<-x.wakeups
 		news, _ := x.take()
-		n := map[*gate]int{}
+		n := map[*admissionQueue]int{}
 		for _, a := range news {
-			n[a.(*asked).front]++
+			n[a.(*request).from]++
 		}
 		require.LessOrEqual(t, n[few], 3)
 		require.LessOrEqual(t, n[small], 2, "the second goes over its bytes, a third waits")
--- a/forwarder/follow.go
+++ b/forwarder/follow.go
@@ -24,33 +24,33 @@
 	own := *order
 	order = &own
 	order.askForList()
-	o := newOwner(order, order.Log.to(by.LogTo, order.Name), newExchange())
-	o.rota = drains.New(nil)
-	if err := o.connect(by.Dialer); err != nil {
+	loop := newEventLoop(order, order.Log.to(by.LogTo, order.Name), newEventQueue())
+	loop.operators.drains = drains.New(nil)
+	if err := loop.connect(by.Dialer); err != nil {
 		return err
 	}
-	defer o.source.Stop()
-	o.f = scheduler.New(order.Scheduler, order.Seed, o.clock(o.epoch), o)
-	o.listed(&order.LastEndpoints, true)
-	o.f.Reconcile()
+	defer loop.discovery.source.Stop()
+	loop.scheduler = scheduler.New(order.Scheduler, order.Seed, loop.schedulerTime(loop.epoch), loop)
+	loop.updateEndpoints(&order.LastEndpoints, true)
+	loop.scheduler.Reconcile()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if o.wakeAt.IsZero() {
+		if loop.wakeAt.IsZero() {
 			timer.Stop()
 		} else {
-			timer.Reset(time.Until(o.wakeAt))
+			timer.Reset(time.Until(loop.wakeAt))
 		}
 		select {
-		case <-o.exchange.bell:
+		case <-loop.queue.wakeups:
 		case <-timer.C:
 		case <-ctx.Done():
 			return nil
 		}
-		heard, rev := o.heard, o.rev
-		o.turn()
-		if o.rev != rev || o.heard != heard {
-			by.InForce(o.rev)
+		heard, rev := loop.discovery.listReceived, loop.discovery.revision
+		loop.turn()
+		if loop.discovery.revision != rev || loop.discovery.listReceived != heard {
+			by.InForce(loop.discovery.revision)
 		}
 	}
 }
--- /dev/null
+++ b/forwarder/forwarder.go
@@ -0,0 +1,187 @@
+// Package forwarder is the forwarder as a library: read a Config, then Run serves by it until its context ends.
+//
+// One goroutine, the event loop, has the scheduler of package scheduler to itself. Frontends, upstreams and the source
+// of the endpoint list (package transport says what each is) leave events in its queue; the event loop handles them in
+// batches, lets the scheduler reconcile once, and carries out what it decides. It knows no wire protocol.
+package forwarder
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"time"
+
+	"github.com/lesismal/nbio"
+	"github.com/lesismal/nbio/logging"
+	"github.com/rs/zerolog"
+
+	"spanflow/internal/admin"
+	"spanflow/internal/dial"
+	"spanflow/internal/drains"
+	"spanflow/internal/wal"
+)
+
+// ApplyProcessLimits makes the whole process keep to the configuration's limits, and its log lines bear times that a
+// person can read. A program with other work to do sets its own.
+func (o *Config) ApplyProcessLimits() {
+	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
+	runtime.GOMAXPROCS(max(1, int(o.Cores)))
+	debug.SetMemoryLimit(int64(o.MemoryMB) << 20 * 6 / 10)
+}
+
+// Run serves by a configuration until ctx ends, then finishes what it can in the time there is. At each signal on
+// reload the configuration is read again. ready, if not nil, is called with the address of the first frontend once
+// clients are served. The configuration stays the caller's and is not changed.
+func Run(
+	ctx context.Context, config *Config, reload <-chan os.Signal, logTo io.Writer, ready func(addr string),
+) error {
+	own := *config
+	config = &own
+	log := config.Log.to(logTo, config.Name)
+	logging.SetLogger(networkLog{log})
+	nbio.MaxOpenFiles = config.Sockets + 1024 // it keeps a table of that size for each engine
+
+	queue := newEventQueue()
+	requests := newAdminRequests(config, queue)
+	if config.Admin != "" {
+		server, err := admin.Open(config.Admin, requests)
+		if err != nil {
+			return fmt.Errorf("admin: %w", err)
+		}
+		defer server.Stop()
+	}
+	if config.InheritedListener > 0 {
+		listener, err := config.listenInherited()
+		if err != nil {
+			return err
+		}
+		defer listener.Close()
+		// It can serve once the process that it replaces has gone, and that one is told to go by this yes.
+		requests.ready.Store(true)
+	}
+	walLog, err := openWAL(ctx, config, log)
+	if errors.Is(err, context.Canceled) {
+		log.Info().Msg("told to stop while waiting for the folder")
+		return nil
+	}
+	if err != nil {
+		return err
+	}
+	defer walLog.Close()
+	dialer, err := dial.New("outlet", (config.Sockets-descriptors)/3)
+	if err != nil {
+		return err
+	}
+	defer dialer.Stop()
+
+	configured := config.Scheduler
+	config.Scheduler.MaxStoredBytes, config.Scheduler.AwaitAcknowledgement = walLog.Capacity(), true
+	config.askForList()
+	loop := newEventLoop(config, log, queue)
+	loop.configuredScheduler, loop.wal, loop.telemetry.output = configured, walLog, logTo
+	loop.operators = operatorState{requests: requests, drains: drains.New(readOut(config.Folder))}
+	return loop.serve(ctx, reload, dialer, ready)
+}
+
+// serve opens everything but the folder and the operators' address, serves until the process ends, and closes it again.
+func (loop *eventLoop) serve(
+	ctx context.Context, reload <-chan os.Signal, dialer *dial.Dialer, ready func(addr string),
+) error {
+	log := loop.telemetry.log
+	if err := loop.openBacklog(); err != nil {
+		return err
+	}
+	defer loop.closeBacklog()
+	if err := loop.connect(dialer); err != nil {
+		return err
+	}
+	defer loop.discovery.source.Stop()
+	if err := loop.openRecorder(dialer); err != nil {
+		return err
+	}
+	defer loop.telemetry.recorder.Stop()
+	lameDuck := loop.operators.requests.takeOver()
+	loop.recoverState(loop.epoch)
+	if err := loop.openConfiguredFrontends(); err != nil {
+		return err
+	}
+	defer loop.closeAllFrontends()
+	if lameDuck {
+		loop.setLameDuck(true)
+	}
+	loop.operators.requests.ready.Store(true)
+	loop.logReady()
+	if ready != nil {
+		ready(loop.frontends.open[0].Addr())
+	}
+	loop.run(ctx, reload, dialer)
+	loop.answerRemaining()
+	loop.saveRetryAfter(loop.schedulerTime(time.Now()))
+	loop.saveLatencies()
+	loop.telemetry.counts.write(log.Info()).Int("owed", len(loop.wal.Pending())).Msg("end")
+	return nil
+}
+
+// openWAL opens the write-ahead log in the folder. A process that replaces another waits until that one has left it.
+func openWAL(ctx context.Context, config *Config, log zerolog.Logger) (*wal.Log, error) {
+	wait := time.Duration(0)
+	if config.InheritedListener > 0 {
+		wait = handOverWait
+		if pid := wal.LockHolder(config.Folder); pid != 0 {
+			log.Info().Int("pid", pid).Msg("waiting for the folder")
+		}
+	}
+	walLog, err := wal.OpenWhenFree(ctx, config.Folder, int64(config.DiskMB)*1_000_000, wait)
+	if err != nil {
+		return nil, fmt.Errorf("PROXY_STATE: %w", err)
+	}
+	return walLog, nil
+}
+
+// askForList tells the scheduler that the list comes by a watch that is asked for, whatever discovery is like.
+func (o *Config) askForList() {
+	o.Scheduler.LocalAgent = !o.Scheduler.PollEndpoints && o.Discovery != ""
+	o.Scheduler.PollEndpoints = true
+}
+
+// openRecorder starts to serve the metrics, if the configuration asks for them.
+func (loop *eventLoop) openRecorder(dialer *dial.Dialer) error {
+	config := loop.config
+	if config.Metrics == "" {
+		return nil
+	}
+	if config.Recorder == nil {
+		return errors.New("metrics: this program has none")
+	}
+	var frontends []string
+	for _, f := range config.Frontends {
+		frontends = append(frontends, f.Name)
+	}
+	recorder, err := config.Recorder(config.Metrics, config.Name, frontends, loop.gauges(dialer))
+	if err != nil {
+		return fmt.Errorf("metrics: %w", err)
+	}
+	loop.telemetry.recorder, loop.telemetry.recording = recorder, true
+	return nil
+}
+
+// logReady logs where clients are served from now on.
+func (loop *eventLoop) logReady() {
+	e := loop.telemetry.log.Info()
+	for i, l := range loop.frontends.open {
+		name := "listen"
+		if i > 0 {
+			name += "_" + l.terms.Name
+		}
+		e = e.Str(name, l.Addr())
+	}
+	if loop.telemetry.recording {
+		e = e.Str("metrics", loop.telemetry.recorder.Addr())
+	}
+	e.Int("recovered", loop.telemetry.counts.recovered).Int("dropped_records", loop.wal.DroppedRecords).
+		Int("targets", len(loop.endpoints.byNumber)).Msg("ready")
+}
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -45,7 +45,7 @@
 }
 
 // goldenLatencyOwner is an event loop with a folder and the shape of the golden latencies.
-func goldenLatencyOwner(t *testing.T, folder string) *owner {
+func goldenLatencyOwner(t *testing.T, folder string) *eventLoop {
 	t.Helper()
 	o, said := learning(folder)
 	require.Empty(t, said.String())
@@ -55,8 +55,8 @@
 func TestWritesSameLatenciesAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	o := goldenLatencyOwner(t, folder)
-	require.True(t, o.f.RestoreLatencies(o.dest(goldenDestination), goldenTimes()))
-	o.keepLearnt()
+	require.True(t, o.scheduler.RestoreLatencies(o.destination(goldenDestination), goldenTimes()))
+	o.saveLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
@@ -64,9 +64,9 @@
 	o := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies))
 	want := make([]float64, 16) // weighed by the scheduler, four digits each
 	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11
-	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.learnt)
+	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.endpoints.restoredLatencies)
 
-	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).learnt
+	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).endpoints.restoredLatencies
 	require.Len(t, several, 3)
 	require.Equal(t, 1.5, several[1][0])
 	require.Equal(t, 1e-7, several[1<<63][15])
@@ -75,16 +75,16 @@
 
 func TestKeepsLatenciesOfUnheardDestinationAsVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenLatencies)
-	goldenLatencyOwner(t, folder).keepLearnt()
+	goldenLatencyOwner(t, folder).saveLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
 // goldenEndpoints is an event loop with a folder and two listed endpoints.
-func goldenEndpoints(folder string) *owner {
+func goldenEndpoints(folder string) *eventLoop {
 	o := listOwner()
-	o.order.Folder = folder
+	o.config.Folder = folder
 	o.epoch = time.Unix(goldenNow, 0)
-	o.listed(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
+	o.updateEndpoints(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
 		{UID: "endpoint-1", Address: "127.0.0.1:1", Destination: 7, State: "active"},
 		{UID: "endpoint-2", Address: "127.0.0.1:2", Destination: 8, State: "active"}}}, true)
 	return o
@@ -93,9 +93,9 @@
 func TestWritesSameRetryAfterStateAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	o := goldenEndpoints(folder)
-	o.f.BlockUntil(o.byUID["endpoint-1"].module, goldenNow+12.3456)
-	o.f.BlockUntil(o.byUID["endpoint-2"].module, goldenNow-1) // over
-	o.keepWaits(goldenNow)
+	o.scheduler.BlockUntil(o.endpoints.byUID["endpoint-1"].scheduled, goldenNow+12.3456)
+	o.scheduler.BlockUntil(o.endpoints.byUID["endpoint-2"].scheduled, goldenNow-1) // over
+	o.saveRetryAfter(goldenNow)
 	golden.Compare(t, folder, goldenRetryAfter)
 }
 
@@ -150,20 +150,20 @@
 	require.Equal(t, goldenCommands, commands)
 
 	o := goldenEndpoints(folder)
-	require.True(t, o.emptyTray())
-	require.Equal(t, []string{"an id with spaces"}, o.rota.IDs())
+	require.True(t, o.runSpooledCommands())
+	require.Equal(t, []string{"an id with spaces"}, o.operators.drains.IDs())
 	require.Empty(t, trayNames(folder))
 }
 
 // goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
-func goldenStoreOwner() *owner {
+func goldenStoreOwner() *eventLoop {
 	order := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
 		Scheduler: scheduler.Settings{Types: []scheduler.MessageType{
 			{Idempotency: scheduler.Idempotent},
 			{Idempotency: scheduler.IdempotentWithKey, DeduplicationWindow: 600},
 			{Idempotency: scheduler.AtMostOnce, InOrder: true},
 		}}}
-	return newOwner(order, zerolog.Nop(), newExchange())
+	return newEventLoop(order, zerolog.Nop(), newEventQueue())
 }
 
 // goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
@@ -186,7 +186,7 @@
 	require.NoError(t, err)
 	o := goldenStoreOwner()
 	for _, e := range goldenEntries() {
-		require.NoError(t, store.Append(o.messageOf(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
+		require.NoError(t, store.Append(o.storedMessage(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
 	}
 	require.NoError(t, store.Close())
 	golden.Compare(t, folder, goldenStored, storeLock)
--- a/forwarder/learnt.go
+++ b/forwarder/learnt.go
@@ -26,10 +26,10 @@
 func (o *Config) shape() string { return strconv.Quote(fmt.Sprint(o.Names.Kinds, o.Names.Types)) }
 
 // keepLearnt writes the times, one destination a line behind the form, the shape and a checksum.
-func (o *owner) keepLearnt() {
+func (loop *eventLoop) saveLatencies() {
 	var b strings.Builder
 	lines := 0
-	for number, d := range o.dests {
+	for number, d := range loop.endpoints.destinations {
 		times := d.Latencies()
 		if times == nil || lines == mostLearnt {
 			continue
@@ -41,16 +41,16 @@
 		}
 		b.WriteByte('\n')
 	}
-	for number, times := range o.learnt { // of destinations that were not heard of
+	for number, times := range loop.endpoints.restoredLatencies { // of destinations that were not heard of
 		if lines == mostLearnt {
 			break
 		}
 		lines++
 		fmt.Fprintln(&b, number, strings.Trim(fmt.Sprint(times), "[]"))
 	}
-	text := fmt.Sprintf("%s\n%s\n%08x\n%s", learntForm, o.order.shape(), crc32.ChecksumIEEE([]byte(b.String())), b.String())
-	if err := writeWhole(o.order.Folder, learntFile, text); err != nil {
-		o.log.Error().Err(err).Msg("learnt figures not kept")
+	text := fmt.Sprintf("%s\n%s\n%08x\n%s", learntForm, loop.config.shape(), crc32.ChecksumIEEE([]byte(b.String())), b.String())
+	if err := writeWhole(loop.config.Folder, learntFile, text); err != nil {
+		loop.telemetry.log.Error().Err(err).Msg("learnt figures not kept")
 	}
 }
 
--- a/forwarder/learnt_test.go
+++ b/forwarder/learnt_test.go
@@ -27,13 +27,14 @@
 func (silentHost) Log(string)                                            {}
 
 // learning is an owner with a module and a folder, no sockets.
-func learning(folder string) (*owner, *bytes.Buffer) {
+func learning(folder string) (*eventLoop, *bytes.Buffer) {
 	var said bytes.Buffer
 	order := &Config{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
 	order.Scheduler = scheduler.Settings{Types: []scheduler.MessageType{{LatencyObjective: 3, TimeToLive: 16}}, Forwarders: 200, ConcurrencyLimit: 3, QueueCapacity: 19}
-	o := &owner{order: order, log: zerolog.New(&said), dests: map[uint64]*scheduler.Destination{}, sweepAt: leastSweep}
-	o.f = scheduler.New(order.Scheduler, 7, 100, silentHost{})
-	o.learnt = readLearnt(folder, order.shape(), &o.log)
+	o := &eventLoop{config: order, telemetry: telemetry{log: zerolog.New(&said)}, endpoints: newEndpointTable()}
+	o.endpoints.sweepAt = minSweep
+	o.scheduler = scheduler.New(order.Scheduler, 7, 100, silentHost{})
+	o.endpoints.restoredLatencies = readLearnt(folder, order.shape(), &o.telemetry.log)
 	return o, &said
 }
 
@@ -42,20 +43,20 @@
 	old, _ := learning(folder)
 	times := make([]float64, 16)
 	times[9] = 40
-	require.True(t, old.f.RestoreLatencies(old.dest(7), times))
-	old.dest(8) // nothing was measured there
-	old.keepLearnt()
+	require.True(t, old.scheduler.RestoreLatencies(old.destination(7), times))
+	old.destination(8) // nothing was measured there
+	old.saveLatencies()
 
 	fresh, _ := learning(folder)
-	require.Len(t, fresh.learnt, 1)
-	require.Equal(t, old.dests[7].Latencies(), fresh.dest(7).Latencies())
-	require.Empty(t, fresh.learnt, "given once")
-	require.Nil(t, fresh.dest(8).Latencies())
+	require.Len(t, fresh.endpoints.restoredLatencies, 1)
+	require.Equal(t, old.endpoints.destinations[7].Latencies(), fresh.destination(7).Latencies())
+	require.Empty(t, fresh.endpoints.restoredLatencies, "given once")
+	require.Nil(t, fresh.destination(8).Latencies())
 
 	unheard, _ := learning(folder) // a process that hears of no destination keeps what it was given
-	unheard.keepLearnt()
+	unheard.saveLatencies()
 	again, _ := learning(folder)
-	require.Equal(t, old.dests[7].Latencies(), again.dest(7).Latencies())
+	require.Equal(t, old.endpoints.destinations[7].Latencies(), again.destination(7).Latencies())
 
 	file := filepath.Join(folder, learntFile)
 	good, err := os.ReadFile(file)
@@ -69,11 +70,11 @@
 	} {
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 		o, said := learning(folder)
-		require.Empty(t, o.learnt)
+		require.Empty(t, o.endpoints.restoredLatencies)
 		require.Contains(t, said.String(), strings.TrimSpace(why))
 	}
 	require.NoError(t, os.Remove(file))
 	o, said := learning(folder)
-	require.Empty(t, o.learnt)
+	require.Empty(t, o.endpoints.restoredLatencies)
 	require.Empty(t, said.String(), "a first start is nothing to speak of")
 }
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -10,65 +10,121 @@
 	"spanflow/transport"
 )
 
-// paper is a message that is owed or was until just now.
-type paper struct {
+// messageTable holds the messages that the event loop has in memory, the ids of those that it had a short time ago,
+// and the message types.
+type messageTable struct {
+	byNumber       map[uint64]*trackedMessage // by their numbers in the write-ahead log
+	byID           map[string]*trackedMessage // the same, by the clients' ids
+	recentIDs      recentlySeen               // ids of messages that were removed
+	types          map[string]int             // numbers of the message types, by name
+	unknownOptions map[string]bool            // names that came with messages and were logged
+	untried        int                        // recovered messages for which no call has begun yet
+}
+
+func newMessageTable(types []string) messageTable {
+	table := messageTable{
+		byNumber:       map[uint64]*trackedMessage{},
+		byID:           map[string]*trackedMessage{},
+		recentIDs:      newRecentlySeen(),
+		types:          map[string]int{},
+		unknownOptions: map[string]bool{},
+	}
+	for i, name := range types {
+		table.types[name] = i
+	}
+	return table
+}
+
+// trackedMessage is a message that is owed or was until just now.
+type trackedMessage struct {
 	transport.Message
-	doc       *scheduler.Message
-	typ       int
-	lane      backlog.Lane
-	inLane    *list.Element           // nil while no backlog store is used
-	holder    transport.WaitingCaller // whom the final answer is for; nil: the teller
-	came      time.Time
-	traced    bool
-	untried   bool // an earlier process took it on, and no call has begun yet
-	withdrawn bool // its holder has gone: nothing is owed, though an attempt may be out
+	scheduled     *scheduler.Message
+	typ           int // number of its type
+	lane          backlog.Lane
+	laneElement   *list.Element           // its place among the messages of its lane in memory; nil without a backlog store
+	waitingCaller transport.WaitingCaller // whom the final answer is for; nil: the notifier
+	receivedAt    time.Time
+	traced        bool
+	untried       bool // an earlier process accepted it, and no call has begun yet
+	withdrawn     bool // its waiting caller has gone: nothing is owed, though an attempt may be out
 }
 
-// paper makes the scheduler's message of an entry.
-func (o *owner) paper(e *wal.Entry, typ int) *paper {
-	p := &paper{
-		Message: transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.IdempotencyKey, Body: e.Body},
-		typ:     typ,
-		lane:    laneOf(e),
-		came:    time.Now(),
-		traced:  o.trace.picks(e.ID, e.Key),
+// add enters a message.
+func (table *messageTable) add(m *trackedMessage) {
+	table.byNumber[m.MessageID], table.byID[m.ID] = m, m
+}
+
+// remove takes a message out; its id can be used anew. It reports whether the id was that of this message.
+func (table *messageTable) remove(m *trackedMessage) bool {
+	delete(table.byNumber, m.MessageID)
+	if table.byID[m.ID] != m {
+		return false
 	}
-	p.doc = &scheduler.Message{ID: e.Seq, Tenant: e.Tenant, Key: e.Key, Dest: o.dest(e.Destination), Size: e.Size(), AnsweredByNotice: o.teller != nil}
-	o.docs[e.Seq], o.byID[e.ID] = p, p
-	return p
+	delete(table.byID, m.ID)
+	return true
+}
+
+// unfinished counts the messages that have no final answer yet.
+func (table *messageTable) unfinished() (open int) {
+	for _, m := range table.byNumber {
+		if !m.scheduled.Finished() {
+			open++
+		}
+	}
+	return open
+}
+
+// track makes and enters the message of an entry of the write-ahead log.
+func (loop *eventLoop) track(e *wal.Entry, typ int) *trackedMessage {
+	m := &trackedMessage{
+		Message:    transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.IdempotencyKey, Body: e.Body},
+		typ:        typ,
+		lane:       laneOf(e),
+		receivedAt: time.Now(),
+		traced:     loop.telemetry.trace.picks(e.ID, e.Key),
+	}
+	m.scheduled = &scheduler.Message{
+		ID:               e.Seq,
+		Tenant:           e.Tenant,
+		Key:              e.Key,
+		Dest:             loop.destination(e.Destination),
+		Size:             e.Size(),
+		AnsweredByNotice: loop.notices.notifier != nil,
+	}
+	loop.messages.add(m)
+	return m
 }
 
 // withdraw ends a message whose caller waited for its final answer and has gone.
-func (o *owner) withdraw(id string) {
-	p := o.byID[id]
-	if p == nil || p.holder == nil || p.withdrawn {
+func (loop *eventLoop) withdraw(id string) {
+	m := loop.messages.byID[id]
+	if m == nil || m.waitingCaller == nil || m.withdrawn {
 		return
 	}
-	o.counts.withdrawn++
-	p.withdrawn = true
-	o.f.Withdraw(p.doc)
-	o.removeIfDone(p)
+	loop.telemetry.counts.withdrawn++
+	m.withdrawn = true
+	loop.scheduler.Withdraw(m.scheduled)
+	loop.removeIfFinished(m)
 }
 
 // recordDone records that nothing more is owed for a message.
-func (o *owner) recordDone(p *paper) {
-	if err := o.ledger.RecordDone(p.MessageID); err != nil {
-		o.logLedgerError(err)
+func (loop *eventLoop) recordDone(m *trackedMessage) {
+	if err := loop.wal.RecordDone(m.MessageID); err != nil {
+		loop.logWALError(err)
 	}
 }
 
-// removeIfDone lets go of a message if nothing more can be heard of it.
-func (o *owner) removeIfDone(p *paper) {
-	if p.doc.Finished() {
-		o.noLongerUntried(p, false)
-		if p.withdrawn {
-			o.recordDone(p)
-		}
-		o.leftMemory(p)
-		delete(o.docs, p.MessageID)
-		if o.byID[p.ID] == p {
-			delete(o.byID, p.ID)
-			o.recentIDs.add(p.ID)
-		}
+// removeIfFinished lets go of a message if nothing more can be heard of it.
+func (loop *eventLoop) removeIfFinished(m *trackedMessage) {
+	if !m.scheduled.Finished() {
+		return
+	}
+	loop.noteTried(m, false)
+	if m.withdrawn {
+		loop.recordDone(m)
+	}
+	loop.noteLeftMemory(m)
+	if loop.messages.remove(m) {
+		loop.messages.recentIDs.add(m.ID)
 	}
 }
--- /dev/null
+++ b/forwarder/notices.go
@@ -0,0 +1,67 @@
+package forwarder
+
+import (
+	"spanflow/internal/wal"
+	"spanflow/transport"
+)
+
+// noticeState is where final answers go that no caller waits for.
+type noticeState struct {
+	notifier transport.Notifier       // nil: the log alone
+	movable  transport.Reconfigurable // the notifier, if it has an address of its own
+}
+
+// giveFinalAnswer records the final answer of a message that was not delivered, and sends it. retryAfter is in
+// milliseconds, 0 if not told.
+func (loop *eventLoop) giveFinalAnswer(m *trackedMessage, answer wal.Answer, retryAfter int) {
+	if err := loop.wal.RecordAnswer(m.MessageID, answer, retryAfter); err != nil {
+		loop.logWALError(err)
+	}
+	outcome := transport.Failed
+	if answer == wal.Rejected {
+		outcome = transport.Rejected
+	}
+	loop.countFinalAnswer(m, outcome)
+	loop.noteLeftMemory(m) // its notice may stay unheard for long
+	loop.sendFinalAnswer(m, outcome, retryAfter)
+}
+
+// sendFinalAnswer sends a final answer to whom it is for: to the caller that waits for it, or else to the notifier.
+// Where there is neither it is written to the log.
+func (loop *eventLoop) sendFinalAnswer(m *trackedMessage, outcome transport.Outcome, retryAfter int) {
+	answer := transport.FinalAnswer{MessageID: m.MessageID, ID: m.ID, Outcome: outcome, RetryAfterMs: retryAfter}
+	if m.traced {
+		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("after_ms", retryAfter).
+			Msg("trace: final answer")
+	}
+	loop.noteTried(m, false)
+	switch {
+	case m.waitingCaller != nil:
+		m.waitingCaller.Complete(answer)
+		loop.queue.NoticesAcknowledged([]uint64{m.MessageID})
+	case loop.notices.notifier != nil:
+		loop.notices.notifier.Notify(answer)
+	default:
+		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("after_ms", retryAfter).
+			Msg("final answer that nobody takes")
+		loop.queue.NoticesAcknowledged([]uint64{m.MessageID})
+	}
+}
+
+// releaseAcknowledged lets go of messages whose final answers were heard.
+func (loop *eventLoop) releaseAcknowledged(numbers noticesAcknowledged) {
+	for _, number := range numbers {
+		if m := loop.messages.byNumber[number]; m != nil {
+			loop.recordDone(m)
+			loop.scheduler.NoticeAcknowledged(m.scheduled)
+			loop.removeIfFinished(m)
+		}
+	}
+}
+
+// logUnansweredNotices logs why notices have to be sent again.
+func (loop *eventLoop) logUnansweredNotices(why string) {
+	if loop.telemetry.mayLog("notices") {
+		loop.telemetry.log.Warn().Str("why", why).Msg("notices not answered")
+	}
+}
--- /dev/null
+++ b/forwarder/operators.go
@@ -0,0 +1,134 @@
+package forwarder
+
+import (
+	"net/http"
+	"sync/atomic"
+
+	"spanflow/internal/admin"
+	"spanflow/internal/drains"
+	"spanflow/scheduler"
+)
+
+// operatorState is what operators have asked for, and the way by which they ask.
+type operatorState struct {
+	requests *adminRequests
+	drains   *drains.Set // endpoints that are drained by hand
+	lameDuck bool        // clients are sent elsewhere
+}
+
+// adminRequests is the operators' way to the event loop: a request to the admin address is an event like any other.
+type adminRequests struct {
+	queue   *eventQueue
+	ready   atomic.Bool
+	standby atomic.Pointer[standby] // answers while another process owns the folder
+}
+
+func newAdminRequests(config *Config, queue *eventQueue) *adminRequests {
+	a := &adminRequests{queue: queue}
+	if config.InheritedListener > 0 {
+		a.standby.Store(newStandby(config))
+	}
+	return a
+}
+
+// takeOver has requests go to the event loop from here on. It reports whether clients are to be sent away.
+func (a *adminRequests) takeOver() (lameDuck bool) {
+	if s := a.standby.Load(); s != nil {
+		return s.leave()
+	}
+	return false
+}
+
+// Ready reports whether clients may be sent to this process.
+func (a *adminRequests) Ready() bool { return a.ready.Load() }
+
+// Handle answers a request, at once or from the event loop.
+func (a *adminRequests) Handle(r admin.Request, reply func(admin.Response)) {
+	if s := a.standby.Load(); s != nil {
+		if response, answered := s.answer(r); answered {
+			reply(response)
+			return
+		}
+	}
+	a.queue.push(operatorRequest{r, reply})
+}
+
+// handleOperatorRequest answers a request of the operators.
+func (loop *eventLoop) handleOperatorRequest(r operatorRequest) {
+	switch r.Operation {
+	case admin.Figures:
+		r.reply(admin.Response{OK: true, Text: loop.operatorFigures()})
+	case admin.LameDuckOn, admin.LameDuckOff:
+		// A stopping process goes on draining: its clients are to go elsewhere whatever the operators say.
+		on := r.Operation == admin.LameDuckOn
+		if on != loop.operators.lameDuck && (on || !loop.shutdown.begun) {
+			loop.setLameDuck(on)
+		}
+		r.reply(admin.Response{OK: true, Text: r.Operation.String()})
+	case admin.Detach, admin.Attach:
+		t := loop.endpoints.byUID[r.Name]
+		r.reply(loop.drainOrRestore(r.Request, t != nil && t.isListed()))
+	}
+}
+
+// setLameDuck sends clients away, or lets them in again.
+func (loop *eventLoop) setLameDuck(on bool) {
+	loop.operators.lameDuck = on
+	clients := 0
+	for _, l := range loop.frontends.open {
+		clients += l.Clients()
+		if on {
+			l.Drain()
+		} else {
+			l.Undrain()
+		}
+	}
+	loop.telemetry.log.Info().Bool("lameduck", on).Int("clients", clients).Int("held", len(loop.messages.byNumber)).
+		Msg("lameduck")
+}
+
+// drainOrRestore drains an endpoint by hand or restores it; listed tells that somebody has it.
+func (loop *eventLoop) drainOrRestore(r admin.Request, listed bool) admin.Response {
+	result, change := applyDrainRequest(loop.operators.drains, r, listed)
+	if change == drains.Unchanged {
+		return drainResponse(r, result)
+	}
+	if err := keepOut(loop.config.Folder, loop.operators.drains.IDs()); err != nil {
+		loop.operators.drains = drains.New(readOut(loop.config.Folder))
+		return notSaved(err)
+	}
+	loop.telemetry.log.Info().Str("target", r.Name).Bool("out", change == drains.Drained).
+		Int("out_by_hand", loop.operators.drains.Len()).Msg("target by hand")
+	if t := loop.endpoints.byUID[r.Name]; t != nil {
+		update := t.update
+		update.State = loop.operators.drains.State(t.uid, update.State)
+		update.WarmingUp = change == drains.Restored
+		// Before this turn's Reconcile: nothing new goes to the endpoint from here on.
+		loop.scheduler.UpdateEndpoints(false, []scheduler.EndpointUpdate{update})
+	}
+	return drainResponse(r, result)
+}
+
+// applyDrainRequest drains or restores an endpoint in a set of drained ones.
+func applyDrainRequest(set *drains.Set, r admin.Request, listed bool) (drains.Result, drains.Change) {
+	if r.Operation == admin.Attach {
+		return set.Restore(r.Name, listed)
+	}
+	return set.Drain(r.Name, listed)
+}
+
+// notSaved is the response to a request whose effect could not be saved in the folder.
+func notSaved(err error) admin.Response {
+	return admin.Response{Status: http.StatusInternalServerError, Text: "not kept in the folder: " + err.Error()}
+}
+
+// drainResponse is the response to a request to drain or restore an endpoint.
+func drainResponse(r admin.Request, result drains.Result) admin.Response {
+	switch result {
+	case drains.Accepted:
+		return admin.Response{OK: true, Text: r.Operation.String() + " " + r.Name}
+	case drains.Unknown:
+		return admin.Response{Status: http.StatusNotFound, Text: "name: " + result.String()}
+	}
+	return admin.Response{Status: http.StatusBadRequest, Text: "name: " + result.String()}
+}
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -8,80 +8,84 @@
 	"spanflow/transport"
 )
 
-// begin gives the scheduler the known list and what an earlier process owed.
-func (o *owner) begin(now time.Time) {
-	o.f = scheduler.New(o.order.Scheduler, o.order.Seed, o.clock(now), o)
-	if o.order.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the waits
-		o.waits = readWaits(o.order.Folder, o.clock(now))
-	}
-	if o.learnt = readLearnt(o.order.Folder, o.order.shape(), &o.log); len(o.learnt) > 0 {
-		o.log.Info().Int("destinations", len(o.learnt)).Msg("learnt figures taken up")
-	}
-	o.listed(&o.order.LastEndpoints, true)
-	o.emptyTray()
-	owed := o.ledger.Pending()
-	overtaking := o.resolve()
+// recoverState gives the scheduler the known list of endpoints and what an earlier process owed.
+func (loop *eventLoop) recoverState(now time.Time) {
+	loop.scheduler = scheduler.New(loop.config.Scheduler, loop.config.Seed, loop.schedulerTime(now), loop)
+	loop.readLearnedState(now)
+	loop.updateEndpoints(&loop.config.LastEndpoints, true)
+	loop.runSpooledCommands()
+	owed := loop.wal.Pending()
+	overtaking := loop.restoreBacklog()
 	for _, e := range owed {
-		o.recover(e, now, overtaking[e.Seq])
+		loop.recoverMessage(e, now, overtaking[e.Seq])
 	}
-	o.f.Reconcile()
-	o.flush()
+	loop.scheduler.Reconcile()
+	loop.calls.send()
 }
 
-// recover takes up a message that an earlier process owed. One that would overtake stored ones is answered without a
-// call.
-func (o *owner) recover(e *wal.Entry, now time.Time, overtaking bool) {
-	typ, known := o.types[e.Type]
+// readLearnedState reads what an earlier process has learned of endpoints and destinations, for when they are heard of.
+func (loop *eventLoop) readLearnedState(now time.Time) {
+	config, log := loop.config, &loop.telemetry.log
+	if config.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the waits
+		loop.endpoints.restoredRetryAfter = readWaits(config.Folder, loop.schedulerTime(now))
+	}
+	loop.endpoints.restoredLatencies = readLearnt(config.Folder, config.shape(), log)
+	if destinations := len(loop.endpoints.restoredLatencies); destinations > 0 {
+		log.Info().Int("destinations", destinations).Msg("learnt figures taken up")
+	}
+}
+
+// recoverMessage takes up a message that an earlier process owed. One that would overtake stored ones is answered
+// without a call.
+func (loop *eventLoop) recoverMessage(e *wal.Entry, now time.Time, overtaking bool) {
+	typ, known := loop.messages.types[e.Type]
 	if !known {
-		o.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("recovered document of an unknown type")
+		loop.telemetry.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("recovered document of an unknown type")
 		typ = 0
 	}
-	past := o.pastOf(e)
-	p := o.paper(e, typ)
+	recovered := loop.recoveredAttempts(e)
+	m := loop.track(e, typ)
 	switch {
 	case e.CallerWaits: // its caller's connection died with that process: told to nobody
-		o.counts.withdrawn++
+		loop.telemetry.counts.withdrawn++
 	case e.Answer == wal.Rejected:
-		o.tell(p, transport.Rejected, e.RetryAfter)
+		loop.sendFinalAnswer(m, transport.Rejected, e.RetryAfter)
 	case e.Answer == wal.Failed:
-		o.tell(p, transport.Failed, 0)
+		loop.sendFinalAnswer(m, transport.Failed, 0)
 	}
-	left := float64(e.Expiry)/1e6 - o.clock(now)
-	if overtaking && !past.Answered && !past.CallerGone {
-		o.f.GiveUp(p.doc, typ, left, past)
+	secondsLeft := float64(e.Expiry)/1e6 - loop.schedulerTime(now)
+	if overtaking && !recovered.Answered && !recovered.CallerGone {
+		loop.scheduler.GiveUp(m.scheduled, typ, secondsLeft, recovered)
 	} else {
-		o.f.Recover(p.doc, typ, left, past)
-		o.uncountWindow(p)
+		loop.scheduler.Recover(m.scheduled, typ, secondsLeft, recovered)
+		loop.discountWindow(m)
 	}
-	if !past.Answered {
-		o.inMemory(p)
+	if !recovered.Answered {
+		loop.noteInMemory(m)
 	}
-	o.counts.recovered++
-	if p.untried = past.Attempts == 0 && !past.Answered && !past.CallerGone; p.untried {
-		if o.figures.untried++; left <= 0 {
-			o.figures.expired++
-		}
-		o.untried++
+	loop.telemetry.counts.recovered++
+	if recovered.Attempts == 0 && !recovered.Answered && !recovered.CallerGone {
+		loop.noteUntried(m, secondsLeft)
 	}
-	if p.withdrawn = e.CallerWaits; p.withdrawn {
-		o.removeIfDone(p)
+	if m.withdrawn = e.CallerWaits; m.withdrawn {
+		loop.removeIfFinished(m)
 	}
 }
 
-// uncountWindow takes a message off what its destination is asked for where a store is used: windows of many
+// discountWindow takes a message off what its destination is asked for where a backlog store is used: windows of many
 // destinations that are out, found by a start, are no demand of its first seconds, by which each would be tried often.
-func (o *owner) uncountWindow(p *paper) {
-	if o.stored != nil {
-		o.f.Uncount(p.doc.Dest)
+func (loop *eventLoop) discountWindow(m *trackedMessage) {
+	if loop.backlog != nil {
+		loop.scheduler.Uncount(m.scheduled.Dest)
 	}
 }
 
-// pastOf is what the scheduler is told of a message's earlier attempts. One that was out when that process ended
-// counts as ended with it, and may have run.
-func (o *owner) pastOf(e *wal.Entry) scheduler.RecoveredState {
+// recoveredAttempts is what the scheduler is told of a message's earlier attempts. One that was out when that process
+// ended counts as ended with it, and may have run.
+func (loop *eventLoop) recoveredAttempts(e *wal.Entry) scheduler.RecoveredState {
 	if e.AttemptBegan > 0 {
-		if err := o.ledger.RecordAttemptEnd(e.Seq, true); err != nil {
-			o.logLedgerError(err)
+		if err := loop.wal.RecordAttemptEnd(e.Seq, true); err != nil {
+			loop.logWALError(err)
 		}
 	}
 	return scheduler.RecoveredState{
@@ -93,20 +97,31 @@
 	}
 }
 
-// noLongerUntried takes a message that a restart found untried off the count of those that are: it was called, or has
-// ended without. With the last of them a line says how many were.
-func (o *owner) noLongerUntried(p *paper, called bool) {
-	if !p.untried {
+// noteUntried counts a message that the start found untried.
+func (loop *eventLoop) noteUntried(m *trackedMessage, secondsLeft float64) {
+	m.untried = true
+	loop.messages.untried++
+	loop.telemetry.figures.untried++
+	if secondsLeft <= 0 {
+		loop.telemetry.figures.expired++
+	}
+}
+
+// noteTried takes a message that the start found untried off the count of those that are: it was called, or has ended
+// without. With the last of them a line says how many were.
+func (loop *eventLoop) noteTried(m *trackedMessage, called bool) {
+	if !m.untried {
 		return
 	}
-	p.untried = false
-	o.untried--
+	m.untried = false
+	loop.messages.untried--
+	f := &loop.telemetry.figures
 	if called {
-		o.figures.called++
+		f.called++
 	}
-	if o.untried == 0 {
-		o.log.Info().Int("recovered", o.counts.recovered).Int("untried", o.figures.untried).Int("called", o.figures.called).
-			Int("uncalled", o.figures.untried-o.figures.called).Int("expired_before", o.figures.expired).
+	if loop.messages.untried == 0 {
+		loop.telemetry.log.Info().Int("recovered", loop.telemetry.counts.recovered).Int("untried", f.untried).
+			Int("called", f.called).Int("uncalled", f.untried-f.called).Int("expired_before", f.expired).
 			Msg("recovered documents settled")
 	}
 }
--- a/forwarder/reread.go
+++ b/forwarder/reread.go
@@ -83,27 +83,27 @@
 
 // reread takes up what may change while the forwarder runs, all of it or nothing. Reason an order that cannot be read or
 // carried out says counts for nothing; what else it changes waits for the next start.
-func (o *owner) reread() {
-	if o.order.Reload == nil {
+func (loop *eventLoop) reload() {
+	if loop.config.Reload == nil {
 		return
 	}
-	next, err := o.order.Reload()
+	next, err := loop.config.Reload()
 	if err == nil {
-		err = o.takeUp(next)
+		err = loop.applyConfig(next)
 	}
 	if err != nil {
-		o.figures.invalid++
-		o.log.Error().Str("why", err.Error()).Msg("order not taken up")
+		loop.telemetry.figures.invalid++
+		loop.telemetry.log.Error().Str("why", err.Error()).Msg("order not taken up")
 		return
 	}
-	o.figures.accepted++
+	loop.telemetry.figures.accepted++
 }
 
-func (o *owner) takeUp(next *Config) error {
-	was := o.order
+func (loop *eventLoop) applyConfig(next *Config) error {
+	was := loop.config
 	asked := *next // as read: what the event loop has added to its own terms does not count as a change
 	now := *was
-	now.Scheduler = o.asRead
+	now.Scheduler = loop.configuredScheduler
 	changed := map[string]bool{}
 	var later []string
 	for _, p := range ConfigParts {
@@ -120,16 +120,16 @@
 	if changed["notices"] && (was.toldNotices == "") != (next.toldNotices == "") {
 		return fmt.Errorf("discovery.notices: an address beside discovery's comes and goes only at a start")
 	}
-	resized := changed["backlog"] && o.stored != nil && next.Backlog != nil
+	resized := changed["backlog"] && loop.backlog != nil && next.Backlog != nil
 	if resized { // this and the frontends first, as they can fail
-		if err := o.setBacklogBounds(next.Backlog); err != nil {
+		if err := loop.setBacklogBounds(next.Backlog); err != nil {
 			return err
 		}
 	}
 	if changed["listen"] {
-		if err := o.move(next.Frontends); err != nil {
+		if err := loop.replaceFrontends(next.Frontends); err != nil {
 			if resized {
-				err = errors.Join(err, o.setBacklogBounds(was.Backlog))
+				err = errors.Join(err, loop.setBacklogBounds(was.Backlog))
 			}
 			return err
 		}
@@ -140,28 +140,28 @@
 	}
 	if changed["discovery"] { // else a variable at the start may have gone before it
 		was.told, was.Discovery = next.told, next.told
-		if o.moves != nil {
-			o.moves.Reconfigure(was.Discovery, o.rev)
+		if loop.discovery.movable != nil {
+			loop.discovery.movable.Reconfigure(was.Discovery, loop.discovery.revision)
 		}
 	}
 	if changed["notices"] {
 		was.toldNotices = next.toldNotices
-		o.notices.Reconfigure(was.toldNotices, 0)
+		loop.notices.movable.Reconfigure(was.toldNotices, 0)
 	}
-	if changed["targets"] && o.own != nil {
+	if changed["targets"] && loop.discovery.static != nil {
 		was.StaticEndpoints = next.StaticEndpoints
-		o.own.list = *next.StaticEndpoints
-		o.own.list.Revision = o.rev + 1
-		o.own.Watch(0)
+		loop.discovery.static.list = *next.StaticEndpoints
+		loop.discovery.static.list.Revision = loop.discovery.revision + 1
+		loop.discovery.static.Watch(0)
 	}
 	if changed["log"] {
 		was.Log = next.Log
-		o.log = was.Log.to(o.logTo, was.Name)
-		o.trace = newTrace(was.Log)
+		loop.telemetry.log = was.Log.to(loop.telemetry.output, was.Name)
+		loop.telemetry.trace = newTrace(was.Log)
 	}
-	e := o.log.Info().Str("discovery", was.Discovery).Strs("at_next_start", later)
+	e := loop.telemetry.log.Info().Str("discovery", was.Discovery).Strs("at_next_start", later)
 	if changed["listen"] {
-		e = e.Strs("listen", o.addresses())
+		e = e.Strs("listen", loop.frontendAddresses())
 	}
 	e.Msg("order taken up")
 	return nil
@@ -170,13 +170,13 @@
 // move puts other frontends in the place of those that there are. A frontend that stays as it was is left alone; one
 // that goes takes no new connections, and each of its callers is answered before its connection ends. The new ones open
 // first: if one cannot, nothing has changed.
-func (o *owner) move(fronts []Frontend) error {
-	most, err := shares(fronts, MaxClients(o.order.Sockets))
+func (loop *eventLoop) replaceFrontends(fronts []Frontend) error {
+	most, err := shares(fronts, MaxClients(loop.config.Sockets))
 	if err != nil {
 		return err
 	}
 	var stay, leave []*listener
-	for _, l := range o.fronts {
+	for _, l := range loop.frontends.open {
 		if slices.Contains(fronts, l.terms) {
 			stay = append(stay, l)
 		} else {
@@ -196,7 +196,7 @@
 		}
 		fresh, bounds = append(fresh, f), append(bounds, most[i])
 	}
-	opened, err := o.open(fresh, bounds)
+	opened, err := loop.openFrontends(fresh, bounds)
 	if err != nil {
 		return err
 	}
@@ -204,26 +204,26 @@
 		l.StopAccepting()
 		l.Drain()
 	}
-	o.fronts, o.leaving = append(stay, opened...), append(o.leaving, leave...)
+	loop.frontends.open, loop.frontends.leaving = append(stay, opened...), append(loop.frontends.leaving, leave...)
 	return nil
 }
 
 // gone ends the frontends that have gone from the order once their callers have.
-func (o *owner) gone() {
-	kept := o.leaving[:0]
-	for _, l := range o.leaving {
+func (loop *eventLoop) closeLeftFrontends() {
+	kept := loop.frontends.leaving[:0]
+	for _, l := range loop.frontends.leaving {
 		if l.Clients() > 0 {
 			kept = append(kept, l)
 			continue
 		}
-		o.close(l)
+		loop.closeFrontend(l)
 	}
-	o.leaving = kept
+	loop.frontends.leaving = kept
 }
 
-func (o *owner) addresses() []string {
+func (loop *eventLoop) frontendAddresses() []string {
 	var all []string
-	for _, l := range o.fronts {
+	for _, l := range loop.frontends.open {
 		all = append(all, l.Addr())
 	}
 	return all
--- /dev/null
+++ b/forwarder/run.go
@@ -0,0 +1,77 @@
+package forwarder
+
+import (
+	"context"
+	"os"
+	"time"
+
+	"spanflow/internal/dial"
+)
+
+const (
+	countsEvery    = 10 * time.Second // between two lines with the counts
+	latenciesEvery = 3 * time.Second  // between two writes of the learned latencies
+)
+
+// run takes a turn whenever there is something to do, until the process may end. reload asks for the configuration to
+// be read again.
+func (loop *eventLoop) run(ctx context.Context, reload <-chan os.Signal, dialer *dial.Dialer) {
+	timer := time.NewTimer(0)
+	counts := time.NewTicker(countsEvery)
+	defer counts.Stop()
+	latencies := time.NewTicker(latenciesEvery)
+	defer latencies.Stop()
+	var spool <-chan time.Time
+	if loop.config.InheritedListener > 0 { // a process that replaces this one may wait and be called
+		ticker := time.NewTicker(trayEvery)
+		defer ticker.Stop()
+		spool = ticker.C
+	}
+	end := &loop.shutdown
+	end.requested = ctx.Done()
+	for {
+		loop.setTimer(timer)
+		select {
+		case <-loop.queue.wakeups:
+		case <-timer.C:
+		case <-counts.C:
+			loop.setBacklogAges()
+			loop.logCounts(dialer)
+			continue
+		case <-latencies.C:
+			loop.saveLatencies()
+			continue
+		case <-spool:
+			// What is called once this process hands over, its successor takes up.
+			if end.handingOver || !loop.runSpooledCommands() {
+				continue
+			}
+		case <-reload:
+			loop.reload()
+			continue
+		case <-end.requested:
+			loop.beginShutdown()
+		case <-end.drain:
+			loop.drainFrontends()
+		case <-end.poll: // if the clients have gone
+		case <-end.deadline:
+			return
+		}
+		if loop.turnUntilDone() {
+			return
+		}
+	}
+}
+
+// setTimer has the timer fire when the scheduler's does or the backlog store is to be looked at.
+func (loop *eventLoop) setTimer(timer *time.Timer) {
+	at := loop.wakeAt
+	if loop.backlog != nil && !loop.backlog.wakeAt.IsZero() && (at.IsZero() || loop.backlog.wakeAt.Before(at)) {
+		at = loop.backlog.wakeAt
+	}
+	if at.IsZero() {
+		timer.Stop()
+	} else {
+		timer.Reset(time.Until(at))
+	}
+}
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -71,16 +71,16 @@
 				avoided++
 			}
 		}
-		return admin.Response{OK: true, Text: (&figures{}).write(s.types, 0, len(s.known), avoided)}, true
+		return admin.Response{OK: true, Text: (&figures{}).write(s.types, gaugeFigures{listed: len(s.known), avoided: avoided})}, true
 	}
 	_, listed := s.known[c.Name]
-	verdict, change := call(s.out(), c, listed)
+	verdict, change := applyDrainRequest(s.out(), c, listed)
 	if change != drains.Unchanged {
 		if err := lay(s.folder, c); err != nil {
-			return notKept(err), true
+			return notSaved(err), true
 		}
 	}
-	return answerOf(c, verdict), true
+	return drainResponse(c, verdict), true
 }
 
 // out is the set of endpoints out by hand as it is once the tray is taken up.
@@ -88,7 +88,7 @@
 	r := drains.New(readOut(s.folder))
 	for _, name := range trayNames(s.folder) {
 		if c, err := trayCall(s.folder, name); err == nil {
-			call(r, c, true)
+			applyDrainRequest(r, c, true)
 		}
 	}
 	return r
@@ -152,20 +152,20 @@
 }
 
 // emptyTray carries out the calls in the tray and tells if there were any.
-func (o *owner) emptyTray() bool {
-	names := trayNames(o.order.Folder)
+func (loop *eventLoop) runSpooledCommands() bool {
+	names := trayNames(loop.config.Folder)
 	for _, name := range names {
-		c, err := trayCall(o.order.Folder, name)
+		c, err := trayCall(loop.config.Folder, name)
 		if err == nil {
-			if a := o.byHand(c, true); !a.OK { // not kept: it stays for the next look
-				o.log.Error().Str("target", c.Name).Str("why", a.Text).Msg("call in the tray not taken up")
+			if a := loop.drainOrRestore(c, true); !a.OK { // not kept: it stays for the next look
+				loop.telemetry.log.Error().Str("target", c.Name).Str("why", a.Text).Msg("call in the tray not taken up")
 				return true
 			}
-		} else if o.mayLog("tray") {
-			o.log.Error().Err(err).Msg("call in the tray passed over")
+		} else if loop.telemetry.mayLog("tray") {
+			loop.telemetry.log.Error().Err(err).Msg("call in the tray passed over")
 		}
-		if err := os.Remove(filepath.Join(o.order.Folder, trayDir, name)); err != nil && o.mayLog("tray") {
-			o.log.Error().Err(err).Msg("call in the tray not removed")
+		if err := os.Remove(filepath.Join(loop.config.Folder, trayDir, name)); err != nil && loop.telemetry.mayLog("tray") {
+			loop.telemetry.log.Error().Err(err).Msg("call in the tray not removed")
 		}
 	}
 	return len(names) > 0
--- a/forwarder/waits.go
+++ b/forwarder/waits.go
@@ -18,15 +18,15 @@
 )
 
 // keepWaits writes the waits that go beyond now, in seconds of the wall clock, one endpoint a line.
-func (o *owner) keepWaits(now float64) {
+func (loop *eventLoop) saveRetryAfter(now float64) {
 	var b strings.Builder
-	for _, t := range o.targets {
-		if until := t.module.BlockedUntil(); until > now {
+	for _, t := range loop.endpoints.byNumber {
+		if until := t.scheduled.BlockedUntil(); until > now {
 			fmt.Fprintf(&b, "%s %.3f\n", t.uid, until)
 		}
 	}
-	if err := writeWhole(o.order.Folder, waitsFile, b.String()); err != nil {
-		o.log.Error().Err(err).Msg("waits not kept")
+	if err := writeWhole(loop.config.Folder, waitsFile, b.String()); err != nil {
+		loop.telemetry.log.Error().Err(err).Msg("waits not kept")
 	}
 }
 
@@ -48,14 +48,14 @@
 }
 
 // heedWaits tells the scheduler the waits of an earlier process for the endpoints that are listed by now.
-func (o *owner) heedWaits() {
-	now := o.clock(time.Now())
-	for uid, until := range o.waits {
+func (loop *eventLoop) restoreRetryAfter() {
+	now := loop.schedulerTime(time.Now())
+	for uid, until := range loop.endpoints.restoredRetryAfter {
 		if until < now {
-			delete(o.waits, uid)
-		} else if t := o.byUID[uid]; t != nil {
-			o.f.BlockUntil(t.module, until)
-			delete(o.waits, uid)
+			delete(loop.endpoints.restoredRetryAfter, uid)
+		} else if t := loop.endpoints.byUID[uid]; t != nil {
+			loop.scheduler.BlockUntil(t.scheduled, until)
+			delete(loop.endpoints.restoredRetryAfter, uid)
 		}
 	}
 }
--- a/forwarder/wiring.go
+++ b/forwarder/wiring.go
@@ -125,7 +125,7 @@
 type listener struct {
 	terms Frontend
 	transport.Frontend
-	gate *gate
+	gate *admissionQueue
 }
 
 // label is how the write-ahead log names a frontend. The platform's own has no name there, as in folders of earlier
@@ -138,15 +138,15 @@
 }
 
 // open opens frontends with so many connections at most each, all or none.
-func (o *owner) open(fronts []Frontend, most []int) ([]*listener, error) {
+func (loop *eventLoop) openFrontends(fronts []Frontend, most []int) ([]*listener, error) {
 	var open []*listener
 	for i, f := range fronts {
-		g := o.exchange.gate(f.Name, f.label(), f.Waiting, f.WaitingBytes)
-		front, err := o.order.protocol(f.Protocol)(f, most[i], g)
+		g := loop.queue.newAdmissionQueue(f.Name, f.label(), f.Waiting, f.WaitingBytes)
+		front, err := loop.config.protocol(f.Protocol)(f, most[i], g)
 		if err != nil {
-			o.exchange.shutGate(g)
+			g.close()
 			for _, l := range open {
-				o.close(l)
+				loop.closeFrontend(l)
 			}
 			return nil, fmt.Errorf("listen: %w", err)
 		}
@@ -156,25 +156,25 @@
 }
 
 // openFronts opens the order's frontends.
-func (o *owner) openFronts() error {
-	most, err := shares(o.order.Frontends, MaxClients(o.order.Sockets))
+func (loop *eventLoop) openConfiguredFrontends() error {
+	most, err := shares(loop.config.Frontends, MaxClients(loop.config.Sockets))
 	if err != nil {
 		return err
 	}
-	o.fronts, err = o.open(o.order.Frontends, most)
+	loop.frontends.open, err = loop.openFrontends(loop.config.Frontends, most)
 	return err
 }
 
 // closeFronts closes all frontends, also those that have gone from the order.
-func (o *owner) closeFronts() {
-	for _, l := range append(o.fronts, o.leaving...) {
-		o.close(l)
+func (loop *eventLoop) closeAllFrontends() {
+	for _, l := range append(loop.frontends.open, loop.frontends.leaving...) {
+		loop.closeFrontend(l)
 	}
 }
 
-func (o *owner) close(l *listener) {
+func (loop *eventLoop) closeFrontend(l *listener) {
 	l.Stop()
-	o.exchange.shutGate(l.gate)
+	l.gate.close()
 }
 
 // static is a list that an order has itself: nothing is watched.
