--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -22,6 +22,7 @@
 	"spanflow/internal/admin"
 	"spanflow/internal/dial"
 	"spanflow/internal/drains"
+	"spanflow/internal/statefile"
 	"spanflow/internal/wal"
 )
 
@@ -83,7 +84,7 @@
 	config.askForList()
 	loop := newEventLoop(config, log, queue)
 	loop.configuredScheduler, loop.wal, loop.telemetry.output = configured, walLog, logTo
-	loop.operators = operatorState{requests: requests, drains: drains.New(readOut(config.Folder))}
+	loop.operators = operatorState{requests: requests, drains: drains.New(statefile.ReadDrains(config.Folder))}
 	return loop.serve(ctx, reload, dialer, ready)
 }
 
@@ -120,8 +121,8 @@
 	}
 	loop.run(ctx, reload, dialer)
 	loop.answerRemaining()
-	loop.saveRetryAfter(loop.schedulerTime(time.Now()))
-	loop.saveLatencies()
+	loop.writeRetryAfter(loop.schedulerTime(time.Now()))
+	loop.writeLatencies()
 	loop.telemetry.counts.write(log.Info()).Int("owed", len(loop.wal.Pending())).Msg("end")
 	return nil
 }
--- a/forwarder/learnt_test.go
+++ b/forwarder/learned_latencies_test.go
@@ -11,6 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spanflow/internal/settings"
+	"spanflow/internal/statefile"
 	"spanflow/scheduler"
 )
 
@@ -26,55 +27,58 @@
 func (silentHost) WatchEndpoints()                                       {}
 func (silentHost) Log(string)                                            {}
 
-// learning is an owner with a module and a folder, no sockets.
-func learning(folder string) (*eventLoop, *bytes.Buffer) {
-	var said bytes.Buffer
+// latencyOwner is an event loop with a scheduler and a folder, without sockets, and what it logs.
+func latencyOwner(folder string) (*eventLoop, *bytes.Buffer) {
+	var logged bytes.Buffer
 	order := &Config{Folder: folder, Names: settings.Names{Types: []string{"new-order"}, Kinds: []string{"large"}}}
 	order.Scheduler = scheduler.Settings{Types: []scheduler.MessageType{{LatencyObjective: 3, TimeToLive: 16}}, Forwarders: 200, ConcurrencyLimit: 3, QueueCapacity: 19}
-	o := &eventLoop{config: order, telemetry: telemetry{log: zerolog.New(&said)}, endpoints: newEndpointTable()}
+	o := &eventLoop{config: order, telemetry: telemetry{log: zerolog.New(&logged)}, endpoints: newEndpointTable()}
 	o.endpoints.sweepAt = minSweep
 	o.scheduler = scheduler.New(order.Scheduler, 7, 100, silentHost{})
-	o.endpoints.restoredLatencies = readLearnt(folder, order.shape(), &o.telemetry.log)
-	return o, &said
+	o.endpoints.restoredLatencies = readLatencies(folder, order.latencyDeployment(), &o.telemetry.log)
+	return o, &logged
 }
 
-func TestCallTimesOutlastARestartAndWhatIsMalformedIsPassedOver(t *testing.T) {
+func TestLatenciesOutlastRestartAndUnusableFileIsIgnored(t *testing.T) {
 	folder := t.TempDir()
-	old, _ := learning(folder)
+	old, _ := latencyOwner(folder)
 	times := make([]float64, 16)
 	times[9] = 40
 	require.True(t, old.scheduler.RestoreLatencies(old.destination(7), times))
 	old.destination(8) // nothing was measured there
-	old.saveLatencies()
+	old.writeLatencies()
 
-	fresh, _ := learning(folder)
+	fresh, _ := latencyOwner(folder)
 	require.Len(t, fresh.endpoints.restoredLatencies, 1)
 	require.Equal(t, old.endpoints.destinations[7].Latencies(), fresh.destination(7).Latencies())
 	require.Empty(t, fresh.endpoints.restoredLatencies, "given once")
 	require.Nil(t, fresh.destination(8).Latencies())
 
-	unheard, _ := learning(folder) // a process that hears of no destination keeps what it was given
-	unheard.saveLatencies()
-	again, _ := learning(folder)
+	unheard, _ := latencyOwner(folder) // a process that hears of no destination keeps what it was given
+	unheard.writeLatencies()
+	again, _ := latencyOwner(folder)
 	require.Equal(t, old.endpoints.destinations[7].Latencies(), again.destination(7).Latencies())
 
-	file := filepath.Join(folder, learntFile)
+	file := filepath.Join(folder, statefile.LatenciesFile)
 	good, err := os.ReadFile(file)
 	require.NoError(t, err)
-	for why, text := range map[string]string{
-		"cut or spoilt":           strings.Replace(string(good), "7 ", "9 ", 1),
-		"cut or spoilt ":          string(good[:len(good)-3]),
-		"not of this form":        "something else",
-		"not of this form ":       "",
-		"of other types or kinds": strings.Replace(string(good), "new-order", "avisering", 1),
+	for _, unusable := range []struct {
+		text string
+		err  error
+	}{
+		{strings.Replace(string(good), "7 ", "9 ", 1), statefile.ErrLatenciesChecksum},
+		{string(good[:len(good)-3]), statefile.ErrLatenciesChecksum},
+		{"something else", statefile.ErrLatenciesFormat},
+		{"", statefile.ErrLatenciesFormat},
+		{strings.Replace(string(good), "new-order", "delivery-note", 1), statefile.ErrLatenciesDeployment},
 	} {
-		require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
-		o, said := learning(folder)
+		require.NoError(t, os.WriteFile(file, []byte(unusable.text), 0o600))
+		o, logged := latencyOwner(folder)
 		require.Empty(t, o.endpoints.restoredLatencies)
-		require.Contains(t, said.String(), strings.TrimSpace(why))
+		require.Contains(t, logged.String(), unusable.err.Error())
 	}
 	require.NoError(t, os.Remove(file))
-	o, said := learning(folder)
+	o, logged := latencyOwner(folder)
 	require.Empty(t, o.endpoints.restoredLatencies)
-	require.Empty(t, said.String(), "a first start is nothing to speak of")
+	require.Empty(t, logged.String(), "a first start logs nothing")
 }
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -15,7 +15,7 @@
 type messageTable struct {
 	byNumber       map[uint64]*trackedMessage // by their numbers in the write-ahead log
 	byID           map[string]*trackedMessage // the same, by the clients' ids
-	recentIDs      recentlySeen               // ids of messages that were removed
+	recentIDs      recentIDs                  // ids of messages that were removed
 	types          map[string]int             // numbers of the message types, by name
 	unknownOptions map[string]bool            // names that came with messages and were logged
 	untried        int                        // recovered messages for which no call has begun yet
@@ -25,7 +25,7 @@
 	table := messageTable{
 		byNumber:       map[uint64]*trackedMessage{},
 		byID:           map[string]*trackedMessage{},
-		recentIDs:      newRecentlySeen(),
+		recentIDs:      newRecentIDs(),
 		types:          map[string]int{},
 		unknownOptions: map[string]bool{},
 	}
--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -6,6 +6,7 @@
 
 	"spanflow/internal/admin"
 	"spanflow/internal/drains"
+	"spanflow/internal/statefile"
 	"spanflow/scheduler"
 )
 
@@ -34,7 +35,7 @@
 // takeOver has requests go to the event loop from here on. It reports whether clients are to be sent away.
 func (a *adminRequests) takeOver() (lameDuck bool) {
 	if s := a.standby.Load(); s != nil {
-		return s.leave()
+		return s.takeOver()
 	}
 	return false
 }
@@ -93,8 +94,8 @@
 	if change == drains.Unchanged {
 		return drainResponse(r, result)
 	}
-	if err := keepOut(loop.config.Folder, loop.operators.drains.IDs()); err != nil {
-		loop.operators.drains = drains.New(readOut(loop.config.Folder))
+	if err := statefile.WriteDrains(loop.config.Folder, loop.operators.drains.IDs()); err != nil {
+		loop.operators.drains = drains.New(statefile.ReadDrains(loop.config.Folder))
 		return notSaved(err)
 	}
 	loop.telemetry.log.Info().Str("target", r.Name).Bool("out", change == drains.Drained).
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"spanflow/internal/statefile"
 	"spanflow/internal/wal"
 	"spanflow/scheduler"
 	"spanflow/transport"
@@ -26,12 +27,12 @@
 // readLearnedState reads what an earlier process has learned of endpoints and destinations, for when they are heard of.
 func (loop *eventLoop) readLearnedState(now time.Time) {
 	config, log := loop.config, &loop.telemetry.log
-	if config.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends the waits
-		loop.endpoints.restoredRetryAfter = readWaits(config.Folder, loop.schedulerTime(now))
+	if config.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends it
+		loop.endpoints.restoredRetryAfter = statefile.ReadRetryAfter(config.Folder, loop.schedulerTime(now))
 	}
-	loop.endpoints.restoredLatencies = readLearnt(config.Folder, config.shape(), log)
+	loop.endpoints.restoredLatencies = readLatencies(config.Folder, config.latencyDeployment(), log)
 	if destinations := len(loop.endpoints.restoredLatencies); destinations > 0 {
-		log.Info().Int("destinations", destinations).Msg("learnt figures taken up")
+		log.Info().Int("destinations", destinations).Msg("learned latencies restored")
 	}
 }
 
--- /dev/null
+++ b/forwarder/retry_after.go
@@ -0,0 +1,37 @@
+package forwarder
+
+import (
+	"time"
+
+	"spanflow/internal/statefile"
+)
+
+// The retry-after state says until when each endpoint gets no calls: for a Retry-After of its own, or as a backoff after
+// rejections. It is kept at the end of a process, and the process that takes over the folder observes it. Guards against
+// an upgrade that sends to an endpoint which told the old process to wait; the two are one forwarder to it.
+
+// writeRetryAfter writes the state of the endpoints that are blocked beyond now, in seconds of the wall clock.
+func (loop *eventLoop) writeRetryAfter(now float64) {
+	var table statefile.RetryAfterTable
+	for _, t := range loop.endpoints.byNumber {
+		if until := t.scheduled.BlockedUntil(); until > now {
+			table.Add(t.uid, until)
+		}
+	}
+	if err := table.Write(loop.config.Folder); err != nil {
+		loop.telemetry.log.Error().Err(err).Msg("retry-after state not written")
+	}
+}
+
+// restoreRetryAfter gives the scheduler the state that an earlier process left for the endpoints that are listed by now.
+func (loop *eventLoop) restoreRetryAfter() {
+	now := loop.schedulerTime(time.Now())
+	for uid, until := range loop.endpoints.restoredRetryAfter {
+		if until < now {
+			delete(loop.endpoints.restoredRetryAfter, uid)
+		} else if t := loop.endpoints.byUID[uid]; t != nil {
+			loop.scheduler.BlockUntil(t.scheduled, until)
+			delete(loop.endpoints.restoredRetryAfter, uid)
+		}
+	}
+}
--- a/forwarder/run.go
+++ b/forwarder/run.go
@@ -23,7 +23,7 @@
 	defer latencies.Stop()
 	var spool <-chan time.Time
 	if loop.config.InheritedListener > 0 { // a process that replaces this one may wait and be called
-		ticker := time.NewTicker(trayEvery)
+		ticker := time.NewTicker(spoolPollInterval)
 		defer ticker.Stop()
 		spool = ticker.C
 	}
@@ -39,7 +39,7 @@
 			loop.logCounts(dialer)
 			continue
 		case <-latencies.C:
-			loop.saveLatencies()
+			loop.writeLatencies()
 			continue
 		case <-spool:
 			// What is called once this process hands over, its successor takes up.
