--- a/forwarder/calls.go
+++ b/forwarder/calls.go
@@ -92,7 +92,7 @@
 		if loop.calls.upstreams[u.Name] != nil { // the configuration's own in place of the default
 			continue
 		}
-		open := config.carriage(u.Protocol)
+		open := config.upstreamProtocol(u.Protocol)
 		if open == nil {
 			return fmt.Errorf("outlets: %s: unknown protocol %q", u.Name, u.Protocol)
 		}
@@ -107,14 +107,14 @@
 }
 
 // upstreamSettings is what an upstream is told.
-func (o *Config) upstreamSettings(u Upstream, connectTimeout time.Duration) UpstreamSettings {
+func (c *Config) upstreamSettings(u Upstream, connectTimeout time.Duration) UpstreamSettings {
 	if u.Connect > 0 {
 		connectTimeout = time.Duration(u.Connect * float64(time.Second))
 	}
 	return UpstreamSettings{
 		Connect:            connectTimeout,
-		KeepIdle:           time.Duration(o.Scheduler.KeepIdle() * float64(time.Second)),
-		ReportedLimitField: o.Names.LimitField,
-		ReportedShareField: o.Names.ShareField,
+		KeepIdle:           time.Duration(c.Scheduler.KeepIdle() * float64(time.Second)),
+		ReportedLimitField: c.Names.LimitField,
+		ReportedShareField: c.Names.ShareField,
 	}
 }
--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -12,7 +12,7 @@
 type discoveryState struct {
 	source       transport.EndpointSource
 	movable      transport.Reconfigurable // the source, if it is discovery
-	static       *static                  // the source, if it is a list of the configuration
+	static       *staticEndpoints         // the source, if it is a list of the configuration
 	revision     int64                    // of the list at hand
 	listReceived bool                     // discovery has told its list since the start
 }
@@ -24,19 +24,19 @@
 		client := discovery.New(dialer, config.Discovery, connectTimeout, loop.queue)
 		client.MaxLineBytes = config.ListBytes
 		loop.discovery.source, loop.discovery.movable = client, client
-		if config.toldNotices == "" {
+		if config.noticeAddress == "" {
 			loop.notices.notifier = client
 		}
 	} else {
-		loop.discovery.static = &static{board: loop.queue}
+		loop.discovery.static = &staticEndpoints{listener: loop.queue}
 		if config.StaticEndpoints != nil {
 			loop.discovery.static.list = *config.StaticEndpoints
 		}
 		config.LastEndpoints = loop.discovery.static.list
 		loop.discovery.source = loop.discovery.static
 	}
-	if config.toldNotices != "" {
-		client := discovery.New(dialer, config.toldNotices, connectTimeout, loop.queue)
+	if config.noticeAddress != "" {
+		client := discovery.New(dialer, config.noticeAddress, connectTimeout, loop.queue)
 		loop.notices.notifier, loop.notices.movable = client, client
 	}
 }
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -28,10 +28,10 @@
 
 // ApplyProcessLimits makes the whole process keep to the configuration's limits, and its log lines bear times that a
 // person can read. A program with other work to do sets its own.
-func (o *Config) ApplyProcessLimits() {
+func (c *Config) ApplyProcessLimits() {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
-	runtime.GOMAXPROCS(max(1, int(o.Cores)))
-	debug.SetMemoryLimit(int64(o.MemoryMB) << 20 * 6 / 10)
+	runtime.GOMAXPROCS(max(1, int(c.Cores)))
+	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
 }
 
 // Run serves by a configuration until ctx ends, then finishes what it can in the time there is. At each signal on
@@ -73,7 +73,7 @@
 		return err
 	}
 	defer walLog.Close()
-	dialer, err := dial.New("outlet", (config.Sockets-descriptors)/3)
+	dialer, err := dial.New("outlet", (config.Sockets-reservedDescriptors)/3)
 	if err != nil {
 		return err
 	}
@@ -81,7 +81,7 @@
 
 	configured := config.Scheduler
 	config.Scheduler.MaxStoredBytes, config.Scheduler.AwaitAcknowledgement = walLog.Capacity(), true
-	config.askForList()
+	config.enableEndpointPolling()
 	loop := newEventLoop(config, log, queue)
 	loop.configuredScheduler, loop.wal, loop.telemetry.output = configured, walLog, logTo
 	loop.operators = operatorState{requests: requests, drains: drains.New(statefile.ReadDrains(config.Folder))}
@@ -110,7 +110,7 @@
 	if err := loop.openConfiguredFrontends(); err != nil {
 		return err
 	}
-	defer loop.closeAllFrontends()
+	defer loop.closeFrontends()
 	if lameDuck {
 		loop.setLameDuck(true)
 	}
@@ -131,7 +131,7 @@
 func openWAL(ctx context.Context, config *Config, log zerolog.Logger) (*wal.Log, error) {
 	wait := time.Duration(0)
 	if config.InheritedListener > 0 {
-		wait = handOverWait
+		wait = handOverTimeout
 		if pid := wal.LockHolder(config.Folder); pid != 0 {
 			log.Info().Int("pid", pid).Msg("waiting for the folder")
 		}
@@ -143,12 +143,6 @@
 	return walLog, nil
 }
 
-// askForList tells the scheduler that the list comes by a watch that is asked for, whatever discovery is like.
-func (o *Config) askForList() {
-	o.Scheduler.LocalAgent = !o.Scheduler.PollEndpoints && o.Discovery != ""
-	o.Scheduler.PollEndpoints = true
-}
-
 // openRecorder starts to serve the metrics, if the configuration asks for them.
 func (loop *eventLoop) openRecorder(dialer *dial.Dialer) error {
 	config := loop.config
@@ -176,7 +170,7 @@
 	for i, l := range loop.frontends.open {
 		name := "listen"
 		if i > 0 {
-			name += "_" + l.terms.Name
+			name += "_" + l.config.Name
 		}
 		e = e.Str(name, l.Addr())
 	}
--- a/forwarder/learned_latencies.go
+++ b/forwarder/learned_latencies.go
@@ -15,8 +15,8 @@
 
 // latencyDeployment names what learned latencies depend on: those at endpoints of other kinds, for other message types,
 // mean something else.
-func (o *Config) latencyDeployment() string {
-	return strconv.Quote(fmt.Sprint(o.Names.Kinds, o.Names.Types))
+func (c *Config) latencyDeployment() string {
+	return strconv.Quote(fmt.Sprint(c.Names.Kinds, c.Names.Types))
 }
 
 // writeLatencies writes the latencies measured at each destination, and those that an earlier process left for
--- a/forwarder/shutdown.go
+++ b/forwarder/shutdown.go
@@ -61,7 +61,7 @@
 		clients += l.Clients()
 	}
 	if len(loop.frontends.leaving) > 0 {
-		loop.closeLeftFrontends()
+		loop.closeDrainedFrontends()
 	}
 	done := loop.turn()
 	if end.handingOver && !end.handedOver && loop.scheduler.CallsInFlight() == 0 {
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -20,9 +20,9 @@
 	takenOver bool // the event loop answers from here on
 }
 
-func newStandby(o *Config) *standby {
-	s := &standby{folder: o.Folder, types: o.Names.Types, active: map[string]bool{}}
-	for _, t := range o.LastEndpoints.Endpoints {
+func newStandby(c *Config) *standby {
+	s := &standby{folder: c.Folder, types: c.Names.Types, active: map[string]bool{}}
+	for _, t := range c.LastEndpoints.Endpoints {
 		if t.State != stateLeft {
 			s.active[t.UID] = t.State == stateActive
 		}
