--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxRetryAfterMs   = 9_999_999   // told to a caller
-	firstListWithin   = time.Second // until discovery has told its list, most likely
-	maxUnknownOptions = 16          // unknown names that get a line
+	maxRetryAfterMs   = 9_999_999   // milliseconds that a caller can be told to wait
+	firstListWithin   = time.Second // after a start, until the first list from discovery has most likely come
+	maxUnknownOptions = 16          // unknown names that are logged
 )
 
-// handleRequest carries out what a caller wants.
+// handleRequest answers a caller's request.
 func (loop *eventLoop) handleRequest(r *request) {
 	switch {
-	case r.Ping && loop.operators.lameDuck: // clients are sent elsewhere: their frontend asks, and takes this for a no
+	case r.Ping && loop.operators.lameDuck: // clients are sent elsewhere: this tells their frontend so
 		r.From.Answer(invalid("lameduck: this forwarder is being emptied"))
 	case r.Ping:
 		r.From.Answer(transport.Reply{Status: transport.StatusAlive})
@@ -31,7 +31,7 @@
 	}
 }
 
-// handleSubmission answers a caller that hands a message in.
+// handleSubmission admits or refuses a submitted message and answers its caller.
 func (loop *eventLoop) handleSubmission(r *request) {
 	reply := loop.admit(r)
 	loop.telemetry.recorder.SubmissionAnswered(r.from.frontend, reply.Status)
@@ -43,8 +43,8 @@
 	}
 }
 
-// admit accepts a message, if the scheduler has room for it, and answers its caller then; any other answer is the
-// caller's of admit to give.
+// admit accepts a message if the scheduler has capacity for it, and answers its caller then. Where the reply is not
+// StatusAccepted the caller has had no answer yet.
 func (loop *eventLoop) admit(r *request) transport.Reply {
 	submission := r.Submission
 	typ, known := loop.messages.types[submission.Type]
@@ -54,7 +54,7 @@
 	if reply, ok := loop.checkSubmission(submission, typ); !ok {
 		return reply
 	}
-	if r.From.Disconnected() { // nobody hears the answer: whatever happened to it would count for nothing
+	if r.From.Disconnected() { // nobody reads the answer, so nothing may be owed
 		return transport.Reply{Status: transport.StatusOverloaded}
 	}
 	entry := loop.newEntry(r)
@@ -75,7 +75,7 @@
 	return transport.Reply{Status: transport.StatusAccepted}
 }
 
-// checkSubmission reports whether a message may be accepted for what it says; if not, reply is the answer.
+// checkSubmission validates a submission. If ok is false, reply is the answer to its caller.
 func (loop *eventLoop) checkSubmission(s *transport.Submission, typ int) (reply transport.Reply, ok bool) {
 	_, listed := loop.endpoints.destinations[s.Destination]
 	switch {
@@ -96,7 +96,7 @@
 	return transport.Reply{Status: transport.StatusInvalid, Reason: why}
 }
 
-// overloaded is the answer to what may be handed in again after so many seconds.
+// overloaded is the answer to a message that may be submitted again after so many seconds.
 func overloaded(retryAfter float64) transport.Reply {
 	return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(retryAfter*1000), maxRetryAfterMs)}
 }
@@ -119,7 +119,7 @@
 	}
 }
 
-// logUnknownOption logs a name that came with a message and is not known here, each once.
+// logUnknownOption logs the name of an option that came with a message and is not known, each name once.
 func (loop *eventLoop) logUnknownOption(name string) {
 	logged := loop.messages.unknownOptions
 	if name != "" && !logged[name] && len(logged) < maxUnknownOptions {
@@ -128,7 +128,7 @@
 	}
 }
 
-// accept gives the scheduler a message that the write-ahead log has, and answers its caller.
+// accept gives the scheduler a message that is in the write-ahead log, and answers its caller.
 func (loop *eventLoop) accept(r *request, entry *wal.Entry, typ int, secondsLeft float64) {
 	submission := r.Submission
 	m := loop.track(entry, typ)
@@ -138,7 +138,7 @@
 	loop.scheduler.Accept(m.scheduled, typ, secondsLeft)
 	loop.noteInMemory(m)
 	if !r.From.Answer(transport.Reply{Status: transport.StatusAccepted}) {
-		// Not heard: its caller hands it in again under another id.
+		// The caller is gone and will submit it again under another id.
 		loop.scheduler.Withdraw(m.scheduled)
 		loop.recordDone(m)
 		loop.removeIfFinished(m)
--- a/forwarder/admission_queue.go
+++ b/forwarder/admission_queue.go
@@ -14,16 +14,16 @@
 	defaultWaitingBytes = 4 << 20 // of message bodies
 )
 
-// admissionQueue is one frontend's part of the event queue, with bounds of its own. Guards against a frontend that
-// floods: it waits for room in its own queue, and the others' requests do not wait behind its own. It is the frontend's
-// transport.Submitter.
+// admissionQueue is one frontend's part of the event queue, with bounds of its own, and its transport.Submitter. Guards
+// against a frontend that floods: it waits until its own queue is no longer full, and the others' requests do not wait
+// behind its own.
 type admissionQueue struct {
 	queue        *eventQueue
 	frontend     string // its name
 	walName      string // the same as the write-ahead log has it
 	maxWaiting   int
 	maxBytes     int
-	room         sync.Cond // on the event queue's lock, which guards what follows
+	notFull      sync.Cond // on the event queue's lock, which guards what follows
 	waiting      []request
 	spare        []request // what the event loop is working on
 	waitingBytes int
@@ -39,7 +39,7 @@
 	if a.maxBytes <= 0 {
 		a.maxBytes = defaultWaitingBytes
 	}
-	a.room.L = &q.mu
+	a.notFull.L = &q.mu
 	q.mu.Lock()
 	q.admissions = append(q.admissions, a)
 	q.mu.Unlock()
@@ -55,16 +55,16 @@
 	if i := slices.Index(q.admissions, a); i >= 0 {
 		q.admissions = append(q.admissions[:i:i], q.admissions[i+1:]...)
 	}
-	a.room.Broadcast()
+	a.notFull.Broadcast()
 }
 
-// Submit adds what a caller wants. It blocks while too much of its frontend waits.
+// Submit adds a caller's request. It blocks while the queue is full.
 func (a *admissionQueue) Submit(r transport.Request) {
 	q := a.queue
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for !q.closed && !a.closed && (len(a.waiting) >= a.maxWaiting || a.waitingBytes >= a.maxBytes) {
-		a.room.Wait()
+		a.notFull.Wait()
 	}
 	if a.closed {
 		return
@@ -74,8 +74,8 @@
 	a.waiting = append(a.waiting, request{r, a})
 }
 
-// Withdraw says that the caller that waited for a message has gone.
-func (a *admissionQueue) Withdraw(id string) { a.queue.push(callerGone(id)) }
+// Withdraw reports that the caller that waited for a message has disconnected.
+func (a *admissionQueue) Withdraw(id string) { a.queue.push(callerDisconnected(id)) }
 
 // take moves the n oldest requests to events, as pointers into the slice in which they waited; the lock is held.
 func (a *admissionQueue) take(events []event, n int) []event {
@@ -93,12 +93,12 @@
 		a.waiting = a.waiting[n:]
 	}
 	if n > 0 {
-		a.room.Broadcast()
+		a.notFull.Broadcast()
 	}
 	return events
 }
 
-// bodySize is the size of the message that a request hands in, in bytes; 0 for any other request.
+// bodySize is the size of the body of a submitted message, in bytes; 0 for any other request.
 func bodySize(r *transport.Request) int {
 	if r.Submission == nil {
 		return 0
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -5,9 +5,10 @@
 	"spanflow/transport"
 )
 
-// handleCallResult takes in the result of a call.
+// handleCallResult handles the result of a call, which has one code for each of its messages.
 func (loop *eventLoop) handleCallResult(result *transport.CallResult) {
-	for _, delivered := range [...]bool{true, false} { // delivered ones first: the scheduler judges a call by the first end
+	// Delivered ones first: the scheduler judges a call by its first result.
+	for _, delivered := range [...]bool{true, false} {
 		for i := range result.Call.Messages {
 			if (result.Codes[i] == transport.ResultOK) == delivered {
 				loop.handleAttemptEnd(result.Call.Messages[i].MessageID, result.Codes[i], result)
@@ -20,7 +21,7 @@
 	}
 }
 
-// handleAttemptEnd takes in how the attempt of one message of a call ended.
+// handleAttemptEnd handles the end of the attempt for one message of a call.
 func (loop *eventLoop) handleAttemptEnd(number uint64, code transport.ResultCode, result *transport.CallResult) {
 	loop.telemetry.counts.ends[code]++
 	loop.telemetry.recorder.AttemptEnded(code, result.Latency)
@@ -45,7 +46,7 @@
 		ReportedShare: result.ReportedShare,
 	})
 	switch {
-	case final && m.scheduled.AwaitingAcknowledgement(): // owed until that is heard, so it stays recorded
+	case final && m.scheduled.AwaitingAcknowledgement(): // owed until the notice is acknowledged, so it stays recorded
 	case final:
 		loop.completeMessage(m, outcome)
 	default:
@@ -57,7 +58,7 @@
 	loop.removeIfFinished(m)
 }
 
-// completeMessage records and tells the final answer of a message whose last attempt gave it.
+// completeMessage records the final answer that a message's last attempt gave, and sends it to a waiting caller.
 func (loop *eventLoop) completeMessage(m *trackedMessage, outcome scheduler.Outcome) {
 	loop.recordDone(m)
 	final := transport.Failed
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -18,7 +18,7 @@
 	Bytes            int64 // on disk, all files counted
 	DestinationBytes int64 // of stored messages of one destination; 0: no bound of their own
 	TenantBytes      int64 // of stored messages of one tenant; 0: no bound of their own
-	Window           int   // messages of a lane (destination and tenant) that stay in memory before those that are stored
+	Window           int   // messages of a lane (destination and tenant) that stay in memory before stored ones
 	Behind           int   // messages of a lane beyond which its destination counts as far behind
 }
 
@@ -50,8 +50,8 @@
 	policy     *policy.Policy
 	lanes      map[backlog.Lane]*list.List // of *trackedMessage in memory, in the order of accepting
 	firstSeq   uint64                      // numbers below it are of earlier processes
-	inBoth     int                         // messages that the start found in the write-ahead log and in the store
-	overtaking []backlog.Ref               // that the start found in the write-ahead log though older ones of their lane are stored
+	inBoth     int                         // messages found in the write-ahead log and in the store at the start
+	overtaking []backlog.Ref               // found in the write-ahead log though older ones of their lane are stored
 	wakeAt     time.Time                   // when to look for moves again; zero: with the next event
 	counts     backlogCounts
 	gauges     backlogGauges
@@ -128,8 +128,8 @@
 	}
 }
 
-// restoreBacklog tells the policy what is stored. It returns the numbers of those messages in the write-ahead log that
-// are answered without a call, as older ones of their lane are stored.
+// restoreBacklog informs the policy of what is stored. It returns the numbers of those messages in the write-ahead
+// log that are answered without a call, as older ones of their lane are stored.
 //
 // Of an ordering key that has messages both in the write-ahead log and stored in another lane, those in the write-ahead
 // log are the older ones, so that nothing more is to be resolved: while one is stored, admitToBacklog accepts no newer
--- a/forwarder/backlog_admission.go
+++ b/forwarder/backlog_admission.go
@@ -10,9 +10,11 @@
 	"spanflow/transport"
 )
 
-// admitToBacklog decides whether a message that is handed in waits in the store, and stores it. done is false for one
-// that goes to memory.
-func (loop *eventLoop) admitToBacklog(r *request, e *wal.Entry, secondsLeft float64) (reply transport.Reply, done bool) {
+// admitToBacklog decides whether a submitted message waits in the store, and stores it. done is false for one that goes
+// to memory.
+func (loop *eventLoop) admitToBacklog(
+	r *request, e *wal.Entry, secondsLeft float64,
+) (reply transport.Reply, done bool) {
 	if loop.backlog == nil {
 		return transport.Reply{}, false
 	}
@@ -28,7 +30,7 @@
 	loop.telemetry.counts.accepted++
 	loop.backlog.counts.stored++
 	if !r.From.Answer(transport.Reply{Status: transport.StatusAccepted}) {
-		loop.discardStored(m) // not heard: its caller hands it in again under another id
+		loop.discardStored(m) // the caller is gone and will submit it again under another id
 	}
 	return transport.Reply{Status: transport.StatusAccepted}, true
 }
@@ -67,10 +69,10 @@
 	return policy.Decision{Place: policy.Store}
 }
 
-// discardStored lets go of a stored message that its caller does not know to be accepted.
+// discardStored removes a stored message whose caller does not know that it was accepted.
 func (loop *eventLoop) discardStored(m *backlog.Message) {
 	if err := loop.backlog.store.Release([]backlog.Ref{m.Ref()}); err != nil {
-		loop.logBacklogError(err) // it goes out once more; its caller hands it in under another id
+		loop.logBacklogError(err) // it is sent although its caller submits it again under another id
 		return
 	}
 	loop.backlog.policy.Discarded(policyLane(m.Lane), int64(m.Size()))
--- a/forwarder/backlog_gauges.go
+++ b/forwarder/backlog_gauges.go
@@ -21,8 +21,9 @@
 
 // write adds the counts to a log line.
 func (c *backlogCounts) write(e *zerolog.Event) *zerolog.Event {
-	return e.Int("backlog_stored", c.stored).Int("backlog_spilled", c.spilled).Int("backlog_brought_back", c.broughtBack).
-		Int("backlog_expired", c.expired).Int("backlog_refused", c.refused)
+	return e.Int("backlog_stored", c.stored).Int("backlog_spilled", c.spilled).
+		Int("backlog_brought_back", c.broughtBack).Int("backlog_expired", c.expired).
+		Int("backlog_refused", c.refused)
 }
 
 // backlogGauges are what the store holds, for the metrics, which are read by other goroutines.
@@ -47,7 +48,7 @@
 	return time.Since(time.UnixMicro(at)).Seconds()
 }
 
-// setBacklogGauges sets what is cheap to tell, each turn.
+// setBacklogGauges sets the gauges that are cheap to read, each turn.
 func (loop *eventLoop) setBacklogGauges() {
 	if !loop.telemetry.recording {
 		return
@@ -57,7 +58,7 @@
 	b.gauges.bytes.Store(b.store.Bytes())
 }
 
-// setBacklogAges sets what takes a walk over the lanes, now and then.
+// setBacklogAges sets the gauges that take a walk over the lanes, every countsEvery.
 func (loop *eventLoop) setBacklogAges() {
 	b := loop.backlog
 	if b == nil || !loop.telemetry.recording {
@@ -75,7 +76,7 @@
 	b.gauges.oldest.Store(oldest)
 }
 
-// backlogGauges are the store's figures that are read when they are asked for.
+// backlogGauges are the store's metrics that are read when they are scraped.
 func (loop *eventLoop) backlogGauges() []transport.Gauge {
 	if loop.backlog == nil {
 		return nil
--- a/forwarder/backlog_lanes.go
+++ b/forwarder/backlog_lanes.go
@@ -30,8 +30,8 @@
 	return backlog.Lane{Destination: l.Destination, Tenant: l.Tenant}
 }
 
-// keepsOrder reports whether a message's type keeps the order of its key. One of an unknown type counts as of the first,
-// as for the scheduler.
+// keepsOrder reports whether a message's type keeps the order of its key. An unknown type counts as the first one, as
+// for the scheduler.
 func (loop *eventLoop) keepsOrder(e *wal.Entry) bool {
 	return loop.config.Scheduler.Types[loop.messages.types[e.Type]].InOrder
 }
@@ -80,7 +80,7 @@
 	}
 }
 
-// enter puts a message among those of its lane in memory, in the order of accepting: one that is to be answered may be
+// enter puts a message among those of its lane in memory, in the order of admission: one that is to be answered may be
 // newer than what is brought back later.
 func (b *backlogState) enter(m *trackedMessage) {
 	lane := b.lanes[m.lane]
@@ -130,7 +130,7 @@
 	}
 }
 
-// noteReachability tells the policy whether a destination answers.
+// noteReachability informs the policy whether a destination answers.
 func (loop *eventLoop) noteReachability(d *scheduler.Destination) {
 	if loop.backlog != nil {
 		loop.backlog.policy.Out(d.ID, loop.scheduler.Dark(d))
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -63,7 +63,7 @@
 	return loop.bringBack(storeLane(move.Lane), move.Count, now)
 }
 
-// spill moves up to so many of the newest messages of a lane that wait in memory out to the store, and returns how many.
+// spill moves up to limit of the newest messages of a lane that wait in memory to the store, and returns how many.
 func (loop *eventLoop) spill(lane backlog.Lane, limit int) (moved int) {
 	newest := loop.spillable(lane, limit)
 	if len(newest) == 0 {
@@ -83,7 +83,8 @@
 	return moved
 }
 
-// spillable are the newest messages of a lane, in the order of accepting, as far as they wait for a call.
+// spillable are up to limit of the newest messages of a lane, in the order of admission, as far as they wait for a
+// call.
 func (loop *eventLoop) spillable(lane backlog.Lane, limit int) []*trackedMessage {
 	inMemory := loop.backlog.lanes[lane]
 	if inMemory == nil {
@@ -111,9 +112,9 @@
 }
 
 // overtakenIfStored reports whether a later message of its key, in memory, is of another lane and would go first. To
-// look at the next one of the key that waits is enough: if it is of the same lane it was asked the same before, as the
-// newest go first. Those of the same lane that do not wait are answered (their notices may stay unheard for long) and
-// were not asked.
+// look at the next one of the key that waits is enough: if it is of the same lane it was asked the same before, as
+// the newest go first. Those of the same lane that do not wait are answered (their notices may stay unacknowledged
+// for long) and were not asked.
 func overtakenIfStored(m *trackedMessage) bool {
 	next := m.scheduled.NextOfKey()
 	for next != nil && !next.Waiting() && scheduledLane(next) == m.lane {
@@ -132,7 +133,7 @@
 	loop.messages.remove(m)
 }
 
-// bringBack moves up to so many of the oldest stored messages of a lane back to memory, and returns how many.
+// bringBack moves up to limit of the oldest stored messages of a lane back to memory, and returns how many.
 func (loop *eventLoop) bringBack(lane backlog.Lane, limit int, now time.Time) (moved int) {
 	batch, err := loop.backlog.mover.BringBack(lane, limit)
 	loop.logMoveError(err)
@@ -191,12 +192,12 @@
 	if expired {
 		loop.backlog.counts.expired++
 		loop.scheduler.GiveUp(m.scheduled, typ, secondsLeft, recovered)
-		loop.noteLeftMemory(m) // its notice may stay unheard for long
+		loop.noteLeftMemory(m) // its notice may stay unacknowledged for long
 	} else {
 		loop.backlog.counts.broughtBack++
 		loop.scheduler.TakeBack(m.scheduled, typ, secondsLeft, recovered)
 		if stored.Seq >= loop.backlog.firstSeq || !loop.scheduler.Answered(m.scheduled.Dest) {
-			// Counted as it was stored, or a backlog of hours that is not asked for now.
+			// Its demand was counted when it was stored, or hours ago.
 			loop.scheduler.Uncount(m.scheduled.Dest)
 		}
 	}
--- a/forwarder/calls.go
+++ b/forwarder/calls.go
@@ -88,7 +88,8 @@
 func (loop *eventLoop) openUpstreams(dialer *dial.Dialer, connectTimeout time.Duration) error {
 	config := loop.config
 	loop.calls.upstreams = map[string]transport.Upstream{}
-	for _, u := range append(slices.Clone(config.Upstreams), Upstream{Name: defaultUpstream, Protocol: defaultUpstream}) {
+	fallback := Upstream{Name: defaultUpstream, Protocol: defaultUpstream}
+	for _, u := range append(slices.Clone(config.Upstreams), fallback) {
 		if loop.calls.upstreams[u.Name] != nil { // the configuration's own in place of the default
 			continue
 		}
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// upstreamSettings is what an upstream is told.
+// upstreamSettings are the settings of an upstream.
 func (c *Config) upstreamSettings(u Upstream, connectTimeout time.Duration) UpstreamSettings {
 	if u.Connect > 0 {
 		connectTimeout = time.Duration(u.Connect * float64(time.Second))
--- a/forwarder/command_spool.go
+++ b/forwarder/command_spool.go
@@ -14,8 +14,8 @@
 // spoolLogKey limits the log lines on the spool.
 const spoolLogKey = "command spool"
 
-// runSpooledCommands carries out the commands in the spool, the oldest first, and tells if there were any. One that
-// cannot be carried out stays for the next look, with those behind it.
+// runSpooledCommands carries out the commands in the spool, the oldest first, and reports whether there were any. One
+// that cannot be carried out stays for the next look, with those behind it.
 func (loop *eventLoop) runSpooledCommands() bool {
 	spool := statefile.NewSpool(loop.config.Folder)
 	names := spool.Names()
@@ -23,7 +23,8 @@
 		command, err := spool.Read(name)
 		if err == nil {
 			if a := loop.drainOrRestore(requestOf(command), true); !a.OK {
-				loop.telemetry.log.Error().Str("endpoint", command.Endpoint).Str("reason", a.Text).Msg("spooled command not carried out")
+				loop.telemetry.log.Error().Str("endpoint", command.Endpoint).Str("reason", a.Text).
+					Msg("spooled command not carried out")
 				return true
 			}
 		} else if loop.telemetry.mayLog(spoolLogKey) {
--- a/forwarder/config_platform.go
+++ b/forwarder/config_platform.go
@@ -65,8 +65,8 @@
 	return ReadConfig(text, getenv)
 }
 
-// ReadConfig reads the platform's configuration. Variables that are set take precedence over the text's fields. An error
-// begins with the field or variable at fault.
+// ReadConfig reads the platform's configuration. Variables that are set take precedence over the text's fields. An
+// error begins with the field or variable at fault.
 func ReadConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var p platformConfig
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -126,7 +126,10 @@
 }
 
 func (c *Config) checkAddresses() error {
-	for _, field := range []struct{ name, address string }{{"listen", c.Frontends[0].Listen}, {"discovery", c.Discovery}} {
+	for _, field := range []struct{ name, address string }{
+		{"listen", c.Frontends[0].Listen},
+		{"discovery", c.Discovery},
+	} {
 		if !IsAddress(field.address) {
 			return fmt.Errorf("%s: %q is not an address with a port", field.name, field.address)
 		}
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -18,8 +18,8 @@
 
 // write adds the counts to a log line.
 func (c *counts) write(e *zerolog.Event) *zerolog.Event {
-	e = e.Int("taken", c.accepted).Int("recovered", c.recovered).Int("refused", c.refused).Int("delivered", c.delivered).
-		Int("returned", c.rejected).Int("abandoned", c.failed)
+	e = e.Int("taken", c.accepted).Int("recovered", c.recovered).Int("refused", c.refused).
+		Int("delivered", c.delivered).Int("returned", c.rejected).Int("abandoned", c.failed)
 	if c.withdrawn > 0 {
 		e = e.Int("withdrawn", c.withdrawn)
 	}
@@ -39,8 +39,8 @@
 	if loop.backlog != nil {
 		e = loop.backlog.counts.write(e).Int("backlog", loop.backlog.store.Messages())
 	}
-	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).Int("idle_lines", loop.calls.idleConnections()).
-		Int64("disk", loop.wal.Used()).Msg("counts")
+	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).
+		Int("idle_lines", loop.calls.idleConnections()).Int64("disk", loop.wal.Used()).Msg("counts")
 	for _, l := range loop.frontends.open[1:] {
 		writeConnectionStats(log.Info().Str("front", l.config.Name), l.Stats()).Msg("counts of a front")
 	}
@@ -49,6 +49,7 @@
 // writeConnectionStats adds what became of a frontend's connections to a log line.
 func writeConnectionStats(e *zerolog.Event, c transport.ConnectionStats) *zerolog.Event {
 	return e.Int("clients", c.Open).Int("most_clients", c.Peak).
-		Int("clients_came", c.Accepted).Int("clients_turned_away", c.Refused).Ints("clients_closed_for_room", c.Evicted[:]).
+		Int("clients_came", c.Accepted).Int("clients_turned_away", c.Refused).
+		Ints("clients_closed_for_room", c.Evicted[:]).
 		Int("clients_silent", c.NeverSent).Int("clients_quiet", c.Idle).Int("clients_stuck", c.Incomplete)
 }
--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -8,13 +8,13 @@
 	"spanflow/transport"
 )
 
-// discoveryState is where the list of endpoints comes from, and how far it was heard.
+// discoveryState is the source of the endpoint list, and how much of the list has been received.
 type discoveryState struct {
 	source       transport.EndpointSource
 	movable      transport.Reconfigurable // the source, if it is discovery
 	static       *staticEndpoints         // the source, if it is a list of the configuration
-	revision     int64                    // of the list at hand
-	listReceived bool                     // discovery has told its list since the start
+	revision     int64                    // of the present list
+	listReceived bool                     // a list has come from the source since the start
 }
 
 // openDiscovery opens the source of the list, discovery or a list of the configuration, and the notifier.
@@ -41,7 +41,7 @@
 	}
 }
 
-// handleWatchEnd tells the scheduler that the list is not heard of any more.
+// handleWatchEnd informs the scheduler that changes of the list no longer arrive.
 func (loop *eventLoop) handleWatchEnd(end watchEnded) {
 	loop.telemetry.log.Warn().Str("why", end.why).Msg("watch ended")
 	switch end.how {
--- a/forwarder/endpoint_follower.go
+++ b/forwarder/endpoint_follower.go
@@ -14,12 +14,12 @@
 type EndpointFollower struct {
 	Dialer  *dial.Dialer // opens the connection to discovery; the caller stops it
 	LogTo   io.Writer
-	InForce func(revision int64) // called on the event loop once the scheduler has reconciled with a revision of the list
+	InForce func(revision int64) // called on the event loop once the scheduler has reconciled with a revision
 }
 
-// FollowEndpoints keeps discovery's list in force as Run does, with the same client, event queue and scheduler, until ctx
-// ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one process. Of
-// the configuration it needs the discovery address, the seed, the settings and the last known list.
+// FollowEndpoints keeps discovery's list in force as Run does, with the same client, event queue and scheduler, until
+// ctx ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one
+// process. Of the configuration it needs the discovery address, the seed, the settings and the last known list.
 func FollowEndpoints(ctx context.Context, config *Config, follower EndpointFollower) error {
 	own := *config
 	own.enableEndpointPolling()
--- a/forwarder/endpoints.go
+++ b/forwarder/endpoints.go
@@ -5,8 +5,8 @@
 	"spanflow/transport"
 )
 
-// endpointTable holds the endpoints and destinations that the event loop knows, and what an earlier process left of
-// those that it does not know yet.
+// endpointTable holds the known endpoints and destinations, and what an earlier process has learned of those that are
+// not known yet.
 type endpointTable struct {
 	byNumber     map[uint64]*trackedEndpoint
 	byUID        map[string]*trackedEndpoint
@@ -15,7 +15,7 @@
 	sweepAt      int                               // how many destinations there are when unused ones are looked for
 
 	restoredRetryAfter map[string]float64   // until when endpoints that are not listed yet are blocked, by uid
-	restoredLatencies  map[uint64][]float64 // of destinations that were not heard of yet
+	restoredLatencies  map[uint64][]float64 // of destinations that are not known yet, by number
 }
 
 func newEndpointTable() endpointTable {
@@ -67,7 +67,7 @@
 	}
 }
 
-// updateEndpoints tells the scheduler a list of endpoints: all of them, or changes.
+// updateEndpoints passes a list of endpoints to the scheduler: all of them if it is complete, changes otherwise.
 func (loop *eventLoop) updateEndpoints(list *transport.EndpointList, complete bool) {
 	loop.discovery.revision = list.Revision
 	updates := make([]scheduler.EndpointUpdate, 0, len(list.Endpoints))
@@ -83,8 +83,8 @@
 	}
 }
 
-// endpointUpdate is what the scheduler is told of a line of the list; known is false for an endpoint that is heard of
-// only as it goes.
+// endpointUpdate is the scheduler's form of a line of the list. known is false for an endpoint whose first line says
+// that it has left.
 func (loop *eventLoop) endpointUpdate(e *transport.Endpoint) (update scheduler.EndpointUpdate, known bool) {
 	kind := index(loop.config.Names.Kinds, e.Kind)
 	t := loop.trackEndpoint(e, kind)
@@ -104,8 +104,8 @@
 	return update, true
 }
 
-// trackEndpoint is the endpoint of a line of the list, as the line has it; nil for one that is heard of only as it
-// goes. kind is the number of the line's kind.
+// trackEndpoint updates or adds the endpoint of a line of the list. It returns nil for an endpoint that is not known
+// and has left. kind is the number of the line's kind.
 func (loop *eventLoop) trackEndpoint(e *transport.Endpoint, kind int) *trackedEndpoint {
 	t := loop.endpoints.byUID[e.UID]
 	if t == nil {
@@ -124,8 +124,7 @@
 	return t
 }
 
-// endpointState is what the list says of an endpoint. A state that is not known here lets its calls end and begins
-// none.
+// endpointState is an endpoint's state in the list. An unknown state counts as draining: calls may end, none begins.
 func (loop *eventLoop) endpointState(e *transport.Endpoint) scheduler.EndpointState {
 	switch e.State {
 	case stateActive:
@@ -142,7 +141,7 @@
 
 const minSweep = 64 // destinations
 
-// destination is the scheduler's destination of a number, a new one if there is none.
+// destination is the scheduler's destination with a number, added if there is none.
 func (loop *eventLoop) destination(number uint64) *scheduler.Destination {
 	if d := loop.endpoints.destinations[number]; d != nil {
 		return d
@@ -156,9 +155,8 @@
 	return d
 }
 
-// forgetUnusedDestinations lets go of destinations that no endpoint is listed for and no message is held for, once
-// there are many. It follows a list that was taken in whole: while one is being read its destinations have no endpoints
-// yet.
+// forgetUnusedDestinations removes destinations without listed endpoints and messages, once there are many. It may run
+// only after a whole list was read: while one is being read its destinations have no endpoints yet.
 func (loop *eventLoop) forgetUnusedDestinations() {
 	table := &loop.endpoints
 	if len(table.destinations) < table.sweepAt {
--- a/forwarder/event_loop.go
+++ b/forwarder/event_loop.go
@@ -79,7 +79,7 @@
 	switch ev := ev.(type) {
 	case *request:
 		loop.handleRequest(ev)
-	case callerGone:
+	case callerDisconnected:
 		loop.withdraw(string(ev))
 	case callEnded:
 		loop.handleCallResult(&ev.CallResult)
--- a/forwarder/event_queue.go
+++ b/forwarder/event_queue.go
@@ -8,21 +8,20 @@
 	"spanflow/transport"
 )
 
-// eventQueue is where frontends, upstreams, discovery and operators leave events for the goroutine of the event loop.
-// They know nothing of each other. Its methods are safe to call from any goroutine, but for take, which is the event
-// loop's alone.
+// eventQueue passes events from frontends, upstreams, discovery and operators to the goroutine of the event loop. Its
+// methods are safe to call from any goroutine, but for take, which only the event loop may call.
 type eventQueue struct {
 	mu         sync.Mutex
 	events     []event // all but what came by frontends
 	spare      []event // the slice that take returned last
 	admissions []*admissionQueue
 	oldest     time.Time     // when the first of the waiting events came
-	closed     bool          // the last events are being taken: nobody waits for room
+	closed     bool          // the last events are being taken: Submit does not block
 	wakeups    chan struct{} // holds a token while something waits
 }
 
-// turnShare is how many requests each frontend gets into a turn while several have some waiting.
-const turnShare = 256
+// requestsPerTurn is how many requests each frontend gets into a turn while several have some waiting.
+const requestsPerTurn = 256
 
 func newEventQueue() *eventQueue { return &eventQueue{wakeups: make(chan struct{}, 1)} }
 
@@ -34,7 +33,7 @@
 	q.mu.Unlock()
 }
 
-// wake wakes the event loop; the lock is held. wasEmpty tells that nothing has waited before.
+// wake wakes the event loop; the lock is held. wasEmpty is true if no event has waited before.
 func (q *eventQueue) wake(wasEmpty bool) {
 	if wasEmpty {
 		q.oldest = time.Now()
@@ -60,10 +59,10 @@
 	return waiting
 }
 
-// take returns the events, and since when the first has waited: what came from endpoints and discovery in the order of
-// its coming, then what came by frontends, each frontend's in its order. While several frontends have requests waiting,
-// each gets its share of the turn and the rest stays for the next. The slice, and the requests that it points to, are
-// good until the next call.
+// take returns the waiting events, and since when the first has waited: events that were pushed in their order, then
+// the requests of each frontend in their order. While several frontends have requests waiting, each gets at most
+// requestsPerTurn and the others stay for the next call. The slice, and the requests that it points to, are valid
+// until the next call.
 func (q *eventQueue) take() ([]event, time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -74,7 +73,7 @@
 	for _, a := range q.admissions {
 		n := len(a.waiting)
 		if shared {
-			n = min(n, turnShare)
+			n = min(n, requestsPerTurn)
 		}
 		events = a.take(events, n)
 		left = left || len(a.waiting) > 0
@@ -93,27 +92,27 @@
 	return slices.ContainsFunc(q.admissions, func(a *admissionQueue) bool { return len(a.waiting) > 0 })
 }
 
-// close lets no frontend wait for room any more: the event loop is about to take the last events.
+// close unblocks frontends that wait in Submit, now and later: the event loop is about to take the last events.
 func (q *eventQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
 	for _, a := range q.admissions {
-		a.room.Broadcast()
+		a.notFull.Broadcast()
 	}
 }
 
-// CallEnded takes the result of a call to an endpoint.
+// CallEnded pushes the result of a call to an endpoint.
 func (q *eventQueue) CallEnded(result transport.CallResult) { q.push(callEnded{result}) }
 
-// EndpointsUpdated takes a list of endpoints.
+// EndpointsUpdated pushes a list of endpoints.
 func (q *eventQueue) EndpointsUpdated(list *transport.EndpointList) { q.push(endpointsUpdated{list}) }
 
-// WatchEnded takes the end of the watch on the endpoint list.
+// WatchEnded pushes the end of the watch on the endpoint list.
 func (q *eventQueue) WatchEnded(why string, how transport.WatchEnd) { q.push(watchEnded{why, how}) }
 
-// NoticesUnanswered takes the reason for which notices will be sent once more.
+// NoticesUnanswered pushes the reason why notices will be sent once more.
 func (q *eventQueue) NoticesUnanswered(why string) { q.push(noticesUnanswered(why)) }
 
-// NoticesAcknowledged takes the numbers of messages whose notices were answered.
+// NoticesAcknowledged pushes the numbers of messages whose notices were acknowledged.
 func (q *eventQueue) NoticesAcknowledged(messages []uint64) { q.push(noticesAcknowledged(messages)) }
--- a/forwarder/event_queue_test.go
+++ b/forwarder/event_queue_test.go
@@ -24,13 +24,13 @@
 	other.Submit(transport.Request{Submission: &transport.Submission{Body: make([]byte, 100)}}) // its bytes are full with it
 	x.CallEnded(transport.CallResult{})
 	news, _ := x.take()
-	require.Len(t, news, 1+turnShare+1, "an end, a share of the flood, all of the other")
+	require.Len(t, news, 1+requestsPerTurn+1, "an end, a share of the flood, all of the other")
 	require.Same(t, other, news[len(news)-1].(*request).from)
 	<-held // there is room again
 	other.Submit(transport.Request{Ping: true})
 	other.Withdraw("x")
 	n := 0
-	for n < 1000-turnShare+1 {
+	for n < 1000-requestsPerTurn+1 {
 		<-x.wakeups // what was left over rings it again
 		news, _ = x.take()
 		for _, a := range news {
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -12,14 +12,14 @@
 type event interface{ isEvent() }
 
 type (
-	// request is what a frontend's caller wants, with the queue by which it came.
+	// request is a caller's request, with the queue of the frontend by which it came.
 	request struct {
 		transport.Request
 		from *admissionQueue
 	}
 
-	// callerGone is the client's id of a message whose waiting caller has disconnected.
-	callerGone string
+	// callerDisconnected is the client's id of a message whose waiting caller has disconnected.
+	callerDisconnected string
 
 	// callEnded is the result of a call to an endpoint.
 	callEnded struct{ transport.CallResult }
@@ -27,19 +27,19 @@
 	// endpointsUpdated is a list of endpoints, complete or changes alone.
 	endpointsUpdated struct{ *transport.EndpointList }
 
-	// watchEnded says that the watch on the endpoint list ended.
+	// watchEnded is the end of the watch on the endpoint list.
 	watchEnded struct {
 		why string
 		how transport.WatchEnd
 	}
 
-	// noticesUnanswered says why notices were not answered; they are sent again.
+	// noticesUnanswered is the reason why notices were not acknowledged; they are sent again.
 	noticesUnanswered string
 
-	// noticesAcknowledged are the numbers of messages whose final answers were heard.
+	// noticesAcknowledged are the numbers of messages whose notices were acknowledged.
 	noticesAcknowledged []uint64
 
-	// stopRequested says that the process ends, and in what time.
+	// stopRequested is the time that is left for the scheduler to finish calls before the process ends.
 	stopRequested time.Duration
 
 	// operatorRequest is a request to the admin address, with the function that takes its response.
@@ -50,7 +50,7 @@
 )
 
 func (*request) isEvent()            {}
-func (callerGone) isEvent()          {}
+func (callerDisconnected) isEvent()  {}
 func (callEnded) isEvent()           {}
 func (endpointsUpdated) isEvent()    {}
 func (watchEnded) isEvent()          {}
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -26,8 +26,8 @@
 	"spanflow/internal/wal"
 )
 
-// ApplyProcessLimits makes the whole process keep to the configuration's limits, and its log lines bear times that a
-// person can read. A program with other work to do sets its own.
+// ApplyProcessLimits applies the configuration's limits on cores and memory to the whole process, and a readable time
+// format to all its log lines. A program with other work to do sets its own.
 func (c *Config) ApplyProcessLimits() {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
@@ -61,7 +61,8 @@
 			return err
 		}
 		defer listener.Close()
-		// It can serve once the process that it replaces has gone, and that one is told to go by this yes.
+		// This process can serve once the one that it replaces has gone, and the platform stops that one only when this
+		// one is ready.
 		requests.ready.Store(true)
 	}
 	walLog, err := openWAL(ctx, config, log)
--- a/forwarder/frontends.go
+++ b/forwarder/frontends.go
@@ -59,8 +59,8 @@
 	return available - available/3
 }
 
-// divideConnections divides total connections among the frontends. Those without a number of their own get even parts of
-// what the others leave.
+// divideConnections divides total connections among the frontends. Those without a number of their own get even parts
+// of what the others leave.
 func divideConnections(frontends []Frontend, total int) ([]int, error) {
 	unset, left := 0, total
 	for _, f := range frontends {
@@ -78,7 +78,8 @@
 		case f.Connections == 0:
 			connections[i] = left / unset
 		case f.Connections <= spareConnections:
-			return nil, fmt.Errorf("fronts: %s: %d connections are under the least, %d", f.Name, f.Connections, spareConnections+1)
+			return nil, fmt.Errorf("fronts: %s: %d connections are under the least, %d",
+				f.Name, f.Connections, spareConnections+1)
 		default:
 			connections[i] = f.Connections
 		}
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -31,13 +31,13 @@
 	loop.calls.add(m, endpoint, time.Duration(timeout*float64(time.Second)))
 }
 
-// Reject gives a message back to its client, which may hand it in again after so many seconds.
+// Reject gives a message back to its client, which may submit it again after retryAfter seconds.
 func (loop *eventLoop) Reject(message *scheduler.Message, retryAfter float64) {
 	loop.telemetry.counts.rejected++
 	loop.giveFinalAnswer(loop.messages.byNumber[message.ID], wal.Rejected, int(retryAfter*1000))
 }
 
-// Fail tells a message's client that it may have run, or cannot be delivered any more.
+// Fail ends a message that may have run, or can no longer be delivered.
 func (loop *eventLoop) Fail(message *scheduler.Message) {
 	loop.telemetry.counts.failed++
 	loop.giveFinalAnswer(loop.messages.byNumber[message.ID], wal.Failed, 0)
@@ -52,24 +52,24 @@
 
 // CloseIdle closes an endpoint's connections that carry no call.
 func (loop *eventLoop) CloseIdle(e *scheduler.Endpoint) {
-	loop.calls.send() // what was decided before takes the connections first
+	loop.calls.send() // calls decided on before have the connections first
 	if known := loop.endpoints.byNumber[e.ID]; known != nil {
 		known.upstream.CloseIdle(e.ID)
 	}
 }
 
-// ReleaseEndpoint lets go of an endpoint that is gone, and of its connections.
+// ReleaseEndpoint removes an endpoint that is gone, and closes its connections.
 func (loop *eventLoop) ReleaseEndpoint(e *scheduler.Endpoint) {
 	loop.CloseIdle(e)
 	loop.endpoints.remove(e.ID)
 }
 
-// Wake sets the scheduler's timer to fire in so many seconds.
+// Wake sets the scheduler's timer to fire in a number of seconds.
 func (loop *eventLoop) Wake(in float64) {
 	loop.wakeAt = time.Now().Add(time.Duration(in * float64(time.Second)))
 }
 
-// WatchEndpoints asks for the changes of the endpoint list after the revision at hand.
+// WatchEndpoints asks for the changes of the endpoint list after the present revision.
 func (loop *eventLoop) WatchEndpoints() { loop.discovery.source.Watch(loop.discovery.revision) }
 
 // Log writes a line of the scheduler to the log.
--- a/forwarder/inherited_listener.go
+++ b/forwarder/inherited_listener.go
@@ -13,7 +13,8 @@
 // replaces: the platform's 6 s until the new one is ready, 3.7 s from SIGTERM to SIGKILL, and a moment for the kernel.
 const handOverTimeout = 15 * time.Second
 
-// listenInherited opens the socket that the platform hands down and has the first frontend use it. The caller closes it.
+// listenInherited opens the socket that the platform hands down and has the first frontend use it. The caller closes
+// it.
 func (c *Config) listenInherited() (net.Listener, error) {
 	l, err := inheritedListener(c.InheritedListener)
 	if err != nil {
--- a/forwarder/learned_latencies.go
+++ b/forwarder/learned_latencies.go
@@ -20,7 +20,7 @@
 }
 
 // writeLatencies writes the latencies measured at each destination, and those that an earlier process left for
-// destinations not heard of.
+// destinations that are not known yet.
 func (loop *eventLoop) writeLatencies() {
 	var table statefile.LatencyTable
 	for number, d := range loop.endpoints.destinations {
--- a/forwarder/log.go
+++ b/forwarder/log.go
@@ -12,26 +12,37 @@
 	"github.com/rs/zerolog"
 )
 
-// networkLog takes what nbio logs. Its levels but for errors say nothing to on-call staff.
+// networkLog is the logger of nbio, the network library. Only errors are passed on: its other lines mean nothing to
+// on-call staff.
 type networkLog struct{ log zerolog.Logger }
 
-func (n networkLog) SetLevel(int)         {}
+// SetLevel is ignored: the level is always that of errors.
+func (n networkLog) SetLevel(int) {}
+
+// Debug drops a line.
 func (n networkLog) Debug(string, ...any) {}
-func (n networkLog) Info(string, ...any)  {}
-func (n networkLog) Warn(string, ...any)  {}
+
+// Info drops a line.
+func (n networkLog) Info(string, ...any) {}
+
+// Warn drops a line.
+func (n networkLog) Warn(string, ...any) {}
+
+// Error logs a line.
 func (n networkLog) Error(format string, v ...any) {
 	n.log.Error().Str("why", fmt.Sprintf(format, v...)).Msg("network")
 }
 
-// Log is what an order says of log lines.
+// Log configures the log. The course of messages that are traced is logged.
 type Log struct {
 	Level   zerolog.Level
 	Console bool     // for people, not as JSON
-	Sample  float64  // share of messages whose course is logged
-	Keys    []uint64 // the course of each message with one of these is
-	IDs     []string
+	Sample  float64  // part of the messages that is traced, from 0 to 1
+	Keys    []uint64 // all messages with one of these ordering keys are traced
+	IDs     []string // and those with one of these ids
 }
 
+// to is a logger of the named forwarder that writes to w.
 func (l Log) to(w io.Writer, forwarder string) zerolog.Logger {
 	if l.Console {
 		w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: !terminal(w)}
@@ -39,7 +50,7 @@
 	return zerolog.New(w).Level(l.Level).With().Timestamp().Str("forwarder", forwarder).Logger()
 }
 
-// terminal tells if what is written is seen by a person at once.
+// terminal reports whether w is a terminal.
 func terminal(w io.Writer) bool {
 	f, is := w.(*os.File)
 	if !is {
@@ -49,10 +60,10 @@
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// trace picks messages whose course is logged. The same id is picked each time within a process.
+// trace picks the messages that are traced. Within a process it decides the same for an id each time.
 type trace struct {
 	seed  maphash.Seed
-	below uint64
+	limit uint64 // ids whose hashes are not over it are sampled; 0: none
 	keys  []uint64
 	ids   []string
 	on    bool
@@ -62,14 +73,15 @@
 	t := trace{seed: maphash.MakeSeed(), keys: l.Keys, ids: l.IDs, on: l.Sample > 0 || len(l.Keys)+len(l.IDs) > 0}
 	switch {
 	case l.Sample >= 1:
-		t.below = math.MaxUint64
+		t.limit = math.MaxUint64
 	case l.Sample > 0:
-		t.below = uint64(l.Sample * (1 << 63) * 2)
+		t.limit = uint64(l.Sample * (1 << 63) * 2)
 	}
 	return t
 }
 
+// picks reports whether the message with an id and an ordering key is traced.
 func (t *trace) picks(id string, key uint64) bool {
 	return t.on && (slices.Contains(t.ids, id) || slices.Contains(t.keys, key) ||
-		t.below > 0 && maphash.String(t.seed, id) <= t.below)
+		t.limit > 0 && maphash.String(t.seed, id) <= t.limit)
 }
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -10,8 +10,7 @@
 	"spanflow/transport"
 )
 
-// messageTable holds the messages that the event loop has in memory, the ids of those that it had a short time ago,
-// and the message types.
+// messageTable holds the messages in memory, the ids of those removed most recently, and the message types.
 type messageTable struct {
 	byNumber       map[uint64]*trackedMessage // by their numbers in the write-ahead log
 	byID           map[string]*trackedMessage // the same, by the clients' ids
@@ -35,18 +34,18 @@
 	return table
 }
 
-// trackedMessage is a message that is owed or was until just now.
+// trackedMessage is a message in memory: one without a final answer, or with an attempt or notice outstanding.
 type trackedMessage struct {
 	transport.Message
 	scheduled     *scheduler.Message
 	typ           int // number of its type
 	lane          backlog.Lane
-	laneElement   *list.Element           // its place among the messages of its lane in memory; nil without a backlog store
-	waitingCaller transport.WaitingCaller // whom the final answer is for; nil: the notifier
+	laneElement   *list.Element           // in the list of its lane; nil without a backlog store
+	waitingCaller transport.WaitingCaller // gets the final answer; nil: the notifier does
 	receivedAt    time.Time
 	traced        bool
 	untried       bool // an earlier process accepted it, and no call has begun yet
-	withdrawn     bool // its waiting caller has gone: nothing is owed, though an attempt may be out
+	withdrawn     bool // its waiting caller has gone: nothing is owed, though an attempt may be outstanding
 }
 
 // add enters a message.
@@ -54,7 +53,7 @@
 	table.byNumber[m.MessageID], table.byID[m.ID] = m, m
 }
 
-// remove takes a message out; its id can be used anew. It reports whether the id was that of this message.
+// remove removes a message. It reports whether the message's id was still its own.
 func (table *messageTable) remove(m *trackedMessage) bool {
 	delete(table.byNumber, m.MessageID)
 	if table.byID[m.ID] != m {
@@ -95,7 +94,7 @@
 	return m
 }
 
-// withdraw ends a message whose caller waited for its final answer and has gone.
+// withdraw ends a message whose waiting caller has disconnected.
 func (loop *eventLoop) withdraw(id string) {
 	m := loop.messages.byID[id]
 	if m == nil || m.waitingCaller == nil || m.withdrawn {
@@ -114,7 +113,7 @@
 	}
 }
 
-// removeIfFinished lets go of a message if nothing more can be heard of it.
+// removeIfFinished removes a message if it has its final answer and no attempt or notice is outstanding.
 func (loop *eventLoop) removeIfFinished(m *trackedMessage) {
 	if !m.scheduled.Finished() {
 		return
--- a/forwarder/notices.go
+++ b/forwarder/notices.go
@@ -5,14 +5,14 @@
 	"spanflow/transport"
 )
 
-// noticeState is where final answers go that no caller waits for.
+// noticeState is where final answers go for which no caller waits.
 type noticeState struct {
 	notifier transport.Notifier       // nil: the log alone
 	movable  transport.Reconfigurable // the notifier, if it has an address of its own
 }
 
 // giveFinalAnswer records the final answer of a message that was not delivered, and sends it. retryAfter is in
-// milliseconds, 0 if not told.
+// milliseconds, 0 if there is none.
 func (loop *eventLoop) giveFinalAnswer(m *trackedMessage, answer wal.Answer, retryAfter int) {
 	if err := loop.wal.RecordAnswer(m.MessageID, answer, retryAfter); err != nil {
 		loop.logWALError(err)
@@ -22,12 +22,12 @@
 		outcome = transport.Rejected
 	}
 	loop.countFinalAnswer(m, outcome)
-	loop.noteLeftMemory(m) // its notice may stay unheard for long
+	loop.noteLeftMemory(m) // its notice may stay unacknowledged for long
 	loop.sendFinalAnswer(m, outcome, retryAfter)
 }
 
-// sendFinalAnswer sends a final answer to whom it is for: to the caller that waits for it, or else to the notifier.
-// Where there is neither it is written to the log.
+// sendFinalAnswer sends a final answer to the caller that waits for it, or else to the notifier. Where there is neither
+// it is written to the log.
 func (loop *eventLoop) sendFinalAnswer(m *trackedMessage, outcome transport.Outcome, retryAfter int) {
 	answer := transport.FinalAnswer{MessageID: m.MessageID, ID: m.ID, Outcome: outcome, RetryAfterMs: retryAfter}
 	if m.traced {
@@ -48,7 +48,7 @@
 	}
 }
 
-// releaseAcknowledged lets go of messages whose final answers were heard.
+// releaseAcknowledged removes messages whose notices were acknowledged.
 func (loop *eventLoop) releaseAcknowledged(numbers noticesAcknowledged) {
 	for _, number := range numbers {
 		if m := loop.messages.byNumber[number]; m != nil {
--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -10,14 +10,14 @@
 	"spanflow/scheduler"
 )
 
-// operatorState is what operators have asked for, and the way by which they ask.
+// operatorState is what operators have asked for, and the channel by which they ask.
 type operatorState struct {
 	requests *adminRequests
-	drains   *drains.Set // endpoints that are drained by hand
+	drains   *drains.Set // endpoints that operators have drained
 	lameDuck bool        // clients are sent elsewhere
 }
 
-// adminRequests is the operators' way to the event loop: a request to the admin address is an event like any other.
+// adminRequests turns requests to the admin address into events. It is the handler of the admin server.
 type adminRequests struct {
 	queue   *eventQueue
 	ready   atomic.Bool
@@ -72,7 +72,7 @@
 	}
 }
 
-// setLameDuck sends clients away, or lets them in again.
+// setLameDuck sends clients away, or accepts them again.
 func (loop *eventLoop) setLameDuck(on bool) {
 	loop.operators.lameDuck = on
 	clients := 0
@@ -88,7 +88,7 @@
 		Msg("lameduck")
 }
 
-// drainOrRestore drains an endpoint by hand or restores it; listed tells that somebody has it.
+// drainOrRestore drains an endpoint, or restores it. listed is true if the endpoint is known to exist.
 func (loop *eventLoop) drainOrRestore(r admin.Request, listed bool) admin.Response {
 	result, change := applyDrainRequest(loop.operators.drains, r, listed)
 	if change == drains.Unchanged {
--- a/forwarder/recent_ids.go
+++ b/forwarder/recent_ids.go
@@ -4,8 +4,8 @@
 
 const maxRecentIDs = 4096
 
-// recentIDs remembers the ids of the latest messages that ended, so that no message is admitted under the id of one that
-// may have run. It keeps hashes: another id is taken for a recent one with a probability of about 2^-52.
+// recentIDs remembers the ids of the latest messages that ended, so that no message is admitted under the id of one
+// that may have run. It keeps hashes: another id is taken for a recent one with a probability of about 2^-52.
 type recentIDs struct {
 	seed   maphash.Seed
 	hashes map[uint64]struct{}
@@ -17,7 +17,7 @@
 	return recentIDs{seed: maphash.MakeSeed(), hashes: map[uint64]struct{}{}}
 }
 
-// has tells if an id is among the latest.
+// has reports whether an id is among the latest.
 func (r *recentIDs) has(id string) bool {
 	_, known := r.hashes[maphash.String(r.seed, id)]
 	return known
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -9,7 +9,7 @@
 	"spanflow/transport"
 )
 
-// recoverState gives the scheduler the known list of endpoints and what an earlier process owed.
+// recoverState gives the scheduler the last known list of endpoints and the messages that an earlier process owed.
 func (loop *eventLoop) recoverState(now time.Time) {
 	loop.scheduler = scheduler.New(loop.config.Scheduler, loop.config.Seed, loop.schedulerTime(now), loop)
 	loop.readLearnedState(now)
@@ -24,7 +24,7 @@
 	loop.calls.send()
 }
 
-// readLearnedState reads what an earlier process has learned of endpoints and destinations, for when they are heard of.
+// readLearnedState reads what an earlier process has learned of endpoints and destinations, for when these are known.
 func (loop *eventLoop) readLearnedState(now time.Time) {
 	config, log := loop.config, &loop.telemetry.log
 	if config.InheritedListener > 0 { // this process and the one before are one forwarder; a restart ends it
@@ -36,8 +36,8 @@
 	}
 }
 
-// recoverMessage takes up a message that an earlier process owed. One that would overtake stored ones is answered
-// without a call.
+// recoverMessage gives the scheduler a message that an earlier process owed. One that would overtake stored ones is
+// answered without a call.
 func (loop *eventLoop) recoverMessage(e *wal.Entry, now time.Time, overtaking bool) {
 	typ, known := loop.messages.types[e.Type]
 	if !known {
@@ -47,7 +47,7 @@
 	recovered := loop.recoveredAttempts(e)
 	m := loop.track(e, typ)
 	switch {
-	case e.CallerWaits: // its caller's connection died with that process: told to nobody
+	case e.CallerWaits: // its caller's connection died with that process: nobody gets an answer
 		loop.telemetry.counts.withdrawn++
 	case e.Answer == wal.Rejected:
 		loop.sendFinalAnswer(m, transport.Rejected, e.RetryAfter)
@@ -73,16 +73,16 @@
 	}
 }
 
-// discountWindow takes a message off what its destination is asked for where a backlog store is used: windows of many
-// destinations that are out, found by a start, are no demand of its first seconds, by which each would be tried often.
+// discountWindow takes a recovered message off its destination's demand where a backlog store is used. Otherwise a
+// start that finds the windows of many unreachable destinations would take them for demand and try each often.
 func (loop *eventLoop) discountWindow(m *trackedMessage) {
 	if loop.backlog != nil {
 		loop.scheduler.Uncount(m.scheduled.Dest)
 	}
 }
 
-// recoveredAttempts is what the scheduler is told of a message's earlier attempts. One that was out when that process
-// ended counts as ended with it, and may have run.
+// recoveredAttempts are a message's earlier attempts. One that was outstanding when that process ended counts as ended
+// with it, and may have run.
 func (loop *eventLoop) recoveredAttempts(e *wal.Entry) scheduler.RecoveredState {
 	if e.AttemptBegan > 0 {
 		if err := loop.wal.RecordAttemptEnd(e.Seq, true); err != nil {
@@ -108,8 +108,8 @@
 	}
 }
 
-// noteTried takes a message that the start found untried off the count of those that are: it was called, or has ended
-// without. With the last of them a line says how many were.
+// noteTried takes a message that the start found untried off the count of those that are: it is sent (called), or has
+// ended without. The last of them logs how many there were.
 func (loop *eventLoop) noteTried(m *trackedMessage, called bool) {
 	if !m.untried {
 		return
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -11,7 +11,7 @@
 // part by part (ConfigParts), and what may change in a running forwarder is applied, all of it or nothing. What else
 // differs waits for the next start and is only logged.
 
-// ReloadBehavior tells when a changed part of the configuration takes effect.
+// ReloadBehavior is when a changed part of the configuration takes effect.
 type ReloadBehavior uint8
 
 // The moments at which a change can take effect.
@@ -33,8 +33,8 @@
 	partBacklog   = "backlog"
 )
 
-// ConfigPart is a part of the configuration that changes as a whole. Reloads go by ConfigParts, and so does what commands
-// tell of a change.
+// ConfigPart is a part of the configuration that changes as a whole. Reloads go by ConfigParts, and so does what
+// commands tell of a change.
 type ConfigPart struct {
 	Name   string
 	Keys   []string // of the configuration file: whole sections or single keys
@@ -42,8 +42,8 @@
 	values func(c *Config) any
 }
 
-// ConfigParts are all parts of the configuration. All but discovery take effect on reload only where the configuration's
-// form has them so (DiscoveryMovable): the platform's form changes nothing but discovery.
+// ConfigParts are all parts of the configuration. All but discovery take effect on reload only where the
+// configuration's form has them so (DiscoveryMovable): the platform's form changes nothing but discovery.
 var ConfigParts = []ConfigPart{
 	{"name", []string{"name"}, OnRestart, func(c *Config) any { return c.Name }},
 	{partListen, []string{"fronts"}, OnReload, func(c *Config) any { return c.Frontends }},
@@ -60,15 +60,19 @@
 		return c.RandomSeed
 	}},
 	{"state", []string{"ledger.folder"}, OnRestart, func(c *Config) any { return c.Folder }},
-	{partBacklog, []string{"backlog.disk", "backlog.destination", "backlog.tenant", "backlog.window", "backlog.behind"}, OnReload,
-		func(c *Config) any { return c.Backlog.bounds() }},
+	{
+		partBacklog,
+		[]string{"backlog.disk", "backlog.destination", "backlog.tenant", "backlog.window", "backlog.behind"},
+		OnReload, func(c *Config) any { return c.Backlog.bounds() },
+	},
 	{"backlog_folder", []string{"backlog.folder"}, OnRestart, func(c *Config) any { return c.Backlog.folder() }},
 	{"limits", []string{"limits", "ledger.disk"}, OnRestart, func(c *Config) any {
 		return [4]float64{float64(c.MemoryMB), float64(c.Sockets), float64(c.DiskMB), c.Cores}
 	}},
-	{"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"}, OnRestart, func(c *Config) any {
-		return []any{c.Scheduler, c.Names, c.Upstreams, c.KindUpstream}
-	}},
+	{
+		"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"},
+		OnRestart, func(c *Config) any { return []any{c.Scheduler, c.Names, c.Upstreams, c.KindUpstream} },
+	},
 }
 
 // folder is where the backlog store is; empty: there is none.
@@ -90,7 +94,7 @@
 	return bounds
 }
 
-// takesEffect tells when a change of the part in this configuration takes effect.
+// takesEffect is when a change of the part in this configuration takes effect.
 func (p *ConfigPart) takesEffect(c *Config) ReloadBehavior {
 	if p.Name != partDiscovery && !c.DiscoveryMovable {
 		return OnRestart
@@ -98,7 +102,8 @@
 	return p.When
 }
 
-// reload reads the configuration again and applies what has changed. One that cannot be read or applied changes nothing.
+// reload reads the configuration again and applies what has changed. One that cannot be read or applied changes
+// nothing.
 func (loop *eventLoop) reload() {
 	if loop.config.Reload == nil {
 		return
@@ -115,8 +120,8 @@
 	loop.telemetry.figures.accepted++
 }
 
-// applyConfig makes the running forwarder follow the next configuration as far as it can without a restart. After an error
-// nothing has changed.
+// applyConfig makes the running forwarder follow the next configuration as far as it can without a restart. After an
+// error nothing has changed.
 func (loop *eventLoop) applyConfig(next *Config) error {
 	changed, onRestart := loop.changedParts(next)
 	if err := loop.checkSources(next, changed); err != nil {
@@ -165,7 +170,8 @@
 // connections than there are.
 func (loop *eventLoop) checkSources(next *Config, changed map[string]bool) error {
 	if changed[partDiscovery] && (loop.config.configuredDiscovery == "") != (next.configuredDiscovery == "") {
-		return errors.New("discovery: a list in the configuration and one from discovery replace each other only at a start")
+		return errors.New(
+			"discovery: a list in the configuration and one from discovery replace each other only at a start")
 	}
 	if changed[partNotices] && (loop.config.noticeAddress == "") != (next.noticeAddress == "") {
 		return errors.New("discovery.notices: an address of its own is added or removed only at a start")
@@ -221,9 +227,9 @@
 	loop.discovery.static.Watch(0)
 }
 
-// replaceFrontends puts other frontends in the place of the present ones. A frontend whose configuration stays is left
-// alone; one that goes takes no new connections, and each of its callers is answered before its connection ends. The new
-// ones open first: if one cannot, nothing has changed.
+// replaceFrontends puts other frontends in the place of the present ones. A frontend whose configuration stays is
+// left alone; one that goes takes no new connections, and each of its callers is answered before its connection ends.
+// The new ones open first: if one cannot, nothing has changed.
 func (loop *eventLoop) replaceFrontends(next []Frontend) error {
 	limits, err := divideConnections(next, MaxClients(loop.config.Sockets))
 	if err != nil {
@@ -245,7 +251,8 @@
 		}
 		for _, f := range removed {
 			if f.config.Listen == config.Listen && f.Addr() == config.Listen {
-				return fmt.Errorf("fronts: %s: the other keys of a front change only together with its address, or at a start", config.Name)
+				return fmt.Errorf(
+					"fronts: %s: the other keys of a front change only together with its address, or at a start", config.Name)
 			}
 		}
 		added, connections = append(added, config), append(connections, limits[i])
--- a/forwarder/retry_after.go
+++ b/forwarder/retry_after.go
@@ -6,9 +6,10 @@
 	"spanflow/internal/statefile"
 )
 
-// The retry-after state says until when each endpoint gets no calls: for a Retry-After of its own, or as a backoff after
-// rejections. It is kept at the end of a process, and the process that takes over the folder observes it. Guards against
-// an upgrade that sends to an endpoint which told the old process to wait; the two are one forwarder to it.
+// The retry-after state says until when each endpoint gets no calls: for a Retry-After of its own, or as a backoff
+// after rejections. It is kept at the end of a process, and the process that takes over the folder observes it.
+// Guards against an upgrade that sends to an endpoint that has asked the old process to wait; the two are one
+// forwarder to it.
 
 // writeRetryAfter writes the state of the endpoints that are blocked beyond now, in seconds of the wall clock.
 func (loop *eventLoop) writeRetryAfter(now float64) {
@@ -23,7 +24,8 @@
 	}
 }
 
-// restoreRetryAfter gives the scheduler the state that an earlier process left for the endpoints that are listed by now.
+// restoreRetryAfter gives the scheduler the state that an earlier process left for the endpoints that are listed by
+// now.
 func (loop *eventLoop) restoreRetryAfter() {
 	now := loop.schedulerTime(time.Now())
 	for uid, until := range loop.endpoints.restoredRetryAfter {
--- a/forwarder/run.go
+++ b/forwarder/run.go
@@ -13,8 +13,8 @@
 	latenciesEvery = 3 * time.Second  // between two writes of the learned latencies
 )
 
-// run takes a turn whenever there is something to do, until the process may end. reload asks for the configuration to
-// be read again.
+// run takes a turn whenever there is something to do, until the process may end. It reloads the configuration at each
+// signal on reload.
 func (loop *eventLoop) run(ctx context.Context, reload <-chan os.Signal, dialer *dial.Dialer) {
 	timer := time.NewTimer(0)
 	counts := time.NewTicker(countsEvery)
@@ -22,7 +22,7 @@
 	latencies := time.NewTicker(latenciesEvery)
 	defer latencies.Stop()
 	var spool <-chan time.Time
-	if loop.config.InheritedListener > 0 { // a process that replaces this one may wait and be called
+	if loop.config.InheritedListener > 0 { // a process that replaces this one may spool commands
 		ticker := time.NewTicker(spoolPollInterval)
 		defer ticker.Stop()
 		spool = ticker.C
@@ -42,7 +42,7 @@
 			loop.writeLatencies()
 			continue
 		case <-spool:
-			// What is called once this process hands over, its successor takes up.
+			// Once this process hands over, its successor carries out the spooled commands.
 			if end.handingOver || !loop.runSpooledCommands() {
 				continue
 			}
--- a/forwarder/shutdown.go
+++ b/forwarder/shutdown.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	killAfter      = 3700 * time.Millisecond // after the word to stop, a forwarder may be killed
-	killMargin     = 500 * time.Millisecond  // what is left of it for the end itself
-	acceptFor      = 500 * time.Millisecond  // new connections may still come for so long
+	killAfter      = 3700 * time.Millisecond // after SIGTERM a forwarder may be killed
+	killMargin     = 500 * time.Millisecond  // of it, left for closing after the last turn
+	acceptFor      = 500 * time.Millisecond  // for so long new connections may still come
 	clientsPolling = 20 * time.Millisecond   // between two looks if the clients have gone
 )
 
-// shutdownState is how far the end of a process has come. A channel is nil while its event is not waited for.
+// shutdownState is the progress of a shutdown. A channel is nil while its event is not waited for.
 type shutdownState struct {
-	begun       bool
-	requested   <-chan struct{}  // the word to stop
-	drain       <-chan time.Time // from then on no new connections are waited for
-	poll        <-chan time.Time // to see if the clients have gone
-	deadline    <-chan time.Time // from then on nothing is waited for
-	handingOver bool             // another process takes over
-	handedOver  bool             // and the frontends are shut for it
+	begun            bool
+	requested        <-chan struct{}  // closed when the process is to stop
+	drain            <-chan time.Time // from then on no new connections are waited for
+	poll             <-chan time.Time // to see if the clients have gone
+	deadline         <-chan time.Time // from then on nothing is waited for
+	handingOver      bool             // another process takes over
+	stoppedAccepting bool             // the frontends take no more connections, for the successor
 }
 
 // beginShutdown begins the end of the process.
@@ -32,8 +32,8 @@
 	end.handingOver = loop.config.InheritedListener > 0
 	held := len(loop.messages.byNumber)
 	if end.handingOver {
-		// Another process takes the clients from the shared socket and what is owed from the folder: its serving goes on
-		// there once this one has its calls back.
+		// Another process takes over the clients from the shared socket and the messages from the folder, once the
+		// calls of this one have ended.
 		log.Info().Int("held", held).Int("out", loop.scheduler.CallsInFlight()).Msg("handing over")
 		loop.queue.push(stopRequested(0))
 		end.poll = time.Tick(clientsPolling)
@@ -64,29 +64,27 @@
 		loop.closeDrainedFrontends()
 	}
 	done := loop.turn()
-	if end.handingOver && !end.handedOver && loop.scheduler.CallsInFlight() == 0 {
+	if end.handingOver && !end.stoppedAccepting && loop.scheduler.CallsInFlight() == 0 {
 		loop.handOver()
 		return false
 	}
-	return (done || end.handedOver) && end.drain == nil && clients == 0
+	return (done || end.stoppedAccepting) && end.drain == nil && clients == 0
 }
 
-// handOver leaves new clients to the process that takes over. They are taken and kept for it until the calls are back,
-// so that the socket is without anybody who accepts for as short a time as can be: the successor starts once the folder
-// is free.
+// handOver leaves new clients to the successor. It happens only once no call is outstanding, so that nobody accepts on
+// the shared socket for as short a time as possible: the successor starts when the folder is free.
 func (loop *eventLoop) handOver() {
-	loop.shutdown.handedOver = true
+	loop.shutdown.stoppedAccepting = true
 	for _, l := range loop.frontends.open {
 		l.StopAccepting()
 		l.Drain()
 	}
 }
 
-// answerRemaining answers what callers have asked up to the end. Guards against a command that was read behind the last
-// turn and lost with the process: what is read is answered, what is not its client sends once more. No call begins any
-// more.
+// answerRemaining answers the requests that were read after the last turn. Guards against a command that is read and
+// lost with the process: what was read is answered, what was not its client sends again. No call begins any more.
 func (loop *eventLoop) answerRemaining() {
-	loop.queue.close() // a frontend that waits for room does not any more, so that it can stop reading
+	loop.queue.close() // a frontend that waits in Submit can stop reading then
 	for _, l := range append(slices.Clone(loop.frontends.open), loop.frontends.leaving...) {
 		l.StopReading()
 	}
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -30,7 +30,8 @@
 	return s
 }
 
-// takeOver ends the standby: calls go to the event loop from here on. It tells if clients are to be sent away.
+// takeOver ends the standby: calls go to the event loop from here on. It reports whether clients
+// are to be sent away.
 func (s *standby) takeOver() (lameDuck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forwarder/telemetry.go
+++ b/forwarder/telemetry.go
@@ -11,11 +11,11 @@
 	"spanflow/transport"
 )
 
-// telemetry is what the event loop tells of itself: log lines, traced messages, counts and metrics.
+// telemetry is what the event loop reports of itself: log lines, traced messages, counts and metrics.
 type telemetry struct {
 	log        zerolog.Logger
 	output     io.Writer            // where the log goes
-	lastLogged map[string]time.Time // when lines that may come in floods were last written, by kind
+	lastLogged map[string]time.Time // when lines whose rate is limited were last written, by kind
 	trace      trace
 	counts     counts
 	figures    figures
@@ -28,8 +28,8 @@
 }
 
 const (
-	slowTurn    = 100 * time.Millisecond // a turn of the event loop or a wait for it that is worth a line
-	logInterval = time.Second            // between two lines of a kind that may come in floods
+	slowTurn    = 100 * time.Millisecond // a turn of the event loop, or a wait for it, that is logged
+	logInterval = time.Second            // between two lines of a kind that is limited
 )
 
 func newTelemetry(config Log, log zerolog.Logger) telemetry {
@@ -41,7 +41,7 @@
 	}
 }
 
-// mayLog reports whether a line of a kind is to be written, at most one a while.
+// mayLog reports whether a line of a kind is to be written: at most one each logInterval.
 func (t *telemetry) mayLog(kind string) bool {
 	now := time.Now()
 	if now.Before(t.lastLogged[kind].Add(logInterval)) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// gauges are the figures that are read when they are asked for.
+// gauges are the metrics that are read when they are scraped.
 func (loop *eventLoop) gauges(dialer *dial.Dialer) []transport.Gauge {
 	t := &loop.telemetry
 	gauges := []transport.Gauge{
--- a/forwarder/transport_test.go
+++ b/forwarder/transport_test.go
@@ -181,7 +181,8 @@
 	require.Len(t, v.Pending, 1)
 }
 
-// The old process's callers are gone with it: what they waited for is withdrawn, and a key rests where it may still run.
+// The old process's callers are gone with it: what they waited for is withdrawn, and a key rests where it may still
+// run.
 func TestWhatCallersOfAnEarlierProcessWaitedForIsWithdrawn(t *testing.T) {
 	h := newHouse(t)
 	l, err := wal.Open(h.order.Folder, 3_000_000)
