--- a/forwarder/backlog_faults_test.go
+++ b/forwarder/backlog_faults_test.go
@@ -17,69 +17,67 @@
 
 // A message is in the log and in the store, as its process was killed while it came back, and the store cannot be
 // written: served all the same, it would be delivered twice.
-func TestAForwarderDoesNotStartWhileAMoveThatWasCutShortCannotBeEnded(t *testing.T) {
+func TestDoesNotStartWhileInterruptedMoveCannotBeResolved(t *testing.T) {
 	const count = 100
-	r := newBacklogRig(t)
-	r.targets[0].Do(failing)
-	r.start()
-	r.fill(0, 0, count)
-	r.stop()
+	f := newBacklogFixture(t)
+	f.endpoints[0].Do(failing)
+	f.start()
+	f.fill(0, 0, count)
+	f.stop()
 
-	store, err := backlog.Open(backlog.OS{}, r.store, backlog.Bounds{Bytes: 64 << 20})
+	store, err := backlog.Open(backlog.OS{}, f.store, backlog.Bounds{Bytes: 64 << 20})
 	require.NoError(t, err)
 	head, err := store.Head(backlog.Lane{}, 3)
 	require.NoError(t, err)
 	require.Len(t, head, 3)
 	require.NoError(t, store.Close())
-	log, err := wal.Open(r.state, 64e6)
+	walLog, err := wal.Open(f.folder, 64e6)
 	require.NoError(t, err)
 	for _, m := range head {
-		require.NoError(t, log.Restore(&wal.Entry{Seq: m.Seq, Key: m.Key, Type: m.Type, ID: m.ID, Expiry: m.Expiry, Body: m.Body}))
+		entry := &wal.Entry{Seq: m.Seq, Key: m.Key, Type: m.Type, ID: m.ID, Expiry: m.Expiry, Body: m.Body}
+		require.NoError(t, walLog.Restore(entry))
 	}
-	require.NoError(t, log.Close())
-	segments, err := filepath.Glob(filepath.Join(r.store, "*.backlog"))
+	require.NoError(t, walLog.Close())
+	segments, err := filepath.Glob(filepath.Join(f.store, "*.backlog"))
 	require.NoError(t, err)
-	obstacle := filepath.Join(r.store, fmt.Sprintf("%010d.backlog", len(segments)+1))
+	obstacle := filepath.Join(f.store, fmt.Sprintf("%010d.backlog", len(segments)+1))
 	require.NoError(t, os.MkdirAll(filepath.Join(obstacle, "full"), 0o700))
 
-	text := fmt.Appendf(nil, backlogOrder, r.discovery.Addr, r.state, r.discovery.Known(), r.life.Milliseconds())
-	order, err := forwarder.ReadConfig(text, func(string) string { return "" })
-	require.NoError(t, err)
-	order.Backlog = &forwarder.Backlog{Folder: r.store, Bytes: 64 << 20, Window: 10, Behind: 20}
-	r.targets[0].Do(r.serve)
+	config := f.config()
+	f.endpoints[0].Do(f.serve)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- forwarder.Run(t.Context(), order, nil, io.Discard, func(string) { ended <- nil })
+		ended <- forwarder.Run(t.Context(), config, nil, io.Discard, func(string) { ended <- nil })
 	}()
 	require.ErrorContains(t, <-ended, "backlog: open "+obstacle)
-	require.Zero(t, r.delivered())
+	require.Zero(t, f.delivered())
 
 	require.NoError(t, os.RemoveAll(obstacle))
-	r.start()
-	r.requireAllInOrder(count)
+	f.start()
+	f.requireEachOnceInOrder(count)
 }
 
-// Messages that are answered and whose notices nobody takes must not keep others out of memory.
+// Messages that are answered and whose notices nobody acknowledges must not keep others out of memory.
 func TestUnheardNoticesOfManyThatExpiredDoNotHoldUpFreshOnes(t *testing.T) {
 	const count = 2500 // more than are held in memory
-	r := newBacklogRig(t)
-	r.life = 8 * time.Second
-	r.targets[0].Do(failing)
-	r.discovery.SetUnresponsive(true)
-	r.start()
+	f := newBacklogFixture(t)
+	f.timeToLive = 8 * time.Second
+	f.endpoints[0].Do(failing)
+	f.discovery.SetUnresponsive(true)
+	f.start()
 	begun := time.Now()
-	r.fill(0, 0, count)
-	require.Eventually(t, func() bool { return r.stored().Messages == 0 }, 20*time.Second, 20*time.Millisecond)
-	require.Greater(t, time.Since(begun), r.life/2)
+	f.fill(0, 0, count)
+	require.Eventually(t, func() bool { return f.stored().Messages == 0 }, 20*time.Second, 20*time.Millisecond)
+	require.Greater(t, time.Since(begun), f.timeToLive/2)
 	for number := range 20 {
-		require.Equal(t, "+OK", r.put(1, 101, 10_000+number))
+		require.Equal(t, "+OK", f.put(1, 101, 10_000+number))
 	}
-	require.Eventually(t, func() bool { return r.delivered() == 20 }, 3*time.Second, time.Millisecond)
-	r.discovery.SetUnresponsive(false)
+	require.Eventually(t, func() bool { return f.delivered() == 20 }, 3*time.Second, time.Millisecond)
+	f.discovery.SetUnresponsive(false)
 	answered := map[string]bool{}
 	for len(answered) < count {
 		select {
-		case n := <-r.discovery.Notices:
+		case n := <-f.discovery.Notices:
 			require.False(t, answered[n.ID], "one final answer for each")
 			answered[n.ID] = true
 		case <-time.After(20 * time.Second):
@@ -91,16 +89,16 @@
 // The same where the messages expire in memory, none of them stored.
 func TestUnheardNoticesOfManyThatExpiredInMemoryDoNotHoldUpFreshOnes(t *testing.T) {
 	const count = 1900
-	r := newBacklogRig(t)
-	r.life = 6 * time.Second
-	r.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 1800, 1800 }
-	r.targets[0].Do(failing)
-	r.discovery.SetUnresponsive(true)
-	r.start()
-	r.fill(0, 0, count)
-	time.Sleep(r.life)
+	f := newBacklogFixture(t)
+	f.timeToLive = 6 * time.Second
+	f.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 1800, 1800 }
+	f.endpoints[0].Do(failing)
+	f.discovery.SetUnresponsive(true)
+	f.start()
+	f.fill(0, 0, count)
+	time.Sleep(f.timeToLive)
 	for number := range 20 {
-		require.Equal(t, "+OK", r.put(1, 101, 10_000+number))
+		require.Equal(t, "+OK", f.put(1, 101, 10_000+number))
 	}
-	require.Eventually(t, func() bool { return r.delivered() == 20 }, 3*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return f.delivered() == 20 }, 3*time.Second, time.Millisecond)
 }
--- a/forwarder/endpoint_follower_test.go
+++ b/forwarder/endpoint_follower_test.go
@@ -18,24 +18,26 @@
 	entry := emulator.Entry{UID: "t1", Endpoint: "127.0.0.1:1", Zone: "a", Kind: "k", Destination: 1, State: "active"}
 	discovery, err := emulator.NewDiscovery("", entry)
 	require.NoError(t, err)
-	order, err := forwarder.ReadConfig(fmt.Appendf(nil, benchOrder, discovery.Addr, t.TempDir(), discovery.Known()),
-		func(string) string { return "" })
-	require.NoError(t, err)
+	config := readConfig(t, fmt.Appendf(nil, benchConfig, discovery.Addr, t.TempDir(), discovery.Known()))
 	dialer, err := dial.New("test", 4)
 	require.NoError(t, err)
 	defer dialer.Stop()
 	ctx, cancel := context.WithCancel(t.Context())
 	inForce, ended := make(chan int64, 9), make(chan error, 1)
-	logged := emulator.NewLog()
+	follower := forwarder.EndpointFollower{
+		Dialer:  dialer,
+		LogTo:   emulator.NewLog(),
+		InForce: func(revision int64) { inForce <- revision },
+	}
 	go func() {
-		ended <- forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: logged, InForce: func(revision int64) { inForce <- revision }})
+		ended <- forwarder.FollowEndpoints(ctx, config, follower)
 	}()
-	require.EqualValues(t, order.LastEndpoints.Revision, <-inForce)
+	require.EqualValues(t, config.LastEndpoints.Revision, <-inForce)
 	entry.State = "leaving"
 	discovery.Set(entry)
 	var list struct{ Rev int64 }
 	require.NoError(t, json.Unmarshal(discovery.Known(), &list))
-	require.Greater(t, list.Rev, order.LastEndpoints.Revision)
+	require.Greater(t, list.Rev, config.LastEndpoints.Revision)
 	require.Equal(t, list.Rev, <-inForce)
 	cancel()
 	require.NoError(t, <-ended)
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -44,29 +44,29 @@
 	return times
 }
 
-// goldenLatencyOwner is an event loop with a folder and the shape of the golden latencies.
-func goldenLatencyOwner(t *testing.T, folder string) *eventLoop {
+// goldenLatencyLoop is an event loop with a folder and the shape of the golden latencies.
+func goldenLatencyLoop(t *testing.T, folder string) *eventLoop {
 	t.Helper()
-	o, logged := latencyOwner(folder)
+	loop, logged := newLatencyLoop(folder)
 	require.Empty(t, logged.String())
-	return o
+	return loop
 }
 
 func TestWritesSameLatenciesAsVersion1(t *testing.T) {
 	folder := t.TempDir()
-	o := goldenLatencyOwner(t, folder)
-	require.True(t, o.scheduler.RestoreLatencies(o.destination(goldenDestination), goldenTimes()))
-	o.writeLatencies()
+	loop := goldenLatencyLoop(t, folder)
+	require.True(t, loop.scheduler.RestoreLatencies(loop.destination(goldenDestination), goldenTimes()))
+	loop.writeLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
 func TestReadsLatenciesWrittenByVersion1(t *testing.T) {
-	o := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies))
+	loop := goldenLatencyLoop(t, golden.Copy(t, goldenLatencies))
 	want := make([]float64, 16) // weighed by the scheduler, four digits each
 	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11
-	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.endpoints.restoredLatencies)
+	require.Equal(t, map[uint64][]float64{goldenDestination: want}, loop.endpoints.restoredLatencies)
 
-	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).endpoints.restoredLatencies
+	several := goldenLatencyLoop(t, golden.Copy(t, goldenLatencies3)).endpoints.restoredLatencies
 	require.Len(t, several, 3)
 	require.Equal(t, 1.5, several[1][0])
 	require.Equal(t, 1e-7, several[1<<63][15])
@@ -75,27 +75,27 @@
 
 func TestKeepsLatenciesOfUnheardDestinationAsVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenLatencies)
-	goldenLatencyOwner(t, folder).writeLatencies()
+	goldenLatencyLoop(t, folder).writeLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
 // goldenEndpoints is an event loop with a folder and two listed endpoints.
 func goldenEndpoints(folder string) *eventLoop {
-	o := listOwner()
-	o.config.Folder = folder
-	o.epoch = time.Unix(goldenNow, 0)
-	o.updateEndpoints(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
+	loop := newEndpointLoop()
+	loop.config.Folder = folder
+	loop.epoch = time.Unix(goldenNow, 0)
+	loop.updateEndpoints(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
 		{UID: "endpoint-1", Address: "127.0.0.1:1", Destination: 7, State: "active"},
 		{UID: "endpoint-2", Address: "127.0.0.1:2", Destination: 8, State: "active"}}}, true)
-	return o
+	return loop
 }
 
 func TestWritesSameRetryAfterStateAsVersion1(t *testing.T) {
 	folder := t.TempDir()
-	o := goldenEndpoints(folder)
-	o.scheduler.BlockUntil(o.endpoints.byUID["endpoint-1"].scheduled, goldenNow+12.3456)
-	o.scheduler.BlockUntil(o.endpoints.byUID["endpoint-2"].scheduled, goldenNow-1) // over
-	o.writeRetryAfter(goldenNow)
+	loop := goldenEndpoints(folder)
+	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-1"].scheduled, goldenNow+12.3456)
+	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-2"].scheduled, goldenNow-1) // over
+	loop.writeRetryAfter(goldenNow)
 	golden.Compare(t, folder, goldenRetryAfter)
 }
 
@@ -150,21 +150,21 @@
 	}
 	require.Equal(t, goldenCommands, commands)
 
-	o := goldenEndpoints(folder)
-	require.True(t, o.runSpooledCommands())
-	require.Equal(t, []string{"an id with spaces"}, o.operators.drains.IDs())
+	loop := goldenEndpoints(folder)
+	require.True(t, loop.runSpooledCommands())
+	require.Equal(t, []string{"an id with spaces"}, loop.operators.drains.IDs())
 	require.Empty(t, spool.Names())
 }
 
-// goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
-func goldenStoreOwner() *eventLoop {
-	order := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
+// goldenStoreLoop is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
+func goldenStoreLoop() *eventLoop {
+	config := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
 		Scheduler: scheduler.Settings{Types: []scheduler.MessageType{
 			{Idempotency: scheduler.Idempotent},
 			{Idempotency: scheduler.IdempotentWithKey, DeduplicationWindow: 600},
 			{Idempotency: scheduler.AtMostOnce, InOrder: true},
 		}}}
-	return newEventLoop(order, zerolog.Nop(), newEventQueue())
+	return newEventLoop(config, zerolog.Nop(), newEventQueue())
 }
 
 // goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
@@ -185,9 +185,9 @@
 	folder := t.TempDir()
 	store, err := backlog.Open(backlog.OS{}, folder, goldenStoreBounds)
 	require.NoError(t, err)
-	o := goldenStoreOwner()
+	loop := goldenStoreLoop()
 	for _, e := range goldenEntries() {
-		require.NoError(t, store.Append(o.storedMessage(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
+		require.NoError(t, store.Append(loop.storedMessage(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
 	}
 	require.NoError(t, store.Close())
 	golden.Compare(t, folder, goldenStored, storeLock)
--- /dev/null
+++ b/forwarder/loop_fixture_test.go
@@ -0,0 +1,44 @@
+package forwarder
+
+import (
+	"github.com/rs/zerolog"
+
+	"spanflow/internal/drains"
+	"spanflow/scheduler"
+)
+
+// newTestLoop is an event loop without sockets and files, at 100 s on the scheduler's clock. What the scheduler decides
+// goes to host.
+func newTestLoop(config *Config, seed uint64, host scheduler.Host, log zerolog.Logger) *eventLoop {
+	loop := newEventLoop(config, log, newEventQueue())
+	loop.operators.drains = drains.New(nil)
+	loop.scheduler = scheduler.New(config.Scheduler, seed, 100, host)
+	return loop
+}
+
+// recordingHost records for when the scheduler last set its timer, in seconds, and how often it asked for the list. It
+// panics if the scheduler decides on a message.
+type recordingHost struct {
+	scheduler.Host
+	wakeIn  float64
+	watches int
+}
+
+func (h *recordingHost) Wake(in float64)                   { h.wakeIn = in }
+func (h *recordingHost) WatchEndpoints()                   { h.watches++ }
+func (*recordingHost) CloseIdle(*scheduler.Endpoint)       {}
+func (*recordingHost) ReleaseEndpoint(*scheduler.Endpoint) {}
+func (*recordingHost) Log(string)                          {}
+
+// discardHost ignores whatever the scheduler decides.
+type discardHost struct{}
+
+func (discardHost) Send(*scheduler.Message, *scheduler.Endpoint, float64) {}
+func (discardHost) Reject(*scheduler.Message, float64)                    {}
+func (discardHost) Fail(*scheduler.Message)                               {}
+func (discardHost) CancelUnsent(*scheduler.Endpoint)                      {}
+func (discardHost) CloseIdle(*scheduler.Endpoint)                         {}
+func (discardHost) ReleaseEndpoint(*scheduler.Endpoint)                   {}
+func (discardHost) Wake(float64)                                          {}
+func (discardHost) WatchEndpoints()                                       {}
+func (discardHost) Log(string)                                            {}
--- /dev/null
+++ b/forwarder/shutdown_test.go
@@ -0,0 +1,91 @@
+package forwarder_test
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/forwarder"
+	"spanflow/internal/emulator"
+	"spanflow/internal/wal"
+	"spanflow/transport"
+)
+
+// lateFrontend is a frontend on which a command was read while the event loop took its last turn.
+type lateFrontend struct {
+	*memoryFrontend
+	late *testCaller
+}
+
+func (l *lateFrontend) StopReading() {
+	l.late = l.submit(transport.Submission{ID: "late", Type: "status", Destination: 7})
+}
+
+func TestAnswersRequestsReadAfterLastTurn(t *testing.T) {
+	f := newFixture(t)
+	var frontend *lateFrontend
+	f.config.FrontendProtocols["memory"] = func(
+		_ forwarder.Frontend, _ int, submitter transport.Submitter,
+	) (transport.Frontend, error) {
+		frontend = &lateFrontend{memoryFrontend: &memoryFrontend{submitter}}
+		return frontend, nil
+	}
+	f.start()
+	f.stop()
+	select {
+	case r := <-frontend.late.reply:
+		require.Equal(t, transport.StatusAccepted, r.Status)
+	default:
+		t.Fatal("a command was read and never answered")
+	}
+	require.Empty(t, f.upstream.calls, "no call begins that would be cut off")
+	walLog, err := wal.Open(f.config.Folder, 3_000_000)
+	require.NoError(t, err)
+	defer walLog.Close()
+	require.Len(t, walLog.Pending(), 1, "accepted: the next process owes it")
+}
+
+func TestStopsWhileWaitingForFolder(t *testing.T) {
+	f := newFixture(t)
+	walLog, err := wal.Open(f.config.Folder, 3_000_000)
+	require.NoError(t, err)
+	defer walLog.Close()
+	ctx, stop := context.WithCancel(context.Background())
+	stop()
+	_, err = wal.OpenWhenFree(ctx, f.config.Folder, 3_000_000, time.Hour)
+	require.ErrorIs(t, err, context.Canceled)
+	require.NoError(t, forwarder.Run(ctx, f.config, f.reload, emulator.NewLog(), nil))
+}
+
+func TestUnlistedDestinationGetsNoRetryAfterWhereNoneIsAllowed(t *testing.T) {
+	for most, want := range map[float64]int{0: 0, 2: 1000} {
+		f := newFixture(t)
+		f.config.Scheduler.MaxRetryAfter = most
+		silent, err := emulator.NewEndpoint("", func(emulator.Call) emulator.Reply {
+			return emulator.Reply{Hold: make(chan struct{})}
+		})
+		require.NoError(t, err)
+		f.config.StaticEndpoints, f.config.Discovery = nil, silent.Addr // it never sends its list
+		f.start()
+		c := f.submit(transport.Submission{ID: "a", Type: "status", Destination: 99})
+		require.Equal(t, transport.Reply{Status: transport.StatusOverloaded, RetryAfter: want}, <-c.reply)
+		f.stop()
+	}
+}
+
+func TestLearnedLatenciesOutlastKill(t *testing.T) {
+	f := newFixture(t).start()
+	c := f.submit(transport.Submission{ID: "a", Type: "status", Destination: 7})
+	require.Equal(t, transport.StatusAccepted, (<-c.reply).Status)
+	f.finishNext(transport.ResultOK)
+	require.Equal(t, transport.Delivered, (<-c.final).Outcome)
+	require.Eventually(t, func() bool { // the process goes on: a kill would leave the file so
+		text, err := os.ReadFile(filepath.Join(f.config.Folder, "learnt"))
+		return err == nil && strings.Contains(string(text), "\n7 ")
+	}, 15*time.Second, 10*time.Millisecond)
+}
--- /dev/null
+++ b/forwarder/telemetry_test.go
@@ -0,0 +1,74 @@
+package forwarder_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/transport"
+)
+
+func TestLogsCourseOfTracedMessages(t *testing.T) {
+	f := newFixture(t)
+	f.config.Log.Keys = []uint64{5}
+	f.start()
+	for i, key := range []uint64{5, 6} {
+		c := f.submit(transport.Submission{ID: fmt.Sprint("message", i), Key: key, Type: "payment", Destination: 7})
+		<-c.reply
+		f.finishNext(transport.ResultOK)
+		<-c.final
+	}
+	f.stop()
+	seen := map[string]int{}
+	for line := range strings.Lines(f.log.String()) {
+		var l struct{ Message, ID string }
+		require.NoError(t, json.Unmarshal([]byte(line), &l))
+		if strings.HasPrefix(l.Message, "trace: ") {
+			seen[l.ID]++
+		}
+	}
+	require.Equal(t, map[string]int{"message0": 3}, seen)
+}
+
+// outcomeRecorder records the outcomes of final answers.
+type outcomeRecorder struct {
+	mu   sync.Mutex
+	seen []transport.Outcome
+}
+
+func (r *outcomeRecorder) SubmissionAnswered(string, transport.Status)      {}
+func (r *outcomeRecorder) AttemptEnded(transport.ResultCode, time.Duration) {}
+func (r *outcomeRecorder) FinalAnswered(outcome transport.Outcome, _ time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.seen = append(r.seen, outcome)
+}
+func (r *outcomeRecorder) LoopTurn(int, time.Duration) {}
+func (r *outcomeRecorder) Addr() string                { return "" }
+func (r *outcomeRecorder) Stop()                       {}
+
+// A message that an endpoint says is gone is failed: the metrics count it as the operators' figures do.
+func TestMetricsCountEveryFinalAnswerOnce(t *testing.T) {
+	f := newFixture(t)
+	recorder := &outcomeRecorder{}
+	f.config.Metrics = "in the test"
+	f.config.Recorder = func(string, string, []string, []transport.Gauge) (transport.Recorder, error) {
+		return recorder, nil
+	}
+	f.start()
+	for _, end := range []transport.ResultCode{transport.ResultOK, transport.ResultGone} {
+		c := f.submit(transport.Submission{ID: end.String(), Type: "status", Destination: 7})
+		require.Equal(t, transport.StatusAccepted, (<-c.reply).Status)
+		f.finishNext(end)
+		<-c.final
+	}
+	f.stop()
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	require.Equal(t, []transport.Outcome{transport.Delivered, transport.Failed}, recorder.seen)
+}
--- a/forwarder/transcript_test.go
+++ b/forwarder/transcript_test.go
@@ -1,7 +1,6 @@
 package forwarder_test
 
 import (
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -37,8 +36,8 @@
 	transcriptError = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 )
 
-// wires is a forwarder whose discovery and whose endpoint are played by the test, with the transcript of all wires.
-type wires struct {
+// wireFixture is a forwarder whose discovery and whose endpoint are played by the test, with the transcript of all wires.
+type wireFixture struct {
 	t                   *testing.T
 	script              transcript.Transcript
 	discovery, endpoint *transcript.Server
@@ -46,8 +45,12 @@
 	client              *emulator.Client
 }
 
-func newWires(t *testing.T) *wires {
-	w := &wires{t: t, discovery: transcript.NewServer(t, "127.8.0.3"), endpoint: transcript.NewServer(t, "127.8.0.4")}
+func newWireFixture(t *testing.T) *wireFixture {
+	w := &wireFixture{
+		t:         t,
+		discovery: transcript.NewServer(t, "127.8.0.3"),
+		endpoint:  transcript.NewServer(t, "127.8.0.4"),
+	}
 	unused, err := net.Listen("tcp", "127.8.0.5:0")
 	require.NoError(t, err)
 	w.admin = unused.Addr().String()
@@ -58,30 +61,19 @@
 	w.script.Mask(`Date: [^\r]*`, "Date: DATE")
 	folder := t.TempDir()
 	text := fmt.Sprintf(transcriptConfig, w.discovery.Addr, w.admin, w.endpoint.Addr)
-	order, err := forwarder.ReadConfig([]byte(text), func(name string) string {
+	config, err := forwarder.ReadConfig([]byte(text), func(name string) string {
 		return map[string]string{"PROXY_STATE": folder}[name]
 	})
 	require.NoError(t, err)
-	ctx, stop := context.WithCancel(context.Background())
-	ready, ended := make(chan string, 1), make(chan error, 1)
-	go func() {
-		ended <- forwarder.Run(ctx, order, nil, emulator.NewLog(), func(addr string) { ready <- addr })
-	}()
-	t.Cleanup(func() {
-		stop()
-		require.NoError(t, <-ended)
-	})
-	select {
-	case w.listen = <-ready:
-	case err := <-ended:
-		t.Fatal(err)
-	}
+	var stop func()
+	w.listen, stop = startForwarder(t, config, nil, emulator.NewLog())
+	t.Cleanup(stop)
 	w.connect()
 	return w
 }
 
 // connect opens a new connection of the client.
-func (w *wires) connect() {
+func (w *wireFixture) connect() {
 	w.t.Helper()
 	client, err := emulator.NewClient(w.listen)
 	require.NoError(w.t, err)
@@ -90,7 +82,7 @@
 }
 
 // asks sends a command and adds it and its answer.
-func (w *wires) asks(what string, args ...string) {
+func (w *wireFixture) asks(what string, args ...string) {
 	w.t.Helper()
 	raw := transcript.Command(args...)
 	answer, err := w.client.Send(raw)
@@ -101,13 +93,13 @@
 }
 
 // puts hands a message in for the endpoint's destination.
-func (w *wires) puts(what, id, options string) {
+func (w *wireFixture) puts(what, id, options string) {
 	w.t.Helper()
 	w.asks(what, "MSG.PUT", "0000000000000000", id, options, "a body")
 }
 
 // requested adds the next request that a server gets.
-func (w *wires) requested(name string, server *transcript.Server) *transcript.Request {
+func (w *wireFixture) requested(name string, server *transcript.Server) *transcript.Request {
 	w.t.Helper()
 	request := server.Next()
 	w.script.Note("%s gets a request on connection %d", name, request.Connection)
@@ -116,7 +108,7 @@
 }
 
 // adminAnswer makes a call to the admin address.
-func (w *wires) adminAnswer(request string) string {
+func (w *wireFixture) adminAnswer(request string) string {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.admin)
 	require.NoError(w.t, err)
@@ -130,7 +122,7 @@
 }
 
 // operates makes a call to the admin address and adds it and its answer.
-func (w *wires) operates(what, request string) {
+func (w *wireFixture) operates(what, request string) {
 	w.t.Helper()
 	answer := w.adminAnswer(request)
 	w.script.Note("%s", what)
@@ -139,7 +131,7 @@
 }
 
 // listHeard answers a question for the list and waits until the forwarder has taken it up.
-func (w *wires) listHeard(question *transcript.Request) {
+func (w *wireFixture) listHeard(question *transcript.Request) {
 	w.t.Helper()
 	question.Answer("HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf(transcriptList, w.endpoint.Addr) + "\n")
 	require.Eventually(w.t, func() bool {
@@ -148,7 +140,7 @@
 }
 
 func TestAnswersToClientsOfAWholeForwarder(t *testing.T) {
-	w := newWires(t)
+	w := newWireFixture(t)
 	question := w.requested("discovery", w.discovery)
 	w.asks("a sign of life", "PING")
 	w.puts("a destination that is not listed, before the list has come", "m1", "c=order,d=8000,dest=8")
@@ -172,8 +164,8 @@
 	w.script.Compare(t, "clients.txt")
 }
 
-func TestNoticesAndRepeatsOfAWholeForwarder(t *testing.T) {
-	w := newWires(t)
+func TestNoticesAndRetriesOfAWholeForwarder(t *testing.T) {
+	w := newWireFixture(t)
 	w.listHeard(w.requested("discovery", w.discovery))
 	w.puts("a message that may not run twice", "m1", "c=order,d=8000,dest=7")
 	broken := w.requested("the endpoint", w.endpoint)
@@ -187,8 +179,8 @@
 	w.script.Compare(t, "notices.txt")
 }
 
-func TestTheListIsAskedForAgainAfterTheVersionThatIsHeld(t *testing.T) {
-	w := newWires(t)
+func TestWatchContinuesAfterReceivedRevision(t *testing.T) {
+	w := newWireFixture(t)
 	question := w.requested("discovery", w.discovery)
 	w.listHeard(question)
 	w.script.Note("discovery has told version 43; the watch ends")
@@ -198,7 +190,7 @@
 }
 
 func TestAnswersToOperatorsOfAWholeForwarder(t *testing.T) {
-	w := newWires(t)
+	w := newWireFixture(t)
 	w.listHeard(w.discovery.Next())
 	for _, call := range []struct{ what, request string }{
 		{"ready", "GET /_ready"},
