--- a/cmd/spanflow/lobby_test.go
+++ b/cmd/spanflow/lobby_test.go
@@ -40,7 +40,7 @@
 		code, said = ask(t, second.admin, "POST", "/_targets/detach?name=s1")
 		require.Equal(t, http.StatusOK, code, said)
 	}
-	first.log.Await(t, `"message":"target by hand"`)
+	first.log.Await(t, `"message":"endpoint drained or restored"`)
 	c := s.client()
 	s.put(c, zero, "d1", "c=status,d=20000,dest=7", "+OK")
 	c.Close()
@@ -84,5 +84,5 @@
 	s.put(c, zero, "d1", "c=status,d=20000,dest=7", "+OK")
 	s.nothingComes()
 	require.True(t, second.log.Has(`"lameduck":true`))
-	require.False(t, first.log.Has(`"message":"target by hand"`))
+	require.False(t, first.log.Has(`"message":"endpoint drained or restored"`))
 }
--- a/cmd/spanflow/restart_test.go
+++ b/cmd/spanflow/restart_test.go
@@ -31,7 +31,7 @@
 	for len(ids) > 0 {
 		delete(ids, s.call().ID)
 	}
-	line := s.log.Await(t, `"message":"recovered documents settled"`)
+	line := s.log.Await(t, `"message":"recovered messages settled"`)
 	require.Contains(t, line, `"recovered":20,`)
 	require.Contains(t, line, `"uncalled":0,`)
 	require.Empty(t, s.discovery.Notices)
--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -124,7 +124,7 @@
 	logged := loop.messages.unknownOptions
 	if name != "" && !logged[name] && len(logged) < maxUnknownOptions {
 		logged[name] = true
-		loop.telemetry.log.Warn().Str("name", name).Msg("unknown name with a document")
+		loop.telemetry.log.Warn().Str("name", name).Msg("unknown option with a message")
 	}
 }
 
@@ -145,8 +145,8 @@
 		return
 	}
 	if m.traced {
-		loop.telemetry.log.Info().Str("id", m.ID).Uint64("dest", submission.Destination).Str("type", submission.Type).
-			Float64("left_s", secondsLeft).Msg("trace: taken")
+		loop.telemetry.log.Info().Str("id", m.ID).Uint64("destination", submission.Destination).
+			Str("type", submission.Type).Float64("left_s", secondsLeft).Msg("trace: accepted")
 	}
 	loop.telemetry.counts.accepted++
 }
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -16,8 +16,8 @@
 		}
 	}
 	if result.Reason != "" {
-		loop.telemetry.log.Info().Str("target", result.Call.Address).Stringer("end", result.Codes[0]).
-			Dur("took_ms", result.Latency).Str("why", result.Reason).Msg("call failed")
+		loop.telemetry.log.Info().Str("endpoint", result.Call.Address).Stringer("result", result.Codes[0]).
+			Dur("took_ms", result.Latency).Str("reason", result.Reason).Msg("call failed")
 	}
 }
 
@@ -30,8 +30,8 @@
 		return
 	}
 	if m.traced {
-		loop.telemetry.log.Info().Str("id", m.ID).Stringer("end", code).Dur("took_ms", result.Latency).
-			Msg("trace: end of a transmission")
+		loop.telemetry.log.Info().Str("id", m.ID).Stringer("result", code).Dur("took_ms", result.Latency).
+			Msg("trace: attempt ended")
 	}
 	if code.Written() {
 		loop.telemetry.figures.relayed++
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -178,7 +178,7 @@
 	e := loop.wal.Entry(stored.Seq)
 	typ, known := loop.messages.types[e.Type]
 	if !known {
-		loop.telemetry.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("stored document of an unknown type")
+		loop.telemetry.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("stored message of an unknown type")
 	}
 	m := loop.track(e, typ)
 	m.receivedAt = time.UnixMicro(stored.Taken)
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -42,7 +42,7 @@
 	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).
 		Int("idle_lines", loop.calls.idleConnections()).Int64("disk", loop.wal.Used()).Msg("counts")
 	for _, l := range loop.frontends.open[1:] {
-		writeConnectionStats(log.Info().Str("front", l.config.Name), l.Stats()).Msg("counts of a front")
+		writeConnectionStats(log.Info().Str("frontend", l.config.Name), l.Stats()).Msg("counts of a frontend")
 	}
 }
 
--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -43,7 +43,7 @@
 
 // handleWatchEnd informs the scheduler that changes of the list no longer arrive.
 func (loop *eventLoop) handleWatchEnd(end watchEnded) {
-	loop.telemetry.log.Warn().Str("why", end.why).Msg("watch ended")
+	loop.telemetry.log.Warn().Str("reason", end.reason).Msg("watch ended")
 	switch end.how {
 	case transport.WatchSilent:
 		loop.scheduler.WatchSilent()
--- a/forwarder/endpoints.go
+++ b/forwarder/endpoints.go
@@ -134,7 +134,7 @@
 	case stateLeft:
 		return scheduler.Removed
 	default:
-		loop.telemetry.log.Warn().Str("target", e.UID).Str("state", e.State).Msg("unknown state in the list")
+		loop.telemetry.log.Warn().Str("endpoint", e.UID).Str("state", e.State).Msg("unknown state in the list")
 		return scheduler.Draining
 	}
 }
--- a/forwarder/event_queue.go
+++ b/forwarder/event_queue.go
@@ -109,10 +109,12 @@
 func (q *eventQueue) EndpointsUpdated(list *transport.EndpointList) { q.push(endpointsUpdated{list}) }
 
 // WatchEnded pushes the end of the watch on the endpoint list.
-func (q *eventQueue) WatchEnded(why string, how transport.WatchEnd) { q.push(watchEnded{why, how}) }
+func (q *eventQueue) WatchEnded(reason string, how transport.WatchEnd) {
+	q.push(watchEnded{reason, how})
+}
 
 // NoticesUnanswered pushes the reason why notices will be sent once more.
-func (q *eventQueue) NoticesUnanswered(why string) { q.push(noticesUnanswered(why)) }
+func (q *eventQueue) NoticesUnanswered(reason string) { q.push(noticesUnanswered(reason)) }
 
 // NoticesAcknowledged pushes the numbers of messages whose notices were acknowledged.
 func (q *eventQueue) NoticesAcknowledged(messages []uint64) { q.push(noticesAcknowledged(messages)) }
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -29,8 +29,8 @@
 
 	// watchEnded is the end of the watch on the endpoint list.
 	watchEnded struct {
-		why string
-		how transport.WatchEnd
+		reason string
+		how    transport.WatchEnd
 	}
 
 	// noticesUnanswered is the reason why notices were not acknowledged; they are sent again.
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -67,7 +67,7 @@
 	}
 	walLog, err := openWAL(ctx, config, log)
 	if errors.Is(err, context.Canceled) {
-		log.Info().Msg("told to stop while waiting for the folder")
+		log.Info().Msg("stopped while waiting for the folder")
 		return nil
 	}
 	if err != nil {
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -25,8 +25,8 @@
 	}
 	loop.noteTried(m, true)
 	if m.traced {
-		loop.telemetry.log.Info().Str("id", m.ID).Uint64("dest", endpoint.destination).Str("target", endpoint.uid).
-			Float64("timeout_s", timeout).Msg("trace: transmission")
+		loop.telemetry.log.Info().Str("id", m.ID).Uint64("destination", endpoint.destination).
+			Str("endpoint", endpoint.uid).Float64("timeout_s", timeout).Msg("trace: attempt")
 	}
 	loop.calls.add(m, endpoint, time.Duration(timeout*float64(time.Second)))
 }
@@ -73,4 +73,4 @@
 func (loop *eventLoop) WatchEndpoints() { loop.discovery.source.Watch(loop.discovery.revision) }
 
 // Log writes a line of the scheduler to the log.
-func (loop *eventLoop) Log(line string) { loop.telemetry.log.Info().Str("mode", line).Msg("module") }
+func (loop *eventLoop) Log(line string) { loop.telemetry.log.Info().Str("mode", line).Msg("scheduler") }
--- a/forwarder/log.go
+++ b/forwarder/log.go
@@ -30,7 +30,7 @@
 
 // Error logs a line.
 func (n networkLog) Error(format string, v ...any) {
-	n.log.Error().Str("why", fmt.Sprintf(format, v...)).Msg("network")
+	n.log.Error().Str("reason", fmt.Sprintf(format, v...)).Msg("network")
 }
 
 // Log configures the log. The course of messages that are traced is logged.
--- a/forwarder/notices.go
+++ b/forwarder/notices.go
@@ -31,7 +31,7 @@
 func (loop *eventLoop) sendFinalAnswer(m *trackedMessage, outcome transport.Outcome, retryAfter int) {
 	answer := transport.FinalAnswer{MessageID: m.MessageID, ID: m.ID, Outcome: outcome, RetryAfterMs: retryAfter}
 	if m.traced {
-		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("after_ms", retryAfter).
+		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("retry_after_ms", retryAfter).
 			Msg("trace: final answer")
 	}
 	loop.noteTried(m, false)
@@ -42,8 +42,8 @@
 	case loop.notices.notifier != nil:
 		loop.notices.notifier.Notify(answer)
 	default:
-		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("after_ms", retryAfter).
-			Msg("final answer that nobody takes")
+		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("retry_after_ms", retryAfter).
+			Msg("final answer without a receiver")
 		loop.queue.NoticesAcknowledged([]uint64{m.MessageID})
 	}
 }
@@ -59,9 +59,9 @@
 	}
 }
 
-// logUnansweredNotices logs why notices have to be sent again.
-func (loop *eventLoop) logUnansweredNotices(why string) {
+// logUnansweredNotices logs the reason why notices have to be sent again.
+func (loop *eventLoop) logUnansweredNotices(reason string) {
 	if loop.telemetry.mayLog("notices") {
-		loop.telemetry.log.Warn().Str("why", why).Msg("notices not answered")
+		loop.telemetry.log.Warn().Str("reason", reason).Msg("notices not answered")
 	}
 }
--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -98,8 +98,8 @@
 		loop.operators.drains = drains.New(statefile.ReadDrains(loop.config.Folder))
 		return notSaved(err)
 	}
-	loop.telemetry.log.Info().Str("target", r.Name).Bool("out", change == drains.Drained).
-		Int("out_by_hand", loop.operators.drains.Len()).Msg("target by hand")
+	loop.telemetry.log.Info().Str("endpoint", r.Name).Bool("drained", change == drains.Drained).
+		Int("drained_endpoints", loop.operators.drains.Len()).Msg("endpoint drained or restored")
 	if t := loop.endpoints.byUID[r.Name]; t != nil {
 		update := t.update
 		update.State = loop.operators.drains.State(t.uid, update.State)
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -41,7 +41,7 @@
 func (loop *eventLoop) recoverMessage(e *wal.Entry, now time.Time, overtaking bool) {
 	typ, known := loop.messages.types[e.Type]
 	if !known {
-		loop.telemetry.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("recovered document of an unknown type")
+		loop.telemetry.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("recovered message of an unknown type")
 		typ = 0
 	}
 	recovered := loop.recoveredAttempts(e)
@@ -123,6 +123,6 @@
 	if loop.messages.untried == 0 {
 		loop.telemetry.log.Info().Int("recovered", loop.telemetry.counts.recovered).Int("untried", f.untried).
 			Int("called", f.called).Int("uncalled", f.untried-f.called).Int("expired_before", f.expired).
-			Msg("recovered documents settled")
+			Msg("recovered messages settled")
 	}
 }
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -114,7 +114,7 @@
 	}
 	if err != nil {
 		loop.telemetry.figures.invalid++
-		loop.telemetry.log.Error().Str("why", err.Error()).Msg("configuration not reloaded")
+		loop.telemetry.log.Error().Str("reason", err.Error()).Msg("configuration not reloaded")
 		return
 	}
 	loop.telemetry.figures.accepted++
--- a/forwarder/shutdown.go
+++ b/forwarder/shutdown.go
@@ -34,7 +34,7 @@
 	if end.handingOver {
 		// Another process takes over the clients from the shared socket and the messages from the folder, once the
 		// calls of this one have ended.
-		log.Info().Int("held", held).Int("out", loop.scheduler.CallsInFlight()).Msg("handing over")
+		log.Info().Int("held", held).Int("in_flight", loop.scheduler.CallsInFlight()).Msg("handing over")
 		loop.queue.push(stopRequested(0))
 		end.poll = time.Tick(clientsPolling)
 		return
--- a/forwarder/telemetry.go
+++ b/forwarder/telemetry.go
@@ -53,8 +53,8 @@
 
 // logWALError logs that the write-ahead log could not be written.
 func (loop *eventLoop) logWALError(err error) {
-	if loop.telemetry.mayLog("ledger") {
-		loop.telemetry.log.Error().Err(err).Msg("ledger cannot be written")
+	if loop.telemetry.mayLog("write-ahead log") {
+		loop.telemetry.log.Error().Err(err).Msg("write-ahead log cannot be written")
 	}
 }
 
@@ -67,8 +67,8 @@
 		t.heldMessages.Store(int64(len(loop.messages.byNumber)))
 		t.walBytes.Store(loop.wal.Used())
 	}
-	if (events > 0 && waited > slowTurn || took > slowTurn) && t.mayLog("late") {
-		t.log.Warn().Int("news", events).Dur("waited_ms", waited).Dur("turn_ms", took).Msg("late")
+	if (events > 0 && waited > slowTurn || took > slowTurn) && t.mayLog("slow turn") {
+		t.log.Warn().Int("events", events).Dur("waited_ms", waited).Dur("turn_ms", took).Msg("slow turn")
 	}
 }
 
