--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"spanflow/internal/dial"
-	"spanflow/internal/discovery"
+	"spanflow/internal/notify"
 	"spanflow/transport"
 )
 
@@ -21,8 +21,8 @@
 func (loop *eventLoop) openDiscovery(dialer *dial.Dialer, connectTimeout time.Duration) {
 	config := loop.config
 	if config.Discovery != "" {
-		client := discovery.New(dialer, config.Discovery, connectTimeout, loop.queue)
-		client.MaxLineBytes = config.ListBytes
+		client := newControlPlane(dialer, config.Discovery, connectTimeout, loop.queue)
+		client.endpoints.MaxLineBytes = config.ListBytes
 		loop.discovery.source, loop.discovery.movable = client, client
 		if config.noticeAddress == "" {
 			loop.notices.notifier = client
@@ -36,7 +36,7 @@
 		loop.discovery.source = loop.discovery.static
 	}
 	if config.noticeAddress != "" {
-		client := discovery.New(dialer, config.noticeAddress, connectTimeout, loop.queue)
+		client := notify.New(dialer, config.noticeAddress, connectTimeout, loop.queue)
 		loop.notices.notifier, loop.notices.movable = client, client
 	}
 }
