--- a/cmd/spanflow/harness_test.go
+++ b/cmd/spanflow/harness_test.go
@@ -34,8 +34,8 @@
 	logWatchEnded        = "watch ended"
 	logFiguresRestored   = "learned latencies restored"
 	logFiguresDiscarded  = "learned latencies ignored"
-	logRecoveryDone      = `"message":"recovered documents settled"`
-	logDrainChanged      = `"message":"target by hand"`
+	logRecoveryDone      = `"message":"recovered messages settled"`
+	logDrainChanged      = `"message":"endpoint drained or restored"`
 )
 
 var (
--- a/forwarder/command_spool.go
+++ b/forwarder/command_spool.go
@@ -14,23 +14,24 @@
 // spoolLogKey limits the log lines on the spool.
 const spoolLogKey = "command spool"
 
-// runSpooledCommands carries out the commands in the spool, the oldest first, and tells if there were any. One that
-// cannot be carried out stays for the next look, with those behind it.
-func (o *owner) runSpooledCommands() bool {
-	spool := statefile.NewSpool(o.order.Folder)
+// runSpooledCommands carries out the commands in the spool, the oldest first, and reports whether there were any. One
+// that cannot be carried out stays for the next look, with those behind it.
+func (loop *eventLoop) runSpooledCommands() bool {
+	spool := statefile.NewSpool(loop.config.Folder)
 	names := spool.Names()
 	for _, name := range names {
 		command, err := spool.Read(name)
 		if err == nil {
-			if a := o.byHand(requestOf(command), true); !a.OK {
-				o.log.Error().Str("endpoint", command.Endpoint).Str("reason", a.Text).Msg("spooled command not carried out")
+			if a := loop.drainOrRestore(requestOf(command), true); !a.OK {
+				loop.telemetry.log.Error().Str("endpoint", command.Endpoint).Str("reason", a.Text).
+					Msg("spooled command not carried out")
 				return true
 			}
-		} else if o.mayLog(spoolLogKey) {
-			o.log.Error().Err(err).Msg("spooled command ignored")
+		} else if loop.telemetry.mayLog(spoolLogKey) {
+			loop.telemetry.log.Error().Err(err).Msg("spooled command ignored")
 		}
-		if err := spool.Remove(name); err != nil && o.mayLog(spoolLogKey) {
-			o.log.Error().Err(err).Msg("spooled command not removed")
+		if err := spool.Remove(name); err != nil && loop.telemetry.mayLog(spoolLogKey) {
+			loop.telemetry.log.Error().Err(err).Msg("spooled command not removed")
 		}
 	}
 	return len(names) > 0
--- a/forwarder/control_plane.go
+++ b/forwarder/control_plane.go
@@ -16,10 +16,10 @@
 	notices   *notify.Client
 }
 
-func newControlPlane(d *dial.Dialer, addr string, connectTimeout time.Duration, x *Exchange) *controlPlane {
+func newControlPlane(d *dial.Dialer, addr string, connectTimeout time.Duration, queue *eventQueue) *controlPlane {
 	return &controlPlane{
-		endpoints: discovery.New(d, addr, connectTimeout, x),
-		notices:   notify.New(d, addr, connectTimeout, x),
+		endpoints: discovery.New(d, addr, connectTimeout, queue),
+		notices:   notify.New(d, addr, connectTimeout, queue),
 	}
 }
 
--- a/forwarder/endpoint_follower.go
+++ b/forwarder/endpoint_follower.go
@@ -14,48 +14,48 @@
 type EndpointFollower struct {
 	Dialer  *dial.Dialer // opens the connection to discovery; the caller stops it
 	LogTo   io.Writer
-	InForce func(revision int64) // called on the event loop once the scheduler has reconciled with a revision of the list
+	InForce func(revision int64) // called on the event loop once the scheduler has reconciled with a revision
 }
 
-// FollowEndpoints keeps discovery's list in force as Run does, with the same client, event queue and scheduler, until ctx
-// ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one process. Of
-// the configuration it needs the discovery address, the seed, the settings and the last known list.
+// FollowEndpoints keeps discovery's list in force as Run does, with the same client, event queue and scheduler, until
+// ctx ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one
+// process. Of the configuration it needs the discovery address, the seed, the settings and the last known list.
 func FollowEndpoints(ctx context.Context, config *Config, follower EndpointFollower) error {
 	own := *config
 	own.enableEndpointPolling()
-	o := newOwner(&own, own.Log.to(follower.LogTo, own.Name), newExchange())
-	o.rota = drains.New(nil)
-	if err := o.connect(follower.Dialer); err != nil {
+	loop := newEventLoop(&own, own.Log.to(follower.LogTo, own.Name), newEventQueue())
+	loop.operators.drains = drains.New(nil)
+	if err := loop.connect(follower.Dialer); err != nil {
 		return err
 	}
-	defer o.source.Stop()
-	o.f = scheduler.New(own.Scheduler, own.Seed, o.clock(o.epoch), o)
-	o.listed(&own.LastEndpoints, true)
-	o.f.Reconcile()
-	o.followEndpoints(ctx, follower.InForce)
+	defer loop.discovery.source.Stop()
+	loop.scheduler = scheduler.New(own.Scheduler, own.Seed, loop.schedulerTime(loop.epoch), loop)
+	loop.updateEndpoints(&own.LastEndpoints, true)
+	loop.scheduler.Reconcile()
+	loop.followEndpoints(ctx, follower.InForce)
 	return nil
 }
 
 // followEndpoints runs the event loop until ctx ends and reports each revision of the list that comes into force.
-func (o *owner) followEndpoints(ctx context.Context, inForce func(revision int64)) {
+func (loop *eventLoop) followEndpoints(ctx context.Context, inForce func(revision int64)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		if o.wakeAt.IsZero() {
+		if loop.wakeAt.IsZero() {
 			timer.Stop()
 		} else {
-			timer.Reset(time.Until(o.wakeAt))
+			timer.Reset(time.Until(loop.wakeAt))
 		}
 		select {
-		case <-o.exchange.bell:
+		case <-loop.queue.wakeups:
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		heard, revision := o.heard, o.rev
-		o.turn()
-		if o.rev != revision || o.heard != heard {
-			inForce(o.rev)
+		heard, revision := loop.discovery.listReceived, loop.discovery.revision
+		loop.turn()
+		if loop.discovery.revision != revision || loop.discovery.listReceived != heard {
+			inForce(loop.discovery.revision)
 		}
 	}
 }
--- a/forwarder/frontends.go
+++ b/forwarder/frontends.go
@@ -59,8 +59,8 @@
 	return available - available/3
 }
 
-// divideConnections divides total connections among the frontends. Those without a number of their own get even parts of
-// what the others leave.
+// divideConnections divides total connections among the frontends. Those without a number of their own get even parts
+// of what the others leave.
 func divideConnections(frontends []Frontend, total int) ([]int, error) {
 	unset, left := 0, total
 	for _, f := range frontends {
@@ -78,7 +78,8 @@
 		case f.Connections == 0:
 			connections[i] = left / unset
 		case f.Connections <= spareConnections:
-			return nil, fmt.Errorf("fronts: %s: %d connections are under the least, %d", f.Name, f.Connections, spareConnections+1)
+			return nil, fmt.Errorf("fronts: %s: %d connections are under the least, %d",
+				f.Name, f.Connections, spareConnections+1)
 		default:
 			connections[i] = f.Connections
 		}
@@ -95,11 +96,17 @@
 	return connections
 }
 
+// frontendState holds the frontends of the event loop.
+type frontendState struct {
+	open    []*openFrontend // of the configuration
+	leaving []*openFrontend // removed by a reload, closed once their clients have gone
+}
+
 // openFrontend is a frontend that listens, with the queue by which its requests reach the event loop.
 type openFrontend struct {
 	config Frontend
 	transport.Frontend
-	gate *gate
+	queue *admissionQueue
 }
 
 // walName is the frontend's name in the write-ahead log. The platform's own has none there, as in folders of earlier
@@ -112,62 +119,62 @@
 }
 
 // openFrontends opens frontends with so many connections each, all or none.
-func (o *owner) openFrontends(frontends []Frontend, connections []int) ([]*openFrontend, error) {
+func (loop *eventLoop) openFrontends(frontends []Frontend, connections []int) ([]*openFrontend, error) {
 	var opened []*openFrontend
 	for i, config := range frontends {
-		g := o.exchange.gate(config.Name, config.walName(), config.Waiting, config.WaitingBytes)
-		f, err := o.order.frontendProtocol(config.Protocol)(config, connections[i], g)
+		queue := loop.queue.newAdmissionQueue(config.Name, config.walName(), config.Waiting, config.WaitingBytes)
+		f, err := loop.config.frontendProtocol(config.Protocol)(config, connections[i], queue)
 		if err != nil {
-			o.exchange.shutGate(g)
+			queue.close()
 			for _, f := range opened {
-				o.closeFrontend(f)
+				loop.closeFrontend(f)
 			}
 			return nil, fmt.Errorf("listen: %w", err)
 		}
-		opened = append(opened, &openFrontend{config, f, g})
+		opened = append(opened, &openFrontend{config, f, queue})
 	}
 	return opened, nil
 }
 
 // openConfiguredFrontends opens the frontends that the configuration names.
-func (o *owner) openConfiguredFrontends() error {
-	connections, err := divideConnections(o.order.Frontends, MaxClients(o.order.Sockets))
+func (loop *eventLoop) openConfiguredFrontends() error {
+	connections, err := divideConnections(loop.config.Frontends, MaxClients(loop.config.Sockets))
 	if err != nil {
 		return err
 	}
-	o.fronts, err = o.openFrontends(o.order.Frontends, connections)
+	loop.frontends.open, err = loop.openFrontends(loop.config.Frontends, connections)
 	return err
 }
 
 // closeFrontends closes all frontends, also those that a reload has removed.
-func (o *owner) closeFrontends() {
-	for _, f := range append(o.fronts, o.leaving...) {
-		o.closeFrontend(f)
+func (loop *eventLoop) closeFrontends() {
+	for _, f := range append(loop.frontends.open, loop.frontends.leaving...) {
+		loop.closeFrontend(f)
 	}
 }
 
-func (o *owner) closeFrontend(f *openFrontend) {
+func (loop *eventLoop) closeFrontend(f *openFrontend) {
 	f.Stop()
-	o.exchange.shutGate(f.gate)
+	f.queue.close()
 }
 
 // closeDrainedFrontends closes the frontends that a reload has removed, once their clients have gone.
-func (o *owner) closeDrainedFrontends() {
-	kept := o.leaving[:0]
-	for _, f := range o.leaving {
+func (loop *eventLoop) closeDrainedFrontends() {
+	kept := loop.frontends.leaving[:0]
+	for _, f := range loop.frontends.leaving {
 		if f.Clients() > 0 {
 			kept = append(kept, f)
 			continue
 		}
-		o.closeFrontend(f)
+		loop.closeFrontend(f)
 	}
-	o.leaving = kept
+	loop.frontends.leaving = kept
 }
 
 // frontendAddresses are the addresses at which the configured frontends listen.
-func (o *owner) frontendAddresses() []string {
+func (loop *eventLoop) frontendAddresses() []string {
 	var addresses []string
-	for _, f := range o.fronts {
+	for _, f := range loop.frontends.open {
 		addresses = append(addresses, f.Addr())
 	}
 	return addresses
--- a/forwarder/learned_latencies.go
+++ b/forwarder/learned_latencies.go
@@ -15,22 +15,22 @@
 
 // latencyDeployment names what learned latencies depend on: those at endpoints of other kinds, for other message types,
 // mean something else.
-func (o *Config) latencyDeployment() string {
-	return strconv.Quote(fmt.Sprint(o.Names.Kinds, o.Names.Types))
+func (c *Config) latencyDeployment() string {
+	return strconv.Quote(fmt.Sprint(c.Names.Kinds, c.Names.Types))
 }
 
 // writeLatencies writes the latencies measured at each destination, and those that an earlier process left for
-// destinations not heard of.
-func (o *owner) writeLatencies() {
+// destinations that are not known yet.
+func (loop *eventLoop) writeLatencies() {
 	var table statefile.LatencyTable
-	for number, d := range o.dests {
+	for number, d := range loop.endpoints.destinations {
 		table.AddMeasured(number, d.Latencies())
 	}
-	for number, counts := range o.learnedLatencies {
+	for number, counts := range loop.endpoints.restoredLatencies {
 		table.AddInherited(number, counts)
 	}
-	if err := table.Write(o.order.Folder, o.order.latencyDeployment()); err != nil {
-		o.log.Error().Err(err).Msg("learned latencies not written")
+	if err := table.Write(loop.config.Folder, loop.config.latencyDeployment()); err != nil {
+		loop.telemetry.log.Error().Err(err).Msg("learned latencies not written")
 	}
 }
 
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -11,7 +11,7 @@
 // part by part (ConfigParts), and what may change in a running forwarder is applied, all of it or nothing. What else
 // differs waits for the next start and is only logged.
 
-// ReloadBehavior tells when a changed part of the configuration takes effect.
+// ReloadBehavior is when a changed part of the configuration takes effect.
 type ReloadBehavior uint8
 
 // The moments at which a change can take effect.
@@ -33,8 +33,8 @@
 	partBacklog   = "backlog"
 )
 
-// ConfigPart is a part of the configuration that changes as a whole. Reloads go by ConfigParts, and so does what commands
-// tell of a change.
+// ConfigPart is a part of the configuration that changes as a whole. Reloads go by ConfigParts, and so does what
+// commands tell of a change.
 type ConfigPart struct {
 	Name   string
 	Keys   []string // of the configuration file: whole sections or single keys
@@ -42,8 +42,8 @@
 	values func(c *Config) any
 }
 
-// ConfigParts are all parts of the configuration. All but discovery take effect on reload only where the configuration's
-// form has them so (DiscoveryMovable): the platform's form changes nothing but discovery.
+// ConfigParts are all parts of the configuration. All but discovery take effect on reload only where the
+// configuration's form has them so (DiscoveryMovable): the platform's form changes nothing but discovery.
 var ConfigParts = []ConfigPart{
 	{"name", []string{"name"}, OnRestart, func(c *Config) any { return c.Name }},
 	{partListen, []string{"fronts"}, OnReload, func(c *Config) any { return c.Frontends }},
@@ -60,15 +60,19 @@
 		return c.RandomSeed
 	}},
 	{"state", []string{"ledger.folder"}, OnRestart, func(c *Config) any { return c.Folder }},
-	{partBacklog, []string{"backlog.disk", "backlog.destination", "backlog.tenant", "backlog.window", "backlog.behind"}, OnReload,
-		func(c *Config) any { return c.Backlog.bounds() }},
+	{
+		partBacklog,
+		[]string{"backlog.disk", "backlog.destination", "backlog.tenant", "backlog.window", "backlog.behind"},
+		OnReload, func(c *Config) any { return c.Backlog.bounds() },
+	},
 	{"backlog_folder", []string{"backlog.folder"}, OnRestart, func(c *Config) any { return c.Backlog.folder() }},
 	{"limits", []string{"limits", "ledger.disk"}, OnRestart, func(c *Config) any {
 		return [4]float64{float64(c.MemoryMB), float64(c.Sockets), float64(c.DiskMB), c.Cores}
 	}},
-	{"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"}, OnRestart, func(c *Config) any {
-		return []any{c.Scheduler, c.Names, c.Upstreams, c.KindUpstream}
-	}},
+	{
+		"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"},
+		OnRestart, func(c *Config) any { return []any{c.Scheduler, c.Names, c.Upstreams, c.KindUpstream} },
+	},
 }
 
 // folder is where the backlog store is; empty: there is none.
@@ -90,7 +94,7 @@
 	return bounds
 }
 
-// takesEffect tells when a change of the part in this configuration takes effect.
+// takesEffect is when a change of the part in this configuration takes effect.
 func (p *ConfigPart) takesEffect(c *Config) ReloadBehavior {
 	if p.Name != partDiscovery && !c.DiscoveryMovable {
 		return OnRestart
@@ -98,45 +102,46 @@
 	return p.When
 }
 
-// reload reads the configuration again and applies what has changed. One that cannot be read or applied changes nothing.
-func (o *owner) reload() {
-	if o.order.Reload == nil {
+// reload reads the configuration again and applies what has changed. One that cannot be read or applied changes
+// nothing.
+func (loop *eventLoop) reload() {
+	if loop.config.Reload == nil {
 		return
 	}
-	next, err := o.order.Reload()
+	next, err := loop.config.Reload()
 	if err == nil {
-		err = o.applyConfig(next)
+		err = loop.applyConfig(next)
 	}
 	if err != nil {
-		o.figures.invalid++
-		o.log.Error().Str("why", err.Error()).Msg("configuration not reloaded")
+		loop.telemetry.figures.invalid++
+		loop.telemetry.log.Error().Str("reason", err.Error()).Msg("configuration not reloaded")
 		return
 	}
-	o.figures.accepted++
+	loop.telemetry.figures.accepted++
 }
 
-// applyConfig makes the running forwarder follow the next configuration as far as it can without a restart. After an error
-// nothing has changed.
-func (o *owner) applyConfig(next *Config) error {
-	changed, onRestart := o.changedParts(next)
-	if err := o.checkSources(next, changed); err != nil {
+// applyConfig makes the running forwarder follow the next configuration as far as it can without a restart. After an
+// error nothing has changed.
+func (loop *eventLoop) applyConfig(next *Config) error {
+	changed, onRestart := loop.changedParts(next)
+	if err := loop.checkSources(next, changed); err != nil {
 		return err
 	}
-	if err := o.applyBacklogAndFrontends(next, changed); err != nil { // first, as these can fail
+	if err := loop.applyBacklogAndFrontends(next, changed); err != nil { // first, as these can fail
 		return err
 	}
-	o.applyAddresses(next, changed)
-	if changed[partTargets] && o.own != nil {
-		o.applyStaticEndpoints(next)
+	loop.applyAddresses(next, changed)
+	if changed[partTargets] && loop.discovery.static != nil {
+		loop.applyStaticEndpoints(next)
 	}
 	if changed[partLog] {
-		o.order.Log = next.Log
-		o.log = next.Log.to(o.logTo, o.order.Name)
-		o.trace = newTrace(next.Log)
+		loop.config.Log = next.Log
+		loop.telemetry.log = next.Log.to(loop.telemetry.output, loop.config.Name)
+		loop.telemetry.trace = newTrace(next.Log)
 	}
-	event := o.log.Info().Str("discovery", o.order.Discovery).Strs("at_next_start", onRestart)
+	event := loop.telemetry.log.Info().Str("discovery", loop.config.Discovery).Strs("at_next_start", onRestart)
 	if changed[partListen] {
-		event = event.Strs("listen", o.frontendAddresses())
+		event = event.Strs("listen", loop.frontendAddresses())
 	}
 	event.Msg("configuration reloaded")
 	return nil
@@ -144,15 +149,15 @@
 
 // changedParts compares the present configuration with the next: the parts that change now, and the names of those that
 // change with a restart.
-func (o *owner) changedParts(next *Config) (now map[string]bool, onRestart []string) {
-	present := *o.order
-	present.Scheduler = o.asRead // as read: what was added at the start is no change
+func (loop *eventLoop) changedParts(next *Config) (now map[string]bool, onRestart []string) {
+	present := *loop.config
+	present.Scheduler = loop.configuredScheduler // as read: what was added at the start is no change
 	now = map[string]bool{}
 	for _, part := range ConfigParts {
 		if reflect.DeepEqual(part.values(&present), part.values(next)) {
 			continue
 		}
-		if part.takesEffect(o.order) == OnReload {
+		if part.takesEffect(loop.config) == OnReload {
 			now[part.Name] = true
 		} else {
 			onRestart = append(onRestart, part.Name)
@@ -163,29 +168,30 @@
 
 // checkSources refuses changes of the sources of the endpoint list and of the notices' receiver that need other
 // connections than there are.
-func (o *owner) checkSources(next *Config, changed map[string]bool) error {
-	if changed[partDiscovery] && (o.order.configuredDiscovery == "") != (next.configuredDiscovery == "") {
-		return errors.New("discovery: a list in the configuration and one from discovery replace each other only at a start")
+func (loop *eventLoop) checkSources(next *Config, changed map[string]bool) error {
+	if changed[partDiscovery] && (loop.config.configuredDiscovery == "") != (next.configuredDiscovery == "") {
+		return errors.New(
+			"discovery: a list in the configuration and one from discovery replace each other only at a start")
 	}
-	if changed[partNotices] && (o.order.noticeAddress == "") != (next.noticeAddress == "") {
+	if changed[partNotices] && (loop.config.noticeAddress == "") != (next.noticeAddress == "") {
 		return errors.New("discovery.notices: an address of its own is added or removed only at a start")
 	}
 	return nil
 }
 
 // applyBacklogAndFrontends changes the backlog's bounds and the frontends, both or neither.
-func (o *owner) applyBacklogAndFrontends(next *Config, changed map[string]bool) error {
-	present := o.order
-	resize := changed[partBacklog] && o.stored != nil && next.Backlog != nil
+func (loop *eventLoop) applyBacklogAndFrontends(next *Config, changed map[string]bool) error {
+	present := loop.config
+	resize := changed[partBacklog] && loop.backlog != nil && next.Backlog != nil
 	if resize {
-		if err := o.setBacklogBounds(next.Backlog); err != nil {
+		if err := loop.setBacklogBounds(next.Backlog); err != nil {
 			return err
 		}
 	}
 	if changed[partListen] {
-		if err := o.replaceFrontends(next.Frontends); err != nil {
+		if err := loop.replaceFrontends(next.Frontends); err != nil {
 			if resize {
-				err = errors.Join(err, o.setBacklogBounds(present.Backlog))
+				err = errors.Join(err, loop.setBacklogBounds(present.Backlog))
 			}
 			return err
 		}
@@ -199,38 +205,38 @@
 
 // applyAddresses moves to other addresses of discovery and of the notices' receiver. Without a change of the file a
 // variable that took precedence at the start still does.
-func (o *owner) applyAddresses(next *Config, changed map[string]bool) {
-	present := o.order
+func (loop *eventLoop) applyAddresses(next *Config, changed map[string]bool) {
+	present := loop.config
 	if changed[partDiscovery] {
 		present.configuredDiscovery, present.Discovery = next.configuredDiscovery, next.configuredDiscovery
-		if o.moves != nil {
-			o.moves.Reconfigure(present.Discovery, o.rev)
+		if loop.discovery.movable != nil {
+			loop.discovery.movable.Reconfigure(present.Discovery, loop.discovery.revision)
 		}
 	}
 	if changed[partNotices] {
 		present.noticeAddress = next.noticeAddress
-		o.notices.Reconfigure(present.noticeAddress, 0)
+		loop.notices.movable.Reconfigure(present.noticeAddress, 0)
 	}
 }
 
 // applyStaticEndpoints puts the next configuration's own list in the place of the present one.
-func (o *owner) applyStaticEndpoints(next *Config) {
-	o.order.StaticEndpoints = next.StaticEndpoints
-	o.own.list = *next.StaticEndpoints
-	o.own.list.Revision = o.rev + 1
-	o.own.Watch(0)
+func (loop *eventLoop) applyStaticEndpoints(next *Config) {
+	loop.config.StaticEndpoints = next.StaticEndpoints
+	loop.discovery.static.list = *next.StaticEndpoints
+	loop.discovery.static.list.Revision = loop.discovery.revision + 1
+	loop.discovery.static.Watch(0)
 }
 
-// replaceFrontends puts other frontends in the place of the present ones. A frontend whose configuration stays is left
-// alone; one that goes takes no new connections, and each of its callers is answered before its connection ends. The new
-// ones open first: if one cannot, nothing has changed.
-func (o *owner) replaceFrontends(next []Frontend) error {
-	limits, err := divideConnections(next, MaxClients(o.order.Sockets))
+// replaceFrontends puts other frontends in the place of the present ones. A frontend whose configuration stays is
+// left alone; one that goes takes no new connections, and each of its callers is answered before its connection ends.
+// The new ones open first: if one cannot, nothing has changed.
+func (loop *eventLoop) replaceFrontends(next []Frontend) error {
+	limits, err := divideConnections(next, MaxClients(loop.config.Sockets))
 	if err != nil {
 		return err
 	}
 	var kept, removed []*openFrontend
-	for _, f := range o.fronts {
+	for _, f := range loop.frontends.open {
 		if slices.Contains(next, f.config) {
 			kept = append(kept, f)
 		} else {
@@ -245,12 +251,13 @@
 		}
 		for _, f := range removed {
 			if f.config.Listen == config.Listen && f.Addr() == config.Listen {
-				return fmt.Errorf("fronts: %s: the other keys of a front change only together with its address, or at a start", config.Name)
+				return fmt.Errorf(
+					"fronts: %s: the other keys of a front change only together with its address, or at a start", config.Name)
 			}
 		}
 		added, connections = append(added, config), append(connections, limits[i])
 	}
-	opened, err := o.openFrontends(added, connections)
+	opened, err := loop.openFrontends(added, connections)
 	if err != nil {
 		return err
 	}
@@ -258,6 +265,6 @@
 		f.StopAccepting()
 		f.Drain()
 	}
-	o.fronts, o.leaving = append(kept, opened...), append(o.leaving, removed...)
+	loop.frontends.open, loop.frontends.leaving = append(kept, opened...), append(loop.frontends.leaving, removed...)
 	return nil
 }
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -20,17 +20,18 @@
 	takenOver bool // the event loop answers from here on
 }
 
-func newStandby(o *Config) *standby {
-	s := &standby{folder: o.Folder, types: o.Names.Types, active: map[string]bool{}}
-	for _, t := range o.LastEndpoints.Endpoints {
-		if t.State != "left" {
-			s.active[t.UID] = t.State == "active"
+func newStandby(c *Config) *standby {
+	s := &standby{folder: c.Folder, types: c.Names.Types, active: map[string]bool{}}
+	for _, t := range c.LastEndpoints.Endpoints {
+		if t.State != stateLeft {
+			s.active[t.UID] = t.State == stateActive
 		}
 	}
 	return s
 }
 
-// takeOver ends the standby: calls go to the event loop from here on. It tells if clients are to be sent away.
+// takeOver ends the standby: calls go to the event loop from here on. It reports whether clients
+// are to be sent away.
 func (s *standby) takeOver() (lameDuck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,20 +63,20 @@
 			avoided++
 		}
 	}
-	return (&figures{}).write(s.types, 0, len(s.active), avoided)
+	return (&figures{}).write(s.types, gaugeFigures{listed: len(s.active), avoided: avoided})
 }
 
 // drain puts a drain or its end into the command spool.
 func (s *standby) drain(c admin.Request) admin.Response {
 	_, listed := s.active[c.Name]
-	verdict, change := call(s.drains(), c, listed)
+	verdict, change := applyDrainRequest(s.drains(), c, listed)
 	if change != drains.Unchanged {
 		command := statefile.Command{Endpoint: c.Name, Undrain: c.Operation == admin.Attach}
 		if err := statefile.NewSpool(s.folder).Put(command); err != nil {
-			return notKept(err)
+			return notSaved(err)
 		}
 	}
-	return answerOf(c, verdict)
+	return drainResponse(c, verdict)
 }
 
 // drains is the set of drained endpoints as it is once the commands in the spool are carried out.
@@ -84,7 +85,7 @@
 	spool := statefile.NewSpool(s.folder)
 	for _, name := range spool.Names() {
 		if command, err := spool.Read(name); err == nil {
-			call(set, requestOf(command), true)
+			applyDrainRequest(set, requestOf(command), true)
 		}
 	}
 	return set
