--- /dev/null
+++ b/forwarder/event_queue_test.go
@@ -0,0 +1,89 @@
+package forwarder
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/transport"
+)
+
+func TestFullAdmissionQueueBlocksOnlyItsFrontend(t *testing.T) {
+	queue := newEventQueue()
+	flood := queue.newAdmissionQueue("flood", "flood", 1000, 1<<20)
+	other := queue.newAdmissionQueue("other", "other", 10, 100)
+	for range 1000 {
+		flood.Submit(transport.Request{Ping: true})
+	}
+	submitted := make(chan struct{})
+	go func() {
+		flood.Submit(transport.Request{Malformed: "the last"})
+		close(submitted)
+	}()
+	fillsBytes := &transport.Submission{Body: make([]byte, 100)}
+	other.Submit(transport.Request{Submission: fillsBytes})
+	queue.CallEnded(transport.CallResult{})
+	events, _ := queue.take()
+	require.Len(t, events, 1+requestsPerTurn+1, "the result, some of the flood, all of the other")
+	require.Same(t, other, events[len(events)-1].(*request).from)
+	<-submitted // it is no longer full
+	other.Submit(transport.Request{Ping: true})
+	other.Withdraw("x")
+	n := 0
+	for n < 1000-requestsPerTurn+1 {
+		<-queue.wakeups // requests that were left over wake the loop again
+		events, _ = queue.take()
+		for _, ev := range events {
+			if r, is := ev.(*request); is && r.from == flood {
+				n++
+			}
+		}
+	}
+	last := events[len(events)-1].(*request)
+	require.Equal(t, "the last", last.Malformed)
+}
+
+func TestClosedQueuesDoNotBlock(t *testing.T) {
+	queue := newEventQueue()
+	admission := queue.newAdmissionQueue("a", "a", 1, 0)
+	admission.Submit(transport.Request{Ping: true})
+	ended := make(chan struct{})
+	go func() {
+		admission.Submit(transport.Request{Ping: true})
+		close(ended)
+	}()
+	admission.close()
+	<-ended
+	events, _ := queue.take()
+	require.Empty(t, events)
+	admission = queue.newAdmissionQueue("b", "b", 0, 0)
+	require.Equal(t, []int{defaultWaiting, defaultWaitingBytes}, []int{admission.maxWaiting, admission.maxBytes})
+	queue.close()
+	for range defaultWaiting + 1 { // nobody takes events any more
+		admission.Submit(transport.Request{Ping: true})
+	}
+}
+
+func TestAdmissionQueueHoldsNoMoreThanItsBounds(t *testing.T) {
+	queue := newEventQueue()
+	few, small := queue.newAdmissionQueue("few", "few", 3, 0), queue.newAdmissionQueue("small", "small", 0, 100)
+	const each = 5000
+	for _, admission := range []*admissionQueue{few, small} {
+		go func() {
+			for range each {
+				admission.Submit(transport.Request{Submission: &transport.Submission{Body: make([]byte, 60)}})
+			}
+		}()
+	}
+	for left := 2 * each; left > 0; {
+		<-queue.wakeups
+		events, _ := queue.take()
+		n := map[*admissionQueue]int{}
+		for _, ev := range events {
+			n[ev.(*request).from]++
+		}
+		require.LessOrEqual(t, n[few], 3)
+		require.LessOrEqual(t, n[small], 2, "the second goes over its bytes, a third waits")
+		left -= len(events)
+	}
+}
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -9,11 +9,11 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
-	"spanflow/internal/admin"
 	"spanflow/internal/backlog"
 	"spanflow/internal/drains"
 	"spanflow/internal/golden"
 	"spanflow/internal/settings"
+	"spanflow/internal/statefile"
 	"spanflow/internal/wal"
 	"spanflow/scheduler"
 	"spanflow/transport"
@@ -44,29 +44,29 @@
 	return times
 }
 
-// goldenLatencyOwner is an event loop with a folder and the shape of the golden latencies.
-func goldenLatencyOwner(t *testing.T, folder string) *owner {
+// goldenLatencyLoop is an event loop with a folder and the shape of the golden latencies.
+func goldenLatencyLoop(t *testing.T, folder string) *eventLoop {
 	t.Helper()
-	o, said := learning(folder)
-	require.Empty(t, said.String())
-	return o
+	loop, logged := newLatencyLoop(folder)
+	require.Empty(t, logged.String())
+	return loop
 }
 
 func TestWritesSameLatenciesAsVersion1(t *testing.T) {
 	folder := t.TempDir()
-	o := goldenLatencyOwner(t, folder)
-	require.True(t, o.f.RestoreLatencies(o.dest(goldenDestination), goldenTimes()))
-	o.keepLearnt()
+	loop := goldenLatencyLoop(t, folder)
+	require.True(t, loop.scheduler.RestoreLatencies(loop.destination(goldenDestination), goldenTimes()))
+	loop.writeLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
 func TestReadsLatenciesWrittenByVersion1(t *testing.T) {
-	o := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies))
+	loop := goldenLatencyLoop(t, golden.Copy(t, goldenLatencies))
 	want := make([]float64, 16) // weighed by the scheduler, four digits each
 	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11
-	require.Equal(t, map[uint64][]float64{goldenDestination: want}, o.learnt)
+	require.Equal(t, map[uint64][]float64{goldenDestination: want}, loop.endpoints.restoredLatencies)
 
-	several := goldenLatencyOwner(t, golden.Copy(t, goldenLatencies3)).learnt
+	several := goldenLatencyLoop(t, golden.Copy(t, goldenLatencies3)).endpoints.restoredLatencies
 	require.Len(t, several, 3)
 	require.Equal(t, 1.5, several[1][0])
 	require.Equal(t, 1e-7, several[1<<63][15])
@@ -75,36 +75,36 @@
 
 func TestKeepsLatenciesOfUnheardDestinationAsVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenLatencies)
-	goldenLatencyOwner(t, folder).keepLearnt()
+	goldenLatencyLoop(t, folder).writeLatencies()
 	golden.Compare(t, folder, goldenLatencies)
 }
 
 // goldenEndpoints is an event loop with a folder and two listed endpoints.
-func goldenEndpoints(folder string) *owner {
-	o := listOwner()
-	o.order.Folder = folder
-	o.epoch = time.Unix(goldenNow, 0)
-	o.listed(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
+func goldenEndpoints(folder string) *eventLoop {
+	loop := newEndpointLoop()
+	loop.config.Folder = folder
+	loop.epoch = time.Unix(goldenNow, 0)
+	loop.updateEndpoints(&transport.EndpointList{Revision: 1, Complete: true, Endpoints: []transport.Endpoint{
 		{UID: "endpoint-1", Address: "127.0.0.1:1", Destination: 7, State: "active"},
 		{UID: "endpoint-2", Address: "127.0.0.1:2", Destination: 8, State: "active"}}}, true)
-	return o
+	return loop
 }
 
 func TestWritesSameRetryAfterStateAsVersion1(t *testing.T) {
 	folder := t.TempDir()
-	o := goldenEndpoints(folder)
-	o.f.BlockUntil(o.byUID["endpoint-1"].module, goldenNow+12.3456)
-	o.f.BlockUntil(o.byUID["endpoint-2"].module, goldenNow-1) // over
-	o.keepWaits(goldenNow)
+	loop := goldenEndpoints(folder)
+	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-1"].scheduled, goldenNow+12.3456)
+	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-2"].scheduled, goldenNow-1) // over
+	loop.writeRetryAfter(goldenNow)
 	golden.Compare(t, folder, goldenRetryAfter)
 }
 
 func TestReadsRetryAfterStateWrittenByVersion1(t *testing.T) {
 	require.Equal(t, map[string]float64{"endpoint-1": goldenNow + 12.346},
-		readWaits(golden.Copy(t, goldenRetryAfter), goldenNow))
+		statefile.ReadRetryAfter(golden.Copy(t, goldenRetryAfter), goldenNow))
 	require.Equal(t, map[string]float64{"endpoint-2": goldenNow + 0.001, "unlisted": goldenNow + 3600},
-		readWaits(golden.Copy(t, goldenRetries), goldenNow))
-	require.Empty(t, readWaits(t.TempDir(), goldenNow))
+		statefile.ReadRetryAfter(golden.Copy(t, goldenRetries), goldenNow))
+	require.Empty(t, statefile.ReadRetryAfter(t.TempDir(), goldenNow))
 }
 
 func TestWritesSameDrainsAsVersion1(t *testing.T) {
@@ -113,57 +113,58 @@
 	for _, id := range []string{"endpoint-2", "endpoint-10", "an id with spaces", "\u00e5"} {
 		drains.Drain(id, true)
 	}
-	require.NoError(t, keepOut(folder, drains.IDs()))
+	require.NoError(t, statefile.WriteDrains(folder, drains.IDs()))
 	golden.Compare(t, folder, goldenDrains)
-	require.NoError(t, keepOut(folder, nil))
+	require.NoError(t, statefile.WriteDrains(folder, nil))
 	golden.Compare(t, folder, goldenNoDrains)
 }
 
 func TestReadsDrainsWrittenByVersion1(t *testing.T) {
-	drains := drains.New(readOut(golden.Copy(t, goldenDrains)))
+	drains := drains.New(statefile.ReadDrains(golden.Copy(t, goldenDrains)))
 	require.Equal(t, []string{"an id with spaces", "endpoint-10", "endpoint-2", "\u00e5"}, drains.IDs())
-	require.Empty(t, readOut(golden.Copy(t, goldenNoDrains)))
+	require.Empty(t, statefile.ReadDrains(golden.Copy(t, goldenNoDrains)))
 }
 
-var goldenCommands = []admin.Request{
-	{Operation: admin.Detach, Name: "endpoint-1"},
-	{Operation: admin.Detach, Name: "an id with spaces"},
-	{Operation: admin.Attach, Name: "endpoint-1"},
+var goldenCommands = []statefile.Command{
+	{Endpoint: "endpoint-1"},
+	{Endpoint: "an id with spaces"},
+	{Endpoint: "endpoint-1", Undrain: true},
 }
 
 func TestWritesSameCommandSpoolAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	for _, c := range goldenCommands {
-		require.NoError(t, lay(folder, c))
+		require.NoError(t, statefile.NewSpool(folder).Put(c))
 	}
 	golden.Compare(t, folder, goldenSpool)
 }
 
 func TestReadsCommandSpoolWrittenByVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenSpool)
-	var commands []admin.Request
-	for _, name := range trayNames(folder) {
-		c, err := trayCall(folder, name)
+	spool := statefile.NewSpool(folder)
+	var commands []statefile.Command
+	for _, name := range spool.Names() {
+		c, err := spool.Read(name)
 		require.NoError(t, err)
 		commands = append(commands, c)
 	}
 	require.Equal(t, goldenCommands, commands)
 
-	o := goldenEndpoints(folder)
-	require.True(t, o.emptyTray())
-	require.Equal(t, []string{"an id with spaces"}, o.rota.IDs())
-	require.Empty(t, trayNames(folder))
+	loop := goldenEndpoints(folder)
+	require.True(t, loop.runSpooledCommands())
+	require.Equal(t, []string{"an id with spaces"}, loop.operators.drains.IDs())
+	require.Empty(t, spool.Names())
 }
 
-// goldenStoreOwner is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
-func goldenStoreOwner() *owner {
-	order := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
+// goldenStoreLoop is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
+func goldenStoreLoop() *eventLoop {
+	config := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
 		Scheduler: scheduler.Settings{Types: []scheduler.MessageType{
 			{Idempotency: scheduler.Idempotent},
 			{Idempotency: scheduler.IdempotentWithKey, DeduplicationWindow: 600},
 			{Idempotency: scheduler.AtMostOnce, InOrder: true},
 		}}}
-	return newOwner(order, zerolog.Nop(), newExchange())
+	return newEventLoop(config, zerolog.Nop(), newEventQueue())
 }
 
 // goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
@@ -184,9 +185,9 @@
 	folder := t.TempDir()
 	store, err := backlog.Open(backlog.OS{}, folder, goldenStoreBounds)
 	require.NoError(t, err)
-	o := goldenStoreOwner()
+	loop := goldenStoreLoop()
 	for _, e := range goldenEntries() {
-		require.NoError(t, store.Append(o.messageOf(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
+		require.NoError(t, store.Append(loop.storedMessage(e, time.Unix(goldenNow, int64(e.Seq)*1000))))
 	}
 	require.NoError(t, store.Close())
 	golden.Compare(t, folder, goldenStored, storeLock)
--- /dev/null
+++ b/forwarder/shutdown.go
@@ -0,0 +1,98 @@
+package forwarder
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	killAfter      = 3700 * time.Millisecond // after SIGTERM a forwarder may be killed
+	killMargin     = 500 * time.Millisecond  // of it, left for closing after the last turn
+	acceptFor      = 500 * time.Millisecond  // for so long new connections may still come
+	clientsPolling = 20 * time.Millisecond   // between two looks if the clients have gone
+)
+
+// shutdownState is the progress of a shutdown. A channel is nil while its event is not waited for.
+type shutdownState struct {
+	begun            bool
+	requested        <-chan struct{}  // closed when the process is to stop
+	drain            <-chan time.Time // from then on no new connections are waited for
+	poll             <-chan time.Time // to see if the clients have gone
+	deadline         <-chan time.Time // from then on nothing is waited for
+	handingOver      bool             // another process takes over
+	stoppedAccepting bool             // the frontends take no more connections, for the successor
+}
+
+// beginShutdown begins the end of the process.
+func (loop *eventLoop) beginShutdown() {
+	end, log := &loop.shutdown, &loop.telemetry.log
+	end.requested, end.begun = nil, true
+	loop.operators.requests.ready.Store(false)
+	end.deadline = time.After(killAfter - killMargin)
+	end.handingOver = loop.config.InheritedListener > 0
+	held := len(loop.messages.byNumber)
+	if end.handingOver {
+		// Another process takes over the clients from the shared socket and the messages from the folder, once the
+		// calls of this one have ended.
+		log.Info().Int("held", held).Int("in_flight", loop.scheduler.CallsInFlight()).Msg("handing over")
+		loop.queue.push(stopRequested(0))
+		end.poll = time.Tick(clientsPolling)
+		return
+	}
+	log.Info().Int("held", held).Msg("stopping")
+	end.drain = time.After(acceptFor)
+	loop.queue.push(stopRequested(killAfter - killMargin))
+}
+
+// drainFrontends has clients go elsewhere, as no new connections are waited for any more.
+func (loop *eventLoop) drainFrontends() {
+	loop.shutdown.drain = nil
+	for _, l := range loop.frontends.open {
+		l.Drain()
+	}
+	loop.shutdown.poll = time.Tick(clientsPolling)
+}
+
+// turnUntilDone takes a turn. It reports whether the process may end.
+func (loop *eventLoop) turnUntilDone() bool {
+	end := &loop.shutdown
+	clients := 0
+	for _, l := range loop.frontends.open {
+		clients += l.Clients()
+	}
+	if len(loop.frontends.leaving) > 0 {
+		loop.closeDrainedFrontends()
+	}
+	done := loop.turn()
+	if end.handingOver && !end.stoppedAccepting && loop.scheduler.CallsInFlight() == 0 {
+		loop.handOver()
+		return false
+	}
+	return (done || end.stoppedAccepting) && end.drain == nil && clients == 0
+}
+
+// handOver leaves new clients to the successor. It happens only once no call is outstanding, so that nobody accepts on
+// the shared socket for as short a time as possible: the successor starts when the folder is free.
+func (loop *eventLoop) handOver() {
+	loop.shutdown.stoppedAccepting = true
+	for _, l := range loop.frontends.open {
+		l.StopAccepting()
+		l.Drain()
+	}
+}
+
+// answerRemaining answers the requests that were read after the last turn. Guards against a command that is read and
+// lost with the process: what was read is answered, what was not its client sends again. No call begins any more.
+func (loop *eventLoop) answerRemaining() {
+	loop.queue.close() // a frontend that waits in Submit can stop reading then
+	for _, l := range append(slices.Clone(loop.frontends.open), loop.frontends.leaving...) {
+		l.StopReading()
+	}
+	loop.queue.push(stopRequested(0))
+	for {
+		loop.turn()
+		if !loop.queue.requestsWaiting() {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/scheduler/endpoints_test.go
@@ -0,0 +1,66 @@
+package scheduler
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestDestinationIsLimitedToItsFractionOfConcurrency(t *testing.T) {
+	h := newHarness(testSettings)
+	d, other := h.addDestination(0, 0, 0, 0, 0), h.addDestination(0, 0)
+	h.flood(d, status, 30)
+	h.reconcile()
+	require.Len(t, h.sent, 6)
+	h.accept(other, status, 0)
+	h.reconcile()
+	require.Equal(t, other, h.sent[6].message.Dest)
+	h.endAttempts(d, ServerError)
+	h.reconcile()
+	require.LessOrEqual(t, d.callsInFlight, 4)
+}
+
+func TestImpairedDestinationsLeaveConcurrencyToHealthyOnes(t *testing.T) {
+	h := newHarness(testSettings)
+	for range 6 {
+		d := h.addDestination(0, 0, 0)
+		h.accept(d, status, 0)
+		h.reconcile()
+		h.endAttempts(d, TimedOut)
+		h.flood(d, status, 4)
+	}
+	h.advance(0.3)
+	require.Equal(t, 6, h.callsInFlight)
+	good := h.addDestination(0, 0)
+	h.accept(good, status, 0)
+	h.advance(0.4) // an endpoint just listed is first sent to after a random wait
+	require.Same(t, good, h.sent[len(h.sent)-1].message.Dest)
+}
+
+func TestImpairedDestinationGetsOneCallAtFullConcurrency(t *testing.T) {
+	h := newHarness(testSettings)
+	fast, one, two := h.addDestination(0, 0), h.addDestination(0, 0, 0), h.addDestination(0, 0, 0)
+	h.accept(fast, status, 0)
+	h.advance(0.4)
+	h.endAttempts(fast, ServerError)
+	h.flood(one, status, 4)
+	h.flood(two, status, 4)
+	h.reconcile()
+	require.Equal(t, 8, h.callsInFlight)
+	h.endAttempt(h.sent[1].message, Delivered, 0)
+	h.flood(fast, status, 3)
+	h.reconcile()
+	require.True(t, h.impaired(fast))
+	require.Equal(t, 1, fast.callsInFlight)
+}
+
+func TestTimeoutIsShorterNearConcurrencyLimit(t *testing.T) {
+	h := newHarness(testSettings)
+	one, two := h.addDestination(0, 0, 0), h.addDestination(0, 0, 0)
+	h.flood(one, status, 4)
+	h.reconcile()
+	h.flood(two, status, 4)
+	h.reconcile()
+	require.Len(t, h.sent, 8)
+	require.Less(t, h.sent[7].timeout, h.sent[0].timeout)
+}
