--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -3,6 +3,7 @@
 
 import (
 	"bytes"
+	_ "embed" // for the page's template
 	"encoding/json"
 	"fmt"
 	"html/template"
@@ -166,33 +167,13 @@
 	return p, nil
 }
 
+// pageTemplate names fields of scenario.Scenario and sim.Result: a rename there has to be made here too.
+//
+//go:embed page.html.tmpl
+var pageTemplate string
+
 var form = template.Must(template.New("page").Funcs(template.FuncMap{
 	"share": func(x float64) string { return fmt.Sprintf("%.3f", x) },
 	"ms":    func(x float64) string { return fmt.Sprintf("%.0f ms", x*1000) },
 	"first": func(n int, b []string) []string { return b[:min(n, len(b))] },
-}).Parse(`<!doctype html>
-<html lang="en"><head><meta charset="utf-8"><title>{{.Scene.Name}}</title>
-<style>
-body { font: 15px/1.45 system-ui, sans-serif; max-width: 62rem; margin: 2rem auto; padding: 0 1rem; color: #222 }
-h1 { margin-bottom: 0 } h2 { margin-top: 2.5rem; border-top: 1px solid #ccc; padding-top: 1rem }
-table { border-collapse: collapse; margin: 1rem 0 } td, th { padding: .2rem .9rem .2rem 0; text-align: left; vertical-align: top }
-th { font-weight: 600 } .bad { color: #b02020 } svg { max-width: 100%; height: auto } pre { margin: 0; white-space: pre-wrap }
-</style></head><body>
-<h1>{{.Scene.Name}}</h1><p>{{.Scene.About}}</p>
-<p>{{.Scene.Dispatch.Forwarders}} forwarders with {{.Scene.Dispatch.Slots}} slots, {{.Scene.Load.PerSecond}} documents a second for {{.Scene.Length}}. Simulated.</p>
-{{if .Scene.Troubles}}<table><tr><th>trouble</th><th>from</th><th>for</th><th>destinations</th></tr>
-{{range .Scene.Troubles}}<tr><td>{{.Kind}}</td><td>{{.At}}</td><td>{{.For}}</td><td>{{if .Dest}}{{.Dest}}{{else if .Part}}{{.Part}}{{else}}all{{end}}</td></tr>{{end}}</table>
-<p>Dashed lines: red where a trouble begins, grey where it ends.</p>{{end}}
-{{range .Days}}<h2>Seed {{.Result.Seed}}: {{share .Result.G}} of the value delivered</h2>
-<table><tr><th>documents</th><th>served</th><th>late</th><th>turned away at the door</th><th>returned</th><th>abandoned</th><th>transmissions</th></tr>
-<tr><td>{{.Result.Documents}}</td><td>{{.Result.Served}}</td><td>{{.Result.Late}}</td><td>{{.Result.Refused}}</td><td>{{index .Result.Finals "returned"}}</td><td>{{index .Result.Finals "abandoned"}}</td><td>{{.Result.Transmissions}}</td></tr></table>
-<table><tr><th>time from the intended moment</th><td>p50 {{ms .Result.Latency.P50}}</td><td>p90 {{ms .Result.Latency.P90}}</td><td>p99 {{ms .Result.Latency.P99}}</td><td>most {{ms .Result.Latency.Max}}</td></tr></table>
-{{.Value}}{{.Held}}{{.Heat}}
-<table><tr><th>end of a transmission</th><th></th></tr>{{range $end, $n := .Result.Ends}}<tr><td>{{$end}}</td><td>{{$n}}</td></tr>{{end}}</table>
-{{if .Result.Breaches}}<h3 class="bad">Rules broken</h3><table><tr><th>rule</th><th>at</th><th>what</th><th>history</th></tr>
-{{range .Result.Breaches}}<tr><td>{{.Rule}}</td><td>{{share .At}}</td><td>{{.What}}</td><td><pre>{{range first 12 .History}}{{.}}
-{{end}}</pre></td></tr>{{end}}</table>{{else}}<p>No rule broken.</p>{{end}}
-{{end}}
-<script type="application/json" id="numbers">{{.JSON}}</script>
-</body></html>
-`))
+}).Parse(pageTemplate))
