--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -14,16 +14,16 @@
 type Rule string
 
 const (
-	OneAnswer Rule = "1 one final answer" // for each message taken, before its expiry
-	NoDouble  Rule = "2 no effect twice"  // nor attempts that overlap
-	Drains    Rule = "3 drains kept"
-	Returns   Rule = "4 returns not pushed over"
-	Order     Rule = "5 order per key"
-	Waits     Rule = "6 waits heeded"
+	RuleOneAnswer             Rule = "1 one final answer" // for each message taken, before its expiry
+	RuleNoDoubleEffect        Rule = "2 no effect twice"  // nor attempts that overlap
+	RuleDrainsKept            Rule = "3 drains kept"
+	RuleRecoveryNotOverloaded Rule = "4 returns not pushed over"
+	RuleKeyOrder              Rule = "5 order per key"
+	RuleRetryAfterHeeded      Rule = "6 waits heeded"
 )
 
 // Rules are all of them.
-var Rules = []Rule{OneAnswer, NoDouble, Drains, Returns, Order, Waits}
+var Rules = []Rule{RuleOneAnswer, RuleNoDoubleEffect, RuleDrainsKept, RuleRecoveryNotOverloaded, RuleKeyOrder, RuleRetryAfterHeeded}
 
 // Slack is what is let pass, in seconds.
 type Slack struct {
@@ -69,90 +69,90 @@
 }
 
 type arrival struct {
-	at           float64
-	dest, target int
-	from         int
-	message      uint64
+	at                    float64
+	destination, endpoint int
+	forwarder             int
+	message               uint64
 }
 
 // Log is what is written down on a day. It is a receiver.Recorder.
 type Log struct {
-	Clock       receiver.Clock
-	Slack       Slack
-	messages    map[uint64]*Message
-	order       []*Message
-	came        []arrival
-	runs        []receiver.Execution
-	drained     map[[2]int]float64 // endpoints that were told to be leaving, by when
-	waits       map[[3]int]wait    // by destination, endpoint or -1, forwarder
-	apart       func(dest int) bool
-	found       []Violation
-	open        map[uint64]bool    // attempts that are out, as the receiver's side of the network sees them
-	cut         map[uint64]float64 // when an attempt last ended of which nobody can tell whether it runs
-	keyCooldown float64
-	stood       map[int]float64 // forwarders that could not answer, until when
+	Clock             receiver.Clock
+	Slack             Slack
+	messages          map[uint64]*Message
+	order             []*Message
+	arrivals          []arrival
+	executions        []receiver.Execution
+	drainingSince     map[[2]int]float64    // endpoints that were told to be leaving, by when
+	retryAfters       map[[3]int]retryAfter // by destination, endpoint or -1, forwarder
+	limitsPerEndpoint func(dest int) bool
+	violations        []Violation
+	openAttempts      map[uint64]bool    // attempts that are out, as the receiver's side of the network sees them
+	unknownOutcomes   map[uint64]float64 // when an attempt last ended of which nobody can tell whether it runs
+	keyCooldown       float64
+	unavailableUntil  map[int]float64 // forwarders that could not answer, until when
 }
 
-type wait struct{ sentAt, until float64 }
+type retryAfter struct{ sentAt, until float64 }
 
 // New begins a day. apart tells which destinations have routes apart; rest is the rest of a key.
 func New(clock receiver.Clock, apart func(dest int) bool, rest float64) *Log {
-	return &Log{Clock: clock, Slack: DefaultSlack, messages: map[uint64]*Message{}, drained: map[[2]int]float64{}, waits: map[[3]int]wait{}, apart: apart,
-		open: map[uint64]bool{}, cut: map[uint64]float64{}, keyCooldown: rest, stood: map[int]float64{}}
+	return &Log{Clock: clock, Slack: DefaultSlack, messages: map[uint64]*Message{}, drainingSince: map[[2]int]float64{}, retryAfters: map[[3]int]retryAfter{}, limitsPerEndpoint: apart,
+		openAttempts: map[uint64]bool{}, unknownOutcomes: map[uint64]float64{}, keyCooldown: rest, unavailableUntil: map[int]float64{}}
 }
 
 func (l *Log) report(rule Rule, doc uint64, format string, v ...any) {
-	l.found = append(l.found, Violation{Rule: rule, At: l.Clock.Now(), Message: doc, Reason: fmt.Sprintf(format, v...)})
+	l.violations = append(l.violations, Violation{Rule: rule, At: l.Clock.Now(), Message: doc, Reason: fmt.Sprintf(format, v...)})
 }
 
 // Submission says that a client hands a message in.
-func (l *Log) Submitted(d *Message) {
+func (l *Log) MessageSubmitted(d *Message) {
 	l.messages[d.ID] = d
 	l.order = append(l.order, d)
 }
 
 // StatusAccepted says that a client heard that its message is taken on.
-func (l *Log) Accepted(id uint64) { l.messages[id].Accepted = true }
+func (l *Log) MessageAccepted(id uint64) { l.messages[id].Accepted = true }
 
 // FinalAnswer says that a client heard a final answer.
 func (l *Log) FinalAnswer(id uint64, what string) {
 	d := l.messages[id]
 	d.FinalAnswers = append(d.FinalAnswers, FinalAnswer{l.Clock.Now(), what})
 	if len(d.FinalAnswers) > 1 {
-		l.report(OneAnswer, id, "a second final answer, %s after %s", what, d.FinalAnswers[0].Answer)
-	} else if now := l.Clock.Now(); now > l.due(d) {
-		l.report(OneAnswer, id, "answered %.2f s after its expiry", now-d.Expiry)
+		l.report(RuleOneAnswer, id, "a second final answer, %s after %s", what, d.FinalAnswers[0].Answer)
+	} else if now := l.Clock.Now(); now > l.answerDeadline(d) {
+		l.report(RuleOneAnswer, id, "answered %.2f s after its expiry", now-d.Expiry)
 	}
 }
 
 // Answered tells if a client heard a final answer.
 func (l *Log) Answered(id uint64) bool { return len(l.messages[id].FinalAnswers) > 0 }
 
-// Stalled says that a forwarder was kept from answering, by a standstill or a restart, until a moment.
-func (l *Log) Stalled(forwarder int, until float64) {
-	l.stood[forwarder] = math.Max(l.stood[forwarder], until)
+// ForwarderStalled says that a forwarder was kept from answering, by a standstill or a restart, until a moment.
+func (l *Log) ForwarderStalled(forwarder int, until float64) {
+	l.unavailableUntil[forwarder] = math.Max(l.unavailableUntil[forwarder], until)
 }
 
-// Restarted says that a forwarder's process was killed and may be late until a moment. A restart ends the waits that it
+// ForwarderRestarted says that a forwarder's process was killed and may be late until a moment. A restart ends the waits that it
 // was told.
-func (l *Log) Restarted(forwarder int, until float64) {
-	l.Stalled(forwarder, until)
-	for k := range l.waits {
+func (l *Log) ForwarderRestarted(forwarder int, until float64) {
+	l.ForwarderStalled(forwarder, until)
+	for k := range l.retryAfters {
 		if k[2] == forwarder {
-			delete(l.waits, k)
+			delete(l.retryAfters, k)
 		}
 	}
 }
 
-// due is until when a message has to have its answer.
-func (l *Log) due(d *Message) float64 {
-	return math.Max(d.Expiry, l.stood[d.Forwarder]) + l.Slack.Answer
+// answerDeadline is until when a message has to have its answer.
+func (l *Log) answerDeadline(d *Message) float64 {
+	return math.Max(d.Expiry, l.unavailableUntil[d.Forwarder]) + l.Slack.Answer
 }
 
-// Leaving says that the list has told a forwarder that an endpoint drains.
-func (l *Log) Leaving(dest, target int) {
-	if _, known := l.drained[[2]int{dest, target}]; !known {
-		l.drained[[2]int{dest, target}] = l.Clock.Now()
+// EndpointDraining says that the list has told a forwarder that an endpoint drains.
+func (l *Log) EndpointDraining(dest, target int) {
+	if _, known := l.drainingSince[[2]int{dest, target}]; !known {
+		l.drainingSince[[2]int{dest, target}] = l.Clock.Now()
 	}
 }
 
@@ -161,97 +161,97 @@
 func (l *Log) CallReceived(dest, target, from int, docs []receiver.Message) {
 	now := l.Clock.Now()
 	for _, d := range docs {
-		l.came = append(l.came, arrival{now, dest, target, from, d.ID})
-		if l.open[d.ID] {
-			l.report(NoDouble, d.ID, "a transmission began while one was out")
+		l.arrivals = append(l.arrivals, arrival{now, dest, target, from, d.ID})
+		if l.openAttempts[d.ID] {
+			l.report(RuleNoDoubleEffect, d.ID, "a transmission began while one was out")
 		}
-		l.open[d.ID] = true
+		l.openAttempts[d.ID] = true
 	}
 	at := target
-	if !l.apart(dest) {
+	if !l.limitsPerEndpoint(dest) {
 		at = -1
 	}
 	first := uint64(0)
 	if len(docs) > 0 {
 		first = docs[0].ID
 	}
-	if w, told := l.waits[[3]int{dest, at, from}]; told && now > w.sentAt+l.Slack.Wait && now < w.until-0.001 {
-		l.report(Waits, first, "forwarder %d called destination %d %.2f s before the wait it was told was over", from, dest, w.until-now)
+	if w, told := l.retryAfters[[3]int{dest, at, from}]; told && now > w.sentAt+l.Slack.Wait && now < w.until-0.001 {
+		l.report(RuleRetryAfterHeeded, first, "forwarder %d called destination %d %.2f s before the wait it was told was over", from, dest, w.until-now)
 	}
-	if told, leaving := l.drained[[2]int{dest, target}]; leaving && now > told+l.Slack.Drain {
-		l.report(Drains, first, "target %d of destination %d was called %.2f s after it was told to be leaving", target, dest, now-told)
+	if told, leaving := l.drainingSince[[2]int{dest, target}]; leaving && now > told+l.Slack.Drain {
+		l.report(RuleDrainsKept, first, "target %d of destination %d was called %.2f s after it was told to be leaving", target, dest, now-told)
 	}
 }
 
 // BlockedUntil says that an attempt of a message is out no more: answered, or its connection has ended. LastEndpoints
 // tells that its answer says what became of it; else it may still run.
-func (l *Log) Closed(id uint64, known bool) {
-	delete(l.open, id)
+func (l *Log) AttemptClosed(id uint64, known bool) {
+	delete(l.openAttempts, id)
 	if !known {
-		l.cut[id] = l.Clock.Now()
+		l.unknownOutcomes[id] = l.Clock.Now()
 	}
 }
 
-func (l *Log) MessageExecuted(r receiver.Execution) { l.runs = append(l.runs, r) }
+func (l *Log) MessageExecuted(r receiver.Execution) { l.executions = append(l.executions, r) }
 
-// mostWise is the share of what pushed a destination over from which on those are to blame who knew of its outage.
-const mostWise = 2.0 / 3
+// maxInformedFraction is the share of what pushed a destination over from which on those are to blame who knew of its outage.
+const maxInformedFraction = 2.0 / 3
 
 func (l *Log) EndpointOverloaded(dest, target int, wise float64) {
-	if wise >= mostWise {
-		l.report(Returns, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*wise)
+	if wise >= maxInformedFraction {
+		l.report(RuleRecoveryNotOverloaded, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*wise)
 	}
 }
 
 func (l *Log) RetryAfterSent(dest, target, from int, seconds float64) {
-	if !l.apart(dest) {
+	if !l.limitsPerEndpoint(dest) {
 		target = -1
 	}
 	now := l.Clock.Now()
-	l.waits[[3]int{dest, target, from}] = wait{now, now + seconds}
+	l.retryAfters[[3]int{dest, target, from}] = retryAfter{now, now + seconds}
 }
 
 func (l *Log) EndpointRecovered(dest, target int) {}
 
-// Lost says that a forwarder was lost with all it owed: its messages are judged by their clients alone.
-func (l *Log) Lost(id uint64) { l.messages[id].lost = true }
+// MessageLost says that a forwarder was lost with all it owed: its messages are judged by their clients alone.
+func (l *Log) MessageLost(id uint64) { l.messages[id].lost = true }
 
 // Violations judges the day that has ended.
 func (l *Log) Violations() []Violation {
 	now := l.Clock.Now()
 	for _, d := range l.order {
-		if d.Accepted && len(d.FinalAnswers) == 0 && !d.lost && now > l.due(d) {
-			l.report(OneAnswer, d.ID, "taken and never answered")
+		if d.Accepted && len(d.FinalAnswers) == 0 && !d.lost && now > l.answerDeadline(d) {
+			l.report(RuleOneAnswer, d.ID, "taken and never answered")
 		}
 	}
-	l.doubles()
-	l.orders()
-	for i := range l.found {
-		l.found[i].History = l.history(l.found[i].Message)
+	l.checkEffects()
+	l.checkKeyOrder()
+	for i := range l.violations {
+		l.violations[i].History = l.history(l.violations[i].Message)
 	}
-	slices.SortStableFunc(l.found, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
-	return l.found
+	slices.SortStableFunc(l.violations, func(a, b Violation) int { return cmp.Compare(a.At, b.At) })
+	return l.violations
 }
 
-// doubles finds effects that took place twice.
-func (l *Log) doubles() {
+// checkEffects finds effects that took place twice.
+func (l *Log) checkEffects() {
 	times := map[uint64]int{}
-	for _, r := range l.runs {
+	for _, r := range l.executions {
 		d := l.messages[r.Message.ID]
 		if d == nil || !r.Effect || !d.AtMostOnce && !d.Keyed {
 			continue
 		}
 		if times[d.FirstID]++; times[d.FirstID] == 2 {
-			l.found = append(l.found, Violation{Rule: NoDouble, At: r.EndedAt, Message: d.ID, Reason: "its effect took place twice"})
+			l.violations = append(l.violations, Violation{Rule: RuleNoDoubleEffect, At: r.EndedAt, Message: d.ID, Reason: "its effect took place twice"})
 		}
 	}
 }
 
-// orders finds messages of a key that were sent before an earlier one was over: it has its final answer, and since a
+// checkKeyOrder finds messages of a key that were sent before an earlier one was over: it has its final answer, and since a
 // attempt of it ended in a time-out, a reset or a cut, the key has rested. Reason such an attempt still does
 // later is beyond a forwarder, as the operators' page has it ("the attempt may still be executing; later requests for
 // that key shall therefore wait a further KeyCooldown").
-func (l *Log) orders() {
+func (l *Log) checkKeyOrder() {
 	byKey := map[uint64][]*Message{}
 	var keys []uint64
 	for _, d := range l.order {
@@ -263,7 +263,7 @@
 		}
 	}
 	first := map[uint64]float64{}
-	for _, c := range l.came {
+	for _, c := range l.arrivals {
 		if _, known := first[c.message]; !known {
 			first[c.message] = c.at
 		}
@@ -272,14 +272,14 @@
 		over, before := 0.0, uint64(0)
 		for _, d := range byKey[key] {
 			if at, sent := first[d.ID]; sent && at < over-1e-9 {
-				l.found = append(l.found, Violation{Rule: Order, At: at, Message: d.ID,
+				l.violations = append(l.violations, Violation{Rule: RuleKeyOrder, At: at, Message: d.ID,
 					Reason: fmt.Sprintf("came %.3f s before %x of the same key was over", over-at, before)})
 			}
 			end := 0.0
 			if len(d.FinalAnswers) > 0 {
 				end = d.FinalAnswers[0].At
 			}
-			if at, cut := l.cut[d.ID]; cut {
+			if at, cut := l.unknownOutcomes[d.ID]; cut {
 				end = math.Max(end, at+l.keyCooldown)
 			}
 			if end > over {
@@ -300,12 +300,12 @@
 		text string
 	}
 	lines := []line{{d.SubmittedAt, fmt.Sprintf("handed in for destination %d, expiry %.3f, key %x", d.Destination, d.Expiry, d.Key)}}
-	for _, c := range l.came {
+	for _, c := range l.arrivals {
 		if c.message == id {
-			lines = append(lines, line{c.at, fmt.Sprintf("came to target %d from forwarder %d", c.target, c.from)})
+			lines = append(lines, line{c.at, fmt.Sprintf("came to target %d from forwarder %d", c.endpoint, c.forwarder)})
 		}
 	}
-	for _, r := range l.runs {
+	for _, r := range l.executions {
 		if r.Message.ID == id {
 			lines = append(lines, line{r.EndedAt, fmt.Sprintf("ran at target %d from %.3f on, effect %v", r.Endpoint, r.StartedAt, r.Effect)})
 		}
--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -19,9 +19,9 @@
 	farOff = 0.25
 	// straightPart is the residual up to which a line fits the part before a bend: its few points fit a line too easily.
 	straightPart = straight / 2
-	// zeroShare is the share of the largest value that stands for smaller values where errors are weighed, so that
+	// zeroFraction is the share of the largest value that stands for smaller values where errors are weighed, so that
 	// a value of zero does not outweigh all others.
-	zeroShare = 1e-4
+	zeroFraction = 1e-4
 )
 
 // ErrNotStraight says that a curve tells nothing beyond its points.
@@ -116,7 +116,7 @@
 	all := make([]float64, len(points))
 	for i, p := range points {
 		if all[i] = 1; most > 0 {
-			all[i] = 1 / math.Max(math.Abs(p.Value), zeroShare*most)
+			all[i] = 1 / math.Max(math.Abs(p.Value), zeroFraction*most)
 		}
 	}
 	return all
--- a/lab/capacity/hollow/fleet.go
+++ b/lab/capacity/hollow/fleet.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// askAll asks all workers at once.
-func (f *fleet) askAll(requestOf func(worker int) request) ([]response, error) {
+// requestAll asks all workers at once.
+func (f *fleet) requestAll(requestOf func(worker int) request) ([]response, error) {
 	answers, errs := make([]response, len(f.workers)), make([]error, len(f.workers))
 	var wait sync.WaitGroup
 	for i, worker := range f.workers {
@@ -112,7 +112,7 @@
 // launch starts the forwarders and tells when the first worker began to.
 func (f *fleet) launch(knowsList bool) (at int64, err error) {
 	n, processes := f.size.forwarders, f.size.processes
-	answers, err := f.askAll(func(worker int) request {
+	answers, err := f.requestAll(func(worker int) request {
 		first, next := worker*n/processes, (worker+1)*n/processes
 		return request{Start: &startRequest{Addresses: f.addresses, Fleet: f.config.Forwarders, FirstIndex: first,
 			Forwarders: next - first, Destinations: f.config.Destinations, KnowsList: knowsList,
@@ -128,7 +128,7 @@
 
 // expect has all workers note when their forwarders have a revision in force.
 func (f *fleet) expect(revision int64) error {
-	_, err := f.askAll(func(int) request { return request{Expect: &expectRequest{Revision: revision}} })
+	_, err := f.requestAll(func(int) request { return request{Expect: &expectRequest{Revision: revision}} })
 	return err
 }
 
@@ -141,7 +141,7 @@
 
 // await waits until all forwarders have the expected revision in force, or for so long.
 func (f *fleet) await(within time.Duration) (outcome, error) {
-	answers, err := f.askAll(func(int) request { return request{Await: &awaitRequest{Within: within}} })
+	answers, err := f.requestAll(func(int) request { return request{Await: &awaitRequest{Within: within}} })
 	result := outcome{endings: map[string]int{}}
 	for _, a := range answers {
 		result.inForce = append(result.inForce, a.InForce...)
@@ -180,7 +180,7 @@
 		return s, err
 	}
 	s.server = *answer.Usage
-	answers, err := f.askAll(func(int) request { return request{Usage: &usageRequest{}} })
+	answers, err := f.requestAll(func(int) request { return request{Usage: &usageRequest{}} })
 	if err != nil {
 		return s, err
 	}
@@ -192,7 +192,7 @@
 
 // memory is what the forwarders take, all together.
 func (f *fleet) memory() (memoryUsage, error) {
-	answers, err := f.askAll(func(int) request { return request{Memory: &memoryRequest{}} })
+	answers, err := f.requestAll(func(int) request { return request{Memory: &memoryRequest{}} })
 	if err != nil {
 		return memoryUsage{}, err
 	}
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -25,23 +25,23 @@
 
 // The scenarios.
 const (
-	Idle    Scenario = "idle"    // nothing
-	Change  Scenario = "change"  // the list changes
-	Restart Scenario = "restart" // a third is restarted at once, and the list changes
-	Outage  Scenario = "outage"  // discovery is away for a time, and the list changes meanwhile
-	Zone    Scenario = "zone"    // a zone is cut off from discovery for a time, and the list changes meanwhile
-	Whole   Scenario = "whole"   // all start at once and know no list, so that each is told the whole of it
+	Idle     Scenario = "idle"    // nothing
+	Change   Scenario = "change"  // the list changes
+	Restart  Scenario = "restart" // a third is restarted at once, and the list changes
+	Outage   Scenario = "outage"  // discovery is away for a time, and the list changes meanwhile
+	Zone     Scenario = "zone"    // a zone is cut off from discovery for a time, and the list changes meanwhile
+	FullList Scenario = "whole"   // all start at once and know no list, so that each is told the whole of it
 )
 
 // Scenarios are all scenarios in the order in which they are run.
-var Scenarios = []Scenario{Idle, Change, Restart, Outage, Zone, Whole}
+var Scenarios = []Scenario{Idle, Change, Restart, Outage, Zone, FullList}
 
 const (
 	mostForwarders   = 2000
 	mostProcesses    = 100
 	mostDestinations = 1_000_000
 	mostChanges      = 100
-	memoryShare      = 2                // all processes together stay under one part in so many of the machine's memory
+	memoryDivisor    = 2                // all processes together stay under one part in so many of the machine's memory
 	trialWithin      = 4 * time.Minute  // a trial that takes longer ends with an error
 	inForceWithin    = 60 * time.Second // a forwarder that does not have a list so long after it could is missed
 	restartEveryNth  = 3
@@ -49,7 +49,7 @@
 )
 
 // Address is the time within which a change has to be in force everywhere (issue 44).
-const Target = 9 * time.Second
+const InForceTarget = 9 * time.Second
 
 // Config says what is run.
 type Config struct {
@@ -84,7 +84,7 @@
 	}
 	all := machineMemory()
 	if c.MemoryBytes == 0 {
-		c.MemoryBytes = all / (2 * memoryShare)
+		c.MemoryBytes = all / (2 * memoryDivisor)
 	}
 	switch {
 	case c.Processes > c.Forwarders:
@@ -93,8 +93,8 @@
 		return fmt.Errorf("lasts: %s is not between 0 and %s", c.Lasts, trialWithin/4)
 	case c.ListBytes < 0:
 		return fmt.Errorf("list limit: %d is under 0", c.ListBytes)
-	case c.MemoryBytes <= 0 || c.MemoryBytes > all/memoryShare:
-		return fmt.Errorf("memory: %d MB are not between 0 and half of the machine's, %d MB", c.MemoryBytes>>20, all/memoryShare>>20)
+	case c.MemoryBytes <= 0 || c.MemoryBytes > all/memoryDivisor:
+		return fmt.Errorf("memory: %d MB are not between 0 and half of the machine's, %d MB", c.MemoryBytes>>20, all/memoryDivisor>>20)
 	case len(c.Program) == 0:
 		return errors.New("program: none for the processes")
 	}
--- a/lab/capacity/hollow/hollow_test.go
+++ b/lab/capacity/hollow/hollow_test.go
@@ -67,7 +67,7 @@
 }
 
 func TestEveryForwarderHasEveryChangeInForce(t *testing.T) {
-	changes := map[Scenario]int{Idle: 0, Change: 3, Restart: 1, Outage: 1, Zone: 1, Whole: 1}
+	changes := map[Scenario]int{Idle: 0, Change: 3, Restart: 1, Outage: 1, Zone: 1, FullList: 1}
 	for _, scenario := range Scenarios {
 		t.Run(string(scenario), func(t *testing.T) {
 			t.Parallel()
@@ -140,7 +140,7 @@
 	require.Zero(t, count(heard.inForce, 0))
 	_, err = f.setReach(reachDown, 0)
 	require.NoError(t, err)
-	_, err = f.askAll(func(int) request { return request{Restart: &restartRequest{EveryNth: 3}} })
+	_, err = f.requestAll(func(int) request { return request{Restart: &restartRequest{EveryNth: 3}} })
 	require.NoError(t, err)
 	heard, err = f.await(100 * time.Millisecond)
 	require.NoError(t, err)
@@ -267,12 +267,12 @@
 	trial := func(scenario string, destinations int, last float64) capacity.FleetTrial {
 		return capacity.FleetTrial{Scenario: scenario, Forwarders: 6, Destinations: destinations, InForceLast: last}
 	}
-	require.NoError(t, Keep(path, []capacity.FleetTrial{trial("change", 50, 1), trial("idle", 50, 0)}))
+	require.NoError(t, Store(path, []capacity.FleetTrial{trial("change", 50, 1), trial("idle", 50, 0)}))
 	before, err := readResults(path)
 	require.NoError(t, err)
 	before.Curves = []capacity.Curve{{Role: "held message"}}
 	require.NoError(t, writeResults(path, before))
-	require.NoError(t, Keep(path, []capacity.FleetTrial{trial("change", 500, 3), trial("change", 50, 2)}))
+	require.NoError(t, Store(path, []capacity.FleetTrial{trial("change", 500, 3), trial("change", 50, 2)}))
 	after, err := readResults(path)
 	require.NoError(t, err)
 	require.Equal(t, []capacity.FleetTrial{trial("change", 50, 2), trial("idle", 50, 0), trial("change", 500, 3)}, after.Fleets)
@@ -280,5 +280,5 @@
 	require.NotEmpty(t, after.Machine)
 
 	require.NoError(t, os.WriteFile(path, []byte(`{"fleets":`), 0o644))
-	require.ErrorContains(t, Keep(path, nil), "measured.json")
+	require.ErrorContains(t, Store(path, nil), "measured.json")
 }
--- a/lab/capacity/hollow/keep.go
+++ b/lab/capacity/hollow/keep.go
@@ -15,7 +15,7 @@
 
 // MaxStoredBytes writes trials into a file of results. A trial takes the place of one with the same scenario, forwarders and
 // destinations; all else in the file stays. The file is made if it is missing, and is never left half written.
-func Keep(path string, trials []capacity.FleetTrial) error {
+func Store(path string, trials []capacity.FleetTrial) error {
 	results, err := readResults(path)
 	if err != nil {
 		return err
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	return writeWhole(path, append(text, '\n'))
+	return replaceFile(path, append(text, '\n'))
 }
 
 func readResults(path string) (capacity.Results, error) {
@@ -61,7 +61,7 @@
 	return append(trials, trial)
 }
 
-func writeWhole(path string, text []byte) error {
+func replaceFile(path string, text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(path), ".results")
 	if err != nil {
 		return err
--- a/lab/capacity/hollow/plan.go
+++ b/lab/capacity/hollow/plan.go
@@ -34,7 +34,7 @@
 	}
 	defer f.end()
 	config.tell("%s: measuring one forwarder with %d destinations", scenario, config.Destinations)
-	need, err := f.measureFootprint(scenario != Whole)
+	need, err := f.measureFootprint(scenario != FullList)
 	if err != nil {
 		return fleetSize{}, f.reason(err)
 	}
--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -17,12 +17,12 @@
 
 // registry is discovery's list with its latest changes. It does no I/O and takes no locks.
 type registry struct {
-	list     []entry
-	revision int64
-	history  []change // oldest first, without gaps, up to the present revision
-	random   *rand.Rand
-	whole    []byte // the list as encoded last
-	wholeOf  int64  // its revision; 0: none
+	list             []entry
+	revision         int64
+	history          []change // oldest first, without gaps, up to the present revision
+	random           *rand.Rand
+	fullList         []byte // the list as encoded last
+	fullListRevision int64  // its revision; 0: none
 }
 
 func newRegistry(destinations int, seed uint64) *registry {
@@ -56,7 +56,7 @@
 	missed := r.revision - revision
 	switch {
 	case missed < 0 || missed > int64(len(r.history)):
-		return r.encodeWhole()
+		return r.encodeFullList()
 	case missed == 1:
 		return r.history[len(r.history)-1].encoded, nil
 	}
@@ -71,14 +71,14 @@
 	return changes.encode()
 }
 
-// encodeWhole is the whole list; it is encoded once for each revision.
-func (r *registry) encodeWhole() ([]byte, error) {
-	if r.wholeOf != r.revision {
+// encodeFullList is the whole list; it is encoded once for each revision.
+func (r *registry) encodeFullList() ([]byte, error) {
+	if r.fullListRevision != r.revision {
 		encoded, err := object{Revision: r.revision, All: true, Targets: r.list}.encode()
 		if err != nil {
 			return nil, err
 		}
-		r.whole, r.wholeOf = encoded, r.revision
+		r.fullList, r.fullListRevision = encoded, r.revision
 	}
-	return r.whole, nil
+	return r.fullList, nil
 }
--- a/lab/capacity/hollow/server.go
+++ b/lab/capacity/hollow/server.go
@@ -98,7 +98,7 @@
 func (s *server) endpoints(w http.ResponseWriter, r *http.Request) {
 	if r.FormValue("stream") == "" {
 		s.mu.Lock()
-		encoded, err := s.registry.encodeWhole()
+		encoded, err := s.registry.encodeFullList()
 		s.mu.Unlock()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	settleShare  = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
-	betweenTimes = 250 * time.Millisecond // between two changes
-	mostEndings  = 3                      // reasons for ended watches that a note names
+	settleDivisor = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
+	betweenTimes  = 250 * time.Millisecond // between two changes
+	mostEndings   = 3                      // reasons for ended watches that a note names
 )
 
 // titles name the scenarios in results.
 var titles = map[Scenario]string{Idle: "idle", Change: "change", Restart: "restart of a third", Outage: "discovery away",
-	Zone: "zone cut off", Whole: "whole list"}
+	Zone: "zone cut off", FullList: "whole list"}
 
 // trial is one scenario with one fleet.
 type trial struct {
@@ -45,8 +45,8 @@
 	if t.config.ListBytes > 0 {
 		t.notes = append(t.notes, fmt.Sprintf("an object of a watch may have %d MB, against the forwarder's own limit", t.config.ListBytes>>20))
 	}
-	if t.scenario == Whole {
-		return t.runWhole()
+	if t.scenario == FullList {
+		return t.runFullList()
 	}
 	if _, err := t.fleet.launch(true); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	if slices.Contains(started.inForce, 0) {
 		return fmt.Errorf("%d forwarders did not hear of discovery within %s", count(started.inForce, 0), inForceWithin)
 	}
-	if err := t.pause(t.config.Lasts / settleShare); err != nil {
+	if err := t.pause(t.config.Lasts / settleDivisor); err != nil {
 		return err
 	}
 	if err := t.measureIdle(); err != nil {
@@ -72,8 +72,8 @@
 	return t.finish()
 }
 
-// runWhole starts all forwarders without a list, and measures the idle window behind that.
-func (t *trial) runWhole() error {
+// runFullList starts all forwarders without a list, and measures the idle window behind that.
+func (t *trial) runFullList() error {
 	before, err := t.fleet.snapshot()
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	}
 	t.result.Changes = 1
 	if t.missed == 0 { // else all go on asking, and there is no idle window
-		if err := t.pause(t.config.Lasts / settleShare); err != nil {
+		if err := t.pause(t.config.Lasts / settleDivisor); err != nil {
 			return err
 		}
 		if err := t.measureIdle(); err != nil {
@@ -158,7 +158,7 @@
 	}
 	t.result.ServerBytes, t.result.ServerCPU = server.bytes(), server.CPU
 	t.notes = append(t.notes, fmt.Sprintf("server and machine figures of %.1f s, machine %.0f%% busy, forwarders' processes %.1f s of CPU",
-		seconds, 100*busyShare(before.machine, after.machine), used.CPU))
+		seconds, 100*busyFraction(before.machine, after.machine), used.CPU))
 }
 
 // publish makes a change that all forwarders are expected to hear of, and tells its moment.
@@ -212,7 +212,7 @@
 	if err := t.fleet.expect(t.revision + 1); err != nil {
 		return err
 	}
-	_, err := t.fleet.askAll(func(int) request { return request{Restart: &restartRequest{EveryNth: restartEveryNth}} })
+	_, err := t.fleet.requestAll(func(int) request { return request{Restart: &restartRequest{EveryNth: restartEveryNth}} })
 	if err != nil {
 		return err
 	}
@@ -306,12 +306,12 @@
 	}
 	over := t.missed
 	for _, d := range t.delays {
-		if d > Target {
+		if d > InForceTarget {
 			over++
 		}
 	}
 	if over > 0 {
-		t.notes = append(t.notes, fmt.Sprintf("NOT IN TIME: %d of %d had it after more than %s or not within %s", over, all, Target, inForceWithin))
+		t.notes = append(t.notes, fmt.Sprintf("NOT IN TIME: %d of %d had it after more than %s or not within %s", over, all, InForceTarget, inForceWithin))
 	}
 	if t.late > 0 {
 		t.notes = append(t.notes, fmt.Sprintf("%d late turns", t.late))
--- a/lab/capacity/hollow/usage.go
+++ b/lab/capacity/hollow/usage.go
@@ -115,8 +115,8 @@
 	return t
 }
 
-// busyShare is how much of the machine was busy between two moments, with whatever ran on it.
-func busyShare(from, to machineTime) float64 {
+// busyFraction is how much of the machine was busy between two moments, with whatever ran on it.
+func busyFraction(from, to machineTime) float64 {
 	if to.all <= from.all {
 		return 0
 	}
--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -32,7 +32,7 @@
 	mostOut          = 5950 // destinations that are out at once at the size of docs/CAPACITY.md
 	mostOutWindow    = 64
 	mostOutStored    = 16 // messages of each destination beyond its head window
-	mostOutRoom      = 600_000
+	largestOutQueue  = 600_000
 	quietFor         = 3 * time.Second // after which the head windows are looked at again
 	windowsWithin    = time.Minute
 	storedOnDisk     = 650     // bytes of the store's bound for each message, a quarter of it being for compaction
@@ -144,7 +144,7 @@
 	what.first = pathTargets + 1
 	if _, _, err = t.fillStore(folder, what); err == nil {
 		var p *process
-		p, err = t.start(&configuration{destinations: pathTargets, targets: targets.addresses, room: room, descriptors: 4 * usualDescriptors,
+		p, err = t.start(&configuration{destinations: pathTargets, targets: targets.addresses, queueCapacity: room, descriptors: 4 * defaultDescriptors,
 			forwarders: fleetForwarders, // a destination that is out is tried by all of them together
 			disk:       pathDisk + ledgerForWindows*int64(window*what.destinations),
 			settings:   backlogSection(folder, what.messages, window) + outTargets(what.first, what.destinations)})
@@ -159,7 +159,7 @@
 // freshBesideStored measures fresh messages with several amounts stored, in turn.
 func (t *trial) freshBesideStored(sizes []int) error {
 	return t.alternate(sizes, backlogFresh, backlogRatio, func(targets *targets, size int) (*loaded, error) {
-		return t.startStored(targets, size, stored{messages: size, destinations: outDestinations}, outWindow, usualRoom)
+		return t.startStored(targets, size, stored{messages: size, destinations: outDestinations}, outWindow, defaultQueueCapacity)
 	})
 }
 
@@ -168,7 +168,7 @@
 func (t *trial) freshBesideWindows(sizes []int, window int) error {
 	return t.alternate(sizes, outFresh, outRatio, func(targets *targets, size int) (*loaded, error) {
 		what := stored{messages: size * (window + mostOutStored), destinations: max(size, 1)}
-		l, err := t.startStored(targets, size, what, window, max(usualRoom, mostOutRoom))
+		l, err := t.startStored(targets, size, what, window, max(defaultQueueCapacity, largestOutQueue))
 		if err != nil {
 			return nil, err
 		}
@@ -196,7 +196,7 @@
 		if time.Now().After(late) {
 			return fmt.Errorf("%d messages are in the store and not %d: %w", messages, left, err)
 		}
-		if err := t.pause(settleFor); err != nil {
+		if err := t.pause(settlingTime); err != nil {
 			return err
 		}
 	}
@@ -218,7 +218,7 @@
 
 // idleTime measures the processor time that a forwarder needs without load.
 func (t *trial) idleTime(l *loaded) error {
-	if err := t.pause(settleFor); err != nil {
+	if err := t.pause(settlingTime); err != nil {
 		return err
 	}
 	before, err := processorTimeOf(l.pid())
@@ -227,7 +227,7 @@
 	}
 	began, lasts := time.Now(), quietFor
 	if t.quick {
-		lasts = settleFor
+		lasts = settlingTime
 	}
 	if err := t.pause(lasts); err != nil {
 		return err
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	drainDestinations = 8
-	drainWindow       = 64
-	drainRoom         = 60_000
-	drainWithin       = 3 * time.Minute
-	expiryRate        = 200              // fresh messages a second meanwhile
-	expiryAfter       = 10 * time.Second // from the filling of the store to the first expiry; more for many messages
-	expiryAfterEach   = 50 * time.Microsecond
-	expiryLoadLead    = 4 * time.Second // before the first expiry
-	expiryLoadTail    = time.Second     // after the last
-	expiryWithin      = time.Second     // in which all expire
-	noticesWithin     = 10 * time.Second
-	quickExpiryAfter  = 5 * time.Second
+	drainDestinations  = 8
+	drainWindow        = 64
+	drainQueueCapacity = 60_000
+	drainWithin        = 3 * time.Minute
+	expiryRate         = 200              // fresh messages a second meanwhile
+	expiryAfter        = 10 * time.Second // from the filling of the store to the first expiry; more for many messages
+	expiryAfterEach    = 50 * time.Microsecond
+	expiryLoadLead     = 4 * time.Second // before the first expiry
+	expiryLoadTail     = time.Second     // after the last
+	expiryWithin       = time.Second     // in which all expire
+	noticesWithin      = 10 * time.Second
+	quickExpiryAfter   = 5 * time.Second
 )
 
 // measureBacklogDrain measures how fast stored messages go out to targets that answer at once.
@@ -57,7 +57,7 @@
 		return err
 	}
 	began := time.Now()
-	p, err := t.start(&configuration{destinations: drainDestinations, targets: targets.addresses, room: drainRoom, disk: pathDisk, descriptors: 4 * usualDescriptors,
+	p, err := t.start(&configuration{destinations: drainDestinations, targets: targets.addresses, queueCapacity: drainQueueCapacity, disk: pathDisk, descriptors: 4 * defaultDescriptors,
 		settings: backlogSection(folder, size, drainWindow)})
 	if err != nil {
 		return err
@@ -73,7 +73,7 @@
 		if time.Since(ready) > drainWithin {
 			return fmt.Errorf("%d of %d messages have drained in %s", targets.calls.Load(), size, drainWithin)
 		}
-		if err := t.pause(lookEvery); err != nil {
+		if err := t.pause(pollInterval); err != nil {
 			return fmt.Errorf("%d of %d messages have drained: %w", targets.calls.Load(), size, err)
 		}
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	if err := t.pause(settleFor); err != nil {
+	if err := t.pause(settlingTime); err != nil {
 		return err
 	}
 	onDisk, err := diskWritten(p.pid())
@@ -174,7 +174,7 @@
 		if time.Now().After(late) {
 			return fmt.Errorf("%d of %d messages were answered", n.count(), count)
 		}
-		if err := t.pause(lookEvery); err != nil {
+		if err := t.pause(pollInterval); err != nil {
 			return err
 		}
 	}
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -50,7 +50,7 @@
 		}
 		count := &outageCount{from: float64(day.Faults[0].At), to: float64(day.Faults[0].At + day.Faults[0].For)}
 		result := sim.Play(day, t.Seed+n, count.policy)
-		if result.Taken == 0 {
+		if result.Accepted == 0 {
 			return fmt.Errorf("no message was taken on with %d forwarders", forwarders)
 		}
 		vain, returning = vain+count.vain, returning+count.returning
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held.go
@@ -23,11 +23,11 @@
 )
 
 const (
-	bodyBytes    = 300  // of a message
-	freshMost    = 2000 // fresh messages of which the mean is taken, at most
-	freshLeast   = 16
-	drainedShare = 0.05 // of the messages held that drain while they are measured, at most
-	freshEnough  = 0.1  // seconds of processor time after which the mean is taken
+	bodyBytes       = 300  // of a message
+	freshMost       = 2000 // fresh messages of which the mean is taken, at most
+	freshLeast      = 16
+	drainedFraction = 0.05 // of the messages held that drain while they are measured, at most
+	freshEnough     = 0.1  // seconds of processor time after which the mean is taken
 )
 
 // measureHeldMessage measures what a message costs that is held for a destination which told a wait.
@@ -76,7 +76,7 @@
 			t.heap()
 			s, _ = t.hold(size)
 		}
-		s.pass(messageLife + 1)
+		s.advance(messageTimeToLive + 1)
 		took := withoutCollection(s.Reconcile)
 		if s.host.ended < size {
 			return 0, fmt.Errorf("%d of %d messages were given up at their time", s.host.ended, size)
@@ -93,11 +93,11 @@
 // returns the processor time in seconds of taking these in one turn.
 func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
-	s.know(2)
-	s.shut(s.destinations[1])
+	s.addDestinations(2)
+	s.block(s.destinations[1])
 	took := withoutCollection(func() {
 		for i := range size {
-			s.take(s.destinations[1], i)
+			s.accept(s.destinations[1], i)
 		}
 		s.Reconcile()
 	})
@@ -125,19 +125,19 @@
 	each, err := t.best(func() (float64, error) {
 		t.heap()
 		s := newScheduler(2*size+100, t.Seed)
-		s.know(1)
-		s.BlockUntil(s.targets[0], s.now+toldWait)
+		s.addDestinations(1)
+		s.BlockUntil(s.targets[0], s.now+blockedTime)
 		for i := range size {
-			s.take(s.destinations[0], i)
+			s.accept(s.destinations[0], i)
 		}
 		s.Reconcile()
 		if len(s.host.out) > 0 {
 			return 0, fmt.Errorf("%d messages were sent within a wait", len(s.host.out))
 		}
-		s.pass(toldWait + 1)
+		s.advance(blockedTime + 1)
 		s.Reconcile()
 		// So few that about as many are held at the end, and further ones go out at each end.
-		most := min(size-len(s.host.out), max(freshLeast, int(drainedShare*float64(size))))
+		most := min(size-len(s.host.out), max(freshLeast, int(drainedFraction*float64(size))))
 		each, err := t.fresh(func() bool { return s.endFirst(&most) })
 		if err == nil && s.host.ended > 0 {
 			err = fmt.Errorf("%d messages were given up while they drained", s.host.ended)
@@ -159,8 +159,8 @@
 	*left--
 	d := s.host.out[0]
 	s.host.out = s.host.out[1:]
-	s.pass(0.001)
-	s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callTook})
+	s.advance(0.001)
+	s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callLatency})
 	s.Reconcile()
 	return true
 }
--- a/lab/capacity/measure/known.go
+++ b/lab/capacity/measure/known.go
@@ -30,15 +30,15 @@
 	before := t.heap()
 	start, err := t.best(func() (float64, error) {
 		t.heap()
-		return withoutCollection(func() { newScheduler(usualRoom, t.Seed).know(size) }), nil
+		return withoutCollection(func() { newScheduler(defaultQueueCapacity, t.Seed).addDestinations(size) }), nil
 	})
 	if err != nil {
 		return err
 	}
 	t.record(knownStart, float64(size), start)
-	s := newScheduler(usualRoom, t.Seed)
-	lines := s.know(size)
-	whole, err := t.best(func() (float64, error) { return s.wholeList(lines), nil })
+	s := newScheduler(defaultQueueCapacity, t.Seed)
+	lines := s.addDestinations(size)
+	whole, err := t.best(func() (float64, error) { return s.updateFullList(lines), nil })
 	if err != nil {
 		return err
 	}
@@ -53,9 +53,9 @@
 	return nil
 }
 
-// wholeList is the processor time of a whole list that changes nothing, told in one turn.
-func (s *measuredScheduler) wholeList(lines []scheduler.EndpointUpdate) float64 {
-	s.pass(1)
+// updateFullList is the processor time of a whole list that changes nothing, told in one turn.
+func (s *measuredScheduler) updateFullList(lines []scheduler.EndpointUpdate) float64 {
+	s.advance(1)
 	return withoutCollection(func() {
 		s.UpdateEndpoints(true, lines)
 		s.Reconcile()
@@ -73,7 +73,7 @@
 
 // replace tells that a destination's target has gone and another has come.
 func (s *measuredScheduler) replace(n int) {
-	s.pass(0.01)
+	s.advance(0.01)
 	gone, fresh := s.targets[n], &scheduler.Endpoint{ID: uint64(n)}
 	s.targets[n] = fresh
 	s.UpdateEndpoints(false, []scheduler.EndpointUpdate{{Endpoint: gone, Destination: s.destinations[n], State: scheduler.Removed},
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -111,7 +111,7 @@
 		s.deliver(s.destinations[0])
 	}
 	require.Zero(t, s.host.ended)
-	s.pass(messageLife + 1)
+	s.advance(messageTimeToLive + 1)
 	s.Reconcile()
 	require.GreaterOrEqual(t, s.host.ended, 100)
 }
--- a/lab/capacity/measure/path.go
+++ b/lab/capacity/measure/path.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	pathTargets     = 8
-	pathClients     = 32
-	pathSeconds     = 2.0 // that each rate is kept for
-	quickSeconds    = 0.1
-	pathDisk        = 512_000_000
-	pathBody        = 400  // bytes, while rates are measured
-	pathRate        = 300  // messages a second, while bodies are measured
-	pathShare       = 0.98 // of the messages that have to be delivered
-	answerWithin    = 5 * time.Second
-	deliveredWithin = 10 * time.Second
+	pathTargets       = 8
+	pathClients       = 32
+	pathSeconds       = 2.0 // that each rate is kept for
+	quickSeconds      = 0.1
+	pathDisk          = 512_000_000
+	pathBody          = 400  // bytes, while rates are measured
+	pathRate          = 300  // messages a second, while bodies are measured
+	deliveredFraction = 0.98 // of the messages that have to be delivered
+	answerWithin      = 5 * time.Second
+	deliveredWithin   = 10 * time.Second
 )
 
 // measureMessagePath measures a message's way through the built forwarder: from a client, by the write-ahead log, to a
@@ -126,7 +126,7 @@
 	}
 	taken := int64(report.Answers["ok"])
 	for late := time.Now().Add(deliveredWithin); targets.calls.Load()-calls < taken && time.Now().Before(late); {
-		if err := t.pause(lookEvery); err != nil {
+		if err := t.pause(pollInterval); err != nil {
 			return w, err
 		}
 	}
@@ -134,7 +134,7 @@
 		in: float64(in.Load()), out: float64(targets.bytes.Load() - out), slowest: report.Intended.Max}
 	after, err := processorTimeOf(p.pid())
 	w.cpu = after - cpu
-	if err == nil && w.delivered < pathShare*float64(report.Sent) {
+	if err == nil && w.delivered < deliveredFraction*float64(report.Sent) {
 		err = fmt.Errorf("of %d messages at %d a second %.0f were delivered; answers %v", report.Sent, rate, w.delivered, report.Answers)
 	}
 	return w, err
--- a/lab/capacity/measure/process.go
+++ b/lab/capacity/measure/process.go
@@ -15,32 +15,32 @@
 )
 
 const (
-	startWithin = 2 * time.Minute // a forwarder that is not ready by then has failed
-	lookEvery   = time.Millisecond
-	settleFor   = 300 * time.Millisecond // before a started forwarder's memory is read
-	discardPort = "127.0.0.1:9"          // nobody listens there
+	startWithin  = 2 * time.Minute // a forwarder that is not ready by then has failed
+	pollInterval = time.Millisecond
+	settlingTime = 300 * time.Millisecond // before a started forwarder's memory is read
+	discardPort  = "127.0.0.1:9"          // nobody listens there
 )
 
 // configuration is what a forwarder that is measured differs in.
 type configuration struct {
-	destinations int      // in its list, numbered from 1, each with one target
-	unlisted     int      // the number of a destination that is not in it; 0: all are
-	targets      []string // addresses of the targets, used in turn; empty: nobody listens there
-	folder       string   // with its write-ahead log; empty: a new one
-	disk         int64    // bytes that its write-ahead log may take; 0: enough for a few messages
-	descriptors  int      // 0: enough for a few clients
-	room         int      // messages that it may hold; 0: a few thousand
-	forwarders   int      // of the fleet that it belongs to; 0: it is alone
-	metrics      bool
-	discovery    string // address of the service that tells the list; empty: the configuration has it
-	settings     string // further lines
+	destinations  int      // in its list, numbered from 1, each with one target
+	unlisted      int      // the number of a destination that is not in it; 0: all are
+	targets       []string // addresses of the targets, used in turn; empty: nobody listens there
+	folder        string   // with its write-ahead log; empty: a new one
+	disk          int64    // bytes that its write-ahead log may take; 0: enough for a few messages
+	descriptors   int      // 0: enough for a few clients
+	queueCapacity int      // messages that it may hold; 0: a few thousand
+	forwarders    int      // of the fleet that it belongs to; 0: it is alone
+	metrics       bool
+	discovery     string // address of the service that tells the list; empty: the configuration has it
+	settings      string // further lines
 }
 
 const (
-	usualDisk        = 64_000_000
-	usualDescriptors = 1024
-	usualRoom        = 4000
-	endpointName     = "t%d" // of a destination's target
+	defaultDisk          = 64_000_000
+	defaultDescriptors   = 1024
+	defaultQueueCapacity = 4000
+	endpointName         = "t%d" // of a destination's target
 )
 
 // write writes the configuration to a file.
@@ -50,9 +50,9 @@
 		return err
 	}
 	w := bufio.NewWriter(f)
-	fmt.Fprintf(w, "name = \"measured\"\nseed = \"1\"\n[ledger]\nfolder = %q\ndisk = \"%dB\"\n", folder, or(c.disk, usualDisk))
-	fmt.Fprintf(w, "[limits]\nmemory = \"%dB\"\ndescriptors = %d\n", memory, or(c.descriptors, usualDescriptors))
-	fmt.Fprintf(w, "[dispatch]\nslots = 64\nroom = %d\nforwarders = %d\n", or(c.room, usualRoom), or(c.forwarders, 1))
+	fmt.Fprintf(w, "name = \"measured\"\nseed = \"1\"\n[ledger]\nfolder = %q\ndisk = \"%dB\"\n", folder, or(c.disk, defaultDisk))
+	fmt.Fprintf(w, "[limits]\nmemory = \"%dB\"\ndescriptors = %d\n", memory, or(c.descriptors, defaultDescriptors))
+	fmt.Fprintf(w, "[dispatch]\nslots = 64\nroom = %d\nforwarders = %d\n", or(c.queueCapacity, defaultQueueCapacity), or(c.forwarders, 1))
 	if c.discovery != "" {
 		fmt.Fprintf(w, "[discovery]\naddress = %q\n", c.discovery)
 	}
@@ -139,8 +139,8 @@
 	os.RemoveAll(p.folder)
 }
 
-// reread tells the process to read its configuration again.
-func (p *process) reread() error { return p.command.Process.Signal(syscall.SIGHUP) }
+// reload tells the process to read its configuration again.
+func (p *process) reload() error { return p.command.Process.Signal(syscall.SIGHUP) }
 
 // field is the first value of a field in the process's log lines.
 func (p *process) field(name string) string {
@@ -152,7 +152,7 @@
 // await waits until a word is in the process's log.
 func (p *process) await(t *trial, word string, within time.Duration) error {
 	late := time.After(within)
-	look := time.NewTicker(lookEvery)
+	look := time.NewTicker(pollInterval)
 	defer look.Stop()
 	for {
 		select {
@@ -195,7 +195,7 @@
 
 // memoryOf is the process's resident memory, a moment after its start.
 func (t *trial) memoryOf(p *process) (int64, error) {
-	if err := t.pause(settleFor); err != nil {
+	if err := t.pause(settlingTime); err != nil {
 		return 0, err
 	}
 	resident, err := residentBytes(p.pid())
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -45,14 +45,14 @@
 			return 0, err
 		}
 		began := time.Now()
-		if err := p.reread(); err != nil {
+		if err := p.reload(); err != nil {
 			return 0, err
 		}
 		for p.log.Count(tookUpOrder) == count {
 			if time.Since(began) > startWithin {
 				return 0, fmt.Errorf("no reload within %s; the log ends: %s", startWithin, lastLine(p.log.String()))
 			}
-			if err := t.pause(lookEvery); err != nil {
+			if err := t.pause(pollInterval); err != nil {
 				return 0, err
 			}
 		}
@@ -101,7 +101,7 @@
 // reload adds a destination to the process's configuration and returns the time until it is known, and the process's
 // processor time meanwhile, in seconds.
 func (t *trial) reload(p *process, c *configuration) (took, cpu float64, err error) {
-	if err := t.pause(settleFor); err != nil {
+	if err := t.pause(settlingTime); err != nil {
 		return 0, 0, err
 	}
 	c.destinations++
@@ -113,7 +113,7 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	if err := p.reread(); err != nil {
+	if err := p.reload(); err != nil {
 		return 0, 0, err
 	}
 	if err := t.untilKnown(p, c.destinations); err != nil {
@@ -141,14 +141,14 @@
 		if !strings.Contains(answer, "unknown destination") && !strings.HasPrefix(answer, "-BUSY") {
 			return fmt.Errorf("a message for destination %d was answered %q", destination, answer)
 		}
-		if err := t.pause(lookEvery); err != nil {
+		if err := t.pause(pollInterval); err != nil {
 			return err
 		}
 	}
 	return fmt.Errorf("destination %d was not known within %s; the log ends: %s", destination, startWithin, lastLine(p.log.String()))
 }
 
-// handIn hands a message in on a connection of its own and returns the answer.
+// submit hands a message in on a connection of its own and returns the answer.
 func (t *trial) handIn(p *process, destination int) (string, error) {
 	c, err := emulator.NewClient(p.listen)
 	if err != nil {
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -105,10 +105,10 @@
 // recovered starts a scheduler with what an earlier process owed to a destination that told a wait.
 func recovered(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
-	s.know(2)
-	s.BlockUntil(s.targets[1], s.now+toldWait)
+	s.addDestinations(2)
+	s.BlockUntil(s.targets[1], s.now+blockedTime)
 	for i := range size {
-		s.Recover(&scheduler.Message{ID: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageLife, past)
+		s.Recover(&scheduler.Message{ID: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageTimeToLive, past)
 	}
 	s.Reconcile()
 	return s
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -3,11 +3,11 @@
 import "spanflow/scheduler"
 
 const (
-	startsAt    = 100.0 // the scheduler's clock at its start; 0 stands for never
-	messageLife = 1e6   // seconds
-	toldWait    = 1e5   // seconds, shorter than the life, so that what waits is held and not given up
-	callTook    = 0.05  // seconds
-	typicalSize = 500   // bytes of a message as the scheduler counts them
+	startTime         = 100.0 // the scheduler's clock at its start; 0 stands for never
+	messageTimeToLive = 1e6   // seconds
+	blockedTime       = 1e5   // seconds, shorter than the life, so that what waits is held and not given up
+	callLatency       = 0.05  // seconds
+	typicalSize       = 500   // bytes of a message as the scheduler counts them
 )
 
 // host carries out nothing and counts what the scheduler decides.
@@ -41,63 +41,63 @@
 // newScheduler starts a scheduler that holds up to so many messages.
 func newScheduler(capacity int, seed uint64) *measuredScheduler {
 	terms := scheduler.Settings{
-		Types:         []scheduler.MessageType{{Idempotency: scheduler.Idempotent, LatencyObjective: 3, TimeToLive: messageLife, Value: 1}},
+		Types:         []scheduler.MessageType{{Idempotency: scheduler.Idempotent, LatencyObjective: 3, TimeToLive: messageTimeToLive, Value: 1}},
 		KindBatchSize: []int{1}, KindEndpointLimits: []bool{false}, Forwarders: 1, ConcurrencyLimit: 256, QueueCapacity: capacity, MaxAttempts: 6, KeyCooldown: 0.1,
 		SlowStartShare: 0.2, SlowStartDuration: 10, IdleTimeout: 10, OverloadMultiple: 2, MaxRetryAfter: 2,
 	}
-	s := &measuredScheduler{host: &host{}, now: startsAt}
+	s := &measuredScheduler{host: &host{}, now: startTime}
 	s.Scheduler = scheduler.New(terms, seed, s.now, s.host)
 	s.SetTime(s.now)
 	return s
 }
 
-// listing makes a destination with one target and returns its line of the list.
-func (s *measuredScheduler) listing() scheduler.EndpointUpdate {
+// addDestination makes a destination with one target and returns its line of the list.
+func (s *measuredScheduler) addDestination() scheduler.EndpointUpdate {
 	number := uint64(len(s.destinations))
 	d, t := s.NewDestination(number), &scheduler.Endpoint{ID: number}
 	s.destinations, s.targets = append(s.destinations, d), append(s.targets, t)
 	return scheduler.EndpointUpdate{Endpoint: t, Destination: d, State: scheduler.Ready}
 }
 
-// know makes so many destinations known, by a whole list, and returns the list.
-func (s *measuredScheduler) know(destinations int) []scheduler.EndpointUpdate {
+// addDestinations makes so many destinations known, by a whole list, and returns the list.
+func (s *measuredScheduler) addDestinations(destinations int) []scheduler.EndpointUpdate {
 	lines := make([]scheduler.EndpointUpdate, 0, destinations)
 	for range destinations {
-		lines = append(lines, s.listing())
+		lines = append(lines, s.addDestination())
 	}
 	s.UpdateEndpoints(true, lines)
 	s.Reconcile()
 	return lines
 }
 
-// pass lets time go by.
-func (s *measuredScheduler) pass(seconds float64) {
+// advance lets time go by.
+func (s *measuredScheduler) advance(seconds float64) {
 	s.now += seconds
 	s.SetTime(s.now)
 }
 
-func (s *measuredScheduler) take(d *scheduler.Destination, number int) {
-	s.Accept(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageLife)
+func (s *measuredScheduler) accept(d *scheduler.Destination, number int) {
+	s.Accept(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageTimeToLive)
 }
 
 // deliver takes a message and ends its call well: all decisions of one message.
 func (s *measuredScheduler) deliver(to *scheduler.Destination) {
-	s.pass(0.001)
-	s.take(to, 0)
+	s.advance(0.001)
+	s.accept(to, 0)
 	s.Reconcile()
 	for _, d := range s.host.out {
-		s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callTook})
+		s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callLatency})
 	}
 	s.host.out = s.host.out[:0]
 	s.Reconcile()
 }
 
-// shut makes a destination tell a wait that is shorter than a message's life.
-func (s *measuredScheduler) shut(d *scheduler.Destination) {
-	s.take(d, 0)
+// block makes a destination tell a wait that is shorter than a message's life.
+func (s *measuredScheduler) block(d *scheduler.Destination) {
+	s.accept(d, 0)
 	s.Reconcile()
 	for _, out := range s.host.out {
-		s.AttemptEnded(out, scheduler.AttemptResult{Outcome: scheduler.Overloaded, Latency: callTook, RetryAfter: toldWait})
+		s.AttemptEnded(out, scheduler.AttemptResult{Outcome: scheduler.Overloaded, Latency: callLatency, RetryAfter: blockedTime})
 	}
 	s.host.out = s.host.out[:0]
 	s.Reconcile()
--- a/lab/capacity/measure/scrape.go
+++ b/lab/capacity/measure/scrape.go
@@ -23,7 +23,7 @@
 		}
 		defer server.close()
 		defer p.kill()
-		if err := t.pause(settleFor); err != nil {
+		if err := t.pause(settlingTime); err != nil {
 			return err
 		}
 		before, err := processorTimeOf(p.pid())
--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -56,10 +56,10 @@
 
 // ReportedValue says where a budget is left.
 type Limit struct {
-	Basis Basis   // NotMeasured, NotExtrapolated: it is not known; Measured: at a measured size; else by the line
-	Never bool    // kept at every size up to the one that was asked for
-	Size  float64 // from which on the budget is left; with Measured the first measured size at which it is
-	Kept  float64 // with Measured: the largest measured size below it, at which the budget is kept; 0: there is none
+	Basis         Basis   // NotMeasured, NotExtrapolated: it is not known; Measured: at a measured size; else by the line
+	Never         bool    // kept at every size up to the one that was asked for
+	Size          float64 // from which on the budget is left; with Measured the first measured size at which it is
+	LargestWithin float64 // with Measured: the largest measured size below it, at which the budget is kept; 0: there is none
 }
 
 // LeavesAt tells at which size a curve, nil if there is none, leaves a budget, looking up to a size.
@@ -88,7 +88,7 @@
 			continue
 		}
 		if point.Value > budget {
-			return Limit{Basis: Measured, Size: point.Size, Kept: kept}
+			return Limit{Basis: Measured, Size: point.Size, LargestWithin: kept}
 		}
 		kept = point.Size
 	}
--- a/lab/capacity/page/estimate_test.go
+++ b/lab/capacity/page/estimate_test.go
@@ -68,7 +68,7 @@
 
 func TestACurveThatIsNotStraightLeavesItsBudgetAtAMeasuredSize(t *testing.T) {
 	curve := square(capacity.NotStraight, 0)
-	require.Equal(t, Limit{Basis: Measured, Size: 100, Kept: 10}, LeavesAt(curve, 50, 1e6), "the first measured size beyond")
+	require.Equal(t, Limit{Basis: Measured, Size: 100, LargestWithin: 10}, LeavesAt(curve, 50, 1e6), "the first measured size beyond")
 	require.Equal(t, Limit{Basis: Measured, Size: 10}, LeavesAt(curve, 0.5, 1e6), "left at all measured sizes")
 	require.Equal(t, Limit{Basis: NotExtrapolated}, LeavesAt(curve, 20_000, 1e6), "kept as far as measured")
 	require.Equal(t, Limit{Basis: Measured, Never: true, Size: 1000}, LeavesAt(curve, 20_000, 1000))
@@ -79,7 +79,7 @@
 func TestACurveThatBendsLeavesItsBudgetOnTheLineOrAtAMeasuredSize(t *testing.T) {
 	curve := square(capacity.Bends, 100)
 	require.Equal(t, Limit{Basis: Fitted, Size: 50}, LeavesAt(curve, 5, 1e6))
-	require.Equal(t, Limit{Basis: Measured, Size: 1000, Kept: 100}, LeavesAt(curve, 150, 1e6))
+	require.Equal(t, Limit{Basis: Measured, Size: 1000, LargestWithin: 100}, LeavesAt(curve, 150, 1e6))
 	require.Equal(t, Limit{Basis: NotExtrapolated}, LeavesAt(curve, 20_000, 1e6))
 }
 
@@ -113,11 +113,11 @@
 	} {
 		require.Equal(t, c.want, c.unit.Format(c.value), "%v %s", c.value, c.unit)
 	}
-	require.Equal(t, "3.5%", share(0.035))
-	require.Equal(t, "0.37%", share(0.00371))
-	require.Equal(t, "0%", share(0))
-	require.Equal(t, "120%", share(1.2))
-	require.Equal(t, "3.7e-05%", share(3.7e-7))
-	require.Equal(t, "0%", share(4e-16))
+	require.Equal(t, "3.5%", percent(0.035))
+	require.Equal(t, "0.37%", percent(0.00371))
+	require.Equal(t, "0%", percent(0))
+	require.Equal(t, "120%", percent(1.2))
+	require.Equal(t, "3.7e-05%", percent(3.7e-7))
+	require.Equal(t, "0%", percent(4e-16))
 	require.False(t, math.Signbit(rounded(0)))
 }
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -221,7 +221,7 @@
 		return Limit{Basis: Measured, Never: true}
 	}
 	if limit.Size > 0 {
-		limit.Kept = kept
+		limit.LargestWithin = kept
 	}
 	return limit
 }
@@ -285,10 +285,10 @@
 // leftAtMeasured says between which measured sizes a curve that is not straight leaves its budget.
 func (r *reckoned) leftAtMeasured() string {
 	left := "left at the measured size " + digits(r.limit.Size)
-	if r.limit.Kept == 0 {
+	if r.limit.LargestWithin == 0 {
 		return left
 	}
-	return "kept at " + digits(r.limit.Kept) + ", " + left
+	return "kept at " + digits(r.limit.LargestWithin) + ", " + left
 }
 
 // allowed is the cell that tells the budget.
@@ -325,14 +325,14 @@
 	case r.given != nil:
 		return "left by the letter's own figures"
 	case r.trial != nil:
-		if r.limit.Kept > 0 {
-			return "at the latest " + share(r.share) + ": kept in a trial of " + share(r.limit.Kept) + ", left in one of that size"
+		if r.limit.LargestWithin > 0 {
+			return "at the latest " + percent(r.share) + ": kept in a trial of " + percent(r.limit.LargestWithin) + ", left in one of that size"
 		}
-		return "at the latest " + share(r.share) + ", left in a trial of that size"
+		return "at the latest " + percent(r.share) + ", left in a trial of that size"
 	case r.limit.Size == 0:
 		return "at any size"
 	case r.limit.Basis == Measured:
-		return "at the latest " + share(r.share) + ": " + r.leftAtMeasured()
+		return "at the latest " + percent(r.share) + ": " + r.leftAtMeasured()
 	}
-	return fmt.Sprintf("%s, at %s", share(r.share), digits(r.limit.Size))
+	return fmt.Sprintf("%s, at %s", percent(r.share), digits(r.limit.Size))
 }
--- a/lab/capacity/page/format.go
+++ b/lab/capacity/page/format.go
@@ -143,8 +143,8 @@
 	return number
 }
 
-// share writes a share as percent, with two digits. Under a millionth of a percent it is none.
-func share(value float64) string {
+// percent writes a share as percent, with two digits. Under a millionth of a percent it is none.
+func percent(value float64) string {
 	if math.Abs(value) < 1e-8 {
 		return "0%"
 	}
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -27,7 +27,7 @@
 	forwarderCores = &budget{name: "a forwarder's cores", value: func(t *Target) float64 { return t.Budget.Forwarder.Cores }}
 	forwarderBytes = &budget{name: "a forwarder's memory", value: func(t *Target) float64 { return float64(t.Budget.Forwarder.Memory) }}
 	readyWithin    = &budget{name: "ready within", value: func(t *Target) float64 { return float64(t.Budget.Forwarder.ReadyWithin) }}
-	controlCores   = &budget{name: "control's share of a core", value: func(t *Target) float64 { return t.Budget.Control.CoreShare }}
+	controlCores   = &budget{name: "control's share of a core", value: func(t *Target) float64 { return t.Budget.Control.CoreFraction }}
 	controlMemory  = &budget{name: "control's memory", value: func(t *Target) float64 { return float64(t.Budget.Control.Memory) }}
 	controlBytes   = &budget{name: "control's bytes", value: func(t *Target) float64 { return float64(t.Budget.Control.BytesPerSecond) }}
 	inForceWithin  = &budget{name: "in force within", value: func(t *Target) float64 { return float64(t.Changes.InForceWithin) }}
@@ -44,16 +44,16 @@
 
 // The scenarios of fleet trials.
 const (
-	idleScenario   = "idle"
-	changeScenario = "change"
-	wholeScenario  = "whole list"
-	thirdScenario  = "restart of a third"
-	awayScenario   = "discovery away"
-	zoneScenario   = "zone cut off"
+	idleScenario     = "idle"
+	changeScenario   = "change"
+	fullListScenario = "whole list"
+	thirdScenario    = "restart of a third"
+	awayScenario     = "discovery away"
+	zoneScenario     = "zone cut off"
 )
 
 // hollowArgument is how the command line names a scenario.
-var hollowArgument = map[string]string{idleScenario: "idle", changeScenario: "change", wholeScenario: "whole",
+var hollowArgument = map[string]string{idleScenario: "idle", changeScenario: "change", fullListScenario: "whole",
 	thirdScenario: "restart", awayScenario: "outage", zoneScenario: "zone"}
 
 // The sizes at which curves are read.
@@ -113,7 +113,7 @@
 		ofTarget("messages taken a second", PerSecond, eventsAtTarget,
 			"`load.events_per_second` over `fleet.forwarders`, × `load.forwarder_skew`", "`internal/resp`, `internal/respserver`, `forwarder`"),
 		ofTarget("messages a second for destinations that are down", PerSecond,
-			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownShare }, "× `load.down_share`", "`scheduler`, `internal/wal`"),
+			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownFraction }, "× `load.down_share`", "`scheduler`, `internal/wal`"),
 		ofCurve("bytes between clients and a forwarder", BytesPerSecond, carried("bytes between client and forwarder for a message"), nil,
 			"`internal/resp`, `internal/respserver`"),
 		ofCurve("bytes between a forwarder and destinations", BytesPerSecond, carried("bytes between forwarder and target for a message"), nil,
@@ -185,22 +185,22 @@
 		ofTrial("memory of a hollow forwarder", Bytes, trialUse{idleScenario, hollowMemory, "live, of one forwarder", destinationsReached, nil},
 			controlMemory, "`forwarder`, `scheduler`"),
 		ofTrial("memory of a hollow forwarder that was told a whole list", Bytes,
-			trialUse{wholeScenario, hollowMemory, "live, of one forwarder", destinationsReached, nobodyMissed}, controlMemory, "`forwarder`, `scheduler`"),
+			trialUse{fullListScenario, hollowMemory, "live, of one forwarder", destinationsReached, nobodyMissed}, controlMemory, "`forwarder`, `scheduler`"),
 		ofTrial("a whole list: bytes until it is in force", Bytes,
-			trialUse{wholeScenario, bytesPerChange, wholeAttempts, destinationsReached, nobodyMissed}, watchLine,
+			trialUse{fullListScenario, bytesPerChange, perForwarderWithAttempts, destinationsReached, nobodyMissed}, watchLine,
 			"`internal/discovery`; a list in parts: "+missing),
 		ofTrial("a whole list: processor time until it is in force", Seconds,
-			trialUse{wholeScenario, secondsPerChange, wholeAttempts, destinationsReached, nobodyMissed}, nil,
+			trialUse{fullListScenario, secondsPerChange, perForwarderWithAttempts, destinationsReached, nobodyMissed}, nil,
 			"`internal/discovery`, `forwarder`, `scheduler`"),
 		ofTrial("a whole list in force at forwarders that start without one", Seconds,
-			trialUse{wholeScenario, lastInForce, "the last forwarder", destinationsReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
+			trialUse{fullListScenario, lastInForce, "the last forwarder", destinationsReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
 	}
 }
 
 // Reason is read off a fleet trial.
 
-// wholeAttempts is what the cost of a whole list is of: a forwarder whose watch ended asks again.
-const wholeAttempts = "of one forwarder, with all attempts"
+// perForwarderWithAttempts is what the cost of a whole list is of: a forwarder whose watch ended asks again.
+const perForwarderWithAttempts = "of one forwarder, with all attempts"
 
 // never stands for a time after which some forwarders still had not what they should have.
 const never = 1e9 // seconds
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -81,7 +81,7 @@
 const (
 	leftBefore = iota // the budget is left before the target size
 	unknown
-	kept
+	withinBudget
 )
 
 func rankClass(r *reckoned) int {
@@ -89,7 +89,7 @@
 	case r.limit.Basis == NotMeasured, r.limit.Basis == NoSize, r.limit.Basis == NotExtrapolated:
 		return unknown
 	case r.limit.Never:
-		return kept
+		return withinBudget
 	}
 	return leftBefore
 }
@@ -102,11 +102,11 @@
 		{"machines set aside for control", Count.Format(t.Fleet.ControlMachines)},
 		{"events taken on", PerSecond.Format(t.Load.EventsPerSecond) + "; " + PerSecond.Format(t.Load.EventsPerSecond/t.Fleet.Forwarders) + " by each forwarder"},
 		{"destinations", Count.Format(t.Load.Destinations)},
-		{"of these down at any time", Count.Format(t.destinationsDown()) + " (" + share(t.Load.DownShare) + ")"},
+		{"of these down at any time", Count.Format(t.destinationsDown()) + " (" + percent(t.Load.DownFraction) + ")"},
 		{"backlog", Count.Format(t.Load.BacklogEvents) + " events, up to " + Count.Format(t.Load.BacklogPerForwarder) + " at a forwarder: " +
 			Seconds.Format(float64(t.Load.BacklogFor)) + " of what the destinations that are down get"},
 		{"changes of the configuration", Count.Format(t.Changes.PerDay) + " a day, in force everywhere within " + Seconds.Format(float64(t.Changes.InForceWithin))},
-		{"budget of control at a forwarder", Cores.Format(control.CoreShare) + ", " + Bytes.Format(float64(control.Memory)) + ", " +
+		{"budget of control at a forwarder", Cores.Format(control.CoreFraction) + ", " + Bytes.Format(float64(control.Memory)) + ", " +
 			BytesPerSecond.Format(float64(control.BytesPerSecond))},
 		{"budget of all else at a forwarder", Cores.Format(forwarder.Cores) + ", " + Bytes.Format(float64(forwarder.Memory)) + " (assumed), ready within " +
 			Seconds.Format(float64(forwarder.ReadyWithin)) + " of a restart, a backlog drained at " + PerSecond.Format(forwarder.DrainPerSecond)},
@@ -189,7 +189,7 @@
 			bend = " at " + digits(curve.Fit.BendAt)
 		}
 		rows = append(rows, []string{curve.Role, curve.Quantity, curve.SizeUnit, pointsOf(curve, unit),
-			string(curve.Fit.Shape) + bend, describe(curve, unit), share(curve.Fit.Residual)})
+			string(curve.Fit.Shape) + bend, describe(curve, unit), percent(curve.Fit.Residual)})
 	}
 	if len(rows) == 0 {
 		return "Nothing is measured yet.\n"
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -33,7 +33,7 @@
 type Load struct {
 	EventsPerSecond     float64         `toml:"events_per_second"` // all forwarders together
 	Destinations        float64         `toml:"destinations"`
-	DownShare           float64         `toml:"down_share"` // of the destinations, at any time
+	DownFraction        float64         `toml:"down_share"` // of the destinations, at any time
 	BacklogEvents       float64         `toml:"backlog_events"`
 	BacklogPerForwarder float64         `toml:"backlog_per_forwarder"`
 	BacklogFor          config.Duration `toml:"backlog_for"`
@@ -65,7 +65,7 @@
 
 // ControlBudget is for control alone.
 type ControlBudget struct {
-	CoreShare      float64     `toml:"core_share"` // of one core
+	CoreFraction   float64     `toml:"core_share"` // of one core
 	Memory         config.Size `toml:"memory"`
 	BytesPerSecond config.Size `toml:"bytes_per_second"`
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-func (c *targetChecker) share(field string, value float64) {
+func (c *targetChecker) fraction(field string, value float64) {
 	if c.positive(field, value); value > 1 {
 		c.bad(field, "%v is over 1, the whole", value)
 	}
@@ -176,7 +176,7 @@
 func (t *Target) checkLoad(c *targetChecker) {
 	c.positive("load.events_per_second", t.Load.EventsPerSecond)
 	c.count("load.destinations", t.Load.Destinations)
-	c.share("load.down_share", t.Load.DownShare)
+	c.fraction("load.down_share", t.Load.DownFraction)
 	c.count("load.backlog_events", t.Load.BacklogEvents)
 	c.count("load.backlog_per_forwarder", t.Load.BacklogPerForwarder)
 	c.positive("load.backlog_for", float64(t.Load.BacklogFor))
@@ -203,7 +203,7 @@
 }
 
 func (t *Target) checkBudget(c *targetChecker) {
-	c.share("budget.control.core_share", t.Budget.Control.CoreShare)
+	c.fraction("budget.control.core_share", t.Budget.Control.CoreFraction)
 	c.positive("budget.control.memory", float64(t.Budget.Control.Memory))
 	c.positive("budget.control.bytes_per_second", float64(t.Budget.Control.BytesPerSecond))
 	c.positive("budget.forwarder.cores", t.Budget.Forwarder.Cores)
@@ -240,10 +240,10 @@
 }
 
 // eventsPerSecondDown are the events a second for the destinations that are down, at even parts.
-func (t *Target) eventsPerSecondDown() float64 { return t.Load.EventsPerSecond * t.Load.DownShare }
+func (t *Target) eventsPerSecondDown() float64 { return t.Load.EventsPerSecond * t.Load.DownFraction }
 
 // destinationsDown are those that are down at any time.
-func (t *Target) destinationsDown() float64 { return t.Load.Destinations * t.Load.DownShare }
+func (t *Target) destinationsDown() float64 { return t.Load.Destinations * t.Load.DownFraction }
 
 // changesPerSecond is the mean rate of changes.
 func (t *Target) changesPerSecond() float64 { return t.Changes.PerDay / secondsPerDay }
--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -58,7 +58,7 @@
 				err = errors.New("interrupted")
 			}
 			if into != "" && len(trials) > 0 {
-				err = errors.Join(err, hollow.Keep(into, trials))
+				err = errors.Join(err, hollow.Store(into, trials))
 			}
 			return errors.Join(err, s.printFleets(trials))
 		})}
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -58,7 +58,7 @@
 	return root
 }
 
-func (s *session) played(c *cobra.Command) *cobra.Command {
+func (s *session) policyFlags(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&s.policy, "policy", "module", "who decides: module, "+strings.Join(slices.Sorted(maps.Keys(sim.Baselines)), ", "))
 	c.Flags().Uint64Var(&s.seed, "seed", 0, "the first seed; 0: the scene's")
 	c.Flags().IntVar(&s.seeds, "seeds", 1, "how many seeds")
@@ -67,7 +67,7 @@
 
 func policy(name string) (sim.Maker, error) {
 	if name == "module" {
-		return sim.Module, nil
+		return sim.SchedulerPolicy, nil
 	}
 	if m := sim.Baselines[name]; m != nil {
 		return m, nil
@@ -81,7 +81,7 @@
 		return experiment.Arm{}, err
 	}
 	m, err := policy(s.policy)
-	return experiment.Arm{Name: sc.Name, Scene: sc, Make: m}, err
+	return experiment.Arm{Name: sc.Name, Scenario: sc, NewPolicy: m}, err
 }
 
 func (s *session) from(sc *scenario.Scenario) []uint64 {
@@ -131,21 +131,21 @@
 
 func (s *session) run() *cobra.Command {
 	html := ""
-	c := s.played(&cobra.Command{Use: "run SCENE", Short: "Play a scene, simulated", Args: cobra.ExactArgs(1),
+	c := s.policyFlags(&cobra.Command{Use: "run SCENE", Short: "Play a scene, simulated", Args: cobra.ExactArgs(1),
 		Example: "  spanflow-lab run one-partner-hangs --seeds 8\n  spanflow-lab run my.toml --html report.html",
 		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
 			if err != nil {
 				return err
 			}
-			seeds := s.from(arm.Scene)
+			seeds := s.from(arm.Scenario)
 			results := experiment.Play(arm, seeds, s.progress(len(seeds)))
 			if html != "" {
 				f, err := os.Create(html)
 				if err != nil {
 					return err
 				}
-				if err := errors.Join(report.Write(f, arm.Scene, results), f.Close()); err != nil {
+				if err := errors.Join(report.Write(f, arm.Scenario, results), f.Close()); err != nil {
 					return err
 				}
 			}
@@ -154,7 +154,7 @@
 					return err
 				}
 			} else {
-				s.results(results)
+				s.printResults(results)
 			}
 			for _, r := range results {
 				if len(r.Violations) > 0 {
@@ -167,7 +167,7 @@
 	return c
 }
 
-func (s *session) results(results []*sim.Result) {
+func (s *session) printResults(results []*sim.Result) {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "SEED\tG\tDOCUMENTS\tSERVED\tLATE\tTURNED AWAY\tRETURNED\tABANDONED\tP50\tP99\tRULES")
 	for _, r := range results {
@@ -180,14 +180,14 @@
 			kept = fmt.Sprint(rules)
 		}
 		fmt.Fprintf(t, "%d\t%.3f\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f s\t%.3f s\t%s\n", r.Seed, r.G, r.Messages, r.Served, r.Late, r.Refused,
-			r.Finals["returned"], r.Finals["abandoned"], r.Latency.P50, r.Latency.P99, kept)
+			r.FinalAnswers["returned"], r.FinalAnswers["abandoned"], r.Latency.P50, r.Latency.P99, kept)
 	}
 	t.Flush()
 }
 
 func (s *session) compare() *cobra.Command {
 	other := ""
-	c := s.played(&cobra.Command{Use: "compare SCENE [SCENE]", Short: "Play two arms in pairs by seed and tell what differs", Args: cobra.RangeArgs(1, 2),
+	c := s.policyFlags(&cobra.Command{Use: "compare SCENE [SCENE]", Short: "Play two arms in pairs by seed and tell what differs", Args: cobra.RangeArgs(1, 2),
 		Long: `Plays two scenes with one policy, or one scene with --policy and --with, each pair with the same seed. The differences of
 the pairs are resampled; where the middle 95% hold 0 it says that no difference is seen.`,
 		Example: "  spanflow-lab compare returns-cold --policy backoff --with module --seeds 32",
@@ -206,19 +206,19 @@
 			}
 			if other != "" {
 				a.Name, b.Name = s.policy, other
-				if b.Make, err = policy(other); err != nil {
+				if b.NewPolicy, err = policy(other); err != nil {
 					return err
 				}
 			}
-			seeds := s.from(a.Scene)
+			seeds := s.from(a.Scenario)
 			r := experiment.Compare(a, b, seeds, s.progress(2*len(seeds)))
 			if s.json {
 				return cli.Print(s.out, r)
 			}
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(t, "ARM\tMEAN G\tWORST G\tMEAN P99\tRULES BROKEN")
-			for _, x := range []experiment.Sum{r.A, r.B} {
-				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f s\t%v\n", x.Name, x.Mean, x.Worst, x.P99, x.Breaches)
+			for _, x := range []experiment.Summary{r.A, r.B} {
+				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f s\t%v\n", x.Name, x.Mean, x.Worst, x.P99, x.Violations)
 			}
 			t.Flush()
 			_, err = fmt.Fprintf(s.out, "difference %+.4f, 95%% between %+.4f and %+.4f, of %d pairs: %s\n", r.Mean, r.Low, r.High, len(seeds), r.Verdict)
@@ -230,7 +230,7 @@
 
 func (s *session) sweep() *cobra.Command {
 	axis, values := "", ""
-	c := s.played(&cobra.Command{Use: "sweep SCENE", Short: "Play a scene along an axis", Args: cobra.ExactArgs(1),
+	c := s.policyFlags(&cobra.Command{Use: "sweep SCENE", Short: "Play a scene along an axis", Args: cobra.ExactArgs(1),
 		Example: "  spanflow-lab sweep monday-morning --axis load --values 0.5,1,2,4 --seeds 4",
 		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
@@ -239,7 +239,7 @@
 			}
 			type step struct {
 				X float64 `json:"x"`
-				experiment.Sum
+				experiment.Summary
 			}
 			var steps []step
 			for _, v := range strings.Split(values, ",") {
@@ -248,11 +248,11 @@
 					return fmt.Errorf("--values: %q is not a number", v)
 				}
 				at := arm
-				if at.Scene, err = experiment.Vary(arm.Scene, axis, x); err != nil {
+				if at.Scenario, err = experiment.Vary(arm.Scenario, axis, x); err != nil {
 					return err
 				}
-				seeds := s.from(arm.Scene)
-				steps = append(steps, step{x, experiment.SumUp(v, experiment.Play(at, seeds, s.progress(len(seeds))))})
+				seeds := s.from(arm.Scenario)
+				steps = append(steps, step{x, experiment.Summarize(v, experiment.Play(at, seeds, s.progress(len(seeds))))})
 			}
 			if s.json {
 				return cli.Print(s.out, steps)
@@ -260,7 +260,7 @@
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			fmt.Fprintf(t, "%s\tMEAN G\tWORST G\tMEAN P99\tRULES BROKEN\n", strings.ToUpper(axis))
 			for _, x := range steps {
-				fmt.Fprintf(t, "%g\t%.3f\t%.3f\t%.3f s\t%v\n", x.X, x.Mean, x.Worst, x.P99, x.Breaches)
+				fmt.Fprintf(t, "%g\t%.3f\t%.3f\t%.3f s\t%v\n", x.X, x.Mean, x.Worst, x.P99, x.Violations)
 			}
 			return t.Flush()
 		})})
@@ -271,7 +271,7 @@
 
 func (s *session) search() *cobra.Command {
 	lasts, most, keep, folder := time.Minute, 1<<30, 3, ""
-	c := s.played(&cobra.Command{Use: "search [SCENE]", Short: "Draw scenes in which the policy does badly, and shrink the worst", Args: cobra.MaximumNArgs(1),
+	c := s.policyFlags(&cobra.Command{Use: "search [SCENE]", Short: "Draw scenes in which the policy does badly, and shrink the worst", Args: cobra.MaximumNArgs(1),
 		Long: `Draws sizes, load and troubles on the partners of a scene (calm, if none is named). A broken rule counts most, then what
 the best baseline that keeps the rules delivers more. The worst are shrunk as long as three quarters of the loss stay.`,
 		RunE: cli.Run(func(args []string) error {
@@ -297,9 +297,9 @@
 					fmt.Fprintf(s.err, "\r%d scenes, worst loss %.3f   ", n, worst)
 				}
 			}
-			found := experiment.Search(ctx, arm.Scene, arm.Make, max(1, s.seed), most, keep, tell)
+			found := experiment.Search(ctx, arm.Scenario, arm.NewPolicy, max(1, s.seed), most, keep, tell)
 			for _, f := range found {
-				fmt.Fprintf(s.out, "\n%s: G %.3f, best baseline %.3f, rules broken %v, shrunk by %d steps\n", f.Scene.Name, f.G, f.Best, f.Rules, f.Steps)
+				fmt.Fprintf(s.out, "\n%s: G %.3f, best baseline %.3f, rules broken %v, shrunk by %d steps\n", f.Scenario.Name, f.G, f.Best, f.Rules, f.Steps)
 				text, err := f.Text()
 				if err != nil {
 					return err
@@ -307,7 +307,7 @@
 				if folder == "" {
 					continue
 				}
-				path := filepath.Join(folder, f.Scene.Name+".toml")
+				path := filepath.Join(folder, f.Scenario.Name+".toml")
 				if err := os.WriteFile(path, text, 0o644); err != nil {
 					return err
 				}
@@ -353,7 +353,7 @@
 			if err != nil {
 				return err
 			}
-			twin := sim.Play(sc, s.seed, sim.Module)
+			twin := sim.Play(sc, s.seed, sim.SchedulerPolicy)
 			if html != "" {
 				f, err := os.Create(html)
 				if err != nil {
@@ -367,7 +367,7 @@
 				return cli.Print(s.out, []*sim.Result{result, twin})
 			}
 			fmt.Fprintln(s.out, "on sockets, then simulated:")
-			s.results([]*sim.Result{result, twin})
+			s.printResults([]*sim.Result{result, twin})
 			if len(result.Violations) > 0 {
 				return fmt.Errorf("rule broken: %s: %s", result.Violations[0].Rule, result.Violations[0].Reason)
 			}
--- a/lab/commands/hunt.go
+++ b/lab/commands/hunt.go
@@ -32,14 +32,14 @@
 			if err != nil {
 				return err
 			}
-			h, err := experiment.OpenHunt(folder)
+			h, err := experiment.OpenViolationSearch(folder)
 			if err != nil {
 				return err
 			}
 			ctx, cancel := context.WithTimeout(s.ctx, lasts)
 			defer cancel()
 			before, began := h.Scenes, time.Now()
-			err = h.Go(ctx, folder, m, max(1, s.seed), most, func(h *experiment.Hunt) {
+			err = h.Run(ctx, folder, m, max(1, s.seed), most, func(h *experiment.ViolationSearch) {
 				if !s.quiet && !s.json {
 					fmt.Fprintf(s.err, "\r%d scenes, %d breaks, %s   ", h.Scenes-before, len(h.Breaks), time.Since(began).Round(time.Second))
 				}
@@ -50,7 +50,7 @@
 			if s.json {
 				err = cli.Print(s.out, h)
 			} else {
-				err = s.hunted(h)
+				err = s.printViolationSearch(h)
 			}
 			if n := len(h.Breaks) + h.Unshrunk; err == nil && n > 0 {
 				err = fmt.Errorf("%d breaks, the first in %s: %s: %s", n, h.Breaks[0].File, h.Breaks[0].Rule, h.Breaks[0].What)
@@ -65,8 +65,8 @@
 	return c
 }
 
-// hunted prints what a hunt covers and has found.
-func (s *session) hunted(h *experiment.Hunt) error {
+// printViolationSearch prints what a hunt covers and has found.
+func (s *session) printViolationSearch(h *experiment.ViolationSearch) error {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(t, "\n%d scenes, seeds %v\n", h.Scenes, h.Tried)
 	for _, part := range []struct {
@@ -99,7 +99,7 @@
 		Example: "  spanflow-lab findings\n  spanflow-lab findings hunted/*.toml --seeds 8",
 		RunE: cli.Run(func(args []string) error {
 			if len(args) == 0 {
-				args = scenario.Found()
+				args = scenario.Findings()
 			}
 			var arms []experiment.Arm
 			for _, name := range args {
@@ -113,16 +113,16 @@
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			fmt.Fprintln(t, "SCENE\tWORST G\tFLOOR\tRULES")
 			for _, arm := range arms {
-				sum := experiment.SumUp(arm.Name, experiment.Play(arm, experiment.Seeds(arm.Scene.Seed, seeds), nil))
+				sum := experiment.Summarize(arm.Name, experiment.Play(arm, experiment.Seeds(arm.Scenario.Seed, seeds), nil))
 				verdict := "kept"
-				if len(sum.Breaches) > 0 {
-					verdict = fmt.Sprint(sum.Breaches)
+				if len(sum.Violations) > 0 {
+					verdict = fmt.Sprint(sum.Violations)
 				}
-				if len(sum.Breaches) > 0 || sum.Worst < arm.Scene.Floor {
+				if len(sum.Violations) > 0 || sum.Worst < arm.Scenario.Floor {
 					failed++
 					verdict += " FAILED"
 				}
-				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\n", arm.Name, sum.Worst, arm.Scene.Floor, verdict)
+				fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\n", arm.Name, sum.Worst, arm.Scenario.Floor, verdict)
 			}
 			if err := t.Flush(); err != nil {
 				return err
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -17,16 +17,16 @@
 
 // Arm is one side of a comparison.
 type Arm struct {
-	Name  string
-	Scene *scenario.Scenario
-	Make  sim.Maker
+	Name      string
+	Scenario  *scenario.Scenario
+	NewPolicy sim.Maker
 }
 
 // Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds.
 func Play(a Arm, seeds []uint64, done func()) []*sim.Result {
 	all := make([]*sim.Result, len(seeds))
-	each(len(seeds), func(i int) {
-		all[i] = sim.Play(a.Scene, seeds[i], a.Make)
+	parallel(len(seeds), func(i int) {
+		all[i] = sim.Play(a.Scenario, seeds[i], a.NewPolicy)
 		if done != nil {
 			done()
 		}
@@ -34,7 +34,7 @@
 	return all
 }
 
-func each(n int, do func(i int)) {
+func parallel(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
 	for range min(n, runtime.GOMAXPROCS(0)) {
@@ -60,26 +60,26 @@
 	return seeds
 }
 
-// Sum is what an arm's results come to.
-type Sum struct {
-	Name     string         `json:"name"`
-	G        []float64      `json:"g"` // by seed
-	Mean     float64        `json:"mean_g"`
-	Worst    float64        `json:"worst_g"`
-	P99      float64        `json:"mean_p99_s"`
-	Breaches map[string]int `json:"breaches"`
+// Summary is what an arm's results come to.
+type Summary struct {
+	Name       string         `json:"name"`
+	G          []float64      `json:"g"` // by seed
+	Mean       float64        `json:"mean_g"`
+	Worst      float64        `json:"worst_g"`
+	P99        float64        `json:"mean_p99_s"`
+	Violations map[string]int `json:"breaches"`
 }
 
-// SumUp sums up an arm.
-func SumUp(name string, results []*sim.Result) Sum {
-	s := Sum{Name: name, Worst: math.Inf(1), Breaches: map[string]int{}}
+// Summarize sums up an arm.
+func Summarize(name string, results []*sim.Result) Summary {
+	s := Summary{Name: name, Worst: math.Inf(1), Violations: map[string]int{}}
 	for _, r := range results {
 		s.G = append(s.G, r.G)
 		s.Mean += r.G / float64(len(results))
 		s.Worst = math.Min(s.Worst, r.G)
 		s.P99 += r.Latency.P99 / float64(len(results))
 		for _, b := range r.Violations {
-			s.Breaches[string(b.Rule)]++
+			s.Violations[string(b.Rule)]++
 		}
 	}
 	return s
@@ -87,8 +87,8 @@
 
 // Comparison is a pair of arms, played with the same seeds.
 type Comparison struct {
-	A       Sum     `json:"a"`
-	B       Sum     `json:"b"`
+	A       Summary `json:"a"`
+	B       Summary `json:"b"`
 	Mean    float64 `json:"mean_difference"` // of the share of value delivered, B less A
 	Low     float64 `json:"low"`             // the middle 95% of resampled means
 	High    float64 `json:"high"`
@@ -100,17 +100,17 @@
 // Compare plays both arms, a pair a seed, and resamples the differences of the pairs.
 func Compare(a, b Arm, seeds []uint64, done func()) Comparison {
 	ra, rb := make([]*sim.Result, len(seeds)), make([]*sim.Result, len(seeds))
-	each(2*len(seeds), func(i int) { // interleaved
+	parallel(2*len(seeds), func(i int) { // interleaved
 		if i%2 == 0 {
-			ra[i/2] = sim.Play(a.Scene, seeds[i/2], a.Make)
+			ra[i/2] = sim.Play(a.Scenario, seeds[i/2], a.NewPolicy)
 		} else {
-			rb[i/2] = sim.Play(b.Scene, seeds[i/2], b.Make)
+			rb[i/2] = sim.Play(b.Scenario, seeds[i/2], b.NewPolicy)
 		}
 		if done != nil {
 			done()
 		}
 	})
-	c := Comparison{A: SumUp(a.Name, ra), B: SumUp(b.Name, rb)}
+	c := Comparison{A: Summarize(a.Name, ra), B: Summarize(b.Name, rb)}
 	diffs := make([]float64, len(seeds))
 	for i := range seeds {
 		diffs[i] = c.B.G[i] - c.A.G[i]
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -23,11 +23,11 @@
 }
 
 func TestAnArmAgainstItselfShowsNoDifferenceAndAWorseOneDoes(t *testing.T) {
-	a := arm(t, "several-at-once", sim.Module)
+	a := arm(t, "several-at-once", sim.SchedulerPolicy)
 	c := Compare(a, a, Seeds(1, 6), nil)
 	require.Equal(t, []any{0.0, 0.0, 0.0, "no difference seen"}, []any{c.Mean, c.Low, c.High, c.Verdict})
 	b := a
-	b.Name, b.Make = "fifo", sim.Baselines["fifo"]
+	b.Name, b.NewPolicy = "fifo", sim.Baselines["fifo"]
 	c = Compare(b, a, Seeds(1, 6), nil)
 	require.Greater(t, c.Low, 0.0, c)
 	require.Equal(t, a.Name+" delivers more", c.Verdict)
@@ -37,14 +37,14 @@
 
 func TestAnAxisVariesOneFigureOfACopy(t *testing.T) {
 	a := arm(t, "one-partner-hangs", nil)
-	v, err := Vary(a.Scene, "trouble", 2)
+	v, err := Vary(a.Scenario, "trouble", 2)
 	require.NoError(t, err)
-	require.Equal(t, 2*a.Scene.Faults[0].For, v.Faults[0].For)
-	v, err = Vary(a.Scene, "forwarders", 7)
-	require.True(t, err == nil && v.Dispatch.Forwarders == 7 && a.Scene.Dispatch.Forwarders == 3)
-	_, err = Vary(a.Scene, "load", -1)
+	require.Equal(t, 2*a.Scenario.Faults[0].For, v.Faults[0].For)
+	v, err = Vary(a.Scenario, "forwarders", 7)
+	require.True(t, err == nil && v.Dispatch.Forwarders == 7 && a.Scenario.Dispatch.Forwarders == 3)
+	_, err = Vary(a.Scenario, "load", -1)
 	require.Error(t, err)
-	_, err = Vary(a.Scene, "colour", 1)
+	_, err = Vary(a.Scenario, "colour", 1)
 	require.ErrorContains(t, err, "unknown axis")
 }
 
@@ -69,14 +69,14 @@
 func TestASearchFindsWhereAPolicyDoesBadlyAndShrinksIt(t *testing.T) {
 	a := arm(t, "calm", nil)
 	bad := func(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
-		return &shut{Policy: sim.Module(terms, seed, now, h), began: now}
+		return &shut{Policy: sim.SchedulerPolicy(terms, seed, now, h), began: now}
 	}
-	found := Search(context.Background(), a.Scene, bad, 1, 16, 1, nil)
+	found := Search(context.Background(), a.Scenario, bad, 1, 16, 1, nil)
 	require.Len(t, found, 1)
 	f := found[0]
 	require.Greater(t, f.Loss(), 0.3)
 	require.NotZero(t, f.Steps)
-	require.Less(t, len(f.Scene.Faults), 2, "it needs no trouble to do badly")
+	require.Less(t, len(f.Scenario.Faults), 2, "it needs no trouble to do badly")
 	text, err := f.Text()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "f.toml")
@@ -90,7 +90,7 @@
 func TestAReportIsOnePageWithItsNumbers(t *testing.T) {
 	a := arm(t, "returns-cold", sim.Baselines["fifo"])
 	var b bytes.Buffer
-	require.NoError(t, report.Write(&b, a.Scene, Play(a, Seeds(1, 1), nil)))
+	require.NoError(t, report.Write(&b, a.Scenario, Play(a, Seeds(1, 1), nil)))
 	text := b.String()
 	for _, part := range []string{"<svg", "Rules broken", "returns not pushed over", `"value_delivered"`, "Dashed lines", "refuse"} {
 		require.Contains(t, text, part)
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -17,21 +17,21 @@
 	"spanflow/lab/sim"
 )
 
-// Hunt is a search for broken rules that goes on where it stopped: which seeds were tried, what their scenes covered,
+// ViolationSearch is a search for broken rules that goes on where it stopped: which seeds were tried, what their scenes covered,
 // and the breaks found. It is the same for the same seeds on any number of cores.
-type Hunt struct {
-	Version  int            `toml:"version"`
-	Tried    [][2]uint64    `toml:"tried"`  // seeds from and to, both tried
-	Scenes   int            `toml:"scenes"` // played
-	Kinds    map[string]int `toml:"kinds"`  // scenes with a trouble of each kind
-	Pairs    map[string]int `toml:"pairs"`  // scenes in which two kinds overlapped in time
-	Sizes    map[string]int `toml:"sizes"`  // scenes by forwarders and endpoints
-	Breaks   []Break        `toml:"breaks"`
-	Unshrunk int            `toml:"unshrunk"` // breaks beyond the most that are kept
+type ViolationSearch struct {
+	Version  int              `toml:"version"`
+	Tried    [][2]uint64      `toml:"tried"`  // seeds from and to, both tried
+	Scenes   int              `toml:"scenes"` // played
+	Kinds    map[string]int   `toml:"kinds"`  // scenes with a trouble of each kind
+	Pairs    map[string]int   `toml:"pairs"`  // scenes in which two kinds overlapped in time
+	Sizes    map[string]int   `toml:"sizes"`  // scenes by forwarders and endpoints
+	Breaks   []FoundViolation `toml:"breaks"`
+	Unshrunk int              `toml:"unshrunk"` // breaks beyond the most that are kept
 }
 
-// Break is a rule broken in a drawn scene.
-type Break struct {
+// FoundViolation is a rule broken in a drawn scene.
+type FoundViolation struct {
 	Seed  uint64 `toml:"seed"`
 	Rule  string `toml:"rule"`
 	What  string `toml:"what"`
@@ -40,19 +40,19 @@
 }
 
 const (
-	huntVersion = 1
-	huntBatch   = 32
-	mostBreaks  = 100 // kept; a module that breaks more is to be mended first
-	huntFile    = "hunt.toml"
+	searchVersion = 1
+	searchBatch   = 32
+	maxViolations = 100 // kept; a module that breaks more is to be mended first
+	searchFile    = "hunt.toml"
 )
 
-// OpenHunt reads the hunt in a folder, or begins one; the folder is made.
-func OpenHunt(dir string) (*Hunt, error) {
+// OpenViolationSearch reads the hunt in a folder, or begins one; the folder is made.
+func OpenViolationSearch(dir string) (*ViolationSearch, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	h := &Hunt{Version: huntVersion}
-	path := filepath.Join(dir, huntFile)
+	h := &ViolationSearch{Version: searchVersion}
+	path := filepath.Join(dir, searchFile)
 	text, err := os.ReadFile(path)
 	if err == nil {
 		h.Version = 0
@@ -76,9 +76,9 @@
 	return h, h.Save(dir) // a folder that cannot be written is refused before the work
 }
 
-func (h *Hunt) check() (wrong config.Problems) {
-	if h.Version != huntVersion {
-		wrong = append(wrong, config.Problem{Field: "version", Reason: fmt.Sprintf("%d is not this program's, %d", h.Version, huntVersion)})
+func (h *ViolationSearch) check() (wrong config.Problems) {
+	if h.Version != searchVersion {
+		wrong = append(wrong, config.Problem{Field: "version", Reason: fmt.Sprintf("%d is not this program's, %d", h.Version, searchVersion)})
 	}
 	n := uint64(0)
 	for i, t := range h.Tried {
@@ -94,20 +94,20 @@
 }
 
 // Save writes the hunt whole in place of the old.
-func (h *Hunt) Save(dir string) error {
+func (h *ViolationSearch) Save(dir string) error {
 	text, err := toml.Marshal(h)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(dir, huntFile)
+	path := filepath.Join(dir, searchFile)
 	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// next is the first seed from one on that was not tried.
-func (h *Hunt) next(from uint64) uint64 {
+// nextUntried is the first seed from one on that was not tried.
+func (h *ViolationSearch) nextUntried(from uint64) uint64 {
 	for _, t := range h.Tried {
 		if from >= t[0] && from <= t[1] {
 			from = t[1] + 1
@@ -116,7 +116,7 @@
 	return from
 }
 
-func (h *Hunt) tried(from, to uint64) {
+func (h *ViolationSearch) markTried(from, to uint64) {
 	h.Tried = append(h.Tried, [2]uint64{from, to})
 	slices.SortFunc(h.Tried, func(a, b [2]uint64) int {
 		if a[0] < b[0] {
@@ -135,43 +135,43 @@
 	h.Tried = joined
 }
 
-// Go plays drawn scenes from a seed on until ctx ends or so many were played, writing to the folder after each batch.
+// Run plays drawn scenes from a seed on until ctx ends or so many were played, writing to the folder after each batch.
 // Reason is begun is finished, so that an interrupted hunt has kept all that it found.
-func (h *Hunt) Go(ctx context.Context, dir string, make sim.Maker, from uint64, most int, progress func(*Hunt)) error {
+func (h *ViolationSearch) Run(ctx context.Context, dir string, make sim.Maker, from uint64, most int, progress func(*ViolationSearch)) error {
 	for n := 0; n < most && ctx.Err() == nil; {
-		from = h.next(from)
-		batch := min(huntBatch, most-n)
+		from = h.nextUntried(from)
+		batch := min(searchBatch, most-n)
 		for _, t := range h.Tried { // up to what was tried before
 			if t[0] > from {
 				batch = min(batch, int(t[0]-from))
 			}
 		}
 		scenes, results := findScenes(batch), findResults(batch)
-		each(batch, func(i int) {
-			scenes[i] = DrawAny(from + uint64(i))
+		parallel(batch, func(i int) {
+			scenes[i] = DrawWide(from + uint64(i))
 			results[i] = sim.Play(scenes[i], from+uint64(i), make)
 		})
-		var found []*Break
+		var found []*FoundViolation
 		var shown []*scenario.Scenario
 		for i, r := range results {
-			h.cover(scenes[i])
+			h.countCoverage(scenes[i])
 			rules := map[string]bool{}
 			for _, b := range r.Violations {
 				if rules[string(b.Rule)] {
 					continue
 				}
 				rules[string(b.Rule)] = true
-				if len(h.Breaks)+len(found) >= mostBreaks {
+				if len(h.Breaks)+len(found) >= maxViolations {
 					h.Unshrunk++
 					continue
 				}
-				found = append(found, &Break{Seed: from + uint64(i), Rule: string(b.Rule), What: b.Reason})
+				found = append(found, &FoundViolation{Seed: from + uint64(i), Rule: string(b.Rule), What: b.Reason})
 				shown = append(shown, scenes[i])
 			}
 		}
 		for i, b := range found {
-			shown[i], b.Steps = shrink(shown[i], func(s *scenario.Scenario) bool { return breaks(s, b.Seed, b.Rule, make) != "" })
-			b.What = breaks(shown[i], b.Seed, b.Rule, make)
+			shown[i], b.Steps = shrink(shown[i], func(s *scenario.Scenario) bool { return violationOf(s, b.Seed, b.Rule, make) != "" })
+			b.What = violationOf(shown[i], b.Seed, b.Rule, make)
 			b.File = fmt.Sprintf("hunted-%d-rule-%c.toml", b.Seed, b.Rule[0])
 			s := *shown[i]
 			s.Name, s.Seed = b.File[:len(b.File)-len(".toml")], b.Seed
@@ -186,7 +186,7 @@
 			h.Breaks = append(h.Breaks, *b)
 		}
 		sort.SliceStable(h.Breaks, func(i, j int) bool { return h.Breaks[i].Seed < h.Breaks[j].Seed })
-		h.tried(from, from+uint64(batch)-1)
+		h.markTried(from, from+uint64(batch)-1)
 		h.Scenes += batch
 		n += batch
 		if err := h.Save(dir); err != nil {
@@ -202,8 +202,8 @@
 func findScenes(n int) []*scenario.Scenario { return make([]*scenario.Scenario, n) }
 func findResults(n int) []*sim.Result       { return make([]*sim.Result, n) }
 
-// breaks is how a rule is broken in a scene, empty if it is kept.
-func breaks(s *scenario.Scenario, seed uint64, rule string, make sim.Maker) string {
+// violationOf is how a rule is broken in a scene, empty if it is kept.
+func violationOf(s *scenario.Scenario, seed uint64, rule string, make sim.Maker) string {
 	for _, b := range sim.Play(s, seed, make).Violations {
 		if string(b.Rule) == rule {
 			return b.Reason
@@ -212,8 +212,8 @@
 	return ""
 }
 
-// cover counts what a scene covers.
-func (h *Hunt) cover(s *scenario.Scenario) {
+// countCoverage counts what a scene covers.
+func (h *ViolationSearch) countCoverage(s *scenario.Scenario) {
 	seen := map[string]bool{}
 	for i, a := range s.Faults {
 		seen[a.Kind] = true
@@ -234,12 +234,12 @@
 	for _, p := range s.Receivers {
 		targets += p.Count * p.Endpoints
 	}
-	h.Sizes[size("forwarders", s.Dispatch.Forwarders)]++
-	h.Sizes[size("targets", targets)]++
+	h.Sizes[sizeClass("forwarders", s.Dispatch.Forwarders)]++
+	h.Sizes[sizeClass("targets", targets)]++
 }
 
-// size is the class of a number, in steps of about three.
-func size(what string, n int) string {
+// sizeClass is the class of a number, in steps of about three.
+func sizeClass(what string, n int) string {
 	low := 1
 	for _, high := range []int{2, 4, 11, 31, 101} {
 		if n < high {
@@ -247,44 +247,44 @@
 		}
 		low = high
 	}
-	return fmt.Sprintf("%s %d to %d", what, low, hugest)
+	return fmt.Sprintf("%s %d to %d", what, low, maxSize)
 }
 
 const (
-	hugest      = 300    // forwarders, and endpoints
+	maxSize     = 300    // forwarders, and endpoints
 	maxMessages = 5000.0 // of a scene, so that many can be played
 	// Seconds. Reason is shorter the scheduler takes for losses on the way, after which nothing is cold
 	// (docs/design.md); the operators' outages last five and more.
-	leastOutage = 3.5
+	minOutage = 3.5
 )
 
-// DrawAny draws a scene in all its dimensions: 1 to 300 forwarders and endpoints, limits, kinds of message, one to four
+// DrawWide draws a scene in all its dimensions: 1 to 300 forwarders and endpoints, limits, kinds of message, one to four
 // troubles that mostly overlap.
-func DrawAny(seed uint64) *scenario.Scenario {
+func DrawWide(seed uint64) *scenario.Scenario {
 	dice := rand.New(rand.NewPCG(seed, 29))
 	between := func(low, high float64) float64 { return low + (high-low)*dice.Float64() }
 	log := func(low, high float64) float64 { return low * math.Pow(high/low, dice.Float64()) }
 	odds := func(share float64) bool { return dice.Float64() < share }
-	s := &scenario.Scenario{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), NetworkDelay: ms(log(0.001, 0.05)),
-		Dispatch: config.Defaults().Dispatch, Load: scenario.Load{Arrive: "poisson"}, ComesAgain: odds(0.8)}
+	s := &scenario.Scenario{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), NetworkDelay: roundToMillis(log(0.001, 0.05)),
+		Dispatch: config.Defaults().Dispatch, Load: scenario.Load{Arrivals: "poisson"}, Resubmit: odds(0.8)}
 	d := &s.Dispatch
-	d.Forwarders = int(log(1, hugest+0.99))
+	d.Forwarders = int(log(1, maxSize+0.99))
 	d.ConcurrencyLimit, d.QueueCapacity, d.MaxAttempts = int(log(3, 64.99)), int(log(20, 600)), 3+dice.IntN(6)
-	d.SlowStartShare, d.SlowStartDuration, d.OverloadMultiple = between(0.15, 0.3), ms(between(5, 14)), between(1.5, 3)
-	d.KeyCooldown, d.IdleTimeout, d.Connect = ms(between(0.05, 0.2)), ms(log(5, 30)), ms(between(0.25, 1.5))
+	d.SlowStartShare, d.SlowStartDuration, d.OverloadMultiple = between(0.15, 0.3), roundToMillis(between(5, 14)), between(1.5, 3)
+	d.KeyCooldown, d.IdleTimeout, d.Connect = roundToMillis(between(0.05, 0.2)), roundToMillis(log(5, 30)), roundToMillis(between(0.25, 1.5))
 	if odds(0.2) {
 		d.MaxRetryAfter = 0
 	}
 	d.ListedRates = []string{"none", "none", "exact", "rough"}[dice.IntN(4)]
 	if odds(0.3) {
-		s.ListLag = ms(between(0.1, 2))
+		s.ListLag = roundToMillis(between(0.1, 2))
 	}
 	for i := range 1 + dice.IntN(3) {
 		t := scenario.Type{Name: fmt.Sprint("type-", i), Idempotency: []string{"replayable", "numbered", "binding"}[dice.IntN(3)], Group: "all",
-			LatencyObjective: ms(between(1, 5)), LoadWeight: between(0.3, 3), Value: 1, Keys: int(log(5, 1000)), InOrder: odds(0.4)}
-		t.TimeToLive = t.LatencyObjective + ms(between(3, 18))
+			LatencyObjective: roundToMillis(between(1, 5)), LoadWeight: between(0.3, 3), Value: 1, Keys: int(log(5, 1000)), InOrder: odds(0.4)}
+		t.TimeToLive = t.LatencyObjective + roundToMillis(between(3, 18))
 		if t.Idempotency == "numbered" {
-			t.DeduplicationWindow = ms(between(3, 18))
+			t.DeduplicationWindow = roundToMillis(between(3, 18))
 			if s.Zones > 1 && odds(0.3) {
 				t.Group = "zone"
 			}
@@ -294,14 +294,14 @@
 	for i := range dice.IntN(4) {
 		s.Tenants = append(s.Tenants, scenario.Tenant{Name: fmt.Sprint("store-", i), PerSecond: log(2, 50), LoadWeight: between(0.2, 3)})
 	}
-	left, dests, capacity := int(log(1, hugest+0.99)), 0, 0.0
+	left, dests, capacity := int(log(1, maxSize+0.99)), 0, 0.0
 	for i := 0; left > 0 && i < 5; i++ {
 		p := scenario.Receiver{Name: fmt.Sprint("group-", i), Endpoints: 1 + dice.IntN(min(4, left)), Batch: 1, EndpointLimits: odds(0.25),
-			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[dice.IntN(4)], Mean: ms(log(0.02, 0.5)), Concurrency: int(log(1, 8.99)),
-			Queue: dice.IntN(17), ReportsRetryAfter: odds(0.5), ReportsLimit: odds(0.3), Skew: between(0, 0.3), OverloadDowntime: ms(between(3, 10)),
-			OverloadWindow: ms(between(1, 2))}
+			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[dice.IntN(4)], Mean: roundToMillis(log(0.02, 0.5)), Concurrency: int(log(1, 8.99)),
+			Queue: dice.IntN(17), ReportsRetryAfter: odds(0.5), ReportsLimit: odds(0.3), Skew: between(0, 0.3), OverloadDowntime: roundToMillis(between(3, 10)),
+			OverloadWindow: roundToMillis(between(1, 2))}
 		if p.Service == "lognormal" {
-			p.Wide = between(0.2, 1.2)
+			p.Sigma = between(0.2, 1.2)
 		}
 		if p.Count = left / p.Endpoints; i < 4 {
 			p.Count = 1 + dice.IntN(p.Count)
@@ -317,7 +317,7 @@
 			p.Rate, p.Burst = math.Max(1, each*between(0.2, 1)), between(1, 6)
 			limit = p.Rate
 		case 1:
-			p.Window = ms(between(0.5, 2))
+			p.Window = roundToMillis(between(0.5, 2))
 			p.Calls = max(1, int(each*between(0.2, 1)*float64(p.Window)))
 			limit = float64(p.Calls) / float64(p.Window)
 		}
@@ -328,7 +328,7 @@
 	}
 	s.Load.PerSecond = math.Max(1, math.Min(maxMessages/float64(s.Length), capacity*between(0.1, 1.1)))
 	for range dice.IntN(3) {
-		s.Load.Bursts = append(s.Load.Bursts, scenario.Burst{At: ms(between(2, 36)), Count: int(log(5, 200)), Destination: dice.IntN(dests)})
+		s.Load.Bursts = append(s.Load.Bursts, scenario.Burst{At: roundToMillis(between(2, 36)), Count: int(log(5, 200)), Destination: dice.IntN(dests)})
 	}
 	var kinds []string
 	for k := range scenario.FaultKinds {
@@ -337,13 +337,13 @@
 	sort.Strings(kinds)
 	first := between(3, 20)
 	for range 1 + dice.IntN(4) {
-		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: ms(first + between(0, 4)), For: ms(log(0.5, 16)), Fraction: between(0.1, 1), By: log(2, 20),
+		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: roundToMillis(first + between(0, 4)), For: roundToMillis(log(0.5, 16)), Fraction: between(0.1, 1), By: log(2, 20),
 			OddForwarders: odds(0.2)}
 		if odds(0.3) {
-			t.At = ms(between(3, 30))
+			t.At = roundToMillis(between(3, 30))
 		}
 		if slices.Contains([]string{"refuse", "hang", "silent"}, t.Kind) {
-			t.For = ms(log(leastOutage, 16))
+			t.For = roundToMillis(log(minOutage, 16))
 		}
 		switch dice.IntN(4) {
 		case 0: // all
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -19,13 +19,13 @@
 // end.
 func rampless(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	terms.OverloadMultiple, terms.SlowStartShare = 1e6, 1
-	return sim.Module(terms, seed, now, h)
+	return sim.SchedulerPolicy(terms, seed, now, h)
 }
 
-func hunt(t *testing.T, dir string, make sim.Maker, from uint64, most int) *Hunt {
-	h, err := OpenHunt(dir)
+func hunt(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
+	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
-	require.NoError(t, h.Go(context.Background(), dir, make, from, most, nil))
+	require.NoError(t, h.Run(context.Background(), dir, make, from, most, nil))
 	return h
 }
 
@@ -50,7 +50,7 @@
 	require.Contains(t, b.Rule, "returns not pushed over")
 	s, err := scenario.Read(filepath.Join(dir, b.File))
 	require.NoError(t, err)
-	require.Equal(t, b.What, breaks(s, s.Seed, b.Rule, rampless), "the kept scene shows it still")
+	require.Equal(t, b.What, violationOf(s, s.Seed, b.Rule, rampless), "the kept scene shows it still")
 	require.NotZero(t, b.Steps)
 }
 
@@ -67,20 +67,20 @@
 
 func TestAnInterruptedHuntKeepsWhatItFound(t *testing.T) {
 	dir := t.TempDir()
-	h, err := OpenHunt(dir)
+	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	ctx, interrupt := context.WithCancel(context.Background())
-	require.NoError(t, h.Go(ctx, dir, rampless, 1, 1000, func(*Hunt) { interrupt() }))
-	again, err := OpenHunt(dir)
+	require.NoError(t, h.Run(ctx, dir, rampless, 1, 1000, func(*ViolationSearch) { interrupt() }))
+	again, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	require.Equal(t, h, again)
-	require.Equal(t, [][2]uint64{{1, huntBatch}}, again.Tried)
+	require.Equal(t, [][2]uint64{{1, searchBatch}}, again.Tried)
 }
 
 func TestAHuntsFileThatIsCutOrOfAnotherKindIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	hunt(t, dir, sim.Module, 1, 8)
-	path := filepath.Join(dir, huntFile)
+	hunt(t, dir, sim.SchedulerPolicy, 1, 8)
+	path := filepath.Join(dir, searchFile)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	for _, c := range []struct{ old, new, says string }{
@@ -92,21 +92,21 @@
 		changed := strings.Replace(string(text), c.old, c.new, 1)
 		require.NotEqual(t, string(text), changed, c.old)
 		require.NoError(t, os.WriteFile(path, []byte(changed), 0o600))
-		_, err := OpenHunt(dir)
+		_, err := OpenViolationSearch(dir)
 		require.ErrorContains(t, err, c.says)
 	}
-	_, err = OpenHunt(path)
+	_, err = OpenViolationSearch(path)
 	require.Error(t, err, "a file is no folder")
 }
 
 // The scenes that searches and hunts have left: the rules hold, and each delivers what it states.
 func TestKeptFindingsHold(t *testing.T) {
-	require.NotEmpty(t, scenario.Found())
-	for _, name := range scenario.Found() {
+	require.NotEmpty(t, scenario.Findings())
+	for _, name := range scenario.Findings() {
 		s, err := scenario.Read(name)
 		require.NoError(t, err)
 		require.NotZero(t, s.Floor, "%s states no floor", name)
-		r := sim.Play(s, s.Seed, sim.Module)
+		r := sim.Play(s, s.Seed, sim.SchedulerPolicy)
 		require.Empty(t, r.Violations, name)
 		require.GreaterOrEqual(t, r.G, s.Floor, name)
 	}
@@ -114,12 +114,12 @@
 
 func TestEveryDrawnScenarioIsSound(t *testing.T) {
 	for seed := range uint64(2000) {
-		s := DrawAny(seed)
+		s := DrawWide(seed)
 		require.Empty(t, s.Check(), "seed %d", seed)
 		targets := 0
 		for _, p := range s.Receivers {
 			targets += p.Count * p.Endpoints
 		}
-		require.True(t, targets >= 1 && targets <= hugest && s.Dispatch.Forwarders <= hugest, "seed %d: %d targets", seed, targets)
+		require.True(t, targets >= 1 && targets <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d targets", seed, targets)
 	}
 }
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -17,12 +17,12 @@
 
 // Finding is a scene in which the policy does badly.
 type Finding struct {
-	Scene *scenario.Scenario
-	Seed  uint64
-	G     float64 // of the policy
-	Best  float64 // of the best baseline that keeps the rules there
-	Rules []string
-	Steps int // by which it was shrunk
+	Scenario *scenario.Scenario
+	Seed     uint64
+	G        float64 // of the policy
+	Best     float64 // of the best baseline that keeps the rules there
+	Rules    []string
+	Steps    int // by which it was shrunk
 }
 
 // Loss is how badly: a broken rule counts most, then what a baseline delivers more.
@@ -30,7 +30,7 @@
 
 // Text is the finding as a scene file to keep.
 func (f *Finding) Text() ([]byte, error) {
-	s := *f.Scene
+	s := *f.Scenario
 	s.Seed = f.Seed
 	s.About = fmt.Sprintf("Found by search: the module delivers %.3f, the best baseline that keeps the rules %.3f; rules broken: %v.", f.G, f.Best, f.Rules)
 	return toml.Marshal(&s)
@@ -51,7 +51,7 @@
 		p := &s.Receivers[i]
 		p.Endpoints = 1 + dice.IntN(3)
 		p.EndpointLimits = dice.IntN(4) == 0
-		p.Mean = ms(0.03 * math.Pow(10, dice.Float64()))
+		p.Mean = roundToMillis(0.03 * math.Pow(10, dice.Float64()))
 		if dice.IntN(3) == 0 {
 			p.Rate, p.Burst, p.ReportsRetryAfter = 5+20*dice.Float64(), 4, dice.IntN(2) == 0
 		}
@@ -64,7 +64,7 @@
 	sort.Strings(kinds)
 	s.Faults = nil
 	for range 1 + dice.IntN(4) {
-		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: ms(4 + 20*dice.Float64()), For: ms(1 + 14*dice.Float64()),
+		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: roundToMillis(4 + 20*dice.Float64()), For: roundToMillis(1 + 14*dice.Float64()),
 			Fraction: 0.2 + 0.8*dice.Float64(), By: 2 + 10*dice.Float64()}
 		for range 1 + dice.IntN(3) {
 			t.Destinations = append(t.Destinations, dice.IntN(dests))
@@ -75,13 +75,15 @@
 	return &s
 }
 
-// ms is a time in whole milliseconds, as a file has it.
-func ms(seconds float64) config.Duration { return config.Duration(math.Round(seconds*1000) / 1000) }
+// roundToMillis is a time in whole milliseconds, as a file has it.
+func roundToMillis(seconds float64) config.Duration {
+	return config.Duration(math.Round(seconds*1000) / 1000)
+}
 
 // judge plays a scene with the policy and the baselines.
 func judge(s *scenario.Scenario, seed uint64, make sim.Maker) *Finding {
 	r := sim.Play(s, seed, make)
-	f := &Finding{Scene: s, Seed: seed, G: r.G}
+	f := &Finding{Scenario: s, Seed: seed, G: r.G}
 	for _, b := range r.Violations {
 		if !slices.Contains(f.Rules, string(b.Rule)) {
 			f.Rules = append(f.Rules, string(b.Rule))
@@ -109,7 +111,7 @@
 	const batch = 16
 	for n := 0; n < most && ctx.Err() == nil; n += batch {
 		got := findings(batch)
-		each(batch, func(i int) { got[i] = judge(Draw(base, from+uint64(n+i)), from+uint64(n+i), make) })
+		parallel(batch, func(i int) { got[i] = judge(Draw(base, from+uint64(n+i)), from+uint64(n+i), make) })
 		found = append(found, got...)
 		sort.SliceStable(found, func(i, j int) bool { return found[i].Loss() > found[j].Loss() })
 		found = found[:min(len(found), keep)]
@@ -117,18 +119,18 @@
 			progress(n+batch, found[0].Loss())
 		}
 	}
-	each(len(found), func(i int) { found[i] = Shrink(found[i], make) })
+	parallel(len(found), func(i int) { found[i] = Shrink(found[i], make) })
 	return found
 }
 
 func findings(n int) []*Finding { return make([]*Finding, n) }
 
-const mostShrinks = 60
+const maxShrinkSteps = 60
 
 // Shrink makes a finding smaller as long as three quarters of the loss stay.
 func Shrink(f *Finding, make sim.Maker) *Finding {
 	floor := f.Loss() * 0.75
-	s, steps := shrink(f.Scene, func(s *scenario.Scenario) bool { return judge(s, f.Seed, make).Loss() >= floor })
+	s, steps := shrink(f.Scenario, func(s *scenario.Scenario) bool { return judge(s, f.Seed, make).Loss() >= floor })
 	if steps == 0 {
 		return f
 	}
@@ -140,10 +142,10 @@
 // shrink takes one thing after the other from a scene as long as it still shows what it showed: of those that may go, the
 // first that may, whatever comes first of what is tried at once.
 func shrink(s *scenario.Scenario, still func(*scenario.Scenario) bool) (smallest *scenario.Scenario, steps int) {
-	for ; steps < mostShrinks; steps++ {
-		tries := slices.DeleteFunc(simpler(s), func(c *scenario.Scenario) bool { return len(c.Check()) > 0 })
+	for ; steps < maxShrinkSteps; steps++ {
+		tries := slices.DeleteFunc(simplerScenarios(s), func(c *scenario.Scenario) bool { return len(c.Check()) > 0 })
 		shows := flags(len(tries))
-		each(len(tries), func(i int) { shows[i] = still(tries[i]) })
+		parallel(len(tries), func(i int) { shows[i] = still(tries[i]) })
 		i := slices.Index(shows, true)
 		if i < 0 {
 			break
@@ -155,8 +157,8 @@
 
 func flags(n int) []bool { return make([]bool, n) }
 
-// simpler are scenes with one thing less.
-func simpler(s *scenario.Scenario) []*scenario.Scenario {
+// simplerScenarios are scenes with one thing less.
+func simplerScenarios(s *scenario.Scenario) []*scenario.Scenario {
 	var all []*scenario.Scenario
 	add := func(change func(s *scenario.Scenario)) {
 		c := *s
--- a/lab/load/arrive.go
+++ b/lab/load/arrive.go
@@ -54,10 +54,10 @@
 
 // Arrivals are moments drawn from a shape.
 type Arrivals struct {
-	shape Shape
-	dice  *rand.Rand // nil: evenly
-	at    float64
-	end   float64
+	shape  Shape
+	random *rand.Rand // nil: evenly
+	at     float64
+	end    float64
 }
 
 // Even makes arrivals at even distances, Poisson ones at random.
@@ -65,17 +65,17 @@
 
 // Poisson makes arrivals at random.
 func Poisson(s Shape, end float64, dice *rand.Rand) *Arrivals {
-	return &Arrivals{shape: s, end: end, dice: dice}
+	return &Arrivals{shape: s, end: end, random: dice}
 }
 
 // Forwarder begins at a moment other than 0.
-func (a *Arrivals) From(at float64) { a.at = at }
+func (a *Arrivals) StartAt(at float64) { a.at = at }
 
 // Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, not stepped.
 func (a *Arrivals) Next() (float64, bool) {
 	area := 1.0
-	if a.dice != nil {
-		area = a.dice.ExpFloat64()
+	if a.random != nil {
+		area = a.random.ExpFloat64()
 	}
 	for a.at < a.end {
 		next := a.end
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -36,7 +36,7 @@
 			n[int(at/10)]++
 		}
 		slack := 2.0
-		if a.dice != nil {
+		if a.random != nil {
 			slack = 60
 		}
 		for i, want := range []float64{100, 200, 0, 500} {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -67,18 +67,18 @@
 	Mean float64 `json:"mean"`
 }
 
-func times(h *hdrhistogram.Histogram) Times {
+func latencyTimes(h *hdrhistogram.Histogram) Times {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
 	return Times{at(50), at(90), at(99), at(99.9), float64(h.Max()) / 1e6, h.Mean() / 1e6}
 }
 
 const (
-	mostTime  = 3_600_000_000 // microseconds in a histogram
-	mostQueue = 1 << 20       // messages that wait for a connection
+	maxLatencyMicros  = 3_600_000_000 // microseconds in a histogram
+	maxQueuedMessages = 1 << 20       // messages that wait for a connection
 )
 
 type job struct {
-	doc      Message
+	message  Message
 	id       string
 	intended time.Time
 }
@@ -88,10 +88,10 @@
 	if r.Connections < 1 || r.Timeout <= 0 || r.TimeToLive <= 0 {
 		return nil, errors.New("connections, timeout and life have to be over 0")
 	}
-	rep := &Report{Answers: map[string]int{}, intended: hdrhistogram.New(1, mostTime, 3), naive: hdrhistogram.New(1, mostTime, 3)}
+	rep := &Report{Answers: map[string]int{}, intended: hdrhistogram.New(1, maxLatencyMicros, 3), naive: hdrhistogram.New(1, maxLatencyMicros, 3)}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	jobs := make(chan job, mostQueue)
+	jobs := make(chan job, maxQueuedMessages)
 	idle, workers, open := 0, 0, 0
 	body := strings.Repeat("x", 64<<10)
 	dial := r.Dial
@@ -100,19 +100,19 @@
 	}
 	work := func() {
 		defer wg.Done()
-		c := &line{dial: dial, timeout: r.Timeout}
+		c := &connection{dial: dial, timeout: r.Timeout}
 		defer c.close()
 		for j := range jobs {
 			mu.Lock()
 			idle--
 			mu.Unlock()
 			sent := time.Now()
-			answer := c.put(r, j, body)
+			answer := c.submit(r, j, body)
 			now := time.Now()
 			mu.Lock()
 			rep.Answers[answer]++
-			rep.intended.RecordValue(clamp(now.Sub(j.intended)))
-			rep.naive.RecordValue(clamp(now.Sub(sent)))
+			rep.intended.RecordValue(micros(now.Sub(j.intended)))
+			rep.naive.RecordValue(micros(now.Sub(sent)))
 			open--
 			idle++
 			mu.Unlock()
@@ -158,7 +158,7 @@
 		default: // charged for the whole run
 			mu.Lock()
 			rep.Answers["none"]++
-			rep.intended.RecordValue(clamp(r.Timeout))
+			rep.intended.RecordValue(micros(r.Timeout))
 			open--
 			mu.Unlock()
 		}
@@ -167,30 +167,30 @@
 	wg.Wait()
 	rep.Lasted = time.Since(began).Seconds()
 	rep.OpenAtEnd = open
-	rep.Intended, rep.Naive = times(rep.intended), times(rep.naive)
+	rep.Intended, rep.Naive = latencyTimes(rep.intended), latencyTimes(rep.naive)
 	return rep, ctx.Err()
 }
 
-func clamp(d time.Duration) int64 { return min(max(1, d.Microseconds()), mostTime) }
+func micros(d time.Duration) int64 { return min(max(1, d.Microseconds()), maxLatencyMicros) }
 
-// line is one connection to a forwarder, made when it is needed.
-type line struct {
+// connection is one connection to a forwarder, made when it is needed.
+type connection struct {
 	dial    func() (net.Conn, error)
 	timeout time.Duration
 	conn    net.Conn
-	in      *bufio.Reader
+	reader  *bufio.Reader
 }
 
-func (l *line) close() {
+func (l *connection) close() {
 	if l.conn != nil {
 		l.conn.Close()
 		l.conn = nil
 	}
 }
 
-// put hands one message in. A connection that the forwarder closed between requests is made anew once.
-func (l *line) put(r Run, j job, body string) string {
-	n, life := j.doc.Bytes, j.doc.TimeToLive
+// submit hands one message in. A connection that the forwarder closed between requests is made anew once.
+func (l *connection) submit(r Run, j job, body string) string {
+	n, life := j.message.Bytes, j.message.TimeToLive
 	if n == 0 {
 		n = r.Bytes
 	}
@@ -201,14 +201,14 @@
 	if left <= 0 {
 		return "expired" // it never left the tool: no connection was free in time
 	}
-	names := fmt.Sprintf("c=%s,d=%d,dest=%d", j.doc.Type, int(left*1000), j.doc.Destination)
-	if j.doc.IdempotencyKey != "" {
-		names += ",k=" + j.doc.IdempotencyKey
+	names := fmt.Sprintf("c=%s,d=%d,dest=%d", j.message.Type, int(left*1000), j.message.Destination)
+	if j.message.IdempotencyKey != "" {
+		names += ",k=" + j.message.IdempotencyKey
 	}
-	if j.doc.Tenant != "" {
-		names += ",t=" + j.doc.Tenant
+	if j.message.Tenant != "" {
+		names += ",t=" + j.message.Tenant
 	}
-	key := j.doc.Key
+	key := j.message.Key
 	if key == "" {
 		key = "0"
 	}
@@ -224,13 +224,13 @@
 			if err != nil {
 				return "none"
 			}
-			l.conn, l.in = c, bufio.NewReader(c)
+			l.conn, l.reader = c, bufio.NewReader(c)
 		}
 		l.conn.SetDeadline(time.Now().Add(l.timeout))
 		_, err := io.WriteString(l.conn, b.String())
 		answer := ""
 		if err == nil {
-			answer, err = l.in.ReadString('\n')
+			answer, err = l.reader.ReadString('\n')
 		}
 		if err != nil {
 			l.close()
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t, err := read(f, strings.HasSuffix(path, ".csv"), speed)
+	t, err := newTrace(f, strings.HasSuffix(path, ".csv"), speed)
 	if err != nil {
 		f.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -80,7 +80,7 @@
 // BlockUntil lets go of the file.
 func (t *Trace) Close() error { return t.file.Close() }
 
-func read(r io.Reader, commas bool, speed float64) (*Trace, error) {
+func newTrace(r io.Reader, commas bool, speed float64) (*Trace, error) {
 	t := &Trace{Speed: speed}
 	if !commas {
 		in := bufio.NewScanner(r)
--- a/lab/receiver/clock.go
+++ b/lab/receiver/clock.go
@@ -12,20 +12,20 @@
 	After(in float64, do func())
 }
 
-// Dist is a distribution of service times.
-type Dist struct {
-	Form string  // fixed, exponential, lognormal
-	Mean float64 // seconds
-	Wide float64 // lognormal: standard deviation of the logarithm
+// Distribution is a distribution of service times.
+type Distribution struct {
+	Form  string  // fixed, exponential, lognormal
+	Mean  float64 // seconds
+	Sigma float64 // lognormal: standard deviation of the logarithm
 }
 
 // Draw takes a time from the distribution.
-func (d Dist) Draw(dice *rand.Rand) float64 {
+func (d Distribution) Draw(dice *rand.Rand) float64 {
 	switch d.Form {
 	case "exponential":
 		return d.Mean * dice.ExpFloat64()
 	case "lognormal": // its mean is exp(mu + sigma²/2)
-		return d.Mean * exp(d.Wide*dice.NormFloat64()-d.Wide*d.Wide/2)
+		return d.Mean * exp(d.Sigma*dice.NormFloat64()-d.Sigma*d.Sigma/2)
 	}
 	return d.Mean
 }
--- a/lab/receiver/partner.go
+++ b/lab/receiver/partner.go
@@ -13,7 +13,7 @@
 
 // Settings are what one destination is like.
 type Behavior struct {
-	Service     Dist
+	Service     Distribution
 	Concurrency int // calls that an endpoint works on at once
 	Queue       int // calls that wait at an endpoint beyond them; more are turned away
 
@@ -32,8 +32,8 @@
 	OverloadDowntime  float64 // and is down for so long
 }
 
-// limit is the calls a second that the limits let in, 0 if there is none.
-func (t *Behavior) limit() float64 {
+// sustainedRate is the calls a second that the limits let in, 0 if there is none.
+func (t *Behavior) sustainedRate() float64 {
 	most := t.Rate
 	if t.Count > 0 && (most == 0 || float64(t.Count)/t.Span < most) {
 		most = float64(t.Count) / t.Span
@@ -73,35 +73,35 @@
 
 // Request is one call on its way through an endpoint.
 type Call struct {
-	Forwarder int
-	Messages  []Message
-	Answer    func(Answer) // at most once; never if the answer gets lost
-	target    *Endpoint
-	came      float64
-	queued    bool
-	over      bool // answered, or the caller has gone
+	Forwarder  int
+	Messages   []Message
+	Answer     func(Answer) // at most once; never if the answer gets lost
+	endpoint   *Endpoint
+	receivedAt float64
+	queued     bool
+	finished   bool // answered, or the caller has gone
 }
 
 // RecordAnswer is what a caller gets.
 type Answer struct {
-	Code          transport.ResultCode
-	RetryAfter    float64
-	ReportedLimit float64
-	ReportedShare float64 // the share of the limit that is left, as choice.AttemptResult has it
+	Code              transport.ResultCode
+	RetryAfter        float64
+	ReportedLimit     float64
+	ReportedRemaining float64 // the share of the limit that is left, as choice.AttemptResult has it
 }
 
 // Destination is one receiver.
 type Destination struct {
-	Number    int
-	Behavior  Behavior
-	Endpoints []*Endpoint
-	clock     Clock
-	record    Recorder
-	random    *rand.Rand
-	limit     limit
-	met       met
-	known     [2]numbers   // of the zones; what is known in all of them, in the first
-	wise      map[int]bool // forwarders that have heard of a call that failed or was refused in the latest outage
+	Number        int
+	Behavior      Behavior
+	Endpoints     []*Endpoint
+	clock         Clock
+	recorder      Recorder
+	random        *rand.Rand
+	limit         rateLimiter
+	recent        recentCalls
+	deduplicators [2]deduplicator // of the zones; what is known in all of them, in the first
+	informed      map[int]bool    // forwarders that have heard of a call that failed or was refused in the latest outage
 }
 
 // Address is one endpoint of a destination.
@@ -110,15 +110,15 @@
 	Number      int
 	Zone        int
 	Fault       Fault
-	limit       limit
-	met         met
-	wise        map[int]bool // where routes are apart
-	busy        int
-	line        []*Call
-	back        float64 // when it came back cold; 0: it has been up for long
-	down        int     // outages that are on
-	stuck       []*Call // taken up while it hangs
-	working     []*Call
+	limit       rateLimiter
+	recent      recentCalls
+	informed    map[int]bool // where routes are apart
+	inService   int
+	queue       []*Call
+	recoveredAt float64 // when it came back cold; 0: it has been up for long
+	outages     int     // outages that are on
+	hung        []*Call // taken up while it hangs
+	executing   []*Call
 	Approaching int // calls on their way to it, for Ready
 }
 
@@ -142,18 +142,18 @@
 
 // New makes a destination with endpoints spread over zones.
 func New(number int, terms Behavior, targets, zones int, clock Clock, dice *rand.Rand, record Recorder) *Destination {
-	d := &Destination{Number: number, Behavior: terms, clock: clock, record: record, random: dice}
-	d.limit.fill(&terms, clock.Now())
+	d := &Destination{Number: number, Behavior: terms, clock: clock, recorder: record, random: dice}
+	d.limit.reset(&terms, clock.Now())
 	for i := range targets {
-		d.Add(i % max(1, zones))
+		d.AddEndpoint(i % max(1, zones))
 	}
 	return d
 }
 
-// Add makes a further endpoint.
-func (d *Destination) Add(zone int) *Endpoint {
+// AddEndpoint makes a further endpoint.
+func (d *Destination) AddEndpoint(zone int) *Endpoint {
 	t := &Endpoint{Destination: d, Number: len(d.Endpoints), Zone: zone}
-	t.limit.fill(&d.Behavior, d.clock.Now())
+	t.limit.reset(&d.Behavior, d.clock.Now())
 	d.Endpoints = append(d.Endpoints, t)
 	return t
 }
@@ -163,64 +163,64 @@
 	return float64(targets*d.Behavior.Concurrency) / d.Behavior.Service.Mean
 }
 
-// Up tells if a connection to the endpoint comes up: refused is the immediate no, silent none at all.
-func (t *Endpoint) Up() (refused, silent bool) {
-	return t.down > 0 || t.Fault.Removed, t.Fault.Silent > 0
+// Connectivity tells if a connection to the endpoint comes up: refused is the immediate no, silent none at all.
+func (t *Endpoint) Connectivity() (refused, silent bool) {
+	return t.outages > 0 || t.Fault.Removed, t.Fault.Silent > 0
 }
 
-// Closed begins an outage, Rise ends one: the endpoint returns cold.
-func (t *Endpoint) Down() {
-	t.down++
-	for _, c := range t.line {
+// AttemptClosed begins an outage, EndOutage ends one: the endpoint returns cold.
+func (t *Endpoint) BeginOutage() {
+	t.outages++
+	for _, c := range t.queue {
 		c.queued = false
-		c.end(Answer{Code: transport.ResultClosed})
+		c.finish(Answer{Code: transport.ResultClosed})
 	}
-	t.line = nil
-	for _, c := range t.working { // runs on, and nobody hears of it
-		c.end(Answer{Code: transport.ResultClosed})
+	t.queue = nil
+	for _, c := range t.executing { // runs on, and nobody hears of it
+		c.finish(Answer{Code: transport.ResultClosed})
 	}
-	t.met = met{}
+	t.recent = recentCalls{}
 }
 
-// Rise ends an outage.
-func (t *Endpoint) Rise() {
-	if t.down--; t.down == 0 {
-		t.Returns()
+// EndOutage ends an outage.
+func (t *Endpoint) EndOutage() {
+	if t.outages--; t.outages == 0 {
+		t.Recover()
 	}
 }
 
-// Returns says that an outage is over: the endpoint is cold from here on.
-func (t *Endpoint) Returns() {
-	t.back = t.Destination.clock.Now()
-	t.met = met{}
+// Recover says that an outage is over: the endpoint is cold from here on.
+func (t *Endpoint) Recover() {
+	t.recoveredAt = t.Destination.clock.Now()
+	t.recent = recentCalls{}
 	if !t.Destination.Behavior.EndpointLimits {
-		t.Destination.met = met{}
+		t.Destination.recent = recentCalls{}
 	}
-	t.Destination.record.EndpointRecovered(t.Destination.Number, t.Number)
+	t.Destination.recorder.EndpointRecovered(t.Destination.Number, t.Number)
 }
 
-// Resume ends a hang: what was taken up meanwhile is worked on.
-func (t *Endpoint) Resume() {
+// EndHang ends a hang: what was taken up meanwhile is worked on.
+func (t *Endpoint) EndHang() {
 	if t.Fault.Hang--; t.Fault.Hang > 0 {
 		return
 	}
-	stuck := t.stuck
-	t.stuck = nil
-	t.Returns()
+	stuck := t.hung
+	t.hung = nil
+	t.Recover()
 	for _, c := range stuck {
-		t.work(c)
+		t.execute(c)
 	}
 }
 
-// share is how much of its capacity the endpoint has now.
-func (t *Endpoint) share() float64 {
+// capacityFraction is how much of its capacity the endpoint has now.
+func (t *Endpoint) capacityFraction() float64 {
 	d := t.Destination
-	if t.back == 0 || d.Behavior.SlowStartDuration <= 0 {
+	if t.recoveredAt == 0 || d.Behavior.SlowStartDuration <= 0 {
 		return 1
 	}
-	warm := (d.clock.Now() - t.back) / d.Behavior.SlowStartDuration
+	warm := (d.clock.Now() - t.recoveredAt) / d.Behavior.SlowStartDuration
 	if warm >= 1 {
-		t.back = 0
+		t.recoveredAt = 0
 		return 1
 	}
 	return d.Behavior.SlowStartFraction + (1-d.Behavior.SlowStartFraction)*warm
@@ -232,75 +232,75 @@
 	if r.OddForwarders { // about half of the forwarders meet it
 		share /= 2
 	}
-	return share > mostlyFails
+	return share > mostlyFailsFraction
 }
 
-// outage tells that one is on.
-func (t *Endpoint) outage() bool {
-	return t.down > 0 || t.Fault.Hang > 0 || t.Fault.Silent > 0 || t.Fault.MostlyFails()
+// inOutage tells that one is on.
+func (t *Endpoint) inOutage() bool {
+	return t.outages > 0 || t.Fault.Hang > 0 || t.Fault.Silent > 0 || t.Fault.MostlyFails()
 }
 
-// route is who knows of the latest outage, the calls met since, and how many endpoints share them.
-func (t *Endpoint) route() (wise *map[int]bool, m *met, targets int) {
+// overloadState is who knows of the latest outage, the calls met since, and how many endpoints share them.
+func (t *Endpoint) overloadState() (wise *map[int]bool, m *recentCalls, targets int) {
 	d := t.Destination
 	if d.Behavior.EndpointLimits {
-		return &t.wise, &t.met, 1
+		return &t.informed, &t.recent, 1
 	}
 	for _, o := range d.Endpoints {
-		if !o.Fault.Removed && o.down == 0 {
+		if !o.Fault.Removed && o.outages == 0 {
 			targets++
 		}
 	}
-	return &d.wise, &d.met, targets
+	return &d.informed, &d.recent, targets
 }
 
-// Learned says that a forwarder has heard of a call to the endpoint that failed or was refused. Only what it hears
+// ForwarderSawFailure says that a forwarder has heard of a call to the endpoint that failed or was refused. Only what it hears
 // while the outage lasts counts.
-func (t *Endpoint) Learned(from int) {
-	if !t.outage() {
+func (t *Endpoint) ForwarderSawFailure(from int) {
+	if !t.inOutage() {
 		return
 	}
-	wise, _, _ := t.route()
+	wise, _, _ := t.overloadState()
 	if *wise == nil {
 		*wise = map[int]bool{}
 	}
 	(*wise)[from] = true
 }
 
-// Forget says that a forwarder starts anew and knows of no outage.
-func (d *Destination) Forget(from int) {
-	delete(d.wise, from)
+// ForwarderRestarted says that a forwarder starts anew and knows of no outage.
+func (d *Destination) ForwarderRestarted(from int) {
+	delete(d.informed, from)
 	for _, t := range d.Endpoints {
-		delete(t.wise, from)
+		delete(t.informed, from)
 	}
 }
 
-// pushed counts a call that came to a cold endpoint and tells if that pushes it over, and how much of what did came
+// overloads counts a call that came to a cold endpoint and tells if that pushes it over, and how much of what did came
 // from forwarders that knew of the outage. As the rule has it: what arrives within any span stays under a multiple of
 // the present capacity, with one call's slack for chance.
-func (t *Endpoint) pushed(from int) (fell bool, wise float64) {
-	d, share := t.Destination, t.share()
+func (t *Endpoint) overloads(from int) (fell bool, wise float64) {
+	d, share := t.Destination, t.capacityFraction()
 	if share >= 1 || d.Behavior.OverloadMultiple <= 0 {
 		return false, 0
 	}
-	known, m, n := t.route()
+	known, m, n := t.overloadState()
 	span := d.Behavior.OverloadWindow
 	met, wise := m.count(d.clock.Now(), span, (*known)[from])
 	return met > d.Behavior.OverloadMultiple*share*d.capacity(n)*span+1, wise / met
 }
 
-// met is the calls within the span past, and which of them came from forwarders that knew of the outage.
-type met struct {
-	at   []float64
-	wise []bool
+// recentCalls is the calls within the span past, and which of them came from forwarders that knew of the outage.
+type recentCalls struct {
+	at       []float64
+	informed []bool
 }
 
-func (m *met) count(now, span float64, wise bool) (all, knowing float64) {
+func (m *recentCalls) count(now, span float64, wise bool) (all, knowing float64) {
 	for len(m.at) > 0 && m.at[0] <= now-span {
-		m.at, m.wise = m.at[1:], m.wise[1:]
+		m.at, m.informed = m.at[1:], m.informed[1:]
 	}
-	m.at, m.wise = append(m.at, now), append(m.wise, wise)
-	for _, w := range m.wise {
+	m.at, m.informed = append(m.at, now), append(m.informed, wise)
+	for _, w := range m.informed {
 		if w {
 			knowing++
 		}
@@ -308,16 +308,16 @@
 	return float64(len(m.at)), knowing
 }
 
-const mostlyFails = 0.6 // from such a share of failures on it does not pay to try
+const mostlyFailsFraction = 0.6 // from such a share of failures on it does not pay to try
 
 // Ready tells if a call that came now would be worked on at once and answered well. No forwarder can know it: it serves
 // the ceiling that others are compared with.
 func (t *Endpoint) Ready(from int) bool {
 	d, r := t.Destination, &t.Fault
-	if refused, silent := t.Up(); refused || silent || r.Hang > 0 || r.Draining || t.busy+t.Approaching >= d.Behavior.Concurrency {
+	if refused, silent := t.Connectivity(); refused || silent || r.Hang > 0 || r.Draining || t.inService+t.Approaching >= d.Behavior.Concurrency {
 		return false
 	}
-	if r.Err+r.Reset+r.Lose+r.Spoil > mostlyFails && !(r.OddForwarders && from%2 == 0) {
+	if r.Err+r.Reset+r.Lose+r.Spoil > mostlyFailsFraction && !(r.OddForwarders && from%2 == 0) {
 		return false
 	}
 	l, coming := &d.limit, 0
@@ -328,8 +328,8 @@
 		l, coming = &t.limit, t.Approaching
 	}
 	now := d.clock.Now()
-	if share := t.share(); share < 1 && d.Behavior.OverloadMultiple > 0 {
-		_, m, n := t.route()
+	if share := t.capacityFraction(); share < 1 && d.Behavior.OverloadMultiple > 0 {
+		_, m, n := t.overloadState()
 		met := coming + 1
 		for _, at := range m.at {
 			if at > now-d.Behavior.OverloadWindow {
@@ -340,9 +340,9 @@
 			return false
 		}
 	}
-	peek := limit{l.tokens, l.at, slices.Clone(l.let)}
+	peek := rateLimiter{l.tokens, l.refilledAt, slices.Clone(l.admitted)}
 	for range coming + 1 {
-		if _, full := peek.take(&d.Behavior, r.LimitFraction, now); full {
+		if _, full := peek.admit(&d.Behavior, r.LimitFraction, now); full {
 			return false
 		}
 	}
@@ -350,64 +350,64 @@
 }
 
 // StatusOverloaded is how many calls the endpoint works on.
-func (t *Endpoint) Busy() int { return t.busy }
+func (t *Endpoint) InService() int { return t.inService }
 
 // Accept takes a call whose last byte has come. Whoever calls has seen by Up that a connection stands.
-func (t *Endpoint) Take(c *Call) {
+func (t *Endpoint) Accept(c *Call) {
 	d := t.Destination
 	now := d.clock.Now()
-	c.target, c.came = t, now
-	d.record.CallReceived(d.Number, t.Number, c.Forwarder, c.Messages)
-	switch refused, silent := t.Up(); {
+	c.endpoint, c.receivedAt = t, now
+	d.recorder.CallReceived(d.Number, t.Number, c.Forwarder, c.Messages)
+	switch refused, silent := t.Connectivity(); {
 	case silent:
 		return // as if it had never come
 	case refused:
-		c.end(Answer{Code: transport.ResultClosed})
+		c.finish(Answer{Code: transport.ResultClosed})
 		return
 	}
-	if fell, wise := t.pushed(c.Forwarder); fell {
-		d.record.EndpointOverloaded(d.Number, t.Number, wise)
+	if fell, wise := t.overloads(c.Forwarder); fell {
+		d.recorder.EndpointOverloaded(d.Number, t.Number, wise)
 		for _, o := range d.Endpoints {
 			if o == t || !d.Behavior.EndpointLimits {
-				o.Down()
-				d.clock.After(d.Behavior.OverloadDowntime, o.Rise)
+				o.BeginOutage()
+				d.clock.After(d.Behavior.OverloadDowntime, o.EndOutage)
 			}
 		}
-		c.end(Answer{Code: transport.ResultClosed})
+		c.finish(Answer{Code: transport.ResultClosed})
 		return
 	}
 	if t.Fault.Draining || t.Fault.Removed {
-		c.end(Answer{Code: transport.ResultOverloaded})
+		c.finish(Answer{Code: transport.ResultOverloaded})
 		return
 	}
 	l := &d.limit
 	if d.Behavior.EndpointLimits {
 		l = &t.limit
 	}
-	if wait, full := l.take(&d.Behavior, t.Fault.LimitFraction, now); full {
+	if wait, full := l.admit(&d.Behavior, t.Fault.LimitFraction, now); full {
 		a := Answer{Code: transport.ResultOverloaded}
 		if d.Behavior.ReportsRetryAfter {
 			a = Answer{Code: transport.ResultRetryAfter, RetryAfter: wait}
-			d.record.RetryAfterSent(d.Number, t.Number, c.Forwarder, wait)
+			d.recorder.RetryAfterSent(d.Number, t.Number, c.Forwarder, wait)
 		}
-		c.end(t.reports(a))
+		c.finish(t.withLimitReport(a))
 		return
 	}
 	switch {
-	case t.busy < d.Behavior.Concurrency:
-		t.busy++
-		t.work(c)
-	case len(t.line) < d.Behavior.Queue:
+	case t.inService < d.Behavior.Concurrency:
+		t.inService++
+		t.execute(c)
+	case len(t.queue) < d.Behavior.Queue:
 		c.queued = true
-		t.line = append(t.line, c)
+		t.queue = append(t.queue, c)
 	default:
-		c.end(t.reports(Answer{Code: transport.ResultOverloaded}))
+		c.finish(t.withLimitReport(Answer{Code: transport.ResultOverloaded}))
 	}
 }
 
-func (t *Endpoint) reports(a Answer) Answer {
+func (t *Endpoint) withLimitReport(a Answer) Answer {
 	if t.Destination.Behavior.ReportsLimit {
-		if a.ReportedLimit = t.Destination.Behavior.limit(); a.ReportedLimit == 0 {
+		if a.ReportedLimit = t.Destination.Behavior.sustainedRate(); a.ReportedLimit == 0 {
 			a.ReportedLimit = -1
 		} else if t.Fault.LimitFraction > 0 {
 			a.ReportedLimit *= t.Fault.LimitFraction
@@ -417,7 +417,7 @@
 			if t.Destination.Behavior.EndpointLimits {
 				l = &t.limit
 			}
-			a.ReportedShare = scheduler.ReportedValue(l.left(&t.Destination.Behavior, t.Fault.LimitFraction, t.Destination.clock.Now()))
+			a.ReportedRemaining = scheduler.ReportedValue(l.remaining(&t.Destination.Behavior, t.Fault.LimitFraction, t.Destination.clock.Now()))
 		}
 	}
 	return a
@@ -425,62 +425,62 @@
 
 // Cancel says that the caller has gone. A call that waits is not worked on; one that is being worked on runs on.
 func (c *Call) Cancel() {
-	c.over = true
+	c.finished = true
 	if !c.queued {
 		return
 	}
 	c.queued = false
-	line := c.target.line
+	line := c.endpoint.queue
 	for i, o := range line {
 		if o == c {
-			c.target.line = append(line[:i:i], line[i+1:]...)
+			c.endpoint.queue = append(line[:i:i], line[i+1:]...)
 			return
 		}
 	}
 }
 
-func (c *Call) end(a Answer) {
-	if !c.over {
-		c.over = true
+func (c *Call) finish(a Answer) {
+	if !c.finished {
+		c.finished = true
 		c.Answer(a)
 	}
 }
 
-// work works on a call for which there is a place.
-func (t *Endpoint) work(c *Call) {
+// execute works on a call for which there is a place.
+func (t *Endpoint) execute(c *Call) {
 	d := t.Destination
 	if t.Fault.Hang > 0 {
-		t.stuck = append(t.stuck, c)
+		t.hung = append(t.hung, c)
 		return
 	}
-	took := d.Behavior.Service.Draw(d.random) / t.share()
+	took := d.Behavior.Service.Draw(d.random) / t.capacityFraction()
 	if s := t.Fault.Slow; s > 0 && (t.Fault.SlowFor == 0 || len(c.Messages) > 0 && c.Messages[0].Tenant == t.Fault.SlowFor-1) {
 		took *= s
 	}
-	end, runs, lost := t.fate(c)
+	end, runs, lost := t.drawOutcome(c)
 	began := d.clock.Now()
-	t.working = append(t.working, c)
+	t.executing = append(t.executing, c)
 	d.clock.After(took, func() {
-		for i, o := range t.working {
+		for i, o := range t.executing {
 			if o == c {
-				t.working = append(t.working[:i], t.working[i+1:]...)
+				t.executing = append(t.executing[:i], t.executing[i+1:]...)
 				break
 			}
 		}
 		if runs {
 			for _, doc := range c.Messages {
-				d.ran(t, c, doc, began)
+				d.recordExecution(t, c, doc, began)
 			}
 		}
-		if !lost && t.Fault.Silent == 0 && t.down == 0 {
-			c.end(t.reports(Answer{Code: end}))
+		if !lost && t.Fault.Silent == 0 && t.outages == 0 {
+			c.finish(t.withLimitReport(Answer{Code: end}))
 		}
-		t.next()
+		t.startNext()
 	})
 }
 
-// fate draws what troubles do to a call.
-func (t *Endpoint) fate(c *Call) (end transport.ResultCode, runs, lost bool) {
+// drawOutcome draws what troubles do to a call.
+func (t *Endpoint) drawOutcome(c *Call) (end transport.ResultCode, runs, lost bool) {
 	end, runs = transport.ResultOK, true
 	r := &t.Fault
 	if r.Err+r.Reset+r.Lose+r.Spoil == 0 || r.OddForwarders && c.Forwarder%2 == 0 {
@@ -502,41 +502,41 @@
 	return end, runs, false
 }
 
-// next takes the place that came free.
-func (t *Endpoint) next() {
-	if len(t.line) == 0 || t.down > 0 {
-		t.busy--
+// startNext takes the place that came free.
+func (t *Endpoint) startNext() {
+	if len(t.queue) == 0 || t.outages > 0 {
+		t.inService--
 		return
 	}
-	c := t.line[0]
-	t.line = t.line[1:]
+	c := t.queue[0]
+	t.queue = t.queue[1:]
 	c.queued = false
-	t.work(c)
+	t.execute(c)
 }
 
-func (d *Destination) ran(t *Endpoint, c *Call, doc Message, began float64) {
+func (d *Destination) recordExecution(t *Endpoint, c *Call, doc Message, began float64) {
 	now, zone := d.clock.Now(), 0
 	if doc.DeduplicatedPerZone {
-		zone = t.Zone % len(d.known)
+		zone = t.Zone % len(d.deduplicators)
 	}
 	effect := true
 	if doc.IdempotencyKey != 0 && doc.DeduplicationWindow > 0 {
-		effect = d.known[zone].learn(doc.IdempotencyKey, c.came, now, doc.DeduplicationWindow)
+		effect = d.deduplicators[zone].firstSeen(doc.IdempotencyKey, c.receivedAt, now, doc.DeduplicationWindow)
 	}
-	d.record.MessageExecuted(Execution{Message: doc, Destination: d.Number, Endpoint: t.Number, Forwarder: c.Forwarder, ReceivedAt: c.came, StartedAt: began, EndedAt: now, Effect: effect})
+	d.recorder.MessageExecuted(Execution{Message: doc, Destination: d.Number, Endpoint: t.Number, Forwarder: c.Forwarder, ReceivedAt: c.receivedAt, StartedAt: began, EndedAt: now, Effect: effect})
 }
 
-// numbers are those that a destination remembers, from the run on: never less than forwarders count on, who know only
+// deduplicator are those that a destination remembers, from the run on: never less than forwarders count on, who know only
 // when they sent.
-type numbers struct {
+type deduplicator struct {
 	until map[uint64]float64
 	order []uint64
 }
 
-// learn tells if a number is new to a call that came at a moment and has run by now. It is looked up as of the coming:
+// firstSeen tells if a number is new to a call that came at a moment and has run by now. It is looked up as of the coming:
 // a call that a hang kept for long is known by what was known then.
-func (n *numbers) learn(mark uint64, came, now, memory float64) (fresh bool) {
-	for len(n.order) > 0 && n.until[n.order[0]] <= now-keptBeyond {
+func (n *deduplicator) firstSeen(mark uint64, came, now, memory float64) (fresh bool) {
+	for len(n.order) > 0 && n.until[n.order[0]] <= now-deduplicationMargin {
 		delete(n.until, n.order[0])
 		n.order = n.order[1:]
 	}
@@ -554,28 +554,30 @@
 	return true
 }
 
-const keptBeyond = 120 // seconds: calls that came in time may run so much later
+const deduplicationMargin = 120 // seconds: calls that came in time may run so much later
 
-// limit is a plain rate (a bucket that fills), a count within a span, or both.
-type limit struct {
-	tokens, at float64
-	let        []float64
+// rateLimiter is a plain rate (a bucket that fills), a count within a span, or both.
+type rateLimiter struct {
+	tokens, refilledAt float64
+	admitted           []float64
 }
 
-func (l *limit) fill(t *Behavior, now float64) { l.tokens, l.at = math.Max(1, t.Burst), now }
+func (l *rateLimiter) reset(t *Behavior, now float64) {
+	l.tokens, l.refilledAt = math.Max(1, t.Burst), now
+}
 
-// left is the share of the limit that is left just now, the least of both where there are two.
-func (l *limit) left(t *Behavior, cut, now float64) float64 {
+// remaining is the share of the limit that is left just now, the least of both where there are two.
+func (l *rateLimiter) remaining(t *Behavior, cut, now float64) float64 {
 	if cut == 0 {
 		cut = 1
 	}
 	left := 1.0
 	if t.Rate > 0 {
-		left = math.Min(1, (l.tokens+(now-l.at)*t.Rate*cut)/math.Max(1, t.Burst))
+		left = math.Min(1, (l.tokens+(now-l.refilledAt)*t.Rate*cut)/math.Max(1, t.Burst))
 	}
 	if t.Count > 0 {
 		used := 0
-		for _, at := range l.let {
+		for _, at := range l.admitted {
 			if at > now-t.Span {
 				used++
 			}
@@ -585,26 +587,26 @@
 	return math.Max(0, left)
 }
 
-// take lets a call in or tells after what time one would be.
-func (l *limit) take(t *Behavior, cut, now float64) (wait float64, full bool) {
+// admit lets a call in or tells after what time one would be.
+func (l *rateLimiter) admit(t *Behavior, cut, now float64) (wait float64, full bool) {
 	if cut == 0 {
 		cut = 1
 	}
 	if rate := t.Rate * cut; t.Rate > 0 {
-		l.tokens = math.Min(math.Max(1, t.Burst), l.tokens+(now-l.at)*rate)
-		l.at = now
+		l.tokens = math.Min(math.Max(1, t.Burst), l.tokens+(now-l.refilledAt)*rate)
+		l.refilledAt = now
 		if l.tokens < 1-1e-9 {
 			return (1 - l.tokens) / rate, true
 		}
 	}
 	if t.Count > 0 {
-		for len(l.let) > 0 && l.let[0] <= now-t.Span {
-			l.let = l.let[1:]
+		for len(l.admitted) > 0 && l.admitted[0] <= now-t.Span {
+			l.admitted = l.admitted[1:]
 		}
-		if most := max(1, int(float64(t.Count)*cut)); len(l.let) >= most {
-			return l.let[len(l.let)-most] + t.Span - now, true
+		if most := max(1, int(float64(t.Count)*cut)); len(l.admitted) >= most {
+			return l.admitted[len(l.admitted)-most] + t.Span - now, true
 		}
-		l.let = append(l.let, now)
+		l.admitted = append(l.admitted, now)
 	}
 	if t.Rate > 0 {
 		l.tokens--
--- a/lab/receiver/partner_test.go
+++ b/lab/receiver/partner_test.go
@@ -49,7 +49,7 @@
 	next = func() {
 		at, _ := arrivals.Next()
 		q.At(at, func() {
-			d.Endpoints[0].Take(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.Code]++ }})
+			d.Endpoints[0].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.Code]++ }})
 			if left--; left > 0 {
 				next()
 			}
@@ -80,10 +80,10 @@
 		b := erlangB(c.places, a)
 		erlangC := b / (1 - c.busy*(1-b))
 		want := erlangC * mean / (float64(c.places) * (1 - c.busy))
-		n, _ := feed(receiver.Behavior{Service: receiver.Dist{Form: "exponential", Mean: mean}, Concurrency: c.places, Queue: 1 << 30}, a/mean, calls, false)
+		n, _ := feed(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: mean}, Concurrency: c.places, Queue: 1 << 30}, a/mean, calls, false)
 		require.InEpsilon(t, want, n.waited/float64(n.runs), 0.03, "M/M/%d", c.places)
 	}
-	n, _ := feed(receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
+	n, _ := feed(receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
 	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.waited/float64(n.runs), 0.03, "M/D/1")
 }
 
@@ -92,13 +92,13 @@
 		places int
 		a      float64
 	}{{1, 0.5}, {4, 3}, {10, 9}} {
-		_, ends := feed(receiver.Behavior{Service: receiver.Dist{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
+		_, ends := feed(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
 		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
 	}
 }
 
 func TestALimitLetsInExactlyWhatItSays(t *testing.T) {
-	quick := receiver.Dist{Form: "fixed", Mean: 0.001}
+	quick := receiver.Distribution{Form: "fixed", Mean: 0.001}
 	_, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
 	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
 	n, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Count: 7, Span: 2, ReportsRetryAfter: true}, 100, 1000, true)
@@ -113,7 +113,7 @@
 // Warm it does 40 a second; at its return it stands twice a quarter of that, 20 a second, as a budget for any second and a
 // half: a call beyond 31 within that time pushes it over, a short burst does not.
 func TestAColdEndpointFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
-	terms := receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
+	terms := receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
 	for _, c := range []struct {
 		rate  float64
 		calls int
@@ -123,18 +123,18 @@
 		q, n := &clock.Queue{}, &notes{}
 		d := receiver.New(0, terms, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 		target := d.Endpoints[0]
-		target.Learned(1) // before the outage: of no account
-		target.Down()
-		q.At(0.5, func() { target.Learned(0) })
-		q.After(1, target.Rise)
-		q.At(1.005, func() { target.Learned(1) }) // after it
+		target.ForwarderSawFailure(1) // before the outage: of no account
+		target.BeginOutage()
+		q.At(0.5, func() { target.ForwarderSawFailure(0) })
+		q.After(1, target.EndOutage)
+		q.At(1.005, func() { target.ForwarderSawFailure(1) }) // after it
 		for i := range c.calls {
 			q.At(1.01+float64(i)/c.rate, func() {
 				from := 0
 				if float64(i%2) >= 2*c.wise {
 					from = 1
 				}
-				target.Take(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
+				target.Accept(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
 			})
 		}
 		for q.Step(4) {
@@ -148,10 +148,10 @@
 
 func TestANumberIsKnownForItsMemoryAndTakesEffectOnce(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
-	d := receiver.New(0, receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	for i, at := range []float64{0, 1, 4.9, 5.5} {
 		q.At(at, func() {
-			d.Endpoints[i%2].Take(&receiver.Call{Messages: []receiver.Message{{ID: uint64(i), IdempotencyKey: 9, DeduplicationWindow: 5}}, Answer: func(receiver.Answer) {}})
+			d.Endpoints[i%2].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(i), IdempotencyKey: 9, DeduplicationWindow: 5}}, Answer: func(receiver.Answer) {}})
 		})
 	}
 	for q.Step(100) {
@@ -161,12 +161,12 @@
 
 func TestFaultsDoWhatTheySay(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
-	d := receiver.New(0, receiver.Behavior{Service: receiver.Dist{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	target := d.Endpoints[0]
 	var ends []transport.ResultCode
 	call := func() *receiver.Call {
 		c := &receiver.Call{Messages: []receiver.Message{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.Code) }}
-		target.Take(c)
+		target.Accept(c)
 		return c
 	}
 	run := func() []transport.ResultCode {
@@ -181,7 +181,7 @@
 	waiting := call()
 	require.Empty(t, run())
 	waiting.Cancel() // waits in line: never runs
-	target.Resume()
+	target.EndHang()
 	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
 	require.Equal(t, 2, n.runs)
 	target.Fault.Silent = 1
@@ -201,8 +201,8 @@
 	target.Fault = receiver.Fault{}
 	call()
 	ends = nil
-	target.Down()
+	target.BeginOutage()
 	require.Equal(t, []transport.ResultCode{transport.ResultClosed}, ends, "what it works on breaks")
-	refused, _ := target.Up()
+	refused, _ := target.Connectivity()
 	require.True(t, refused)
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -29,8 +29,8 @@
 	red    = color.RGBA{R: 0xc0, G: 0x30, B: 0x30, A: 0xff}
 )
 
-// day is a result with the scene it was played from.
-type day struct {
+// reportedRun is a result with the scene it was played from.
+type reportedRun struct {
 	Scene  *scenario.Scenario
 	Result *sim.Result
 }
@@ -47,7 +47,7 @@
 		JSON  template.JS
 	}{Scene: s}
 	for _, r := range results {
-		d := day{s, r}
+		d := reportedRun{s, r}
 		one := shown{Result: r}
 		for _, p := range []struct {
 			into *template.HTML
@@ -88,14 +88,14 @@
 	return template.HTML(text), nil
 }
 
-func (d *day) plot(title, y string) *plot.Plot {
+func (d *reportedRun) plot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
 	p.Y.Min, p.Legend.Top = 0, true
 	return p
 }
 
-func (d *day) line(p *plot.Plot, name string, c color.Color, of func(s *sim.Second) float64) error {
+func (d *reportedRun) line(p *plot.Plot, name string, c color.Color, of func(s *sim.Second) float64) error {
 	var points plotter.XYs
 	for i := range d.Result.Seconds {
 		points = append(points, plotter.XY{X: float64(i) + 0.5, Y: of(&d.Result.Seconds[i])})
@@ -111,7 +111,7 @@
 }
 
 // marks draws where troubles begin and end.
-func (d *day) marks(p *plot.Plot, top float64) error {
+func (d *reportedRun) marks(p *plot.Plot, top float64) error {
 	for _, t := range d.Scene.Faults {
 		for i, at := range []float64{float64(t.At), float64(t.At + t.For)} {
 			l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (d *day) value() (*plot.Plot, error) {
+func (d *reportedRun) value() (*plot.Plot, error) {
 	p := d.plot("Value of the documents that came in each second", "value")
 	if err := d.line(p, "offered", grey, func(s *sim.Second) float64 { return s.Offered }); err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	return p, d.marks(p, p.Y.Max)
 }
 
-func (d *day) held() (*plot.Plot, error) {
+func (d *reportedRun) held() (*plot.Plot, error) {
 	p := d.plot("Held, and calls in flight", "documents, calls")
 	if err := d.line(p, "held", orange, func(s *sim.Second) float64 { return float64(s.Held) }); err != nil {
 		return nil, err
@@ -153,13 +153,13 @@
 // heat is held by destination and second.
 type heat struct{ seconds []sim.Second }
 
-func (h heat) Dims() (c, r int)   { return len(h.seconds), len(h.seconds[0].ByDest) }
-func (h heat) Z(c, r int) float64 { return math.Log1p(float64(h.seconds[c].ByDest[r])) }
+func (h heat) Dims() (c, r int)   { return len(h.seconds), len(h.seconds[0].HeldByDestination) }
+func (h heat) Z(c, r int) float64 { return math.Log1p(float64(h.seconds[c].HeldByDestination[r])) }
 func (h heat) X(c int) float64    { return float64(c) + 0.5 }
 func (h heat) Y(r int) float64    { return float64(r) }
 
-func (d *day) heat() (*plot.Plot, error) {
-	if len(d.Result.Seconds) < 2 || len(d.Result.Seconds[0].ByDest) < 2 {
+func (d *reportedRun) heat() (*plot.Plot, error) {
+	if len(d.Result.Seconds) < 2 || len(d.Result.Seconds[0].HeldByDestination) < 2 {
 		return nil, nil
 	}
 	p := d.plot("Held by destination (darker: fewer; logarithmic)", "destination")
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -31,7 +31,7 @@
 	Load         Load            `toml:"load"`
 	Faults       []Fault         `toml:"troubles"`
 	ListLag      config.Duration `toml:"list_lag"`
-	ComesAgain   bool            `toml:"comes_again"` // clients hand in again what was rejected, as long as there is time
+	Resubmit     bool            `toml:"comes_again"` // clients hand in again what was rejected, as long as there is time
 	Floor        float64         `toml:"floor"`       // a kept finding: the share of the value that the scheduler delivers at least
 }
 
@@ -65,7 +65,7 @@
 	EndpointLimits    bool            `toml:"routes_apart"`
 	Service           string          `toml:"service"` // fixed, exponential, lognormal
 	Mean              config.Duration `toml:"mean"`
-	Wide              float64         `toml:"wide"`
+	Sigma             float64         `toml:"wide"`
 	Concurrency       int             `toml:"places"`
 	Queue             int             `toml:"queue"`
 	Rate              float64         `toml:"rate"`
@@ -84,7 +84,7 @@
 type Load struct {
 	PerSecond float64 `toml:"per_second"`
 	Shape     []Point `toml:"shape"`  // the rate over time, in shares of per_second
-	Arrive    string  `toml:"arrive"` // poisson or even
+	Arrivals  string  `toml:"arrive"` // poisson or even
 	Bursts    []Burst `toml:"clumps"`
 }
 
@@ -127,13 +127,13 @@
 	"stall": "a share of forwarders stands still, whichever process each has", "restart": "a share of forwarders is killed and starts again, in a wave",
 	"list": "the list does not come", "move": "targets leave and come back at other addresses"}
 
-var perCall = []string{"err", "reset", "lose", "spoil"}
+var perCallFaults = []string{"err", "reset", "lose", "spoil"}
 
 //go:embed scenes found
 var embedded embed.FS
 
-// Found are the names of the scenes that searches and hunts have left, to be played like kept ones.
-func Found() []string { return names("found") }
+// Findings are the names of the scenes that searches and hunts have left, to be played like kept ones.
+func Findings() []string { return names("found") }
 
 // IDs are the names of the scenes that come with the laboratory.
 func Builtin() []string { return names("scenes") }
@@ -165,12 +165,12 @@
 
 // Parse reads a scene's text.
 func Parse(path string, text []byte) (*Scenario, error) {
-	s := &Scenario{Seed: 1, Length: 60, Drain: 30, Zones: 1, NetworkDelay: 0.002, ComesAgain: true, Dispatch: config.Defaults().Dispatch,
-		Load: Load{Arrive: "poisson"}}
+	s := &Scenario{Seed: 1, Length: 60, Drain: 30, Zones: 1, NetworkDelay: 0.002, Resubmit: true, Dispatch: config.Defaults().Dispatch,
+		Load: Load{Arrivals: "poisson"}}
 	if err := config.Decode(path, text, s); err != nil {
 		return nil, err
 	}
-	s.fill()
+	s.applyDefaults()
 	if wrong := s.Check(); len(wrong) > 0 {
 		for i := range wrong {
 			wrong[i].File = path
@@ -180,7 +180,7 @@
 	return s, nil
 }
 
-func (s *Scenario) fill() {
+func (s *Scenario) applyDefaults() {
 	for i := range s.Types {
 		t := &s.Types[i]
 		config.Or(&t.Group, "all")
@@ -198,7 +198,7 @@
 		config.Or(&p.Batch, 1)
 		config.Or(&p.Service, "lognormal")
 		if p.Service == "lognormal" {
-			config.Or(&p.Wide, 0.5)
+			config.Or(&p.Sigma, 0.5)
 		}
 		config.Or(&p.Concurrency, 4)
 		config.Or(&p.LoadWeight, 1)
@@ -272,7 +272,7 @@
 	if dests == 0 {
 		bad("partners", "there is none")
 	}
-	word("load.arrive", s.Load.Arrive, "poisson", "even")
+	word("load.arrive", s.Load.Arrivals, "poisson", "even")
 	if !(s.Load.PerSecond > 0) || s.Load.PerSecond > 1e6 {
 		bad("load.per_second", "%v is not a rate", s.Load.PerSecond)
 	}
@@ -304,7 +304,7 @@
 		if !(t.Fraction >= 0 && t.Fraction <= 1) {
 			bad(at+"share", "%v is not a share", t.Fraction)
 		}
-		if (slices.Contains(perCall, t.Kind) || t.Kind == "cut" || t.Kind == "stall" || t.Kind == "restart") && t.Fraction == 0 {
+		if (slices.Contains(perCallFaults, t.Kind) || t.Kind == "cut" || t.Kind == "stall" || t.Kind == "restart") && t.Fraction == 0 {
 			bad(at+"share", "is not told")
 		}
 		if t.Kind == "slow" && !(t.By > 1) {
@@ -348,7 +348,7 @@
 
 // ReceiverBehavior is what a destination of a group is like.
 func (s *Scenario) ReceiverBehavior(p *Receiver) receiver.Behavior {
-	return receiver.Behavior{Service: receiver.Dist{Form: p.Service, Mean: float64(p.Mean), Wide: p.Wide}, Concurrency: p.Concurrency, Queue: p.Queue,
+	return receiver.Behavior{Service: receiver.Distribution{Form: p.Service, Mean: float64(p.Mean), Sigma: p.Sigma}, Concurrency: p.Concurrency, Queue: p.Queue,
 		Rate: p.Rate, Burst: p.Burst, Count: p.Calls, Span: float64(p.Window), EndpointLimits: p.EndpointLimits, ReportsRetryAfter: p.ReportsRetryAfter, ReportsLimit: p.ReportsLimit,
 		SlowStartFraction: s.Dispatch.SlowStartShare, SlowStartDuration: float64(s.Dispatch.SlowStartDuration), OverloadMultiple: s.Dispatch.OverloadMultiple,
 		OverloadWindow: float64(p.OverloadWindow), OverloadDowntime: float64(p.OverloadDowntime)}
--- a/lab/sim/befall.go
+++ b/lab/sim/befall.go
@@ -7,40 +7,40 @@
 	"spanflow/lab/scenario"
 )
 
-// befall puts the scene's troubles on the time line.
-func (d *day) befall() {
-	for i := range d.scene.Faults {
-		t := &d.scene.Faults[i]
-		at, end := begins+float64(t.At), begins+float64(t.At+t.For)
+// injectFaults puts the scene's troubles on the time line.
+func (d *simRun) injectFaults() {
+	for i := range d.scenario.Faults {
+		t := &d.scenario.Faults[i]
+		at, end := startTime+float64(t.At), startTime+float64(t.At+t.For)
 		switch t.Kind {
 		case "stall":
 			d.At(at, func() {
-				for _, n := range d.some(t.Fraction) {
-					n.standStill(end)
+				for _, n := range d.affectedForwarders(t.Fraction) {
+					n.stall(end)
 				}
 			})
 		case "restart":
-			some := d.some(t.Fraction)
+			some := d.affectedForwarders(t.Fraction)
 			for i, n := range some {
 				d.At(at+float64(t.For)*float64(i)/float64(len(some)), n.kill)
 			}
 		case "reap":
-			d.At(at, func() { d.reap++ })
-			d.At(end, func() { d.reap-- })
+			d.At(at, func() { d.reapFaults++ })
+			d.At(end, func() { d.reapFaults-- })
 		case "list":
-			d.At(at, func() { d.noList++ })
-			d.At(end, func() { d.noList-- })
+			d.At(at, func() { d.listFaults++ })
+			d.At(end, func() { d.listFaults-- })
 		case "drain", "move":
-			d.At(at, func() { d.replace(t) })
+			d.At(at, func() { d.replaceEndpoints(t) })
 		default:
 			d.At(at, func() {
-				hit := d.hit(t)
+				hit := d.affectedEndpoints(t)
 				for _, target := range hit {
-					begin(target, t, d.scene)
+					beginFault(target, t, d.scenario)
 				}
 				d.At(end, func() {
 					for _, target := range hit {
-						finish(target, t)
+						endFault(target, t)
 					}
 				})
 			})
@@ -48,17 +48,17 @@
 	}
 }
 
-// some is a share of the forwarders, rounded up.
-func (d *day) some(share float64) []*node {
+// affectedForwarders is a share of the forwarders, rounded up.
+func (d *simRun) affectedForwarders(share float64) []*node {
 	n := int(share*float64(len(d.nodes)) + 0.999999)
 	return d.nodes[:min(n, len(d.nodes))]
 }
 
-// hit is the endpoints that a trouble befalls.
-func (d *day) hit(t *scenario.Fault) []*receiver.Endpoint {
+// affectedEndpoints is the endpoints that a trouble befalls.
+func (d *simRun) affectedEndpoints(t *scenario.Fault) []*receiver.Endpoint {
 	var all []*receiver.Endpoint
-	for i, dest := range d.dests {
-		if len(t.Destinations) > 0 && !slices.Contains(t.Destinations, i) || len(t.Destinations) == 0 && t.Receiver != "" && d.scene.Receivers[d.group[i]].Name != t.Receiver {
+	for i, dest := range d.destinations {
+		if len(t.Destinations) > 0 && !slices.Contains(t.Destinations, i) || len(t.Destinations) == 0 && t.Receiver != "" && d.scenario.Receivers[d.group[i]].Name != t.Receiver {
 			continue
 		}
 		for _, target := range dest.Endpoints {
@@ -71,11 +71,11 @@
 	return all
 }
 
-func begin(to *receiver.Endpoint, t *scenario.Fault, s *scenario.Scenario) {
+func beginFault(to *receiver.Endpoint, t *scenario.Fault, s *scenario.Scenario) {
 	r := &to.Fault
 	switch t.Kind {
 	case "refuse":
-		to.Down()
+		to.BeginOutage()
 	case "hang":
 		r.Hang++
 	case "silent":
@@ -104,23 +104,23 @@
 	r.OddForwarders = r.OddForwarders || t.OddForwarders
 }
 
-func finish(to *receiver.Endpoint, t *scenario.Fault) {
+func endFault(to *receiver.Endpoint, t *scenario.Fault) {
 	r := &to.Fault
 	if failed := r.MostlyFails(); failed {
 		defer func() {
 			if !r.MostlyFails() { // most calls failed: it comes back cold as after any outage
-				to.Returns()
+				to.Recover()
 			}
 		}()
 	}
 	switch t.Kind {
 	case "refuse":
-		to.Rise()
+		to.EndOutage()
 	case "hang":
-		to.Resume()
+		to.EndHang()
 	case "silent":
 		if r.Silent--; r.Silent == 0 {
-			to.Returns()
+			to.Recover()
 		}
 	case "slow":
 		r.Slow, r.SlowFor = 0, 0
@@ -140,49 +140,49 @@
 	}
 }
 
-// replace lets endpoints go and others come in their place: drained first, with the list's word, or at once.
-func (d *day) replace(t *scenario.Fault) {
-	hit := d.hit(t)
+// replaceEndpoints lets endpoints go and others come in their place: drained first, with the list's word, or at once.
+func (d *simRun) replaceEndpoints(t *scenario.Fault) {
+	hit := d.affectedEndpoints(t)
 	if t.Kind == "drain" {
 		for _, target := range hit {
 			target.Fault.Draining = true
 		}
-		d.list(hit)
-		d.After(drainTime, func() { d.leave(hit, float64(t.For)) })
+		d.announce(hit)
+		d.After(drainTime, func() { d.removeEndpoints(hit, float64(t.For)) })
 		return
 	}
-	d.leave(hit, float64(t.For))
+	d.removeEndpoints(hit, float64(t.For))
 }
 
-func (d *day) leave(hit []*receiver.Endpoint, comes float64) {
+func (d *simRun) removeEndpoints(hit []*receiver.Endpoint, comes float64) {
 	for _, target := range hit {
 		target.Fault.Removed = true
 	}
-	d.list(hit)
+	d.announce(hit)
 	d.After(comes, func() {
 		var fresh []*receiver.Endpoint
 		for _, target := range hit {
-			fresh = append(fresh, target.Destination.Add(target.Zone))
+			fresh = append(fresh, target.Destination.AddEndpoint(target.Zone))
 		}
-		d.list(fresh)
+		d.announce(fresh)
 	})
 }
 
-// list tells all forwarders of changed endpoints, after the list's lag.
-func (d *day) list(targets []*receiver.Endpoint) {
-	d.After(float64(d.scene.ListLag)+float64(d.scene.NetworkDelay), func() {
-		if d.noList > 0 { // it comes with the next change of the list, or when it comes again
-			d.After(1, func() { d.list(targets) })
+// announce tells all forwarders of changed endpoints, after the list's lag.
+func (d *simRun) announce(targets []*receiver.Endpoint) {
+	d.After(float64(d.scenario.ListLag)+float64(d.scenario.NetworkDelay), func() {
+		if d.listFaults > 0 { // it comes with the next change of the list, or when it comes again
+			d.After(1, func() { d.announce(targets) })
 			return
 		}
 		for _, t := range targets {
 			if t.Fault.Draining || t.Fault.Removed {
-				d.log.Leaving(t.Destination.Number, t.Number)
+				d.log.EndpointDraining(t.Destination.Number, t.Number)
 			}
 		}
 		for _, n := range d.nodes {
 			if n.up {
-				n.listed(targets)
+				n.updateEndpoints(targets)
 			}
 		}
 	})
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -11,106 +11,106 @@
 
 // node is one forwarder: the policy, and what an owner, a write-ahead log and an upstream are to it.
 type node struct {
-	day     *day
-	number  int
-	seed    uint64
-	life    int // counts starts: what an earlier process asked for counts for nothing
-	up      bool
-	stalled float64 // until when it stands still
-	policy  Policy
-	dests   []*scheduler.Destination
-	targets [][]*target
-	byDoor  map[uint64]*target
-	docs    map[uint64]*submission
-	owed    []*submission // in the order of taking; those over are dropped now and then
-	calls   []*call       // being made up
-	out     []*call
-	wake    int
-	inTurn  bool
-	waiting []func() // what came while it stands still
-	held    bool     // it takes that up: decided is once, at the end
+	run           *simRun
+	number        int
+	seed          uint64
+	incarnation   int // counts starts: what an earlier process asked for counts for nothing
+	up            bool
+	stalledUntil  float64 // until when it stands still
+	policy        Policy
+	destinations  []*scheduler.Destination
+	endpoints     [][]*knownEndpoint
+	endpointByID  map[uint64]*knownEndpoint
+	submissions   map[uint64]*submission
+	unanswered    []*submission // in the order of taking; those over are dropped now and then
+	pendingCalls  []*call       // being made up
+	openCalls     []*call
+	timerSequence int
+	inTurn        bool
+	waiting       []func() // what came while it stands still
+	batching      bool     // it takes that up: decided is once, at the end
 }
 
 // endpoint is a receiver's endpoint as a forwarder knows it.
-type target struct {
-	is     *receiver.Endpoint
-	module *scheduler.Endpoint
-	idle   []float64 // connections, by when each was last used
-	listed scheduler.EndpointState
+type knownEndpoint struct {
+	model     *receiver.Endpoint
+	handle    *scheduler.Endpoint
+	idleSince []float64 // connections, by when each was last used
+	listed    scheduler.EndpointState
 }
 
 type call struct {
-	node    *node
-	life    int
-	to      *target
-	docs    []*submission
-	allow   float64
-	began   float64
-	at      *receiver.Call
-	arrived bool
-	done    bool
-	back    bool // taken back before its first byte
+	node        *node
+	incarnation int
+	endpoint    *knownEndpoint
+	submissions []*submission
+	timeout     float64
+	startedAt   float64
+	received    *receiver.Call
+	arrived     bool
+	done        bool
+	cancelled   bool // taken back before its first byte
 }
 
-func newNode(d *day, n int, seed uint64) *node { return &node{day: d, number: n, seed: seed} }
+func newNode(d *simRun, n int, seed uint64) *node { return &node{run: d, number: n, seed: seed} }
 
 // start starts the process, with what an earlier one owed.
 func (n *node) start() {
-	d := n.day
-	n.life++
+	d := n.run
+	n.incarnation++
 	n.up = true
-	n.docs, n.byDoor, n.calls, n.out = map[uint64]*submission{}, map[uint64]*target{}, nil, nil
-	n.policy = n.day.make(d.scene.SchedulerSettings(n.number), n.seed+uint64(n.life), d.Now(), n)
-	if p, ok := n.policy.(*plain); ok && p.seer {
-		p.sees = func(door uint64) (bool, int) {
-			t := d.dests[door>>32].Endpoints[uint32(door)]
-			return t.Ready(n.number), t.Busy()
+	n.submissions, n.endpointByID, n.pendingCalls, n.openCalls = map[uint64]*submission{}, map[uint64]*knownEndpoint{}, nil, nil
+	n.policy = n.run.newPolicy(d.scenario.SchedulerSettings(n.number), n.seed+uint64(n.incarnation), d.Now(), n)
+	if p, ok := n.policy.(*baseline); ok && p.oracle {
+		p.inspect = func(door uint64) (bool, int) {
+			t := d.destinations[door>>32].Endpoints[uint32(door)]
+			return t.Ready(n.number), t.InService()
 		}
 	}
-	n.dests, n.targets = nil, make([][]*target, len(d.dests))
+	n.destinations, n.endpoints = nil, make([][]*knownEndpoint, len(d.destinations))
 	var lines []scheduler.EndpointUpdate
-	for i, dest := range d.dests {
-		n.dests = append(n.dests, n.policy.NewDestination(uint64(i)))
+	for i, dest := range d.destinations {
+		n.destinations = append(n.destinations, n.policy.NewDestination(uint64(i)))
 		for _, t := range dest.Endpoints {
 			if !t.Fault.Removed {
-				lines = append(lines, n.line(t))
+				lines = append(lines, n.endpointUpdate(t))
 			}
 		}
 	}
 	n.policy.SetTime(d.Now())
 	n.policy.UpdateEndpoints(true, lines)
-	owed := n.owed
-	n.owed = nil
+	owed := n.unanswered
+	n.unanswered = nil
 	for _, h := range owed {
-		if h.over {
+		if h.finished {
 			continue
 		}
-		if h.out > 0 { // it was out when that process ended
-			if h.past.FirstRanAt == 0 {
-				h.past.FirstRanAt, h.past.Zone = h.out, h.outTo
+		if h.attemptStart > 0 { // it was out when that process ended
+			if h.recovered.FirstRanAt == 0 {
+				h.recovered.FirstRanAt, h.recovered.Zone = h.attemptStart, h.attemptZone
 			}
-			h.out = 0
+			h.attemptStart = 0
 		}
-		n.keep(h)
-		n.policy.Recover(h.message, h.of.typeNo, h.expiry-d.Now(), h.past)
+		n.track(h)
+		n.policy.Recover(h.message, h.effect.typeIndex, h.expiry-d.Now(), h.recovered)
 	}
-	n.settle()
+	n.reconcile()
 }
 
-// line is the list's line of an endpoint, which the forwarder knows from then on.
-func (n *node) line(t *receiver.Endpoint) scheduler.EndpointUpdate {
+// endpointUpdate is the list's line of an endpoint, which the forwarder knows from then on.
+func (n *node) endpointUpdate(t *receiver.Endpoint) scheduler.EndpointUpdate {
 	d := t.Destination.Number
-	for len(n.targets[d]) <= t.Number {
-		n.targets[d] = append(n.targets[d], nil)
+	for len(n.endpoints[d]) <= t.Number {
+		n.endpoints[d] = append(n.endpoints[d], nil)
 	}
-	k := n.targets[d][t.Number]
+	k := n.endpoints[d][t.Number]
 	if k == nil {
-		k = &target{is: t, module: &scheduler.Endpoint{ID: uint64(d)<<32 | uint64(t.Number)}}
-		n.targets[d][t.Number] = k
-		n.byDoor[k.module.ID] = k
+		k = &knownEndpoint{model: t, handle: &scheduler.Endpoint{ID: uint64(d)<<32 | uint64(t.Number)}}
+		n.endpoints[d][t.Number] = k
+		n.endpointByID[k.handle.ID] = k
 	}
-	l := scheduler.EndpointUpdate{Endpoint: k.module, Destination: n.dests[d], Kind: n.day.group[d], Zone: t.Zone}
-	if n.day.scene.Dispatch.ListedRates != "none" {
+	l := scheduler.EndpointUpdate{Endpoint: k.handle, Destination: n.destinations[d], Kind: n.run.group[d], Zone: t.Zone}
+	if n.run.scenario.Dispatch.ListedRates != "none" {
 		l.Rate = t.Destination.Behavior.Rate
 	}
 	switch {
@@ -123,81 +123,81 @@
 	return l
 }
 
-func (n *node) keep(h *submission) {
+func (n *node) track(h *submission) {
 	h.node = n
-	h.message = &scheduler.Message{ID: h.id, Tenant: h.of.tenant, Key: h.of.key, Dest: n.dests[h.of.dest], Size: 500}
-	n.docs[h.id] = h
-	n.owed = append(n.owed, h)
-	if len(n.owed) > 64 && len(n.owed) > 4*len(n.docs) {
-		n.owed = slices.DeleteFunc(n.owed, func(h *submission) bool { return h.over })
+	h.message = &scheduler.Message{ID: h.id, Tenant: h.effect.tenant, Key: h.effect.key, Dest: n.destinations[h.effect.destination], Size: 500}
+	n.submissions[h.id] = h
+	n.unanswered = append(n.unanswered, h)
+	if len(n.unanswered) > 64 && len(n.unanswered) > 4*len(n.submissions) {
+		n.unanswered = slices.DeleteFunc(n.unanswered, func(h *submission) bool { return h.finished })
 	}
 }
 
-// standStill holds the forwarder, whichever process it has, until a moment.
-func (n *node) standStill(until float64) {
-	n.stalled = max(n.stalled, until)
-	n.day.log.Stalled(n.number, until)
+// stall holds the forwarder, whichever process it has, until a moment.
+func (n *node) stall(until float64) {
+	n.stalledUntil = max(n.stalledUntil, until)
+	n.run.log.ForwarderStalled(n.number, until)
 }
 
-// stands tells that the forwarder stands still.
-func (n *node) stands() bool { return n.day.Now() < n.stalled }
+// isStalled tells that the forwarder stands still.
+func (n *node) isStalled() bool { return n.run.Now() < n.stalledUntil }
 
 // do does something in the process as it is now; without a process nobody hears of it. While it stands still all that
 // comes waits; then it takes it all before it decides once, as the forwarder's owner takes what lies in the Exchange.
 func (n *node) do(what func()) {
 	switch {
 	case !n.up:
-	case n.stands():
+	case n.isStalled():
 		if n.waiting = append(n.waiting, what); len(n.waiting) == 1 {
-			n.thaw(n.life)
+			n.resumeAfterStall(n.incarnation)
 		}
 	default:
 		what()
 	}
 }
 
-// thaw takes up what waited, once the process no longer stands still.
-func (n *node) thaw(life int) {
-	n.day.At(n.stalled, func() {
+// resumeAfterStall takes up what waited, once the process no longer stands still.
+func (n *node) resumeAfterStall(life int) {
+	n.run.At(n.stalledUntil, func() {
 		switch {
-		case n.life != life: // that process is gone, with what waited
-		case n.stands(): // it was told to stand still for longer
-			n.thaw(life)
+		case n.incarnation != life: // that process is gone, with what waited
+		case n.isStalled(): // it was told to stand still for longer
+			n.resumeAfterStall(life)
 		default:
 			waiting := n.waiting
-			n.waiting, n.held = nil, true
+			n.waiting, n.batching = nil, true
 			for _, what := range waiting {
 				what()
 			}
-			n.held = false
-			n.policy.SetTime(n.day.Now())
-			n.settle()
+			n.batching = false
+			n.policy.SetTime(n.run.Now())
+			n.reconcile()
 		}
 	})
 }
 
-func (n *node) settle() {
-	if n.held {
+func (n *node) reconcile() {
+	if n.batching {
 		return
 	}
 	n.inTurn = true
 	n.policy.Reconcile()
 	n.inTurn = false
-	calls := n.calls
-	n.calls = nil
+	calls := n.pendingCalls
+	n.pendingCalls = nil
 	for _, c := range calls {
 		c.begin()
 	}
 }
 
-func (n *node) handedIn(e *effect, expiry float64) {
-	d := n.day
+func (n *node) admit(e *effect, expiry float64) {
+	d := n.run
 	n.policy.SetTime(d.Now())
 	left := expiry - d.Now()
 	d.lastID++
 	id := d.lastID
-	doc := &audit.Message{ID: id, IdempotencyKey: e.mark, Key: e.key, Type: e.typeNo, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.mark != 0,
-		Destination: e.dest, Forwarder: n.number, SubmittedAt: d.Now(), Expiry: expiry}
+	doc := &audit.Message{ID: id, IdempotencyKey: e.idempotencyKey, Key: e.key, Type: e.typeIndex, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.idempotencyKey != 0,
+		Destination: e.destination, Forwarder: n.number, SubmittedAt: d.Now(), Expiry: expiry}
 	if e.id == 0 {
 		e.id = id
 	}
@@ -206,146 +206,146 @@
 	if !taken {
 		e.refused++
 		d.result.Refused++
-		d.again(e, back)
+		d.resubmit(e, back)
 		return
 	}
-	d.log.Submitted(doc)
-	d.log.Accepted(id)
+	d.log.MessageSubmitted(doc)
+	d.log.MessageAccepted(id)
 	d.effects[id] = e
-	d.result.Taken++
-	h := &submission{id: id, of: e, expiry: expiry}
-	d.handed[id] = h
-	n.keep(h)
-	n.policy.Accept(h.message, e.typeNo, left)
-	n.settle()
+	d.result.Accepted++
+	h := &submission{id: id, effect: e, expiry: expiry}
+	d.submissions[id] = h
+	n.track(h)
+	n.policy.Accept(h.message, e.typeIndex, left)
+	n.reconcile()
 }
 
-// ended takes the end of a call.
-func (n *node) ended(c *call, a receiver.Answer) {
-	d := n.day
-	if c.done || c.life != n.life {
+// callEnded takes the end of a call.
+func (n *node) callEnded(c *call, a receiver.Answer) {
+	d := n.run
+	if c.done || c.incarnation != n.incarnation {
 		return
 	}
 	c.done = true
-	n.out = slices.DeleteFunc(n.out, func(o *call) bool { return o == c })
+	n.openCalls = slices.DeleteFunc(n.openCalls, func(o *call) bool { return o == c })
 	switch a.Code {
 	case transport.ResultOK, transport.ResultServerError, transport.ResultRetryAfter, transport.ResultOverloaded:
-		c.to.idle = append(c.to.idle, d.Now())
+		c.endpoint.idleSince = append(c.endpoint.idleSince, d.Now())
 	}
 	out, over := a.Code.Outcome()
 	if out != scheduler.Delivered && out != scheduler.NotSent {
-		c.to.is.Learned(n.number)
+		c.endpoint.model.ForwarderSawFailure(n.number)
 	}
 	n.policy.SetTime(d.Now())
-	for _, h := range c.docs {
-		d.result.Ends[a.Code.String()]++
-		if a.Code.MayHaveRun() && h.past.FirstRanAt == 0 {
-			h.past.FirstRanAt, h.past.Zone = h.out, h.outTo
+	for _, h := range c.submissions {
+		d.result.AttemptResults[a.Code.String()]++
+		if a.Code.MayHaveRun() && h.recovered.FirstRanAt == 0 {
+			h.recovered.FirstRanAt, h.recovered.Zone = h.attemptStart, h.attemptZone
 		}
-		h.out = 0
+		h.attemptStart = 0
 		if over {
-			if out == scheduler.Delivered && !h.over { // else its client has been answered, at expiry say
+			if out == scheduler.Delivered && !h.finished { // else its client has been answered, at expiry say
 				d.log.FinalAnswer(h.id, "delivered")
 			}
-			h.over = true
+			h.finished = true
 		}
-		n.policy.AttemptEnded(h.message, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.began, RetryAfter: a.RetryAfter, ReportedLimit: a.ReportedLimit,
-			ReportedShare: a.ReportedShare})
-		if h.over {
-			delete(n.docs, h.id)
+		n.policy.AttemptEnded(h.message, scheduler.AttemptResult{Outcome: out, Final: over, Latency: d.Now() - c.startedAt, RetryAfter: a.RetryAfter, ReportedLimit: a.ReportedLimit,
+			ReportedShare: a.ReportedRemaining})
+		if h.finished {
+			delete(n.submissions, h.id)
 		}
 	}
-	n.settle()
+	n.reconcile()
 }
 
 // begin sends a call: on the idle connection used last, or on a new one.
 func (c *call) begin() {
-	n, d, t := c.node, c.node.day, c.to
-	c.began = d.Now()
-	n.out = append(n.out, c)
-	rest := float64(d.scene.NetworkDelay)
+	n, d, t := c.node, c.node.run, c.endpoint
+	c.startedAt = d.Now()
+	n.openCalls = append(n.openCalls, c)
+	rest := float64(d.scenario.NetworkDelay)
 	way, dead := 3*rest, false // a new connection takes a way there and back before the call
-	life := float64(d.scene.Dispatch.IdleTimeout)
-	if p, ok := n.policy.(*plain); ok && p.seer { // it knows which connections are dead: a new one each time
-		t.idle = nil
+	life := float64(d.scenario.Dispatch.IdleTimeout)
+	if p, ok := n.policy.(*baseline); ok && p.oracle { // it knows which connections are dead: a new one each time
+		t.idleSince = nil
 	}
-	for len(t.idle) > 0 {
-		used := t.idle[len(t.idle)-1]
-		t.idle = t.idle[:len(t.idle)-1]
+	for len(t.idleSince) > 0 {
+		used := t.idleSince[len(t.idleSince)-1]
+		t.idleSince = t.idleSince[:len(t.idleSince)-1]
 		if idle := d.Now() - used; idle < life {
-			way, dead = rest, d.reap > 0 && idle > idleDies
+			way, dead = rest, d.reapFaults > 0 && idle > reapedIdleTime
 			break
 		}
 	}
 	fresh := way > rest
-	d.After(c.allow, func() { n.do(func() { c.giveUp() }) })
-	refused, silent := t.is.Up()
+	d.After(c.timeout, func() { n.do(func() { c.timedOut() }) })
+	refused, silent := t.model.Connectivity()
 	if dead || silent && fresh || refused {
-		t.is.Approaching--
+		t.model.Approaching--
 	}
 	switch {
 	case dead:
 		c.arrived = true // as far as the forwarder can tell
 		return
 	case silent && fresh:
-		d.After(min(c.allow, float64(d.scene.Dispatch.Connect)), func() {
-			n.do(func() { n.ended(c, receiver.Answer{Code: transport.ResultConnectTimeout}) })
+		d.After(min(c.timeout, float64(d.scenario.Dispatch.Connect)), func() {
+			n.do(func() { n.callEnded(c, receiver.Answer{Code: transport.ResultConnectTimeout}) })
 		})
 		return
 	case refused:
-		d.After(2*rest, func() { n.do(func() { n.ended(c, receiver.Answer{Code: transport.ResultConnectRefused}) }) })
+		d.After(2*rest, func() { n.do(func() { n.callEnded(c, receiver.Answer{Code: transport.ResultConnectRefused}) }) })
 		return
 	}
 	d.After(way, func() {
-		t.is.Approaching--
-		if c.done || c.back || c.life != n.life {
+		t.model.Approaching--
+		if c.done || c.cancelled || c.incarnation != n.incarnation {
 			return
 		}
 		c.arrived = true
-		docs := make([]receiver.Message, len(c.docs))
-		for i, h := range c.docs {
-			docs[i] = receiver.Message{ID: h.id, IdempotencyKey: h.of.mark, DeduplicationWindow: float64(h.of.typ.DeduplicationWindow), DeduplicatedPerZone: h.of.typ.Group == "zone",
-				Tenant: h.of.tenant}
+		docs := make([]receiver.Message, len(c.submissions))
+		for i, h := range c.submissions {
+			docs[i] = receiver.Message{ID: h.id, IdempotencyKey: h.effect.idempotencyKey, DeduplicationWindow: float64(h.effect.typ.DeduplicationWindow), DeduplicatedPerZone: h.effect.typ.Group == "zone",
+				Tenant: h.effect.tenant}
 		}
-		c.at = &receiver.Call{Forwarder: n.number, Messages: docs, Answer: func(a receiver.Answer) {
+		c.received = &receiver.Call{Forwarder: n.number, Messages: docs, Answer: func(a receiver.Answer) {
 			for _, doc := range docs {
-				d.log.Closed(doc.ID, told(a.Code))
+				d.log.AttemptClosed(doc.ID, outcomeKnown(a.Code))
 			}
-			d.After(rest, func() { n.do(func() { n.ended(c, a) }) })
+			d.After(rest, func() { n.do(func() { n.callEnded(c, a) }) })
 		}}
-		t.is.Take(c.at)
+		t.model.Accept(c.received)
 	})
 }
 
-// told tells that an end says what became of the message.
-func told(e transport.ResultCode) bool {
+// outcomeKnown tells that an end says what became of the message.
+func outcomeKnown(e transport.ResultCode) bool {
 	out, _ := e.Outcome()
 	return out != scheduler.Reset && out != scheduler.TimedOut
 }
 
-// cut ends a call from the forwarder's side.
-func (c *call) cut() {
-	d := c.node.day
-	if at := c.at; at != nil {
-		d.After(float64(d.scene.NetworkDelay), func() {
+// abort ends a call from the forwarder's side.
+func (c *call) abort() {
+	d := c.node.run
+	if at := c.received; at != nil {
+		d.After(float64(d.scenario.NetworkDelay), func() {
 			at.Cancel()
 			for _, doc := range at.Messages {
-				d.log.Closed(doc.ID, false)
+				d.log.AttemptClosed(doc.ID, false)
 			}
 		})
 	}
 }
 
-func (c *call) giveUp() {
-	if c.done || c.life != c.node.life {
+func (c *call) timedOut() {
+	if c.done || c.incarnation != c.node.incarnation {
 		return
 	}
-	c.cut()
+	c.abort()
 	end := transport.ResultTimeout
 	if !c.arrived {
 		end = transport.ResultTimeoutBeforeSent
 	}
-	c.node.ended(c, receiver.Answer{Code: end})
+	c.node.callEnded(c, receiver.Answer{Code: end})
 }
 
 // kill ends the process; it starts again on what it owed.
@@ -353,26 +353,26 @@
 	if !n.up {
 		return
 	}
-	d := n.day
+	d := n.run
 	n.up = false
-	n.life++
-	for _, c := range n.out {
+	n.incarnation++
+	for _, c := range n.openCalls {
 		c.done = true
-		c.cut()
+		c.abort()
 	}
-	n.out, n.calls, n.waiting = nil, nil, nil
-	d.log.Restarted(n.number, d.Now()+downFor+rises)
-	for _, dest := range d.dests {
-		dest.Forget(n.number)
+	n.openCalls, n.pendingCalls, n.waiting = nil, nil, nil
+	d.log.ForwarderRestarted(n.number, d.Now()+restartDelay+recoveryGrace)
+	for _, dest := range d.destinations {
+		dest.ForwarderRestarted(n.number)
 	}
-	d.After(downFor, n.rise)
+	d.After(restartDelay, n.restart)
 }
 
-// rise starts the process after a kill. One that is started while the forwarder stands still begins when that is over.
-func (n *node) rise() {
-	if n.stands() {
-		n.day.log.Stalled(n.number, n.stalled+rises)
-		n.day.At(n.stalled, n.rise)
+// restart starts the process after a kill. One that is started while the forwarder stands still begins when that is over.
+func (n *node) restart() {
+	if n.isStalled() {
+		n.run.log.ForwarderStalled(n.number, n.stalledUntil+recoveryGrace)
+		n.run.At(n.stalledUntil, n.restart)
 		return
 	}
 	n.start()
@@ -381,82 +381,82 @@
 // Send, Reject, Fail, CancelUnsent, CloseIdle, ReleaseEndpoint, Wake, WatchEndpoints and Log make a node a choice.Host.
 
 func (n *node) Send(doc *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
-	h, t := n.day.handed[doc.ID], n.byDoor[to.ID]
-	h.past.Attempts++
-	h.out, h.outTo = n.day.Now(), t.is.Zone
-	n.day.result.Attempts++
-	batch := n.day.scene.Receivers[n.day.group[t.is.Destination.Number]].Batch
-	for _, c := range n.calls {
-		if c.to == t && len(c.docs) < batch {
-			c.docs = append(c.docs, h)
-			c.allow = min(c.allow, timeout)
+	h, t := n.run.submissions[doc.ID], n.endpointByID[to.ID]
+	h.recovered.Attempts++
+	h.attemptStart, h.attemptZone = n.run.Now(), t.model.Zone
+	n.run.result.Attempts++
+	batch := n.run.scenario.Receivers[n.run.group[t.model.Destination.Number]].Batch
+	for _, c := range n.pendingCalls {
+		if c.endpoint == t && len(c.submissions) < batch {
+			c.submissions = append(c.submissions, h)
+			c.timeout = min(c.timeout, timeout)
 			return
 		}
 	}
-	t.is.Approaching++
-	n.calls = append(n.calls, &call{node: n, life: n.life, to: t, docs: []*submission{h}, allow: timeout})
+	t.model.Approaching++
+	n.pendingCalls = append(n.pendingCalls, &call{node: n, incarnation: n.incarnation, endpoint: t, submissions: []*submission{h}, timeout: timeout})
 }
 
-func (n *node) Reject(doc *scheduler.Message, comeBack float64) { n.answer(doc, "returned", comeBack) }
-func (n *node) Fail(doc *scheduler.Message)                     { n.answer(doc, "abandoned", 0) }
+func (n *node) Reject(doc *scheduler.Message, comeBack float64) { n.finish(doc, "returned", comeBack) }
+func (n *node) Fail(doc *scheduler.Message)                     { n.finish(doc, "abandoned", 0) }
 
-func (n *node) answer(doc *scheduler.Message, what string, comeBack float64) {
-	h := n.day.handed[doc.ID]
-	h.over = true
-	if h.out == 0 {
-		delete(n.docs, h.id)
+func (n *node) finish(doc *scheduler.Message, what string, comeBack float64) {
+	h := n.run.submissions[doc.ID]
+	h.finished = true
+	if h.attemptStart == 0 {
+		delete(n.submissions, h.id)
 	}
-	n.day.result.Finals[what]++
-	n.day.tell(h, what, comeBack)
+	n.run.result.FinalAnswers[what]++
+	n.run.notifyClient(h, what, comeBack)
 }
 
 func (n *node) CancelUnsent(to *scheduler.Endpoint) {
-	for _, c := range n.out {
-		if c.to.module == to && !c.arrived && !c.done {
-			c.back = true // its way ends here
-			n.day.After(0, func() { n.do(func() { n.ended(c, receiver.Answer{Code: transport.ResultCancelled}) }) })
+	for _, c := range n.openCalls {
+		if c.endpoint.handle == to && !c.arrived && !c.done {
+			c.cancelled = true // its way ends here
+			n.run.After(0, func() { n.do(func() { n.callEnded(c, receiver.Answer{Code: transport.ResultCancelled}) }) })
 		}
 	}
 }
 
 func (n *node) CloseIdle(to *scheduler.Endpoint) {
-	if t := n.byDoor[to.ID]; t != nil {
-		t.idle = nil
+	if t := n.endpointByID[to.ID]; t != nil {
+		t.idleSince = nil
 	}
 }
 
-func (n *node) ReleaseEndpoint(to *scheduler.Endpoint) { delete(n.byDoor, to.ID) }
+func (n *node) ReleaseEndpoint(to *scheduler.Endpoint) { delete(n.endpointByID, to.ID) }
 
 func (n *node) Wake(in float64) {
-	n.wake++
-	wake, life := n.wake, n.life
-	n.day.After(in, func() {
-		if n.life != life || n.wake != wake {
+	n.timerSequence++
+	wake, life := n.timerSequence, n.incarnation
+	n.run.After(in, func() {
+		if n.incarnation != life || n.timerSequence != wake {
 			return
 		}
 		n.do(func() {
-			n.policy.SetTime(n.day.Now())
+			n.policy.SetTime(n.run.Now())
 			n.policy.TimerFired()
-			n.settle()
+			n.reconcile()
 		})
 	})
 }
 
 func (n *node) WatchEndpoints() {}
-func (n *node) Log(line string) { n.day.result.Modes++ }
+func (n *node) Log(line string) { n.run.result.ModeChanges++ }
 
-// listed tells a forwarder of changed endpoints.
-func (n *node) listed(targets []*receiver.Endpoint) {
+// updateEndpoints tells a forwarder of changed endpoints.
+func (n *node) updateEndpoints(targets []*receiver.Endpoint) {
 	n.do(func() {
-		n.policy.SetTime(n.day.Now())
+		n.policy.SetTime(n.run.Now())
 		var lines []scheduler.EndpointUpdate
 		for _, t := range targets {
-			lines = append(lines, n.line(t))
+			lines = append(lines, n.endpointUpdate(t))
 			if t.Fault.Draining || t.Fault.Removed {
-				n.targets[t.Destination.Number][t.Number].idle = nil
+				n.endpoints[t.Destination.Number][t.Number].idleSince = nil
 			}
 		}
 		n.policy.UpdateEndpoints(false, lines)
-		n.settle()
+		n.reconcile()
 	})
 }
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -21,34 +21,34 @@
 	Sockets int
 }
 
-// realDay is a day on the wall clock. Its lock is held by whatever touches the model or the log.
-type realDay struct {
+// realRun is a day on the wall clock. Its lock is held by whatever touches the model or the log.
+type realRun struct {
 	Real
-	mu        sync.Mutex
-	epoch     time.Time
-	scene     *scenario.Scenario
-	dests     []*receiver.Destination
-	group     []int
-	log       *audit.Log
-	result    *Result
-	effects   map[uint64]*effect
-	tails     map[uint64]chan struct{} // of each key, closed when its latest message has its answer at the door
-	heard     map[uint64]bool          // delivered, as the receiver wrote
-	from      map[uint64]int           // the forwarder that a message was handed in at
-	lastID    uint64
-	dice      *rand.Rand
-	disc      *emulator.Discovery
-	endpoints map[*receiver.Endpoint]*endpoint
-	nodes     []*process
-	failed    error // of a forwarder that could not be started again
-	wg        sync.WaitGroup
-	ctx       context.Context
+	mu                   sync.Mutex
+	epoch                time.Time
+	scenario             *scenario.Scenario
+	destinations         []*receiver.Destination
+	group                []int
+	log                  *audit.Log
+	result               *Result
+	effects              map[uint64]*effect
+	keyTails             map[uint64]chan struct{} // of each key, closed when its latest message has its answer at the door
+	deliveredToForwarder map[uint64]bool          // delivered, as the receiver wrote
+	submittedTo          map[uint64]int           // the forwarder that a message was handed in at
+	lastID               uint64
+	random               *rand.Rand
+	discovery            *emulator.Discovery
+	endpoints            map[*receiver.Endpoint]*endpointServer
+	nodes                []*process
+	restartErrors        error // of a forwarder that could not be started again
+	wg                   sync.WaitGroup
+	ctx                  context.Context
 }
 
-// Now and RetryAfter make a realDay a receiver.SetTime.
-func (d *realDay) Now() float64 { return begins + time.Since(d.epoch).Seconds() }
+// Now and RetryAfter make a realRun a receiver.SetTime.
+func (d *realRun) Now() float64 { return startTime + time.Since(d.epoch).Seconds() }
 
-func (d *realDay) After(in float64, do func()) {
+func (d *realRun) After(in float64, do func()) {
 	time.AfterFunc(time.Duration(in*float64(time.Second)), func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -60,8 +60,8 @@
 func (r Real) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := &realDay{Real: r, epoch: time.Now(), scene: s, result: newResult(s, seed), effects: map[uint64]*effect{}, from: map[uint64]int{}, heard: map[uint64]bool{}, tails: map[uint64]chan struct{}{},
-		dice: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Endpoint]*endpoint{}, ctx: ctx}
+	d := &realRun{Real: r, epoch: time.Now(), scenario: s, result: newResult(s, seed), effects: map[uint64]*effect{}, submittedTo: map[uint64]int{}, deliveredToForwarder: map[uint64]bool{}, keyTails: map[uint64]chan struct{}{},
+		random: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Endpoint]*endpointServer{}, ctx: ctx}
 	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
 	d.log.Slack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
 	partners := rand.New(rand.NewPCG(seed, 3))
@@ -69,10 +69,10 @@
 	for g := range s.Receivers {
 		p := &s.Receivers[g]
 		for range p.Count {
-			dest := receiver.New(len(d.dests), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &realRecorder{d.log, d})
-			d.dests, d.group = append(d.dests, dest), append(d.group, g)
+			dest := receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &realRecorder{d.log, d})
+			d.destinations, d.group = append(d.destinations, dest), append(d.group, g)
 			for _, t := range dest.Endpoints {
-				if err := d.open(t); err != nil {
+				if err := d.openEndpoint(t); err != nil {
 					return nil, err
 				}
 				list = append(list, d.entry(t))
@@ -85,21 +85,21 @@
 		}
 	}()
 	var err error
-	if d.disc, err = emulator.NewDiscovery("", list...); err != nil {
+	if d.discovery, err = emulator.NewDiscovery("", list...); err != nil {
 		return nil, err
 	}
-	d.disc.OnNotice = d.notice
+	d.discovery.OnNotice = d.notice
 	go func() { // those heard are taken by Hear already
 		for {
 			select {
-			case <-d.disc.Notices:
+			case <-d.discovery.Notices:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
 	for n := range s.Dispatch.Forwarders {
-		p, err := d.process(n)
+		p, err := d.newProcess(n)
 		if err == nil {
 			err = p.start()
 		}
@@ -116,9 +116,9 @@
 	}
 	d.mu.Lock()
 	d.epoch = time.Now()
-	d.befall()
+	d.injectFaults()
 	d.mu.Unlock()
-	d.clients(seed)
+	d.startClients(seed)
 	end := time.NewTimer(time.Duration(float64(s.Length+s.Drain) * float64(time.Second)))
 	defer end.Stop()
 	select {
@@ -131,18 +131,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.result.sum(d.log)
-	return d.result, d.failed
+	return d.result, d.restartErrors
 }
 
 type realRecorder struct {
 	*audit.Log
-	day *realDay
+	run *realRun
 }
 
 func (r *realRecorder) MessageExecuted(run receiver.Execution) {
 	r.Log.MessageExecuted(run)
-	if e := r.day.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
+	if e := r.run.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
 		e.done = true
-		r.day.result.delivered(e, run.EndedAt)
+		r.run.result.delivered(e, run.EndedAt)
 	}
 }
