--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -16,7 +16,7 @@
 )
 
 // notice takes a final answer that a forwarder tells.
-func (d *realDay) notice(n emulator.Notice) {
+func (d *realRun) notice(n emulator.Notice) {
 	id, err := strconv.ParseUint(n.ID, 16, 64)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -24,32 +24,32 @@
 	if err != nil || e == nil {
 		return
 	}
-	if d.heard[id] { // the forwarder may not have read the answer any more
+	if d.deliveredToForwarder[id] { // the forwarder may not have read the answer any more
 		return
 	}
 	what := map[string]string{"failed": "abandoned", "returned": "returned"}[n.State]
-	d.result.Finals[what]++
+	d.result.FinalAnswers[what]++
 	d.log.FinalAnswer(id, what)
 	if what == "returned" {
-		d.again(e, float64(n.AfterMs)/1000)
+		d.resubmit(e, float64(n.AfterMs)/1000)
 	}
 }
 
-func (d *realDay) again(e *effect, comeBack float64) {
-	expiry, wait, comes := e.comesAgain(d.scene, d.Now(), comeBack, d.dice)
+func (d *realRun) resubmit(e *effect, comeBack float64) {
+	expiry, wait, comes := e.resubmission(d.scenario, d.Now(), comeBack, d.random)
 	if !comes {
 		return
 	}
-	n := goes(e, d.dice, len(d.nodes))
-	d.After(wait, func() { d.handIn(e, expiry, n) })
+	n := forwarderFor(e, d.random, len(d.nodes))
+	d.After(wait, func() { d.submit(e, expiry, n) })
 }
 
-// clients hand in what is planned, each effect at its moment.
-func (d *realDay) clients(seed uint64) {
-	effects := plan(d.scene, rand.New(rand.NewPCG(seed, 1)))
+// startClients hand in what is planned, each effect at its moment.
+func (d *realRun) startClients(seed uint64) {
+	effects := planArrivals(d.scenario, rand.New(rand.NewPCG(seed, 1)))
 	d.wg.Go(func() {
 		for _, e := range effects {
-			at := time.Duration((e.submittedAt - begins) * float64(time.Second))
+			at := time.Duration((e.submittedAt - startTime) * float64(time.Second))
 			select {
 			case <-time.After(at - time.Since(d.epoch)):
 			case <-d.ctx.Done():
@@ -57,22 +57,22 @@
 			}
 			d.mu.Lock()
 			d.result.offered(e)
-			d.handIn(e, e.expiry, goes(e, d.dice, len(d.nodes)))
+			d.submit(e, e.expiry, forwarderFor(e, d.random, len(d.nodes)))
 			d.mu.Unlock()
 		}
 	})
 }
 
-// handIn hands an effect in; the lock is held. The messages of a key are handed in one after another, each when the one
+// submit hands an effect in; the lock is held. The messages of a key are handed in one after another, each when the one
 // before it has its answer at the door.
-func (d *realDay) handIn(e *effect, expiry float64, n int) {
+func (d *realRun) submit(e *effect, expiry float64, n int) {
 	if d.ctx.Err() != nil {
 		return
 	}
 	var before, done chan struct{}
 	if e.key != 0 {
 		done = make(chan struct{})
-		before, d.tails[e.key] = d.tails[e.key], done
+		before, d.keyTails[e.key] = d.keyTails[e.key], done
 	}
 	d.wg.Go(func() {
 		if before != nil {
@@ -87,42 +87,42 @@
 		if e.id == 0 {
 			e.id = id
 		}
-		d.log.Submitted(&audit.Message{ID: id, FirstID: e.id, IdempotencyKey: e.mark, Key: e.key, Type: e.typeNo, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.mark != 0,
-			Destination: e.dest, Forwarder: n, SubmittedAt: d.Now(), Expiry: expiry})
-		d.effects[id], d.from[id] = e, n
+		d.log.MessageSubmitted(&audit.Message{ID: id, FirstID: e.id, IdempotencyKey: e.idempotencyKey, Key: e.key, Type: e.typeIndex, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.idempotencyKey != 0,
+			Destination: e.destination, Forwarder: n, SubmittedAt: d.Now(), Expiry: expiry})
+		d.effects[id], d.submittedTo[id] = e, n
 		d.mu.Unlock()
 		left := expiry - d.Now()
 		answer, wait := "none", 0.0
 		if left > 0 {
-			answer, wait = d.nodes[n].put(e, id, left)
+			answer, wait = d.nodes[n].submit(e, id, left)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		switch answer {
 		case "ok":
-			d.log.Accepted(id)
-			d.result.Taken++
+			d.log.MessageAccepted(id)
+			d.result.Accepted++
 		case "busy":
 			d.result.Refused++
-			d.again(e, wait)
+			d.resubmit(e, wait)
 		case "none": // to another a little later; whatever the first does counts for nothing
-			if d.Now()+asksAgain < expiry && !e.done && e.typ.Idempotency != "binding" {
-				d.After(asksAgain, func() { d.handIn(e, expiry, next(e, n, len(d.nodes))) })
+			if d.Now()+failoverDelay < expiry && !e.done && e.typ.Idempotency != "binding" {
+				d.After(failoverDelay, func() { d.submit(e, expiry, nextForwarder(e, n, len(d.nodes))) })
 			}
 		}
 	})
 }
 
-const heard = 400 * time.Millisecond
+const clientTimeout = 400 * time.Millisecond
 
-// put hands a message in on a connection of its forwarder's.
-func (p *process) put(e *effect, id uint64, left float64) (answer string, wait float64) {
-	names := fmt.Sprintf("c=%s,d=%d,dest=%d", e.typ.Name, int(left*1000), e.dest)
-	if e.mark != 0 {
-		names += fmt.Sprintf(",k=%016x", e.mark)
+// submit hands a message in on a connection of its forwarder's.
+func (p *process) submit(e *effect, id uint64, left float64) (answer string, wait float64) {
+	names := fmt.Sprintf("c=%s,d=%d,dest=%d", e.typ.Name, int(left*1000), e.destination)
+	if e.idempotencyKey != 0 {
+		names += fmt.Sprintf(",k=%016x", e.idempotencyKey)
 	}
-	if len(p.day.scene.Tenants) > 0 {
-		names += ",t=" + p.day.scene.Tenants[e.tenant].Name
+	if len(p.run.scenario.Tenants) > 0 {
+		names += ",t=" + p.run.scenario.Tenants[e.tenant].Name
 	}
 	command := emulator.Command("MSG.PUT", fmt.Sprintf("%016x", e.key), fmt.Sprintf("%016x", id), names, strings.Repeat("x", 300))
 	for range 2 {
@@ -133,11 +133,11 @@
 		default:
 			kept = false
 			var err error
-			if c, err = net.DialTimeout("tcp", p.listen, heard); err != nil {
+			if c, err = net.DialTimeout("tcp", p.listen, clientTimeout); err != nil {
 				return "none", 0
 			}
 		}
-		c.SetDeadline(time.Now().Add(heard))
+		c.SetDeadline(time.Now().Add(clientTimeout))
 		_, err := io.WriteString(c, command)
 		line := ""
 		if err == nil {
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -16,21 +16,21 @@
 	"spanflow/transport"
 )
 
-// endpoint is an endpoint's listener. While the endpoint refuses connections nobody listens there.
-type endpoint struct {
-	day    *realDay
-	target *receiver.Endpoint
+// endpointServer is an endpoint's listener. While the endpoint refuses connections nobody listens there.
+type endpointServer struct {
+	run    *realRun
+	model  *receiver.Endpoint
 	addr   string
 	mu     sync.Mutex
 	ln     net.Listener
 	conns  map[net.Conn]struct{}
-	over   bool
+	closed bool
 }
 
 const listenCheckInterval = 10 * time.Millisecond
 
-func (d *realDay) open(t *receiver.Endpoint) error {
-	ep := &endpoint{day: d, target: t, conns: map[net.Conn]struct{}{}}
+func (d *realRun) openEndpoint(t *receiver.Endpoint) error {
+	ep := &endpointServer{run: d, model: t, conns: map[net.Conn]struct{}{}}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -43,9 +43,9 @@
 		defer tick.Stop()
 		for range tick.C {
 			d.mu.Lock()
-			refused, _ := t.Up()
+			refused, _ := t.Connectivity()
 			d.mu.Unlock()
-			if !ep.look(refused) {
+			if !ep.setRefusing(refused) {
 				return
 			}
 		}
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (ep *endpoint) serve(ln net.Listener) {
+func (ep *endpointServer) serve(ln net.Listener) {
 	ep.ln = ln
 	server := &http.Server{Handler: ep, ConnState: func(c net.Conn, s http.ConnState) {
 		ep.mu.Lock()
@@ -68,12 +68,12 @@
 	go server.Serve(ln)
 }
 
-// look closes or opens the listener; false once it is over.
-func (ep *endpoint) look(refused bool) bool {
+// setRefusing closes or opens the listener; false once it is over.
+func (ep *endpointServer) setRefusing(refused bool) bool {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	switch {
-	case ep.over:
+	case ep.closed:
 		return false
 	case refused && ep.ln != nil:
 		ep.ln.Close()
@@ -89,20 +89,20 @@
 	return true
 }
 
-func (ep *endpoint) close() {
-	ep.look(true)
+func (ep *endpointServer) close() {
+	ep.setRefusing(true)
 	ep.mu.Lock()
-	ep.over = true
+	ep.closed = true
 	ep.mu.Unlock()
 }
 
 // ServeHTTP takes a call to the model and writes what it answers.
-func (ep *endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (ep *endpointServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, 16<<20))
 	if err != nil {
 		return
 	}
-	d := ep.day
+	d := ep.run
 	ids, marks := []string{r.Header.Get("X-Txn")}, []string{r.Header.Get("Idempotency-Key")}
 	if r.URL.Path == "/hook/batch" {
 		var many []struct{ ID, Key, Body string }
@@ -128,11 +128,11 @@
 		doc := receiver.Message{ID: n, IdempotencyKey: mark}
 		if e := d.effects[n]; e != nil {
 			doc.Tenant, doc.DeduplicationWindow, doc.DeduplicatedPerZone = e.tenant, float64(e.typ.DeduplicationWindow), e.typ.Group == "zone"
-			call.Forwarder = d.from[n]
+			call.Forwarder = d.submittedTo[n]
 		}
 		call.Messages = append(call.Messages, doc)
 	}
-	ep.target.Take(call)
+	ep.model.Accept(call)
 	d.mu.Unlock()
 	var a receiver.Answer
 	select {
@@ -140,28 +140,28 @@
 	case <-r.Context().Done():
 		d.mu.Lock()
 		call.Cancel()
-		ep.target.Learned(call.Forwarder)
-		d.closed(call, false)
+		ep.model.ForwarderSawFailure(call.Forwarder)
+		d.attemptsClosed(call, false)
 		d.mu.Unlock()
 		return
 	}
 	d.mu.Lock()
-	d.closed(call, told(a.Code))
-	d.result.Ends[a.Code.String()] += len(call.Messages)
+	d.attemptsClosed(call, outcomeKnown(a.Code))
+	d.result.AttemptResults[a.Code.String()] += len(call.Messages)
 	if a.Code != transport.ResultOK {
-		ep.target.Learned(call.Forwarder)
+		ep.model.ForwarderSawFailure(call.Forwarder)
 	}
 	if a.Code == transport.ResultOK {
 		for _, doc := range call.Messages {
 			if d.effects[doc.ID] != nil && !d.log.Answered(doc.ID) { // a notice may have crossed it, which does no harm
 				d.log.FinalAnswer(doc.ID, "delivered")
-				d.heard[doc.ID] = true
+				d.deliveredToForwarder[doc.ID] = true
 			}
 		}
 	}
 	d.mu.Unlock()
 	if a.ReportedLimit != 0 {
-		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.ReportedShare), max(0, a.ReportedLimit)))
+		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.ReportedRemaining), max(0, a.ReportedLimit)))
 	}
 	switch a.Code {
 	case transport.ResultOK:
@@ -191,8 +191,8 @@
 	}
 }
 
-func (d *realDay) closed(c *receiver.Call, known bool) {
+func (d *realRun) attemptsClosed(c *receiver.Call, known bool) {
 	for _, doc := range c.Messages {
-		d.log.Closed(doc.ID, known)
+		d.log.AttemptClosed(doc.ID, known)
 	}
 }
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -7,7 +7,7 @@
 	"spanflow/lab/receiver"
 )
 
-func (d *realDay) entry(t *receiver.Endpoint) emulator.Entry {
+func (d *realRun) entry(t *receiver.Endpoint) emulator.Entry {
 	e := emulator.Entry{UID: fmt.Sprintf("d%d-%d", t.Destination.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
 		Kind: fmt.Sprint("k", d.group[t.Destination.Number]), Destination: t.Destination.Number, State: "active"}
 	switch {
@@ -19,13 +19,13 @@
 	return e
 }
 
-// befall puts the scene's troubles on the wall clock; the lock is held. Reason the network alone could do (idle
+// injectFaults puts the scene's troubles on the wall clock; the lock is held. Reason the network alone could do (idle
 // connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
 // receiver that takes calls and says nothing.
-func (d *realDay) befall() {
-	sim := &day{scene: d.scene, dests: d.dests, group: d.group}
-	for i := range d.scene.Faults {
-		t := &d.scene.Faults[i]
+func (d *realRun) injectFaults() {
+	sim := &simRun{scenario: d.scenario, destinations: d.destinations, group: d.group}
+	for i := range d.scenario.Faults {
+		t := &d.scenario.Faults[i]
 		at, lasts := float64(t.At), float64(t.For)
 		n := min(len(d.nodes), int(t.Fraction*float64(len(d.nodes))+0.999999))
 		switch t.Kind {
@@ -33,7 +33,7 @@
 		case "stall":
 			d.After(at, func() {
 				for _, p := range d.nodes[:n] {
-					p.standStill(d.Now() + lasts)
+					p.stall(d.Now() + lasts)
 				}
 			})
 		case "restart":
@@ -42,23 +42,23 @@
 			}
 		case "drain", "move":
 			d.After(at, func() {
-				hit := sim.hit(t)
+				hit := sim.affectedEndpoints(t)
 				if t.Kind == "drain" {
-					d.mark(hit, true, false)
-					d.After(drainTime, func() { d.leave(hit, lasts) })
+					d.announce(hit, true, false)
+					d.After(drainTime, func() { d.removeEndpoints(hit, lasts) })
 					return
 				}
-				d.leave(hit, lasts)
+				d.removeEndpoints(hit, lasts)
 			})
 		default:
 			d.After(at, func() {
-				hit := sim.hit(t)
+				hit := sim.affectedEndpoints(t)
 				for _, target := range hit {
-					begin(target, t, d.scene)
+					beginFault(target, t, d.scenario)
 				}
 				d.After(lasts, func() {
 					for _, target := range hit {
-						finish(target, t)
+						endFault(target, t)
 					}
 				})
 			})
@@ -66,25 +66,25 @@
 	}
 }
 
-func (d *realDay) mark(targets []*receiver.Endpoint, draining, left bool) {
+func (d *realRun) announce(targets []*receiver.Endpoint, draining, left bool) {
 	for _, t := range targets {
 		t.Fault.Draining, t.Fault.Removed = draining, left
 	}
-	d.After(float64(d.scene.ListLag), func() {
+	d.After(float64(d.scenario.ListLag), func() {
 		for _, t := range targets {
-			d.log.Leaving(t.Destination.Number, t.Number)
-			d.disc.Set(d.entry(t))
+			d.log.EndpointDraining(t.Destination.Number, t.Number)
+			d.discovery.Set(d.entry(t))
 		}
 	})
 }
 
-func (d *realDay) leave(hit []*receiver.Endpoint, comes float64) {
-	d.mark(hit, false, true)
+func (d *realRun) removeEndpoints(hit []*receiver.Endpoint, comes float64) {
+	d.announce(hit, false, true)
 	d.After(comes, func() {
 		for _, t := range hit {
-			fresh := t.Destination.Add(t.Zone)
-			if d.open(fresh) == nil {
-				d.After(float64(d.scene.ListLag), func() { d.disc.Set(d.entry(fresh)) })
+			fresh := t.Destination.AddEndpoint(t.Zone)
+			if d.openEndpoint(fresh) == nil {
+				d.After(float64(d.scenario.ListLag), func() { d.discovery.Set(d.entry(fresh)) })
 			}
 		}
 	})
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -17,7 +17,7 @@
 
 // process is one forwarder.
 type process struct {
-	day    *realDay
+	run    *realRun
 	number int
 	name   string
 	listen string
@@ -29,14 +29,14 @@
 	conns  chan net.Conn
 
 	// Under the day's lock:
-	heldUntil float64 // it stands still until this moment of the day
-	killed    bool    // its process was killed and no other has begun
-	over      bool    // the day has ended: no other begins
+	stalledUntil float64 // it stands still until this moment of the day
+	killed       bool    // its process was killed and no other has begun
+	runEnded     bool    // the day has ended: no other begins
 }
 
-// process makes a forwarder's configuration.
-func (d *realDay) process(n int) (*process, error) {
-	p := &process{day: d, number: n, name: fmt.Sprint("n", n), conns: make(chan net.Conn, 16)}
+// newProcess makes a forwarder's configuration.
+func (d *realRun) newProcess(n int) (*process, error) {
+	p := &process{run: d, number: n, name: fmt.Sprint("n", n), conns: make(chan net.Conn, 16)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -48,9 +48,9 @@
 		return nil, err
 	}
 	p.config = filepath.Join(d.Folder, p.name+".json")
-	text, err := json.Marshal(map[string]any{"name": p.name, "listen": p.listen, "discovery": d.disc.Addr, "seed": fmt.Sprintf("%016x", d.dice.Uint64()),
-		"limits": map[string]any{"cores": 1, "memory_mb": d.Memory, "sockets": d.Sockets, "disk_mb": 8}, "known": json.RawMessage(d.disc.Known()),
-		"settings": settings(d.scene, n)})
+	text, err := json.Marshal(map[string]any{"name": p.name, "listen": p.listen, "discovery": d.discovery.Addr, "seed": fmt.Sprintf("%016x", d.random.Uint64()),
+		"limits": map[string]any{"cores": 1, "memory_mb": d.Memory, "sockets": d.Sockets, "disk_mb": 8}, "known": json.RawMessage(d.discovery.Known()),
+		"settings": platformSettings(d.scenario, n)})
 	if err == nil {
 		err = os.WriteFile(p.config, text, 0o600)
 	}
@@ -60,8 +60,8 @@
 	return p, err
 }
 
-// settings are a scene's terms in the platform's form.
-func settings(s *scenario.Scenario, n int) map[string]any {
+// platformSettings are a scene's terms in the platform's form.
+func platformSettings(s *scenario.Scenario, n int) map[string]any {
 	ms := func(seconds float64) float64 { return seconds * 1000 }
 	var classes, tenants []map[string]any
 	words := map[string]string{"replayable": "retryable", "numbered": "dedup", "binding": "fragile"}
@@ -91,7 +91,7 @@
 }
 
 func (p *process) start() error {
-	cmd := exec.Command(p.day.Program)
+	cmd := exec.Command(p.run.Program)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "PROXY_STATE="+p.folder)
 	cmd.Stderr = p.log
 	if err := cmd.Start(); err != nil {
@@ -120,20 +120,20 @@
 	return fmt.Errorf("forwarder %s does not answer; its log is %s", p.name, p.log.Name())
 }
 
-// standStill holds the forwarder, whichever process it has, until a moment; the day's lock is held.
-func (p *process) standStill(until float64) {
-	p.heldUntil = max(p.heldUntil, until)
-	p.day.log.Stalled(p.number, until)
+// stall holds the forwarder, whichever process it has, until a moment; the day's lock is held.
+func (p *process) stall(until float64) {
+	p.stalledUntil = max(p.stalledUntil, until)
+	p.run.log.ForwarderStalled(p.number, until)
 	if !p.killed {
 		p.cmd.Process.Signal(syscall.SIGSTOP)
-		p.goOn()
+		p.resumeAfterStall()
 	}
 }
 
-// goOn ends the standstill once no other lasts longer; the day's lock is held.
-func (p *process) goOn() {
-	if left := p.heldUntil - p.day.Now(); left > 0 {
-		p.day.After(left, p.goOn)
+// resumeAfterStall ends the standstill once no other lasts longer; the day's lock is held.
+func (p *process) resumeAfterStall() {
+	if left := p.stalledUntil - p.run.Now(); left > 0 {
+		p.run.After(left, p.resumeAfterStall)
 	} else if !p.killed {
 		p.cmd.Process.Signal(syscall.SIGCONT)
 	}
@@ -146,21 +146,21 @@
 	}
 	p.killed = true
 	p.cmd.Process.Kill()
-	p.day.log.Restarted(p.number, p.day.Now()+downFor+rises)
-	p.day.After(downFor, p.rise)
+	p.run.log.ForwarderRestarted(p.number, p.run.Now()+restartDelay+recoveryGrace)
+	p.run.After(restartDelay, p.restart)
 }
 
-// rise begins another process after a kill, at the end of a standstill if there is one. The day's lock is held.
-func (p *process) rise() {
-	left := p.heldUntil - p.day.Now()
+// restart begins another process after a kill, at the end of a standstill if there is one. The day's lock is held.
+func (p *process) restart() {
+	left := p.stalledUntil - p.run.Now()
 	switch {
-	case p.over:
+	case p.runEnded:
 	case left > 0:
-		p.day.log.Stalled(p.number, p.heldUntil+rises)
-		p.day.After(left, p.rise)
+		p.run.log.ForwarderStalled(p.number, p.stalledUntil+recoveryGrace)
+		p.run.After(left, p.restart)
 	default:
 		if err := p.start(); err != nil {
-			p.day.failed = errors.Join(p.day.failed, fmt.Errorf("forwarder %s does not start again: %w", p.name, err))
+			p.run.restartErrors = errors.Join(p.run.restartErrors, fmt.Errorf("forwarder %s does not start again: %w", p.name, err))
 			return
 		}
 		p.killed = false
@@ -169,11 +169,11 @@
 
 // stop ends the process for good.
 func (p *process) stop() {
-	p.day.mu.Lock()
-	p.over = true
+	p.run.mu.Lock()
+	p.runEnded = true
 	ended := p.ended
 	p.cmd.Process.Kill()
-	p.day.mu.Unlock()
+	p.run.mu.Unlock()
 	<-ended
 	p.log.Close()
 }
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -19,11 +19,11 @@
 func sleeper(t *testing.T) *process {
 	program := filepath.Join(t.TempDir(), "sleeper")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\necho started >> \"$0.starts\"\nexec sleep 60\n"), 0o700))
-	d := &realDay{Real: Real{Program: program}, epoch: time.Now()}
+	d := &realRun{Real: Real{Program: program}, epoch: time.Now()}
 	d.log = audit.New(d, func(int) bool { return false }, 0)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
-	p := &process{day: d, log: log}
+	p := &process{run: d, log: log}
 	require.NoError(t, p.start())
 	t.Cleanup(p.stop)
 	return p
@@ -41,14 +41,14 @@
 
 // present is the process that there is and its state, as of one moment of the day.
 func (p *process) present() (pid int, is string, now float64) {
-	p.day.mu.Lock()
-	defer p.day.mu.Unlock()
-	return p.cmd.Process.Pid, state(p.cmd.Process.Pid), p.day.Now()
+	p.run.mu.Lock()
+	defer p.run.mu.Unlock()
+	return p.cmd.Process.Pid, state(p.cmd.Process.Pid), p.run.Now()
 }
 
 // starts is how many processes have begun.
 func (p *process) starts() int {
-	text, _ := os.ReadFile(p.day.Program + ".starts")
+	text, _ := os.ReadFile(p.run.Program + ".starts")
 	return strings.Count(string(text), "\n")
 }
 
@@ -56,11 +56,11 @@
 
 func TestAShorterStandstillDoesNotEndALongerOne(t *testing.T) {
 	p := sleeper(t)
-	p.day.mu.Lock()
-	until := p.day.Now() + 0.5
-	p.standStill(until)
-	p.standStill(p.day.Now() + 0.1)
-	p.day.mu.Unlock()
+	p.run.mu.Lock()
+	until := p.run.Now() + 0.5
+	p.stall(until)
+	p.stall(p.run.Now() + 0.1)
+	p.run.mu.Unlock()
 	require.Eventually(t, func() bool { _, is, _ := p.present(); return is == "T" }, patience, time.Millisecond)
 	for {
 		_, is, now := p.present()
@@ -79,15 +79,15 @@
 		p := sleeper(t)
 		require.Eventually(t, func() bool { return p.starts() == 1 }, patience, time.Millisecond)
 		first, _, _ := p.present()
-		p.day.mu.Lock()
-		until := p.day.Now() + downFor + 0.5
+		p.run.mu.Lock()
+		until := p.run.Now() + restartDelay + 0.5
 		if killFirst {
 			p.kill()
 		}
-		p.standStill(until)
+		p.stall(until)
 		p.kill() // one that is down is not killed once more
 		p.kill()
-		p.day.mu.Unlock()
+		p.run.mu.Unlock()
 		for {
 			pid, _, now := p.present()
 			if now >= until {
@@ -118,7 +118,7 @@
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
-	twin := Play(s, 1, Module)
+	twin := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, twin.Messages, r.Messages, "the same load")
 	require.Greater(t, twin.Late, twin.Messages/5)
 	require.Greater(t, r.Late, r.Messages/5, "the standstill is seen")
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -11,26 +11,26 @@
 
 // Result is what became of a day. Its JSON is the same to the byte for the same scene and seed.
 type Result struct {
-	Scene      string            `json:"scene"`
-	Seed       uint64            `json:"seed"`
-	Messages   int               `json:"documents"`
-	Taken      int               `json:"taken"`
-	Refused    int               `json:"refused"`
-	Served     int               `json:"served"`
-	Late       int               `json:"late"`
-	Attempts   int               `json:"transmissions"`
-	Modes      int               `json:"mode_changes"`
-	Ends       map[string]int    `json:"ends"`
-	Finals     map[string]int    `json:"final_answers"`
-	Offered    float64           `json:"value_offered"`
-	Delivered  float64           `json:"value_delivered"`
-	G          float64           `json:"share"`
-	Latency    Percentiles       `json:"latency_s"` // from the intended moment to the end of the run that took effect
-	Seconds    []Second          `json:"seconds"`
-	Violations []audit.Violation `json:"breaches"`
-	Events     uint64            `json:"events"`
-
-	times *hdrhistogram.Histogram
+	Scenario       string            `json:"scene"`
+	Seed           uint64            `json:"seed"`
+	Messages       int               `json:"documents"`
+	Accepted       int               `json:"taken"`
+	Refused        int               `json:"refused"`
+	Served         int               `json:"served"`
+	Late           int               `json:"late"`
+	Attempts       int               `json:"transmissions"`
+	ModeChanges    int               `json:"mode_changes"`
+	AttemptResults map[string]int    `json:"ends"`
+	FinalAnswers   map[string]int    `json:"final_answers"`
+	OfferedValue   float64           `json:"value_offered"`
+	DeliveredValue float64           `json:"value_delivered"`
+	G              float64           `json:"share"`
+	Latency        Percentiles       `json:"latency_s"` // from the intended moment to the end of the run that took effect
+	Seconds        []Second          `json:"seconds"`
+	Violations     []audit.Violation `json:"breaches"`
+	Events         uint64            `json:"events"`
+
+	latencyHistogram *hdrhistogram.Histogram
 }
 
 // Percentiles of a time in seconds. Reason never took effect stands in none of them.
@@ -43,29 +43,29 @@
 
 // Second is one second of a day.
 type Second struct {
-	Offered   float64 `json:"offered"`   // value of the messages that came in it
-	Delivered float64 `json:"delivered"` // value that they had in the end
-	Held      int     `json:"held"`
-	Out       int     `json:"out"`
-	ByDest    []int   `json:"held_by_destination,omitempty"` // with up to 64 destinations
+	Offered           float64 `json:"offered"`   // value of the messages that came in it
+	Delivered         float64 `json:"delivered"` // value that they had in the end
+	Held              int     `json:"held"`
+	Out               int     `json:"out"`
+	HeldByDestination []int   `json:"held_by_destination,omitempty"` // with up to 64 destinations
 }
 
-const mostByDest = 64
+const maxListedDestinations = 64
 
 func newResult(s *scenario.Scenario, seed uint64) *Result {
-	r := &Result{Scene: s.Name, Seed: seed, Ends: map[string]int{}, Finals: map[string]int{}, times: hdrhistogram.New(1, 3_600_000_000, 3)}
+	r := &Result{Scenario: s.Name, Seed: seed, AttemptResults: map[string]int{}, FinalAnswers: map[string]int{}, latencyHistogram: hdrhistogram.New(1, 3_600_000_000, 3)}
 	r.Seconds = make([]Second, int(s.Length+s.Drain))
 	return r
 }
 
 func (r *Result) at(moment float64) *Second {
-	i := min(max(0, int(moment-begins)), len(r.Seconds)-1)
+	i := min(max(0, int(moment-startTime)), len(r.Seconds)-1)
 	return &r.Seconds[i]
 }
 
 func (r *Result) offered(e *effect) {
 	r.Messages++
-	r.Offered += e.typ.Value
+	r.OfferedValue += e.typ.Value
 	r.at(e.submittedAt).Offered += e.typ.Value
 }
 
@@ -81,39 +81,39 @@
 		r.Late++
 	}
 	r.Served++
-	r.Delivered += value
+	r.DeliveredValue += value
 	r.at(e.submittedAt).Delivered += value
-	r.times.RecordValue(max(1, int64(took*1e6)))
+	r.latencyHistogram.RecordValue(max(1, int64(took*1e6)))
 }
 
-func (r *Result) second(d *day) {
+func (r *Result) second(d *simRun) {
 	s := r.at(d.Now() - 0.5)
-	if len(d.dests) <= mostByDest {
-		s.ByDest = make([]int, len(d.dests))
+	if len(d.destinations) <= maxListedDestinations {
+		s.HeldByDestination = make([]int, len(d.destinations))
 	}
 	for _, n := range d.nodes {
-		s.Held += len(n.docs)
-		s.Out += len(n.out)
-		if s.ByDest != nil {
-			for _, h := range n.docs {
-				s.ByDest[h.of.dest]++
+		s.Held += len(n.submissions)
+		s.Out += len(n.openCalls)
+		if s.HeldByDestination != nil {
+			for _, h := range n.submissions {
+				s.HeldByDestination[h.effect.destination]++
 			}
 		}
 	}
 }
 
-func (r *Result) finish(d *day) {
+func (r *Result) finish(d *simRun) {
 	r.Events = d.Events()
 	r.sum(d.log)
 }
 
 func (r *Result) sum(log *audit.Log) {
 	r.Violations = log.Violations()
-	if r.Offered > 0 {
-		r.G = r.Delivered / r.Offered
+	if r.OfferedValue > 0 {
+		r.G = r.DeliveredValue / r.OfferedValue
 	}
-	at := func(q float64) float64 { return float64(r.times.ValueAtQuantile(q)) / 1e6 }
-	r.Latency = Percentiles{at(50), at(90), at(99), float64(r.times.Max()) / 1e6}
+	at := func(q float64) float64 { return float64(r.latencyHistogram.ValueAtQuantile(q)) / 1e6 }
+	r.Latency = Percentiles{at(50), at(90), at(99), float64(r.latencyHistogram.Max()) / 1e6}
 }
 
 // JSON is the result as text.
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -31,78 +31,78 @@
 // Maker makes the policy of a forwarder.
 type Maker func(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
 
-// Module is the scheduler.
-func Module(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
+// SchedulerPolicy is the scheduler.
+func SchedulerPolicy(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	return scheduler.New(terms, seed, now, host)
 }
 
 const (
-	begins    = 1000.0 // the clock's first moment: 0 stands for never in many places
-	downFor   = 0.8    // a forwarder that is killed starts again after so long
-	rises     = 1.5    // and may be late with answers for so long after that
-	asksAgain = 0.4    // a client whose forwarder is gone goes to another after so long
-	drainTime = 2.0    // an endpoint that drains leaves after so long
-	idleDies  = 0.5    // connections that were idle for longer are dead while the trouble reap is on
+	startTime      = 1000.0 // the clock's first moment: 0 stands for never in many places
+	restartDelay   = 0.8    // a forwarder that is killed starts again after so long
+	recoveryGrace  = 1.5    // and may be late with answers for so long after that
+	failoverDelay  = 0.4    // a client whose forwarder is gone goes to another after so long
+	drainTime      = 2.0    // an endpoint that drains leaves after so long
+	reapedIdleTime = 0.5    // connections that were idle for longer are dead while the trouble reap is on
 )
 
 // effect is what a client wants done, whatever number of messages it takes.
 type effect struct {
-	id          uint64
-	typ         *scenario.Type
-	typeNo      int
-	submittedAt float64 // the intended moment
-	expiry      float64
-	tenant      int
-	key         uint64
-	mark        uint64
-	dest        int
-	done        bool
-	answer      string // the last final answer heard
-	refused     int
+	id             uint64
+	typ            *scenario.Type
+	typeIndex      int
+	submittedAt    float64 // the intended moment
+	expiry         float64
+	tenant         int
+	key            uint64
+	idempotencyKey uint64
+	destination    int
+	done           bool
+	answer         string // the last final answer heard
+	refused        int
 }
 
 // submission is one message: an effect handed in once.
 type submission struct {
-	id      uint64
-	of      *effect
-	message *scheduler.Message
-	node    *node
-	past    scheduler.RecoveredState
-	out     float64 // begin of the attempt that is out
-	outTo   int     // the zone of its endpoint
-	expiry  float64
-	over    bool
+	id           uint64
+	effect       *effect
+	message      *scheduler.Message
+	node         *node
+	recovered    scheduler.RecoveredState
+	attemptStart float64 // begin of the attempt that is out
+	attemptZone  int     // the zone of its endpoint
+	expiry       float64
+	finished     bool
 }
 
-type day struct {
+type simRun struct {
 	clock.Queue
-	scene   *scenario.Scenario
-	make    Maker
-	dice    *rand.Rand // of the load
-	net     *rand.Rand // of clients and network
-	log     *audit.Log
-	dests   []*receiver.Destination
-	group   []int // of each destination
-	nodes   []*node
-	effects map[uint64]*effect // by the id of a message
-	handed  map[uint64]*submission
-	lastID  uint64
-	reap    int
-	noList  int
-	result  *Result
+	scenario      *scenario.Scenario
+	newPolicy     Maker
+	loadRandom    *rand.Rand // of the load
+	networkRandom *rand.Rand // of clients and network
+	log           *audit.Log
+	destinations  []*receiver.Destination
+	group         []int // of each destination
+	nodes         []*node
+	effects       map[uint64]*effect // by the id of a message
+	submissions   map[uint64]*submission
+	lastID        uint64
+	reapFaults    int
+	listFaults    int
+	result        *Result
 }
 
 // Play plays a scene with a seed.
 func Play(s *scenario.Scenario, seed uint64, make Maker) *Result {
-	d := &day{scene: s, make: make, dice: rand.New(rand.NewPCG(seed, 1)), net: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, handed: map[uint64]*submission{}}
-	d.Set(begins)
+	d := &simRun{scenario: s, newPolicy: make, loadRandom: rand.New(rand.NewPCG(seed, 1)), networkRandom: rand.New(rand.NewPCG(seed, 2)), effects: map[uint64]*effect{}, submissions: map[uint64]*submission{}}
+	d.Set(startTime)
 	d.result = newResult(s, seed)
 	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
 	partners := rand.New(rand.NewPCG(seed, 3))
 	for g := range s.Receivers {
 		p := &s.Receivers[g]
 		for range p.Count {
-			d.dests = append(d.dests, receiver.New(len(d.dests), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &recorder{d.log, d}))
+			d.destinations = append(d.destinations, receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &recorder{d.log, d}))
 			d.group = append(d.group, g)
 		}
 	}
@@ -112,10 +112,10 @@
 	for _, n := range d.nodes {
 		n.start()
 	}
-	d.arrive()
-	d.befall()
-	end := begins + float64(s.Length+s.Drain)
-	for at := begins + 1; at <= end+1e-9; at++ {
+	d.scheduleArrivals()
+	d.injectFaults()
+	end := startTime + float64(s.Length+s.Drain)
+	for at := startTime + 1; at <= end+1e-9; at++ {
 		for d.Step(at) {
 		}
 		d.Set(at)
@@ -128,39 +128,39 @@
 // recorder passes on what receivers write down and counts the value of what took place.
 type recorder struct {
 	*audit.Log
-	day *day
+	run *simRun
 }
 
 func (r *recorder) MessageExecuted(run receiver.Execution) {
 	r.Log.MessageExecuted(run)
-	if e := r.day.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
+	if e := r.run.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
 		e.done = true
-		r.day.result.delivered(e, run.EndedAt)
+		r.run.result.delivered(e, run.EndedAt)
 	}
 }
 
-// arrive puts what clients want on the time line. All of it is drawn beforehand: nothing that happens moves an arrival.
-func (d *day) arrive() {
-	for _, e := range plan(d.scene, d.dice) {
+// scheduleArrivals puts what clients want on the time line. All of it is drawn beforehand: nothing that happens moves an arrival.
+func (d *simRun) scheduleArrivals() {
+	for _, e := range planArrivals(d.scenario, d.loadRandom) {
 		d.At(e.submittedAt, func() {
 			d.result.offered(e)
-			d.handIn(e, e.expiry, goes(e, d.net, len(d.nodes)))
+			d.submit(e, e.expiry, forwarderFor(e, d.networkRandom, len(d.nodes)))
 		})
 	}
 }
 
-// plan draws what clients want on a day.
-func plan(s *scenario.Scenario, dice *rand.Rand) []*effect {
+// planArrivals draws what clients want on a day.
+func planArrivals(s *scenario.Scenario, dice *rand.Rand) []*effect {
 	shape := s.Shape()
 	for i := range shape {
-		shape[i].At += begins
+		shape[i].At += startTime
 	}
-	end := begins + float64(s.Length)
+	end := startTime + float64(s.Length)
 	moments := load.Even(shape, end)
-	if s.Load.Arrive == "poisson" {
+	if s.Load.Arrivals == "poisson" {
 		moments = load.Poisson(shape, end, dice)
 	}
-	moments.From(begins)
+	moments.StartAt(startTime)
 	var weights, parts, shares []float64
 	for _, p := range s.Receivers {
 		for _, w := range load.Zipf(p.Count, p.Skew).Weights() {
@@ -176,16 +176,16 @@
 	dests, types, tenants := load.Weighted(weights), load.Weighted(parts), load.Weighted(shares)
 	var all []*effect
 	one := func(at float64, dest, tenant int, key uint64) {
-		e := &effect{submittedAt: at, dest: dest, tenant: tenant}
-		e.typeNo = types.Pick(dice)
-		e.typ = &s.Types[e.typeNo]
+		e := &effect{submittedAt: at, destination: dest, tenant: tenant}
+		e.typeIndex = types.Pick(dice)
+		e.typ = &s.Types[e.typeIndex]
 		e.expiry = at + float64(e.typ.TimeToLive)
 		if e.typ.Idempotency == "numbered" {
-			e.mark = dice.Uint64() | 1
+			e.idempotencyKey = dice.Uint64() | 1
 		}
 		if e.typ.InOrder {
 			if e.key = key; key == 0 { // a key belongs to a destination
-				e.key = uint64(dest+1)<<32 | uint64(e.typeNo)<<24 | uint64(dice.IntN(e.typ.Keys)+1)
+				e.key = uint64(dest+1)<<32 | uint64(e.typeIndex)<<24 | uint64(dice.IntN(e.typ.Keys)+1)
 			}
 		}
 		all = append(all, e)
@@ -217,75 +217,75 @@
 			if c.SameKey {
 				key = uint64(dest+1)<<32 | 0xff<<24 | uint64(i+1)
 			}
-			one(begins+float64(c.At), dest, who, key)
+			one(startTime+float64(c.At), dest, who, key)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b *effect) int { return cmp.Compare(a.submittedAt, b.submittedAt) })
 	return all
 }
 
-// goes is the forwarder to which a client goes: any, but for a key always the same, as forwarders share nothing.
-func goes(e *effect, dice *rand.Rand, forwarders int) int {
+// forwarderFor is the forwarder to which a client goes: any, but for a key always the same, as forwarders share nothing.
+func forwarderFor(e *effect, dice *rand.Rand, forwarders int) int {
 	if e.key != 0 {
 		return int((e.key * 0x9e3779b97f4a7c15 >> 33) % uint64(forwarders))
 	}
 	return dice.IntN(forwarders)
 }
 
-// next is the one to which it goes when that one is not there.
-func next(e *effect, n, forwarders int) int {
+// nextForwarder is the one to which it goes when that one is not there.
+func nextForwarder(e *effect, n, forwarders int) int {
 	if e.key != 0 {
 		return n
 	}
 	return (n + 1) % forwarders
 }
 
-// handIn hands an effect in at a forwarder, as a message of its own.
-func (d *day) handIn(e *effect, expiry float64, n int) {
-	d.After(float64(d.scene.NetworkDelay), func() {
+// submit hands an effect in at a forwarder, as a message of its own.
+func (d *simRun) submit(e *effect, expiry float64, n int) {
+	d.After(float64(d.scenario.NetworkDelay), func() {
 		node := d.nodes[n]
 		if !node.up { // refused: to another a little later
-			d.After(asksAgain, func() {
+			d.After(failoverDelay, func() {
 				if d.Now() < expiry {
-					d.handIn(e, expiry, next(e, n, len(d.nodes)))
+					d.submit(e, expiry, nextForwarder(e, n, len(d.nodes)))
 				}
 			})
 			return
 		}
 		node.do(func() {
 			if d.Now() < expiry {
-				node.handedIn(e, expiry)
+				node.admit(e, expiry)
 			}
 		})
 	})
 }
 
-// again hands in anew what was turned away or rejected. A number is known for its memory only, so a numbered message
+// resubmit hands in anew what was turned away or rejected. A number is known for its memory only, so a numbered message
 // comes with no more time than that.
-func (d *day) again(e *effect, comeBack float64) {
-	expiry, wait, comes := e.comesAgain(d.scene, d.Now(), comeBack, d.net)
+func (d *simRun) resubmit(e *effect, comeBack float64) {
+	expiry, wait, comes := e.resubmission(d.scenario, d.Now(), comeBack, d.networkRandom)
 	if !comes {
 		return
 	}
-	d.After(wait, func() { d.handIn(e, expiry, goes(e, d.net, len(d.nodes))) })
+	d.After(wait, func() { d.submit(e, expiry, forwarderFor(e, d.networkRandom, len(d.nodes))) })
 }
 
-// comesAgain tells if a client hands an effect in anew, after what time, and with what expiry.
-func (e *effect) comesAgain(s *scenario.Scenario, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
-	if expiry = e.expiry; e.mark != 0 {
+// resubmission tells if a client hands an effect in anew, after what time, and with what expiry.
+func (e *effect) resubmission(s *scenario.Scenario, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
+	if expiry = e.expiry; e.idempotencyKey != 0 {
 		expiry = min(expiry, e.submittedAt+float64(e.typ.DeduplicationWindow))
 	}
 	wait = comeBack + 0.1 + 0.2*dice.Float64()
-	return expiry, wait, s.ComesAgain && !e.done && now+wait+0.05 < expiry
+	return expiry, wait, s.Resubmit && !e.done && now+wait+0.05 < expiry
 }
 
-// tell tells a client a final answer.
-func (d *day) tell(h *submission, what string, comeBack float64) {
-	d.After(float64(d.scene.NetworkDelay), func() {
+// notifyClient tells a client a final answer.
+func (d *simRun) notifyClient(h *submission, what string, comeBack float64) {
+	d.After(float64(d.scenario.NetworkDelay), func() {
 		d.log.FinalAnswer(h.id, what)
-		h.of.answer = what
+		h.effect.answer = what
 		if what == "returned" {
-			d.again(h.of, comeBack)
+			d.resubmit(h.effect, comeBack)
 		}
 	})
 }
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -35,7 +35,7 @@
 
 func TestTheSchedulerKeepsTheRulesInEachKeptScenario(t *testing.T) {
 	for _, name := range scenario.Builtin() {
-		r := Play(kept(t, name), 1, Module)
+		r := Play(kept(t, name), 1, SchedulerPolicy)
 		require.Empty(t, r.Violations, name)
 		require.Greater(t, r.G, 0.6, name)
 		t.Logf("%-32s G %.3f, served %d of %d, late %d, refused %d", name, r.G, r.Served, r.Messages, r.Late, r.Refused)
@@ -44,13 +44,13 @@
 
 func TestTheSameScenarioAndSeedGiveTheSameBytes(t *testing.T) {
 	s := kept(t, "several-at-once")
-	want := Play(s, 7, Module).JSON()
+	want := Play(s, 7, SchedulerPolicy).JSON()
 	for _, cores := range []int{1, 4} {
 		before := runtime.GOMAXPROCS(cores)
 		var wg sync.WaitGroup
 		got := make([][]byte, 4)
 		for i := range got {
-			wg.Go(func() { got[i] = Play(s, 7, Module).JSON() })
+			wg.Go(func() { got[i] = Play(s, 7, SchedulerPolicy).JSON() })
 		}
 		wg.Wait()
 		runtime.GOMAXPROCS(before)
@@ -58,18 +58,18 @@
 			require.True(t, bytes.Equal(want, g))
 		}
 	}
-	require.NotEqual(t, want, Play(s, 8, Module).JSON())
+	require.NotEqual(t, want, Play(s, 8, SchedulerPolicy).JSON())
 }
 
 // A forwarder that breaks one rule is caught at it, by that rule.
 func TestTheAuditCatchesEachRuleBrokenOnPurpose(t *testing.T) {
 	for _, c := range []struct {
-		fault fault
+		fault misbehavior
 		scene string
 		rule  audit.Rule
-	}{{overlaps, "calm", audit.NoDouble}, {disorders, "one-partner-hangs", audit.Order}, {ignoresWaits, "limits-cut", audit.Waits},
-		{callsDraining, "drains", audit.Drains}, {answersTwice, "one-partner-hangs", audit.OneAnswer}, {neverAnswers, "one-partner-hangs", audit.OneAnswer},
-		{answersLate, "one-partner-hangs", audit.OneAnswer}, {repeatsBinding, "several-at-once", audit.NoDouble}, {sound, "returns-cold", audit.Returns}} {
+	}{{overlapsAttempts, "calm", audit.RuleNoDoubleEffect}, {breaksKeyOrder, "one-partner-hangs", audit.RuleKeyOrder}, {ignoresRetryAfter, "limits-cut", audit.RuleRetryAfterHeeded},
+		{callsDraining, "drains", audit.RuleDrainsKept}, {answersTwice, "one-partner-hangs", audit.RuleOneAnswer}, {neverAnswers, "one-partner-hangs", audit.RuleOneAnswer},
+		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {behaves, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
 		var s *scenario.Scenario
 		if c.scene == "drains" {
 			s = kept(t, "calm")
@@ -77,17 +77,17 @@
 		} else {
 			s = kept(t, c.scene)
 		}
-		make := func(fault fault) Maker {
+		make := func(fault misbehavior) Maker {
 			return func(terms scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
-				p := newPlain(terms, now, h)
-				p.fault = fault
+				p := newBaseline(terms, now, h)
+				p.misbehavior = fault
 				return p
 			}
 		}
 		n := broken(Play(s, 1, make(c.fault)))
 		require.NotZero(t, n[c.rule], "%d in %s: %v", c.fault, c.scene, n)
-		if c.fault != sound {
-			require.Zero(t, broken(Play(s, 1, make(sound)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
+		if c.fault != behaves {
+			require.Zero(t, broken(Play(s, 1, make(behaves)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	for _, name := range scenario.Builtin() {
 		s := kept(t, name)
 		top := Play(s, 1, Baselines["oracle"])
-		module := Play(s, 1, Module)
+		module := Play(s, 1, SchedulerPolicy)
 		require.Greater(t, top.G, module.G-0.01, name)
 		t.Logf("%-32s oracle %.3f module %.3f fifo %.3f", name, top.G, module.G, Play(s, 1, Baselines["fifo"]).G)
 	}
@@ -118,7 +118,7 @@
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
 	require.Greater(t, r.Messages, 150)
-	twin := Play(s, 1, Module)
+	twin := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, twin.Messages, r.Messages, "the same load")
 	require.InDelta(t, twin.G, r.G, 0.15)
 	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
@@ -159,7 +159,7 @@
 			places <- struct{}{}
 			defer func() { <-places }()
 			s := random(base, uint64(seed))
-			if r := Play(s, uint64(seed), Module); len(r.Violations) > 0 {
+			if r := Play(s, uint64(seed), SchedulerPolicy); len(r.Violations) > 0 {
 				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
 		})
@@ -180,7 +180,7 @@
 			s.Load.PerSecond = 480
 			s.Length, s.Drain = 30, 5
 			for b.Loop() {
-				Play(s, 1, Module)
+				Play(s, 1, SchedulerPolicy)
 			}
 			b.ReportMetric(35*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
 		})
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -24,7 +24,7 @@
 					s.Faults[i].At = killedAt
 				}
 			}
-			r := Play(s, seed, Module)
+			r := Play(s, seed, SchedulerPolicy)
 			require.Empty(t, r.Violations, "killed at %s, seed %d", killedAt, seed)
 			last := r.Seconds[len(r.Seconds)-1]
 			require.Zero(t, last.Out, "slots are taken at the end of the day: killed at %s, seed %d", killedAt, seed)
@@ -41,10 +41,10 @@
 }
 
 func (c *startsInStandstill) make(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
-	if now > begins+c.from && now < begins+c.until {
+	if now > startTime+c.from && now < startTime+c.until {
 		c.count++
 	}
-	return Module(terms, seed, now, host)
+	return SchedulerPolicy(terms, seed, now, host)
 }
 
 // A standstill is the forwarder's, not one process's: no process begins in it, whatever comes first.
