--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -16,14 +16,14 @@
 const (
 	RuleOneAnswer             Rule = "1 one final answer" // for each message taken, before its expiry
 	RuleNoDoubleEffect        Rule = "2 no effect twice"  // nor attempts that overlap
-	RuleDrainsKept            Rule = "3 drains kept"
+	RuleDrainObserved         Rule = "3 drains kept"
 	RuleRecoveryNotOverloaded Rule = "4 returns not pushed over"
 	RuleKeyOrder              Rule = "5 order per key"
 	RuleRetryAfterHeeded      Rule = "6 waits heeded"
 )
 
 // Rules are all of them.
-var Rules = []Rule{RuleOneAnswer, RuleNoDoubleEffect, RuleDrainsKept, RuleRecoveryNotOverloaded, RuleKeyOrder, RuleRetryAfterHeeded}
+var Rules = []Rule{RuleOneAnswer, RuleNoDoubleEffect, RuleDrainObserved, RuleRecoveryNotOverloaded, RuleKeyOrder, RuleRetryAfterHeeded}
 
 // Slack is what is let pass, in seconds.
 type Slack struct {
@@ -101,8 +101,8 @@
 		openAttempts: map[uint64]bool{}, unknownOutcomes: map[uint64]float64{}, keyCooldown: rest, unavailableUntil: map[int]float64{}}
 }
 
-func (l *Log) report(rule Rule, doc uint64, format string, v ...any) {
-	l.violations = append(l.violations, Violation{Rule: rule, At: l.Clock.Now(), Message: doc, Reason: fmt.Sprintf(format, v...)})
+func (l *Log) report(rule Rule, message uint64, format string, v ...any) {
+	l.violations = append(l.violations, Violation{Rule: rule, At: l.Clock.Now(), Message: message, Reason: fmt.Sprintf(format, v...)})
 }
 
 // Submission says that a client hands a message in.
@@ -150,36 +150,36 @@
 }
 
 // EndpointDraining says that the list has told a forwarder that an endpoint drains.
-func (l *Log) EndpointDraining(dest, target int) {
-	if _, known := l.drainingSince[[2]int{dest, target}]; !known {
-		l.drainingSince[[2]int{dest, target}] = l.Clock.Now()
+func (l *Log) EndpointDraining(dest, endpoint int) {
+	if _, known := l.drainingSince[[2]int{dest, endpoint}]; !known {
+		l.drainingSince[[2]int{dest, endpoint}] = l.Clock.Now()
 	}
 }
 
 // Came, Ran, EndpointOverloaded, NoticeAcknowledged and RecordAttemptEnd make a log the receivers' record.
 
-func (l *Log) CallReceived(dest, target, from int, docs []receiver.Message) {
+func (l *Log) CallReceived(dest, endpoint, from int, messages []receiver.Message) {
 	now := l.Clock.Now()
-	for _, d := range docs {
-		l.arrivals = append(l.arrivals, arrival{now, dest, target, from, d.ID})
+	for _, d := range messages {
+		l.arrivals = append(l.arrivals, arrival{now, dest, endpoint, from, d.ID})
 		if l.openAttempts[d.ID] {
 			l.report(RuleNoDoubleEffect, d.ID, "a transmission began while one was out")
 		}
 		l.openAttempts[d.ID] = true
 	}
-	at := target
+	at := endpoint
 	if !l.limitsPerEndpoint(dest) {
 		at = -1
 	}
 	first := uint64(0)
-	if len(docs) > 0 {
-		first = docs[0].ID
+	if len(messages) > 0 {
+		first = messages[0].ID
 	}
-	if w, told := l.retryAfters[[3]int{dest, at, from}]; told && now > w.sentAt+l.Slack.Wait && now < w.until-0.001 {
+	if w, reported := l.retryAfters[[3]int{dest, at, from}]; reported && now > w.sentAt+l.Slack.Wait && now < w.until-0.001 {
 		l.report(RuleRetryAfterHeeded, first, "forwarder %d called destination %d %.2f s before the wait it was told was over", from, dest, w.until-now)
 	}
-	if told, leaving := l.drainingSince[[2]int{dest, target}]; leaving && now > told+l.Slack.Drain {
-		l.report(RuleDrainsKept, first, "target %d of destination %d was called %.2f s after it was told to be leaving", target, dest, now-told)
+	if reported, leaving := l.drainingSince[[2]int{dest, endpoint}]; leaving && now > reported+l.Slack.Drain {
+		l.report(RuleDrainObserved, first, "target %d of destination %d was called %.2f s after it was told to be leaving", endpoint, dest, now-reported)
 	}
 }
 
@@ -197,21 +197,21 @@
 // maxInformedFraction is the share of what pushed a destination over from which on those are to blame who knew of its outage.
 const maxInformedFraction = 2.0 / 3
 
-func (l *Log) EndpointOverloaded(dest, target int, wise float64) {
-	if wise >= maxInformedFraction {
-		l.report(RuleRecoveryNotOverloaded, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*wise)
+func (l *Log) EndpointOverloaded(dest, endpoint int, informed float64) {
+	if informed >= maxInformedFraction {
+		l.report(RuleRecoveryNotOverloaded, 0, "destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", dest, 100*informed)
 	}
 }
 
-func (l *Log) RetryAfterSent(dest, target, from int, seconds float64) {
+func (l *Log) RetryAfterSent(dest, endpoint, from int, seconds float64) {
 	if !l.limitsPerEndpoint(dest) {
-		target = -1
+		endpoint = -1
 	}
 	now := l.Clock.Now()
-	l.retryAfters[[3]int{dest, target, from}] = retryAfter{now, now + seconds}
+	l.retryAfters[[3]int{dest, endpoint, from}] = retryAfter{now, now + seconds}
 }
 
-func (l *Log) EndpointRecovered(dest, target int) {}
+func (l *Log) EndpointRecovered(dest, endpoint int) {}
 
 // MessageLost says that a forwarder was lost with all it owed: its messages are judged by their clients alone.
 func (l *Log) MessageLost(id uint64) { l.messages[id].lost = true }
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	settleDivisor = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
+	warmUpDivisor = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
 	betweenTimes  = 250 * time.Millisecond // between two changes
 	mostEndings   = 3                      // reasons for ended watches that a note names
 )
@@ -58,7 +58,7 @@
 	if slices.Contains(started.inForce, 0) {
 		return fmt.Errorf("%d forwarders did not hear of discovery within %s", count(started.inForce, 0), inForceWithin)
 	}
-	if err := t.pause(t.config.Lasts / settleDivisor); err != nil {
+	if err := t.pause(t.config.Lasts / warmUpDivisor); err != nil {
 		return err
 	}
 	if err := t.measureIdle(); err != nil {
@@ -91,7 +91,7 @@
 	}
 	t.result.Changes = 1
 	if t.missed == 0 { // else all go on asking, and there is no idle window
-		if err := t.pause(t.config.Lasts / settleDivisor); err != nil {
+		if err := t.pause(t.config.Lasts / warmUpDivisor); err != nil {
 			return err
 		}
 		if err := t.measureIdle(); err != nil {
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -81,7 +81,7 @@
 	role     string
 	estimate Estimate
 	limit    Limit
-	share    float64 // of the target size at which the budget is left, if limit tells one
+	fraction float64 // of the target size at which the budget is left, if limit tells one
 	from     string
 	command  string
 	budget   float64
@@ -153,7 +153,7 @@
 	r.estimate.Value *= times
 	if r.budgeted {
 		r.limit = LeavesAt(curve, r.budget/times, size)
-		r.share = r.limit.Size / size
+		r.fraction = r.limit.Size / size
 	}
 	r.from += "; at " + use.sizeIs + " (" + digits(size) + ")"
 	if use.times != nil {
@@ -198,7 +198,7 @@
 	}
 	if r.budgeted {
 		r.limit = r.trial.leavesAt(target, trials, r.budget)
-		r.share = r.limit.Size
+		r.fraction = r.limit.Size
 	}
 }
 
@@ -326,13 +326,13 @@
 		return "left by the letter's own figures"
 	case r.trial != nil:
 		if r.limit.LargestWithin > 0 {
-			return "at the latest " + percent(r.share) + ": kept in a trial of " + percent(r.limit.LargestWithin) + ", left in one of that size"
+			return "at the latest " + percent(r.fraction) + ": kept in a trial of " + percent(r.limit.LargestWithin) + ", left in one of that size"
 		}
-		return "at the latest " + percent(r.share) + ", left in a trial of that size"
+		return "at the latest " + percent(r.fraction) + ", left in a trial of that size"
 	case r.limit.Size == 0:
 		return "at any size"
 	case r.limit.Basis == Measured:
-		return "at the latest " + percent(r.share) + ": " + r.leftAtMeasured()
+		return "at the latest " + percent(r.fraction) + ": " + r.leftAtMeasured()
 	}
-	return fmt.Sprintf("%s, at %s", percent(r.share), digits(r.limit.Size))
+	return fmt.Sprintf("%s, at %s", percent(r.fraction), digits(r.limit.Size))
 }
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -62,7 +62,7 @@
 		}
 	}
 	slices.SortStableFunc(ranked, func(a, b reckoned) int {
-		return cmp.Or(cmp.Compare(rankClass(&a), rankClass(&b)), cmp.Compare(a.share, b.share))
+		return cmp.Or(cmp.Compare(rankClass(&a), rankClass(&b)), cmp.Compare(a.fraction, b.fraction))
 	})
 	var rows [][]string
 	place := 0
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -422,8 +422,8 @@
 				if seed == 0 {
 					seed = 1
 				}
-				dice := rand.New(rand.NewPCG(seed, 5))
-				d := &load.Generator{Arrivals: load.Poisson(points, seconds, rand.New(rand.NewPCG(seed, 6))), Random: dice, Dest: load.Zipf(dests, skew),
+				random := rand.New(rand.NewPCG(seed, 5))
+				d := &load.Generator{Arrivals: load.Poisson(points, seconds, rand.New(rand.NewPCG(seed, 6))), Random: random, Dest: load.Zipf(dests, skew),
 					Types: strings.Split(kinds, ","), Keys: keys, Numbers: numbers}
 				if even {
 					d.Arrivals = load.Even(points, seconds)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -132,11 +132,11 @@
 	for _, v := range values {
 		mean += v / float64(len(values))
 	}
-	dice := rand.New(rand.NewPCG(11, 13))
+	random := rand.New(rand.NewPCG(11, 13))
 	means := make([]float64, resamples)
 	for i := range means {
 		for range values {
-			means[i] += values[dice.IntN(len(values))] / float64(len(values))
+			means[i] += values[random.IntN(len(values))] / float64(len(values))
 		}
 	}
 	slices.Sort(means)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -68,8 +68,8 @@
 
 func TestASearchFindsWhereAPolicyDoesBadlyAndShrinksIt(t *testing.T) {
 	a := arm(t, "calm", nil)
-	bad := func(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
-		return &shut{Policy: sim.SchedulerPolicy(terms, seed, now, h), began: now}
+	bad := func(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
+		return &shut{Policy: sim.SchedulerPolicy(settings, seed, now, h), began: now}
 	}
 	found := Search(context.Background(), a.Scenario, bad, 1, 16, 1, nil)
 	require.Len(t, found, 1)
--- a/lab/experiment/hunt.go
+++ b/lab/experiment/hunt.go
@@ -230,12 +230,12 @@
 			h.Pairs[name]++
 		}
 	}
-	targets := 0
+	endpoints := 0
 	for _, p := range s.Receivers {
-		targets += p.Count * p.Endpoints
+		endpoints += p.Count * p.Endpoints
 	}
 	h.Sizes[sizeClass("forwarders", s.Dispatch.Forwarders)]++
-	h.Sizes[sizeClass("targets", targets)]++
+	h.Sizes[sizeClass("targets", endpoints)]++
 }
 
 // sizeClass is the class of a number, in steps of about three.
@@ -261,26 +261,26 @@
 // DrawWide draws a scene in all its dimensions: 1 to 300 forwarders and endpoints, limits, kinds of message, one to four
 // troubles that mostly overlap.
 func DrawWide(seed uint64) *scenario.Scenario {
-	dice := rand.New(rand.NewPCG(seed, 29))
-	between := func(low, high float64) float64 { return low + (high-low)*dice.Float64() }
-	log := func(low, high float64) float64 { return low * math.Pow(high/low, dice.Float64()) }
-	odds := func(share float64) bool { return dice.Float64() < share }
-	s := &scenario.Scenario{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + dice.IntN(2), NetworkDelay: roundToMillis(log(0.001, 0.05)),
+	random := rand.New(rand.NewPCG(seed, 29))
+	between := func(low, high float64) float64 { return low + (high-low)*random.Float64() }
+	log := func(low, high float64) float64 { return low * math.Pow(high/low, random.Float64()) }
+	odds := func(share float64) bool { return random.Float64() < share }
+	s := &scenario.Scenario{Name: fmt.Sprintf("hunt-%d", seed), Seed: seed, Length: 40, Drain: 26, Zones: 1 + random.IntN(2), NetworkDelay: roundToMillis(log(0.001, 0.05)),
 		Dispatch: config.Defaults().Dispatch, Load: scenario.Load{Arrivals: "poisson"}, Resubmit: odds(0.8)}
 	d := &s.Dispatch
 	d.Forwarders = int(log(1, maxSize+0.99))
-	d.ConcurrencyLimit, d.QueueCapacity, d.MaxAttempts = int(log(3, 64.99)), int(log(20, 600)), 3+dice.IntN(6)
+	d.ConcurrencyLimit, d.QueueCapacity, d.MaxAttempts = int(log(3, 64.99)), int(log(20, 600)), 3+random.IntN(6)
 	d.SlowStartShare, d.SlowStartDuration, d.OverloadMultiple = between(0.15, 0.3), roundToMillis(between(5, 14)), between(1.5, 3)
 	d.KeyCooldown, d.IdleTimeout, d.Connect = roundToMillis(between(0.05, 0.2)), roundToMillis(log(5, 30)), roundToMillis(between(0.25, 1.5))
 	if odds(0.2) {
 		d.MaxRetryAfter = 0
 	}
-	d.ListedRates = []string{"none", "none", "exact", "rough"}[dice.IntN(4)]
+	d.ListedRates = []string{"none", "none", "exact", "rough"}[random.IntN(4)]
 	if odds(0.3) {
 		s.ListLag = roundToMillis(between(0.1, 2))
 	}
-	for i := range 1 + dice.IntN(3) {
-		t := scenario.Type{Name: fmt.Sprint("type-", i), Idempotency: []string{"replayable", "numbered", "binding"}[dice.IntN(3)], Group: "all",
+	for i := range 1 + random.IntN(3) {
+		t := scenario.Type{Name: fmt.Sprint("type-", i), Idempotency: []string{"replayable", "numbered", "binding"}[random.IntN(3)], Group: "all",
 			LatencyObjective: roundToMillis(between(1, 5)), LoadWeight: between(0.3, 3), Value: 1, Keys: int(log(5, 1000)), InOrder: odds(0.4)}
 		t.TimeToLive = t.LatencyObjective + roundToMillis(between(3, 18))
 		if t.Idempotency == "numbered" {
@@ -291,28 +291,28 @@
 		}
 		s.Types = append(s.Types, t)
 	}
-	for i := range dice.IntN(4) {
+	for i := range random.IntN(4) {
 		s.Tenants = append(s.Tenants, scenario.Tenant{Name: fmt.Sprint("store-", i), PerSecond: log(2, 50), LoadWeight: between(0.2, 3)})
 	}
 	left, dests, capacity := int(log(1, maxSize+0.99)), 0, 0.0
 	for i := 0; left > 0 && i < 5; i++ {
-		p := scenario.Receiver{Name: fmt.Sprint("group-", i), Endpoints: 1 + dice.IntN(min(4, left)), Batch: 1, EndpointLimits: odds(0.25),
-			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[dice.IntN(4)], Mean: roundToMillis(log(0.02, 0.5)), Concurrency: int(log(1, 8.99)),
-			Queue: dice.IntN(17), ReportsRetryAfter: odds(0.5), ReportsLimit: odds(0.3), Skew: between(0, 0.3), OverloadDowntime: roundToMillis(between(3, 10)),
+		p := scenario.Receiver{Name: fmt.Sprint("group-", i), Endpoints: 1 + random.IntN(min(4, left)), Batch: 1, EndpointLimits: odds(0.25),
+			Service: []string{"fixed", "exponential", "lognormal", "lognormal"}[random.IntN(4)], Mean: roundToMillis(log(0.02, 0.5)), Concurrency: int(log(1, 8.99)),
+			Queue: random.IntN(17), ReportsRetryAfter: odds(0.5), ReportsLimit: odds(0.3), Skew: between(0, 0.3), OverloadDowntime: roundToMillis(between(3, 10)),
 			OverloadWindow: roundToMillis(between(1, 2))}
 		if p.Service == "lognormal" {
 			p.Sigma = between(0.2, 1.2)
 		}
 		if p.Count = left / p.Endpoints; i < 4 {
-			p.Count = 1 + dice.IntN(p.Count)
+			p.Count = 1 + random.IntN(p.Count)
 		}
 		left -= p.Count * p.Endpoints
 		if odds(0.25) {
-			p.Batch = 2 + dice.IntN(9)
+			p.Batch = 2 + random.IntN(9)
 		}
 		each := float64(p.Endpoints*p.Concurrency) / float64(p.Mean)
 		limit := each
-		switch dice.IntN(4) {
+		switch random.IntN(4) {
 		case 0:
 			p.Rate, p.Burst = math.Max(1, each*between(0.2, 1)), between(1, 6)
 			limit = p.Rate
@@ -327,8 +327,8 @@
 		s.Receivers = append(s.Receivers, p)
 	}
 	s.Load.PerSecond = math.Max(1, math.Min(maxMessages/float64(s.Length), capacity*between(0.1, 1.1)))
-	for range dice.IntN(3) {
-		s.Load.Bursts = append(s.Load.Bursts, scenario.Burst{At: roundToMillis(between(2, 36)), Count: int(log(5, 200)), Destination: dice.IntN(dests)})
+	for range random.IntN(3) {
+		s.Load.Bursts = append(s.Load.Bursts, scenario.Burst{At: roundToMillis(between(2, 36)), Count: int(log(5, 200)), Destination: random.IntN(dests)})
 	}
 	var kinds []string
 	for k := range scenario.FaultKinds {
@@ -336,8 +336,8 @@
 	}
 	sort.Strings(kinds)
 	first := between(3, 20)
-	for range 1 + dice.IntN(4) {
-		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: roundToMillis(first + between(0, 4)), For: roundToMillis(log(0.5, 16)), Fraction: between(0.1, 1), By: log(2, 20),
+	for range 1 + random.IntN(4) {
+		t := scenario.Fault{Kind: kinds[random.IntN(len(kinds))], At: roundToMillis(first + between(0, 4)), For: roundToMillis(log(0.5, 16)), Fraction: between(0.1, 1), By: log(2, 20),
 			OddForwarders: odds(0.2)}
 		if odds(0.3) {
 			t.At = roundToMillis(between(3, 30))
@@ -345,22 +345,22 @@
 		if slices.Contains([]string{"refuse", "hang", "silent"}, t.Kind) {
 			t.For = roundToMillis(log(minOutage, 16))
 		}
-		switch dice.IntN(4) {
+		switch random.IntN(4) {
 		case 0: // all
 		case 1:
-			t.Receiver = s.Receivers[dice.IntN(len(s.Receivers))].Name
+			t.Receiver = s.Receivers[random.IntN(len(s.Receivers))].Name
 		default:
-			for range 1 + dice.IntN(3) {
-				if n := dice.IntN(dests); !slices.Contains(t.Destinations, n) {
+			for range 1 + random.IntN(3) {
+				if n := random.IntN(dests); !slices.Contains(t.Destinations, n) {
 					t.Destinations = append(t.Destinations, n)
 				}
 			}
 		}
 		if odds(0.2) {
-			t.Zone = 1 + dice.IntN(s.Zones)
+			t.Zone = 1 + random.IntN(s.Zones)
 		}
 		if odds(0.2) {
-			t.Every = 2 + dice.IntN(4)
+			t.Every = 2 + random.IntN(4)
 		}
 		s.Faults = append(s.Faults, t)
 	}
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/hunt_test.go
@@ -17,9 +17,9 @@
 
 // rampless is the scheduler with the ramp after an outage off: what it believes a cold destination stands is without
 // end.
-func rampless(terms scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
-	terms.OverloadMultiple, terms.SlowStartShare = 1e6, 1
-	return sim.SchedulerPolicy(terms, seed, now, h)
+func rampless(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
+	settings.OverloadMultiple, settings.SlowStartShare = 1e6, 1
+	return sim.SchedulerPolicy(settings, seed, now, h)
 }
 
 func hunt(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
@@ -116,10 +116,10 @@
 	for seed := range uint64(2000) {
 		s := DrawWide(seed)
 		require.Empty(t, s.Check(), "seed %d", seed)
-		targets := 0
+		endpoints := 0
 		for _, p := range s.Receivers {
-			targets += p.Count * p.Endpoints
+			endpoints += p.Count * p.Endpoints
 		}
-		require.True(t, targets >= 1 && targets <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d targets", seed, targets)
+		require.True(t, endpoints >= 1 && endpoints <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d targets", seed, endpoints)
 	}
 }
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -38,22 +38,22 @@
 
 // Draw draws a scene from a base: size, load and troubles.
 func Draw(base *scenario.Scenario, seed uint64) *scenario.Scenario {
-	dice := rand.New(rand.NewPCG(seed, 17))
+	random := rand.New(rand.NewPCG(seed, 17))
 	s := *base
 	s.Name = fmt.Sprintf("found-%d", seed)
-	s.Length, s.Drain, s.Zones = 40, 25, 1+dice.IntN(2)
-	s.Dispatch.Forwarders = []int{1, 2, 3, 5, 12, 40}[dice.IntN(6)]
-	s.Dispatch.ConcurrencyLimit = []int{4, 8, 16, 32}[dice.IntN(4)]
-	s.Load.PerSecond = 10 * math.Pow(12, dice.Float64())
+	s.Length, s.Drain, s.Zones = 40, 25, 1+random.IntN(2)
+	s.Dispatch.Forwarders = []int{1, 2, 3, 5, 12, 40}[random.IntN(6)]
+	s.Dispatch.ConcurrencyLimit = []int{4, 8, 16, 32}[random.IntN(4)]
+	s.Load.PerSecond = 10 * math.Pow(12, random.Float64())
 	s.Receivers = slices.Clone(base.Receivers)
 	dests := 0
 	for i := range s.Receivers {
 		p := &s.Receivers[i]
-		p.Endpoints = 1 + dice.IntN(3)
-		p.EndpointLimits = dice.IntN(4) == 0
-		p.Mean = roundToMillis(0.03 * math.Pow(10, dice.Float64()))
-		if dice.IntN(3) == 0 {
-			p.Rate, p.Burst, p.ReportsRetryAfter = 5+20*dice.Float64(), 4, dice.IntN(2) == 0
+		p.Endpoints = 1 + random.IntN(3)
+		p.EndpointLimits = random.IntN(4) == 0
+		p.Mean = roundToMillis(0.03 * math.Pow(10, random.Float64()))
+		if random.IntN(3) == 0 {
+			p.Rate, p.Burst, p.ReportsRetryAfter = 5+20*random.Float64(), 4, random.IntN(2) == 0
 		}
 		dests += p.Count
 	}
@@ -63,13 +63,13 @@
 	}
 	sort.Strings(kinds)
 	s.Faults = nil
-	for range 1 + dice.IntN(4) {
-		t := scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: roundToMillis(4 + 20*dice.Float64()), For: roundToMillis(1 + 14*dice.Float64()),
-			Fraction: 0.2 + 0.8*dice.Float64(), By: 2 + 10*dice.Float64()}
-		for range 1 + dice.IntN(3) {
-			t.Destinations = append(t.Destinations, dice.IntN(dests))
+	for range 1 + random.IntN(4) {
+		t := scenario.Fault{Kind: kinds[random.IntN(len(kinds))], At: roundToMillis(4 + 20*random.Float64()), For: roundToMillis(1 + 14*random.Float64()),
+			Fraction: 0.2 + 0.8*random.Float64(), By: 2 + 10*random.Float64()}
+		for range 1 + random.IntN(3) {
+			t.Destinations = append(t.Destinations, random.IntN(dests))
 		}
-		t.OddForwarders = dice.IntN(4) == 0
+		t.OddForwarders = random.IntN(4) == 0
 		s.Faults = append(s.Faults, t)
 	}
 	return &s
--- a/lab/load/arrive.go
+++ b/lab/load/arrive.go
@@ -64,8 +64,8 @@
 func Even(s Shape, end float64) *Arrivals { return &Arrivals{shape: s, end: end} }
 
 // Poisson makes arrivals at random.
-func Poisson(s Shape, end float64, dice *rand.Rand) *Arrivals {
-	return &Arrivals{shape: s, end: end, random: dice}
+func Poisson(s Shape, end float64, random *rand.Rand) *Arrivals {
+	return &Arrivals{shape: s, end: end, random: random}
 }
 
 // Forwarder begins at a moment other than 0.
@@ -152,8 +152,8 @@
 }
 
 // Pick draws a number below n.
-func (p Picker) Pick(dice *rand.Rand) int {
-	x := dice.Float64() * p.sums[len(p.sums)-1]
+func (p Picker) Pick(random *rand.Rand) int {
+	x := random.Float64() * p.sums[len(p.sums)-1]
 	i, found := slices.BinarySearch(p.sums, x)
 	if found {
 		i++
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -61,10 +61,10 @@
 }
 
 func TestPicksFollowTheirWeights(t *testing.T) {
-	p, dice := Zipf(3, 1), rand.New(rand.NewPCG(1, 2))
+	p, random := Zipf(3, 1), rand.New(rand.NewPCG(1, 2))
 	var n [3]float64
 	for range 110_000 {
-		n[p.Pick(dice)]++
+		n[p.Pick(random)]++
 	}
 	for i, want := range []float64{60_000, 30_000, 20_000} {
 		require.InEpsilon(t, want, n[i], 0.03)
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -122,11 +122,11 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		doc, more := src.Next()
+		message, more := src.Next()
 		if !more {
 			break
 		}
-		at := began.Add(time.Duration(doc.At * float64(time.Second)))
+		at := began.Add(time.Duration(message.At * float64(time.Second)))
 		if wait := time.Until(at); wait > 0 {
 			timer.Reset(wait)
 			select {
@@ -154,7 +154,7 @@
 		}
 		mu.Unlock()
 		select {
-		case jobs <- job{doc, fmt.Sprintf("%s%x", r.Prefix, rep.Sent), at}:
+		case jobs <- job{message, fmt.Sprintf("%s%x", r.Prefix, rep.Sent), at}:
 		default: // charged for the whole run
 			mu.Lock()
 			rep.Answers["none"]++
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -33,17 +33,17 @@
 	if !more {
 		return Message{}, false
 	}
-	doc := Message{At: at, Destination: d.Dests[d.Dest.Pick(d.Random)], Type: d.Types[d.Random.IntN(len(d.Types))]}
+	message := Message{At: at, Destination: d.Dests[d.Dest.Pick(d.Random)], Type: d.Types[d.Random.IntN(len(d.Types))]}
 	if len(d.Tenants) > 0 {
-		doc.Tenant = d.Tenants[d.Tenant.Pick(d.Random)]
+		message.Tenant = d.Tenants[d.Tenant.Pick(d.Random)]
 	}
 	if d.Keys > 0 {
-		doc.Key = fmt.Sprintf("%x", doc.Destination<<32|uint64(d.Random.IntN(d.Keys)+1))
+		message.Key = fmt.Sprintf("%x", message.Destination<<32|uint64(d.Random.IntN(d.Keys)+1))
 	}
 	if d.Numbers {
-		doc.IdempotencyKey = fmt.Sprintf("%016x", d.Random.Uint64())
+		message.IdempotencyKey = fmt.Sprintf("%016x", d.Random.Uint64())
 	}
-	return doc, true
+	return message, true
 }
 
 // Trace is a recorded load, read as it is played. Its times are divided by Speed.
--- /dev/null
+++ b/lab/receiver/deduplicator.go
@@ -0,0 +1,33 @@
+package receiver
+
+// deduplicationMargin is how many seconds beyond its window a key is remembered: calls that came in time may be executed
+// so much later.
+const deduplicationMargin = 120
+
+// deduplicator remembers idempotency keys from their execution on, which is never less than a forwarder counts on, as it
+// only knows when it sent them.
+type deduplicator struct {
+	until map[uint64]float64
+	order []uint64
+}
+
+// firstSeen tells whether a key is new to a call that came at a moment and has been executed by now, and remembers it.
+// The key is looked up as of the coming: a call that a hang held up is judged by what was known then.
+func (d *deduplicator) firstSeen(key uint64, receivedAt, now, window float64) bool {
+	for len(d.order) > 0 && d.until[d.order[0]] <= now-deduplicationMargin {
+		delete(d.until, d.order[0])
+		d.order = d.order[1:]
+	}
+	if d.until == nil {
+		d.until = map[uint64]float64{}
+	}
+	until, known := d.until[key]
+	if known && until > receivedAt {
+		return false
+	}
+	if !known {
+		d.order = append(d.order, key)
+	}
+	d.until[key] = now + window
+	return true
+}
--- /dev/null
+++ b/lab/receiver/endpoint.go
@@ -0,0 +1,185 @@
+package receiver
+
+import (
+	"slices"
+
+	"spanflow/scheduler"
+	"spanflow/transport"
+)
+
+// Endpoint is one endpoint of a destination.
+type Endpoint struct {
+	Destination *Destination
+	Number      int
+	Zone        int
+	Fault       Fault
+	Approaching int // calls on their way to it, which Ready takes into account
+
+	limit       rateLimiter  // with Behavior.EndpointLimits
+	recent      recentCalls  // with Behavior.EndpointLimits
+	informed    map[int]bool // with Behavior.EndpointLimits
+	inService   int
+	queue       []*Call
+	executing   []*Call
+	hung        []*Call // accepted while it hangs
+	outages     int     // that are on
+	recoveredAt float64 // begin of its slow start; 0: it is not in one
+}
+
+// Connectivity tells whether a connection to the endpoint comes up: refused is the immediate refusal, silent is no answer
+// at all.
+func (e *Endpoint) Connectivity() (refused, silent bool) {
+	return e.outages > 0 || e.Fault.Removed, e.Fault.Silences > 0
+}
+
+// InService is how many calls the endpoint executes, hanging ones included.
+func (e *Endpoint) InService() int { return e.inService }
+
+// Accept takes a call whose last byte has come. The caller has seen by Connectivity that the connection came up.
+func (e *Endpoint) Accept(c *Call) {
+	d := e.Destination
+	now := d.clock.Now()
+	c.endpoint, c.receivedAt = e, now
+	d.recorder.CallReceived(d.Number, e.Number, c.Forwarder, c.Messages)
+	switch refused, silent := e.Connectivity(); {
+	case silent:
+		return // as if it had never come
+	case refused:
+		c.finish(Answer{Code: transport.ResultClosed})
+		return
+	}
+	if overloaded, informed := e.overloads(c.Forwarder); overloaded {
+		e.fail(informed)
+		c.finish(Answer{Code: transport.ResultClosed})
+		return
+	}
+	if e.Fault.Draining || e.Fault.Removed {
+		c.finish(Answer{Code: transport.ResultOverloaded})
+		return
+	}
+	if wait, full := e.rateLimiter().admit(&d.Behavior, e.Fault.LimitFraction, now); full {
+		c.finish(e.rejection(c.Forwarder, wait))
+		return
+	}
+	switch {
+	case e.inService < d.Behavior.Concurrency:
+		e.inService++
+		e.execute(c)
+	case len(e.queue) < d.Behavior.Queue:
+		c.queued = true
+		e.queue = append(e.queue, c)
+	default:
+		c.finish(e.withLimitReport(Answer{Code: transport.ResultOverloaded}))
+	}
+}
+
+// rateLimiter is the limit that the endpoint's calls count against.
+func (e *Endpoint) rateLimiter() *rateLimiter {
+	if e.Destination.Behavior.EndpointLimits {
+		return &e.limit
+	}
+	return &e.Destination.limit
+}
+
+// rejection is the answer to a call that the limit does not admit for so many seconds.
+func (e *Endpoint) rejection(forwarder int, wait float64) Answer {
+	d := e.Destination
+	a := Answer{Code: transport.ResultOverloaded}
+	if d.Behavior.ReportsRetryAfter {
+		a = Answer{Code: transport.ResultRetryAfter, RetryAfter: wait}
+		d.recorder.RetryAfterSent(d.Number, e.Number, forwarder, wait)
+	}
+	return e.withLimitReport(a)
+}
+
+// withLimitReport adds the report of the limit to an answer, if the endpoint reports it.
+func (e *Endpoint) withLimitReport(a Answer) Answer {
+	behavior := &e.Destination.Behavior
+	if !behavior.ReportsLimit {
+		return a
+	}
+	if a.ReportedLimit = behavior.sustainedRate(); a.ReportedLimit == 0 {
+		a.ReportedLimit = -1
+	} else if e.Fault.LimitFraction > 0 {
+		a.ReportedLimit *= e.Fault.LimitFraction
+	}
+	if a.ReportedLimit > 0 {
+		remaining := e.rateLimiter().remaining(behavior, e.Fault.LimitFraction, e.Destination.clock.Now())
+		a.ReportedRemaining = scheduler.ReportedValue(remaining)
+	}
+	return a
+}
+
+// execute executes a call for which there is concurrency.
+func (e *Endpoint) execute(c *Call) {
+	d := e.Destination
+	if e.Fault.Hangs > 0 {
+		e.hung = append(e.hung, c)
+		return
+	}
+	duration := d.Behavior.Service.Draw(d.random) / e.capacityFraction()
+	if e.Fault.slows(c) {
+		duration *= e.Fault.SlowFactor
+	}
+	code, runs, lost := e.drawOutcome(c)
+	startedAt := d.clock.Now()
+	e.executing = append(e.executing, c)
+	d.clock.After(duration, func() {
+		if i := slices.Index(e.executing, c); i >= 0 {
+			e.executing = append(e.executing[:i], e.executing[i+1:]...)
+		}
+		if runs {
+			for _, message := range c.Messages {
+				d.recordExecution(e, c, message, startedAt)
+			}
+		}
+		if !lost && e.Fault.Silences == 0 && e.outages == 0 {
+			c.finish(e.withLimitReport(Answer{Code: code}))
+		}
+		e.startNext()
+	})
+}
+
+// startNext executes the next call of the queue in place of one that has ended.
+func (e *Endpoint) startNext() {
+	if len(e.queue) == 0 || e.outages > 0 {
+		e.inService--
+		return
+	}
+	c := e.queue[0]
+	e.queue = e.queue[1:]
+	c.queued = false
+	e.execute(c)
+}
+
+// Ready tells whether a call that came now would be executed at once and answered well. No forwarder can know it: it
+// serves the oracle that others are compared with.
+func (e *Endpoint) Ready(forwarder int) bool {
+	d, f := e.Destination, &e.Fault
+	refused, silent := e.Connectivity()
+	if refused || silent || f.Hangs > 0 || f.Draining || e.inService+e.Approaching >= d.Behavior.Concurrency {
+		return false
+	}
+	if f.failingFraction() > mostlyFailsFraction && !(f.OddForwarders && forwarder%2 == 0) {
+		return false
+	}
+	approaching := e.Approaching
+	if !d.Behavior.EndpointLimits {
+		approaching = 0
+		for _, other := range d.Endpoints {
+			approaching += other.Approaching
+		}
+	}
+	now := d.clock.Now()
+	if e.wouldOverload(approaching+1, now) {
+		return false
+	}
+	limit := e.rateLimiter()
+	peek := rateLimiter{limit.tokens, limit.refilledAt, slices.Clone(limit.admitted)}
+	for range approaching + 1 {
+		if _, full := peek.admit(&d.Behavior, f.LimitFraction, now); full {
+			return false
+		}
+	}
+	return true
+}
--- a/lab/receiver/partner_test.go
+++ b/lab/receiver/receiver_test.go
@@ -15,12 +15,12 @@
 
 // notes is a record that sums up waits.
 type notes struct {
-	runs   int
-	waited float64
-	fell   int
-	wise   float64
-	told   []float64
-	all    []receiver.Execution
+	runs     int
+	waited   float64
+	fell     int
+	informed float64
+	reported []float64
+	all      []receiver.Execution
 }
 
 func (n *notes) CallReceived(int, int, int, []receiver.Message) {}
@@ -31,15 +31,17 @@
 		n.all = append(n.all, r)
 	}
 }
-func (n *notes) EndpointOverloaded(_, _ int, wise float64) { n.fell, n.wise = n.fell+1, wise }
-func (n *notes) RetryAfterSent(_, _, _ int, wait float64)  { n.told = append(n.told, wait) }
-func (n *notes) EndpointRecovered(int, int)                {}
+func (n *notes) EndpointOverloaded(_, _ int, informed float64) {
+	n.fell, n.informed = n.fell+1, informed
+}
+func (n *notes) RetryAfterSent(_, _, _ int, wait float64) { n.reported = append(n.reported, wait) }
+func (n *notes) EndpointRecovered(int, int)               {}
 
 // feed sends calls by a rate and returns how each ended.
-func feed(terms receiver.Behavior, rate float64, calls int, even bool) (*notes, map[transport.ResultCode]int) {
+func feed(settings receiver.Behavior, rate float64, calls int, even bool) (*notes, map[transport.ResultCode]int) {
 	q, n, ends := &clock.Queue{}, &notes{}, map[transport.ResultCode]int{}
-	dice := rand.New(rand.NewPCG(1, 2))
-	d := receiver.New(0, terms, 1, 1, q, dice, n)
+	random := rand.New(rand.NewPCG(1, 2))
+	d := receiver.New(0, settings, 1, 1, q, random, n)
 	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
 	if even {
 		arrivals = load.Even(load.Shape{{Rate: rate}}, math.Inf(1))
@@ -101,47 +103,47 @@
 	quick := receiver.Distribution{Form: "fixed", Mean: 0.001}
 	_, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
 	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
-	n, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Count: 7, Span: 2, ReportsRetryAfter: true}, 100, 1000, true)
+	n, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
 	require.Equal(t, 7*5, ends[transport.ResultOK], "seven in any two seconds")
 	require.Equal(t, 1000-35, ends[transport.ResultRetryAfter])
 	for i := range n.all[7:] {
 		require.GreaterOrEqual(t, n.all[i+7].ReceivedAt-n.all[i].ReceivedAt, 2-1e-6)
 	}
-	require.InDelta(t, 2-0.07, n.told[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
+	require.InDelta(t, 2-0.07, n.reported[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
 }
 
 // Warm it does 40 a second; at its return it stands twice a quarter of that, 20 a second, as a budget for any second and a
 // half: a call beyond 31 within that time pushes it over, a short burst does not.
 func TestAColdEndpointFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
-	terms := receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
+	settings := receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
 	for _, c := range []struct {
-		rate  float64
-		calls int
-		wise  float64 // share of the calls that comes from forwarders which met the outage
-		fell  bool
+		rate     float64
+		calls    int
+		informed float64 // share of the calls that comes from forwarders which met the outage
+		fell     bool
 	}{{15, 60, 1, false}, {30, 60, 1, true}, {30, 60, 0.5, true}, {30, 30, 1, false}} {
 		q, n := &clock.Queue{}, &notes{}
-		d := receiver.New(0, terms, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
-		target := d.Endpoints[0]
-		target.ForwarderSawFailure(1) // before the outage: of no account
-		target.BeginOutage()
-		q.At(0.5, func() { target.ForwarderSawFailure(0) })
-		q.After(1, target.EndOutage)
-		q.At(1.005, func() { target.ForwarderSawFailure(1) }) // after it
+		d := receiver.New(0, settings, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+		endpoint := d.Endpoints[0]
+		endpoint.ForwarderSawFailure(1) // before the outage: of no account
+		endpoint.BeginOutage()
+		q.At(0.5, func() { endpoint.ForwarderSawFailure(0) })
+		q.After(1, endpoint.EndOutage)
+		q.At(1.005, func() { endpoint.ForwarderSawFailure(1) }) // after it
 		for i := range c.calls {
 			q.At(1.01+float64(i)/c.rate, func() {
 				from := 0
-				if float64(i%2) >= 2*c.wise {
+				if float64(i%2) >= 2*c.informed {
 					from = 1
 				}
-				target.Accept(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
+				endpoint.Accept(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
 			})
 		}
 		for q.Step(4) {
 		}
 		require.Equal(t, c.fell, n.fell > 0, "%v calls at %v a second", c.calls, c.rate)
 		if c.fell {
-			require.InDelta(t, c.wise, n.wise, 0.02)
+			require.InDelta(t, c.informed, n.informed, 0.02)
 		}
 	}
 }
@@ -162,11 +164,11 @@
 func TestFaultsDoWhatTheySay(t *testing.T) {
 	q, n := &clock.Queue{}, &notes{}
 	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
-	target := d.Endpoints[0]
+	endpoint := d.Endpoints[0]
 	var ends []transport.ResultCode
 	call := func() *receiver.Call {
 		c := &receiver.Call{Messages: []receiver.Message{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.Code) }}
-		target.Accept(c)
+		endpoint.Accept(c)
 		return c
 	}
 	run := func() []transport.ResultCode {
@@ -175,34 +177,34 @@
 		}
 		return ends
 	}
-	target.Fault.Hang = 1
+	endpoint.Fault.Hangs = 1
 	call()
 	call()
 	waiting := call()
 	require.Empty(t, run())
 	waiting.Cancel() // waits in line: never runs
-	target.EndHang()
+	endpoint.EndHang()
 	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
 	require.Equal(t, 2, n.runs)
-	target.Fault.Silent = 1
+	endpoint.Fault.Silences = 1
 	call()
 	require.Empty(t, run())
-	target.Fault = receiver.Fault{Lose: 1}
+	endpoint.Fault = receiver.Fault{LostFraction: 1}
 	call()
 	require.Empty(t, run())
 	require.Equal(t, 3, n.runs, "ran, though nobody heard")
-	target.Fault = receiver.Fault{Err: 1, Every: 2}
+	endpoint.Fault = receiver.Fault{ErrorFraction: 1, EveryNth: 2}
 	call()
 	call()
 	require.ElementsMatch(t, []transport.ResultCode{transport.ResultOK, transport.ResultServerError}, run())
-	target.Fault, ends = receiver.Fault{Draining: true}, nil
+	endpoint.Fault, ends = receiver.Fault{Draining: true}, nil
 	call()
 	require.Equal(t, []transport.ResultCode{transport.ResultOverloaded}, ends)
-	target.Fault = receiver.Fault{}
+	endpoint.Fault = receiver.Fault{}
 	call()
 	ends = nil
-	target.BeginOutage()
+	endpoint.BeginOutage()
 	require.Equal(t, []transport.ResultCode{transport.ResultClosed}, ends, "what it works on breaks")
-	refused, _ := target.Connectivity()
+	refused, _ := endpoint.Connectivity()
 	require.True(t, refused)
 }
--- a/lab/scenario/scene.go
+++ b/lab/scenario/scene.go
@@ -349,7 +349,7 @@
 // ReceiverBehavior is what a destination of a group is like.
 func (s *Scenario) ReceiverBehavior(p *Receiver) receiver.Behavior {
 	return receiver.Behavior{Service: receiver.Distribution{Form: p.Service, Mean: float64(p.Mean), Sigma: p.Sigma}, Concurrency: p.Concurrency, Queue: p.Queue,
-		Rate: p.Rate, Burst: p.Burst, Count: p.Calls, Span: float64(p.Window), EndpointLimits: p.EndpointLimits, ReportsRetryAfter: p.ReportsRetryAfter, ReportsLimit: p.ReportsLimit,
+		Rate: p.Rate, Burst: p.Burst, WindowCalls: p.Calls, Window: float64(p.Window), EndpointLimits: p.EndpointLimits, ReportsRetryAfter: p.ReportsRetryAfter, ReportsLimit: p.ReportsLimit,
 		SlowStartFraction: s.Dispatch.SlowStartShare, SlowStartDuration: float64(s.Dispatch.SlowStartDuration), OverloadMultiple: s.Dispatch.OverloadMultiple,
 		OverloadWindow: float64(p.OverloadWindow), OverloadDowntime: float64(p.OverloadDowntime)}
 }
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -50,7 +50,7 @@
 	bucket       bool // a destination gets at most as many calls a second as it answered of late, and a quarter more
 	leastLoaded  bool // the endpoint with the fewest calls out, not the next in turn
 	oracle       bool // sends only what would be worked on at once and answered well
-	inspect      func(door uint64) (ready bool, busy int)
+	inspect      func(id uint64) (ready bool, busy int)
 	misbehavior  misbehavior
 }
 
@@ -110,9 +110,9 @@
 	return &baseline{settings: t, host: h, now: now, messageByID: map[uint64]*baselineMessage{}, destinations: map[uint64]*baselineDestination{}}
 }
 
-func (p *baseline) NewDestination(door uint64) *scheduler.Destination {
-	p.destinations[door] = &baselineDestination{keyQueues: map[uint64][]*baselineMessage{}, rate: 5, refilledAt: p.now}
-	return &scheduler.Destination{ID: door}
+func (p *baseline) NewDestination(id uint64) *scheduler.Destination {
+	p.destinations[id] = &baselineDestination{keyQueues: map[uint64][]*baselineMessage{}, rate: 5, refilledAt: p.now}
+	return &scheduler.Destination{ID: id}
 }
 
 func (p *baseline) UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate) {
--- a/lab/sim/befall.go
+++ b/lab/sim/befall.go
@@ -35,12 +35,12 @@
 		default:
 			d.At(at, func() {
 				hit := d.affectedEndpoints(t)
-				for _, target := range hit {
-					beginFault(target, t, d.scenario)
+				for _, endpoint := range hit {
+					beginFault(endpoint, t, d.scenario)
 				}
 				d.At(end, func() {
-					for _, target := range hit {
-						endFault(target, t)
+					for _, endpoint := range hit {
+						endFault(endpoint, t)
 					}
 				})
 			})
@@ -61,11 +61,11 @@
 		if len(t.Destinations) > 0 && !slices.Contains(t.Destinations, i) || len(t.Destinations) == 0 && t.Receiver != "" && d.scenario.Receivers[d.group[i]].Name != t.Receiver {
 			continue
 		}
-		for _, target := range dest.Endpoints {
-			if target.Fault.Removed || len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, target.Number) || t.Zone > 0 && target.Zone != t.Zone-1 {
+		for _, endpoint := range dest.Endpoints {
+			if endpoint.Fault.Removed || len(t.Endpoints) > 0 && !slices.Contains(t.Endpoints, endpoint.Number) || t.Zone > 0 && endpoint.Zone != t.Zone-1 {
 				continue
 			}
-			all = append(all, target)
+			all = append(all, endpoint)
 		}
 	}
 	return all
@@ -77,29 +77,29 @@
 	case "refuse":
 		to.BeginOutage()
 	case "hang":
-		r.Hang++
+		r.Hangs++
 	case "silent":
-		r.Silent++
+		r.Silences++
 	case "slow":
-		r.Slow = t.By
+		r.SlowFactor = t.By
 		for i := range s.Tenants {
 			if s.Tenants[i].Name == t.Tenant {
-				r.SlowFor = i + 1
+				r.SlowTenant = i + 1
 			}
 		}
 	case "err":
-		r.Err = t.Fraction
+		r.ErrorFraction = t.Fraction
 	case "reset":
-		r.Reset = t.Fraction
+		r.ResetFraction = t.Fraction
 	case "lose":
-		r.Lose = t.Fraction
+		r.LostFraction = t.Fraction
 	case "spoil":
-		r.Spoil = t.Fraction
+		r.MalformedFraction = t.Fraction
 	case "cut":
 		r.LimitFraction = t.Fraction
 	}
 	if t.Every > 1 {
-		r.Every = t.Every
+		r.EveryNth = t.Every
 	}
 	r.OddForwarders = r.OddForwarders || t.OddForwarders
 }
@@ -119,24 +119,24 @@
 	case "hang":
 		to.EndHang()
 	case "silent":
-		if r.Silent--; r.Silent == 0 {
+		if r.Silences--; r.Silences == 0 {
 			to.Recover()
 		}
 	case "slow":
-		r.Slow, r.SlowFor = 0, 0
+		r.SlowFactor, r.SlowTenant = 0, 0
 	case "err":
-		r.Err = 0
+		r.ErrorFraction = 0
 	case "reset":
-		r.Reset = 0
+		r.ResetFraction = 0
 	case "lose":
-		r.Lose = 0
+		r.LostFraction = 0
 	case "spoil":
-		r.Spoil = 0
+		r.MalformedFraction = 0
 	case "cut":
 		r.LimitFraction = 0
 	}
-	if r.Err+r.Reset+r.Lose+r.Spoil == 0 {
-		r.Every, r.OddForwarders = 0, false
+	if r.ErrorFraction+r.ResetFraction+r.LostFraction+r.MalformedFraction == 0 {
+		r.EveryNth, r.OddForwarders = 0, false
 	}
 }
 
@@ -144,8 +144,8 @@
 func (d *simRun) replaceEndpoints(t *scenario.Fault) {
 	hit := d.affectedEndpoints(t)
 	if t.Kind == "drain" {
-		for _, target := range hit {
-			target.Fault.Draining = true
+		for _, endpoint := range hit {
+			endpoint.Fault.Draining = true
 		}
 		d.announce(hit)
 		d.After(drainTime, func() { d.removeEndpoints(hit, float64(t.For)) })
@@ -155,34 +155,34 @@
 }
 
 func (d *simRun) removeEndpoints(hit []*receiver.Endpoint, comes float64) {
-	for _, target := range hit {
-		target.Fault.Removed = true
+	for _, endpoint := range hit {
+		endpoint.Fault.Removed = true
 	}
 	d.announce(hit)
 	d.After(comes, func() {
 		var fresh []*receiver.Endpoint
-		for _, target := range hit {
-			fresh = append(fresh, target.Destination.AddEndpoint(target.Zone))
+		for _, endpoint := range hit {
+			fresh = append(fresh, endpoint.Destination.AddEndpoint(endpoint.Zone))
 		}
 		d.announce(fresh)
 	})
 }
 
 // announce tells all forwarders of changed endpoints, after the list's lag.
-func (d *simRun) announce(targets []*receiver.Endpoint) {
+func (d *simRun) announce(endpoints []*receiver.Endpoint) {
 	d.After(float64(d.scenario.ListLag)+float64(d.scenario.NetworkDelay), func() {
 		if d.listFaults > 0 { // it comes with the next change of the list, or when it comes again
-			d.After(1, func() { d.announce(targets) })
+			d.After(1, func() { d.announce(endpoints) })
 			return
 		}
-		for _, t := range targets {
+		for _, t := range endpoints {
 			if t.Fault.Draining || t.Fault.Removed {
 				d.log.EndpointDraining(t.Destination.Number, t.Number)
 			}
 		}
 		for _, n := range d.nodes {
 			if n.up {
-				n.updateEndpoints(targets)
+				n.updateEndpoints(endpoints)
 			}
 		}
 	})
--- a/lab/sim/node.go
+++ b/lab/sim/node.go
@@ -62,8 +62,8 @@
 	n.submissions, n.endpointByID, n.pendingCalls, n.openCalls = map[uint64]*submission{}, map[uint64]*knownEndpoint{}, nil, nil
 	n.policy = n.run.newPolicy(d.scenario.SchedulerSettings(n.number), n.seed+uint64(n.incarnation), d.Now(), n)
 	if p, ok := n.policy.(*baseline); ok && p.oracle {
-		p.inspect = func(door uint64) (bool, int) {
-			t := d.destinations[door>>32].Endpoints[uint32(door)]
+		p.inspect = func(id uint64) (bool, int) {
+			t := d.destinations[id>>32].Endpoints[uint32(id)]
 			return t.Ready(n.number), t.InService()
 		}
 	}
@@ -196,12 +196,12 @@
 	left := expiry - d.Now()
 	d.lastID++
 	id := d.lastID
-	doc := &audit.Message{ID: id, IdempotencyKey: e.idempotencyKey, Key: e.key, Type: e.typeIndex, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.idempotencyKey != 0,
+	message := &audit.Message{ID: id, IdempotencyKey: e.idempotencyKey, Key: e.key, Type: e.typeIndex, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.idempotencyKey != 0,
 		Destination: e.destination, Forwarder: n.number, SubmittedAt: d.Now(), Expiry: expiry}
 	if e.id == 0 {
 		e.id = id
 	}
-	doc.FirstID = e.id
+	message.FirstID = e.id
 	taken, back := n.policy.Admit(500, left)
 	if !taken {
 		e.refused++
@@ -209,7 +209,7 @@
 		d.resubmit(e, back)
 		return
 	}
-	d.log.MessageSubmitted(doc)
+	d.log.MessageSubmitted(message)
 	d.log.MessageAccepted(id)
 	d.effects[id] = e
 	d.result.Accepted++
@@ -302,14 +302,14 @@
 			return
 		}
 		c.arrived = true
-		docs := make([]receiver.Message, len(c.submissions))
+		messages := make([]receiver.Message, len(c.submissions))
 		for i, h := range c.submissions {
-			docs[i] = receiver.Message{ID: h.id, IdempotencyKey: h.effect.idempotencyKey, DeduplicationWindow: float64(h.effect.typ.DeduplicationWindow), DeduplicatedPerZone: h.effect.typ.Group == "zone",
+			messages[i] = receiver.Message{ID: h.id, IdempotencyKey: h.effect.idempotencyKey, DeduplicationWindow: float64(h.effect.typ.DeduplicationWindow), DeduplicatedPerZone: h.effect.typ.Group == "zone",
 				Tenant: h.effect.tenant}
 		}
-		c.received = &receiver.Call{Forwarder: n.number, Messages: docs, Answer: func(a receiver.Answer) {
-			for _, doc := range docs {
-				d.log.AttemptClosed(doc.ID, outcomeKnown(a.Code))
+		c.received = &receiver.Call{Forwarder: n.number, Messages: messages, Answer: func(a receiver.Answer) {
+			for _, message := range messages {
+				d.log.AttemptClosed(message.ID, outcomeKnown(a.Code))
 			}
 			d.After(rest, func() { n.do(func() { n.callEnded(c, a) }) })
 		}}
@@ -329,8 +329,8 @@
 	if at := c.received; at != nil {
 		d.After(float64(d.scenario.NetworkDelay), func() {
 			at.Cancel()
-			for _, doc := range at.Messages {
-				d.log.AttemptClosed(doc.ID, false)
+			for _, message := range at.Messages {
+				d.log.AttemptClosed(message.ID, false)
 			}
 		})
 	}
@@ -380,8 +380,8 @@
 
 // Send, Reject, Fail, CancelUnsent, CloseIdle, ReleaseEndpoint, Wake, WatchEndpoints and Log make a node a choice.Host.
 
-func (n *node) Send(doc *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
-	h, t := n.run.submissions[doc.ID], n.endpointByID[to.ID]
+func (n *node) Send(message *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
+	h, t := n.run.submissions[message.ID], n.endpointByID[to.ID]
 	h.recovered.Attempts++
 	h.attemptStart, h.attemptZone = n.run.Now(), t.model.Zone
 	n.run.result.Attempts++
@@ -397,11 +397,13 @@
 	n.pendingCalls = append(n.pendingCalls, &call{node: n, incarnation: n.incarnation, endpoint: t, submissions: []*submission{h}, timeout: timeout})
 }
 
-func (n *node) Reject(doc *scheduler.Message, comeBack float64) { n.finish(doc, "returned", comeBack) }
-func (n *node) Fail(doc *scheduler.Message)                     { n.finish(doc, "abandoned", 0) }
+func (n *node) Reject(message *scheduler.Message, comeBack float64) {
+	n.finish(message, "returned", comeBack)
+}
+func (n *node) Fail(message *scheduler.Message) { n.finish(message, "abandoned", 0) }
 
-func (n *node) finish(doc *scheduler.Message, what string, comeBack float64) {
-	h := n.run.submissions[doc.ID]
+func (n *node) finish(message *scheduler.Message, what string, comeBack float64) {
+	h := n.run.submissions[message.ID]
 	h.finished = true
 	if h.attemptStart == 0 {
 		delete(n.submissions, h.id)
@@ -446,11 +448,11 @@
 func (n *node) Log(line string) { n.run.result.ModeChanges++ }
 
 // updateEndpoints tells a forwarder of changed endpoints.
-func (n *node) updateEndpoints(targets []*receiver.Endpoint) {
+func (n *node) updateEndpoints(endpoints []*receiver.Endpoint) {
 	n.do(func() {
 		n.policy.SetTime(n.run.Now())
 		var lines []scheduler.EndpointUpdate
-		for _, t := range targets {
+		for _, t := range endpoints {
 			lines = append(lines, n.endpointUpdate(t))
 			if t.Fault.Draining || t.Fault.Removed {
 				n.endpoints[t.Destination.Number][t.Number].idleSince = nil
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -64,12 +64,12 @@
 		random: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Endpoint]*endpointServer{}, ctx: ctx}
 	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
 	d.log.Slack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
-	partners := rand.New(rand.NewPCG(seed, 3))
+	receiverRandom := rand.New(rand.NewPCG(seed, 3))
 	var list []emulator.Entry
 	for g := range s.Receivers {
 		p := &s.Receivers[g]
 		for range p.Count {
-			dest := receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &realRecorder{d.log, d})
+			dest := receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, receiverRandom, &realRecorder{d.log, d})
 			d.destinations, d.group = append(d.destinations, dest), append(d.group, g)
 			for _, t := range dest.Endpoints {
 				if err := d.openEndpoint(t); err != nil {
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -125,12 +125,12 @@
 	for i, id := range ids {
 		n, _ := strconv.ParseUint(id, 16, 64)
 		mark, _ := strconv.ParseUint(marks[i], 16, 64)
-		doc := receiver.Message{ID: n, IdempotencyKey: mark}
+		message := receiver.Message{ID: n, IdempotencyKey: mark}
 		if e := d.effects[n]; e != nil {
-			doc.Tenant, doc.DeduplicationWindow, doc.DeduplicatedPerZone = e.tenant, float64(e.typ.DeduplicationWindow), e.typ.Group == "zone"
+			message.Tenant, message.DeduplicationWindow, message.DeduplicatedPerZone = e.tenant, float64(e.typ.DeduplicationWindow), e.typ.Group == "zone"
 			call.Forwarder = d.submittedTo[n]
 		}
-		call.Messages = append(call.Messages, doc)
+		call.Messages = append(call.Messages, message)
 	}
 	ep.model.Accept(call)
 	d.mu.Unlock()
@@ -152,10 +152,10 @@
 		ep.model.ForwarderSawFailure(call.Forwarder)
 	}
 	if a.Code == transport.ResultOK {
-		for _, doc := range call.Messages {
-			if d.effects[doc.ID] != nil && !d.log.Answered(doc.ID) { // a notice may have crossed it, which does no harm
-				d.log.FinalAnswer(doc.ID, "delivered")
-				d.deliveredToForwarder[doc.ID] = true
+		for _, message := range call.Messages {
+			if d.effects[message.ID] != nil && !d.log.Answered(message.ID) { // a notice may have crossed it, which does no harm
+				d.log.FinalAnswer(message.ID, "delivered")
+				d.deliveredToForwarder[message.ID] = true
 			}
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 func (d *realRun) attemptsClosed(c *receiver.Call, known bool) {
-	for _, doc := range c.Messages {
-		d.log.AttemptClosed(doc.ID, known)
+	for _, message := range c.Messages {
+		d.log.AttemptClosed(message.ID, known)
 	}
 }
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -53,12 +53,12 @@
 		default:
 			d.After(at, func() {
 				hit := sim.affectedEndpoints(t)
-				for _, target := range hit {
-					beginFault(target, t, d.scenario)
+				for _, endpoint := range hit {
+					beginFault(endpoint, t, d.scenario)
 				}
 				d.After(lasts, func() {
-					for _, target := range hit {
-						endFault(target, t)
+					for _, endpoint := range hit {
+						endFault(endpoint, t)
 					}
 				})
 			})
@@ -66,12 +66,12 @@
 	}
 }
 
-func (d *realRun) announce(targets []*receiver.Endpoint, draining, left bool) {
-	for _, t := range targets {
+func (d *realRun) announce(endpoints []*receiver.Endpoint, draining, left bool) {
+	for _, t := range endpoints {
 		t.Fault.Draining, t.Fault.Removed = draining, left
 	}
 	d.After(float64(d.scenario.ListLag), func() {
-		for _, t := range targets {
+		for _, t := range endpoints {
 			d.log.EndpointDraining(t.Destination.Number, t.Number)
 			d.discovery.Set(d.entry(t))
 		}
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -17,7 +17,7 @@
 
 // Policy decides for one forwarder. The scheduler is one; so are the baselines.
 type Policy interface {
-	NewDestination(door uint64) *scheduler.Destination
+	NewDestination(id uint64) *scheduler.Destination
 	UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate)
 	Admit(size int, left float64) (taken bool, comeBack float64)
 	Accept(d *scheduler.Message, typ int, left float64)
@@ -29,11 +29,11 @@
 }
 
 // Maker makes the policy of a forwarder.
-type Maker func(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
+type Maker func(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
 
 // SchedulerPolicy is the scheduler.
-func SchedulerPolicy(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
-	return scheduler.New(terms, seed, now, host)
+func SchedulerPolicy(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
+	return scheduler.New(settings, seed, now, host)
 }
 
 const (
@@ -98,11 +98,11 @@
 	d.Set(startTime)
 	d.result = newResult(s, seed)
 	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
-	partners := rand.New(rand.NewPCG(seed, 3))
+	receiverRandom := rand.New(rand.NewPCG(seed, 3))
 	for g := range s.Receivers {
 		p := &s.Receivers[g]
 		for range p.Count {
-			d.destinations = append(d.destinations, receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, partners, &recorder{d.log, d}))
+			d.destinations = append(d.destinations, receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, receiverRandom, &recorder{d.log, d}))
 			d.group = append(d.group, g)
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 // planArrivals draws what clients want on a day.
-func planArrivals(s *scenario.Scenario, dice *rand.Rand) []*effect {
+func planArrivals(s *scenario.Scenario, random *rand.Rand) []*effect {
 	shape := s.Shape()
 	for i := range shape {
 		shape[i].At += startTime
@@ -158,7 +158,7 @@
 	end := startTime + float64(s.Length)
 	moments := load.Even(shape, end)
 	if s.Load.Arrivals == "poisson" {
-		moments = load.Poisson(shape, end, dice)
+		moments = load.Poisson(shape, end, random)
 	}
 	moments.StartAt(startTime)
 	var weights, parts, shares []float64
@@ -177,15 +177,15 @@
 	var all []*effect
 	one := func(at float64, dest, tenant int, key uint64) {
 		e := &effect{submittedAt: at, destination: dest, tenant: tenant}
-		e.typeIndex = types.Pick(dice)
+		e.typeIndex = types.Pick(random)
 		e.typ = &s.Types[e.typeIndex]
 		e.expiry = at + float64(e.typ.TimeToLive)
 		if e.typ.Idempotency == "numbered" {
-			e.idempotencyKey = dice.Uint64() | 1
+			e.idempotencyKey = random.Uint64() | 1
 		}
 		if e.typ.InOrder {
 			if e.key = key; key == 0 { // a key belongs to a destination
-				e.key = uint64(dest+1)<<32 | uint64(e.typeIndex)<<24 | uint64(dice.IntN(e.typ.Keys)+1)
+				e.key = uint64(dest+1)<<32 | uint64(e.typeIndex)<<24 | uint64(random.IntN(e.typ.Keys)+1)
 			}
 		}
 		all = append(all, e)
@@ -194,20 +194,20 @@
 		if len(s.Tenants) == 0 {
 			return 0
 		}
-		return tenants.Pick(dice)
+		return tenants.Pick(random)
 	}
 	for {
 		at, more := moments.Next()
 		if !more {
 			break
 		}
-		one(at, dests.Pick(dice), tenant(), 0)
+		one(at, dests.Pick(random), tenant(), 0)
 	}
 	for i, c := range s.Load.Bursts {
 		for range c.Count {
 			dest, who, key := c.Destination, tenant(), uint64(0)
 			if dest < 0 {
-				dest = dests.Pick(dice)
+				dest = dests.Pick(random)
 			}
 			for t := range s.Tenants {
 				if s.Tenants[t].Name == c.Tenant {
@@ -225,11 +225,11 @@
 }
 
 // forwarderFor is the forwarder to which a client goes: any, but for a key always the same, as forwarders share nothing.
-func forwarderFor(e *effect, dice *rand.Rand, forwarders int) int {
+func forwarderFor(e *effect, random *rand.Rand, forwarders int) int {
 	if e.key != 0 {
 		return int((e.key * 0x9e3779b97f4a7c15 >> 33) % uint64(forwarders))
 	}
-	return dice.IntN(forwarders)
+	return random.IntN(forwarders)
 }
 
 // nextForwarder is the one to which it goes when that one is not there.
@@ -271,11 +271,11 @@
 }
 
 // resubmission tells if a client hands an effect in anew, after what time, and with what expiry.
-func (e *effect) resubmission(s *scenario.Scenario, now, comeBack float64, dice *rand.Rand) (expiry, wait float64, comes bool) {
+func (e *effect) resubmission(s *scenario.Scenario, now, comeBack float64, random *rand.Rand) (expiry, wait float64, comes bool) {
 	if expiry = e.expiry; e.idempotencyKey != 0 {
 		expiry = min(expiry, e.submittedAt+float64(e.typ.DeduplicationWindow))
 	}
-	wait = comeBack + 0.1 + 0.2*dice.Float64()
+	wait = comeBack + 0.1 + 0.2*random.Float64()
 	return expiry, wait, s.Resubmit && !e.done && now+wait+0.05 < expiry
 }
 
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -68,7 +68,7 @@
 		scene string
 		rule  audit.Rule
 	}{{overlapsAttempts, "calm", audit.RuleNoDoubleEffect}, {breaksKeyOrder, "one-partner-hangs", audit.RuleKeyOrder}, {ignoresRetryAfter, "limits-cut", audit.RuleRetryAfterHeeded},
-		{callsDraining, "drains", audit.RuleDrainsKept}, {answersTwice, "one-partner-hangs", audit.RuleOneAnswer}, {neverAnswers, "one-partner-hangs", audit.RuleOneAnswer},
+		{callsDraining, "drains", audit.RuleDrainObserved}, {answersTwice, "one-partner-hangs", audit.RuleOneAnswer}, {neverAnswers, "one-partner-hangs", audit.RuleOneAnswer},
 		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {behaves, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
 		var s *scenario.Scenario
 		if c.scene == "drains" {
@@ -78,8 +78,8 @@
 			s = kept(t, c.scene)
 		}
 		make := func(fault misbehavior) Maker {
-			return func(terms scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
-				p := newBaseline(terms, now, h)
+			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
+				p := newBaseline(settings, now, h)
 				p.misbehavior = fault
 				return p
 			}
@@ -126,25 +126,25 @@
 
 // random draws a scene: some receivers, some troubles.
 func random(base *scenario.Scenario, seed uint64) *scenario.Scenario {
-	dice := rand.New(rand.NewPCG(seed, 9))
+	random := rand.New(rand.NewPCG(seed, 9))
 	s := *base
-	s.Length, s.Drain, s.Zones = 20, 20, 1+dice.IntN(2)
-	s.Dispatch.Forwarders = 1 + dice.IntN(4)
-	s.Dispatch.ConcurrencyLimit = 4 + dice.IntN(20)
-	s.Load.PerSecond = 5 + 60*dice.Float64()
+	s.Length, s.Drain, s.Zones = 20, 20, 1+random.IntN(2)
+	s.Dispatch.Forwarders = 1 + random.IntN(4)
+	s.Dispatch.ConcurrencyLimit = 4 + random.IntN(20)
+	s.Load.PerSecond = 5 + 60*random.Float64()
 	s.Receivers = append([]scenario.Receiver(nil), base.Receivers...)
 	for i := range s.Receivers {
 		p := &s.Receivers[i]
-		p.Endpoints, p.EndpointLimits, p.ReportsLimit = 1+dice.IntN(3), dice.IntN(3) == 0, dice.IntN(2) == 0
-		if dice.IntN(3) == 0 {
+		p.Endpoints, p.EndpointLimits, p.ReportsLimit = 1+random.IntN(3), random.IntN(3) == 0, random.IntN(2) == 0
+		if random.IntN(3) == 0 {
 			p.Calls, p.Window, p.ReportsRetryAfter = 20, 2, true
 		}
 	}
 	kinds := []string{"refuse", "hang", "silent", "slow", "err", "reset", "lose", "spoil", "reap", "cut", "drain", "stall", "restart", "move"}
 	s.Faults = nil
-	for range dice.IntN(4) {
-		s.Faults = append(s.Faults, scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: config.Duration(4 + 8*dice.Float64()), For: config.Duration(1 + 7*dice.Float64()),
-			Destinations: []int{dice.IntN(8)}, Fraction: 0.2 + 0.6*dice.Float64(), By: 3})
+	for range random.IntN(4) {
+		s.Faults = append(s.Faults, scenario.Fault{Kind: kinds[random.IntN(len(kinds))], At: config.Duration(4 + 8*random.Float64()), For: config.Duration(1 + 7*random.Float64()),
+			Destinations: []int{random.IntN(8)}, Fraction: 0.2 + 0.6*random.Float64(), By: 3})
 	}
 	return &s
 }
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -40,11 +40,11 @@
 	count       int
 }
 
-func (c *startsInStandstill) make(terms scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
+func (c *startsInStandstill) make(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	if now > startTime+c.from && now < startTime+c.until {
 		c.count++
 	}
-	return SchedulerPolicy(terms, seed, now, host)
+	return SchedulerPolicy(settings, seed, now, host)
 }
 
 // A standstill is the forwarder's, not one process's: no process begins in it, whatever comes first.
