--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -1,13 +1,17 @@
-// Package clock is simulated time: a queue of what is to happen.
+// Package clock is simulated time: a queue of functions, each with the moment at which it runs.
 package clock
 
-// Queue is what is to happen, in order of time; what is for one moment happens in the order of its asking.
+// Queue runs functions in order of time; those of one moment run in the order in which they were added. The zero value is
+// an empty queue at 0. It is not safe for concurrent use.
 type Queue struct {
 	heap []event
 	seq  uint64
 	now  float64
 }
 
+// heapWidth is how many children a node of the heap has.
+const heapWidth = 4
+
 type event struct {
 	at  float64
 	seq uint64
@@ -19,57 +23,57 @@
 // Now is the present moment, in seconds.
 func (q *Queue) Now() float64 { return q.now }
 
-// RetryAfter lets something happen after a time.
+// After adds a function that runs after so many seconds; now if that is below 0.
 func (q *Queue) After(in float64, do func()) { q.At(q.now+max(0, in), do) }
 
-// At lets something happen at a moment, now if that is past.
+// At adds a function that runs at a moment, now if that is past.
 func (q *Queue) At(at float64, do func()) {
 	q.seq++
 	q.heap = append(q.heap, event{max(at, q.now), q.seq, do})
 	h := q.heap
 	i := len(h) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !h[i].before(&h[up]) {
+		parent := (i - 1) / heapWidth
+		if !h[i].before(&h[parent]) {
 			break
 		}
-		h[i], h[up] = h[up], h[i]
-		i = up
+		h[i], h[parent] = h[parent], h[i]
+		i = parent
 	}
 }
 
-// Step lets the next thing happen, false if there is none up to a moment.
+// Step runs the next function, false if there is none up to a moment.
 func (q *Queue) Step(until float64) bool {
 	if len(q.heap) == 0 || q.heap[0].at > until {
 		return false
 	}
 	h := q.heap
-	first := h[0]
+	next := h[0]
 	last := len(h) - 1
 	h[0] = h[last]
 	h[last] = event{}
 	h = h[:last]
 	q.heap = h
 	for i := 0; ; {
-		least := i
-		for c := 4*i + 1; c <= 4*i+4 && c < last; c++ {
-			if h[c].before(&h[least]) {
-				least = c
+		first := i
+		for child := heapWidth*i + 1; child <= heapWidth*i+heapWidth && child < last; child++ {
+			if h[child].before(&h[first]) {
+				first = child
 			}
 		}
-		if least == i {
+		if first == i {
 			break
 		}
-		h[i], h[least] = h[least], h[i]
-		i = least
+		h[i], h[first] = h[first], h[i]
+		i = first
 	}
-	q.now = first.at
-	first.do()
+	q.now = next.at
+	next.do()
 	return true
 }
 
-// Set begins at, or goes on to, a moment at which nothing happens.
+// Set sets the present moment. No function may be due before it.
 func (q *Queue) Set(now float64) { q.now = now }
 
-// Events is how many things have been asked for.
+// Events is how many functions have been added.
 func (q *Queue) Events() uint64 { return q.seq }
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -454,7 +454,7 @@
 			fmt.Fprintln(w, "COUNTED\tP50\tP90\tP99\tP99.9\tMOST")
 			for _, x := range []struct {
 				name string
-				t    load.Times
+				t    load.Latencies
 			}{{"from the intended moment", rep.Intended}, {"from the sending, as a closed loop", rep.Naive}} {
 				fmt.Fprintf(w, "%s\t%.4f s\t%.4f s\t%.4f s\t%.4f s\t%.4f s\n", x.name, x.t.P50, x.t.P90, x.t.P99, x.t.P999, x.t.Max)
 			}
--- a/lab/load/arrive.go
+++ b/lab/load/arrivals.go
@@ -1,5 +1,5 @@
-// Package load makes open-loop load: when messages arrive is drawn beforehand and waits for nobody. A forwarder that
-// stalls is charged for every arrival that it did not serve.
+// Package load generates open-loop load: when messages arrive is drawn beforehand and depends on no answer. A forwarder
+// that stalls is charged for every arrival that it did not serve.
 package load
 
 import (
@@ -9,13 +9,13 @@
 	"slices"
 )
 
-// Point is a rate at a moment; between two points the rate goes in a straight line.
+// Point is a rate, per second, at a moment in seconds; between two points the rate is interpolated linearly.
 type Point struct{ At, Rate float64 }
 
-// Shape is a rate over time. Before the first point and after the last it stays as there.
+// Shape is a rate over time. Before the first point and after the last it is constant.
 type Shape []Point
 
-// Rate is the rate at a moment.
+// Rate is the rate at a moment; 0 for an empty shape.
 func (s Shape) Rate(at float64) float64 {
 	if len(s) == 0 {
 		return 0
@@ -39,7 +39,7 @@
 	return a.Rate + (b.Rate-a.Rate)*(at-a.At)/(b.At-a.At)
 }
 
-// Check names what is wrong with a shape.
+// Check returns an error that names what is wrong with a shape, nil if it is sound.
 func (s Shape) Check() error {
 	for i, p := range s {
 		switch {
@@ -55,23 +55,24 @@
 // Arrivals are moments drawn from a shape.
 type Arrivals struct {
 	shape  Shape
-	random *rand.Rand // nil: evenly
+	random *rand.Rand // nil: at even distances
 	at     float64
 	end    float64
 }
 
-// Even makes arrivals at even distances, Poisson ones at random.
+// Even makes arrivals at even distances, up to a moment.
 func Even(s Shape, end float64) *Arrivals { return &Arrivals{shape: s, end: end} }
 
-// Poisson makes arrivals at random.
+// Poisson makes arrivals at random, up to a moment.
 func Poisson(s Shape, end float64, random *rand.Rand) *Arrivals {
 	return &Arrivals{shape: s, end: end, random: random}
 }
 
-// Forwarder begins at a moment other than 0.
+// StartAt begins at a moment other than 0.
 func (a *Arrivals) StartAt(at float64) { a.at = at }
 
-// Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, not stepped.
+// Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, and no steps of
+// time are taken.
 func (a *Arrivals) Next() (float64, bool) {
 	area := 1.0
 	if a.random != nil {
@@ -87,8 +88,8 @@
 		}
 		r0, r1 := a.shape.Rate(a.at), a.shape.before(next)
 		width := next - a.at
-		if whole := (r0 + r1) / 2 * width; whole < area {
-			area -= whole
+		if segment := (r0 + r1) / 2 * width; segment < area {
+			area -= segment
 			a.at = next
 			continue
 		}
@@ -118,45 +119,3 @@
 	}
 	return s.Rate(at)
 }
-
-// Picker picks one of many by weights, heavy-tailed if wanted, with a binary search.
-type Picker struct{ sums []float64 }
-
-// Zipf weighs the i-th of n as 1/(i+1)^s; s of 0 weighs all alike.
-func Zipf(n int, s float64) Picker {
-	w := make([]float64, n)
-	for i := range w {
-		w[i] = math.Pow(float64(i+1), -s)
-	}
-	return Weighted(w)
-}
-
-// Weighted picks by given weights.
-func Weighted(w []float64) Picker {
-	p := Picker{make([]float64, len(w))}
-	sum := 0.0
-	for i, x := range w {
-		sum += x
-		p.sums[i] = sum
-	}
-	return p
-}
-
-// Weights are those of each number, summing up to one.
-func (p Picker) Weights() []float64 {
-	w, before := make([]float64, len(p.sums)), 0.0
-	for i, s := range p.sums {
-		w[i], before = (s-before)/p.sums[len(p.sums)-1], s
-	}
-	return w
-}
-
-// Pick draws a number below n.
-func (p Picker) Pick(random *rand.Rand) int {
-	x := random.Float64() * p.sums[len(p.sums)-1]
-	i, found := slices.BinarySearch(p.sums, x)
-	if found {
-		i++
-	}
-	return min(i, len(p.sums)-1)
-}
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Generator makes messages at drawn moments, for destinations and tenants with heavy tails.
+// Generator makes messages at drawn moments, for destinations and tenants drawn by weight. It is a Source.
 type Generator struct {
 	Arrivals *Arrivals
 	Random   *rand.Rand
@@ -24,10 +24,10 @@
 	Tenant   Picker
 	Types    []string
 	Keys     int  // ordering keys in use at once; 0: none
-	Numbers  bool // each message gets a number of its own
+	Numbers  bool // each message gets an idempotency key of its own
 }
 
-// Next makes the next message.
+// Next makes the next message, false after the last arrival.
 func (d *Generator) Next() (Message, bool) {
 	at, more := d.Arrivals.Next()
 	if !more {
@@ -46,20 +46,21 @@
 	return message, true
 }
 
-// Trace is a recorded load, read as it is played. Its times are divided by Speed.
+// Trace is a recorded load, read as it is played. Its times are divided by Speed. It is a Source.
 type Trace struct {
 	Speed float64
+	Err   error // what ended the trace, nil for its end
+
 	next  func() (Message, error)
 	first float64
 	began bool
 	last  float64
 	line  int
-	Err   error // what ended the trace, if not its end
 	file  io.Closer
 }
 
-// Open opens a trace: JSON lines (.jsonl) or CSV with a head (.csv), with the fields of Doc. Latencies are in seconds, in
-// order, from any beginning.
+// Open opens a trace: CSV with a head (.csv), else JSON lines, with the fields of Message. Times are in seconds, in order,
+// from any beginning. speed is how many times as fast it is played. The caller closes the trace.
 func Open(path string, speed float64) (*Trace, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
 		return nil, fmt.Errorf("speed: %v is not over 0", speed)
@@ -77,72 +78,92 @@
 	return t, nil
 }
 
-// BlockUntil lets go of the file.
+// Close closes the file.
 func (t *Trace) Close() error { return t.file.Close() }
 
-func newTrace(r io.Reader, commas bool, speed float64) (*Trace, error) {
+func newTrace(r io.Reader, isCSV bool, speed float64) (*Trace, error) {
 	t := &Trace{Speed: speed}
-	if !commas {
-		in := bufio.NewScanner(r)
-		in.Buffer(nil, 1<<20)
-		t.next = func() (Message, error) {
-			var d Message
-			for in.Scan() {
-				t.line++
-				if strings.TrimSpace(in.Text()) == "" {
-					continue
-				}
-				dec := json.NewDecoder(strings.NewReader(in.Text()))
-				dec.DisallowUnknownFields()
-				return d, dec.Decode(&d)
-			}
-			if in.Err() != nil {
-				return d, in.Err()
+	if !isCSV {
+		t.next = t.jsonLines(r)
+		return t, nil
+	}
+	next, err := t.csvRows(r)
+	if err != nil {
+		return nil, err
+	}
+	t.next = next
+	return t, nil
+}
+
+// maxLineBytes is how long a line of JSON may be.
+const maxLineBytes = 1 << 20
+
+// jsonLines reads a message from each line.
+func (t *Trace) jsonLines(r io.Reader) func() (Message, error) {
+	in := bufio.NewScanner(r)
+	in.Buffer(nil, maxLineBytes)
+	return func() (Message, error) {
+		var m Message
+		for in.Scan() {
+			t.line++
+			if strings.TrimSpace(in.Text()) == "" {
+				continue
 			}
-			return d, io.EOF
+			decoder := json.NewDecoder(strings.NewReader(in.Text()))
+			decoder.DisallowUnknownFields()
+			return m, decoder.Decode(&m)
 		}
-		return t, nil
+		if in.Err() != nil {
+			return m, in.Err()
+		}
+		return m, io.EOF
 	}
+}
+
+// columns set a message's fields from CSV.
+var columns = map[string]func(m *Message, v string) error{
+	"at":     func(m *Message, v string) (err error) { m.At, err = strconv.ParseFloat(v, 64); return },
+	"dest":   func(m *Message, v string) (err error) { m.Destination, err = strconv.ParseUint(v, 10, 32); return },
+	"life":   func(m *Message, v string) (err error) { m.TimeToLive, err = strconv.ParseFloat(v, 64); return },
+	"bytes":  func(m *Message, v string) (err error) { m.Bytes, err = strconv.Atoi(v); return },
+	"type":   func(m *Message, v string) error { m.Type = v; return nil },
+	"tenant": func(m *Message, v string) error { m.Tenant = v; return nil },
+	"key":    func(m *Message, v string) error { m.Key = v; return nil },
+	"number": func(m *Message, v string) error { m.IdempotencyKey = v; return nil },
+}
+
+// csvRows reads the head and then a message from each row.
+func (t *Trace) csvRows(r io.Reader) (func() (Message, error), error) {
 	in := csv.NewReader(r)
 	head, err := in.Read()
 	t.line = 1
 	if err != nil {
 		return nil, fmt.Errorf("line 1: %w", err)
 	}
-	set := map[string]func(d *Message, v string) error{
-		"at":     func(d *Message, v string) (err error) { d.At, err = strconv.ParseFloat(v, 64); return },
-		"dest":   func(d *Message, v string) (err error) { d.Destination, err = strconv.ParseUint(v, 10, 32); return },
-		"life":   func(d *Message, v string) (err error) { d.TimeToLive, err = strconv.ParseFloat(v, 64); return },
-		"bytes":  func(d *Message, v string) (err error) { d.Bytes, err = strconv.Atoi(v); return },
-		"type":   func(d *Message, v string) error { d.Type = v; return nil },
-		"tenant": func(d *Message, v string) error { d.Tenant = v; return nil },
-		"key":    func(d *Message, v string) error { d.Key = v; return nil },
-		"number": func(d *Message, v string) error { d.IdempotencyKey = v; return nil }}
-	for _, h := range head {
-		if set[h] == nil {
-			return nil, fmt.Errorf("line 1: unknown column %q", h)
+	for _, name := range head {
+		if columns[name] == nil {
+			return nil, fmt.Errorf("line 1: unknown column %q", name)
 		}
 	}
-	t.next = func() (d Message, err error) {
+	return func() (m Message, err error) {
 		row, err := in.Read()
 		if err != nil {
-			return d, err
+			return m, err
 		}
 		t.line++
 		for i, v := range row {
 			if v == "" {
 				continue
 			}
-			if err := set[head[i]](&d, v); err != nil {
-				return d, fmt.Errorf("%s: %w", head[i], err)
+			if err := columns[head[i]](&m, v); err != nil {
+				return m, fmt.Errorf("%s: %w", head[i], err)
 			}
 		}
-		return d, nil
-	}
-	return t, nil
+		return m, nil
+	}, nil
 }
 
-// Next is the next message of the trace.
+// Next is the next message of the trace, false after its end or an error, which Err tells.
 func (t *Trace) Next() (Message, bool) {
 	if t.Err != nil {
 		return Message{}, false
