--- /dev/null
+++ b/lab/scenario/read.go
@@ -0,0 +1,101 @@
+package scenario
+
+import (
+	"embed"
+	"fmt"
+	"os"
+	"strings"
+
+	"spanflow/internal/config"
+)
+
+const (
+	builtinFolder  = "scenes"
+	findingsFolder = "found"
+	fileSuffix     = ".toml"
+)
+
+//go:embed scenes found
+var embedded embed.FS
+
+// Builtin are the names of the scenarios that come with the laboratory.
+func Builtin() []string { return names(builtinFolder) }
+
+// Findings are the names of the scenarios that earlier searches found and that are kept as regression tests.
+func Findings() []string { return names(findingsFolder) }
+
+func names(folder string) []string {
+	entries, _ := embedded.ReadDir(folder)
+	var names []string
+	for _, e := range entries {
+		names = append(names, strings.TrimSuffix(e.Name(), fileSuffix))
+	}
+	return names
+}
+
+// Read reads a built-in scenario or a finding by its name, else a scenario from a file.
+func Read(name string) (*Scenario, error) {
+	for _, folder := range []string{builtinFolder, findingsFolder} {
+		if text, err := embedded.ReadFile(folder + "/" + name + fileSuffix); err == nil {
+			return Parse(name+fileSuffix, text)
+		}
+	}
+	text, err := os.ReadFile(name)
+	if err != nil {
+		return nil, fmt.Errorf("%s is no file and no built-in scenario (%s)", name, strings.Join(Builtin(), ", "))
+	}
+	return Parse(name, text)
+}
+
+// Parse reads a scenario's text; path is for errors. The error is config.Problems where the text is understood but wrong.
+func Parse(path string, text []byte) (*Scenario, error) {
+	s := &Scenario{
+		Seed:         1,
+		Length:       60,
+		Drain:        30,
+		Zones:        1,
+		NetworkDelay: 0.002,
+		Resubmit:     true,
+		Dispatch:     config.Defaults().Dispatch,
+		Load:         Load{Arrivals: ArrivalsPoisson},
+	}
+	if err := config.Decode(path, text, s); err != nil {
+		return nil, err
+	}
+	s.applyDefaults()
+	if problems := s.Check(); len(problems) > 0 {
+		for i := range problems {
+			problems[i].File = path
+		}
+		return nil, problems
+	}
+	return s, nil
+}
+
+// applyDefaults fills in what the text leaves out of each type, tenant and receiver.
+func (s *Scenario) applyDefaults() {
+	for i := range s.Types {
+		t := &s.Types[i]
+		config.Or(&t.Group, KnownInAllZones)
+		config.Or(&t.LoadWeight, 1)
+		config.Or(&t.Value, 1)
+		config.Or(&t.Keys, 1000)
+	}
+	for i := range s.Tenants {
+		config.Or(&s.Tenants[i].LoadWeight, 1)
+	}
+	for i := range s.Receivers {
+		r := &s.Receivers[i]
+		config.Or(&r.Count, 1)
+		config.Or(&r.Endpoints, 1)
+		config.Or(&r.Batch, 1)
+		config.Or(&r.Service, ServiceLognormal)
+		if r.Service == ServiceLognormal {
+			config.Or(&r.Sigma, 0.5)
+		}
+		config.Or(&r.Concurrency, 4)
+		config.Or(&r.LoadWeight, 1)
+		config.Or(&r.OverloadDowntime, 5)
+		config.Or(&r.OverloadWindow, 1.5)
+	}
+}
--- a/lab/scenario/scene_test.go
+++ b/lab/scenario/scenario_test.go
@@ -22,8 +22,8 @@
 	text, err := os.ReadFile("scenes/one-partner-hangs.toml")
 	require.NoError(t, err)
 	for _, c := range []struct{ old, new, says string }{
-		{`kind = "hang"`, `kind = "hangs"`, `x.toml: troubles[0].kind: unknown trouble "hangs"`},
-		{`kind = "hang"`, `kind = "lose"`, "troubles[0].share: is not told"},
+		{`kind = "hang"`, `kind = "hangs"`, `x.toml: troubles[0].kind: unknown fault "hangs"`},
+		{`kind = "hang"`, `kind = "lose"`, "troubles[0].share: is missing"},
 		{`dest = [0]`, `dest = [99]`, "there is no destination 99"},
 		{`mean = "60ms"`, `maen = "60ms"`, "unknown key; mean may be meant"},
 		{`per_second = 40`, `per_second = 0`, "load.per_second: 0 is not a rate"},
@@ -36,5 +36,5 @@
 		require.ErrorContains(t, err, c.says)
 	}
 	_, err = Read("nowhere")
-	require.ErrorContains(t, err, "no kept scene (calm")
+	require.ErrorContains(t, err, "no built-in scenario (calm")
 }
