--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -7,36 +7,40 @@
 	"spanflow/scheduler"
 )
 
-// Baselines to compare the scheduler with. They are for the laboratory only. The oracle sees the true state of all
-// endpoints and is a ceiling that may be out of reach.
+// Baselines are policies to compare the scheduler with, by name. They are for the laboratory only. The oracle sees the
+// true state of all endpoints and is a ceiling that may be out of reach.
 var Baselines = map[string]Maker{
-	"fifo": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		return newBaseline(t, now, h)
-	},
-	"backoff": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newBaseline(t, now, h)
-		p.backoff = true
-		return p
-	},
-	"bucket": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newBaseline(t, now, h)
-		p.backoff, p.bucket = true, true
-		return p
-	},
-	"oracle": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newBaseline(t, now, h)
-		p.oracle = true
-		return p
-	},
-	"least-loaded": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newBaseline(t, now, h)
-		p.backoff, p.leastLoaded = true, true
-		return p
-	},
+	"fifo":         baselineMaker(func(*baseline) {}),
+	"backoff":      baselineMaker(func(b *baseline) { b.backoff = true }),
+	"bucket":       baselineMaker(func(b *baseline) { b.backoff, b.bucket = true, true }),
+	"oracle":       baselineMaker(func(b *baseline) { b.oracle = true }),
+	"least-loaded": baselineMaker(func(b *baseline) { b.backoff, b.leastLoaded = true, true }),
 }
 
-// baseline sends messages in the order of their coming and repeats what may be repeated. It heeds waits, drains, the order
-// of keys and what must not run twice; of cold returns and limits it knows nothing.
+// baselineMaker makes baselines with a variation.
+func baselineMaker(vary func(*baseline)) Maker {
+	return func(settings scheduler.Settings, _ uint64, now float64, host scheduler.Host) Policy {
+		b := newBaseline(settings, now, host)
+		vary(b)
+		return b
+	}
+}
+
+// Times in seconds, rates per second.
+const (
+	baselineTimeout    = 2.0  // of an attempt
+	baselineRetryDelay = 0.1  // before an attempt after one that failed; with backoff it doubles
+	baselineTick       = 0.02 // between two looks at what is held
+	minAdmissionTime   = 0.1  // that a message needs to be admitted
+	minAttemptTime     = 0.05 // that a message needs for a further attempt
+	maxBackoffDoubling = 5
+	initialAnswerRate  = 5.0 // of a destination, for bucket
+	bucketBurst        = 4.0
+	bucketGrowth       = 1.25 // over the rate at which a destination answers
+)
+
+// baseline sends messages in the order of their coming and retries what may be retried. It heeds retry-afters, drains, the
+// order of keys and what must not be executed twice; of slow starts and limits it knows nothing.
 type baseline struct {
 	settings     scheduler.Settings
 	host         scheduler.Host
@@ -46,11 +50,11 @@
 	destinations map[uint64]*baselineDestination
 	openCalls    int
 	timerSet     bool
-	backoff      bool // repeats wait twice as long each time
+	backoff      bool // retries wait twice as long each time
 	bucket       bool // a destination gets at most as many calls a second as it answered of late, and a quarter more
-	leastLoaded  bool // the endpoint with the fewest calls out, not the next in turn
-	oracle       bool // sends only what would be worked on at once and answered well
-	inspect      func(id uint64) (ready bool, busy int)
+	leastLoaded  bool // the endpoint with the fewest open calls, not the next in turn
+	oracle       bool // sends only what would be executed at once and answered well
+	inspect      func(id uint64) (ready bool, inService int)
 	misbehavior  misbehavior
 }
 
@@ -71,10 +75,10 @@
 
 type baselineDestination struct {
 	endpoints  []*baselineEndpoint
-	next       int
+	next       int // of the endpoints, in turn
 	tokens     float64
 	refilledAt float64
-	rate       float64
+	rate       float64 // of its answers
 	keyQueues  map[uint64][]*baselineMessage
 }
 
@@ -83,7 +87,7 @@
 	state        scheduler.EndpointState
 	openCalls    int
 	zone         int
-	blockedUntil float64 // told to wait
+	blockedUntil float64 // by a retry-after
 	ownLimits    bool
 	batchSize    int     // messages that one call carries at most
 	callStarted  float64 // when the latest call began; what is sent at the same moment joins it
@@ -96,254 +100,154 @@
 	expiry          float64
 	openAttempts    int
 	attempts        int
-	firstRanAt      float64
-	zone            int
-	notBefore       float64
+	firstRanAt      float64 // when it may first have been executed; 0: never
+	zone            int     // of that execution
+	notBefore       float64 // for a further attempt
 	done            bool
-	endpoint        *baselineEndpoint
+	endpoint        *baselineEndpoint // of the attempt that is out
 	keyBlockedUntil float64
 }
 
-const baselineTimeout = 2.0
-
-func newBaseline(t scheduler.Settings, now float64, h scheduler.Host) *baseline {
-	return &baseline{settings: t, host: h, now: now, messageByID: map[uint64]*baselineMessage{}, destinations: map[uint64]*baselineDestination{}}
+func newBaseline(settings scheduler.Settings, now float64, host scheduler.Host) *baseline {
+	return &baseline{settings: settings, host: host, now: now, messageByID: map[uint64]*baselineMessage{},
+		destinations: map[uint64]*baselineDestination{}}
 }
 
-func (p *baseline) NewDestination(id uint64) *scheduler.Destination {
-	p.destinations[id] = &baselineDestination{keyQueues: map[uint64][]*baselineMessage{}, rate: 5, refilledAt: p.now}
+// NewDestination makes a destination.
+func (b *baseline) NewDestination(id uint64) *scheduler.Destination {
+	b.destinations[id] = &baselineDestination{keyQueues: map[uint64][]*baselineMessage{}, rate: initialAnswerRate, refilledAt: b.now}
 	return &scheduler.Destination{ID: id}
 }
 
-func (p *baseline) UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate) {
-	for _, l := range lines {
-		d := p.destinations[l.Destination.ID]
-		var t *baselineEndpoint
-		for _, o := range d.endpoints {
-			if o.handle == l.Endpoint {
-				t = o
-			}
-		}
-		if t == nil {
-			t = &baselineEndpoint{handle: l.Endpoint, zone: l.Zone, ownLimits: l.Kind < len(p.settings.KindEndpointLimits) && p.settings.KindEndpointLimits[l.Kind]}
-			d.endpoints = append(d.endpoints, t)
-		}
-		t.state, t.batchSize = l.State, 1
-		if l.Kind < len(p.settings.KindBatchSize) {
-			t.batchSize = max(1, p.settings.KindBatchSize[l.Kind])
+// UpdateEndpoints takes changed endpoints.
+func (b *baseline) UpdateEndpoints(_ bool, updates []scheduler.EndpointUpdate) {
+	for _, u := range updates {
+		e := b.destinations[u.Destination.ID].endpoint(u.Endpoint)
+		e.zone, e.state, e.batchSize = u.Zone, u.State, 1
+		e.ownLimits = u.Kind < len(b.settings.KindEndpointLimits) && b.settings.KindEndpointLimits[u.Kind]
+		if u.Kind < len(b.settings.KindBatchSize) {
+			e.batchSize = max(1, b.settings.KindBatchSize[u.Kind])
 		}
 	}
 }
 
-// joinsBatch tells if a message would join the call that has just begun: it needs no place of its own.
-func (p *baseline) joinsBatch(t *baselineEndpoint) bool {
-	return p.oracle && t.callStarted == p.now && t.callMessages < t.batchSize
+// endpoint is the destination's endpoint with a handle, made if it is new.
+func (d *baselineDestination) endpoint(handle *scheduler.Endpoint) *baselineEndpoint {
+	for _, e := range d.endpoints {
+		if e.handle == handle {
+			return e
+		}
+	}
+	e := &baselineEndpoint{handle: handle}
+	d.endpoints = append(d.endpoints, e)
+	return e
 }
 
-func (p *baseline) Admit(size int, left float64) (bool, float64) {
-	return len(p.held) < p.settings.QueueCapacity && left > 0.1, math.Min(1, p.settings.MaxRetryAfter)
+// Admit admits a message while there is room and time.
+func (b *baseline) Admit(_ int, left float64) (admitted bool, retryAfter float64) {
+	return len(b.held) < b.settings.QueueCapacity && left > minAdmissionTime, b.retryAfter()
 }
 
-func (p *baseline) Accept(d *scheduler.Message, typ int, left float64) {
-	x := &baselineMessage{handle: d, messageType: &p.settings.Types[typ], expiry: p.now + left}
-	p.held = append(p.held, x)
-	p.messageByID[d.ID] = x
-	if x.messageType.InOrder && d.Key != 0 {
-		dest := p.destinations[d.Dest.ID]
-		dest.keyQueues[d.Key] = append(dest.keyQueues[d.Key], x)
+// retryAfter is when clients may come again.
+func (b *baseline) retryAfter() float64 { return math.Min(1, b.settings.MaxRetryAfter) }
+
+// Accept takes a message.
+func (b *baseline) Accept(message *scheduler.Message, typeIndex int, left float64) {
+	m := &baselineMessage{handle: message, messageType: &b.settings.Types[typeIndex], expiry: b.now + left}
+	b.held = append(b.held, m)
+	b.messageByID[message.ID] = m
+	if m.inOrder() {
+		d := b.destinations[message.Dest.ID]
+		d.keyQueues[message.Key] = append(d.keyQueues[message.Key], m)
 	}
 }
 
-func (p *baseline) Recover(d *scheduler.Message, typ int, left float64, past scheduler.RecoveredState) {
-	p.Accept(d, typ, left)
-	x := p.messageByID[d.ID]
-	x.attempts, x.firstRanAt, x.zone = past.Attempts, past.FirstRanAt, past.Zone
-	x.notBefore = p.now + p.settings.KeyCooldown
+// inOrder tells whether the message has an ordering key.
+func (m *baselineMessage) inOrder() bool { return m.messageType.InOrder && m.handle.Key != 0 }
+
+// Recover takes a message that an earlier process left unanswered.
+func (b *baseline) Recover(message *scheduler.Message, typeIndex int, left float64, state scheduler.RecoveredState) {
+	b.Accept(message, typeIndex, left)
+	m := b.messageByID[message.ID]
+	m.attempts, m.firstRanAt, m.zone = state.Attempts, state.FirstRanAt, state.Zone
+	m.notBefore = b.now + b.settings.KeyCooldown
 }
 
-func (p *baseline) SetTime(now float64) { p.now = now }
-func (p *baseline) TimerFired()         { p.timerSet = false }
+// SetTime sets the clock.
+func (b *baseline) SetTime(now float64) { b.now = now }
+
+// TimerFired says that the timer has fired.
+func (b *baseline) TimerFired() { b.timerSet = false }
 
-func (p *baseline) AttemptEnded(d *scheduler.Message, e scheduler.AttemptResult) {
-	x := p.messageByID[d.ID]
-	if x == nil {
+// AttemptEnded takes the result of an attempt.
+func (b *baseline) AttemptEnded(message *scheduler.Message, result scheduler.AttemptResult) {
+	m := b.messageByID[message.ID]
+	if m == nil {
 		return
 	}
-	if x.openAttempts--; x.openAttempts == 0 {
-		p.openCalls--
-		x.endpoint.openCalls--
+	if m.openAttempts--; m.openAttempts == 0 {
+		b.openCalls--
+		m.endpoint.openCalls--
 	}
-	if e.RetryAfter > 0 {
-		for _, t := range p.destinations[d.Dest.ID].endpoints {
-			if t == x.endpoint || !t.ownLimits {
-				t.blockedUntil = math.Max(t.blockedUntil, p.now+e.RetryAfter)
-			}
-		}
+	d := b.destinations[message.Dest.ID]
+	if result.RetryAfter > 0 {
+		d.block(m.endpoint, b.now+result.RetryAfter)
 	}
-	if e.Outcome == scheduler.Delivered {
-		p.destinations[d.Dest.ID].rate++
+	if result.Outcome == scheduler.Delivered {
+		d.rate++
 	}
-	if x.done {
+	if m.done {
 		return
 	}
-	switch e.Outcome {
+	switch result.Outcome {
 	case scheduler.ServerError, scheduler.TimedOut, scheduler.Reset, scheduler.Cancelled:
-		if x.firstRanAt == 0 {
-			x.firstRanAt, x.zone = p.now-e.Latency, x.endpoint.zone
+		if m.firstRanAt == 0 {
+			m.firstRanAt, m.zone = b.now-result.Latency, m.endpoint.zone
 		}
-		x.keyBlockedUntil = p.now + p.settings.KeyCooldown + 0.01
+		m.keyBlockedUntil = b.now + b.settings.KeyCooldown + 0.01
 	}
-	if e.Final {
-		p.finish(x)
+	if result.Final {
+		b.finish(m)
 		return
 	}
-	wait := 0.1
-	if p.backoff {
-		wait *= math.Pow(2, float64(min(x.attempts, 5)))
+	delay := baselineRetryDelay
+	if b.backoff {
+		delay *= math.Pow(2, float64(min(m.attempts, maxBackoffDoubling)))
 	}
-	x.notBefore = p.now + wait
+	m.notBefore = b.now + delay
 }
 
-// finish lets go of a message that has its answer. Its key rests if it may still run.
-func (p *baseline) finish(x *baselineMessage) {
-	x.done = true
-	for i, o := range p.held {
-		if o == x {
-			p.held = append(p.held[:i:i], p.held[i+1:]...)
-			break
-		}
-	}
-	if x.messageType.InOrder && x.handle.Key != 0 {
-		dest := p.destinations[x.handle.Dest.ID]
-		list := dest.keyQueues[x.handle.Key]
-		for i, o := range list {
-			if o == x {
-				list = append(list[:i:i], list[i+1:]...)
-				break
-			}
-		}
-		if len(list) == 0 {
-			delete(dest.keyQueues, x.handle.Key)
-		} else {
-			dest.keyQueues[x.handle.Key] = list
-			list[0].notBefore = math.Max(list[0].notBefore, x.keyBlockedUntil)
+// block heeds a retry-after of an endpoint, which is for all of the destination that share its limits.
+func (d *baselineDestination) block(from *baselineEndpoint, until float64) {
+	for _, e := range d.endpoints {
+		if e == from || !e.ownLimits {
+			e.blockedUntil = math.Max(e.blockedUntil, until)
 		}
 	}
 }
 
-// exhausted tells that a message must not be sent any more, and whether it may be handed in again.
-func (p *baseline) exhausted(x *baselineMessage) (over, again bool) {
-	switch {
-	case p.now >= x.expiry-0.05 || x.attempts >= p.settings.MaxAttempts:
-		return true, x.firstRanAt == 0 || x.messageType.Idempotency == scheduler.Idempotent
-	case x.firstRanAt == 0 || x.messageType.Idempotency == scheduler.Idempotent:
-		return false, false
-	case x.messageType.Idempotency == scheduler.AtMostOnce:
-		return p.misbehavior != repeatsAtMostOnce, false
-	}
-	return p.now > x.firstRanAt+x.messageType.DeduplicationWindow-baselineTimeout-0.5, false
-}
-
-func (p *baseline) Reconcile() {
-	all := append([]*baselineMessage(nil), p.held...)
-	if p.oracle { // those that can be in time still, before those that are late already
-		late := func(x *baselineMessage) bool {
-			return p.now > x.expiry-x.messageType.TimeToLive+x.messageType.LatencyObjective
-		}
-		slices.SortStableFunc(all, func(a, b *baselineMessage) int {
-			switch la, lb := late(a), late(b); {
-			case la == lb:
-				return 0
-			case lb:
-				return -1
-			}
-			return 1
-		})
-	}
-	for _, x := range all {
-		if x.openAttempts > 0 && !(p.misbehavior == overlapsAttempts && x.openAttempts == 1 && p.now > x.notBefore) {
-			continue
-		}
-		if over, again := p.exhausted(x); over {
-			if p.misbehavior == neverAnswers || p.misbehavior == answersLate && p.now < x.expiry+1 {
-				continue
-			}
-			p.finish(x)
-			for range 1 + map[bool]int{true: 1}[p.misbehavior == answersTwice] {
-				if again {
-					p.host.Reject(x.handle, math.Min(1, p.settings.MaxRetryAfter))
-				} else {
-					p.host.Fail(x.handle)
-				}
-			}
-			continue
-		}
-		if p.now < x.notBefore || p.openCalls >= p.settings.ConcurrencyLimit {
-			continue
-		}
-		d := p.destinations[x.handle.Dest.ID]
-		if x.messageType.InOrder && x.handle.Key != 0 && d.keyQueues[x.handle.Key][0] != x && p.misbehavior != breaksKeyOrder {
-			continue
-		}
-		if t := p.pick(d, x); t != nil {
-			p.send(x, t, d)
-		}
-	}
-	if len(p.held) > 0 && !p.timerSet {
-		p.timerSet = true
-		p.host.Wake(0.02)
-	}
-}
-
-func (p *baseline) pick(d *baselineDestination, x *baselineMessage) *baselineEndpoint {
-	if p.bucket {
-		d.tokens = math.Min(4, d.tokens+(p.now-d.refilledAt)*math.Max(1, d.rate*1.25))
-		d.rate *= math.Exp(d.refilledAt - p.now)
-		if d.refilledAt = p.now; d.tokens < 1 {
-			return nil
-		}
+// finish drops a message that has its answer. Its key waits if it may still be executed.
+func (b *baseline) finish(m *baselineMessage) {
+	m.done = true
+	b.held = without(b.held, m)
+	if !m.inOrder() {
+		return
 	}
-	var best *baselineEndpoint
-	least := 0
-	for i := range d.endpoints {
-		t := d.endpoints[(d.next+i)%len(d.endpoints)]
-		if t.state != scheduler.Ready && p.misbehavior != callsDraining || t.state == scheduler.Removed || p.now < t.blockedUntil+0.005 && p.misbehavior != ignoresRetryAfter {
-			continue
-		}
-		if x.firstRanAt > 0 && x.messageType.Idempotency == scheduler.IdempotentWithKey && x.messageType.DeduplicatedPerZone && t.zone != x.zone {
-			continue
-		}
-		if p.joinsBatch(t) {
-			return t
-		}
-		if p.oracle {
-			ready, busy := p.inspect(t.handle.ID)
-			if ready && (best == nil || busy < least) {
-				best, least = t, busy
-			}
-			continue
-		}
-		if best == nil || p.leastLoaded && t.openCalls < best.openCalls {
-			best = t
-		}
+	d := b.destinations[m.handle.Dest.ID]
+	queue := without(d.keyQueues[m.handle.Key], m)
+	if len(queue) == 0 {
+		delete(d.keyQueues, m.handle.Key)
+		return
 	}
-	return best
+	d.keyQueues[m.handle.Key] = queue
+	queue[0].notBefore = math.Max(queue[0].notBefore, m.keyBlockedUntil)
 }
 
-func (p *baseline) send(x *baselineMessage, t *baselineEndpoint, d *baselineDestination) {
-	if d.next++; p.joinsBatch(t) {
-		t.callMessages++
-	} else {
-		t.callStarted, t.callMessages = p.now, 1
-	}
-	d.tokens--
-	if x.openAttempts == 0 {
-		p.openCalls++
-		t.openCalls++
-		x.endpoint = t
+// without is a list without one message; the list itself stays as it is.
+func without(list []*baselineMessage, m *baselineMessage) []*baselineMessage {
+	i := slices.Index(list, m)
+	if i < 0 {
+		return list
 	}
-	x.openAttempts++
-	x.attempts++
-	x.notBefore = p.now + 0.02
-	p.host.Send(x.handle, t.handle, math.Min(baselineTimeout, x.expiry-p.now))
+	return append(list[:i:i], list[i+1:]...)
 }
--- /dev/null
+++ b/lab/sim/baseline_reconcile.go
@@ -0,0 +1,166 @@
+package sim
+
+import (
+	"math"
+	"slices"
+
+	"spanflow/scheduler"
+)
+
+// Reconcile answers what can no longer be sent, and sends what may be.
+func (b *baseline) Reconcile() {
+	for _, m := range b.inSendingOrder() {
+		if m.openAttempts > 0 && !(b.misbehavior == overlapsAttempts && m.openAttempts == 1 && b.now > m.notBefore) {
+			continue
+		}
+		if exhausted, returnable := b.exhausted(m); exhausted {
+			b.giveUp(m, returnable)
+			continue
+		}
+		if b.now < m.notBefore || b.openCalls >= b.settings.ConcurrencyLimit {
+			continue
+		}
+		d := b.destinations[m.handle.Dest.ID]
+		if m.inOrder() && d.keyQueues[m.handle.Key][0] != m && b.misbehavior != breaksKeyOrder {
+			continue
+		}
+		if e := b.pick(d, m); e != nil {
+			b.send(m, e, d)
+		}
+	}
+	if len(b.held) > 0 && !b.timerSet {
+		b.timerSet = true
+		b.host.Wake(baselineTick)
+	}
+}
+
+// inSendingOrder is what is held in the order of its coming; for the oracle those that can still be in time come before
+// those that are late already.
+func (b *baseline) inSendingOrder() []*baselineMessage {
+	all := slices.Clone(b.held)
+	if !b.oracle {
+		return all
+	}
+	late := func(m *baselineMessage) bool {
+		return b.now > m.expiry-m.messageType.TimeToLive+m.messageType.LatencyObjective
+	}
+	slices.SortStableFunc(all, func(x, y *baselineMessage) int {
+		switch lateX, lateY := late(x), late(y); {
+		case lateX == lateY:
+			return 0
+		case lateY:
+			return -1
+		}
+		return 1
+	})
+	return all
+}
+
+// exhausted tells that a message must not be sent any more, and whether it may be returned to its client.
+func (b *baseline) exhausted(m *baselineMessage) (exhausted, returnable bool) {
+	repeatable := m.firstRanAt == 0 || m.messageType.Idempotency == scheduler.Idempotent
+	switch {
+	case b.now >= m.expiry-minAttemptTime || m.attempts >= b.settings.MaxAttempts:
+		return true, repeatable
+	case repeatable:
+		return false, false
+	case m.messageType.Idempotency == scheduler.AtMostOnce:
+		return b.misbehavior != repeatsAtMostOnce, false
+	}
+	return b.now > m.firstRanAt+m.messageType.DeduplicationWindow-baselineTimeout-0.5, false
+}
+
+// giveUp answers a message that is exhausted.
+func (b *baseline) giveUp(m *baselineMessage, returnable bool) {
+	if b.misbehavior == neverAnswers || b.misbehavior == answersLate && b.now < m.expiry+1 {
+		return
+	}
+	b.finish(m)
+	answers := 1
+	if b.misbehavior == answersTwice {
+		answers = 2
+	}
+	for range answers {
+		if returnable {
+			b.host.Reject(m.handle, b.retryAfter())
+		} else {
+			b.host.Fail(m.handle)
+		}
+	}
+}
+
+// pick is the endpoint for a message, nil if there is none now.
+func (b *baseline) pick(d *baselineDestination, m *baselineMessage) *baselineEndpoint {
+	if b.bucket && !d.refill(b.now) {
+		return nil
+	}
+	var best *baselineEndpoint
+	leastInService := 0
+	for i := range d.endpoints {
+		e := d.endpoints[(d.next+i)%len(d.endpoints)]
+		if !b.callable(e, m) {
+			continue
+		}
+		if b.joinsBatch(e) {
+			return e
+		}
+		if b.oracle {
+			ready, inService := b.inspect(e.handle.ID)
+			if ready && (best == nil || inService < leastInService) {
+				best, leastInService = e, inService
+			}
+			continue
+		}
+		if best == nil || b.leastLoaded && e.openCalls < best.openCalls {
+			best = e
+		}
+	}
+	return best
+}
+
+// refill fills the token bucket and tells whether there is a token.
+func (d *baselineDestination) refill(now float64) bool {
+	d.tokens = math.Min(bucketBurst, d.tokens+(now-d.refilledAt)*math.Max(1, d.rate*bucketGrowth))
+	d.rate *= math.Exp(d.refilledAt - now)
+	d.refilledAt = now
+	return !(d.tokens < 1)
+}
+
+// callable tells whether a message may be sent to an endpoint.
+func (b *baseline) callable(e *baselineEndpoint, m *baselineMessage) bool {
+	switch {
+	case e.state == scheduler.Removed:
+		return false
+	case e.state != scheduler.Ready && b.misbehavior != callsDraining:
+		return false
+	case b.now < e.blockedUntil+0.005 && b.misbehavior != ignoresRetryAfter:
+		return false
+	}
+	t := m.messageType
+	keyKnownElsewhere := t.Idempotency == scheduler.IdempotentWithKey && t.DeduplicatedPerZone && e.zone != m.zone
+	return m.firstRanAt <= 0 || !keyKnownElsewhere
+}
+
+// joinsBatch tells whether a message would join the call that has just begun: it needs no concurrency of its own.
+func (b *baseline) joinsBatch(e *baselineEndpoint) bool {
+	return b.oracle && e.callStarted == b.now && e.callMessages < e.batchSize
+}
+
+// send sends a message to an endpoint.
+func (b *baseline) send(m *baselineMessage, e *baselineEndpoint, d *baselineDestination) {
+	if d.next++; b.joinsBatch(e) {
+		e.callMessages++
+	} else {
+		e.callStarted, e.callMessages = b.now, 1
+	}
+	d.tokens--
+	if m.openAttempts == 0 {
+		b.openCalls++
+		e.openCalls++
+		m.endpoint = e
+	}
+	m.openAttempts++
+	m.attempts++
+	m.notBefore = b.now + baselineTick
+	b.host.Send(m.handle, e.handle, math.Min(baselineTimeout, m.expiry-b.now))
+}
--- /dev/null
+++ b/lab/sim/host.go
@@ -0,0 +1,91 @@
+package sim
+
+import (
+	"spanflow/lab/receiver"
+	"spanflow/scheduler"
+	"spanflow/transport"
+)
+
+// A forwarder is a scheduler.Host.
+
+// Send adds a message to a call of the present round, or makes a further call.
+func (f *forwarder) Send(m *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
+	s, endpoint := f.run.submissions[m.ID], f.endpointByID[to.ID]
+	s.recovered.Attempts++
+	s.attemptStart, s.attemptZone = f.run.Now(), endpoint.model.Zone
+	f.run.result.Attempts++
+	batch := f.run.scenario.Receivers[f.run.group[endpoint.model.Destination.Number]].Batch
+	for _, c := range f.pendingCalls {
+		if c.endpoint == endpoint && len(c.submissions) < batch {
+			c.submissions = append(c.submissions, s)
+			c.timeout = min(c.timeout, timeout)
+			return
+		}
+	}
+	endpoint.model.Approaching++
+	f.pendingCalls = append(f.pendingCalls,
+		&call{forwarder: f, incarnation: f.incarnation, endpoint: endpoint, submissions: []*submission{s}, timeout: timeout})
+}
+
+// Reject returns a message to its client.
+func (f *forwarder) Reject(m *scheduler.Message, retryAfter float64) {
+	f.finish(m, answerReturned, retryAfter)
+}
+
+// Fail gives a message up.
+func (f *forwarder) Fail(m *scheduler.Message) { f.finish(m, answerAbandoned, 0) }
+
+// finish answers a message.
+func (f *forwarder) finish(m *scheduler.Message, answer string, retryAfter float64) {
+	s := f.run.submissions[m.ID]
+	s.finished = true
+	if s.attemptStart == 0 {
+		delete(f.submissions, s.id)
+	}
+	f.run.result.FinalAnswers[answer]++
+	f.run.notifyClient(s, answer, retryAfter)
+}
+
+// CancelUnsent takes back the calls to an endpoint whose first byte has not arrived.
+func (f *forwarder) CancelUnsent(to *scheduler.Endpoint) {
+	for _, c := range f.openCalls {
+		if c.endpoint.handle == to && !c.arrived && !c.done {
+			c.cancelled = true
+			f.run.After(0, func() {
+				f.do(func() { f.callEnded(c, receiver.Answer{Code: transport.ResultCancelled}) })
+			})
+		}
+	}
+}
+
+// CloseIdle closes the idle connections to an endpoint.
+func (f *forwarder) CloseIdle(to *scheduler.Endpoint) {
+	if e := f.endpointByID[to.ID]; e != nil {
+		e.idleSince = nil
+	}
+}
+
+// ReleaseEndpoint forgets an endpoint.
+func (f *forwarder) ReleaseEndpoint(to *scheduler.Endpoint) { delete(f.endpointByID, to.ID) }
+
+// Wake sets the timer in place of any earlier one.
+func (f *forwarder) Wake(in float64) {
+	f.timer++
+	timer, incarnation := f.timer, f.incarnation
+	f.run.After(in, func() {
+		if f.incarnation != incarnation || f.timer != timer {
+			return
+		}
+		f.do(func() {
+			f.policy.SetTime(f.run.Now())
+			f.policy.TimerFired()
+			f.reconcile()
+		})
+	})
+}
+
+// WatchEndpoints does nothing: the run tells each forwarder of each change.
+func (f *forwarder) WatchEndpoints() {}
+
+// Log counts the scheduler's changes of mode.
+func (f *forwarder) Log(string) { f.run.result.ModeChanges++ }
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -12,137 +12,197 @@
 	"spanflow/lab/scenario"
 )
 
-// Real plays a scene on real sockets: built forwarders as processes, receivers, discovery and clients on loopback. The
+// Real plays a scenario on real sockets: built forwarders as processes, receivers, discovery and clients on loopback. The
 // receivers are the same model, on the wall clock.
 type Real struct {
 	Program string // of one forwarder
-	Folder  string // for write-ahead logs, configurations and logs
-	Memory  int    // MB that each forwarder is told
-	Sockets int
+	Folder  string // for write-ahead logs, configurations and logs; it exists
+	Memory  int    // MB that each forwarder may use
+	Sockets int    // that each forwarder may open
 }
 
-// realRun is a day on the wall clock. Its lock is held by whatever touches the model or the log.
+// realSlack allows for what processes on a shared machine need beyond the simulated ones.
+var realSlack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
+
+const readyWithin = 10 * time.Second // after the start of a forwarder
+
+// realRun is one run on the wall clock. Its lock is held by whatever touches the model or the log.
 type realRun struct {
 	Real
+	ctx       context.Context
+	scenario  *scenario.Scenario
+	epoch     time.Time // of the run's clock
+	discovery *emulator.Discovery
+	processes []*process
+	wg        sync.WaitGroup // clients
+
 	mu                   sync.Mutex
-	epoch                time.Time
-	scenario             *scenario.Scenario
+	random               *rand.Rand
 	destinations         []*receiver.Destination
-	group                []int
+	group                []int // by destination: index of its scenario.Receiver
+	endpoints            map[*receiver.Endpoint]*endpointServer
 	log                  *audit.Log
 	result               *Result
-	effects              map[uint64]*effect
-	keyTails             map[uint64]chan struct{} // of each key, closed when its latest message has its answer at the door
-	deliveredToForwarder map[uint64]bool          // delivered, as the receiver wrote
-	submittedTo          map[uint64]int           // the forwarder that a message was handed in at
+	effects              map[uint64]*effect       // by the id of each of its messages
+	keyTails             map[uint64]chan struct{} // by ordering key; closed when the client of its latest message was answered
+	deliveredToForwarder map[uint64]bool          // by message: the receiver has sent the answer
+	submittedTo          map[uint64]int           // by message: the forwarder
 	lastID               uint64
-	random               *rand.Rand
-	discovery            *emulator.Discovery
-	endpoints            map[*receiver.Endpoint]*endpointServer
-	nodes                []*process
-	restartErrors        error // of a forwarder that could not be started again
-	wg                   sync.WaitGroup
-	ctx                  context.Context
+	restartErrors        error // of forwarders that could not be started again
 }
 
-// Now and RetryAfter make a realRun a receiver.SetTime.
-func (d *realRun) Now() float64 { return startTime + time.Since(d.epoch).Seconds() }
+// A realRun is a receiver.Clock.
+
+// Now is the present moment of the run's clock, in seconds.
+func (run *realRun) Now() float64 { return startTime + time.Since(run.epoch).Seconds() }
 
-func (d *realRun) After(in float64, do func()) {
-	time.AfterFunc(time.Duration(in*float64(time.Second)), func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
+// After runs a function after so many seconds, with the lock held.
+func (run *realRun) After(seconds float64, do func()) {
+	time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() {
+		run.mu.Lock()
+		defer run.mu.Unlock()
 		do()
 	})
 }
 
-// Play plays a scene with a seed; it takes as long as the scene.
+// Play plays a scenario with a seed; it takes as long as the scenario. It ends with an error if ctx ends, or if a
+// forwarder cannot be started.
 func (r Real) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := &realRun{Real: r, epoch: time.Now(), scenario: s, result: newResult(s, seed), effects: map[uint64]*effect{}, submittedTo: map[uint64]int{}, deliveredToForwarder: map[uint64]bool{}, keyTails: map[uint64]chan struct{}{},
-		random: rand.New(rand.NewPCG(seed, 2)), endpoints: map[*receiver.Endpoint]*endpointServer{}, ctx: ctx}
-	d.log = audit.New(d, func(dest int) bool { return s.Receivers[d.group[dest]].EndpointLimits }, float64(s.Dispatch.KeyCooldown))
-	d.log.Slack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
-	receiverRandom := rand.New(rand.NewPCG(seed, 3))
+	run := newRealRun(ctx, r, s, seed)
+	defer run.closeEndpoints()
+	if err := run.startReceivers(newRandom(seed, receiverStream)); err != nil {
+		return nil, err
+	}
+	defer run.stopProcesses()
+	if err := run.startProcesses(); err != nil {
+		return nil, err
+	}
+	run.mu.Lock()
+	run.epoch = time.Now()
+	run.injectFaults()
+	run.mu.Unlock()
+	run.startClients(seed)
+	end := time.NewTimer(time.Duration(float64(s.Length+s.Drain) * float64(time.Second)))
+	defer end.Stop()
+	select {
+	case <-end.C:
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+	cancel()
+	run.wg.Wait()
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.result.finish(run.log)
+	return run.result, run.restartErrors
+}
+
+func newRealRun(ctx context.Context, r Real, s *scenario.Scenario, seed uint64) *realRun {
+	run := &realRun{
+		Real:                 r,
+		ctx:                  ctx,
+		scenario:             s,
+		epoch:                time.Now(),
+		random:               newRandom(seed, networkStream),
+		endpoints:            map[*receiver.Endpoint]*endpointServer{},
+		result:               newResult(s, seed),
+		effects:              map[uint64]*effect{},
+		keyTails:             map[uint64]chan struct{}{},
+		deliveredToForwarder: map[uint64]bool{},
+		submittedTo:          map[uint64]int{},
+	}
+	limitsPerEndpoint := func(destination int) bool { return s.Receivers[run.group[destination]].EndpointLimits }
+	run.log = audit.New(run, limitsPerEndpoint, float64(s.Dispatch.KeyCooldown))
+	run.log.Slack = realSlack
+	return run
+}
+
+// startReceivers starts a server for each endpoint, and discovery that lists them.
+func (run *realRun) startReceivers(random *rand.Rand) error {
+	s := run.scenario
 	var list []emulator.Entry
-	for g := range s.Receivers {
-		p := &s.Receivers[g]
-		for range p.Count {
-			dest := receiver.New(len(d.destinations), s.ReceiverBehavior(p), p.Endpoints, s.Zones, d, receiverRandom, &realRecorder{d.log, d})
-			d.destinations, d.group = append(d.destinations, dest), append(d.group, g)
-			for _, t := range dest.Endpoints {
-				if err := d.openEndpoint(t); err != nil {
-					return nil, err
+	for group := range s.Receivers {
+		r := &s.Receivers[group]
+		for range r.Count {
+			destination := receiver.New(len(run.destinations), s.ReceiverBehavior(r), r.Endpoints, s.Zones, run, random,
+				&realRecorder{run.log, run})
+			run.destinations = append(run.destinations, destination)
+			run.group = append(run.group, group)
+			for _, e := range destination.Endpoints {
+				if err := run.openEndpoint(e); err != nil {
+					return err
 				}
-				list = append(list, d.entry(t))
+				list = append(list, run.entry(e))
 			}
 		}
 	}
-	defer func() {
-		for _, o := range d.endpoints {
-			o.close()
-		}
-	}()
-	var err error
-	if d.discovery, err = emulator.NewDiscovery("", list...); err != nil {
-		return nil, err
+	discovery, err := emulator.NewDiscovery("", list...)
+	if err != nil {
+		return err
 	}
-	d.discovery.OnNotice = d.notice
-	go func() { // those heard are taken by Hear already
-		for {
-			select {
-			case <-d.discovery.Notices:
-			case <-ctx.Done():
-				return
-			}
+	run.discovery = discovery
+	discovery.OnNotice = run.notice
+	go run.drainNotices()
+	return nil
+}
+
+// drainNotices empties discovery's channel of notices, which OnNotice has handled already.
+func (run *realRun) drainNotices() {
+	for {
+		select {
+		case <-run.discovery.Notices:
+		case <-run.ctx.Done():
+			return
 		}
-	}()
-	for n := range s.Dispatch.Forwarders {
-		p, err := d.newProcess(n)
+	}
+}
+
+func (run *realRun) closeEndpoints() {
+	for _, e := range run.endpoints {
+		e.close()
+	}
+}
+
+// startProcesses starts the forwarders and waits until each is ready.
+func (run *realRun) startProcesses() error {
+	for n := range run.scenario.Dispatch.Forwarders {
+		p, err := run.newProcess(n)
 		if err == nil {
 			err = p.start()
 		}
 		if err != nil {
-			return nil, err
+			return err
 		}
-		defer p.stop()
-		d.nodes = append(d.nodes, p)
+		run.processes = append(run.processes, p)
 	}
-	for _, p := range d.nodes {
-		if err := p.ready(10 * time.Second); err != nil {
-			return nil, err
+	for _, p := range run.processes {
+		if err := p.ready(readyWithin); err != nil {
+			return err
 		}
 	}
-	d.mu.Lock()
-	d.epoch = time.Now()
-	d.injectFaults()
-	d.mu.Unlock()
-	d.startClients(seed)
-	end := time.NewTimer(time.Duration(float64(s.Length+s.Drain) * float64(time.Second)))
-	defer end.Stop()
-	select {
-	case <-end.C:
-	case <-ctx.Done():
-		return nil, ctx.Err()
+	return nil
+}
+
+// stopProcesses ends the forwarders, the one started last first.
+func (run *realRun) stopProcesses() {
+	for i := len(run.processes) - 1; i >= 0; i-- {
+		run.processes[i].stop()
 	}
-	cancel()
-	d.wg.Wait()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.result.sum(d.log)
-	return d.result, d.restartErrors
 }
 
+// realRecorder passes on what receivers record and counts the value of the effects.
 type realRecorder struct {
 	*audit.Log
 	run *realRun
 }
 
-func (r *realRecorder) MessageExecuted(run receiver.Execution) {
-	r.Log.MessageExecuted(run)
-	if e := r.run.effects[run.Message.ID]; e != nil && run.Effect && !e.done {
+// MessageExecuted records an execution and counts its effect, if it is the first.
+func (r *realRecorder) MessageExecuted(execution receiver.Execution) {
+	r.Log.MessageExecuted(execution)
+	if e := r.run.effects[execution.Message.ID]; e != nil && execution.Effect && !e.done {
 		e.done = true
-		r.run.result.delivered(e, run.EndedAt)
+		r.run.result.recordDelivery(e, execution.EndedAt)
 	}
 }
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -5,166 +5,209 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"strconv"
 	"strings"
 	"time"
 
 	"spanflow/internal/emulator"
-	"spanflow/lab/audit"
+	"spanflow/lab/scenario"
 )
 
+// noticeAnswers are the final answers by the state that a notice tells.
+var noticeAnswers = map[string]string{"failed": answerAbandoned, "returned": answerReturned}
+
 // notice takes a final answer that a forwarder tells.
-func (d *realRun) notice(n emulator.Notice) {
+func (run *realRun) notice(n emulator.Notice) {
 	id, err := strconv.ParseUint(n.ID, 16, 64)
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	e := d.effects[id]
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	e := run.effects[id]
 	if err != nil || e == nil {
 		return
 	}
-	if d.deliveredToForwarder[id] { // the forwarder may not have read the answer any more
+	if run.deliveredToForwarder[id] { // the forwarder may not have read the answer any more
 		return
 	}
-	what := map[string]string{"failed": "abandoned", "returned": "returned"}[n.State]
-	d.result.FinalAnswers[what]++
-	d.log.FinalAnswer(id, what)
-	if what == "returned" {
-		d.resubmit(e, float64(n.AfterMs)/1000)
+	answer := noticeAnswers[n.State]
+	run.result.FinalAnswers[answer]++
+	run.log.FinalAnswer(id, answer)
+	if answer == answerReturned {
+		run.resubmit(e, float64(n.AfterMs)/1000)
 	}
 }
 
-func (d *realRun) resubmit(e *effect, comeBack float64) {
-	expiry, wait, comes := e.resubmission(d.scenario, d.Now(), comeBack, d.random)
-	if !comes {
+// resubmit submits again what was refused or returned, if its client does; the lock is held.
+func (run *realRun) resubmit(e *effect, retryAfter float64) {
+	expiry, wait, again := e.resubmission(run.scenario, run.Now(), retryAfter, run.random)
+	if !again {
 		return
 	}
-	n := forwarderFor(e, d.random, len(d.nodes))
-	d.After(wait, func() { d.submit(e, expiry, n) })
+	n := forwarderFor(e, run.random, len(run.processes))
+	run.After(wait, func() { run.submit(e, expiry, n) })
 }
 
-// startClients hand in what is planned, each effect at its moment.
-func (d *realRun) startClients(seed uint64) {
-	effects := planArrivals(d.scenario, rand.New(rand.NewPCG(seed, 1)))
-	d.wg.Go(func() {
+// startClients submits what is planned, each effect at its moment, until ctx ends.
+func (run *realRun) startClients(seed uint64) {
+	effects := planArrivals(run.scenario, newRandom(seed, loadStream))
+	run.wg.Go(func() {
 		for _, e := range effects {
 			at := time.Duration((e.submittedAt - startTime) * float64(time.Second))
 			select {
-			case <-time.After(at - time.Since(d.epoch)):
-			case <-d.ctx.Done():
+			case <-time.After(at - time.Since(run.epoch)):
+			case <-run.ctx.Done():
 				return
 			}
-			d.mu.Lock()
-			d.result.offered(e)
-			d.submit(e, e.expiry, forwarderFor(e, d.random, len(d.nodes)))
-			d.mu.Unlock()
+			run.mu.Lock()
+			run.result.recordOffer(e)
+			run.submit(e, e.expiry, forwarderFor(e, run.random, len(run.processes)))
+			run.mu.Unlock()
 		}
 	})
 }
 
-// submit hands an effect in; the lock is held. The messages of a key are handed in one after another, each when the one
-// before it has its answer at the door.
-func (d *realRun) submit(e *effect, expiry float64, n int) {
-	if d.ctx.Err() != nil {
+// submit submits an effect to a forwarder; the lock is held. The messages of a key are submitted one after another, each
+// when the one before it was answered.
+func (run *realRun) submit(e *effect, expiry float64, n int) {
+	if run.ctx.Err() != nil {
 		return
 	}
 	var before, done chan struct{}
 	if e.key != 0 {
 		done = make(chan struct{})
-		before, d.keyTails[e.key] = d.keyTails[e.key], done
+		before, run.keyTails[e.key] = run.keyTails[e.key], done
 	}
-	d.wg.Go(func() {
+	run.wg.Go(func() {
 		if before != nil {
 			<-before
 		}
 		if done != nil {
 			defer close(done)
 		}
-		d.mu.Lock()
-		d.lastID++
-		id := d.lastID
-		if e.id == 0 {
-			e.id = id
-		}
-		d.log.MessageSubmitted(&audit.Message{ID: id, FirstID: e.id, IdempotencyKey: e.idempotencyKey, Key: e.key, Type: e.typeIndex, AtMostOnce: e.typ.Idempotency == "binding", Keyed: e.idempotencyKey != 0,
-			Destination: e.destination, Forwarder: n, SubmittedAt: d.Now(), Expiry: expiry})
-		d.effects[id], d.submittedTo[id] = e, n
-		d.mu.Unlock()
-		left := expiry - d.Now()
-		answer, wait := "none", 0.0
+		id := run.newSubmission(e, expiry, n)
+		left := expiry - run.Now()
+		answer, retryAfter := clientNoAnswer, 0.0
 		if left > 0 {
-			answer, wait = d.nodes[n].submit(e, id, left)
+			answer, retryAfter = run.processes[n].submit(e, id, left)
 		}
-		d.mu.Lock()
-		defer d.mu.Unlock()
+		run.mu.Lock()
+		defer run.mu.Unlock()
 		switch answer {
-		case "ok":
-			d.log.MessageAccepted(id)
-			d.result.Accepted++
-		case "busy":
-			d.result.Refused++
-			d.resubmit(e, wait)
-		case "none": // to another a little later; whatever the first does counts for nothing
-			if d.Now()+failoverDelay < expiry && !e.done && e.typ.Idempotency != "binding" {
-				d.After(failoverDelay, func() { d.submit(e, expiry, nextForwarder(e, n, len(d.nodes))) })
+		case clientOK:
+			run.log.MessageAccepted(id)
+			run.result.Accepted++
+		case clientBusy:
+			run.result.Refused++
+			run.resubmit(e, retryAfter)
+		case clientNoAnswer: // to another a little later; whatever the first does is ignored
+			if run.Now()+failoverDelay < expiry && !e.done && e.messageType.Idempotency != scenario.AtMostOnce {
+				run.After(failoverDelay, func() { run.submit(e, expiry, nextForwarder(e, n, len(run.processes))) })
 			}
 		}
 	})
 }
 
-const clientTimeout = 400 * time.Millisecond
-
-// submit hands a message in on a connection of its forwarder's.
-func (p *process) submit(e *effect, id uint64, left float64) (answer string, wait float64) {
-	names := fmt.Sprintf("c=%s,d=%d,dest=%d", e.typ.Name, int(left*1000), e.destination)
-	if e.idempotencyKey != 0 {
-		names += fmt.Sprintf(",k=%016x", e.idempotencyKey)
-	}
-	if len(p.run.scenario.Tenants) > 0 {
-		names += ",t=" + p.run.scenario.Tenants[e.tenant].Name
+// newSubmission records a submission of an effect and returns its id.
+func (run *realRun) newSubmission(e *effect, expiry float64, n int) uint64 {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.lastID++
+	id := run.lastID
+	if e.id == 0 {
+		e.id = id
 	}
-	command := emulator.Command("MSG.PUT", fmt.Sprintf("%016x", e.key), fmt.Sprintf("%016x", id), names, strings.Repeat("x", 300))
+	run.log.MessageSubmitted(auditMessage(e, id, n, run.Now(), expiry))
+	run.effects[id], run.submittedTo[id] = e, n
+	return id
+}
+
+const (
+	clientTimeout = 400 * time.Millisecond // for a connection, and for an answer
+	bodyBytes     = 300
+)
+
+// How a forwarder answers a submission; any other answer is its text.
+const (
+	clientOK       = "ok"
+	clientBusy     = "busy"
+	clientNoAnswer = "none"
+)
+
+// submit submits a message on a connection of its forwarder's. A connection that was closed between two requests is made
+// anew once. retryAfter is in seconds.
+func (p *process) submit(e *effect, id uint64, left float64) (answer string, retryAfter float64) {
+	command := p.submitCommand(e, id, left)
 	for range 2 {
-		var c net.Conn
-		kept := true
-		select {
-		case c = <-p.conns:
-		default:
-			kept = false
-			var err error
-			if c, err = net.DialTimeout("tcp", p.listen, clientTimeout); err != nil {
-				return "none", 0
-			}
-		}
-		c.SetDeadline(time.Now().Add(clientTimeout))
-		_, err := io.WriteString(c, command)
-		line := ""
-		if err == nil {
-			line, err = bufio.NewReaderSize(c, 128).ReadString('\n')
+		conn, reused, err := p.connection()
+		if err != nil {
+			return clientNoAnswer, 0
 		}
+		line, err := exchange(conn, command)
 		if err != nil {
-			c.Close()
-			var late net.Error
-			if kept && !(errors.As(err, &late) && late.Timeout()) {
-				continue // closed between two requests: once more on a new one
+			conn.Close()
+			var netError net.Error
+			timedOut := errors.As(err, &netError) && netError.Timeout()
+			if reused && !timedOut {
+				continue
 			}
-			return "none", 0
+			return clientNoAnswer, 0
 		}
-		select {
-		case p.conns <- c:
-		default:
-			c.Close()
-		}
-		line = strings.TrimSpace(line)
-		if strings.HasPrefix(line, "+") {
-			return "ok", 0
-		}
-		if ms, busy := strings.CutPrefix(line, "-BUSY"); busy {
-			n, _ := strconv.Atoi(strings.TrimSpace(ms))
-			return "busy", float64(n) / 1000
-		}
-		return line, 0
+		p.release(conn)
+		return parseAnswer(line)
+	}
+	return clientNoAnswer, 0
+}
+
+// submitCommand is the command that submits a message.
+func (p *process) submitCommand(e *effect, id uint64, left float64) string {
+	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", e.messageType.Name, int(left*1000), e.destination)
+	if e.idempotencyKey != 0 {
+		fields += fmt.Sprintf(",k=%016x", e.idempotencyKey)
+	}
+	if tenants := p.run.scenario.Tenants; len(tenants) > 0 {
+		fields += ",t=" + tenants[e.tenant].Name
+	}
+	return emulator.Command("MSG.PUT", fmt.Sprintf("%016x", e.key), fmt.Sprintf("%016x", id), fields, strings.Repeat("x", bodyBytes))
+}
+
+// connection is an idle connection, or a new one.
+func (p *process) connection() (conn net.Conn, reused bool, err error) {
+	select {
+	case conn = <-p.conns:
+		return conn, true, nil
+	default:
+		conn, err = net.DialTimeout("tcp", p.listen, clientTimeout)
+		return conn, false, err
+	}
+}
+
+// release keeps a connection for a later request, or closes it.
+func (p *process) release(conn net.Conn) {
+	select {
+	case p.conns <- conn:
+	default:
+		conn.Close()
+	}
+}
+
+// exchange sends a command and reads the line that answers it.
+func exchange(conn net.Conn, command string) (string, error) {
+	conn.SetDeadline(time.Now().Add(clientTimeout))
+	if _, err := io.WriteString(conn, command); err != nil {
+		return "", err
+	}
+	return bufio.NewReaderSize(conn, 128).ReadString('\n')
+}
+
+// parseAnswer is what a line answers; retryAfter is in seconds.
+func parseAnswer(line string) (answer string, retryAfter float64) {
+	line = strings.TrimSpace(line)
+	if strings.HasPrefix(line, "+") {
+		return clientOK, 0
+	}
+	if ms, busy := strings.CutPrefix(line, "-BUSY"); busy {
+		n, _ := strconv.Atoi(strings.TrimSpace(ms))
+		return clientBusy, float64(n) / 1000
 	}
-	return "none", 0
+	return line, 0
 }
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -5,86 +5,99 @@
 
 	"spanflow/internal/emulator"
 	"spanflow/lab/receiver"
+	"spanflow/lab/scenario"
 )
 
-func (d *realRun) entry(t *receiver.Endpoint) emulator.Entry {
-	e := emulator.Entry{UID: fmt.Sprintf("d%d-%d", t.Destination.Number, t.Number), Endpoint: d.endpoints[t].addr, Zone: fmt.Sprint("z", t.Zone),
-		Kind: fmt.Sprint("k", d.group[t.Destination.Number]), Destination: t.Destination.Number, State: "active"}
+// entry is an endpoint's entry of discovery's list.
+func (run *realRun) entry(e *receiver.Endpoint) emulator.Entry {
+	destination := e.Destination.Number
+	entry := emulator.Entry{
+		UID:         fmt.Sprintf("d%d-%d", destination, e.Number),
+		Endpoint:    run.endpoints[e].addr,
+		Zone:        fmt.Sprint("z", e.Zone),
+		Kind:        fmt.Sprint("k", run.group[destination]),
+		Destination: destination,
+		State:       "active",
+	}
 	switch {
-	case t.Fault.Removed:
-		e.State = "left"
-	case t.Fault.Draining:
-		e.State = "leaving"
+	case e.Fault.Removed:
+		entry.State = "left"
+	case e.Fault.Draining:
+		entry.State = "leaving"
 	}
-	return e
+	return entry
 }
 
-// injectFaults puts the scene's troubles on the wall clock; the lock is held. Reason the network alone could do (idle
+// injectFaults puts the scenario's faults on the wall clock; the lock is held. What only the network could do (idle
 // connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
 // receiver that takes calls and says nothing.
-func (d *realRun) injectFaults() {
-	sim := &simRun{scenario: d.scenario, destinations: d.destinations, group: d.group}
-	for i := range d.scenario.Faults {
-		t := &d.scenario.Faults[i]
-		at, lasts := float64(t.At), float64(t.For)
-		n := min(len(d.nodes), int(t.Fraction*float64(len(d.nodes))+0.999999))
-		switch t.Kind {
-		case "reap", "list":
-		case "stall":
-			d.After(at, func() {
-				for _, p := range d.nodes[:n] {
-					p.stall(d.Now() + lasts)
-				}
-			})
-		case "restart":
-			for i, p := range d.nodes[:n] {
-				d.After(at+lasts*float64(i)/float64(n), p.kill)
+func (run *realRun) injectFaults() {
+	for i := range run.scenario.Faults {
+		run.injectFault(&run.scenario.Faults[i])
+	}
+}
+
+func (run *realRun) injectFault(fault *scenario.Fault) {
+	at, seconds := float64(fault.At), float64(fault.For)
+	processes := run.processes[:min(len(run.processes), int(fault.Fraction*float64(len(run.processes))+roundUp))]
+	switch fault.Kind {
+	case scenario.FaultReap, scenario.FaultList:
+	case scenario.FaultStall:
+		run.After(at, func() {
+			for _, p := range processes {
+				p.stall(run.Now() + seconds)
 			}
-		case "drain", "move":
-			d.After(at, func() {
-				hit := sim.affectedEndpoints(t)
-				if t.Kind == "drain" {
-					d.announce(hit, true, false)
-					d.After(drainTime, func() { d.removeEndpoints(hit, lasts) })
-					return
-				}
-				d.removeEndpoints(hit, lasts)
-			})
-		default:
-			d.After(at, func() {
-				hit := sim.affectedEndpoints(t)
-				for _, endpoint := range hit {
-					beginFault(endpoint, t, d.scenario)
+		})
+	case scenario.FaultRestart:
+		for i, p := range processes {
+			run.After(at+seconds*float64(i)/float64(len(processes)), p.kill)
+		}
+	case scenario.FaultDrain, scenario.FaultMove:
+		run.After(at, func() {
+			affected := affectedEndpoints(run.scenario, run.destinations, run.group, fault)
+			if fault.Kind == scenario.FaultDrain {
+				run.announce(affected, true, false)
+				run.After(drainTime, func() { run.removeEndpoints(affected, seconds) })
+				return
+			}
+			run.removeEndpoints(affected, seconds)
+		})
+	default:
+		run.After(at, func() {
+			affected := affectedEndpoints(run.scenario, run.destinations, run.group, fault)
+			for _, e := range affected {
+				beginFault(e, fault, run.scenario)
+			}
+			run.After(seconds, func() {
+				for _, e := range affected {
+					endFault(e, fault)
 				}
-				d.After(lasts, func() {
-					for _, endpoint := range hit {
-						endFault(endpoint, t)
-					}
-				})
 			})
-		}
+		})
 	}
 }
 
-func (d *realRun) announce(endpoints []*receiver.Endpoint, draining, left bool) {
-	for _, t := range endpoints {
-		t.Fault.Draining, t.Fault.Removed = draining, left
+// announce changes the state of endpoints; discovery tells it after the list's lag.
+func (run *realRun) announce(endpoints []*receiver.Endpoint, draining, removed bool) {
+	for _, e := range endpoints {
+		e.Fault.Draining, e.Fault.Removed = draining, removed
 	}
-	d.After(float64(d.scenario.ListLag), func() {
-		for _, t := range endpoints {
-			d.log.EndpointDraining(t.Destination.Number, t.Number)
-			d.discovery.Set(d.entry(t))
+	run.After(float64(run.scenario.ListLag), func() {
+		for _, e := range endpoints {
+			run.log.EndpointDraining(e.Destination.Number, e.Number)
+			run.discovery.Set(run.entry(e))
 		}
 	})
 }
 
-func (d *realRun) removeEndpoints(hit []*receiver.Endpoint, comes float64) {
-	d.announce(hit, false, true)
-	d.After(comes, func() {
-		for _, t := range hit {
-			fresh := t.Destination.AddEndpoint(t.Zone)
-			if d.openEndpoint(fresh) == nil {
-				d.After(float64(d.scenario.ListLag), func() { d.discovery.Set(d.entry(fresh)) })
+// removeEndpoints removes endpoints; others replace them after a time.
+func (run *realRun) removeEndpoints(removed []*receiver.Endpoint, replacedAfter float64) {
+	run.announce(removed, false, true)
+	run.After(replacedAfter, func() {
+		for _, e := range removed {
+			added := e.Destination.AddEndpoint(e.Zone)
+			if run.openEndpoint(added) == nil {
+				run.After(float64(run.scenario.ListLag), func() { run.discovery.Set(run.entry(added)) })
 			}
 		}
 	})
