--- a/lab/capacity/measure/path.go
+++ b/lab/capacity/measure/path.go
@@ -110,10 +110,10 @@
 			return &countedConn{c, &in}, err
 		}}
 	random := rand.New(rand.NewPCG(t.Seed, 1))
-	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Random: random, Dest: load.Zipf(pathTargets, 0),
+	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Random: random, DestinationPicker: load.Zipf(pathTargets, 0),
 		Types: []string{heldType}}
 	for i := range pathTargets {
-		source.Dests = append(source.Dests, uint64(i+1))
+		source.Destinations = append(source.Destinations, uint64(i+1))
 	}
 	cpu, err := processorTimeOf(p.pid())
 	if err != nil {
--- a/lab/commands/command.go
+++ b/lab/commands/command.go
@@ -423,16 +423,16 @@
 					seed = 1
 				}
 				random := rand.New(rand.NewPCG(seed, 5))
-				d := &load.Generator{Arrivals: load.Poisson(points, seconds, rand.New(rand.NewPCG(seed, 6))), Random: random, Dest: load.Zipf(dests, skew),
-					Types: strings.Split(kinds, ","), Keys: keys, Numbers: numbers}
+				d := &load.Generator{Arrivals: load.Poisson(points, seconds, rand.New(rand.NewPCG(seed, 6))), Random: random, DestinationPicker: load.Zipf(dests, skew),
+					Types: strings.Split(kinds, ","), Keys: keys, IdempotencyKeys: numbers}
 				if even {
 					d.Arrivals = load.Even(points, seconds)
 				}
 				for i := range dests {
-					d.Dests = append(d.Dests, uint64(i+1))
+					d.Destinations = append(d.Destinations, uint64(i+1))
 				}
 				if tenants > 0 {
-					d.Tenant = load.Zipf(tenants, 1)
+					d.TenantPicker = load.Zipf(tenants, 1)
 					for i := range tenants {
 						d.Tenants = append(d.Tenants, fmt.Sprintf("store-%d", i+1))
 					}
--- a/lab/commands/hunt.go
+++ b/lab/commands/hunt.go
@@ -38,10 +38,10 @@
 			}
 			ctx, cancel := context.WithTimeout(s.ctx, lasts)
 			defer cancel()
-			before, began := h.Scenes, time.Now()
+			before, began := h.Scenarios, time.Now()
 			err = h.Run(ctx, folder, m, max(1, s.seed), most, func(h *experiment.ViolationSearch) {
 				if !s.quiet && !s.json {
-					fmt.Fprintf(s.err, "\r%d scenes, %d breaks, %s   ", h.Scenes-before, len(h.Breaks), time.Since(began).Round(time.Second))
+					fmt.Fprintf(s.err, "\r%d scenes, %d breaks, %s   ", h.Scenarios-before, len(h.Violations), time.Since(began).Round(time.Second))
 				}
 			})
 			if err != nil {
@@ -52,8 +52,8 @@
 			} else {
 				err = s.printViolationSearch(h)
 			}
-			if n := len(h.Breaks) + h.Unshrunk; err == nil && n > 0 {
-				err = fmt.Errorf("%d breaks, the first in %s: %s: %s", n, h.Breaks[0].File, h.Breaks[0].Rule, h.Breaks[0].What)
+			if n := len(h.Violations) + h.Unshrunk; err == nil && n > 0 {
+				err = fmt.Errorf("%d breaks, the first in %s: %s: %s", n, h.Violations[0].File, h.Violations[0].Rule, h.Violations[0].Reason)
 			}
 			return err
 		})}
@@ -68,7 +68,7 @@
 // printViolationSearch prints what a hunt covers and has found.
 func (s *session) printViolationSearch(h *experiment.ViolationSearch) error {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "\n%d scenes, seeds %v\n", h.Scenes, h.Tried)
+	fmt.Fprintf(t, "\n%d scenes, seeds %v\n", h.Scenarios, h.Tried)
 	for _, part := range []struct {
 		name string
 		n    map[string]int
@@ -86,8 +86,8 @@
 		}
 	}
 	fmt.Fprintf(t, "pairs that overlapped\t%d of %d, the rarest %s in %d\n", len(h.Pairs), all, which, least)
-	for _, b := range h.Breaks {
-		fmt.Fprintf(t, "%s\t%s: %s\n", b.File, b.Rule, b.What)
+	for _, b := range h.Violations {
+		fmt.Fprintf(t, "%s\t%s: %s\n", b.File, b.Rule, b.Reason)
 	}
 	return t.Flush()
 }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenes many times and says what differs: pairs by seed, axes, and searches for scenes in
-// which a policy does badly.
+// Package experiment plays scenarios many times and says what differs: pairs by seed, axes, and searches for scenarios in
+// which a policy does badly or breaks a rule.
 package experiment
 
 import (
@@ -15,14 +15,15 @@
 	"spanflow/lab/sim"
 )
 
-// Arm is one side of a comparison.
+// Arm is one side of a comparison: a scenario and the policy that plays it.
 type Arm struct {
 	Name      string
 	Scenario  *scenario.Scenario
 	NewPolicy sim.Maker
 }
 
-// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds.
+// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds. done is
+// called after each; it may be nil and is called from several goroutines.
 func Play(a Arm, seeds []uint64, done func()) []*sim.Result {
 	all := make([]*sim.Result, len(seeds))
 	parallel(len(seeds), func(i int) {
@@ -34,6 +35,7 @@
 	return all
 }
 
+// parallel runs a function for each of n numbers, as many at once as there are cores.
 func parallel(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
@@ -51,7 +53,7 @@
 	wg.Wait()
 }
 
-// Seeds are the first n from one on.
+// Seeds are n seeds from one on.
 func Seeds(from uint64, n int) []uint64 {
 	seeds := make([]uint64, n)
 	for i := range seeds {
@@ -60,7 +62,7 @@
 	return seeds
 }
 
-// Summary is what an arm's results come to.
+// Summary sums up the results of an arm.
 type Summary struct {
 	Name       string         `json:"name"`
 	G          []float64      `json:"g"` // by seed
@@ -70,7 +72,7 @@
 	Violations map[string]int `json:"breaches"`
 }
 
-// Summarize sums up an arm.
+// Summarize sums up the results of an arm.
 func Summarize(name string, results []*sim.Result) Summary {
 	s := Summary{Name: name, Worst: math.Inf(1), Violations: map[string]int{}}
 	for _, r := range results {
@@ -143,12 +145,12 @@
 	return mean, means[resamples*25/1000], means[resamples*975/1000]
 }
 
-// Axes are what a sweep can vary: a scene with one figure set.
+// Axes are what a sweep can vary, by name: each sets one figure of a scenario.
 var Axes = map[string]func(s *scenario.Scenario, x float64){
 	"forwarders": func(s *scenario.Scenario, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
 	"slots":      func(s *scenario.Scenario, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
 	"load":       func(s *scenario.Scenario, x float64) { s.Load.PerSecond *= x },
-	"trouble": func(s *scenario.Scenario, x float64) { // how long each lasts, times
+	"trouble": func(s *scenario.Scenario, x float64) { // how long each lasts
 		s.Faults = slices.Clone(s.Faults)
 		for i := range s.Faults {
 			s.Faults[i].For *= config.Duration(x)
@@ -163,7 +165,8 @@
 	},
 }
 
-// Vary is a scene with one figure of an axis set.
+// Vary returns a copy of a scenario with the figure of an axis set, or an error if there is no such axis or the copy is not
+// sound.
 func Vary(s *scenario.Scenario, axis string, x float64) (*scenario.Scenario, error) {
 	set := Axes[axis]
 	if set == nil {
@@ -171,8 +174,8 @@
 	}
 	v := *s
 	set(&v, x)
-	if wrong := v.Check(); len(wrong) > 0 {
-		return nil, wrong
+	if problems := v.Check(); len(problems) > 0 {
+		return nil, problems
 	}
 	return &v, nil
 }
--- /dev/null
+++ b/lab/experiment/violation_search.go
@@ -0,0 +1,259 @@
+package experiment
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"spanflow/internal/config"
+	"spanflow/lab/scenario"
+	"spanflow/lab/sim"
+)
+
+// ViolationSearch is a search for broken rules that continues where it stopped: which seeds were tried, what their
+// scenarios covered, and the violations found. It is the same for the same seeds on any number of cores.
+type ViolationSearch struct {
+	Version    int              `toml:"version"`
+	Tried      [][2]uint64      `toml:"tried"` // ranges of seeds, first and last, in order
+	Scenarios  int              `toml:"scenes" json:"Scenes"`
+	Kinds      map[string]int   `toml:"kinds"` // scenarios by kind of fault
+	Pairs      map[string]int   `toml:"pairs"` // scenarios in which faults of two kinds overlapped in time
+	Sizes      map[string]int   `toml:"sizes"` // scenarios by forwarders and endpoints
+	Violations []FoundViolation `toml:"breaks" json:"Breaks"`
+	Unshrunk   int              `toml:"unshrunk"` // violations beyond the most that are kept
+}
+
+// FoundViolation is a rule broken in a drawn scenario.
+type FoundViolation struct {
+	Seed   uint64 `toml:"seed"`
+	Rule   string `toml:"rule"`
+	Reason string `toml:"what" json:"What"`
+	File   string `toml:"file"`  // the scenario, shrunk
+	Steps  int    `toml:"steps"` // by which it was shrunk
+}
+
+const (
+	searchVersion = 1
+	searchBatch   = 32  // scenarios
+	maxViolations = 100 // kept; a scheduler that breaks more is to be mended first
+	searchFile    = "hunt.toml"
+	scenarioFile  = ".toml"
+)
+
+// OpenViolationSearch reads the search in a folder, or begins one; the folder is made. A folder that cannot be written
+// is an error.
+func OpenViolationSearch(folder string) (*ViolationSearch, error) {
+	if err := os.MkdirAll(folder, 0o755); err != nil {
+		return nil, err
+	}
+	v := &ViolationSearch{Version: searchVersion}
+	path := filepath.Join(folder, searchFile)
+	text, err := os.ReadFile(path)
+	switch {
+	case err == nil:
+		if err := v.parse(path, text); err != nil {
+			return nil, err
+		}
+	case !os.IsNotExist(err):
+		return nil, err
+	}
+	for _, counts := range []*map[string]int{&v.Kinds, &v.Pairs, &v.Sizes} {
+		if *counts == nil {
+			*counts = map[string]int{}
+		}
+	}
+	return v, v.Save(folder) // a folder that cannot be written is refused before the work
+}
+
+// parse reads a search's file; path is for errors.
+func (v *ViolationSearch) parse(path string, text []byte) error {
+	v.Version = 0
+	if err := config.Decode(path, text, v); err != nil {
+		return err
+	}
+	if problems := v.check(); len(problems) > 0 {
+		for i := range problems {
+			problems[i].File = path
+		}
+		return problems
+	}
+	return nil
+}
+
+func (v *ViolationSearch) check() (problems config.Problems) {
+	if v.Version != searchVersion {
+		problems = append(problems, config.Problem{Field: "version", Reason: fmt.Sprintf("%d is not this program's, %d", v.Version, searchVersion)})
+	}
+	seeds := uint64(0)
+	for i, t := range v.Tried {
+		if t[0] > t[1] || i > 0 && t[0] <= v.Tried[i-1][1] {
+			problems = append(problems,
+				config.Problem{Field: fmt.Sprintf("tried[%d]", i), Reason: "seeds are not in order: the file was changed or cut"})
+		}
+		seeds += t[1] - t[0] + 1
+	}
+	if len(problems) == 0 && seeds != uint64(v.Scenarios) {
+		problems = append(problems,
+			config.Problem{Field: "scenes", Reason: fmt.Sprintf("%d, while %d seeds are tried: the file was changed or cut", v.Scenarios, seeds)})
+	}
+	return problems
+}
+
+// Save writes the search's file in place of the old one.
+func (v *ViolationSearch) Save(folder string) error {
+	text, err := toml.Marshal(v)
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(folder, searchFile)
+	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
+		return err
+	}
+	return os.Rename(path+".new", path)
+}
+
+// nextUntried is the first seed from one on that was not tried.
+func (v *ViolationSearch) nextUntried(from uint64) uint64 {
+	for _, t := range v.Tried {
+		if from >= t[0] && from <= t[1] {
+			from = t[1] + 1
+		}
+	}
+	return from
+}
+
+// markTried adds a range of seeds and joins ranges that touch.
+func (v *ViolationSearch) markTried(first, last uint64) {
+	v.Tried = append(v.Tried, [2]uint64{first, last})
+	slices.SortFunc(v.Tried, func(a, b [2]uint64) int { return cmp.Compare(a[0], b[0]) })
+	joined := v.Tried[:1]
+	for _, t := range v.Tried[1:] {
+		if last := &joined[len(joined)-1]; t[0] <= last[1]+1 {
+			last[1] = max(last[1], t[1])
+		} else {
+			joined = append(joined, t)
+		}
+	}
+	v.Tried = joined
+}
+
+// Run plays drawn scenarios from a seed on until ctx ends or so many were played, writing to the folder after each batch.
+// A batch that is begun is finished, so that an interrupted search has kept all that it found. progress may be nil.
+func (v *ViolationSearch) Run(ctx context.Context, folder string, newPolicy sim.Maker, from uint64, limit int, progress func(*ViolationSearch)) error {
+	for played := 0; played < limit && ctx.Err() == nil; {
+		from = v.nextUntried(from)
+		size := v.batchSize(from, limit-played)
+		batch := playBatch(from, size, newPolicy)
+		for i := range batch {
+			v.countCoverage(batch[i].scenario)
+		}
+		for _, found := range v.violationsOf(batch) {
+			if err := v.keep(folder, found, newPolicy); err != nil {
+				return err
+			}
+		}
+		slices.SortStableFunc(v.Violations, func(a, b FoundViolation) int { return cmp.Compare(a.Seed, b.Seed) })
+		v.markTried(from, from+uint64(size)-1)
+		v.Scenarios += size
+		played += size
+		if err := v.Save(folder); err != nil {
+			return err
+		}
+		if progress != nil {
+			progress(v)
+		}
+	}
+	return nil
+}
+
+// batchSize is how many seeds from one on are tried at once: only as many as were not tried before.
+func (v *ViolationSearch) batchSize(from uint64, limit int) int {
+	size := min(searchBatch, limit)
+	for _, t := range v.Tried {
+		if t[0] > from {
+			size = min(size, int(t[0]-from))
+		}
+	}
+	return size
+}
+
+// playedScenario is a drawn scenario and what became of it.
+type playedScenario struct {
+	scenario *scenario.Scenario
+	seed     uint64
+	result   *sim.Result
+}
+
+func playBatch(from uint64, size int, newPolicy sim.Maker) []playedScenario {
+	batch := make([]playedScenario, size)
+	parallel(size, func(i int) {
+		seed := from + uint64(i)
+		s := DrawWide(seed)
+		batch[i] = playedScenario{s, seed, sim.Play(s, seed, newPolicy)}
+	})
+	return batch
+}
+
+// unshrunkViolation is a violation with the scenario in which it was found.
+type unshrunkViolation struct {
+	FoundViolation
+	scenario *scenario.Scenario
+}
+
+// violationsOf is the first violation of each rule in each scenario; those beyond the most that are kept are counted.
+func (v *ViolationSearch) violationsOf(batch []playedScenario) []unshrunkViolation {
+	var found []unshrunkViolation
+	for _, p := range batch {
+		rules := map[string]bool{}
+		for _, violation := range p.result.Violations {
+			rule := string(violation.Rule)
+			if rules[rule] {
+				continue
+			}
+			rules[rule] = true
+			if len(v.Violations)+len(found) >= maxViolations {
+				v.Unshrunk++
+				continue
+			}
+			found = append(found, unshrunkViolation{FoundViolation{Seed: p.seed, Rule: rule}, p.scenario})
+		}
+	}
+	return found
+}
+
+// keep shrinks a violation's scenario and writes it to the folder.
+func (v *ViolationSearch) keep(folder string, found unshrunkViolation, newPolicy sim.Maker) error {
+	f := found.FoundViolation
+	shrunk, steps := shrink(found.scenario, func(s *scenario.Scenario) bool { return violationOf(s, f.Seed, f.Rule, newPolicy) != "" })
+	f.Steps = steps
+	f.Reason = violationOf(shrunk, f.Seed, f.Rule, newPolicy)
+	name := fmt.Sprintf("hunted-%d-rule-%c", f.Seed, f.Rule[0])
+	f.File = name + scenarioFile
+	kept := *shrunk
+	kept.Name, kept.Seed = name, f.Seed
+	kept.About = "Found by a hunt, rule broken: " + f.Rule + ", " + f.Reason + "."
+	text, err := toml.Marshal(&kept)
+	if err != nil {
+		return err
+	}
+	if err := os.WriteFile(filepath.Join(folder, f.File), text, 0o644); err != nil {
+		return err
+	}
+	v.Violations = append(v.Violations, f)
+	return nil
+}
+
+// violationOf is how a rule is broken in a scenario, empty if it is kept.
+func violationOf(s *scenario.Scenario, seed uint64, rule string, newPolicy sim.Maker) string {
+	for _, violation := range sim.Play(s, seed, newPolicy).Violations {
+		if string(violation.Rule) == rule {
+			return violation.Reason
+		}
+	}
+	return ""
+}
--- a/lab/experiment/hunt_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -45,19 +45,19 @@
 func TestAHuntCatchesASchedulerWithoutARampAndKeepsTheScenario(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "when missing")
 	h := hunt(t, dir, rampless, 1, 16)
-	require.NotEmpty(t, h.Breaks)
-	b := h.Breaks[0]
+	require.NotEmpty(t, h.Violations)
+	b := h.Violations[0]
 	require.Contains(t, b.Rule, "returns not pushed over")
 	s, err := scenario.Read(filepath.Join(dir, b.File))
 	require.NoError(t, err)
-	require.Equal(t, b.What, violationOf(s, s.Seed, b.Rule, rampless), "the kept scene shows it still")
+	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, rampless), "the kept scene shows it still")
 	require.NotZero(t, b.Steps)
 }
 
 func TestAHuntGoesOnWhereItStoppedAndIsTheSameOnAnyNumberOfCores(t *testing.T) {
 	whole, parts := t.TempDir(), t.TempDir()
 	h := hunt(t, whole, rampless, 1, 12)
-	require.Equal(t, 12, h.Scenes)
+	require.Equal(t, 12, h.Scenarios)
 	was := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(was)
 	hunt(t, parts, rampless, 5, 8) // the later seeds first
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -111,7 +111,7 @@
 }
 
 func drawn(rate, seconds float64) *Generator {
-	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Dests: []uint64{1}, Dest: Zipf(1, 0), Types: []string{"status"}}
+	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Destinations: []uint64{1}, DestinationPicker: Zipf(1, 0), Types: []string{"status"}}
 }
 
 // The figures told are those injected: a delay, and of a stall of two seconds what each arrival met of it.
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -16,15 +16,15 @@
 
 // Generator makes messages at drawn moments, for destinations and tenants drawn by weight. It is a Source.
 type Generator struct {
-	Arrivals *Arrivals
-	Random   *rand.Rand
-	Dests    []uint64
-	Dest     Picker
-	Tenants  []string
-	Tenant   Picker
-	Types    []string
-	Keys     int  // ordering keys in use at once; 0: none
-	Numbers  bool // each message gets an idempotency key of its own
+	Arrivals          *Arrivals
+	Random            *rand.Rand
+	Destinations      []uint64
+	DestinationPicker Picker
+	Tenants           []string
+	TenantPicker      Picker
+	Types             []string
+	Keys              int  // ordering keys in use at once; 0: none
+	IdempotencyKeys   bool // each message gets an idempotency key of its own
 }
 
 // Next makes the next message, false after the last arrival.
@@ -33,14 +33,14 @@
 	if !more {
 		return Message{}, false
 	}
-	message := Message{At: at, Destination: d.Dests[d.Dest.Pick(d.Random)], Type: d.Types[d.Random.IntN(len(d.Types))]}
+	message := Message{At: at, Destination: d.Destinations[d.DestinationPicker.Pick(d.Random)], Type: d.Types[d.Random.IntN(len(d.Types))]}
 	if len(d.Tenants) > 0 {
-		message.Tenant = d.Tenants[d.Tenant.Pick(d.Random)]
+		message.Tenant = d.Tenants[d.TenantPicker.Pick(d.Random)]
 	}
 	if d.Keys > 0 {
 		message.Key = fmt.Sprintf("%x", message.Destination<<32|uint64(d.Random.IntN(d.Keys)+1))
 	}
-	if d.Numbers {
+	if d.IdempotencyKeys {
 		message.IdempotencyKey = fmt.Sprintf("%016x", d.Random.Uint64())
 	}
 	return message, true
