--- a/lab/commands/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -16,9 +16,16 @@
 	"spanflow/lab/capacity/measure"
 )
 
+// measureCommand is what the flags of 'capacity measure' say.
+type measureCommand struct {
+	*session
+	options measure.Options
+	memory  string
+	into    string // empty: the curves are not merged
+}
+
 func (s *session) capacityMeasure() *cobra.Command {
-	options := measure.Options{Lasts: measure.DefaultLasts}
-	memory, into := humanize.Bytes(uint64(measure.DefaultMemory())), ""
+	m := &measureCommand{session: s, options: measure.Options{Lasts: measure.DefaultLasts}}
 	c := &cobra.Command{Use: "measure [ROLE...]", Short: "Measure what each role costs at several sizes, and fit lines",
 		Long: `Measures each role, or those named, at five sizes over two decades and fits a straight line to each quantity. A curve
 that is not straight is said to be so. Sizes that would not fit into --lasts or --memory are left out, which is told on
@@ -34,51 +41,60 @@
 			}
 			return nil
 		},
-		RunE: cli.Run(func(names []string) error {
-			bytes, err := humanize.ParseBytes(memory)
-			if err != nil {
-				return fmt.Errorf("--memory: %w", err)
-			}
-			if options.Memory = int64(bytes); options.Lasts <= 0 || options.Largest < 0 {
-				return errors.New("--lasts has to be over 0, --largest 0 or more")
-			}
-			if err := measure.CheckMemory(options.Memory); err != nil {
-				return fmt.Errorf("--%w", err)
-			}
-			if options.Program, err = filepath.Abs(options.Program); err != nil {
-				return err
-			}
-			if !s.quiet {
-				options.Progress = func(line string) { fmt.Fprintln(s.err, line) }
-			}
-			if len(names) == 0 {
-				names = measure.Names()
-			}
-			curves, err := measureRoles(s.ctx, names, options)
-			if err != nil {
-				return err
-			}
-			if into != "" {
-				if err := capacity.MergeInto(into, measure.Machine(), time.Now().UTC().Format(time.DateOnly), curves); err != nil {
-					return fmt.Errorf("--into: %w", err)
-				}
-			}
-			if s.json {
-				return cli.Print(s.out, curves)
-			}
-			return s.curves(curves)
-		})}
+		RunE: cli.Run(m.measure)}
 	f := c.Flags()
-	f.Uint64Var(&options.Seed, "seed", 1, "of what is drawn")
-	f.IntVar(&options.Largest, "largest", 0, "the largest size, in the unit of each role; 0: the role's own")
-	f.DurationVar(&options.Lasts, "lasts", options.Lasts, "time for each role")
-	f.StringVar(&memory, "memory", memory, "memory that the measurement and the forwarders it starts may take")
-	f.StringVar(&options.Program, "program", "bin/spanflow", "the built forwarder, with spanflowctl beside it")
-	f.StringVar(&options.Folder, "folder", "", "where write-ahead logs and configurations lie meanwhile (default: the system's temporary folder)")
-	f.StringVar(&into, "into", "", "merge the curves into this file of results, by role and quantity")
+	f.Uint64Var(&m.options.Seed, "seed", 1, "of what is drawn")
+	f.IntVar(&m.options.Largest, "largest", 0, "the largest size, in the unit of each role; 0: the role's own")
+	f.DurationVar(&m.options.Lasts, "lasts", m.options.Lasts, "time for each role")
+	f.StringVar(&m.memory, "memory", humanize.Bytes(uint64(measure.DefaultMemory())), "memory that the measurement and the forwarders it starts may take")
+	f.StringVar(&m.options.Program, "program", "bin/spanflow", "the built forwarder, with spanflowctl beside it")
+	f.StringVar(&m.options.Folder, "folder", "", "where write-ahead logs and configurations lie meanwhile (default: the system's temporary folder)")
+	f.StringVar(&m.into, "into", "", "merge the curves into this file of results, by role and quantity")
 	return c
 }
 
+// measure measures roles, all if none is named, and prints their curves.
+func (m *measureCommand) measure(names []string) error {
+	if err := m.checkOptions(); err != nil {
+		return err
+	}
+	if !m.quiet {
+		m.options.Progress = func(line string) { fmt.Fprintln(m.err, line) }
+	}
+	if len(names) == 0 {
+		names = measure.Names()
+	}
+	curves, err := measureRoles(m.ctx, names, m.options)
+	if err != nil {
+		return err
+	}
+	if m.into != "" {
+		if err := capacity.MergeInto(m.into, measure.Machine(), time.Now().UTC().Format(time.DateOnly), curves); err != nil {
+			return fmt.Errorf("--into: %w", err)
+		}
+	}
+	if m.json {
+		return cli.Print(m.out, curves)
+	}
+	return m.printCurves(curves)
+}
+
+// checkOptions checks the flags and fills in the options that they say.
+func (m *measureCommand) checkOptions() error {
+	bytes, err := humanize.ParseBytes(m.memory)
+	if err != nil {
+		return fmt.Errorf("--memory: %w", err)
+	}
+	if m.options.Memory = int64(bytes); m.options.Lasts <= 0 || m.options.Largest < 0 {
+		return errors.New("--lasts has to be over 0, --largest 0 or more")
+	}
+	if err := measure.CheckMemory(m.options.Memory); err != nil {
+		return fmt.Errorf("--%w", err)
+	}
+	m.options.Program, err = filepath.Abs(m.options.Program)
+	return err
+}
+
 // measureRoles measures roles one after another.
 func measureRoles(ctx context.Context, names []string, options measure.Options) ([]capacity.Curve, error) {
 	var all []capacity.Curve
@@ -96,8 +112,8 @@
 	return all, nil
 }
 
-// curves prints curves with their lines.
-func (s *session) curves(curves []capacity.Curve) error {
+// printCurves prints curves with their lines.
+func (s *session) printCurves(curves []capacity.Curve) error {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "ROLE\tQUANTITY\tUNIT\tSIZES\tVALUES\tSHAPE\tAT 0\tSLOPE\tRESIDUAL\tBENDS AT\tPOWER")
 	for _, c := range curves {
--- /dev/null
+++ b/lab/commands/violations.go
@@ -0,0 +1,153 @@
+package commands
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"spanflow/internal/cli"
+	"spanflow/lab/experiment"
+	"spanflow/lab/scenario"
+)
+
+// huntOptions are what the flags of 'hunt' say.
+type huntOptions struct {
+	lasts  time.Duration
+	limit  int
+	folder string
+}
+
+func (s *session) hunt() *cobra.Command {
+	o := huntOptions{lasts: time.Minute, limit: manyScenarios}
+	c := &cobra.Command{Use: "hunt --out FOLDER", Args: cobra.NoArgs,
+		Short: "Search for broken rules in scenarios drawn in all dimensions; continues where it stopped",
+		Long: `Draws 1 to 300 forwarders and endpoints, limits, message types, and one to four faults that mostly overlap, and plays
+each scenario once. The folder keeps hunt.toml (seeds tried, what they covered, violations found) and each violation as a
+scenario, shrunk as long as the same rule breaks. Started again with the folder it continues with seeds not tried. The
+files are the same for the same seeds on any number of cores. Interrupted, it finishes what it has begun and keeps it.`,
+		Example: "  spanflow-lab hunt --out hunted --lasts 10m\n  spanflow-lab hunt --out hunted --from 1 --most 5000 --lasts 1h",
+		RunE:    cli.Run(func([]string) error { return s.searchViolations(&o) })}
+	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "who decides")
+	c.Flags().Uint64Var(&s.seed, "from", 1, "the first seed")
+	c.Flags().DurationVar(&o.lasts, "lasts", o.lasts, "time for the search")
+	c.Flags().IntVar(&o.limit, "most", o.limit, "scenarios at most")
+	c.Flags().StringVar(&o.folder, "out", "", "folder that keeps the search and its findings; made if missing")
+	return c
+}
+
+// searchViolations continues the search of a folder; violations, also earlier ones, are an error.
+func (s *session) searchViolations(o *huntOptions) error {
+	if o.folder == "" {
+		return errors.New("--out: a folder is needed, that keeps which seeds were tried")
+	}
+	newPolicy, err := policy(s.policy)
+	if err != nil {
+		return err
+	}
+	v, err := experiment.OpenViolationSearch(o.folder)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(s.ctx, o.lasts)
+	defer cancel()
+	before, began := v.Scenarios, time.Now()
+	err = v.Run(ctx, o.folder, newPolicy, max(1, s.seed), o.limit, func(v *experiment.ViolationSearch) {
+		if !s.quiet && !s.json {
+			fmt.Fprintf(s.err, "\r%d scenarios, %d violations, %s   ", v.Scenarios-before, len(v.Violations), time.Since(began).Round(time.Second))
+		}
+	})
+	if err != nil {
+		return err
+	}
+	if s.json {
+		err = cli.Print(s.out, v)
+	} else {
+		err = s.printViolationSearch(v)
+	}
+	if n := len(v.Violations) + v.Unshrunk; err == nil && n > 0 {
+		first := &v.Violations[0]
+		err = fmt.Errorf("%d violations, the first in %s: %s: %s", n, first.File, first.Rule, first.Reason)
+	}
+	return err
+}
+
+// printViolationSearch prints what a search covers and has found.
+func (s *session) printViolationSearch(v *experiment.ViolationSearch) error {
+	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(t, "\n%d scenes, seeds %v\n", v.Scenarios, v.Tried)
+	for _, part := range []struct {
+		name   string
+		counts map[string]int
+	}{{"SIZE", v.Sizes}, {"TROUBLE", v.Kinds}} {
+		fmt.Fprintf(t, "%s\tSCENES\n", part.name)
+		for _, k := range slices.Sorted(maps.Keys(part.counts)) {
+			fmt.Fprintf(t, "%s\t%d\n", k, part.counts[k])
+		}
+	}
+	all := len(scenario.FaultKinds) * (len(scenario.FaultKinds) - 1) / 2
+	count, rarest := 0, ""
+	for _, pair := range slices.Sorted(maps.Keys(v.Pairs)) {
+		if rarest == "" || v.Pairs[pair] < count {
+			count, rarest = v.Pairs[pair], pair
+		}
+	}
+	fmt.Fprintf(t, "pairs that overlapped\t%d of %d, the rarest %s in %d\n", len(v.Pairs), all, rarest, count)
+	for _, found := range v.Violations {
+		fmt.Fprintf(t, "%s\t%s: %s\n", found.File, found.Rule, found.Reason)
+	}
+	return t.Flush()
+}
+
+// findings plays the scenarios that earlier searches found, and says which does not hold.
+func (s *session) findings() *cobra.Command {
+	seeds := 1
+	c := &cobra.Command{Use: "findings [SCENARIO...]", Args: cobra.ArbitraryArgs,
+		Short:   "Play kept findings: rules hold and each delivers at least its floor",
+		Example: "  spanflow-lab findings\n  spanflow-lab findings hunted/*.toml --seeds 8",
+		RunE:    cli.Run(func(names []string) error { return s.playFindings(names, seeds) })}
+	c.Flags().IntVar(&seeds, "seeds", seeds, "seeds of each, from its own on; the floor is for its own")
+	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "who decides")
+	return c
+}
+
+func (s *session) playFindings(names []string, seeds int) error {
+	if len(names) == 0 {
+		names = scenario.Findings()
+	}
+	var arms []experiment.Arm
+	for _, name := range names {
+		arm, err := s.arm(name)
+		if err != nil {
+			return err
+		}
+		arms = append(arms, arm)
+	}
+	failed := 0
+	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(t, "SCENE\tWORST G\tFLOOR\tRULES")
+	for _, arm := range arms {
+		sum := experiment.Summarize(arm.Name, experiment.Play(arm, experiment.Seeds(arm.Scenario.Seed, seeds), nil))
+		verdict := "kept"
+		if len(sum.Violations) > 0 {
+			verdict = fmt.Sprint(sum.Violations)
+		}
+		if len(sum.Violations) > 0 || sum.Worst < arm.Scenario.Floor {
+			failed++
+			verdict += " FAILED"
+		}
+		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%s\n", arm.Name, sum.Worst, arm.Scenario.Floor, verdict)
+	}
+	if err := t.Flush(); err != nil {
+		return err
+	}
+	if failed > 0 {
+		return fmt.Errorf("%d of %d findings do not hold", failed, len(arms))
+	}
+	return nil
+}
