--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// leastPoints is the number of sizes under which no shape is told.
+	// leastPoints is the number of sizes under which no shape is given.
 	leastPoints = 4
-	// leastSpan is the ratio of the largest size to the smallest under which no shape is told.
+	// leastSpan is the ratio of the largest size to the smallest under which no shape is given.
 	leastSpan = 10.0
 	// prefixPoints is the number of sizes that the part before a bend has at least.
 	prefixPoints = 3
@@ -24,7 +24,7 @@
 	zeroFraction = 1e-4
 )
 
-// ErrNotStraight says that a curve tells nothing beyond its points.
+// ErrNotStraight says that a curve says nothing beyond its points.
 var ErrNotStraight = errors.New("the curve is not straight")
 
 // FitLine fits a straight line to the points, which are in order of size, by least squares of the relative errors, so
@@ -94,7 +94,7 @@
 	return fit
 }
 
-// holds computes the line's residual and tells if the line fits all points.
+// holds computes the line's residual and tells whether the line fits all points.
 func (f *Fit) holds(points []Point) bool {
 	sum, most := 0.0, 0.0
 	weights := weights(points)
--- a/lab/capacity/hollow/fleet.go
+++ b/lab/capacity/hollow/fleet.go
@@ -51,7 +51,7 @@
 	return err
 }
 
-// end ends all processes and waits until they have gone.
+// end ends all processes and waits until they have ended.
 func (f *fleet) end() {
 	var wait sync.WaitGroup
 	for _, p := range f.processes() {
@@ -109,7 +109,7 @@
 	return answers, errors.Join(errs...)
 }
 
-// launch starts the forwarders and tells when the first worker began to.
+// launch starts the forwarders and returns when the first worker began to.
 func (f *fleet) launch(knowsList bool) (at int64, err error) {
 	n, processes := f.size.forwarders, f.size.processes
 	answers, err := f.requestAll(func(worker int) request {
@@ -153,13 +153,13 @@
 	return result, err
 }
 
-// publish makes a change and tells its moment, Unix time in nanoseconds.
+// publish makes a change and returns its moment, Unix time in nanoseconds.
 func (f *fleet) publish() (at int64, err error) {
 	answer, err := f.server.call(request{Publish: &publishRequest{}})
 	return answer.At, err
 }
 
-// setReach changes who can reach discovery and tells the moment, Unix time in nanoseconds.
+// setReach changes who can reach discovery and returns the moment, Unix time in nanoseconds.
 func (f *fleet) setReach(r reach, zone int) (at int64, err error) {
 	answer, err := f.server.call(request{Reach: &reachRequest{Reach: r, Zone: zone}})
 	return answer.At, err
@@ -206,7 +206,7 @@
 	return sum, nil
 }
 
-// measureFootprint starts the one forwarder of a pilot and tells what the parts of a trial need.
+// measureFootprint starts the one forwarder of a pilot and returns what the parts of a trial need.
 func (f *fleet) measureFootprint(knowsList bool) (footprint, error) {
 	if _, err := f.launch(knowsList); err != nil {
 		return footprint{}, err
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -1,10 +1,10 @@
 // Package hollow measures how fast and at what cost a change of discovery's list comes into force in a large fleet.
 //
 // A hollow forwarder is the real discovery client, the real hand-over of lists and the real scheduler on real sockets,
-// without clients, calls to targets and a write-ahead log; many run in one process (forward.FollowEndpoints). The coordinator,
-// Run, starts a process with the stand-in for discovery and some with forwarders, all on 127.0.0.1, tells them by JSON
-// lines what to do, and ends them when it returns. A list is in force at a forwarder once its scheduler was told it and
-// has settled.
+// without clients, calls to endpoints and a write-ahead log; many run in one process (forwarder.FollowEndpoints). The coordinator,
+// Run, starts a process with an emulator of discovery and some with forwarders, all on 127.0.0.1, commands them by JSON
+// lines, and ends them when it returns. A list is in force at a forwarder once its scheduler has it
+// and has reconciled.
 //
 // Processor time is that of whole processes by getrusage. Bytes are those that the sockets took and gave, without the
 // headers of TCP and IP: some 52 a segment come on top.
@@ -30,7 +30,7 @@
 	Restart  Scenario = "restart" // a third is restarted at once, and the list changes
 	Outage   Scenario = "outage"  // discovery is away for a time, and the list changes meanwhile
 	Zone     Scenario = "zone"    // a zone is cut off from discovery for a time, and the list changes meanwhile
-	FullList Scenario = "whole"   // all start at once and know no list, so that each is told the whole of it
+	FullList Scenario = "whole"   // all start at once and know no list, so that each gets the full list
 )
 
 // Scenarios are all scenarios in the order in which they are run.
@@ -48,7 +48,7 @@
 	cutZone          = 0
 )
 
-// Address is the time within which a change has to be in force everywhere (issue 44).
+// InForceTarget is the time within which a change has to be in force everywhere (issue 44).
 const InForceTarget = 9 * time.Second
 
 // Config says what is run.
@@ -57,13 +57,13 @@
 	Forwarders   int
 	Processes    int // that the forwarders are spread over
 	Destinations int
-	Changes      int           // of the scenario ReloadBehavior, one after another
+	Changes      int           // of the scenario Change, one after another
 	Lasts        time.Duration // of the idle window of each trial; and how long discovery or a zone is away
 	MemoryBytes  int64         // of all processes together; 0: a quarter of the machine's
 	ListBytes    int           // of one object of discovery's watch at most; 0: the forwarder's own limit
 	Seed         uint64
-	Program      []string     // that calls Serve with the role that is appended; its standard input and output are the line
-	Progress     func(string) // told what goes on; may be nil
+	Program      []string     // that calls Serve with the role that is appended; its standard input and output are the connection to it
+	Progress     func(string) // gets a line for each step; may be nil
 }
 
 // check names the first field that is out of range, and fills in the memory.
--- a/lab/capacity/hollow/keep.go
+++ b/lab/capacity/hollow/keep.go
@@ -13,7 +13,7 @@
 	"spanflow/lab/capacity"
 )
 
-// MaxStoredBytes writes trials into a file of results. A trial takes the place of one with the same scenario, forwarders and
+// Store writes trials into a file of results. A trial takes the place of one with the same scenario, forwarders and
 // destinations; all else in the file stays. The file is made if it is missing, and is never left half written.
 func Store(path string, trials []capacity.FleetTrial) error {
 	results, err := readResults(path)
--- a/lab/capacity/hollow/list.go
+++ b/lab/capacity/hollow/list.go
@@ -57,7 +57,7 @@
 	return list
 }
 
-// knownList is the list of the first revision as a forwarder that has been told it knows it.
+// knownList is the list of the first revision as a forwarder that has it knows it.
 func knownList(destinations int) transport.EndpointList {
 	list := transport.EndpointList{Revision: firstRevision, Complete: true}
 	for _, e := range makeList(destinations) {
--- a/lab/capacity/hollow/message.go
+++ b/lab/capacity/hollow/message.go
@@ -7,7 +7,7 @@
 
 // The roles.
 const (
-	RoleServer Role = "server" // discovery's stand-in
+	RoleServer Role = "server" // emulates discovery
 	RoleWorker Role = "worker" // hollow forwarders
 )
 
--- a/lab/capacity/hollow/process.go
+++ b/lab/capacity/hollow/process.go
@@ -66,7 +66,7 @@
 	return answer, nil
 }
 
-// end ends the process and waits until it has gone.
+// end ends the process and waits until it has ended.
 func (p *process) end() {
 	p.input.Close()
 	kill := time.AfterFunc(endWithin, func() { p.command.Process.Kill() })
@@ -131,7 +131,7 @@
 				answer.Error = err.Error()
 			}
 			if err := encoder.Encode(answer); err != nil {
-				return nil // the coordinator has gone
+				return nil // the coordinator has ended
 			}
 		}
 	}
@@ -139,7 +139,7 @@
 
 var errUnknownRequest = errors.New("a request that this process does not serve")
 
-// serverProcess is a process with discovery's stand-in.
+// serverProcess is a process that emulates discovery.
 type serverProcess struct{ server *server }
 
 func (p *serverProcess) handle(r request) (answer response, err error) {
--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 )
 
-// historyLength is how many changes a watch that begins late can still be told; with more missed it gets the whole
+// historyLength is how many changes a watch that begins late can still get; with more missed it gets the full
 // list.
 const historyLength = 256
 
@@ -50,7 +50,7 @@
 	return r.revision, nil
 }
 
-// since is what a watch is told that holds a revision: what has changed after it, or the whole list where that is not
+// since is what a watch that holds a revision gets: what has changed after it, or the full list where that is not
 // known any more.
 func (r *registry) since(revision int64) ([]byte, error) {
 	missed := r.revision - revision
@@ -71,7 +71,7 @@
 	return changes.encode()
 }
 
-// encodeFullList is the whole list; it is encoded once for each revision.
+// encodeFullList is the encoded list; it is encoded once for each revision.
 func (r *registry) encodeFullList() ([]byte, error) {
 	if r.fullListRevision != r.revision {
 		encoded, err := object{Revision: r.revision, All: true, Targets: r.list}.encode()
--- a/lab/capacity/hollow/server.go
+++ b/lab/capacity/hollow/server.go
@@ -12,8 +12,8 @@
 
 const blankEvery = 2 * time.Second // an empty line comes so often on a watch while nothing changes
 
-// server is a stand-in for discovery that offers what the published protocol says: the whole list, and watches that
-// are told what changed after the revision they hold. Each zone reaches it at an address of its own. It serves calls
+// server emulates discovery as the published protocol has it: the full list, and watches that
+// get what changed after the revision they hold. Each zone reaches it at an address of its own. It serves calls
 // as they come; it does not imitate how long the real service takes for each.
 type server struct {
 	traffic traffic
@@ -74,7 +74,7 @@
 	return s.listen()
 }
 
-// publish makes a change and tells all watches.
+// publish makes a change and sends it to all watches.
 func (s *server) publish() (revision int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	return revision, nil
 }
 
-// since is what a watch that holds a revision is told, the revision it holds then, and what is closed at the next
+// since is what a watch that holds a revision gets, the revision it holds then, and what is closed at the next
 // change.
 func (s *server) since(revision int64) (encoded []byte, now int64, changed <-chan struct{}, err error) {
 	s.mu.Lock()
@@ -115,7 +115,7 @@
 	s.watch(w, r, revision)
 }
 
-// watch tells changes until the connection ends.
+// watch sends changes until the connection ends.
 func (s *server) watch(w http.ResponseWriter, r *http.Request, revision int64) {
 	for {
 		encoded, now, changed, err := s.since(revision)
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	if err := t.hear(func(int) int64 { return began }); err != nil {
+	if err := t.awaitInForce(func(int) int64 { return began }); err != nil {
 		return err
 	}
 	after, err := t.fleet.snapshot()
@@ -161,15 +161,15 @@
 		seconds, 100*busyFraction(before.machine, after.machine), used.CPU))
 }
 
-// publish makes a change that all forwarders are expected to hear of, and tells its moment.
+// publish makes a change that all forwarders are expected to hear of, and returns its moment.
 func (t *trial) publish() (at int64, err error) {
 	t.revision++
 	t.result.Changes++
 	return t.fleet.publish()
 }
 
-// hear waits until all forwarders have the latest revision in force. since tells from when on each could hear of it.
-func (t *trial) hear(since func(forwarder int) int64) error {
+// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could hear of it.
+func (t *trial) awaitInForce(since func(forwarder int) int64) error {
 	heard, err := t.fleet.await(inForceWithin)
 	if err != nil {
 		return err
@@ -197,7 +197,7 @@
 		if err != nil {
 			return err
 		}
-		if err := t.hear(func(int) int64 { return at }); err != nil {
+		if err := t.awaitInForce(func(int) int64 { return at }); err != nil {
 			return err
 		}
 		if err := t.pause(betweenTimes); err != nil {
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	return t.hear(func(int) int64 { return at })
+	return t.awaitInForce(func(int) int64 { return at })
 }
 
 // outage takes discovery away, makes a change meanwhile, and counts from when discovery is back.
@@ -245,7 +245,7 @@
 		return err
 	}
 	t.notes = append(t.notes, fmt.Sprintf("away for %s; times from its return", t.config.Lasts))
-	return t.hear(func(int) int64 { return back })
+	return t.awaitInForce(func(int) int64 { return back })
 }
 
 // cutOff cuts a zone off and makes a change. Latencies count from the change, in the zone from when it is back.
@@ -268,7 +268,7 @@
 		return err
 	}
 	t.notes = append(t.notes, fmt.Sprintf("%d forwarders cut off for %s; their times from its end", t.inZone(cutZone), t.config.Lasts))
-	return t.hear(func(forwarder int) int64 {
+	return t.awaitInForce(func(forwarder int) int64 {
 		if forwarder%zoneCount == cutZone {
 			return back
 		}
--- a/lab/capacity/hollow/usage.go
+++ b/lab/capacity/hollow/usage.go
@@ -41,7 +41,7 @@
 	residentPeak = "VmHWM"
 )
 
-// residentMemory is a process's, in bytes; 0 if it has gone.
+// residentMemory is a process's, in bytes; 0 if it has ended.
 func residentMemory(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -71,7 +71,7 @@
 	return 0
 }
 
-// Machine tells the cores and the processor model of this machine.
+// Machine describes the cores and the processor model of this machine.
 func Machine(cores int) string {
 	text, _ := os.ReadFile("/proc/cpuinfo")
 	model := "unknown processor"
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -25,7 +25,7 @@
 	descriptorsEach = 16   // of a hollow forwarder at most; it needs three, and one more while it connects
 	spareOpen       = 1024 // descriptors that a worker has for all else
 	linesEach       = 4    // connections of a hollow forwarder at most
-	mostReasons     = 16   // different reasons for the end of a watch that are told apart
+	mostReasons     = 16   // different reasons for the end of a watch that are kept apart
 	otherReasons    = "other reasons"
 )
 
@@ -62,7 +62,7 @@
 	ended   chan struct{}
 	err     error // read once ended is closed
 	inForce int64 // when the expected revision was, Unix time in nanoseconds; under the worker's lock
-	holds   int64 // revision in force, 0 before discovery has told one; under the worker's lock
+	holds   int64 // revision in force, 0 before there is one; under the worker's lock
 }
 
 func newWorker(ctx context.Context) *worker {
@@ -89,7 +89,7 @@
 	return answer, err
 }
 
-// begin starts the forwarders, which are expected to have the first revision, and tells when it began to.
+// begin starts the forwarders, which are expected to have the first revision, and returns when it began to.
 func (w *worker) begin(s startRequest) (at int64, err error) {
 	if len(w.members) > 0 {
 		return 0, errors.New("the forwarders were started before")
@@ -158,7 +158,7 @@
 
 func (w *worker) stop() { haltAll(w.members) }
 
-// note is told by a forwarder which revision it has in force now.
+// note records which revision a forwarder has in force now.
 func (w *worker) note(m *member, revision int64) {
 	now := time.Now().UnixNano()
 	w.mu.Lock()
@@ -193,7 +193,7 @@
 	}
 }
 
-// restarts tells if a forwarder is among every so manyth of the fleet; these are spread over the zones.
+// restarts tells whether a forwarder is among every so manyth of the fleet; these are spread over the zones.
 func restarts(index, everyNth int) bool { return (index+index/zoneCount)%everyNth == 0 }
 
 // restart ends every so manyth forwarder of the fleet and starts it anew. All are ended before the first starts.
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -226,7 +226,7 @@
 	return len(n.came)
 }
 
-// late tells how many of the stored messages were answered after their time or not at all, and the least time that was
+// late is how many of the stored messages were answered after their time or not at all, and the least time that was
 // left at an answer.
 func (n *notices) late(messages int, expiry func(n int) time.Time) (late int, margin time.Duration) {
 	n.mu.Lock()
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -16,7 +16,7 @@
 	listPath    = "/v1/endpoints" // with stream=1: the list and its changes
 )
 
-// discoveryServer tells a list of destinations that does not change: its first part as the whole list, the rest as
+// discoveryServer serves a list of destinations that does not change: its first part as the whole list, the rest as
 // changes.
 type discoveryServer struct {
 	address string
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down.go
@@ -16,10 +16,10 @@
 	returnBudget = quantity{"budget of the first second of its return", "forwarders", "calls"}
 )
 
-// downScene is a day of one destination that refuses connections for a minute.
+// outageScenario is a run of one destination that refuses connections for a minute.
 //
 //go:embed down.toml
-var downScene []byte
+var outageScenario []byte
 
 const (
 	outageDays   = 5 // of which the mean is taken
@@ -34,7 +34,7 @@
 }
 
 func (t *trial) outage(forwarders int) error {
-	day, err := scenario.Parse("down.toml", downScene)
+	day, err := scenario.Parse("down.toml", outageScenario)
 	if err != nil {
 		return err
 	}
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// allowedCalls is how many calls a destination of the scene that has just returned stands in a second.
+// allowedCalls is how many calls a destination of the scenario that has just recovered takes in a second.
 func allowedCalls(day *scenario.Scenario) float64 {
 	p := &day.Receivers[0]
 	capacity := float64(p.Concurrency*p.Endpoints) / float64(p.Mean)
@@ -78,16 +78,16 @@
 
 // outageCount counts the calls of all forwarders in an outage and just after it.
 type outageCount struct {
-	from, to  float64 // of the outage, in seconds from the day's beginning
-	begins    float64 // of the day, on the simulated clock
+	from, to  float64 // of the outage, in seconds from the run's beginning
+	runStart  float64 // of the run, on the simulated clock
 	vain      int
 	returning int
 }
 
 // policy is the scheduler, with its calls counted.
 func (o *outageCount) policy(terms scheduler.Settings, seed uint64, now float64, to scheduler.Host) sim.Policy {
-	if o.begins == 0 {
-		o.begins = now // the first forwarder starts with the day
+	if o.runStart == 0 {
+		o.runStart = now // the first forwarder starts with the run
 	}
 	counting := &countingHost{Host: to, count: o, now: now}
 	return &countedScheduler{Scheduler: scheduler.New(terms, seed, now, counting), host: counting}
@@ -95,7 +95,7 @@
 
 // sent counts a call.
 func (o *outageCount) sent(now float64) {
-	switch at := now - o.begins; {
+	switch at := now - o.runStart; {
 	case at >= o.from && at < o.to:
 		o.vain++
 	case at >= o.to && at < o.to+returnSecond:
@@ -109,7 +109,7 @@
 	host *countingHost
 }
 
-// SetTime tells both the time.
+// SetTime sets the time of both.
 func (c *countedScheduler) SetTime(now float64) {
 	c.host.now = now
 	c.Scheduler.SetTime(now)
@@ -122,7 +122,7 @@
 	now   float64
 }
 
-// Send counts a call; the scene's destinations take one message in each.
+// Send counts a call; the scenario's destinations take one message in each.
 func (h *countingHost) Send(d *scheduler.Message, t *scheduler.Endpoint, timeout float64) {
 	h.count.sent(h.now)
 	h.Host.Send(d, t, timeout)
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held.go
@@ -30,7 +30,7 @@
 	freshEnough     = 0.1  // seconds of processor time after which the mean is taken
 )
 
-// measureHeldMessage measures what a message costs that is held for a destination which told a wait.
+// measureHeldMessage measures what a message costs that is held for a destination which sent a retry-after.
 func measureHeldMessage(t *trial) error {
 	if err := t.sweep("the write-ahead log", 0.15, linearly, sizes(t.Largest), t.heldInLog); err != nil {
 		return err
@@ -89,8 +89,8 @@
 	return err
 }
 
-// hold makes a scheduler with two destinations, of which the second has told a wait and has so many messages, and
-// returns the processor time in seconds of taking these in one turn.
+// hold makes a scheduler with two destinations, of which the second has sent a retry-after and has so many messages, and
+// returns the processor time in seconds of accepting these in one round.
 func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
 	s.addDestinations(2)
@@ -104,7 +104,7 @@
 	return s, took
 }
 
-// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and tells if there was one.
+// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and returns whether there was one.
 func (t *trial) fresh(deliver func() bool) (float64, error) {
 	n := 0
 	took := withoutCollection(func() {
@@ -151,7 +151,7 @@
 }
 
 // endFirst ends the call that has been out for longest, after which another goes out, and counts down how many there
-// are yet. It tells if there was one.
+// are yet. It returns whether there was one.
 func (s *measuredScheduler) endFirst(left *int) bool {
 	if *left <= 0 || len(s.host.out) == 0 {
 		return false
--- a/lab/capacity/measure/known.go
+++ b/lab/capacity/measure/known.go
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// updateFullList is the processor time of a whole list that changes nothing, told in one turn.
+// updateFullList is the processor time of a full list that changes nothing, in one round.
 func (s *measuredScheduler) updateFullList(lines []scheduler.EndpointUpdate) float64 {
 	s.advance(1)
 	return withoutCollection(func() {
@@ -71,7 +71,7 @@
 	}) / listChanges
 }
 
-// replace tells that a destination's target has gone and another has come.
+// replace replaces a destination's endpoint by another.
 func (s *measuredScheduler) replace(n int) {
 	s.advance(0.01)
 	gone, fresh := s.targets[n], &scheduler.Endpoint{ID: uint64(n)}
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -74,7 +74,7 @@
 	return len(all), err
 }
 
-// machineMemory is the machine's memory in bytes, 0 if it is not told.
+// machineMemory is the machine's memory in bytes, 0 if it is unknown.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -29,13 +29,13 @@
 	Progress func(line string)
 }
 
-// DefaultLasts is the time that a role gets if none is told.
+// DefaultLasts is the time that a role gets if none is set.
 const DefaultLasts = 3 * time.Minute
 
 // DefaultMemory is a quarter of the machine's memory in bytes.
 func DefaultMemory() int64 { return machineMemory() / 4 }
 
-// CheckMemory tells if a bound on memory is under half of the machine's, as it has to be.
+// CheckMemory returns an error unless a bound on memory is under half of the machine's, as it has to be.
 func CheckMemory(bytes int64) error {
 	if most := machineMemory() / 2; bytes <= 0 || bytes >= most {
 		return fmt.Errorf("memory: %d bytes are not over 0 and under half of the machine's (%d)", bytes, most)
@@ -48,7 +48,7 @@
 	Name    string
 	About   string
 	Unit    string // of its sizes
-	Largest int    // the largest size, unless another is told
+	Largest int    // the largest size, unless another is set
 	measure func(t *trial) error
 }
 
--- a/lab/capacity/measure/path.go
+++ b/lab/capacity/measure/path.go
@@ -50,7 +50,7 @@
 	seconds   float64
 	cpu       float64 // seconds of the forwarder's processor time
 	in, out   float64 // bytes between clients and forwarder, and between forwarder and targets
-	slowest   float64 // seconds from the moment at which a message was to be handed in to its answer, at most
+	slowest   float64 // seconds from the moment at which a message was to be submitted to its answer, at most
 }
 
 func (t *trial) recordRate(w traffic) {
--- a/lab/capacity/measure/process.go
+++ b/lab/capacity/measure/process.go
@@ -32,7 +32,7 @@
 	queueCapacity int      // messages that it may hold; 0: a few thousand
 	forwarders    int      // of the fleet that it belongs to; 0: it is alone
 	metrics       bool
-	discovery     string // address of the service that tells the list; empty: the configuration has it
+	discovery     string // address of the service with the list; empty: the configuration has it
 	settings      string // further lines
 }
 
@@ -139,7 +139,7 @@
 	os.RemoveAll(p.folder)
 }
 
-// reload tells the process to read its configuration again.
+// reload makes the process read its configuration again.
 func (p *process) reload() error { return p.command.Process.Signal(syscall.SIGHUP) }
 
 // field is the first value of a field in the process's log lines.
@@ -175,7 +175,7 @@
 	return lines[len(lines)-1]
 }
 
-// startListed starts a forwarder that is told its list by discovery, and waits until it knows all of it. The caller
+// startListed starts a forwarder that gets its list from discovery, and waits until it knows all of it. The caller
 // closes the server.
 func (t *trial) startListed(c *configuration) (p *process, server *discoveryServer, err error) {
 	if server, err = newDiscoveryServer(c.destinations); err != nil {
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -29,7 +29,7 @@
 	return t.sweep("a list of the configuration", 0.7, quadratically, sizes(min(t.Largest, mostConfigured)), t.reloadList)
 }
 
-// reloadOther measures a reload that changes what is logged, with a list that discovery tells, until it is in force.
+// reloadOther measures a reload that changes what is logged, with a list from discovery, until it is in force.
 func (t *trial) reloadOther(size int) error {
 	c := &configuration{destinations: size}
 	p, server, err := t.startListed(c)
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -102,7 +102,7 @@
 	return err
 }
 
-// recovered starts a scheduler with what an earlier process owed to a destination that told a wait.
+// recovered starts a scheduler with what an earlier process left unanswered for a destination that sent a retry-after.
 func recovered(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.addDestinations(2)
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -5,7 +5,7 @@
 const (
 	startTime         = 100.0 // the scheduler's clock at its start; 0 stands for never
 	messageTimeToLive = 1e6   // seconds
-	blockedTime       = 1e5   // seconds, shorter than the life, so that what waits is held and not given up
+	blockedTime       = 1e5   // seconds, shorter than the time to live, so that what waits is held and not given up
 	callLatency       = 0.05  // seconds
 	typicalSize       = 500   // bytes of a message as the scheduler counts them
 )
@@ -51,7 +51,7 @@
 	return s
 }
 
-// addDestination makes a destination with one target and returns its line of the list.
+// addDestination makes a destination with one endpoint and returns its line of the list.
 func (s *measuredScheduler) addDestination() scheduler.EndpointUpdate {
 	number := uint64(len(s.destinations))
 	d, t := s.NewDestination(number), &scheduler.Endpoint{ID: number}
@@ -59,7 +59,7 @@
 	return scheduler.EndpointUpdate{Endpoint: t, Destination: d, State: scheduler.Ready}
 }
 
-// addDestinations makes so many destinations known, by a whole list, and returns the list.
+// addDestinations makes so many destinations known, by a full list, and returns the list.
 func (s *measuredScheduler) addDestinations(destinations int) []scheduler.EndpointUpdate {
 	lines := make([]scheduler.EndpointUpdate, 0, destinations)
 	for range destinations {
@@ -70,7 +70,7 @@
 	return lines
 }
 
-// advance lets time go by.
+// advance moves the clock on.
 func (s *measuredScheduler) advance(seconds float64) {
 	s.now += seconds
 	s.SetTime(s.now)
@@ -92,7 +92,7 @@
 	s.Reconcile()
 }
 
-// block makes a destination tell a wait that is shorter than a message's life.
+// block makes a destination send a retry-after that is shorter than a message's time to live.
 func (s *measuredScheduler) block(d *scheduler.Destination) {
 	s.accept(d, 0)
 	s.Reconcile()
--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -54,7 +54,7 @@
 	return Estimate{Basis: Fitted, Value: value}
 }
 
-// ReportedValue says where a budget is left.
+// Limit says where a budget is left.
 type Limit struct {
 	Basis         Basis   // NotMeasured, NotExtrapolated: it is not known; Measured: at a measured size; else by the line
 	Never         bool    // kept at every size up to the one that was asked for
@@ -62,7 +62,7 @@
 	LargestWithin float64 // with Measured: the largest measured size below it, at which the budget is kept; 0: there is none
 }
 
-// LeavesAt tells at which size a curve, nil if there is none, leaves a budget, looking up to a size.
+// LeavesAt returns at which size a curve, nil if there is none, leaves a budget, looking up to a size.
 func LeavesAt(curve *capacity.Curve, budget, upTo float64) Limit {
 	if curve == nil {
 		return Limit{}
--- a/lab/capacity/page/failures.go
+++ b/lab/capacity/page/failures.go
@@ -32,9 +32,9 @@
 	return failure{
 		what:     "restart of a process",
 		expected: Count.Format(t.Failures.RestartsPerDay) + " a day, replaced machines among them",
-		lost: "Nothing that was taken on: it is in the folder before the client hears so. What was in flight counts as may " +
-			"have run: messages that must not run twice are abandoned, others are sent again while a repeat is known. Lost are " +
-			"health, paces, told waits and connections; call times are kept for up to 4,096 destinations.",
+		lost: "Nothing that was accepted: it is in the folder before the client is told so. What was in flight counts as may " +
+			"have run: messages that must not run twice are failed, others are sent again while a repeat is known. Lost are " +
+			"health, learned rates, retry-afters and connections; call times are kept for up to 4,096 destinations.",
 		noticedBy: "its clients, by the end of their connections; the platform that starts it again",
 		within:    "at once",
 		takesOver: "the next process on the same folder; " + readyAfterRestart(t, results) +
@@ -65,7 +65,7 @@
 			"a notice only then, too late by the platform's rule.",
 		noticedBy: "the operators, who do it: lameduck, SIGTERM",
 		within:    "3.2 s for what can be ended, then the copying of the folder",
-		takesOver: "the process on the new machine. Handing what is owed to another forwarder: " + missing,
+		takesOver: "the process on the new machine. Moving what is held to another forwarder: " + missing,
 	}
 }
 
@@ -73,14 +73,14 @@
 	owedADay := t.Failures.MachinesPerDay * t.Load.BacklogPerForwarder
 	return failure{
 		what:     "failed machine",
-		expected: Count.Format(t.Failures.MachinesPerDay) + " a day: up to " + Count.Format(owedADay) + " messages owed there",
-		lost: "The " + Count.Format(t.Load.BacklogPerForwarder) + " messages owed there are on its disk alone. If the disk comes back " +
-			"they wait, and their time runs on; what the kernel had not written yet is lost even then, as the ledger does not sync. " +
-			"If it does not come back all are lost, with no notice to anybody: only clients that keep what they handed in can hand " +
-			"it in again.",
+		expected: Count.Format(t.Failures.MachinesPerDay) + " a day: up to " + Count.Format(owedADay) + " messages held there",
+		lost: "The " + Count.Format(t.Load.BacklogPerForwarder) + " messages held there are on its disk alone. If the disk comes back " +
+			"they wait, and their time runs on; what the kernel had not written yet is lost even then, as the write-ahead log does not sync. " +
+			"If it does not come back all are lost, with no notice to anybody: only clients that keep what they submitted can submit " +
+			"it again.",
 		noticedBy: "its clients, by silence; no forwarder knows of another. Discovery sees the watch end, and nothing acts on it.",
 		within:    "the clients' own time limits; for the loss itself: never",
-		takesOver: "for new messages any other forwarder that clients reach; for what is owed nothing. A copy elsewhere: " + missing,
+		takesOver: "for new messages any other forwarder that clients reach; for what is held nothing. A copy elsewhere: " + missing,
 	}
 }
 
@@ -88,12 +88,12 @@
 	return failure{
 		what:     "rack or switch",
 		expected: "up to " + Count.Format(t.Failures.RacksPerYear) + " a year",
-		lost: "As many failed machines as the rack holds, with a return in most cases: what they owe waits for it. How many " +
-			"forwarders share a rack, and whether control machines do, is not told.",
+		lost: "As many failed machines as the rack holds, with a return in most cases: what they hold waits for it. How many " +
+			"forwarders share a rack, and whether control machines do, is unknown.",
 		noticedBy: "as for a failed machine; calls to endpoints in the rack fail at every forwarder that has some",
 		within:    "clients: their own limits; endpoints: a few calls each",
 		takesOver: "other forwarders by the clients' choice, each still counting on its part of " + Count.Format(t.Fleet.Forwarders) +
-			" forwarders (`dispatch.forwarders` is told at the start); other endpoints of a destination, if it has some",
+			" forwarders (`dispatch.forwarders` is set at the start); other endpoints of a destination, if it has some",
 	}
 }
 
@@ -103,13 +103,13 @@
 	return failure{
 		what:     "zone",
 		expected: "up to " + Count.Format(t.Failures.ZonesPerYear) + " a year",
-		lost: digits(lost) + " forwarders with up to " + Count.Format(lost*t.Load.BacklogPerForwarder) + " messages owed, which wait for " +
+		lost: digits(lost) + " forwarders with up to " + Count.Format(lost*t.Load.BacklogPerForwarder) + " messages held, which wait for " +
 			"the zone's return or are lost with its disks. The rest take " + digits(more) + " times their load if clients spread: " +
 			PerSecond.Format(t.eventsPerForwarder()*more) + " each.",
 		noticedBy: "clients; each forwarder for itself by its failing calls; watches within 3 s if discovery was there",
-		within:    "a few calls to each endpoint; the list when discovery tells it",
-		takesOver: "endpoints in other zones (`place` in `scheduler` prefers near ones, then takes others). Nobody tells a forwarder " +
-			"that a zone is gone: each finds out by destination. Shared knowledge of outages: " + missing,
+		within:    "a few calls to each endpoint; the list when discovery sends it",
+		takesOver: "endpoints in other zones (`scheduler` prefers near ones, then takes others). No forwarder is told " +
+			"that a zone is down: each finds out by destination. Shared knowledge of outages: " + missing,
 	}
 }
 
@@ -121,22 +121,22 @@
 		what:     "regions apart",
 		expected: "now and then, for " + Seconds.Format(apart),
 		lost: "Nothing is lost within the messages' lives. What goes across waits: if half of all did, " + Count.Format(across) +
-			" more at each forwarder in the time; which share does is not told. At 97% of `dispatch.room` the longest lines are cut " +
-			"(rejected with a time to come back); beyond the ledger's space the door turns all away, those for near destinations too.",
+			" more at each forwarder in the time; which share does is unknown. At 97% of `dispatch.room` the longest queues are cut " +
+			"(rejected with a time to come back); beyond the write-ahead log's space all are refused, those for near destinations too.",
 		noticedBy: "each forwarder by failing calls; those beyond the cut from discovery by the silent watch",
 		within:    "a few calls to each destination; the watch: 3 s",
 		takesOver: "the list as last known. Changes on the other side are not in force until the return. Up to " + digits(inRegion) +
 			" forwarders go on asking, at random up to 1.3 times `dispatch.ask_within` after the last failure, and get what changed, " +
-			"or the whole list if discovery no longer knows",
+			"or the full list if discovery no longer knows",
 	}
 }
 
 func discoveryAway() failure {
 	return failure{
 		what:     "discovery or a control machine away",
-		expected: "not told",
+		expected: "unknown",
 		lost: "No message that can be delivered. Changes wait. Notices of messages that were not delivered are sent again until one " +
-			"is answered, and their messages stay owed; by the platform's rule one without a notice 300 ms after its time is lost.",
+			"is answered, and their messages stay held; by the platform's rule one without a notice 300 ms after its time is lost.",
 		noticedBy: "every forwarder, by the end or the silence of the watch (`watch ended`)",
 		within:    "at once, or 3 s",
 		takesOver: "the list as last known. The control machines run nothing of this project: " + missing,
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -43,10 +43,10 @@
 	value    func(*Target, *capacity.FleetTrial) float64
 	from     string
 	reached  func(*Target, *capacity.FleetTrial) reach
-	counts   func(*capacity.FleetTrial) bool // tells which trials count; nil: all
+	counts   func(*capacity.FleetTrial) bool // which trials count; nil: all
 }
 
-// nobodyMissed counts trials in which every forwarder had what it should have. Reason others cost tells nothing.
+// nobodyMissed counts trials in which every forwarder had what it should have. What others cost says nothing.
 func nobodyMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
 
 // reach is how far a trial went towards the target size, as shares of it. With forwarders and destinations at the same
@@ -81,7 +81,7 @@
 	role     string
 	estimate Estimate
 	limit    Limit
-	fraction float64 // of the target size at which the budget is left, if limit tells one
+	fraction float64 // of the target size at which the budget is left, if limit has one
 	from     string
 	command  string
 	budget   float64
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// describe tells of a curve what it is worked out from.
+// describe says what a curve's value is worked out from.
 func describe(curve *capacity.Curve, unit Unit) string {
 	fit := curve.Fit
 	slope := unit.Format(fit.Slope) + " each of " + curve.SizeUnit
@@ -202,7 +202,7 @@
 	}
 }
 
-// leavesAt tells at which share of the target size trials leave a budget: the smallest that did, and the largest below
+// leavesAt is at which share of the target size trials leave a budget: the smallest that did, and the largest below
 // it that did not.
 func (u *trialUse) leavesAt(target *Target, trials []*capacity.FleetTrial, budget float64) Limit {
 	limit, kept := Limit{Basis: NotExtrapolated}, 0.0
@@ -246,7 +246,7 @@
 	return trials
 }
 
-// atSize is the cell that tells the value at the target size.
+// atSize is the cell with the value at the target size.
 func (r *reckoned) atSize() string {
 	value := r.unit.Format(r.estimate.Value)
 	switch r.estimate.Basis {
@@ -291,7 +291,7 @@
 	return "kept at " + digits(r.limit.LargestWithin) + ", " + left
 }
 
-// allowed is the cell that tells the budget.
+// allowed is the cell with the budget.
 func (r *reckoned) allowed() string {
 	switch {
 	case r.figure.budget == nil:
@@ -309,7 +309,7 @@
 	return r.carriedBy
 }
 
-// leaves is the cell that tells where a budget is left.
+// leaves is the cell that says where a budget is left.
 func (r *reckoned) leaves() string {
 	switch {
 	case r.limit.Basis == NotMeasured:
--- a/lab/capacity/page/files_test.go
+++ b/lab/capacity/page/files_test.go
@@ -59,7 +59,7 @@
 		{`memory = "192MB"`, `memory = "0MB"`, "budget.forwarder.memory: "},
 		{"drain_per_second = 5_000", "drain_per_second = inf", "budget.forwarder.drain_per_second: +Inf is not a number over 0"},
 		{`ready_within = "10s"`, "", "budget.forwarder.ready_within: "},
-		{`value = "52 to 71 ms"`, `value = ""`, "estimates[1].value: is not told"},
+		{`value = "52 to 71 ms"`, `value = ""`, "estimates[1].value: is missing"},
 		{"size = 170_000", "size = -1", "estimates[1].size: -1 is no size"},
 	} {
 		require.Equal(t, 1, min(1, strings.Count(string(text), c.is)), c.is)
@@ -75,7 +75,7 @@
 		says  string
 	}{
 		{func(r *capacity.Results) { r.Date = "yesterday" }, `date: "yesterday" is not of the form`},
-		{func(r *capacity.Results) { r.Machine = "" }, "machine: is not told"},
+		{func(r *capacity.Results) { r.Machine = "" }, "machine: is missing"},
 		{func(r *capacity.Results) { r.Curves[0].Unit = "" }, "curves[0] (known-destination, memory in the scheduler): role, quantity, unit"},
 		{func(r *capacity.Results) { r.Curves[0].Points = nil }, "points: there is none"},
 		{func(r *capacity.Results) { r.Curves[0].Points[1].Size = 10 }, "points[1]: sizes have to grow"},
@@ -83,7 +83,7 @@
 		{func(r *capacity.Results) { r.Curves[0].Fit.Shape = capacity.Bends }, "fit.bend_at: 0 is no size"},
 		{func(r *capacity.Results) { r.Curves[0].Fit.Residual = -1 }, "fit: intercept, slope, power and residual"},
 		{func(r *capacity.Results) { r.Curves = append(r.Curves, r.Curves[0]) }, "is there twice"},
-		{func(r *capacity.Results) { r.Fleets[0].Scenario = "" }, "fleets[0] (): scenario: is not told"},
+		{func(r *capacity.Results) { r.Fleets[0].Scenario = "" }, "fleets[0] (): scenario: is missing"},
 		{func(r *capacity.Results) { r.Fleets[0].Forwarders = 0 }, "forwarders and destinations have to be over 0"},
 		{func(r *capacity.Results) { r.Fleets[0].ForwarderMemory = -1 }, "a figure is under 0"},
 	} {
--- a/lab/capacity/page/format.go
+++ b/lab/capacity/page/format.go
@@ -104,7 +104,7 @@
 	return digits(seconds/60/60) + " h"
 }
 
-// cores are told as a share of one core below one.
+// cores are written as a share of one core below one.
 func cores(value float64) string {
 	if math.Abs(value) < 1 {
 		return digits(value*100) + "% of a core"
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -283,13 +283,13 @@
 	results.Fleets = []capacity.FleetTrial{missed, had}
 	rendered, err := tables(readTarget(t), results)
 	require.NoError(t, err)
-	require.Contains(t, row(t, rendered["control"], "memory of a hollow forwarder that was told"), "| 270 MB (measured) |")
-	require.Contains(t, row(t, rendered["control"], "a whole list: bytes"), "| 30 MB (measured) |")
-	require.Contains(t, row(t, rendered["control"], "a whole list in force at forwarders"), "| never (measured) |")
+	require.Contains(t, row(t, rendered["control"], "memory of a hollow forwarder that got a full list"), "| 270 MB (measured) |")
+	require.Contains(t, row(t, rendered["control"], "a full list: bytes"), "| 30 MB (measured) |")
+	require.Contains(t, row(t, rendered["control"], "a full list in force at forwarders"), "| never (measured) |")
 	results.Fleets = results.Fleets[:1]
 	rendered, err = tables(readTarget(t), results)
 	require.NoError(t, err)
-	require.Contains(t, row(t, rendered["control"], "a whole list: bytes"), "| not measured | no trial (whole list)")
+	require.Contains(t, row(t, rendered["control"], "a full list: bytes"), "| not measured | no trial (whole list)")
 }
 
 func TestABudgetThatWasMeasuredStandsBesideWhatItBounds(t *testing.T) {
--- a/lab/capacity/page/results.go
+++ b/lab/capacity/page/results.go
@@ -41,7 +41,7 @@
 			return fmt.Errorf("date: %q is not of the form YYYY-MM-DD", results.Date)
 		}
 		if results.Machine == "" {
-			return errors.New("machine: is not told")
+			return errors.New("machine: is missing")
 		}
 	}
 	known := map[curveRef]bool{}
@@ -95,7 +95,7 @@
 
 func checkTrial(trial *capacity.FleetTrial) error {
 	if trial.Scenario == "" {
-		return errors.New("scenario: is not told")
+		return errors.New("scenario: is missing")
 	}
 	if trial.Forwarders < 1 || trial.Destinations < 1 {
 		return errors.New("forwarders and destinations have to be over 0")
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -9,7 +9,7 @@
 	figures []*figure
 }
 
-// roles are all that docs/CAPACITY.md tells of, in its order.
+// roles are all parts that docs/CAPACITY.md is about, in its order.
 func roles() []role {
 	return []role{
 		{"message-path", "forwarder: message path", messagePath()},
@@ -36,10 +36,10 @@
 	watchLine = &budget{name: "the bound of `internal/discovery` on a line", value: func(*Target) float64 { return mostWatchLine }}
 )
 
-// mostWatchLine is mostLine of internal/directory, in bytes.
+// mostWatchLine is mostLine of internal/discovery, in bytes.
 const mostWatchLine = 4 << 20
 
-// restartCurve is the time until a forwarder that owes so many messages is ready.
+// restartCurve is the time until a forwarder that holds so many messages is ready.
 var restartCurve = curveRef{"restart", "time to the forwarder's readiness"}
 
 // The scenarios of fleet trials.
@@ -58,7 +58,7 @@
 
 // The sizes at which curves are read.
 func destinationsAtTarget(t *Target) float64 { return t.Load.Destinations }
-func owedAtTarget(t *Target) float64         { return t.Load.BacklogPerForwarder }
+func heldAtTarget(t *Target) float64         { return t.Load.BacklogPerForwarder }
 func forwardersAtTarget(t *Target) float64   { return t.Fleet.Forwarders }
 func eventsAtTarget(t *Target) float64       { return t.eventsPerForwarder() }
 func changesAtTarget(t *Target) float64      { return t.changesPerSecond() }
@@ -66,7 +66,7 @@
 
 const (
 	allDestinations = "all destinations"
-	allOwed         = "a forwarder's backlog"
+	allHeld         = "a forwarder's backlog"
 	allForwarders   = "all forwarders"
 	allEvents       = "a forwarder's events a second"
 	allChanges      = "changes a second, as a mean of the day"
@@ -92,7 +92,7 @@
 
 func messagePath() []*figure {
 	held := func(quantity string, unit Unit) curveUse {
-		return curveUse{ref: curveRef{"held-message", quantity}, unit: unit, size: owedAtTarget, sizeIs: allOwed}
+		return curveUse{ref: curveRef{"held-message", quantity}, unit: unit, size: heldAtTarget, sizeIs: allHeld}
 	}
 	beside := held("processor time of a fresh message beside them", Seconds)
 	beside.times, beside.timesIs = eventsAtTarget, allEvents
@@ -108,9 +108,9 @@
 			times: eventsAtTarget, timesIs: allEvents}
 	}
 	return []*figure{
-		ofTarget("state: messages owed", Count, owedAtTarget, "`load.backlog_per_forwarder`",
+		ofTarget("state: messages held", Count, heldAtTarget, "`load.backlog_per_forwarder`",
 			"`scheduler`, `forwarder`, `internal/wal`; beyond memory `internal/backlog`, where `[backlog]` is set"),
-		ofTarget("messages taken a second", PerSecond, eventsAtTarget,
+		ofTarget("messages accepted a second", PerSecond, eventsAtTarget,
 			"`load.events_per_second` over `fleet.forwarders`, × `load.forwarder_skew`", "`internal/resp`, `internal/respserver`, `forwarder`"),
 		ofTarget("messages a second for destinations that are down", PerSecond,
 			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownFraction }, "× `load.down_share`", "`scheduler`, `internal/wal`"),
@@ -121,15 +121,15 @@
 		ofCurve("processor time, nothing held", Cores, path, forwarderCores, "`forwarder`, `scheduler`, `internal/wal`, `internal/upstream`"),
 		ofCurve("processor time of fresh messages beside the backlog", Cores, beside, forwarderCores, "`scheduler`"),
 		ofCurve("processor time of draining the backlog at the stated rate", Cores, draining, forwarderCores, "`scheduler`"),
-		ofCurve("processor time of a backlog that is given up in one turn", Seconds, held("processor time of giving all up in one turn", Seconds), nil, "`scheduler`"),
+		ofCurve("processor time of a backlog that is given up in one round", Seconds, held("processor time of giving all up in one turn", Seconds), nil, "`scheduler`"),
 		ofCurve("memory of the backlog in the scheduler", Bytes, held("memory in the scheduler", Bytes), forwarderBytes, "`scheduler`"),
 		ofCurve("memory of the backlog in the write-ahead log", Bytes, held("memory in the write-ahead log", Bytes), forwarderBytes, "`internal/wal`"),
 		ofCurve("disk of the backlog", Bytes, held("bytes on disk", Bytes), nil, "`internal/wal`"),
 		ofCurve("restart: time until ready", Seconds,
-			curveUse{ref: restartCurve, unit: Seconds, size: owedAtTarget, sizeIs: allOwed}, readyWithin,
+			curveUse{ref: restartCurve, unit: Seconds, size: heldAtTarget, sizeIs: allHeld}, readyWithin,
 			"`internal/wal`, `forwarder`"),
 		ofCurve("memory of a forwarder that is ready with its backlog", Bytes,
-			curveUse{ref: curveRef{"restart", "memory of the forwarder when ready"}, unit: Bytes, size: owedAtTarget, sizeIs: allOwed},
+			curveUse{ref: curveRef{"restart", "memory of the forwarder when ready"}, unit: Bytes, size: heldAtTarget, sizeIs: allHeld},
 			forwarderBytes, "`internal/wal`, `forwarder`, `scheduler`"),
 		ofCurve("stored backlog: processor time of fresh messages beside it", Cores, storedBeside, forwarderCores, storedBy),
 		ofCurve("stored backlog: processor time of draining it at the stated rate", Cores, storedDraining, forwarderCores, storedBy),
@@ -146,7 +146,7 @@
 
 // ofStored is the use of a curve over the messages in the backlog store.
 func ofStored(role, quantity string, unit Unit) curveUse {
-	return curveUse{ref: curveRef{role, quantity}, unit: unit, size: owedAtTarget, sizeIs: allOwed}
+	return curveUse{ref: curveRef{role, quantity}, unit: unit, size: heldAtTarget, sizeIs: allHeld}
 }
 
 func control() []*figure {
@@ -162,7 +162,7 @@
 		ofCurve("memory of the known destinations in the scheduler", Bytes, known("memory in the scheduler", Bytes), controlMemory,
 			"`scheduler`, `forwarder`; destinations that nobody sends to, kept cheaper: "+missing),
 		ofCurve("memory of a forwarder without messages", Bytes, known("memory of the forwarder", Bytes), forwarderBytes, "`forwarder`"),
-		ofCurve("processor time of a whole list, told in one turn", Seconds, known("processor time of a whole list", Seconds), nil, "`scheduler`"),
+		ofCurve("processor time of a full list, in one round", Seconds, known("processor time of a whole list", Seconds), nil, "`scheduler`"),
 		ofCurve("processor time of changes in the scheduler", Cores, change, controlCores, "`scheduler`"),
 		ofCurve("start without a list: time until all is known", Seconds, known("time until a started forwarder knows all", Seconds), readyWithin,
 			"`internal/config`, `forwarder`"),
@@ -184,22 +184,20 @@
 			controlBytes, "`internal/discovery`"),
 		ofTrial("memory of a hollow forwarder", Bytes, trialUse{idleScenario, hollowMemory, "live, of one forwarder", destinationsReached, nil},
 			controlMemory, "`forwarder`, `scheduler`"),
-		ofTrial("memory of a hollow forwarder that was told a whole list", Bytes,
+		ofTrial("memory of a hollow forwarder that got a full list", Bytes,
 			trialUse{fullListScenario, hollowMemory, "live, of one forwarder", destinationsReached, nobodyMissed}, controlMemory, "`forwarder`, `scheduler`"),
-		ofTrial("a whole list: bytes until it is in force", Bytes,
+		ofTrial("a full list: bytes until it is in force", Bytes,
 			trialUse{fullListScenario, bytesPerChange, perForwarderWithAttempts, destinationsReached, nobodyMissed}, watchLine,
 			"`internal/discovery`; a list in parts: "+missing),
-		ofTrial("a whole list: processor time until it is in force", Seconds,
+		ofTrial("a full list: processor time until it is in force", Seconds,
 			trialUse{fullListScenario, secondsPerChange, perForwarderWithAttempts, destinationsReached, nobodyMissed}, nil,
 			"`internal/discovery`, `forwarder`, `scheduler`"),
-		ofTrial("a whole list in force at forwarders that start without one", Seconds,
+		ofTrial("a full list in force at forwarders that start without one", Seconds,
 			trialUse{fullListScenario, lastInForce, "the last forwarder", destinationsReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
 	}
 }
 
-// Reason is read off a fleet trial.
-
-// perForwarderWithAttempts is what the cost of a whole list is of: a forwarder whose watch ended asks again.
+// perForwarderWithAttempts is what the cost of a full list is of: a forwarder whose watch ended begins another.
 const perForwarderWithAttempts = "of one forwarder, with all attempts"
 
 // never stands for a time after which some forwarders still had not what they should have.
@@ -257,11 +255,11 @@
 	sent := trialUse{changeScenario, perChange(func(trial *capacity.FleetTrial) float64 { return trial.ServerBytes }),
 		"the whole trial over its changes, idle time included", fleetReached, nil}
 	return []*figure{
-		ofTarget("state: watches open", Count, forwardersAtTarget, "`fleet.forwarders`", "the operators' own service; here stand-ins alone"),
+		ofTarget("state: watches open", Count, forwardersAtTarget, "`fleet.forwarders`", "the operators' own service; here emulators alone"),
 		ofTarget("changes sent a second", PerSecond, func(t *Target) float64 { return t.changesPerSecond() * t.Fleet.Forwarders },
-			"`changes.per_day` × `fleet.forwarders`", "the operators' own service; here stand-ins alone"),
-		ofTrial("processor time of a change", Seconds, server, nil, "the stand-in of `lab/capacity/hollow`"),
-		ofTrial("bytes of a change", Bytes, sent, nil, "the stand-in of `lab/capacity/hollow`"),
+			"`changes.per_day` × `fleet.forwarders`", "the operators' own service; here emulators alone"),
+		ofTrial("processor time of a change", Seconds, server, nil, "the emulator of `lab/capacity/hollow`"),
+		ofTrial("bytes of a change", Bytes, sent, nil, "the emulator of `lab/capacity/hollow`"),
 		unmeasured("memory", "the operators' own service"),
 	}
 }
@@ -307,9 +305,9 @@
 		return curveUse{ref: curveRef{"reload", quantity}, unit: Seconds, size: destinationsAtTarget, sizeIs: allDestinations}
 	}
 	return []*figure{
-		ofCurve("a scrape of the metrics: time", Seconds, scrape("time of a scrape", Seconds), nil, "`internal/meter`"),
-		ofCurve("a scrape of the metrics: processor time", Seconds, scrape("processor time of a scrape", Seconds), nil, "`internal/meter`"),
-		ofCurve("a scrape of the metrics: bytes", Bytes, scrape("bytes of a scrape", Bytes), nil, "`internal/meter`"),
+		ofCurve("a scrape of the metrics: time", Seconds, scrape("time of a scrape", Seconds), nil, "`internal/metrics`"),
+		ofCurve("a scrape of the metrics: processor time", Seconds, scrape("processor time of a scrape", Seconds), nil, "`internal/metrics`"),
+		ofCurve("a scrape of the metrics: bytes", Bytes, scrape("bytes of a scrape", Bytes), nil, "`internal/metrics`"),
 		ofCurve("a reload (SIGHUP): until a changed list of the configuration is in force", Seconds,
 			reload("time until a changed list of the configuration is in force"), inForceWithin,
 			"`internal/config`, `forwarder`"),
@@ -317,6 +315,6 @@
 			reload("processor time of a reload that changes the configuration's list"), nil, "`internal/config`, `forwarder`"),
 		ofCurve("a reload (SIGHUP): time, the list left to discovery", Seconds, reload("time of a reload that leaves the list to discovery"), nil,
 			"`internal/config`, `forwarder`"),
-		unmeasured("`spanflow ledger list` or `stat` of a whole backlog: time and memory (it reads the folder whole)", "`internal/wal`, `internal/command`"),
+		unmeasured("`spanflow ledger list` or `stat` of a whole backlog: time and memory (it reads the folder whole)", "`internal/wal`, `internal/commands`"),
 	}
 }
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -231,7 +231,7 @@
 	return reached(trial.InForce50) + ", " + reached(trial.InForce99) + ", " + Seconds.Format(lastInForce(nil, trial))
 }
 
-// inTime tells if a trial's changes were in force everywhere within the time that the target allows.
+// inTime tells whether a trial's changes were in force everywhere within the time that the target allows.
 func inTime(t *Target, trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -11,7 +11,7 @@
 	"spanflow/internal/config"
 )
 
-// Address is the size that is built towards and what may be spent on it.
+// Target is the size that is built towards and what may be spent on it.
 type Target struct {
 	Fleet     Fleet              `toml:"fleet"`
 	Load      Load               `toml:"load"`
@@ -216,7 +216,7 @@
 	for i, e := range t.Estimates {
 		for _, field := range []struct{ name, value string }{{"what", e.What}, {"value", e.Value}, {"role", e.Role}, {"quantity", e.Quantity}} {
 			if field.value == "" {
-				c.bad(fmt.Sprintf("estimates[%d].%s", i, field.name), "is not told")
+				c.bad(fmt.Sprintf("estimates[%d].%s", i, field.name), "is missing")
 			}
 		}
 		if !(e.Size >= 0) || math.IsInf(e.Size, 0) {
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -192,7 +192,7 @@
 	case t.began && d.At < t.last:
 		return fmt.Errorf("at: %v comes before the one in front of it", d.At)
 	case d.Type == "":
-		return errors.New("type: is not told")
+		return errors.New("type: is missing")
 	case d.Bytes < 0 || d.Bytes > 64<<10:
 		return fmt.Errorf("bytes: %d is not between 0 and 65536", d.Bytes)
 	case !(d.TimeToLive >= 0):
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -54,7 +54,7 @@
 	Keys                int             `toml:"keys"`  // ordering keys in use at once
 }
 
-// TenantPicker is a tenant with its rate and its part of the load.
+// Tenant is a client of the fleet with its rate and its part of the load.
 type Tenant struct {
 	Name       string  `toml:"name"`
 	PerSecond  float64 `toml:"per_second"` // messages that it may submit
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -1,10 +1,11 @@
 package sim
 
-// The final answers, as the audit and the result name them.
+// The final answers, as the audit and the result name them: a rejected message may be submitted again, a failed one has
+// been given up.
 const (
 	answerDelivered = "delivered"
-	answerReturned  = "returned"
-	answerAbandoned = "abandoned"
+	answerRejected  = "returned"
+	answerFailed    = "abandoned"
 )
 
 // scheduleArrivals puts what clients want on the time line. All of it is drawn beforehand.
@@ -50,7 +51,7 @@
 func (run *simRun) notifyClient(s *submission, answer string, retryAfter float64) {
 	run.After(float64(run.scenario.NetworkDelay), func() {
 		run.log.FinalAnswer(s.id, answer)
-		if answer == answerReturned {
+		if answer == answerRejected {
 			run.resubmit(s.effect, retryAfter)
 		}
 	})
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -29,11 +29,11 @@
 
 // Reject returns a message to its client.
 func (f *forwarder) Reject(m *scheduler.Message, retryAfter float64) {
-	f.finish(m, answerReturned, retryAfter)
+	f.finish(m, answerRejected, retryAfter)
 }
 
 // Fail gives a message up.
-func (f *forwarder) Fail(m *scheduler.Message) { f.finish(m, answerAbandoned, 0) }
+func (f *forwarder) Fail(m *scheduler.Message) { f.finish(m, answerFailed, 0) }
 
 // finish answers a message.
 func (f *forwarder) finish(m *scheduler.Message, answer string, retryAfter float64) {
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -15,7 +15,7 @@
 )
 
 // noticeAnswers are the final answers by the state that a notice tells.
-var noticeAnswers = map[string]string{"failed": answerAbandoned, "returned": answerReturned}
+var noticeAnswers = map[string]string{"failed": answerFailed, "returned": answerRejected}
 
 // notice takes a final answer that a forwarder tells.
 func (run *realRun) notice(n emulator.Notice) {
@@ -32,7 +32,7 @@
 	answer := noticeAnswers[n.State]
 	run.result.FinalAnswers[answer]++
 	run.log.FinalAnswer(id, answer)
-	if answer == answerReturned {
+	if answer == answerRejected {
 		run.resubmit(e, float64(n.AfterMs)/1000)
 	}
 }
