--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -98,7 +98,7 @@
 	l.order = append(l.order, m)
 }
 
-// MessageAccepted says that a client was told that its message is accepted.
+// MessageAccepted says that a client got the answer that its message is accepted.
 func (l *Log) MessageAccepted(id uint64) { l.messages[id].Accepted = true }
 
 // FinalAnswer says that a client got a final answer: delivered, returned or abandoned.
@@ -136,7 +136,7 @@
 	return math.Max(m.Expiry, l.unavailableUntil[m.Forwarder]) + l.Slack.Answer
 }
 
-// EndpointDraining says that the endpoint list told forwarders that an endpoint drains or leaves.
+// EndpointDraining says that forwarders have been told by the endpoint list that an endpoint drains or leaves.
 func (l *Log) EndpointDraining(destination, endpoint int) {
 	key := endpointKey{destination, endpoint}
 	if _, known := l.drainingSince[key]; !known {
--- a/lab/capacity/fit_test.go
+++ b/lab/capacity/fit_test.go
@@ -21,7 +21,7 @@
 	return points
 }
 
-func TestFitTellsTheShapeOfMadeCurves(t *testing.T) {
+func TestFitFindsTheShapeOfMadeCurves(t *testing.T) {
 	knee := func(x float64) float64 { return 5 + x/100 + 3*math.Max(0, x-1000) }
 	for name, c := range map[string]struct {
 		points []Point
@@ -77,7 +77,7 @@
 	require.Zero(t, FitLine(curve(0, func(x float64) float64 { return x })).BendAt)
 }
 
-func TestTooFewSizesTellNoShape(t *testing.T) {
+func TestTooFewSizesGiveNoShape(t *testing.T) {
 	line := curve(0, func(x float64) float64 { return x })
 	require.Equal(t, NotStraight, FitLine(nil).Shape)
 	require.Equal(t, NotStraight, FitLine(line[:3]).Shape)
--- a/lab/capacity/hollow/hollow_test.go
+++ b/lab/capacity/hollow/hollow_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestChangesAreToldByWhatChanged(t *testing.T) {
+func TestChangesAreSentByWhatChanged(t *testing.T) {
 	t.Parallel()
 	const mostBytes = 400 // of an entry with its frame; the list has some 130 for each destination
 	config := smallConfig(marker(t), Change)
@@ -130,7 +130,7 @@
 	return f
 }
 
-func TestARestartedForwarderCountsAsMissingUntilItHearsAgain(t *testing.T) {
+func TestARestartedForwarderCountsAsMissingUntilItHasTheList(t *testing.T) {
 	t.Parallel()
 	f := startTestFleet(t, func(*Config) {})
 	_, err := f.launch(true)
@@ -262,7 +262,7 @@
 	require.Zero(t, percentile(nil, 0, 0.5))
 }
 
-func TestTrialsTakeThePlaceOfThoseOfTheSameSize(t *testing.T) {
+func TestTrialsReplaceThoseOfTheSameSize(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "measured.json")
 	trial := func(scenario string, destinations int, last float64) capacity.FleetTrial {
 		return capacity.FleetTrial{Scenario: scenario, Forwarders: 6, Destinations: destinations, InForceLast: last}
--- a/lab/capacity/hollow/server_test.go
+++ b/lab/capacity/hollow/server_test.go
@@ -19,7 +19,7 @@
 	return o
 }
 
-func TestAWatchIsToldWhatChangedAfterItsRevision(t *testing.T) {
+func TestAWatchGetsWhatChangedAfterItsRevision(t *testing.T) {
 	r := newRegistry(5, 1)
 	since := func(revision int64) object {
 		encoded, err := r.since(revision)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestAWatchIsToldTheWholeListWhereChangesAreNotKnown(t *testing.T) {
+func TestAWatchGetsTheFullListWhereChangesAreNotKnown(t *testing.T) {
 	r := newRegistry(5, 1)
 	for range historyLength + 1 {
 		_, err := r.publish()
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestAZoneThatIsCutOffHearsNothingAndIsResetAfterwards(t *testing.T) {
+func TestAPartitionedZoneGetsNothingAndIsResetAfterwards(t *testing.T) {
 	s, err := newServer(5, 1)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.down() })
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -104,7 +104,7 @@
 	require.Less(t, growth(few.of(t, heldGivenUp)), 30_000.0, "giving up 100 times as many is no worse than quadratic")
 }
 
-func TestMessagesOfADestinationThatToldAWaitStayHeldWhileOthersAreDelivered(t *testing.T) {
+func TestMessagesOfABlockedDestinationStayHeldWhileOthersAreDelivered(t *testing.T) {
 	m := small(t, "held-message", 100)
 	s, _ := m.hold(100)
 	for range 200 {
@@ -116,7 +116,7 @@
 	require.GreaterOrEqual(t, s.host.ended, 100)
 }
 
-func TestARestartGivesBackAllThatIsOwed(t *testing.T) {
+func TestARestartRecoversAllHeldMessages(t *testing.T) {
 	m := small(t, "restart", 2000)
 	require.NoError(t, m.openLog(2000))
 	require.NoError(t, m.recover(2000, recoverUntried, scheduler.RecoveredState{}))
@@ -128,7 +128,7 @@
 }
 
 // The budget is that of the operators' pages for N calls: N, twice its root, and two more.
-func TestVainCallsAndReturnsAreCountedByForwarders(t *testing.T) {
+func TestFailedCallsAndRecoveriesAreCountedByForwarders(t *testing.T) {
 	require.Equal(t, 26.0, budget(16))
 	m := small(t, "down-destination", 100)
 	require.NoError(t, measureDownDestination(m))
@@ -144,7 +144,7 @@
 	require.Equal(t, vain.Points, again.of(t, vainCalls).Points, "the same seed gives the same figures")
 }
 
-func TestBytesOfAMessageOnItsWayGrowWithItsBodyAlone(t *testing.T) {
+func TestBytesOfAMessageOnTheWireGrowWithItsBodyAlone(t *testing.T) {
 	m := small(t, "message-path", 100)
 	for _, body := range []int{100, 500, 2000, 10_000} {
 		require.NoError(t, m.path(pathRate, body, m.recordBody))
@@ -181,13 +181,13 @@
 	require.Positive(t, m.of(t, rereadTime).Points[0].Value)
 }
 
-func TestAForwarderLearnsAListToldInParts(t *testing.T) {
+func TestAForwarderLearnsAListSentInParts(t *testing.T) {
 	m := small(t, "known-destination", 100)
 	require.NoError(t, m.knownInForwarder(2*linesAtOnce+1))
 	require.Greater(t, m.of(t, forwarderRSS).Points[0].Value, 1e7)
 }
 
-func TestALongListIsToldInPartsOfWhichTheFirstIsWhole(t *testing.T) {
+func TestALongListIsSentInPartsOfWhichTheFirstIsAFullList(t *testing.T) {
 	d, err := newDiscoveryServer(2*linesAtOnce + 1)
 	require.NoError(t, err)
 	defer d.close()
@@ -266,7 +266,7 @@
 	require.Contains(t, said, "stopped")
 }
 
-func TestSomeRolesShapesAreTold(t *testing.T) {
+func TestSomeRolesHaveAShape(t *testing.T) {
 	r, err := Find("down-destination")
 	require.NoError(t, err)
 	curves, err := r.Measure(t.Context(), Options{Largest: 10, Seed: 2})
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -274,7 +274,7 @@
 	require.Contains(t, fleets[4], "| 10 ms, 20 ms, never | 3 | no |")
 }
 
-func TestATrialThatForwardersMissedTellsNothingOfTheCost(t *testing.T) {
+func TestATrialThatForwardersMissedGivesNoCost(t *testing.T) {
 	results := made()
 	had, missed := results.Fleets[0], results.Fleets[0]
 	had.Scenario, had.Forwarders, had.Destinations, had.ForwarderMemory, had.ForwarderBytesPerChange = "whole list", 34, 170_000, 270e6, 30e6
--- a/lab/commands/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -76,7 +76,7 @@
 	require.Contains(t, out, "tables are current")
 }
 
-func TestPageTellsProgramsInJSON(t *testing.T) {
+func TestPagePrintsJSONForPrograms(t *testing.T) {
 	file, _, _ := spoiltPage(t)
 	code, out, _ := runPage("--check", "--json", file)
 	require.Equal(t, cli.ExitError, code)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -48,18 +48,18 @@
 	require.ErrorContains(t, err, "unknown axis")
 }
 
-// shut is the scheduler but for one receiver, whose messages it turns away.
-type shut struct {
+// rejecting is the scheduler but for one receiver, whose messages it turns away.
+type rejecting struct {
 	sim.Policy
 	now, began float64
 }
 
-func (s *shut) SetTime(now float64) {
+func (s *rejecting) SetTime(now float64) {
 	s.now = now
 	s.Policy.SetTime(now)
 }
 
-func (s *shut) Admit(size int, left float64) (bool, float64) {
+func (s *rejecting) Admit(size int, left float64) (bool, float64) {
 	if s.now > s.began+15 {
 		return false, 1
 	}
@@ -69,14 +69,14 @@
 func TestASearchFindsWhereAPolicyDoesBadlyAndShrinksIt(t *testing.T) {
 	a := arm(t, "calm", nil)
 	bad := func(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
-		return &shut{Policy: sim.SchedulerPolicy(settings, seed, now, h), began: now}
+		return &rejecting{Policy: sim.SchedulerPolicy(settings, seed, now, h), began: now}
 	}
 	found := Search(context.Background(), a.Scenario, bad, 1, 16, 1, nil)
 	require.Len(t, found, 1)
 	f := found[0]
 	require.Greater(t, f.Loss(), 0.3)
 	require.NotZero(t, f.Steps)
-	require.Less(t, len(f.Scenario.Faults), 2, "it needs no trouble to do badly")
+	require.Less(t, len(f.Scenario.Faults), 2, "it needs no fault to do badly")
 	text, err := f.Text()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "f.toml")
@@ -84,7 +84,7 @@
 	s, err := scenario.Read(path)
 	require.NoError(t, err, string(text))
 	again := judge(s, f.Seed, bad)
-	require.Equal(t, []any{f.G, f.Rules}, []any{again.G, again.Rules}, "the kept scene shows it still")
+	require.Equal(t, []any{f.G, f.Rules}, []any{again.G, again.Rules}, "the kept scenario still shows it")
 }
 
 func TestAReportIsOnePageWithItsNumbers(t *testing.T) {
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -61,7 +61,7 @@
 const findingsBatch = 16 // scenarios
 
 // Search draws scenarios until ctx ends or there were limit, and returns the worst, shrunk; keep is how many. progress,
-// which may be nil, is told how many were drawn and the worst loss.
+// which may be nil, gets how many were drawn and the worst loss.
 func Search(ctx context.Context, base *scenario.Scenario, newPolicy sim.Maker, from uint64, limit, keep int, progress func(n int, worst float64)) []*Finding {
 	var found []*Finding
 	for n := 0; n < limit && ctx.Err() == nil; n += findingsBatch {
--- a/lab/experiment/violation_search_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -15,14 +15,14 @@
 	"spanflow/scheduler"
 )
 
-// rampless is the scheduler with the ramp after an outage off: what it believes a cold destination stands is without
-// end.
-func rampless(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
+// withoutSlowStart is the scheduler without its slow start after an outage: it takes a recovering destination to bear any
+// load.
+func withoutSlowStart(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	settings.OverloadMultiple, settings.SlowStartShare = 1e6, 1
 	return sim.SchedulerPolicy(settings, seed, now, h)
 }
 
-func hunt(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
+func searchViolations(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
 	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	require.NoError(t, h.Run(context.Background(), dir, make, from, most, nil))
@@ -42,44 +42,44 @@
 	return all
 }
 
-func TestAHuntCatchesASchedulerWithoutARampAndKeepsTheScenario(t *testing.T) {
+func TestViolationSearchFindsASchedulerWithoutSlowStartAndKeepsTheScenario(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "when missing")
-	h := hunt(t, dir, rampless, 1, 16)
+	h := searchViolations(t, dir, withoutSlowStart, 1, 16)
 	require.NotEmpty(t, h.Violations)
 	b := h.Violations[0]
 	require.Contains(t, b.Rule, "returns not pushed over")
 	s, err := scenario.Read(filepath.Join(dir, b.File))
 	require.NoError(t, err)
-	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, rampless), "the kept scene shows it still")
+	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, withoutSlowStart), "the kept scenario still shows it")
 	require.NotZero(t, b.Steps)
 }
 
-func TestAHuntGoesOnWhereItStoppedAndIsTheSameOnAnyNumberOfCores(t *testing.T) {
-	whole, parts := t.TempDir(), t.TempDir()
-	h := hunt(t, whole, rampless, 1, 12)
+func TestViolationSearchContinuesWhereItStoppedAndIsTheSameOnAnyNumberOfCores(t *testing.T) {
+	atOnce, inParts := t.TempDir(), t.TempDir()
+	h := searchViolations(t, atOnce, withoutSlowStart, 1, 12)
 	require.Equal(t, 12, h.Scenarios)
 	was := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(was)
-	hunt(t, parts, rampless, 5, 8) // the later seeds first
-	hunt(t, parts, rampless, 1, 4)
-	require.Equal(t, files(t, whole), files(t, parts))
+	searchViolations(t, inParts, withoutSlowStart, 5, 8) // the later seeds first
+	searchViolations(t, inParts, withoutSlowStart, 1, 4)
+	require.Equal(t, files(t, atOnce), files(t, inParts))
 }
 
-func TestAnInterruptedHuntKeepsWhatItFound(t *testing.T) {
+func TestInterruptedViolationSearchKeepsWhatItFound(t *testing.T) {
 	dir := t.TempDir()
 	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	ctx, interrupt := context.WithCancel(context.Background())
-	require.NoError(t, h.Run(ctx, dir, rampless, 1, 1000, func(*ViolationSearch) { interrupt() }))
+	require.NoError(t, h.Run(ctx, dir, withoutSlowStart, 1, 1000, func(*ViolationSearch) { interrupt() }))
 	again, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	require.Equal(t, h, again)
 	require.Equal(t, [][2]uint64{{1, searchBatch}}, again.Tried)
 }
 
-func TestAHuntsFileThatIsCutOrOfAnotherKindIsRefused(t *testing.T) {
+func TestViolationSearchRejectsADamagedOrForeignFile(t *testing.T) {
 	dir := t.TempDir()
-	hunt(t, dir, sim.SchedulerPolicy, 1, 8)
+	searchViolations(t, dir, sim.SchedulerPolicy, 1, 8)
 	path := filepath.Join(dir, searchFile)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
@@ -99,7 +99,7 @@
 	require.Error(t, err, "a file is no folder")
 }
 
-// The scenes that searches and hunts have left: the rules hold, and each delivers what it states.
+// In each scenario that a search has found the rules hold, and it delivers the share that it states.
 func TestKeptFindingsHold(t *testing.T) {
 	require.NotEmpty(t, scenario.Findings())
 	for _, name := range scenario.Findings() {
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestEveryDrawnScenarioIsSound(t *testing.T) {
+func TestEveryDrawnScenarioIsValid(t *testing.T) {
 	for seed := range uint64(2000) {
 		s := DrawWide(seed)
 		require.Empty(t, s.Check(), "seed %d", seed)
@@ -120,6 +120,6 @@
 		for _, p := range s.Receivers {
 			endpoints += p.Count * p.Endpoints
 		}
-		require.True(t, endpoints >= 1 && endpoints <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d targets", seed, endpoints)
+		require.True(t, endpoints >= 1 && endpoints <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d endpoints", seed, endpoints)
 	}
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -114,8 +114,10 @@
 	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Destinations: []uint64{1}, DestinationPicker: Zipf(1, 0), Types: []string{"status"}}
 }
 
-// The figures told are those injected: a delay, and of a stall of two seconds what each arrival met of it.
-func TestTheTimesToldAreThoseInjected(t *testing.T) { synctest.Test(t, theTimesToldAreThoseInjected) }
+// The figures reported are those injected: a delay, and of a stall of two seconds what each arrival met of it.
+func TestReportedLatenciesAreThoseInjected(t *testing.T) {
+	synctest.Test(t, theTimesToldAreThoseInjected)
+}
 
 func theTimesToldAreThoseInjected(t *testing.T) {
 	run := Run{Connections: 400, Timeout: 10 * time.Second, TimeToLive: 20, Bytes: 100}
@@ -165,7 +167,7 @@
 	require.InEpsilon(t, 2.05, r.Intended.P99, 0.05)
 }
 
-func TestAForwarderThatIsNotThereAnswersNothing(t *testing.T) {
+func TestAMissingForwarderGivesNoAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -48,7 +48,7 @@
 	Effect      bool // false: its idempotency key was known
 }
 
-// Recorder records what happens at receivers. Nothing of it comes from a forwarder. Destinations and endpoints are told
+// Recorder records what happens at receivers. Nothing of it comes from a forwarder. Destinations and endpoints are named
 // by number.
 type Recorder interface {
 	// CallReceived says that a call came in full, whatever becomes of it.
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -13,33 +13,35 @@
 	"spanflow/transport"
 )
 
-// notes is a record that sums up waits.
-type notes struct {
-	runs     int
-	waited   float64
-	fell     int
-	informed float64
-	reported []float64
-	all      []receiver.Execution
+// testRecorder is a record that sums up waits.
+type testRecorder struct {
+	runs      int
+	waited    float64
+	overloads int
+	informed  float64
+	reported  []float64
+	all       []receiver.Execution
 }
 
-func (n *notes) CallReceived(int, int, int, []receiver.Message) {}
-func (n *notes) MessageExecuted(r receiver.Execution) {
+func (n *testRecorder) CallReceived(int, int, int, []receiver.Message) {}
+func (n *testRecorder) MessageExecuted(r receiver.Execution) {
 	n.runs++
 	n.waited += r.StartedAt - r.ReceivedAt
 	if len(n.all) < 10_000 {
 		n.all = append(n.all, r)
 	}
 }
-func (n *notes) EndpointOverloaded(_, _ int, informed float64) {
-	n.fell, n.informed = n.fell+1, informed
+func (n *testRecorder) EndpointOverloaded(_, _ int, informed float64) {
+	n.overloads, n.informed = n.overloads+1, informed
 }
-func (n *notes) RetryAfterSent(_, _, _ int, wait float64) { n.reported = append(n.reported, wait) }
-func (n *notes) EndpointRecovered(int, int)               {}
+func (n *testRecorder) RetryAfterSent(_, _, _ int, wait float64) {
+	n.reported = append(n.reported, wait)
+}
+func (n *testRecorder) EndpointRecovered(int, int) {}
 
 // feed sends calls by a rate and returns how each ended.
-func feed(settings receiver.Behavior, rate float64, calls int, even bool) (*notes, map[transport.ResultCode]int) {
-	q, n, ends := &clock.Queue{}, &notes{}, map[transport.ResultCode]int{}
+func feed(settings receiver.Behavior, rate float64, calls int, even bool) (*testRecorder, map[transport.ResultCode]int) {
+	q, n, ends := &clock.Queue{}, &testRecorder{}, map[transport.ResultCode]int{}
 	random := rand.New(rand.NewPCG(1, 2))
 	d := receiver.New(0, settings, 1, 1, q, random, n)
 	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
@@ -63,7 +65,7 @@
 	return n, ends
 }
 
-// erlangB is the share of calls lost with c places and an offered load of a.
+// erlangB is the share of calls lost with c servers and an offered load of a.
 func erlangB(c int, a float64) float64 {
 	b := 1.0
 	for i := 1; i <= c; i++ {
@@ -99,7 +101,7 @@
 	}
 }
 
-func TestALimitLetsInExactlyWhatItSays(t *testing.T) {
+func TestALimitAdmitsExactlyItsRate(t *testing.T) {
 	quick := receiver.Distribution{Form: "fixed", Mean: 0.001}
 	_, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
 	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
@@ -112,9 +114,9 @@
 	require.InDelta(t, 2-0.07, n.reported[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
 }
 
-// Warm it does 40 a second; at its return it stands twice a quarter of that, 20 a second, as a budget for any second and a
-// half: a call beyond 31 within that time pushes it over, a short burst does not.
-func TestAColdEndpointFallsOverWhenItIsPushedAndNotBefore(t *testing.T) {
+// At full capacity it executes 40 a second; right after an outage it bears twice a quarter of that, 20 a second, as a budget
+// for any second and a half: a call beyond 31 within that time overloads it, a short burst does not.
+func TestAnEndpointInSlowStartFailsWhenOverloadedAndNotBefore(t *testing.T) {
 	settings := receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
 	for _, c := range []struct {
 		rate     float64
@@ -122,7 +124,7 @@
 		informed float64 // share of the calls that comes from forwarders which met the outage
 		fell     bool
 	}{{15, 60, 1, false}, {30, 60, 1, true}, {30, 60, 0.5, true}, {30, 30, 1, false}} {
-		q, n := &clock.Queue{}, &notes{}
+		q, n := &clock.Queue{}, &testRecorder{}
 		d := receiver.New(0, settings, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 		endpoint := d.Endpoints[0]
 		endpoint.ForwarderSawFailure(1) // before the outage: of no account
@@ -141,15 +143,15 @@
 		}
 		for q.Step(4) {
 		}
-		require.Equal(t, c.fell, n.fell > 0, "%v calls at %v a second", c.calls, c.rate)
+		require.Equal(t, c.fell, n.overloads > 0, "%v calls at %v a second", c.calls, c.rate)
 		if c.fell {
 			require.InDelta(t, c.informed, n.informed, 0.02)
 		}
 	}
 }
 
-func TestANumberIsKnownForItsMemoryAndTakesEffectOnce(t *testing.T) {
-	q, n := &clock.Queue{}, &notes{}
+func TestAnIdempotencyKeyIsKnownForItsWindowAndTakesEffectOnce(t *testing.T) {
+	q, n := &clock.Queue{}, &testRecorder{}
 	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	for i, at := range []float64{0, 1, 4.9, 5.5} {
 		q.At(at, func() {
@@ -162,7 +164,7 @@
 }
 
 func TestFaultsDoWhatTheySay(t *testing.T) {
-	q, n := &clock.Queue{}, &notes{}
+	q, n := &clock.Queue{}, &testRecorder{}
 	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
 	endpoint := d.Endpoints[0]
 	var ends []transport.ResultCode
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report makes one page of a day's result: plots, tables and the numbers, in a single HTML file.
+// Package report makes one page of the results of a run: plots, tables and the numbers, in a single HTML file.
 package report
 
 import (
@@ -29,13 +29,13 @@
 	red    = color.RGBA{R: 0xc0, G: 0x30, B: 0x30, A: 0xff}
 )
 
-// reportedRun is a result with the scene it was played from.
+// reportedRun is a result with the scenario that was played.
 type reportedRun struct {
 	Scene  *scenario.Scenario
 	Result *sim.Result
 }
 
-// Write writes a page for the results of one scene, one for each seed.
+// Write writes a page for the results of one scenario, one for each seed. The page needs no other files.
 func Write(w io.Writer, s *scenario.Scenario, results []*sim.Result) error {
 	type shown struct {
 		Result                  *sim.Result
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// marks draws where troubles begin and end.
+// marks draws where faults begin and end.
 func (d *reportedRun) marks(p *plot.Plot, top float64) error {
 	for _, t := range d.Scene.Faults {
 		for i, at := range []float64{float64(t.At), float64(t.At + t.For)} {
@@ -150,7 +150,7 @@
 	return p, d.marks(p, math.Max(1, p.Y.Max))
 }
 
-// heat is held by destination and second.
+// heat is the messages held by destination and second; it is a plotter.GridXYZ.
 type heat struct{ seconds []sim.Second }
 
 func (h heat) Dims() (c, r int)   { return len(h.seconds), len(h.seconds[0].HeldByDestination) }
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachKeptScenarioIsSoundAndSaysWhatItIs(t *testing.T) {
+func TestEachBuiltinScenarioIsValidAndDescribed(t *testing.T) {
 	require.GreaterOrEqual(t, len(Builtin()), 10)
 	for _, name := range Builtin() {
 		s, err := Read(name)
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestWhatIsWrongWithAScenarioIsNamed(t *testing.T) {
+func TestErrorsNameTheFieldThatIsWrong(t *testing.T) {
 	text, err := os.ReadFile("scenes/one-partner-hangs.toml")
 	require.NoError(t, err)
 	for _, c := range []struct{ old, new, says string }{
--- a/lab/sim/real_calls.go
+++ b/lab/sim/real_calls.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// messagesOf is the messages of a call: one, told by headers, or those of a batch.
+// messagesOf is the messages of a call: one, named by headers, or those of a batch.
 func messagesOf(r *http.Request, body []byte) ([]calledMessage, error) {
 	if r.URL.Path != batchPath {
 		return []calledMessage{{ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key")}}, nil
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -15,7 +15,7 @@
 	"spanflow/lab/audit"
 )
 
-// sleeper is a process of a day without a scene; its program writes down that it was started and does nothing.
+// sleeper is a process of a run without a scenario; its program writes down that it was started and does nothing.
 func sleeper(t *testing.T) *process {
 	program := filepath.Join(t.TempDir(), "sleeper")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\necho started >> \"$0.starts\"\nexec sleep 60\n"), 0o700))
@@ -39,7 +39,7 @@
 	return rest[:1]
 }
 
-// present is the process that there is and its state, as of one moment of the day.
+// present is the process that there is and its state, as of one moment of the run.
 func (p *process) present() (pid int, is string, now float64) {
 	p.run.mu.Lock()
 	defer p.run.mu.Unlock()
@@ -54,7 +54,7 @@
 
 const patience = 10 * time.Second
 
-func TestAShorterStandstillDoesNotEndALongerOne(t *testing.T) {
+func TestAShorterStallDoesNotEndALongerOne(t *testing.T) {
 	p := sleeper(t)
 	p.run.mu.Lock()
 	until := p.run.Now() + 0.5
@@ -73,8 +73,8 @@
 	require.Eventually(t, func() bool { _, is, _ := p.present(); return is != "T" }, patience, time.Millisecond)
 }
 
-// Whatever comes first: the process that follows a kill begins at the end of the standstill, and there is but one.
-func TestAProcessThatFollowsAKillBeginsAtTheEndOfAStandstill(t *testing.T) {
+// Whatever comes first: the process that follows a kill begins at the end of the stall, and there is but one.
+func TestAProcessThatFollowsAKillBeginsAtTheEndOfAStall(t *testing.T) {
 	for _, killFirst := range []bool{true, false} {
 		p := sleeper(t)
 		require.Eventually(t, func() bool { return p.starts() == 1 }, patience, time.Millisecond)
@@ -105,13 +105,13 @@
 	}
 }
 
-// The kept standstill, shorter, on real sockets: it is seen there as on the simulated clock, and no rule is broken.
-func TestAStandstillThatMeetsARestartOnRealSockets(t *testing.T) {
+// The kept stall, shorter, on real sockets: it is seen there as on the simulated clock, and no rule is broken.
+func TestAStallThatMeetsARestartOnRealSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
-	s := standstill(t)
+	s := stallScenario(t)
 	s.Length, s.Drain = 8, 10
 	s.Types[0].LatencyObjective, s.Types[0].TimeToLive = 1.5, 8
 	s.Faults[0].At, s.Faults[1].At, s.Faults[1].For = 1.5, 2, 4
@@ -121,6 +121,6 @@
 	twin := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, twin.Messages, r.Messages, "the same load")
 	require.Greater(t, twin.Late, twin.Messages/5)
-	require.Greater(t, r.Late, r.Messages/5, "the standstill is seen")
+	require.Greater(t, r.Late, r.Messages/5, "the stall is seen")
 	t.Logf("on sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, twin.G, twin.Late)
 }
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -19,13 +19,13 @@
 	"spanflow/scheduler"
 )
 
-func kept(t *testing.T, name string) *scenario.Scenario {
+func readScenario(t *testing.T, name string) *scenario.Scenario {
 	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	return s
 }
 
-func broken(r *Result) map[audit.Rule]int {
+func violationsByRule(r *Result) map[audit.Rule]int {
 	n := map[audit.Rule]int{}
 	for _, b := range r.Violations {
 		n[b.Rule]++
@@ -33,9 +33,9 @@
 	return n
 }
 
-func TestTheSchedulerKeepsTheRulesInEachKeptScenario(t *testing.T) {
+func TestTheSchedulerKeepsTheRulesInEachBuiltinScenario(t *testing.T) {
 	for _, name := range scenario.Builtin() {
-		r := Play(kept(t, name), 1, SchedulerPolicy)
+		r := Play(readScenario(t, name), 1, SchedulerPolicy)
 		require.Empty(t, r.Violations, name)
 		require.Greater(t, r.G, 0.6, name)
 		t.Logf("%-32s G %.3f, served %d of %d, late %d, refused %d", name, r.G, r.Served, r.Messages, r.Late, r.Refused)
@@ -43,7 +43,7 @@
 }
 
 func TestTheSameScenarioAndSeedGiveTheSameBytes(t *testing.T) {
-	s := kept(t, "several-at-once")
+	s := readScenario(t, "several-at-once")
 	want := Play(s, 7, SchedulerPolicy).JSON()
 	for _, cores := range []int{1, 4} {
 		before := runtime.GOMAXPROCS(cores)
@@ -72,10 +72,10 @@
 		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {behaves, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
 		var s *scenario.Scenario
 		if c.scene == "drains" {
-			s = kept(t, "calm")
+			s = readScenario(t, "calm")
 			s.Faults = []scenario.Fault{{Kind: "drain", At: 10, For: 5, Destinations: []int{0, 1}, Endpoints: []int{0}}}
 		} else {
-			s = kept(t, c.scene)
+			s = readScenario(t, c.scene)
 		}
 		make := func(fault misbehavior) Maker {
 			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
@@ -84,18 +84,18 @@
 				return p
 			}
 		}
-		n := broken(Play(s, 1, make(c.fault)))
+		n := violationsByRule(Play(s, 1, make(c.fault)))
 		require.NotZero(t, n[c.rule], "%d in %s: %v", c.fault, c.scene, n)
 		if c.fault != behaves {
-			require.Zero(t, broken(Play(s, 1, make(behaves)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
+			require.Zero(t, violationsByRule(Play(s, 1, make(behaves)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
 		}
 	}
 }
 
-// The oracle is a ceiling: in no kept scene does the scheduler or a baseline deliver much more.
+// The oracle is a ceiling: in no built-in scenario does the scheduler or a baseline deliver much more.
 func TestTheOracleIsACeiling(t *testing.T) {
 	for _, name := range scenario.Builtin() {
-		s := kept(t, name)
+		s := readScenario(t, name)
 		top := Play(s, 1, Baselines["oracle"])
 		module := Play(s, 1, SchedulerPolicy)
 		require.Greater(t, top.G, module.G-0.01, name)
@@ -103,12 +103,12 @@
 	}
 }
 
-// One short scene on real sockets: the built program as processes, the same model of receivers.
+// One short scenario on real sockets: the built program as processes, the same model of receivers.
 func TestAScenarioOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
-	s := kept(t, "returns-cold")
+	s := readScenario(t, "returns-cold")
 	s.Length, s.Drain, s.Dispatch.Forwarders = 6, 6, 2
 	for i := range s.Types {
 		s.Types[i].TimeToLive, s.Types[i].DeduplicationWindow = 5, min(s.Types[i].DeduplicationWindow, 4)
@@ -124,8 +124,8 @@
 	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
 }
 
-// random draws a scene: some receivers, some troubles.
-func random(base *scenario.Scenario, seed uint64) *scenario.Scenario {
+// drawScenario draws a scenario: some receivers, some faults.
+func drawScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	random := rand.New(rand.NewPCG(seed, 9))
 	s := *base
 	s.Length, s.Drain, s.Zones = 20, 20, 1+random.IntN(2)
@@ -149,16 +149,16 @@
 	return &s
 }
 
-func TestAFaultlessForwarderIsNeverAccused(t *testing.T) {
-	base := kept(t, "calm")
+func TestTheAuditReportsNoViolationOfTheScheduler(t *testing.T) {
+	base := readScenario(t, "calm")
 	var wg sync.WaitGroup
 	accused := make([]string, 200)
-	places := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4)
 	for seed := range accused {
 		wg.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			s := random(base, uint64(seed))
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			s := drawScenario(base, uint64(seed))
 			if r := Play(s, uint64(seed), SchedulerPolicy); len(r.Violations) > 0 {
 				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -10,15 +10,17 @@
 	"spanflow/scheduler"
 )
 
-// standstill is the kept scene in which the forwarder, with four slots, stands still for ten seconds while it restarts.
-func standstill(t *testing.T) *scenario.Scenario { return kept(t, "stands-still-while-it-restarts") }
+// stallScenario is the finding in which the forwarder, with four slots, stalls for ten seconds while it restarts.
+func stallScenario(t *testing.T) *scenario.Scenario {
+	return readScenario(t, "stands-still-while-it-restarts")
+}
 
-// A forwarder that is killed shortly before, at the beginning of, within or at the end of a standstill loses no end of a
+// A forwarder that is killed shortly before, at the beginning of, within or at the end of a stall loses no result of a
 // call: its slots are free again and every message is answered.
-func TestNoEndOfACallIsLostWhenAStandstillMeetsARestart(t *testing.T) {
+func TestNoCallResultIsLostWhenAStallMeetsARestart(t *testing.T) {
 	for _, killedAt := range []config.Duration{9.3, 9.5, 9.9, 10, 12, 19, 19.9, 20} {
 		for seed := range uint64(5) {
-			s := standstill(t)
+			s := stallScenario(t)
 			for i := range s.Faults {
 				if s.Faults[i].Kind == "restart" {
 					s.Faults[i].At = killedAt
@@ -27,30 +29,30 @@
 			r := Play(s, seed, SchedulerPolicy)
 			require.Empty(t, r.Violations, "killed at %s, seed %d", killedAt, seed)
 			last := r.Seconds[len(r.Seconds)-1]
-			require.Zero(t, last.Out, "slots are taken at the end of the day: killed at %s, seed %d", killedAt, seed)
+			require.Zero(t, last.Out, "slots are taken at the end of the run: killed at %s, seed %d", killedAt, seed)
 			require.Zero(t, last.Held, "killed at %s, seed %d", killedAt, seed)
 			require.Greater(t, r.G, 0.4, "killed at %s, seed %d", killedAt, seed)
 		}
 	}
 }
 
-// startsInStandstill counts the processes that begin within a standstill; seconds from the beginning of the day.
-type startsInStandstill struct {
+// startsDuringStall counts the processes that begin within a stall; seconds from the beginning of the run.
+type startsDuringStall struct {
 	from, until float64
 	count       int
 }
 
-func (c *startsInStandstill) make(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
+func (c *startsDuringStall) make(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	if now > startTime+c.from && now < startTime+c.until {
 		c.count++
 	}
 	return SchedulerPolicy(settings, seed, now, host)
 }
 
-// A standstill is the forwarder's, not one process's: no process begins in it, whatever comes first.
-func TestAProcessStartedInAStandstillBeginsAtItsEnd(t *testing.T) {
-	c := &startsInStandstill{from: 10, until: 20}
-	r := Play(standstill(t), 1, c.make)
+// A stall is the forwarder's, not one process's: no process begins in it, whatever comes first.
+func TestAProcessStartedDuringAStallBeginsAtItsEnd(t *testing.T) {
+	c := &startsDuringStall{from: 10, until: 20}
+	r := Play(stallScenario(t), 1, c.make)
 	require.Zero(t, c.count)
-	require.Greater(t, r.Late, 100, "the standstill is seen")
+	require.Greater(t, r.Late, 100, "the stall is seen")
 }
