--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -37,15 +37,15 @@
 var Scenarios = []Scenario{Idle, Change, Restart, Outage, Zone, FullList}
 
 const (
-	mostForwarders   = 2000
-	mostProcesses    = 100
-	mostDestinations = 1_000_000
-	mostChanges      = 100
-	memoryDivisor    = 2                // all processes together stay under one part in so many of the machine's memory
-	trialWithin      = 4 * time.Minute  // a trial that takes longer ends with an error
-	inForceWithin    = 60 * time.Second // a forwarder that does not have a list so long after it could is missed
-	restartEveryNth  = 3
-	cutZone          = 0
+	maxForwarders   = 2000
+	maxProcesses    = 100
+	maxDestinations = 1_000_000
+	maxChanges      = 100
+	memoryDivisor   = 2                // all processes together stay under one part in so many of the machine's memory
+	trialWithin     = 4 * time.Minute  // a trial that takes longer ends with an error
+	inForceWithin   = 60 * time.Second // a forwarder that does not have a list so long after it could is missed
+	restartEveryNth = 3
+	cutZone         = 0
 )
 
 // InForceTarget is the time within which a change has to be in force everywhere (issue 44).
@@ -71,8 +71,8 @@
 	for _, field := range []struct {
 		name        string
 		value, most int
-	}{{"forwarders", c.Forwarders, mostForwarders}, {"processes", c.Processes, mostProcesses},
-		{"destinations", c.Destinations, mostDestinations}, {"changes", c.Changes, mostChanges}} {
+	}{{"forwarders", c.Forwarders, maxForwarders}, {"processes", c.Processes, maxProcesses},
+		{"destinations", c.Destinations, maxDestinations}, {"changes", c.Changes, maxChanges}} {
 		if field.value < 1 || field.value > field.most {
 			return fmt.Errorf("%s: %d is not between 1 and %d", field.name, field.value, field.most)
 		}
@@ -101,7 +101,7 @@
 	return nil
 }
 
-func (c *Config) tell(format string, args ...any) {
+func (c *Config) progress(format string, args ...any) {
 	if c.Progress != nil {
 		c.Progress(fmt.Sprintf(format, args...))
 	}
@@ -132,7 +132,7 @@
 	if err != nil {
 		return capacity.FleetTrial{}, err
 	}
-	config.tell("%s: %d forwarders, %d destinations", scenario, size.forwarders, config.Destinations)
+	config.progress("%s: %d forwarders, %d destinations", scenario, size.forwarders, config.Destinations)
 	f, err := newFleet(ctx, config, size)
 	if err != nil {
 		return capacity.FleetTrial{}, err
--- a/lab/capacity/hollow/hollow_test.go
+++ b/lab/capacity/hollow/hollow_test.go
@@ -219,7 +219,7 @@
 	for field, spoil := range map[string]func(*Config){
 		"forwarders":   func(c *Config) { c.Forwarders = 0 },
 		"processes":    func(c *Config) { c.Processes = 7 },
-		"destinations": func(c *Config) { c.Destinations = mostDestinations + 1 },
+		"destinations": func(c *Config) { c.Destinations = maxDestinations + 1 },
 		"changes":      func(c *Config) { c.Changes = 0 },
 		"scenario":     func(c *Config) { c.Scenarios = []Scenario{"flood"} },
 		"lasts":        func(c *Config) { c.Lasts = 0 },
--- a/lab/capacity/hollow/plan.go
+++ b/lab/capacity/hollow/plan.go
@@ -33,7 +33,7 @@
 		return fleetSize{}, err
 	}
 	defer f.end()
-	config.tell("%s: measuring one forwarder with %d destinations", scenario, config.Destinations)
+	config.progress("%s: measuring one forwarder with %d destinations", scenario, config.Destinations)
 	need, err := f.measureFootprint(scenario != FullList)
 	if err != nil {
 		return fleetSize{}, f.reason(err)
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -15,7 +15,7 @@
 const (
 	warmUpDivisor = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
 	betweenTimes  = 250 * time.Millisecond // between two changes
-	mostEndings   = 3                      // reasons for ended watches that a note names
+	maxEndings    = 3                      // reasons for ended watches that a note names
 )
 
 // titles name the scenarios in results.
@@ -104,7 +104,7 @@
 
 // measureIdle measures a window in which nothing happens.
 func (t *trial) measureIdle() error {
-	t.config.tell("%s: idle for %s", t.scenario, t.config.Lasts)
+	t.config.progress("%s: idle for %s", t.scenario, t.config.Lasts)
 	before, err := t.fleet.snapshot()
 	if err != nil {
 		return err
@@ -317,7 +317,7 @@
 		t.notes = append(t.notes, fmt.Sprintf("%d late turns", t.late))
 	}
 	reasons := slices.SortedFunc(maps.Keys(t.endings), func(a, b string) int { return t.endings[b] - t.endings[a] })
-	for _, why := range reasons[:min(len(reasons), mostEndings)] {
+	for _, why := range reasons[:min(len(reasons), maxEndings)] {
 		t.notes = append(t.notes, fmt.Sprintf("watches ended %d times: %s", t.endings[why], why))
 	}
 }
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -25,7 +25,7 @@
 	descriptorsEach = 16   // of a hollow forwarder at most; it needs three, and one more while it connects
 	spareOpen       = 1024 // descriptors that a worker has for all else
 	linesEach       = 4    // connections of a hollow forwarder at most
-	mostReasons     = 16   // different reasons for the end of a watch that are kept apart
+	maxReasons      = 16   // different reasons for the end of a watch that are kept apart
 	otherReasons    = "other reasons"
 )
 
@@ -42,7 +42,7 @@
 	ctx     context.Context
 	start   startRequest
 	known   transport.EndpointList
-	members []*member
+	members []*hollowForwarder
 	used    usage // by members that were ended; CPU is not counted here
 	before  memoryUsage
 
@@ -54,8 +54,8 @@
 	late     int
 }
 
-// member is one hollow forwarder.
-type member struct {
+// hollowForwarder is one hollow forwarder.
+type hollowForwarder struct {
 	index   int // within the fleet
 	dialer  *dial.Dialer
 	cancel  context.CancelFunc
@@ -119,7 +119,7 @@
 }
 
 // launch starts a forwarder.
-func (w *worker) launch(index int) (*member, error) {
+func (w *worker) launch(index int) (*hollowForwarder, error) {
 	zone := index % zoneCount
 	read, names, err := settings.Read(fmt.Appendf(nil, schedulerSettings, zone, w.start.Fleet))
 	if err != nil {
@@ -132,23 +132,23 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
-	m := &member{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
+	m := &hollowForwarder{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(m.ended)
-		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.note(m, revision) }})
+		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.recordRevision(m, revision) }})
 	}()
 	return m, nil
 }
 
 // halt ends a forwarder.
-func (m *member) halt() {
+func (m *hollowForwarder) halt() {
 	m.cancel()
 	<-m.ended
 	m.dialer.Stop()
 }
 
-// haltAll ends forwarders at once.
-func haltAll(members []*member) {
+// stopAll ends forwarders at once.
+func stopAll(members []*hollowForwarder) {
 	var wait sync.WaitGroup
 	for _, m := range members {
 		wait.Go(m.halt)
@@ -156,19 +156,19 @@
 	wait.Wait()
 }
 
-func (w *worker) stop() { haltAll(w.members) }
+func (w *worker) stop() { stopAll(w.members) }
 
-// note records which revision a forwarder has in force now.
-func (w *worker) note(m *member, revision int64) {
+// recordRevision records which revision a forwarder has in force now.
+func (w *worker) recordRevision(m *hollowForwarder, revision int64) {
 	now := time.Now().UnixNano()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.holds = revision
-	w.mark(m, now)
+	w.markInForce(m, now)
 }
 
-// mark notes that a forwarder has the expected revision, if it has and that was not known; the lock is held.
-func (w *worker) mark(m *member, now int64) {
+// markInForce notes that a forwarder has the expected revision, if it has and that was not known; the lock is held.
+func (w *worker) markInForce(m *hollowForwarder, now int64) {
 	if m.holds < w.expected || m.inForce > 0 {
 		return
 	}
@@ -188,7 +188,7 @@
 	for _, m := range w.members {
 		m.inForce = 0
 		if m.holds > 0 {
-			w.mark(m, now)
+			w.markInForce(m, now)
 		}
 	}
 }
@@ -201,16 +201,16 @@
 	if everyNth < 1 {
 		return fmt.Errorf("every_nth: %d is under 1", everyNth)
 	}
-	var ended []*member
+	var ended []*hollowForwarder
 	for _, m := range w.members {
 		if restarts(m.index, everyNth) {
 			ended = append(ended, m)
 		}
 	}
-	haltAll(ended)
+	stopAll(ended)
 	for _, m := range ended {
 		w.used = w.used.plus(m.traffic())
-		w.unmark(m)
+		w.unmarkInForce(m)
 	}
 	for i, m := range w.members {
 		if !restarts(m.index, everyNth) {
@@ -225,8 +225,8 @@
 	return nil
 }
 
-// unmark counts a forwarder that has ended among those without the expected revision.
-func (w *worker) unmark(m *member) {
+// unmarkInForce counts a forwarder that has ended among those without the expected revision.
+func (w *worker) unmarkInForce(m *hollowForwarder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m.inForce == 0 {
@@ -268,7 +268,7 @@
 	return answer, nil
 }
 
-func (m *member) traffic() usage {
+func (m *hollowForwarder) traffic() usage {
 	return usage{Received: m.dialer.Received.Load(), Sent: m.dialer.Sent.Load()}
 }
 
@@ -298,25 +298,40 @@
 	return memoryUsage{Live: int64(m.HeapAlloc + m.StackInuse), Peak: residentMemory(pid, residentPeak), Resident: residentMemory(pid, residentNow)}
 }
 
-// Write takes the forwarders' log lines, of which it counts the ends of watches and the late turns.
+// logLine is what is read of a forwarder's log line. Why is the older name of Reason.
+type logLine struct {
+	Message string
+	Reason  string
+	Why     string
+}
+
+// reason is why a watch ended, without the address, which differs from zone to zone.
+func (l *logLine) reason() string {
+	reason := l.Reason + l.Why // a line has one of them
+	if strings.HasPrefix(reason, "dial ") {
+		_, reason, _ = strings.Cut(reason, ": ")
+	}
+	return reason
+}
+
+// Write takes the forwarders' log lines, of which it counts the ends of watches and the slow turns. It implements
+// io.Writer and returns no errors.
 func (w *worker) Write(line []byte) (int, error) {
-	var said struct{ Message, Why string }
-	if json.Unmarshal(line, &said) != nil {
+	var parsed logLine
+	if json.Unmarshal(line, &parsed) != nil {
 		return len(line), nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch said.Message {
-	case "late":
+	switch parsed.Message {
+	case "slow turn", "late": // the latter is the older name
 		w.late++
 	case "watch ended":
-		if strings.HasPrefix(said.Why, "dial ") { // the address differs from zone to zone
-			_, said.Why, _ = strings.Cut(said.Why, ": ")
-		}
-		if _, known := w.endings[said.Why]; !known && len(w.endings) >= mostReasons {
-			said.Why = otherReasons
+		reason := parsed.reason()
+		if _, known := w.endings[reason]; !known && len(w.endings) >= maxReasons {
+			reason = otherReasons
 		}
-		w.endings[said.Why]++
+		w.endings[reason]++
 	}
 	return len(line), nil
 }
--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -23,21 +23,21 @@
 )
 
 const (
-	fleetForwarders  = 500
-	outDestinations  = 10 // that the stored messages are for; the forwarder gets no connection to them
-	outWindow        = 10 // messages of each that are in memory
-	freshRate        = 1000
-	freshRounds      = 7
-	quickRounds      = 1
-	mostOut          = 5950 // destinations that are out at once at the size of docs/CAPACITY.md
-	mostOutWindow    = 64
-	mostOutStored    = 16 // messages of each destination beyond its head window
-	largestOutQueue  = 600_000
-	quietFor         = 3 * time.Second // after which the head windows are looked at again
-	windowsWithin    = time.Minute
-	storedOnDisk     = 650     // bytes of the store's bound for each message, a quarter of it being for compaction
-	leastStoreDisk   = 8 << 20 // bytes of the store's bound beside that
-	ledgerForWindows = 1500    // bytes of the write-ahead log's bound for each message of a head window
+	fleetForwarders     = 500
+	outDestinations     = 10 // that the stored messages are for; the forwarder gets no connection to them
+	outWindow           = 10 // messages of each that are in memory
+	freshRate           = 1000
+	freshRounds         = 7
+	quickRounds         = 1
+	mostOutDestinations = 5950 // destinations that are out at once at the size of docs/CAPACITY.md
+	mostOutWindow       = 64
+	mostOutStored       = 16 // messages of each destination beyond its head window
+	largestOutQueue     = 600_000
+	reloadPause         = 3 * time.Second // after which the head windows are looked at again
+	windowsWithin       = time.Minute
+	storedOnDisk        = 650     // bytes of the store's bound for each message, a quarter of it being for compaction
+	leastStoreDisk      = 8 << 20 // bytes of the store's bound beside that
+	walBytesEach        = 1500    // bytes of the write-ahead log's bound for each message of a head window
 )
 
 var (
@@ -56,7 +56,7 @@
 	if err := t.freshBesideStored(sizes); err != nil {
 		return err
 	}
-	return t.freshBesideWindows([]int{0, min(mostOut, t.Largest)}, mostOutWindow)
+	return t.freshBesideWindows([]int{0, min(mostOutDestinations, t.Largest)}, mostOutWindow)
 }
 
 // stored is what a store is filled with.
@@ -121,8 +121,8 @@
 	return b.String()
 }
 
-// loaded is a forwarder whose processor time is measured in turn with that of others.
-type loaded struct {
+// loadedForwarder is a forwarder whose processor time is measured in turn with that of others.
+type loadedForwarder struct {
 	*process
 	size  int
 	each  []float64 // processor time of a fresh message in seconds, by round
@@ -130,13 +130,13 @@
 	files string    // folder of its store
 }
 
-func (l *loaded) end() {
+func (l *loadedForwarder) end() {
 	l.kill()
 	os.RemoveAll(l.files)
 }
 
 // startStored starts a forwarder on a store with messages for destinations that are out, behind those of the targets.
-func (t *trial) startStored(targets *targets, size int, what stored, window, room int) (*loaded, error) {
+func (t *trial) startStored(targets *endpointServers, size int, what stored, window, room int) (*loadedForwarder, error) {
 	folder, err := os.MkdirTemp(t.Folder, "store")
 	if err != nil {
 		return nil, err
@@ -146,10 +146,10 @@
 		var p *process
 		p, err = t.start(&configuration{destinations: pathTargets, targets: targets.addresses, queueCapacity: room, descriptors: 4 * defaultDescriptors,
 			forwarders: fleetForwarders, // a destination that is out is tried by all of them together
-			disk:       pathDisk + ledgerForWindows*int64(window*what.destinations),
+			disk:       pathDisk + walBytesEach*int64(window*what.destinations),
 			settings:   backlogSection(folder, what.messages, window) + outTargets(what.first, what.destinations)})
 		if err == nil {
-			return &loaded{process: p, size: size, files: folder}, nil
+			return &loadedForwarder{process: p, size: size, files: folder}, nil
 		}
 	}
 	os.RemoveAll(folder)
@@ -158,7 +158,7 @@
 
 // freshBesideStored measures fresh messages with several amounts stored, in turn.
 func (t *trial) freshBesideStored(sizes []int) error {
-	return t.alternate(sizes, backlogFresh, backlogRatio, func(targets *targets, size int) (*loaded, error) {
+	return t.alternate(sizes, backlogFresh, backlogRatio, func(targets *endpointServers, size int) (*loadedForwarder, error) {
 		return t.startStored(targets, size, stored{messages: size, destinations: outDestinations}, outWindow, defaultQueueCapacity)
 	})
 }
@@ -166,7 +166,7 @@
 // freshBesideWindows measures fresh messages with several numbers of destinations out, each with a full head window in
 // memory and more in the store, in turn.
 func (t *trial) freshBesideWindows(sizes []int, window int) error {
-	return t.alternate(sizes, outFresh, outRatio, func(targets *targets, size int) (*loaded, error) {
+	return t.alternate(sizes, outFresh, outRatio, func(targets *endpointServers, size int) (*loadedForwarder, error) {
 		what := stored{messages: size * (window + mostOutStored), destinations: max(size, 1)}
 		l, err := t.startStored(targets, size, what, window, max(defaultQueueCapacity, largestOutQueue))
 		if err != nil {
@@ -187,7 +187,7 @@
 }
 
 // awaitWindows waits until no more than so many messages are in the store.
-func (t *trial) awaitWindows(l *loaded, left int) error {
+func (t *trial) awaitWindows(l *loadedForwarder, left int) error {
 	for late := time.Now().Add(windowsWithin); ; {
 		messages, err := storedIn(l.files)
 		if err == nil && messages <= left {
@@ -217,7 +217,7 @@
 }
 
 // idleTime measures the processor time that a forwarder needs without load.
-func (t *trial) idleTime(l *loaded) error {
+func (t *trial) idleTime(l *loadedForwarder) error {
 	if err := t.pause(settlingTime); err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	began, lasts := time.Now(), quietFor
+	began, lasts := time.Now(), reloadPause
 	if t.quick {
 		lasts = settlingTime
 	}
@@ -239,13 +239,13 @@
 
 // alternate starts a forwarder for each size and loads them in turn, in rounds. It records the median of each and the
 // median of its ratios to the first, whose size is 0.
-func (t *trial) alternate(sizes []int, each, ratio quantity, start func(*targets, int) (*loaded, error)) error {
-	targets, err := newTargets(pathTargets)
+func (t *trial) alternate(sizes []int, each, ratio quantity, start func(*endpointServers, int) (*loadedForwarder, error)) error {
+	targets, err := newEndpointServers(pathTargets)
 	if err != nil {
 		return err
 	}
 	defer targets.close()
-	var all []*loaded
+	var all []*loadedForwarder
 	defer func() {
 		for _, l := range all {
 			l.end()
@@ -320,7 +320,7 @@
 	}
 	c := &configuration{destinations: 1, settings: backlogSection(folder, size, outWindow) + outTargets(2, outDestinations)}
 	var memory []float64
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		p, err := t.start(c)
 		if err != nil {
 			return 0, err
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -42,7 +42,7 @@
 }
 
 func (t *trial) drainStored(size int) error {
-	targets, err := newTargets(pathTargets)
+	targets, err := newEndpointServers(pathTargets)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 }
 
 func (t *trial) expireStored(size int) error {
-	targets, err := newTargets(pathTargets)
+	targets, err := newEndpointServers(pathTargets)
 	if err != nil {
 		return err
 	}
--- a/lab/capacity/measure/down.go
+++ b/lab/capacity/measure/down_destination.go
@@ -90,7 +90,7 @@
 		o.runStart = now // the first forwarder starts with the run
 	}
 	counting := &countingHost{Host: to, count: o, now: now}
-	return &countedScheduler{Scheduler: scheduler.New(terms, seed, now, counting), host: counting}
+	return &countingScheduler{Scheduler: scheduler.New(terms, seed, now, counting), host: counting}
 }
 
 // sent counts a call.
@@ -103,14 +103,14 @@
 	}
 }
 
-// countedScheduler is a scheduler whose host knows the time.
-type countedScheduler struct {
+// countingScheduler is a scheduler whose host knows the time.
+type countingScheduler struct {
 	*scheduler.Scheduler
 	host *countingHost
 }
 
 // SetTime sets the time of both.
-func (c *countedScheduler) SetTime(now float64) {
+func (c *countingScheduler) SetTime(now float64) {
 	c.host.now = now
 	c.Scheduler.SetTime(now)
 }
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held_message.go
@@ -44,7 +44,7 @@
 func (t *trial) heldInScheduler(size int) error {
 	before := t.heap()
 	var s *measuredScheduler
-	taken, err := t.best(func() (float64, error) {
+	taken, err := t.bestOf(func() (float64, error) {
 		var took float64
 		s = nil
 		t.heap()
@@ -57,7 +57,7 @@
 	t.record(heldTake, float64(size), taken)
 	t.record(heldMemory, float64(size), t.heap()-before)
 	busy := s.destinations[0]
-	fresh, err := t.best(func() (float64, error) {
+	fresh, err := t.bestOf(func() (float64, error) {
 		return t.fresh(func() bool {
 			s.deliver(busy)
 			return true
@@ -70,7 +70,7 @@
 		return fmt.Errorf("%d of %d messages were given up before their time", s.host.ended, size)
 	}
 	t.record(heldFresh, float64(size), fresh)
-	givenUp, err := t.best(func() (float64, error) {
+	givenUp, err := t.bestOf(func() (float64, error) {
 		if s.host.ended > 0 {
 			s = nil
 			t.heap()
@@ -122,7 +122,7 @@
 // drain measures the decisions of a message that goes out once its destination takes calls again, one for each that
 // has ended.
 func (t *trial) drain(size int) error {
-	each, err := t.best(func() (float64, error) {
+	each, err := t.bestOf(func() (float64, error) {
 		t.heap()
 		s := newScheduler(2*size+100, t.Seed)
 		s.addDestinations(1)
--- a/lab/capacity/measure/known.go
+++ b/lab/capacity/measure/known_destination.go
@@ -28,7 +28,7 @@
 
 func (t *trial) knownInScheduler(size int) error {
 	before := t.heap()
-	start, err := t.best(func() (float64, error) {
+	start, err := t.bestOf(func() (float64, error) {
 		t.heap()
 		return withoutCollection(func() { newScheduler(defaultQueueCapacity, t.Seed).addDestinations(size) }), nil
 	})
@@ -38,14 +38,14 @@
 	t.record(knownStart, float64(size), start)
 	s := newScheduler(defaultQueueCapacity, t.Seed)
 	lines := s.addDestinations(size)
-	whole, err := t.best(func() (float64, error) { return s.updateFullList(lines), nil })
+	whole, err := t.bestOf(func() (float64, error) { return s.updateFullList(lines), nil })
 	if err != nil {
 		return err
 	}
 	t.record(knownList, float64(size), whole)
 	lines = nil // it is the caller's and not the scheduler's
 	t.record(knownMemory, float64(size), t.heap()-before)
-	change, err := t.best(func() (float64, error) { return s.changes(), nil })
+	change, err := t.bestOf(func() (float64, error) { return s.changes(), nil })
 	if err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 func (t *trial) knownInForwarder(size int) error {
 	var memory int64
 	cpu := math.Inf(1)
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		p, server, err := t.startListed(&configuration{destinations: size})
 		if err != nil {
 			return 0, err
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -215,8 +215,8 @@
 	tryAtMost = 300 * time.Millisecond // after so long there are no more than a few
 )
 
-// best is the least of several tries of a measurement, which has the least of what else goes on on the machine.
-func (t *trial) best(one func() (float64, error)) (float64, error) {
+// bestOf is the least of several tries of a measurement, which has the least of what else goes on on the machine.
+func (t *trial) bestOf(one func() (float64, error)) (float64, error) {
 	least, began := math.Inf(1), time.Now()
 	for i := range mostTries {
 		if err := t.ctx.Err(); err != nil {
--- a/lab/capacity/measure/path.go
+++ b/lab/capacity/measure/message_path.go
@@ -65,7 +65,7 @@
 
 // path starts a forwarder, loads it a few times and records the time that took the least processor time.
 func (t *trial) path(rate, body int, record func(traffic)) error {
-	targets, err := newTargets(pathTargets)
+	targets, err := newEndpointServers(pathTargets)
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	}
 	defer p.kill()
 	var least traffic
-	_, err = t.best(func() (float64, error) {
+	_, err = t.bestOf(func() (float64, error) {
 		w, err := t.load(p, targets, rate, body)
 		if err != nil {
 			return 0, err
@@ -93,7 +93,7 @@
 }
 
 // load sends messages at a rate for a while and waits until they are delivered.
-func (t *trial) load(p *process, targets *targets, rate, body int) (traffic, error) {
+func (t *trial) load(p *process, targets *endpointServers, rate, body int) (traffic, error) {
 	if t.quick {
 		return t.loadFor(p, targets, rate, body, quickSeconds)
 	}
@@ -101,7 +101,7 @@
 }
 
 // loadFor is load for so many seconds.
-func (t *trial) loadFor(p *process, targets *targets, rate, body int, lasts float64) (w traffic, err error) {
+func (t *trial) loadFor(p *process, targets *endpointServers, rate, body int, lasts float64) (w traffic, err error) {
 	var in atomic.Int64
 	run := load.Run{Addr: p.listen, Connections: pathClients, Timeout: answerWithin, TimeToLive: 60, Bytes: body,
 		Prefix: fmt.Sprintf("%x-", time.Now().UnixNano()),
@@ -140,16 +140,16 @@
 	return w, err
 }
 
-// targets answer each call at once.
-type targets struct {
+// endpointServers answers each call at once.
+type endpointServers struct {
 	addresses []string
 	servers   []*http.Server
 	calls     atomic.Int64
 	bytes     atomic.Int64 // in both directions
 }
 
-func newTargets(number int) (*targets, error) {
-	t := &targets{}
+func newEndpointServers(number int) (*endpointServers, error) {
+	t := &endpointServers{}
 	for range number {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -163,7 +163,7 @@
 	return t, nil
 }
 
-func (t *targets) answer(w http.ResponseWriter, r *http.Request) {
+func (t *endpointServers) answer(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
@@ -171,7 +171,7 @@
 	t.calls.Add(1)
 }
 
-func (t *targets) close() {
+func (t *endpointServers) close() {
 	for _, s := range t.servers {
 		s.Close()
 	}
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -38,7 +38,7 @@
 	}
 	defer server.close()
 	defer p.kill()
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		count := p.log.Count(tookUpOrder)
 		c.settings = fmt.Sprintf(otherLogging, count)
 		if err := t.rewrite(p, c); err != nil {
@@ -74,7 +74,7 @@
 	}
 	defer p.kill()
 	cpu := 0.0
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		took, used, err := t.reload(p, c)
 		if cpu == 0 || used < cpu {
 			cpu = used
@@ -127,7 +127,7 @@
 // untilKnown hands messages for a destination in until one is taken on.
 func (t *trial) untilKnown(p *process, destination int) error {
 	for late := time.Now().Add(startWithin); time.Now().Before(late); {
-		answer, err := t.handIn(p, destination)
+		answer, err := t.submit(p, destination)
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() { // a forwarder that reads a long configuration answers nobody
 			continue
@@ -149,7 +149,7 @@
 }
 
 // submit hands a message in on a connection of its own and returns the answer.
-func (t *trial) handIn(p *process, destination int) (string, error) {
+func (t *trial) submit(p *process, destination int) (string, error) {
 	c, err := emulator.NewClient(p.listen)
 	if err != nil {
 		return "", err
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -45,7 +45,7 @@
 	}
 	defer os.RemoveAll(folder)
 	opened, memory := 0.0, 0.0
-	opened, err = t.best(func() (float64, error) {
+	opened, err = t.bestOf(func() (float64, error) {
 		before, start := t.heap(), time.Now()
 		log, err := wal.Open(folder, logLimit(size))
 		took := time.Since(start).Seconds()
@@ -86,10 +86,10 @@
 // recover measures from the scheduler's start until it has settled all that an earlier process owed. The destination's
 // wait outlasts the start, so that all of it stays held.
 func (t *trial) recover(size int, q quantity, past scheduler.RecoveredState) error {
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		t.heap()
 		var s *measuredScheduler
-		took := withoutCollection(func() { s = recovered(2*size+100, size, past, t.Seed) })
+		took := withoutCollection(func() { s = newRecoveredScheduler(2*size+100, size, past, t.Seed) })
 		if s.host.ended > 0 || len(s.host.out) > 0 {
 			return 0, fmt.Errorf("of %d messages %d were given up and %d sent, within a wait", size, s.host.ended, len(s.host.out))
 		}
@@ -102,8 +102,8 @@
 	return err
 }
 
-// recovered starts a scheduler with what an earlier process left unanswered for a destination that sent a retry-after.
-func recovered(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
+// newRecoveredScheduler starts a scheduler with what an earlier process left unanswered for a destination that sent a retry-after.
+func newRecoveredScheduler(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.addDestinations(2)
 	s.BlockUntil(s.targets[1], s.now+blockedTime)
@@ -122,7 +122,7 @@
 	defer os.RemoveAll(folder)
 	c := &configuration{destinations: 2, unlisted: heldDestination, folder: folder, disk: logLimit(size)}
 	var memory int64
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		p, err := t.start(c)
 		if err != nil {
 			return 0, err
--- a/lab/capacity/measure/scrape.go
+++ b/lab/capacity/measure/scrape.go
@@ -31,7 +31,7 @@
 			return err
 		}
 		length, scrapes := 0, 0
-		took, err := t.best(func() (float64, error) {
+		took, err := t.bestOf(func() (float64, error) {
 			start := time.Now()
 			n, err := scrape(t.ctx, p.metrics)
 			length = n
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -75,8 +75,8 @@
 // missing stands where nothing carries a figure.
 const missing = "**missing**"
 
-// reckoned is a figure worked out for a target and results.
-type reckoned struct {
+// computedFigure is a figure worked out for a target and results.
+type computedFigure struct {
 	*figure
 	role     string
 	estimate Estimate
@@ -102,9 +102,9 @@
 	return estimate.Value, unit == b.curve.unit && estimate.Basis != NotExtrapolated
 }
 
-// reckon works a figure out.
-func (f *figure) reckon(role string, target *Target, results *capacity.Results) (reckoned, error) {
-	r := reckoned{figure: f, role: role}
+// compute works a figure out.
+func (f *figure) compute(role string, target *Target, results *capacity.Results) (computedFigure, error) {
+	r := computedFigure{figure: f, role: role}
 	if f.budget != nil {
 		r.budget, r.budgeted = f.budget.at(target, results)
 	}
@@ -122,13 +122,13 @@
 	return r, err
 }
 
-func (r *reckoned) fromTarget(target *Target) {
+func (r *computedFigure) fromTarget(target *Target) {
 	r.estimate = Estimate{Basis: Fitted, Value: r.given.value(target)}
 	r.limit = Limit{Basis: Fitted, Never: r.estimate.Value <= r.budget}
 	r.from, r.command = r.given.from, "target.toml"
 }
 
-func (r *reckoned) fromCurve(target *Target, results *capacity.Results) error {
+func (r *computedFigure) fromCurve(target *Target, results *capacity.Results) error {
 	use := r.curve
 	r.command = "`spanflow-lab capacity measure " + use.ref.role + "`"
 	curve := curveOf(results, use.ref)
@@ -180,7 +180,7 @@
 	return "not straight"
 }
 
-func (r *reckoned) fromTrial(target *Target, results *capacity.Results) {
+func (r *computedFigure) fromTrial(target *Target, results *capacity.Results) {
 	r.command = "`spanflow-lab capacity hollow " + hollowArgument[r.trial.scenario] + "`"
 	trials := r.trial.of(results)
 	if len(trials) == 0 {
@@ -247,7 +247,7 @@
 }
 
 // atSize is the cell with the value at the target size.
-func (r *reckoned) atSize() string {
+func (r *computedFigure) atSize() string {
 	value := r.unit.Format(r.estimate.Value)
 	switch r.estimate.Basis {
 	case NotMeasured:
@@ -270,7 +270,7 @@
 }
 
 // leftBefore says of a curve that is not extrapolated where it leaves its budget, if that is known.
-func (r *reckoned) leftBefore() string {
+func (r *computedFigure) leftBefore() string {
 	switch {
 	case !r.budgeted || r.limit.Never:
 		return ""
@@ -283,7 +283,7 @@
 }
 
 // leftAtMeasured says between which measured sizes a curve that is not straight leaves its budget.
-func (r *reckoned) leftAtMeasured() string {
+func (r *computedFigure) leftAtMeasured() string {
 	left := "left at the measured size " + digits(r.limit.Size)
 	if r.limit.LargestWithin == 0 {
 		return left
@@ -292,7 +292,7 @@
 }
 
 // allowed is the cell with the budget.
-func (r *reckoned) allowed() string {
+func (r *computedFigure) allowed() string {
 	switch {
 	case r.figure.budget == nil:
 		return "none stated"
@@ -302,7 +302,7 @@
 	return r.unit.Format(r.budget) + ", " + r.figure.budget.name
 }
 
-func (r *reckoned) carrier() string {
+func (r *computedFigure) carrier() string {
 	if r.carriedBy == "" {
 		return missing
 	}
@@ -310,7 +310,7 @@
 }
 
 // leaves is the cell that says where a budget is left.
-func (r *reckoned) leaves() string {
+func (r *computedFigure) leaves() string {
 	switch {
 	case r.limit.Basis == NotMeasured:
 		return "not measured"
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -19,9 +19,9 @@
 		"curves":      curvesTable(results),
 		"fleets":      fleetsTable(target, results),
 	}
-	var all []reckoned
+	var all []computedFigure
 	for _, role := range roles() {
-		reckonedOfRole, err := reckonAll(role, target, results)
+		reckonedOfRole, err := computeAll(role, target, results)
 		if err != nil {
 			return nil, err
 		}
@@ -32,10 +32,10 @@
 	return rendered, nil
 }
 
-func reckonAll(role role, target *Target, results *capacity.Results) ([]reckoned, error) {
-	var all []reckoned
+func computeAll(role role, target *Target, results *capacity.Results) ([]computedFigure, error) {
+	var all []computedFigure
 	for _, figure := range role.figures {
-		r, err := figure.reckon(role.title, target, results)
+		r, err := figure.compute(role.title, target, results)
 		if err != nil {
 			return nil, err
 		}
@@ -44,7 +44,7 @@
 	return all, nil
 }
 
-func roleTable(figures []reckoned) string {
+func roleTable(figures []computedFigure) string {
 	var rows [][]string
 	for _, r := range figures {
 		rows = append(rows, []string{r.what, r.atSize(), r.from, r.allowed(), r.command, r.carrier()})
@@ -54,14 +54,14 @@
 
 // rankingTable orders all figures with a budget by the share of the target size at which they leave it. Reason is not
 // known comes last.
-func rankingTable(figures []reckoned) string {
-	var ranked []reckoned
+func rankingTable(figures []computedFigure) string {
+	var ranked []computedFigure
 	for _, r := range figures {
 		if r.budgeted {
 			ranked = append(ranked, r)
 		}
 	}
-	slices.SortStableFunc(ranked, func(a, b reckoned) int {
+	slices.SortStableFunc(ranked, func(a, b computedFigure) int {
 		return cmp.Or(cmp.Compare(rankClass(&a), rankClass(&b)), cmp.Compare(a.fraction, b.fraction))
 	})
 	var rows [][]string
@@ -84,7 +84,7 @@
 	withinBudget
 )
 
-func rankClass(r *reckoned) int {
+func rankClass(r *computedFigure) int {
 	switch {
 	case r.limit.Basis == NotMeasured, r.limit.Basis == NoSize, r.limit.Basis == NotExtrapolated:
 		return unknown
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -119,37 +119,37 @@
 // targetChecker collects what is wrong with a target.
 type targetChecker struct{ problems config.Problems }
 
-func (c *targetChecker) bad(field, format string, values ...any) {
+func (c *targetChecker) add(field, format string, values ...any) {
 	c.problems = append(c.problems, config.Problem{Field: field, Reason: fmt.Sprintf(format, values...)})
 }
 
 func (c *targetChecker) positive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
-		c.bad(field, "%v is not a number over 0, or it is missing", value)
+		c.add(field, "%v is not a number over 0, or it is missing", value)
 	}
 }
 
 func (c *targetChecker) count(field string, value float64) {
 	if c.positive(field, value); value != math.Trunc(value) {
-		c.bad(field, "%v is not a whole number", value)
+		c.add(field, "%v is not a whole number", value)
 	}
 }
 
 func (c *targetChecker) fraction(field string, value float64) {
 	if c.positive(field, value); value > 1 {
-		c.bad(field, "%v is over 1, the whole", value)
+		c.add(field, "%v is over 1, the whole", value)
 	}
 }
 
 func (c *targetChecker) skew(field string, value float64) {
 	if c.positive(field, value); value < 1 {
-		c.bad(field, "%v is under 1: the busiest cannot be under the mean", value)
+		c.add(field, "%v is under 1: the busiest cannot be under the mean", value)
 	}
 }
 
 func (c *targetChecker) agrees(field string, value, other float64, otherIs string) {
 	if math.Abs(value-other) > consistent*other {
-		c.bad(field, "%v does not agree with %v, which is %s", value, other, otherIs)
+		c.add(field, "%v does not agree with %v, which is %s", value, other, otherIs)
 	}
 }
 
@@ -169,7 +169,7 @@
 	c.count("fleet.zones", t.Fleet.Zones)
 	c.count("fleet.control_machines", t.Fleet.ControlMachines)
 	if t.Fleet.Zones < t.Fleet.Regions {
-		c.bad("fleet.zones", "%v zones are too few for %v regions", t.Fleet.Zones, t.Fleet.Regions)
+		c.add("fleet.zones", "%v zones are too few for %v regions", t.Fleet.Zones, t.Fleet.Regions)
 	}
 }
 
@@ -216,11 +216,11 @@
 	for i, e := range t.Estimates {
 		for _, field := range []struct{ name, value string }{{"what", e.What}, {"value", e.Value}, {"role", e.Role}, {"quantity", e.Quantity}} {
 			if field.value == "" {
-				c.bad(fmt.Sprintf("estimates[%d].%s", i, field.name), "is missing")
+				c.add(fmt.Sprintf("estimates[%d].%s", i, field.name), "is missing")
 			}
 		}
 		if !(e.Size >= 0) || math.IsInf(e.Size, 0) {
-			c.bad(fmt.Sprintf("estimates[%d].size", i), "%v is no size", e.Size)
+			c.add(fmt.Sprintf("estimates[%d].size", i), "%v is no size", e.Size)
 		}
 	}
 }
