--- a/cmd/spanflow-lab/main.go
+++ b/cmd/spanflow-lab/main.go
@@ -1,4 +1,4 @@
-// Command spanflow-lab is the laboratory: simulated days, experiments and a load tool.
+// Command spanflow-lab is the laboratory: simulated runs, experiments and a load tool.
 package main
 
 import (
--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -41,7 +41,8 @@
 
 type endpointKey struct{ destination, endpoint int }
 
-// retryAfterKey is whom a retry-after is for; endpoint is anyEndpoint where a destination's endpoints share their limits.
+// retryAfterKey is whom a retry-after is for; endpoint is anyEndpoint where a destination's endpoints share their
+// limits.
 type retryAfterKey struct{ destination, endpoint, forwarder int }
 
 const anyEndpoint = -1
@@ -193,8 +194,8 @@
 // an endpoint that was overloaded in its slow start.
 const maxInformedFraction = 2.0 / 3
 
-// EndpointOverloaded says that calls in its slow start made an endpoint fail; informed is the fraction of them that came
-// from forwarders which had seen the outage.
+// EndpointOverloaded says that calls in its slow start made an endpoint fail; informed is the fraction of them that
+// came from forwarders which had seen the outage.
 func (l *Log) EndpointOverloaded(destination, _ int, informed float64) {
 	if informed >= maxInformedFraction {
 		l.report(RuleRecoveryNotOverloaded, 0,
--- a/lab/audit/judge.go
+++ b/lab/audit/judge.go
@@ -44,7 +44,7 @@
 
 // checkKeyOrder finds messages of an ordering key that were sent before an earlier one was over. It is over once it has
 // its final answer and, if an attempt of it ended in a time-out, a reset or a cut, the key's cooldown has passed since.
-// Reason such an attempt still does later is beyond a forwarder, as the operators' page has it ("the attempt may still be
+// What such an attempt still does later is beyond a forwarder, as the operators' page has it ("the attempt may still be
 // executing; later requests for that key shall therefore wait a further KeyCooldown").
 func (l *Log) checkKeyOrder() {
 	byKey := map[uint64][]*Message{}
--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -17,7 +17,8 @@
 	straight = 0.10
 	// farOff is the relative error of a single point from which a line does not fit it.
 	farOff = 0.25
-	// straightPart is the residual up to which a line fits the part before a bend: its few points fit a line too easily.
+	// straightPart is the residual up to which a line fits the part before a bend: its few points fit a line too
+	// easily.
 	straightPart = straight / 2
 	// zeroFraction is the share of the largest value that stands for smaller values where errors are weighed, so that
 	// a value of zero does not outweigh all others.
@@ -77,7 +78,8 @@
 	return 0, fmt.Errorf("%s, %s: %g %s are not between measured sizes", c.Role, c.Quantity, size, c.SizeUnit)
 }
 
-// bestLine is a level line if that fits all points, else the best sloping one. Its shape is NotStraight if neither fits.
+// bestLine is a level line if that fits all points, else the best sloping one. Its shape is NotStraight if neither
+// fits.
 func bestLine(points []Point) Fit {
 	if len(points) == 0 {
 		return Fit{Shape: NotStraight}
@@ -122,8 +124,8 @@
 	return all
 }
 
-// power is the slope of the line through the logarithms of sizes and values, 0 if one is not over 0. It says by how much
-// a curve that is not straight grows; a little over 1 may be the machine's caches.
+// power is the slope of the line through the logarithms of sizes and values, 0 if one is not over 0. It says by how
+// much a curve that is not straight grows; a little over 1 may be the machine's caches.
 func power(points []Point) float64 {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -1,10 +1,10 @@
 // Package hollow measures how fast and at what cost a change of discovery's list comes into force in a large fleet.
 //
 // A hollow forwarder is the real discovery client, the real hand-over of lists and the real scheduler on real sockets,
-// without clients, calls to endpoints and a write-ahead log; many run in one process (forwarder.FollowEndpoints). The coordinator,
-// Run, starts a process with an emulator of discovery and some with forwarders, all on 127.0.0.1, commands them by JSON
-// lines, and ends them when it returns. A list is in force at a forwarder once its scheduler has it
-// and has reconciled.
+// without clients, calls to endpoints and a write-ahead log; many run in one process (forwarder.FollowEndpoints). The
+// coordinator, Run, starts a process with an emulator of discovery and some with forwarders, all on 127.0.0.1, commands
+// them by JSON lines, and ends them when it returns. A list is in force at a forwarder once its scheduler has it and
+// has reconciled.
 //
 // Processor time is that of whole processes by getrusage. Bytes are those that the sockets took and gave, without the
 // headers of TCP and IP: some 52 a segment come on top.
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -168,7 +168,8 @@
 	return t.fleet.publish()
 }
 
-// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could hear of it.
+// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could hear of
+// it.
 func (t *trial) awaitInForce(since func(forwarder int) int64) error {
 	heard, err := t.fleet.await(inForceWithin)
 	if err != nil {
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -29,8 +29,8 @@
 	otherReasons    = "other reasons"
 )
 
-// schedulerSettings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders are put
-// in. Discovery is asked, and at least every ten seconds, as in the protocol's own example.
+// schedulerSettings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders
+// are put in. Discovery is asked, and at least every ten seconds, as in the protocol's own example.
 const schedulerSettings = `{"Azs":["zone-1","zone-2","zone-3","zone-4","zone-5","zone-6"],"MyZone":%d,"Kinds":["partner"],
 "Classes":[{"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
 "Extra":{"CallsOut":64,"KindBatch":[1]},"Guarantees":{"AskWithin":10000,"Cold":10000,"ColdFrom":0.2,"FallMultiple":2,
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -16,7 +16,7 @@
 	listPath    = "/v1/endpoints" // with stream=1: the list and its changes
 )
 
-// discoveryServer serves a list of destinations that does not change: its first part as the whole list, the rest as
+// discoveryServer serves a list of destinations that does not change: its first part as the full list, the rest as
 // changes.
 type discoveryServer struct {
 	address string
@@ -50,7 +50,7 @@
 	return d, nil
 }
 
-// watch answers a question for the list.
+// watch serves the list and keeps the connection open.
 func (d *discoveryServer) watch(w http.ResponseWriter, r *http.Request) {
 	blank := time.NewTicker(blankAfter)
 	defer blank.Stop()
--- a/lab/capacity/measure/held_message.go
+++ b/lab/capacity/measure/held_message.go
@@ -89,8 +89,8 @@
 	return err
 }
 
-// hold makes a scheduler with two destinations, of which the second has sent a retry-after and has so many messages, and
-// returns the processor time in seconds of accepting these in one round.
+// hold makes a scheduler with two destinations, of which the second has sent a retry-after and has so many messages,
+// and returns the processor time in seconds of accepting these in one round.
 func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
 	s.addDestinations(2)
@@ -104,7 +104,8 @@
 	return s, took
 }
 
-// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and returns whether there was one.
+// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and returns whether there
+// was one.
 func (t *trial) fresh(deliver func() bool) (float64, error) {
 	n := 0
 	took := withoutCollection(func() {
--- a/lab/capacity/measure/idle_client.go
+++ b/lab/capacity/measure/idle_client.go
@@ -21,7 +21,7 @@
 // measureIdleClient measures what a client's connection costs that has asked once and says nothing more.
 func measureIdleClient(t *trial) error {
 	return t.sweep("connections", 1, linearly, sizes(t.Largest), func(size int) error {
-		// MaxClients get two thirds of the descriptors; all sizes get as many, as the forwarder's tables depend on them.
+		// Clients get two thirds of the descriptors; all sizes get as many, as the forwarder's tables depend on them.
 		p, err := t.start(&configuration{destinations: 1, descriptors: t.Largest*3/2 + spareForClients})
 		if err != nil {
 			return err
@@ -53,7 +53,7 @@
 	})
 }
 
-// connect makes so many connections, each of which has asked for a sign of life.
+// connect makes so many connections, each of which has sent PING.
 func connect(address string, number int) ([]*emulator.Client, error) {
 	clients := make([]*emulator.Client, number)
 	places := make([]int, number)
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -23,7 +23,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 }
 
-// withoutCollection is the processor time in seconds of what is done, with garbage collection put off meanwhile. Reason
+// withoutCollection is the processor time in seconds of what is done, with garbage collection put off meanwhile. What
 // that adds depends on how the heap grew before, and would make equal work cost more at some sizes than at others.
 func withoutCollection(do func()) float64 {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -91,8 +91,8 @@
 	return names
 }
 
-// Measure measures a role and fits a line to each of its curves. Sizes beyond a bound are left out, which is reported as
-// progress. The curves that were measured are returned even if ctx ends the work, with its error.
+// Measure measures a role and fits a line to each of its curves. Sizes beyond a bound are left out, which is reported
+// as progress. The curves that were measured are returned even if ctx ends the work, with its error.
 func (r *Role) Measure(ctx context.Context, options Options) ([]capacity.Curve, error) {
 	t := newTrial(ctx, r, options)
 	defer t.cancel()
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -65,7 +65,7 @@
 }
 
 // reloadList measures a reload of a configuration to whose list a destination was added, until a message for it is
-// taken on.
+// accepted.
 func (t *trial) reloadList(size int) error {
 	c := &configuration{destinations: size}
 	p, err := t.start(c)
@@ -124,7 +124,7 @@
 	return took, after - before, err
 }
 
-// untilKnown hands messages for a destination in until one is taken on.
+// untilKnown submits messages for a destination until one is accepted.
 func (t *trial) untilKnown(p *process, destination int) error {
 	for late := time.Now().Add(startWithin); time.Now().Before(late); {
 		answer, err := t.submit(p, destination)
@@ -148,7 +148,7 @@
 	return fmt.Errorf("destination %d was not known within %s; the log ends: %s", destination, startWithin, lastLine(p.log.String()))
 }
 
-// submit hands a message in on a connection of its own and returns the answer.
+// submit submits a message on a connection of its own and returns the answer.
 func (t *trial) submit(p *process, destination int) (string, error) {
 	c, err := emulator.NewClient(p.listen)
 	if err != nil {
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -102,7 +102,8 @@
 	return err
 }
 
-// newRecoveredScheduler starts a scheduler with what an earlier process left unanswered for a destination that sent a retry-after.
+// newRecoveredScheduler starts a scheduler with what an earlier process left unanswered for a destination that sent a
+// retry-after.
 func newRecoveredScheduler(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.addDestinations(2)
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -9,8 +9,8 @@
 	"spanflow/lab/capacity"
 )
 
-// figure is one line of a role's table: a quantity at the target size. At most one of given, curve and trial says what it
-// is worked out from; with none of them nothing measures it.
+// figure is one line of a role's table: a quantity at the target size. At most one of given, curve and trial says what
+// it is worked out from; with none of them nothing measures it.
 type figure struct {
 	what      string
 	unit      Unit
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestCurvesAreNamedAsTheyAreMeasured finds a figure that asks for a curve by a name which its measurement does not use.
+// TestCurvesAreNamedAsTheyAreMeasured finds a figure that asks for a curve by a name which its measurement does not
+// use.
 func TestCurvesAreNamedAsTheyAreMeasured(t *testing.T) {
 	results, err := ReadResults(measuredFile)
 	require.NoError(t, err)
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -52,7 +52,7 @@
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
 
-// rankingTable orders all figures with a budget by the share of the target size at which they leave it. Reason is not
+// rankingTable orders all figures with a budget by the share of the target size at which they leave it. What is not
 // known comes last.
 func rankingTable(figures []computedFigure) string {
 	var ranked []computedFigure
@@ -217,7 +217,8 @@
 		"a forwarder idle", "memory of a forwarder", "stand-in: bytes, processor time", "note"}, rows)
 }
 
-// timesInForce are the times by which the middle forwarder, all but one in a hundred, and the last had a change in force.
+// timesInForce are the times by which the middle forwarder, all but one in a hundred, and the last had a change in
+// force.
 func timesInForce(trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -29,7 +29,7 @@
 	ControlMachines float64 `toml:"control_machines"`
 }
 
-// Load is what the forwarders take on and hold. Rates are a second.
+// Load is what the forwarders accept and hold. Rates are a second.
 type Load struct {
 	EventsPerSecond     float64         `toml:"events_per_second"` // all forwarders together
 	Destinations        float64         `toml:"destinations"`
--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -1,8 +1,8 @@
 // Package clock is simulated time: a queue of functions, each with the moment at which it runs.
 package clock
 
-// Queue runs functions in order of time; those of one moment run in the order in which they were added. The zero value is
-// an empty queue at 0. It is not safe for concurrent use.
+// Queue runs functions in order of time; those of one moment run in the order in which they were added. The zero value
+// is an empty queue at 0. It is not safe for concurrent use.
 type Queue struct {
 	heap []event
 	seq  uint64
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -39,7 +39,7 @@
 		if err != nil {
 			return err
 		}
-		return tellPage(c, report, check)
+		return printPage(c, report, check)
 	})
 	f := c.Flags()
 	f.BoolVar(&check, "check", false, "write nothing, and fail if a table is not current")
@@ -86,8 +86,8 @@
 	return os.Rename(fresh, path)
 }
 
-// tellPage prints what was done. A check that found something is an error that names it.
-func tellPage(c *cobra.Command, report *pageReport, check bool) error {
+// printPage prints what was done. A check that found something is an error that names it.
+func printPage(c *cobra.Command, report *pageReport, check bool) error {
 	asJSON, _ := c.Flags().GetBool("json")
 	if asJSON {
 		if err := cli.Print(c.OutOrStdout(), report); err != nil {
--- a/lab/experiment/draw_wide.go
+++ b/lab/experiment/draw_wide.go
@@ -14,8 +14,8 @@
 	maxSize     = 300    // forwarders, and endpoints
 	maxMessages = 5000.0 // of a scenario, so that many can be played
 	maxGroups   = 5      // of destinations
-	// minOutage is in seconds. Shorter ones the scheduler takes for losses on the way, after which no endpoint is in slow
-	// start (docs/design.md); the operators' outages last five and more.
+	// minOutage is in seconds. Shorter ones the scheduler takes for losses on the way, after which no endpoint is in
+	// slow start (docs/design.md); the operators' outages last five and more.
 	minOutage = 3.5
 )
 
@@ -36,8 +36,8 @@
 // chance is true with a probability.
 func (w *wideDraw) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// DrawWide draws a scenario in all its dimensions: 1 to 300 forwarders and endpoints, limits, message types, one to four
-// faults that mostly overlap.
+// DrawWide draws a scenario in all its dimensions: 1 to 300 forwarders and endpoints, limits, message types, one to
+// four faults that mostly overlap.
 func DrawWide(seed uint64) *scenario.Scenario {
 	w := &wideDraw{random: rand.New(rand.NewPCG(seed, drawWideStream))}
 	w.drawScenario(seed)
@@ -106,8 +106,8 @@
 	w.scenario.Types = append(w.scenario.Types, t)
 }
 
-// drawReceivers draws groups of destinations, and returns how many destinations there are and how many messages a second
-// all of them take.
+// drawReceivers draws groups of destinations, and returns how many destinations there are and how many messages a
+// second all of them take.
 func (w *wideDraw) drawReceivers() (destinations int, capacity float64) {
 	left := int(w.logarithmic(1, maxSize+0.99))
 	for i := 0; left > 0 && i < maxGroups; i++ {
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios many times and says what differs: pairs by seed, axes, and searches for scenarios in
-// which a policy does badly or breaks a rule.
+// Package experiment plays scenarios many times and says what differs: pairs by seed, axes, and searches for scenarios
+// in which a policy does badly or breaks a rule.
 package experiment
 
 import (
@@ -22,8 +22,8 @@
 	NewPolicy sim.Maker
 }
 
-// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds. done is
-// called after each; it may be nil and is called from several goroutines.
+// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds. done
+// is called after each; it may be nil and is called from several goroutines.
 func Play(a Arm, seeds []uint64, done func()) []*sim.Result {
 	all := make([]*sim.Result, len(seeds))
 	parallel(len(seeds), func(i int) {
@@ -165,8 +165,8 @@
 	},
 }
 
-// Vary returns a copy of a scenario with the figure of an axis set, or an error if there is no such axis or the copy is not
-// sound.
+// Vary returns a copy of a scenario with the figure of an axis set, or an error if there is no such axis or the copy is
+// not sound.
 func Vary(s *scenario.Scenario, axis string, x float64) (*scenario.Scenario, error) {
 	set := Axes[axis]
 	if set == nil {
--- a/lab/experiment/shrink.go
+++ b/lab/experiment/shrink.go
@@ -24,8 +24,8 @@
 	return smallest
 }
 
-// shrink takes one thing after the other from a scenario as long as it still shows what it showed: of those that may go,
-// the first, whichever is tried first.
+// shrink takes one thing after the other from a scenario as long as it still shows what it showed: of those that may
+// go, the first, whichever is tried first.
 func shrink(s *scenario.Scenario, still func(*scenario.Scenario) bool) (smallest *scenario.Scenario, steps int) {
 	for ; steps < maxShrinkSteps; steps++ {
 		candidates := slices.DeleteFunc(simplerScenarios(s), func(c *scenario.Scenario) bool { return len(c.Check()) > 0 })
@@ -107,8 +107,8 @@
 	}
 }
 
-// removeReceivers removes half of a group's destinations, or a group. The load of those that go goes with them: the others
-// are to get no more than before.
+// removeReceivers removes half of a group's destinations, or a group. The load of those that go goes with them: the
+// others are to get no more than before.
 func (m *simplifier) removeReceivers() {
 	weights := 0.0
 	for i := range m.base.Receivers {
--- a/lab/experiment/violation_search.go
+++ b/lab/experiment/violation_search.go
@@ -142,8 +142,9 @@
 	v.Tried = joined
 }
 
-// Run plays drawn scenarios from a seed on until ctx ends or so many were played, writing to the folder after each batch.
-// A batch that is begun is finished, so that an interrupted search has kept all that it found. progress may be nil.
+// Run plays drawn scenarios from a seed on until ctx ends or so many were played, writing to the folder after each
+// batch. A batch that is begun is finished, so that an interrupted search has kept all that it found. progress may be
+// nil.
 func (v *ViolationSearch) Run(ctx context.Context, folder string, newPolicy sim.Maker, from uint64, limit int, progress func(*ViolationSearch)) error {
 	for played := 0; played < limit && ctx.Err() == nil; {
 		from = v.nextUntried(from)
--- a/lab/experiment/violation_search_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -15,8 +15,8 @@
 	"spanflow/scheduler"
 )
 
-// withoutSlowStart is the scheduler without its slow start after an outage: it takes a recovering destination to bear any
-// load.
+// withoutSlowStart is the scheduler without its slow start after an outage: it takes a recovering destination to bear
+// any load.
 func withoutSlowStart(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	settings.OverloadMultiple, settings.SlowStartShare = 1e6, 1
 	return sim.SchedulerPolicy(settings, seed, now, h)
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -71,8 +71,8 @@
 // StartAt begins at a moment other than 0.
 func (a *Arrivals) StartAt(at float64) { a.at = at }
 
-// Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, and no steps of
-// time are taken.
+// Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, and no steps
+// of time are taken.
 func (a *Arrivals) Next() (float64, bool) {
 	area := 1.0
 	if a.random != nil {
--- a/lab/load/connection.go
+++ b/lab/load/connection.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// submit submits one message and returns how it was answered. A connection that the forwarder closed between requests is
-// made anew once.
+// submit submits one message and returns how it was answered. A connection that the forwarder closed between requests
+// is made anew once.
 func (c *connection) submit(r Run, j job, body string) string {
 	left := or(j.message.TimeToLive, r.TimeToLive) - time.Since(j.intended).Seconds()
 	if left <= 0 {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -30,8 +30,8 @@
 	Next() (Message, bool)
 }
 
-// Run is a load on a forwarder's RESP frontend. Arrivals wait for nobody: where all connections are busy a message waits
-// here, and its latency counts from the intended moment all the same.
+// Run is a load on a forwarder's RESP frontend. Arrivals wait for nobody: where all connections are busy a message
+// waits here, and its latency counts from the intended moment all the same.
 type Run struct {
 	Addr        string
 	Connections int                      // at most
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -59,8 +59,8 @@
 	file  io.Closer
 }
 
-// Open opens a trace: CSV with a head (.csv), else JSON lines, with the fields of Message. Times are in seconds, in order,
-// from any beginning. speed is how many times as fast it is played. The caller closes the trace.
+// Open opens a trace: CSV with a head (.csv), else JSON lines, with the fields of Message. Times are in seconds, in
+// order, from any beginning. speed is how many times as fast it is played. The caller closes the trace.
 func Open(path string, speed float64) (*Trace, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
 		return nil, fmt.Errorf("speed: %v is not over 0", speed)
--- a/lab/receiver/deduplicator.go
+++ b/lab/receiver/deduplicator.go
@@ -1,11 +1,11 @@
 package receiver
 
-// deduplicationMargin is how many seconds beyond its window a key is remembered: calls that came in time may be executed
-// so much later.
+// deduplicationMargin is how many seconds beyond its window a key is remembered: calls that came in time may be
+// executed so much later.
 const deduplicationMargin = 120
 
-// deduplicator remembers idempotency keys from their execution on, which is never less than a forwarder counts on, as it
-// only knows when it sent them.
+// deduplicator remembers idempotency keys from their execution on, which is never less than a forwarder counts on, as
+// it only knows when it sent them.
 type deduplicator struct {
 	until map[uint64]float64
 	order []uint64
--- a/lab/receiver/endpoint.go
+++ b/lab/receiver/endpoint.go
@@ -26,8 +26,8 @@
 	recoveredAt float64 // begin of its slow start; 0: it is not in one
 }
 
-// Connectivity tells whether a connection to the endpoint comes up: refused is the immediate refusal, silent is no answer
-// at all.
+// Connectivity tells whether a connection to the endpoint comes up: refused is the immediate refusal, silent is no
+// answer at all.
 func (e *Endpoint) Connectivity() (refused, silent bool) {
 	return e.outages > 0 || e.Fault.Removed, e.Fault.Silences > 0
 }
--- a/lab/receiver/outage.go
+++ b/lab/receiver/outage.go
@@ -2,8 +2,8 @@
 
 import "spanflow/transport"
 
-// BeginOutage begins an outage: connections are refused, and the calls at the endpoint end. Reason it executes runs on, and
-// its answers get lost.
+// BeginOutage begins an outage: connections are refused, and the calls at the endpoint end. Reason it executes runs on,
+// and its answers get lost.
 func (e *Endpoint) BeginOutage() {
 	e.outages++
 	for _, c := range e.queue {
@@ -67,8 +67,8 @@
 	return e.outages > 0 || e.Fault.Hangs > 0 || e.Fault.Silences > 0 || e.Fault.MostlyFails()
 }
 
-// ForwarderSawFailure says that a forwarder has seen a call to the endpoint fail or be refused. It counts only while the
-// outage lasts.
+// ForwarderSawFailure says that a forwarder has seen a call to the endpoint fail or be refused. It counts only while
+// the outage lasts.
 func (e *Endpoint) ForwarderSawFailure(forwarder int) {
 	if !e.inOutage() {
 		return
@@ -80,8 +80,8 @@
 	(*informed)[forwarder] = true
 }
 
-// overloadState is which forwarders have seen the latest outage, the calls that came since, and how many endpoints share
-// both.
+// overloadState is which forwarders have seen the latest outage, the calls that came since, and how many endpoints
+// share both.
 func (e *Endpoint) overloadState() (informed *map[int]bool, recent *recentCalls, endpoints int) {
 	d := e.Destination
 	if d.Behavior.EndpointLimits {
@@ -96,8 +96,8 @@
 }
 
 // overloads counts a call that came during the slow start, and tells whether it makes the endpoint fail and which
-// fraction of the calls counted came from forwarders that had seen the outage. Reason comes within any window has to stay
-// under a multiple of the present capacity, with one call's slack for chance.
+// fraction of the calls counted came from forwarders that had seen the outage. Reason comes within any window has to
+// stay under a multiple of the present capacity, with one call's slack for chance.
 func (e *Endpoint) overloads(forwarder int) (overloaded bool, informed float64) {
 	d, fraction := e.Destination, e.capacityFraction()
 	if fraction >= 1 || d.Behavior.OverloadMultiple <= 0 {
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -1,5 +1,6 @@
-// Package receiver is the model of a destination's endpoints: their concurrency and queues, limits, outages and recovery,
-// and faults. It does no I/O and reads no clock but the one it is given, so that simulated runs and real sockets share it.
+// Package receiver is the model of a destination's endpoints: their concurrency and queues, limits, outages and
+// recovery, and faults. It does no I/O and reads no clock but the one it is given, so that simulated runs and real
+// sockets share it.
 package receiver
 
 import (
@@ -48,8 +49,8 @@
 	Effect      bool // false: its idempotency key was known
 }
 
-// Recorder records what happens at receivers. Nothing of it comes from a forwarder. Destinations and endpoints are named
-// by number.
+// Recorder records what happens at receivers. Nothing of it comes from a forwarder. Destinations and endpoints are
+// named by number.
 type Recorder interface {
 	// CallReceived says that a call came in full, whatever becomes of it.
 	CallReceived(destination, endpoint, forwarder int, messages []Message)
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -114,8 +114,8 @@
 	require.InDelta(t, 2-0.07, n.reported[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
 }
 
-// At full capacity it executes 40 a second; right after an outage it bears twice a quarter of that, 20 a second, as a budget
-// for any second and a half: a call beyond 31 within that time overloads it, a short burst does not.
+// At full capacity it executes 40 a second; right after an outage it bears twice a quarter of that, 20 a second, as a
+// budget for any second and a half: a call beyond 31 within that time overloads it, a short burst does not.
 func TestAnEndpointInSlowStartFailsWhenOverloadedAndNotBefore(t *testing.T) {
 	settings := receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
 	for _, c := range []struct {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -52,7 +52,7 @@
 		for _, p := range []struct {
 			into *template.HTML
 			draw func() (*plot.Plot, error)
-		}{{&one.Value, d.value}, {&one.Held, d.held}, {&one.Heat, d.heat}} {
+		}{{&one.Value, d.valuePlot}, {&one.Held, d.heldPlot}, {&one.Heat, d.heatPlot}} {
 			pl, err := p.draw()
 			if err != nil {
 				return err
@@ -71,7 +71,7 @@
 		return err
 	}
 	page.JSON = template.JS(numbers)
-	return form.Execute(w, page)
+	return renderedPage.Execute(w, page)
 }
 
 func svg(p *plot.Plot) (template.HTML, error) {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-func (d *reportedRun) value() (*plot.Plot, error) {
+func (d *reportedRun) valuePlot() (*plot.Plot, error) {
 	p := d.plot("Value of the documents that came in each second", "value")
 	if err := d.line(p, "offered", grey, func(s *sim.Second) float64 { return s.Offered }); err != nil {
 		return nil, err
@@ -139,7 +139,7 @@
 	return p, d.marks(p, p.Y.Max)
 }
 
-func (d *reportedRun) held() (*plot.Plot, error) {
+func (d *reportedRun) heldPlot() (*plot.Plot, error) {
 	p := d.plot("Held, and calls in flight", "documents, calls")
 	if err := d.line(p, "held", orange, func(s *sim.Second) float64 { return float64(s.Held) }); err != nil {
 		return nil, err
@@ -158,7 +158,7 @@
 func (h heat) X(c int) float64    { return float64(c) + 0.5 }
 func (h heat) Y(r int) float64    { return float64(r) }
 
-func (d *reportedRun) heat() (*plot.Plot, error) {
+func (d *reportedRun) heatPlot() (*plot.Plot, error) {
 	if len(d.Result.Seconds) < 2 || len(d.Result.Seconds[0].HeldByDestination) < 2 {
 		return nil, nil
 	}
@@ -172,7 +172,7 @@
 //go:embed page.html.tmpl
 var pageTemplate string
 
-var form = template.Must(template.New("page").Funcs(template.FuncMap{
+var renderedPage = template.Must(template.New("page").Funcs(template.FuncMap{
 	"share": func(x float64) string { return fmt.Sprintf("%.3f", x) },
 	"ms":    func(x float64) string { return fmt.Sprintf("%.0f ms", x*1000) },
 	"first": func(n int, b []string) []string { return b[:min(n, len(b))] },
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -47,7 +47,8 @@
 	return Parse(name, text)
 }
 
-// Parse reads a scenario's text; path is for errors. The error is config.Problems where the text is understood but wrong.
+// Parse reads a scenario's text; path is for errors. The error is config.Problems where the text is understood but
+// wrong.
 func Parse(path string, text []byte) (*Scenario, error) {
 	s := &Scenario{
 		Seed:         1,
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenarios: how receivers, forwarders and load behave, and which faults happen when. A scenario is
-// TOML, checked as a whole like any configuration.
+// Package scenario reads scenarios: how receivers, forwarders and load behave, and which faults happen when. A scenario
+// is TOML, checked as a whole like any configuration.
 package scenario
 
 import (
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -39,8 +39,8 @@
 	bucketGrowth       = 1.25 // over the rate at which a destination answers
 )
 
-// baseline sends messages in the order of their coming and retries what may be retried. It heeds retry-afters, drains, the
-// order of keys and what must not be executed twice; of slow starts and limits it knows nothing.
+// baseline sends messages in the order of their coming and retries what may be retried. It heeds retry-afters, drains,
+// the order of keys and what must not be executed twice; of slow starts and limits it knows nothing.
 type baseline struct {
 	settings     scheduler.Settings
 	host         scheduler.Host
--- a/lab/sim/effect.go
+++ b/lab/sim/effect.go
@@ -36,8 +36,8 @@
 // resubmissionSlack is how many seconds a resubmission needs at least before its expiry.
 const resubmissionSlack = 0.05
 
-// resubmission tells whether a client submits an effect again, after what time, and with what expiry. An idempotency key
-// is known for its window only, so a message with a key is submitted again with no more time than that.
+// resubmission tells whether a client submits an effect again, after what time, and with what expiry. An idempotency
+// key is known for its window only, so a message with a key is submitted again with no more time than that.
 func (e *effect) resubmission(s *scenario.Scenario, now, retryAfter float64, random *rand.Rand) (expiry, wait float64, again bool) {
 	expiry = e.expiry
 	if e.idempotencyKey != 0 {
--- a/lab/sim/forwarder.go
+++ b/lab/sim/forwarder.go
@@ -10,7 +10,8 @@
 	"spanflow/transport"
 )
 
-// forwarder is one simulated forwarder: the policy, and what an event loop, a write-ahead log and an upstream are to it.
+// forwarder is one simulated forwarder: the policy, and what an event loop, a write-ahead log and an upstream are to
+// it.
 type forwarder struct {
 	run          *simRun
 	number       int
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -12,8 +12,8 @@
 	"spanflow/lab/scenario"
 )
 
-// Real plays a scenario on real sockets: built forwarders as processes, receivers, discovery and clients on loopback. The
-// receivers are the same model, on the wall clock.
+// Real plays a scenario on real sockets: built forwarders as processes, receivers, discovery and clients on loopback.
+// The receivers are the same model, on the wall clock.
 type Real struct {
 	Program string // of one forwarder
 	Folder  string // for write-ahead logs, configurations and logs; it exists
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// submit submits an effect to a forwarder; the lock is held. The messages of a key are submitted one after another, each
-// when the one before it was answered.
+// submit submits an effect to a forwarder; the lock is held. The messages of a key are submitted one after another,
+// each when the one before it was answered.
 func (run *realRun) submit(e *effect, expiry float64, n int) {
 	if run.ctx.Err() != nil {
 		return
@@ -133,8 +133,8 @@
 	clientNoAnswer = "none"
 )
 
-// submit submits a message on a connection of its forwarder's. A connection that was closed between two requests is made
-// anew once. retryAfter is in seconds.
+// submit submits a message on a connection of its forwarder's. A connection that was closed between two requests is
+// made anew once. retryAfter is in seconds.
 func (p *process) submit(e *effect, id uint64, left float64) (answer string, retryAfter float64) {
 	command := p.submitCommand(e, id, left)
 	for range 2 {
