--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -253,7 +253,7 @@
 	case NotMeasured:
 		return "not measured"
 	case NoSize:
-		return "no number is told"
+		return "no number is stated"
 	case NotExtrapolated:
 		if r.trial != nil {
 			return value + " in the trial; not extrapolated"
@@ -315,7 +315,7 @@
 	case r.limit.Basis == NotMeasured:
 		return "not measured"
 	case r.limit.Basis == NoSize:
-		return "no number is told"
+		return "no number is stated"
 	case r.limit.Basis == NotExtrapolated && r.trial != nil:
 		return "kept in the trials; not extrapolated"
 	case r.limit.Basis == NotExtrapolated:
--- a/lab/capacity/page/results.go
+++ b/lab/capacity/page/results.go
@@ -65,7 +65,7 @@
 
 func checkCurve(curve *capacity.Curve) error {
 	if curve.Role == "" || curve.Quantity == "" || curve.Unit == "" || curve.SizeUnit == "" {
-		return errors.New("role, quantity, unit and size_unit have to be told")
+		return errors.New("role, quantity, unit and size_unit have to be set")
 	}
 	if len(curve.Points) == 0 {
 		return errors.New("points: there is none")
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -21,12 +21,12 @@
 	}
 	var all []computedFigure
 	for _, role := range roles() {
-		reckonedOfRole, err := computeAll(role, target, results)
+		figures, err := computeAll(role, target, results)
 		if err != nil {
 			return nil, err
 		}
-		rendered[role.table] = roleTable(reckonedOfRole)
-		all = append(all, reckonedOfRole...)
+		rendered[role.table] = roleTable(figures)
+		all = append(all, figures...)
 	}
 	rendered["ranking"] = rankingTable(all)
 	return rendered, nil
@@ -100,7 +100,7 @@
 		{"forwarders", Count.Format(t.Fleet.Forwarders)},
 		{"regions, zones", Count.Format(t.Fleet.Regions) + ", " + Count.Format(t.Fleet.Zones)},
 		{"machines set aside for control", Count.Format(t.Fleet.ControlMachines)},
-		{"events taken on", PerSecond.Format(t.Load.EventsPerSecond) + "; " + PerSecond.Format(t.Load.EventsPerSecond/t.Fleet.Forwarders) + " by each forwarder"},
+		{"events accepted", PerSecond.Format(t.Load.EventsPerSecond) + "; " + PerSecond.Format(t.Load.EventsPerSecond/t.Fleet.Forwarders) + " by each forwarder"},
 		{"destinations", Count.Format(t.Load.Destinations)},
 		{"of these down at any time", Count.Format(t.destinationsDown()) + " (" + percent(t.Load.DownFraction) + ")"},
 		{"backlog", Count.Format(t.Load.BacklogEvents) + " events, up to " + Count.Format(t.Load.BacklogPerForwarder) + " at a forwarder: " +
