--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -320,7 +320,7 @@
 	}
 }
 
-// due is the move that a lane needs, with a WindowCalls of 0 if none.
+// due is the move that a lane needs, with a Count of 0 if none.
 func (p *Policy) due(l *laneState) Move {
 	switch {
 	case l.stored.messages > 0 && l.held <= p.bounds.Window/2:
--- a/internal/emulator/log.go
+++ b/internal/emulator/log.go
@@ -40,7 +40,7 @@
 	return l.text.String()
 }
 
-// Has tells if a word was written, WindowCalls how often.
+// Has tells if a word was written, Count how often.
 func (l *Log) Has(word string) bool  { return strings.Contains(l.String(), word) }
 func (l *Log) Count(word string) int { return strings.Count(l.String(), word) }
 
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -54,7 +54,7 @@
 	got     int
 }
 
-// ResetFraction makes the reader ready for the next answer.
+// Reset makes the reader ready for the next answer.
 func (r *Reader) Reset() {
 	*r = Reader{MaxBody: r.MaxBody, line: r.line[:0]}
 }
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -634,7 +634,7 @@
 		l := d.lanes[0]
 		d.lanes = d.lanes[1:]
 		idle++
-		// EveryNth other time the dearest goes, else the first. Guards against it waiting behind a clump.
+		// Every other time the dearest goes, else the first. Guards against it waiting behind a clump.
 		next := (*Message)(nil)
 		if l.dearest = !l.dearest; l.dearest {
 			next = f.dearestOf(l, fresh)
