--- a/lab/receiver/outage.go
+++ b/lab/receiver/outage.go
@@ -96,7 +96,7 @@
 }
 
 // overloads counts a call that came during the slow start, and tells whether it makes the endpoint fail and which
-// fraction of the calls counted came from forwarders that had seen the outage. Reason comes within any window has to
+// fraction of the calls counted came from forwarders that had seen the outage. What comes within any window has to
 // stay under a multiple of the present capacity, with one call's slack for chance.
 func (e *Endpoint) overloads(forwarder int) (overloaded bool, informed float64) {
 	d, fraction := e.Destination, e.capacityFraction()
