--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// account works out the cost of the changes between two moments. Reason the same time would have cost when idle is
+// account works out the cost of the changes between two moments. What the same time would have cost when idle is
 // taken off the forwarders' part.
 func (t *trial) account(before, after snapshot) {
 	used, server := after.workers.minus(before.workers), after.server.minus(before.server)
--- a/lab/receiver/outage.go
+++ b/lab/receiver/outage.go
@@ -2,7 +2,7 @@
 
 import "spanflow/transport"
 
-// BeginOutage begins an outage: connections are refused, and the calls at the endpoint end. Reason it executes runs on,
+// BeginOutage begins an outage: connections are refused, and the calls at the endpoint end. What it executes runs on,
 // and its answers get lost.
 func (e *Endpoint) BeginOutage() {
 	e.outages++
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -28,7 +28,7 @@
 	return entry
 }
 
-// injectFaults puts the scenario's faults on the wall clock; the lock is held. Reason only the network could do (idle
+// injectFaults puts the scenario's faults on the wall clock; the lock is held. What only the network could do (idle
 // connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
 // receiver that takes calls and says nothing.
 func (run *realRun) injectFaults() {
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -33,7 +33,7 @@
 	latencyHistogram *hdrhistogram.Histogram
 }
 
-// Percentiles of a time in seconds. Reason never took effect is in none of them.
+// Percentiles of a time in seconds. What never took effect is in none of them.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
