--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// leastPoints is the number of sizes under which no shape is told.
+	// leastPoints is the number of sizes under which no shape is given.
 	leastPoints = 4
-	// leastSpan is the ratio of the largest size to the smallest under which no shape is told.
+	// leastSpan is the ratio of the largest size to the smallest under which no shape is given.
 	leastSpan = 10.0
 	// prefixPoints is the number of sizes that the part before a bend has at least.
 	prefixPoints = 3
@@ -17,14 +17,15 @@
 	straight = 0.10
 	// farOff is the relative error of a single point from which a line does not fit it.
 	farOff = 0.25
-	// straightPart is the residual up to which a line fits the part before a bend: its few points fit a line too easily.
+	// straightPart is the residual up to which a line fits the part before a bend: its few points fit a line too
+	// easily.
 	straightPart = straight / 2
-	// zeroShare is the share of the largest value that stands for smaller values where errors are weighed, so that
+	// zeroFraction is the share of the largest value that stands for smaller values where errors are weighed, so that
 	// a value of zero does not outweigh all others.
-	zeroShare = 1e-4
+	zeroFraction = 1e-4
 )
 
-// ErrNotStraight says that a curve tells nothing beyond its points.
+// ErrNotStraight says that a curve says nothing beyond its points.
 var ErrNotStraight = errors.New("the curve is not straight")
 
 // FitLine fits a straight line to the points, which are in order of size, by least squares of the relative errors, so
@@ -77,7 +78,8 @@
 	return 0, fmt.Errorf("%s, %s: %g %s are not between measured sizes", c.Role, c.Quantity, size, c.SizeUnit)
 }
 
-// bestLine is a level line if that fits all points, else the best sloping one. Its shape is NotStraight if neither fits.
+// bestLine is a level line if that fits all points, else the best sloping one. Its shape is NotStraight if neither
+// fits.
 func bestLine(points []Point) Fit {
 	if len(points) == 0 {
 		return Fit{Shape: NotStraight}
@@ -94,7 +96,7 @@
 	return fit
 }
 
-// holds computes the line's residual and tells if the line fits all points.
+// holds computes the line's residual and tells whether the line fits all points.
 func (f *Fit) holds(points []Point) bool {
 	sum, most := 0.0, 0.0
 	weights := weights(points)
@@ -116,14 +118,14 @@
 	all := make([]float64, len(points))
 	for i, p := range points {
 		if all[i] = 1; most > 0 {
-			all[i] = 1 / math.Max(math.Abs(p.Value), zeroShare*most)
+			all[i] = 1 / math.Max(math.Abs(p.Value), zeroFraction*most)
 		}
 	}
 	return all
 }
 
-// power is the slope of the line through the logarithms of sizes and values, 0 if one is not over 0. It says by how much
-// a curve that is not straight grows; a little over 1 may be the machine's caches.
+// power is the slope of the line through the logarithms of sizes and values, 0 if one is not over 0. It says by how
+// much a curve that is not straight grows; a little over 1 may be the machine's caches.
 func power(points []Point) float64 {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	settleShare  = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
-	betweenTimes = 250 * time.Millisecond // between two changes
-	mostEndings  = 3                      // reasons for ended watches that a note names
+	warmUpDivisor = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
+	betweenTimes  = 250 * time.Millisecond // between two changes
+	maxEndings    = 3                      // reasons for ended watches that a note names
 )
 
 // titles name the scenarios in results.
 var titles = map[Scenario]string{Idle: "idle", Change: "change", Restart: "restart of a third", Outage: "discovery away",
-	Zone: "zone cut off", Whole: "whole list"}
+	Zone: "zone cut off", FullList: "whole list"}
 
 // trial is one scenario with one fleet.
 type trial struct {
@@ -45,8 +45,8 @@
 	if t.config.ListBytes > 0 {
 		t.notes = append(t.notes, fmt.Sprintf("an object of a watch may have %d MB, against the forwarder's own limit", t.config.ListBytes>>20))
 	}
-	if t.scenario == Whole {
-		return t.runWhole()
+	if t.scenario == FullList {
+		return t.runFullList()
 	}
 	if _, err := t.fleet.launch(true); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	if slices.Contains(started.inForce, 0) {
 		return fmt.Errorf("%d forwarders did not hear of discovery within %s", count(started.inForce, 0), inForceWithin)
 	}
-	if err := t.pause(t.config.Lasts / settleShare); err != nil {
+	if err := t.pause(t.config.Lasts / warmUpDivisor); err != nil {
 		return err
 	}
 	if err := t.measureIdle(); err != nil {
@@ -72,8 +72,8 @@
 	return t.finish()
 }
 
-// runWhole starts all forwarders without a list, and measures the idle window behind that.
-func (t *trial) runWhole() error {
+// runFullList starts all forwarders without a list, and measures the idle window behind that.
+func (t *trial) runFullList() error {
 	before, err := t.fleet.snapshot()
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 	if err != nil {
 		return err
 	}
-	if err := t.hear(func(int) int64 { return began }); err != nil {
+	if err := t.awaitInForce(func(int) int64 { return began }); err != nil {
 		return err
 	}
 	after, err := t.fleet.snapshot()
@@ -91,7 +91,7 @@
 	}
 	t.result.Changes = 1
 	if t.missed == 0 { // else all go on asking, and there is no idle window
-		if err := t.pause(t.config.Lasts / settleShare); err != nil {
+		if err := t.pause(t.config.Lasts / warmUpDivisor); err != nil {
 			return err
 		}
 		if err := t.measureIdle(); err != nil {
@@ -104,7 +104,7 @@
 
 // measureIdle measures a window in which nothing happens.
 func (t *trial) measureIdle() error {
-	t.config.tell("%s: idle for %s", t.scenario, t.config.Lasts)
+	t.config.progress("%s: idle for %s", t.scenario, t.config.Lasts)
 	before, err := t.fleet.snapshot()
 	if err != nil {
 		return err
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// account works out the cost of the changes between two moments. Reason the same time would have cost when idle is
+// account works out the cost of the changes between two moments. What the same time would have cost when idle is
 // taken off the forwarders' part.
 func (t *trial) account(before, after snapshot) {
 	used, server := after.workers.minus(before.workers), after.server.minus(before.server)
@@ -158,18 +158,19 @@
 	}
 	t.result.ServerBytes, t.result.ServerCPU = server.bytes(), server.CPU
 	t.notes = append(t.notes, fmt.Sprintf("server and machine figures of %.1f s, machine %.0f%% busy, forwarders' processes %.1f s of CPU",
-		seconds, 100*busyShare(before.machine, after.machine), used.CPU))
+		seconds, 100*busyFraction(before.machine, after.machine), used.CPU))
 }
 
-// publish makes a change that all forwarders are expected to hear of, and tells its moment.
+// publish makes a change that all forwarders are expected to hear of, and returns its moment.
 func (t *trial) publish() (at int64, err error) {
 	t.revision++
 	t.result.Changes++
 	return t.fleet.publish()
 }
 
-// hear waits until all forwarders have the latest revision in force. since tells from when on each could hear of it.
-func (t *trial) hear(since func(forwarder int) int64) error {
+// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could hear of
+// it.
+func (t *trial) awaitInForce(since func(forwarder int) int64) error {
 	heard, err := t.fleet.await(inForceWithin)
 	if err != nil {
 		return err
@@ -197,7 +198,7 @@
 		if err != nil {
 			return err
 		}
-		if err := t.hear(func(int) int64 { return at }); err != nil {
+		if err := t.awaitInForce(func(int) int64 { return at }); err != nil {
 			return err
 		}
 		if err := t.pause(betweenTimes); err != nil {
@@ -212,7 +213,7 @@
 	if err := t.fleet.expect(t.revision + 1); err != nil {
 		return err
 	}
-	_, err := t.fleet.askAll(func(int) request { return request{Restart: &restartRequest{EveryNth: restartEveryNth}} })
+	_, err := t.fleet.requestAll(func(int) request { return request{Restart: &restartRequest{EveryNth: restartEveryNth}} })
 	if err != nil {
 		return err
 	}
@@ -220,7 +221,7 @@
 	if err != nil {
 		return err
 	}
-	return t.hear(func(int) int64 { return at })
+	return t.awaitInForce(func(int) int64 { return at })
 }
 
 // outage takes discovery away, makes a change meanwhile, and counts from when discovery is back.
@@ -245,7 +246,7 @@
 		return err
 	}
 	t.notes = append(t.notes, fmt.Sprintf("away for %s; times from its return", t.config.Lasts))
-	return t.hear(func(int) int64 { return back })
+	return t.awaitInForce(func(int) int64 { return back })
 }
 
 // cutOff cuts a zone off and makes a change. Latencies count from the change, in the zone from when it is back.
@@ -268,7 +269,7 @@
 		return err
 	}
 	t.notes = append(t.notes, fmt.Sprintf("%d forwarders cut off for %s; their times from its end", t.inZone(cutZone), t.config.Lasts))
-	return t.hear(func(forwarder int) int64 {
+	return t.awaitInForce(func(forwarder int) int64 {
 		if forwarder%zoneCount == cutZone {
 			return back
 		}
@@ -306,18 +307,18 @@
 	}
 	over := t.missed
 	for _, d := range t.delays {
-		if d > Target {
+		if d > InForceTarget {
 			over++
 		}
 	}
 	if over > 0 {
-		t.notes = append(t.notes, fmt.Sprintf("NOT IN TIME: %d of %d had it after more than %s or not within %s", over, all, Target, inForceWithin))
+		t.notes = append(t.notes, fmt.Sprintf("NOT IN TIME: %d of %d had it after more than %s or not within %s", over, all, InForceTarget, inForceWithin))
 	}
 	if t.late > 0 {
 		t.notes = append(t.notes, fmt.Sprintf("%d late turns", t.late))
 	}
 	reasons := slices.SortedFunc(maps.Keys(t.endings), func(a, b string) int { return t.endings[b] - t.endings[a] })
-	for _, why := range reasons[:min(len(reasons), mostEndings)] {
+	for _, why := range reasons[:min(len(reasons), maxEndings)] {
 		t.notes = append(t.notes, fmt.Sprintf("watches ended %d times: %s", t.endings[why], why))
 	}
 }
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -25,12 +25,12 @@
 	descriptorsEach = 16   // of a hollow forwarder at most; it needs three, and one more while it connects
 	spareOpen       = 1024 // descriptors that a worker has for all else
 	linesEach       = 4    // connections of a hollow forwarder at most
-	mostReasons     = 16   // different reasons for the end of a watch that are told apart
+	maxReasons      = 16   // different reasons for the end of a watch that are kept apart
 	otherReasons    = "other reasons"
 )
 
-// schedulerSettings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders are put
-// in. Discovery is asked, and at least every ten seconds, as in the protocol's own example.
+// schedulerSettings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders
+// are put in. Discovery is asked, and at least every ten seconds, as in the protocol's own example.
 const schedulerSettings = `{"Azs":["zone-1","zone-2","zone-3","zone-4","zone-5","zone-6"],"MyZone":%d,"Kinds":["partner"],
 "Classes":[{"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
 "Extra":{"CallsOut":64,"KindBatch":[1]},"Guarantees":{"AskWithin":10000,"Cold":10000,"ColdFrom":0.2,"FallMultiple":2,
@@ -42,7 +42,7 @@
 	ctx     context.Context
 	start   startRequest
 	known   transport.EndpointList
-	members []*member
+	members []*hollowForwarder
 	used    usage // by members that were ended; CPU is not counted here
 	before  memoryUsage
 
@@ -54,15 +54,15 @@
 	late     int
 }
 
-// member is one hollow forwarder.
-type member struct {
+// hollowForwarder is one hollow forwarder.
+type hollowForwarder struct {
 	index   int // within the fleet
 	dialer  *dial.Dialer
 	cancel  context.CancelFunc
 	ended   chan struct{}
 	err     error // read once ended is closed
 	inForce int64 // when the expected revision was, Unix time in nanoseconds; under the worker's lock
-	holds   int64 // revision in force, 0 before discovery has told one; under the worker's lock
+	holds   int64 // revision in force, 0 before there is one; under the worker's lock
 }
 
 func newWorker(ctx context.Context) *worker {
@@ -89,7 +89,7 @@
 	return answer, err
 }
 
-// begin starts the forwarders, which are expected to have the first revision, and tells when it began to.
+// begin starts the forwarders, which are expected to have the first revision, and returns when it began to.
 func (w *worker) begin(s startRequest) (at int64, err error) {
 	if len(w.members) > 0 {
 		return 0, errors.New("the forwarders were started before")
@@ -119,7 +119,7 @@
 }
 
 // launch starts a forwarder.
-func (w *worker) launch(index int) (*member, error) {
+func (w *worker) launch(index int) (*hollowForwarder, error) {
 	zone := index % zoneCount
 	read, names, err := settings.Read(fmt.Appendf(nil, schedulerSettings, zone, w.start.Fleet))
 	if err != nil {
@@ -132,23 +132,23 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(w.ctx)
-	m := &member{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
+	m := &hollowForwarder{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(m.ended)
-		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.note(m, revision) }})
+		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.recordRevision(m, revision) }})
 	}()
 	return m, nil
 }
 
 // halt ends a forwarder.
-func (m *member) halt() {
+func (m *hollowForwarder) halt() {
 	m.cancel()
 	<-m.ended
 	m.dialer.Stop()
 }
 
-// haltAll ends forwarders at once.
-func haltAll(members []*member) {
+// stopAll ends forwarders at once.
+func stopAll(members []*hollowForwarder) {
 	var wait sync.WaitGroup
 	for _, m := range members {
 		wait.Go(m.halt)
@@ -156,19 +156,19 @@
 	wait.Wait()
 }
 
-func (w *worker) stop() { haltAll(w.members) }
+func (w *worker) stop() { stopAll(w.members) }
 
-// note is told by a forwarder which revision it has in force now.
-func (w *worker) note(m *member, revision int64) {
+// recordRevision records which revision a forwarder has in force now.
+func (w *worker) recordRevision(m *hollowForwarder, revision int64) {
 	now := time.Now().UnixNano()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.holds = revision
-	w.mark(m, now)
+	w.markInForce(m, now)
 }
 
-// mark notes that a forwarder has the expected revision, if it has and that was not known; the lock is held.
-func (w *worker) mark(m *member, now int64) {
+// markInForce notes that a forwarder has the expected revision, if it has and that was not known; the lock is held.
+func (w *worker) markInForce(m *hollowForwarder, now int64) {
 	if m.holds < w.expected || m.inForce > 0 {
 		return
 	}
@@ -188,12 +188,12 @@
 	for _, m := range w.members {
 		m.inForce = 0
 		if m.holds > 0 {
-			w.mark(m, now)
+			w.markInForce(m, now)
 		}
 	}
 }
 
-// restarts tells if a forwarder is among every so manyth of the fleet; these are spread over the zones.
+// restarts tells whether a forwarder is among every so manyth of the fleet; these are spread over the zones.
 func restarts(index, everyNth int) bool { return (index+index/zoneCount)%everyNth == 0 }
 
 // restart ends every so manyth forwarder of the fleet and starts it anew. All are ended before the first starts.
@@ -201,16 +201,16 @@
 	if everyNth < 1 {
 		return fmt.Errorf("every_nth: %d is under 1", everyNth)
 	}
-	var ended []*member
+	var ended []*hollowForwarder
 	for _, m := range w.members {
 		if restarts(m.index, everyNth) {
 			ended = append(ended, m)
 		}
 	}
-	haltAll(ended)
+	stopAll(ended)
 	for _, m := range ended {
 		w.used = w.used.plus(m.traffic())
-		w.unmark(m)
+		w.unmarkInForce(m)
 	}
 	for i, m := range w.members {
 		if !restarts(m.index, everyNth) {
@@ -225,8 +225,8 @@
 	return nil
 }
 
-// unmark counts a forwarder that has ended among those without the expected revision.
-func (w *worker) unmark(m *member) {
+// unmarkInForce counts a forwarder that has ended among those without the expected revision.
+func (w *worker) unmarkInForce(m *hollowForwarder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m.inForce == 0 {
@@ -268,7 +268,7 @@
 	return answer, nil
 }
 
-func (m *member) traffic() usage {
+func (m *hollowForwarder) traffic() usage {
 	return usage{Received: m.dialer.Received.Load(), Sent: m.dialer.Sent.Load()}
 }
 
@@ -298,25 +298,40 @@
 	return memoryUsage{Live: int64(m.HeapAlloc + m.StackInuse), Peak: residentMemory(pid, residentPeak), Resident: residentMemory(pid, residentNow)}
 }
 
-// Write takes the forwarders' log lines, of which it counts the ends of watches and the late turns.
+// logLine is what is read of a forwarder's log line. Why is the older name of Reason.
+type logLine struct {
+	Message string
+	Reason  string
+	Why     string
+}
+
+// reason is why a watch ended, without the address, which differs from zone to zone.
+func (l *logLine) reason() string {
+	reason := l.Reason + l.Why // a line has one of them
+	if strings.HasPrefix(reason, "dial ") {
+		_, reason, _ = strings.Cut(reason, ": ")
+	}
+	return reason
+}
+
+// Write takes the forwarders' log lines, of which it counts the ends of watches and the slow turns. It implements
+// io.Writer and returns no errors.
 func (w *worker) Write(line []byte) (int, error) {
-	var said struct{ Message, Why string }
-	if json.Unmarshal(line, &said) != nil {
+	var parsed logLine
+	if json.Unmarshal(line, &parsed) != nil {
 		return len(line), nil
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch said.Message {
-	case "late":
+	switch parsed.Message {
+	case "slow turn", "late": // the latter is the older name
 		w.late++
 	case "watch ended":
-		if strings.HasPrefix(said.Why, "dial ") { // the address differs from zone to zone
-			_, said.Why, _ = strings.Cut(said.Why, ": ")
-		}
-		if _, known := w.endings[said.Why]; !known && len(w.endings) >= mostReasons {
-			said.Why = otherReasons
+		reason := parsed.reason()
+		if _, known := w.endings[reason]; !known && len(w.endings) >= maxReasons {
+			reason = otherReasons
 		}
-		w.endings[said.Why]++
+		w.endings[reason]++
 	}
 	return len(line), nil
 }
--- a/lab/capacity/measure/held.go
+++ b/lab/capacity/measure/held_message.go
@@ -23,14 +23,14 @@
 )
 
 const (
-	bodyBytes    = 300  // of a message
-	freshMost    = 2000 // fresh messages of which the mean is taken, at most
-	freshLeast   = 16
-	drainedShare = 0.05 // of the messages held that drain while they are measured, at most
-	freshEnough  = 0.1  // seconds of processor time after which the mean is taken
+	bodyBytes       = 300  // of a message
+	freshMost       = 2000 // fresh messages of which the mean is taken, at most
+	freshLeast      = 16
+	drainedFraction = 0.05 // of the messages held that drain while they are measured, at most
+	freshEnough     = 0.1  // seconds of processor time after which the mean is taken
 )
 
-// measureHeldMessage measures what a message costs that is held for a destination which told a wait.
+// measureHeldMessage measures what a message costs that is held for a destination which sent a retry-after.
 func measureHeldMessage(t *trial) error {
 	if err := t.sweep("the write-ahead log", 0.15, linearly, sizes(t.Largest), t.heldInLog); err != nil {
 		return err
@@ -44,7 +44,7 @@
 func (t *trial) heldInScheduler(size int) error {
 	before := t.heap()
 	var s *measuredScheduler
-	taken, err := t.best(func() (float64, error) {
+	taken, err := t.bestOf(func() (float64, error) {
 		var took float64
 		s = nil
 		t.heap()
@@ -57,7 +57,7 @@
 	t.record(heldTake, float64(size), taken)
 	t.record(heldMemory, float64(size), t.heap()-before)
 	busy := s.destinations[0]
-	fresh, err := t.best(func() (float64, error) {
+	fresh, err := t.bestOf(func() (float64, error) {
 		return t.fresh(func() bool {
 			s.deliver(busy)
 			return true
@@ -70,13 +70,13 @@
 		return fmt.Errorf("%d of %d messages were given up before their time", s.host.ended, size)
 	}
 	t.record(heldFresh, float64(size), fresh)
-	givenUp, err := t.best(func() (float64, error) {
+	givenUp, err := t.bestOf(func() (float64, error) {
 		if s.host.ended > 0 {
 			s = nil
 			t.heap()
 			s, _ = t.hold(size)
 		}
-		s.pass(messageLife + 1)
+		s.advance(messageTimeToLive + 1)
 		took := withoutCollection(s.Reconcile)
 		if s.host.ended < size {
 			return 0, fmt.Errorf("%d of %d messages were given up at their time", s.host.ended, size)
@@ -89,22 +89,23 @@
 	return err
 }
 
-// hold makes a scheduler with two destinations, of which the second has told a wait and has so many messages, and
-// returns the processor time in seconds of taking these in one turn.
+// hold makes a scheduler with two destinations, of which the second has sent a retry-after and has so many messages,
+// and returns the processor time in seconds of accepting these in one round.
 func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
-	s.know(2)
-	s.shut(s.destinations[1])
+	s.addDestinations(2)
+	s.block(s.destinations[1])
 	took := withoutCollection(func() {
 		for i := range size {
-			s.take(s.destinations[1], i)
+			s.accept(s.destinations[1], i)
 		}
 		s.Reconcile()
 	})
 	return s, took
 }
 
-// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and tells if there was one.
+// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and returns whether there
+// was one.
 func (t *trial) fresh(deliver func() bool) (float64, error) {
 	n := 0
 	took := withoutCollection(func() {
@@ -122,22 +123,22 @@
 // drain measures the decisions of a message that goes out once its destination takes calls again, one for each that
 // has ended.
 func (t *trial) drain(size int) error {
-	each, err := t.best(func() (float64, error) {
+	each, err := t.bestOf(func() (float64, error) {
 		t.heap()
 		s := newScheduler(2*size+100, t.Seed)
-		s.know(1)
-		s.BlockUntil(s.targets[0], s.now+toldWait)
+		s.addDestinations(1)
+		s.BlockUntil(s.targets[0], s.now+blockedTime)
 		for i := range size {
-			s.take(s.destinations[0], i)
+			s.accept(s.destinations[0], i)
 		}
 		s.Reconcile()
 		if len(s.host.out) > 0 {
 			return 0, fmt.Errorf("%d messages were sent within a wait", len(s.host.out))
 		}
-		s.pass(toldWait + 1)
+		s.advance(blockedTime + 1)
 		s.Reconcile()
 		// So few that about as many are held at the end, and further ones go out at each end.
-		most := min(size-len(s.host.out), max(freshLeast, int(drainedShare*float64(size))))
+		most := min(size-len(s.host.out), max(freshLeast, int(drainedFraction*float64(size))))
 		each, err := t.fresh(func() bool { return s.endFirst(&most) })
 		if err == nil && s.host.ended > 0 {
 			err = fmt.Errorf("%d messages were given up while they drained", s.host.ended)
@@ -151,7 +152,7 @@
 }
 
 // endFirst ends the call that has been out for longest, after which another goes out, and counts down how many there
-// are yet. It tells if there was one.
+// are yet. It returns whether there was one.
 func (s *measuredScheduler) endFirst(left *int) bool {
 	if *left <= 0 || len(s.host.out) == 0 {
 		return false
@@ -159,8 +160,8 @@
 	*left--
 	d := s.host.out[0]
 	s.host.out = s.host.out[1:]
-	s.pass(0.001)
-	s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callTook})
+	s.advance(0.001)
+	s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callLatency})
 	s.Reconcile()
 	return true
 }
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -23,7 +23,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 }
 
-// withoutCollection is the processor time in seconds of what is done, with garbage collection put off meanwhile. Reason
+// withoutCollection is the processor time in seconds of what is done, with garbage collection put off meanwhile. What
 // that adds depends on how the heap grew before, and would make equal work cost more at some sizes than at others.
 func withoutCollection(do func()) float64 {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
@@ -74,7 +74,7 @@
 	return len(all), err
 }
 
-// machineMemory is the machine's memory in bytes, 0 if it is not told.
+// machineMemory is the machine's memory in bytes, 0 if it is unknown.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -29,13 +29,13 @@
 	Progress func(line string)
 }
 
-// DefaultLasts is the time that a role gets if none is told.
+// DefaultLasts is the time that a role gets if none is set.
 const DefaultLasts = 3 * time.Minute
 
 // DefaultMemory is a quarter of the machine's memory in bytes.
 func DefaultMemory() int64 { return machineMemory() / 4 }
 
-// CheckMemory tells if a bound on memory is under half of the machine's, as it has to be.
+// CheckMemory returns an error unless a bound on memory is under half of the machine's, as it has to be.
 func CheckMemory(bytes int64) error {
 	if most := machineMemory() / 2; bytes <= 0 || bytes >= most {
 		return fmt.Errorf("memory: %d bytes are not over 0 and under half of the machine's (%d)", bytes, most)
@@ -48,7 +48,7 @@
 	Name    string
 	About   string
 	Unit    string // of its sizes
-	Largest int    // the largest size, unless another is told
+	Largest int    // the largest size, unless another is set
 	measure func(t *trial) error
 }
 
@@ -91,8 +91,8 @@
 	return names
 }
 
-// Measure measures a role and fits a line to each of its curves. Sizes beyond a bound are left out, which is told as
-// progress. The curves that were measured are returned even if ctx ends the work, with its error.
+// Measure measures a role and fits a line to each of its curves. Sizes beyond a bound are left out, which is reported
+// as progress. The curves that were measured are returned even if ctx ends the work, with its error.
 func (r *Role) Measure(ctx context.Context, options Options) ([]capacity.Curve, error) {
 	t := newTrial(ctx, r, options)
 	defer t.cancel()
@@ -215,8 +215,8 @@
 	tryAtMost = 300 * time.Millisecond // after so long there are no more than a few
 )
 
-// best is the least of several tries of a measurement, which has the least of what else goes on on the machine.
-func (t *trial) best(one func() (float64, error)) (float64, error) {
+// bestOf is the least of several tries of a measurement, which has the least of what else goes on on the machine.
+func (t *trial) bestOf(one func() (float64, error)) (float64, error) {
 	least, began := math.Inf(1), time.Now()
 	for i := range mostTries {
 		if err := t.ctx.Err(); err != nil {
--- a/lab/capacity/measure/path.go
+++ b/lab/capacity/measure/message_path.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	pathTargets     = 8
-	pathClients     = 32
-	pathSeconds     = 2.0 // that each rate is kept for
-	quickSeconds    = 0.1
-	pathDisk        = 512_000_000
-	pathBody        = 400  // bytes, while rates are measured
-	pathRate        = 300  // messages a second, while bodies are measured
-	pathShare       = 0.98 // of the messages that have to be delivered
-	answerWithin    = 5 * time.Second
-	deliveredWithin = 10 * time.Second
+	pathTargets       = 8
+	pathClients       = 32
+	pathSeconds       = 2.0 // that each rate is kept for
+	quickSeconds      = 0.1
+	pathDisk          = 512_000_000
+	pathBody          = 400  // bytes, while rates are measured
+	pathRate          = 300  // messages a second, while bodies are measured
+	deliveredFraction = 0.98 // of the messages that have to be delivered
+	answerWithin      = 5 * time.Second
+	deliveredWithin   = 10 * time.Second
 )
 
 // measureMessagePath measures a message's way through the built forwarder: from a client, by the write-ahead log, to a
@@ -50,7 +50,7 @@
 	seconds   float64
 	cpu       float64 // seconds of the forwarder's processor time
 	in, out   float64 // bytes between clients and forwarder, and between forwarder and targets
-	slowest   float64 // seconds from the moment at which a message was to be handed in to its answer, at most
+	slowest   float64 // seconds from the moment at which a message was to be submitted to its answer, at most
 }
 
 func (t *trial) recordRate(w traffic) {
@@ -65,7 +65,7 @@
 
 // path starts a forwarder, loads it a few times and records the time that took the least processor time.
 func (t *trial) path(rate, body int, record func(traffic)) error {
-	targets, err := newTargets(pathTargets)
+	targets, err := newEndpointServers(pathTargets)
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 	}
 	defer p.kill()
 	var least traffic
-	_, err = t.best(func() (float64, error) {
+	_, err = t.bestOf(func() (float64, error) {
 		w, err := t.load(p, targets, rate, body)
 		if err != nil {
 			return 0, err
@@ -93,7 +93,7 @@
 }
 
 // load sends messages at a rate for a while and waits until they are delivered.
-func (t *trial) load(p *process, targets *targets, rate, body int) (traffic, error) {
+func (t *trial) load(p *process, targets *endpointServers, rate, body int) (traffic, error) {
 	if t.quick {
 		return t.loadFor(p, targets, rate, body, quickSeconds)
 	}
@@ -101,7 +101,7 @@
 }
 
 // loadFor is load for so many seconds.
-func (t *trial) loadFor(p *process, targets *targets, rate, body int, lasts float64) (w traffic, err error) {
+func (t *trial) loadFor(p *process, targets *endpointServers, rate, body int, lasts float64) (w traffic, err error) {
 	var in atomic.Int64
 	run := load.Run{Addr: p.listen, Connections: pathClients, Timeout: answerWithin, TimeToLive: 60, Bytes: body,
 		Prefix: fmt.Sprintf("%x-", time.Now().UnixNano()),
@@ -110,10 +110,10 @@
 			return &countedConn{c, &in}, err
 		}}
 	random := rand.New(rand.NewPCG(t.Seed, 1))
-	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Random: random, Dest: load.Zipf(pathTargets, 0),
+	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Random: random, DestinationPicker: load.Zipf(pathTargets, 0),
 		Types: []string{heldType}}
 	for i := range pathTargets {
-		source.Dests = append(source.Dests, uint64(i+1))
+		source.Destinations = append(source.Destinations, uint64(i+1))
 	}
 	cpu, err := processorTimeOf(p.pid())
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 	taken := int64(report.Answers["ok"])
 	for late := time.Now().Add(deliveredWithin); targets.calls.Load()-calls < taken && time.Now().Before(late); {
-		if err := t.pause(lookEvery); err != nil {
+		if err := t.pause(pollInterval); err != nil {
 			return w, err
 		}
 	}
@@ -134,22 +134,22 @@
 		in: float64(in.Load()), out: float64(targets.bytes.Load() - out), slowest: report.Intended.Max}
 	after, err := processorTimeOf(p.pid())
 	w.cpu = after - cpu
-	if err == nil && w.delivered < pathShare*float64(report.Sent) {
+	if err == nil && w.delivered < deliveredFraction*float64(report.Sent) {
 		err = fmt.Errorf("of %d messages at %d a second %.0f were delivered; answers %v", report.Sent, rate, w.delivered, report.Answers)
 	}
 	return w, err
 }
 
-// targets answer each call at once.
-type targets struct {
+// endpointServers answers each call at once.
+type endpointServers struct {
 	addresses []string
 	servers   []*http.Server
 	calls     atomic.Int64
 	bytes     atomic.Int64 // in both directions
 }
 
-func newTargets(number int) (*targets, error) {
-	t := &targets{}
+func newEndpointServers(number int) (*endpointServers, error) {
+	t := &endpointServers{}
 	for range number {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -163,7 +163,7 @@
 	return t, nil
 }
 
-func (t *targets) answer(w http.ResponseWriter, r *http.Request) {
+func (t *endpointServers) answer(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return
 	}
@@ -171,7 +171,7 @@
 	t.calls.Add(1)
 }
 
-func (t *targets) close() {
+func (t *endpointServers) close() {
 	for _, s := range t.servers {
 		s.Close()
 	}
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -29,7 +29,7 @@
 	return t.sweep("a list of the configuration", 0.7, quadratically, sizes(min(t.Largest, mostConfigured)), t.reloadList)
 }
 
-// reloadOther measures a reload that changes what is logged, with a list that discovery tells, until it is in force.
+// reloadOther measures a reload that changes what is logged, with a list from discovery, until it is in force.
 func (t *trial) reloadOther(size int) error {
 	c := &configuration{destinations: size}
 	p, server, err := t.startListed(c)
@@ -38,21 +38,21 @@
 	}
 	defer server.close()
 	defer p.kill()
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		count := p.log.Count(tookUpOrder)
 		c.settings = fmt.Sprintf(otherLogging, count)
 		if err := t.rewrite(p, c); err != nil {
 			return 0, err
 		}
 		began := time.Now()
-		if err := p.reread(); err != nil {
+		if err := p.reload(); err != nil {
 			return 0, err
 		}
 		for p.log.Count(tookUpOrder) == count {
 			if time.Since(began) > startWithin {
 				return 0, fmt.Errorf("no reload within %s; the log ends: %s", startWithin, lastLine(p.log.String()))
 			}
-			if err := t.pause(lookEvery); err != nil {
+			if err := t.pause(pollInterval); err != nil {
 				return 0, err
 			}
 		}
@@ -65,7 +65,7 @@
 }
 
 // reloadList measures a reload of a configuration to whose list a destination was added, until a message for it is
-// taken on.
+// accepted.
 func (t *trial) reloadList(size int) error {
 	c := &configuration{destinations: size}
 	p, err := t.start(c)
@@ -74,7 +74,7 @@
 	}
 	defer p.kill()
 	cpu := 0.0
-	took, err := t.best(func() (float64, error) {
+	took, err := t.bestOf(func() (float64, error) {
 		took, used, err := t.reload(p, c)
 		if cpu == 0 || used < cpu {
 			cpu = used
@@ -101,7 +101,7 @@
 // reload adds a destination to the process's configuration and returns the time until it is known, and the process's
 // processor time meanwhile, in seconds.
 func (t *trial) reload(p *process, c *configuration) (took, cpu float64, err error) {
-	if err := t.pause(settleFor); err != nil {
+	if err := t.pause(settlingTime); err != nil {
 		return 0, 0, err
 	}
 	c.destinations++
@@ -113,7 +113,7 @@
 		return 0, 0, err
 	}
 	began := time.Now()
-	if err := p.reread(); err != nil {
+	if err := p.reload(); err != nil {
 		return 0, 0, err
 	}
 	if err := t.untilKnown(p, c.destinations); err != nil {
@@ -124,10 +124,10 @@
 	return took, after - before, err
 }
 
-// untilKnown hands messages for a destination in until one is taken on.
+// untilKnown submits messages for a destination until one is accepted.
 func (t *trial) untilKnown(p *process, destination int) error {
 	for late := time.Now().Add(startWithin); time.Now().Before(late); {
-		answer, err := t.handIn(p, destination)
+		answer, err := t.submit(p, destination)
 		var late net.Error
 		if errors.As(err, &late) && late.Timeout() { // a forwarder that reads a long configuration answers nobody
 			continue
@@ -141,15 +141,15 @@
 		if !strings.Contains(answer, "unknown destination") && !strings.HasPrefix(answer, "-BUSY") {
 			return fmt.Errorf("a message for destination %d was answered %q", destination, answer)
 		}
-		if err := t.pause(lookEvery); err != nil {
+		if err := t.pause(pollInterval); err != nil {
 			return err
 		}
 	}
 	return fmt.Errorf("destination %d was not known within %s; the log ends: %s", destination, startWithin, lastLine(p.log.String()))
 }
 
-// handIn hands a message in on a connection of its own and returns the answer.
-func (t *trial) handIn(p *process, destination int) (string, error) {
+// submit submits a message on a connection of its own and returns the answer.
+func (t *trial) submit(p *process, destination int) (string, error) {
 	c, err := emulator.NewClient(p.listen)
 	if err != nil {
 		return "", err
--- a/lab/capacity/measure/scrape.go
+++ b/lab/capacity/measure/scrape.go
@@ -23,7 +23,7 @@
 		}
 		defer server.close()
 		defer p.kill()
-		if err := t.pause(settleFor); err != nil {
+		if err := t.pause(settlingTime); err != nil {
 			return err
 		}
 		before, err := processorTimeOf(p.pid())
@@ -31,7 +31,7 @@
 			return err
 		}
 		length, scrapes := 0, 0
-		took, err := t.best(func() (float64, error) {
+		took, err := t.bestOf(func() (float64, error) {
 			start := time.Now()
 			n, err := scrape(t.ctx, p.metrics)
 			length = n
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -9,8 +9,8 @@
 	"spanflow/lab/capacity"
 )
 
-// figure is one line of a role's table: a quantity at the target size. At most one of given, curve and trial says what it
-// is worked out from; with none of them nothing measures it.
+// figure is one line of a role's table: a quantity at the target size. At most one of given, curve and trial says what
+// it is worked out from; with none of them nothing measures it.
 type figure struct {
 	what      string
 	unit      Unit
@@ -43,10 +43,10 @@
 	value    func(*Target, *capacity.FleetTrial) float64
 	from     string
 	reached  func(*Target, *capacity.FleetTrial) reach
-	counts   func(*capacity.FleetTrial) bool // tells which trials count; nil: all
+	counts   func(*capacity.FleetTrial) bool // which trials count; nil: all
 }
 
-// nobodyMissed counts trials in which every forwarder had what it should have. Reason others cost tells nothing.
+// nobodyMissed counts trials in which every forwarder had what it should have. What others cost says nothing.
 func nobodyMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
 
 // reach is how far a trial went towards the target size, as shares of it. With forwarders and destinations at the same
@@ -75,13 +75,13 @@
 // missing stands where nothing carries a figure.
 const missing = "**missing**"
 
-// reckoned is a figure worked out for a target and results.
-type reckoned struct {
+// computedFigure is a figure worked out for a target and results.
+type computedFigure struct {
 	*figure
 	role     string
 	estimate Estimate
 	limit    Limit
-	share    float64 // of the target size at which the budget is left, if limit tells one
+	fraction float64 // of the target size at which the budget is left, if limit has one
 	from     string
 	command  string
 	budget   float64
@@ -102,9 +102,9 @@
 	return estimate.Value, unit == b.curve.unit && estimate.Basis != NotExtrapolated
 }
 
-// reckon works a figure out.
-func (f *figure) reckon(role string, target *Target, results *capacity.Results) (reckoned, error) {
-	r := reckoned{figure: f, role: role}
+// compute works a figure out.
+func (f *figure) compute(role string, target *Target, results *capacity.Results) (computedFigure, error) {
+	r := computedFigure{figure: f, role: role}
 	if f.budget != nil {
 		r.budget, r.budgeted = f.budget.at(target, results)
 	}
@@ -122,13 +122,13 @@
 	return r, err
 }
 
-func (r *reckoned) fromTarget(target *Target) {
+func (r *computedFigure) fromTarget(target *Target) {
 	r.estimate = Estimate{Basis: Fitted, Value: r.given.value(target)}
 	r.limit = Limit{Basis: Fitted, Never: r.estimate.Value <= r.budget}
 	r.from, r.command = r.given.from, "target.toml"
 }
 
-func (r *reckoned) fromCurve(target *Target, results *capacity.Results) error {
+func (r *computedFigure) fromCurve(target *Target, results *capacity.Results) error {
 	use := r.curve
 	r.command = "`spanflow-lab capacity measure " + use.ref.role + "`"
 	curve := curveOf(results, use.ref)
@@ -153,7 +153,7 @@
 	r.estimate.Value *= times
 	if r.budgeted {
 		r.limit = LeavesAt(curve, r.budget/times, size)
-		r.share = r.limit.Size / size
+		r.fraction = r.limit.Size / size
 	}
 	r.from += "; at " + use.sizeIs + " (" + digits(size) + ")"
 	if use.times != nil {
@@ -162,7 +162,7 @@
 	return nil
 }
 
-// describe tells of a curve what it is worked out from.
+// describe says what a curve's value is worked out from.
 func describe(curve *capacity.Curve, unit Unit) string {
 	fit := curve.Fit
 	slope := unit.Format(fit.Slope) + " each of " + curve.SizeUnit
@@ -180,7 +180,7 @@
 	return "not straight"
 }
 
-func (r *reckoned) fromTrial(target *Target, results *capacity.Results) {
+func (r *computedFigure) fromTrial(target *Target, results *capacity.Results) {
 	r.command = "`spanflow-lab capacity hollow " + hollowArgument[r.trial.scenario] + "`"
 	trials := r.trial.of(results)
 	if len(trials) == 0 {
@@ -198,11 +198,11 @@
 	}
 	if r.budgeted {
 		r.limit = r.trial.leavesAt(target, trials, r.budget)
-		r.share = r.limit.Size
+		r.fraction = r.limit.Size
 	}
 }
 
-// leavesAt tells at which share of the target size trials leave a budget: the smallest that did, and the largest below
+// leavesAt is at which share of the target size trials leave a budget: the smallest that did, and the largest below
 // it that did not.
 func (u *trialUse) leavesAt(target *Target, trials []*capacity.FleetTrial, budget float64) Limit {
 	limit, kept := Limit{Basis: NotExtrapolated}, 0.0
@@ -221,7 +221,7 @@
 		return Limit{Basis: Measured, Never: true}
 	}
 	if limit.Size > 0 {
-		limit.Kept = kept
+		limit.LargestWithin = kept
 	}
 	return limit
 }
@@ -246,14 +246,14 @@
 	return trials
 }
 
-// atSize is the cell that tells the value at the target size.
-func (r *reckoned) atSize() string {
+// atSize is the cell with the value at the target size.
+func (r *computedFigure) atSize() string {
 	value := r.unit.Format(r.estimate.Value)
 	switch r.estimate.Basis {
 	case NotMeasured:
 		return "not measured"
 	case NoSize:
-		return "no number is told"
+		return "no number is stated"
 	case NotExtrapolated:
 		if r.trial != nil {
 			return value + " in the trial; not extrapolated"
@@ -270,7 +270,7 @@
 }
 
 // leftBefore says of a curve that is not extrapolated where it leaves its budget, if that is known.
-func (r *reckoned) leftBefore() string {
+func (r *computedFigure) leftBefore() string {
 	switch {
 	case !r.budgeted || r.limit.Never:
 		return ""
@@ -283,16 +283,16 @@
 }
 
 // leftAtMeasured says between which measured sizes a curve that is not straight leaves its budget.
-func (r *reckoned) leftAtMeasured() string {
+func (r *computedFigure) leftAtMeasured() string {
 	left := "left at the measured size " + digits(r.limit.Size)
-	if r.limit.Kept == 0 {
+	if r.limit.LargestWithin == 0 {
 		return left
 	}
-	return "kept at " + digits(r.limit.Kept) + ", " + left
+	return "kept at " + digits(r.limit.LargestWithin) + ", " + left
 }
 
-// allowed is the cell that tells the budget.
-func (r *reckoned) allowed() string {
+// allowed is the cell with the budget.
+func (r *computedFigure) allowed() string {
 	switch {
 	case r.figure.budget == nil:
 		return "none stated"
@@ -302,20 +302,20 @@
 	return r.unit.Format(r.budget) + ", " + r.figure.budget.name
 }
 
-func (r *reckoned) carrier() string {
+func (r *computedFigure) carrier() string {
 	if r.carriedBy == "" {
 		return missing
 	}
 	return r.carriedBy
 }
 
-// leaves is the cell that tells where a budget is left.
-func (r *reckoned) leaves() string {
+// leaves is the cell that says where a budget is left.
+func (r *computedFigure) leaves() string {
 	switch {
 	case r.limit.Basis == NotMeasured:
 		return "not measured"
 	case r.limit.Basis == NoSize:
-		return "no number is told"
+		return "no number is stated"
 	case r.limit.Basis == NotExtrapolated && r.trial != nil:
 		return "kept in the trials; not extrapolated"
 	case r.limit.Basis == NotExtrapolated:
@@ -325,14 +325,14 @@
 	case r.given != nil:
 		return "left by the letter's own figures"
 	case r.trial != nil:
-		if r.limit.Kept > 0 {
-			return "at the latest " + share(r.share) + ": kept in a trial of " + share(r.limit.Kept) + ", left in one of that size"
+		if r.limit.LargestWithin > 0 {
+			return "at the latest " + percent(r.fraction) + ": kept in a trial of " + percent(r.limit.LargestWithin) + ", left in one of that size"
 		}
-		return "at the latest " + share(r.share) + ", left in a trial of that size"
+		return "at the latest " + percent(r.fraction) + ", left in a trial of that size"
 	case r.limit.Size == 0:
 		return "at any size"
 	case r.limit.Basis == Measured:
-		return "at the latest " + share(r.share) + ": " + r.leftAtMeasured()
+		return "at the latest " + percent(r.fraction) + ": " + r.leftAtMeasured()
 	}
-	return fmt.Sprintf("%s, at %s", share(r.share), digits(r.limit.Size))
+	return fmt.Sprintf("%s, at %s", percent(r.fraction), digits(r.limit.Size))
 }
--- a/lab/capacity/page/format.go
+++ b/lab/capacity/page/format.go
@@ -104,7 +104,7 @@
 	return digits(seconds/60/60) + " h"
 }
 
-// cores are told as a share of one core below one.
+// cores are written as a share of one core below one.
 func cores(value float64) string {
 	if math.Abs(value) < 1 {
 		return digits(value*100) + "% of a core"
@@ -143,8 +143,8 @@
 	return number
 }
 
-// share writes a share as percent, with two digits. Under a millionth of a percent it is none.
-func share(value float64) string {
+// percent writes a share as percent, with two digits. Under a millionth of a percent it is none.
+func percent(value float64) string {
 	if math.Abs(value) < 1e-8 {
 		return "0%"
 	}
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestCurvesAreNamedAsTheyAreMeasured finds a figure that asks for a curve by a name which its measurement does not use.
+// TestCurvesAreNamedAsTheyAreMeasured finds a figure that asks for a curve by a name which its measurement does not
+// use.
 func TestCurvesAreNamedAsTheyAreMeasured(t *testing.T) {
 	results, err := ReadResults(measuredFile)
 	require.NoError(t, err)
@@ -274,7 +275,7 @@
 	require.Contains(t, fleets[4], "| 10 ms, 20 ms, never | 3 | no |")
 }
 
-func TestATrialThatForwardersMissedTellsNothingOfTheCost(t *testing.T) {
+func TestATrialThatForwardersMissedGivesNoCost(t *testing.T) {
 	results := made()
 	had, missed := results.Fleets[0], results.Fleets[0]
 	had.Scenario, had.Forwarders, had.Destinations, had.ForwarderMemory, had.ForwarderBytesPerChange = "whole list", 34, 170_000, 270e6, 30e6
@@ -283,13 +284,13 @@
 	results.Fleets = []capacity.FleetTrial{missed, had}
 	rendered, err := tables(readTarget(t), results)
 	require.NoError(t, err)
-	require.Contains(t, row(t, rendered["control"], "memory of a hollow forwarder that was told"), "| 270 MB (measured) |")
-	require.Contains(t, row(t, rendered["control"], "a whole list: bytes"), "| 30 MB (measured) |")
-	require.Contains(t, row(t, rendered["control"], "a whole list in force at forwarders"), "| never (measured) |")
+	require.Contains(t, row(t, rendered["control"], "memory of a hollow forwarder that got a full list"), "| 270 MB (measured) |")
+	require.Contains(t, row(t, rendered["control"], "a full list: bytes"), "| 30 MB (measured) |")
+	require.Contains(t, row(t, rendered["control"], "a full list in force at forwarders"), "| never (measured) |")
 	results.Fleets = results.Fleets[:1]
 	rendered, err = tables(readTarget(t), results)
 	require.NoError(t, err)
-	require.Contains(t, row(t, rendered["control"], "a whole list: bytes"), "| not measured | no trial (whole list)")
+	require.Contains(t, row(t, rendered["control"], "a full list: bytes"), "| not measured | no trial (whole list)")
 }
 
 func TestABudgetThatWasMeasuredStandsBesideWhatItBounds(t *testing.T) {
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -19,23 +19,23 @@
 		"curves":      curvesTable(results),
 		"fleets":      fleetsTable(target, results),
 	}
-	var all []reckoned
+	var all []computedFigure
 	for _, role := range roles() {
-		reckonedOfRole, err := reckonAll(role, target, results)
+		figures, err := computeAll(role, target, results)
 		if err != nil {
 			return nil, err
 		}
-		rendered[role.table] = roleTable(reckonedOfRole)
-		all = append(all, reckonedOfRole...)
+		rendered[role.table] = roleTable(figures)
+		all = append(all, figures...)
 	}
 	rendered["ranking"] = rankingTable(all)
 	return rendered, nil
 }
 
-func reckonAll(role role, target *Target, results *capacity.Results) ([]reckoned, error) {
-	var all []reckoned
+func computeAll(role role, target *Target, results *capacity.Results) ([]computedFigure, error) {
+	var all []computedFigure
 	for _, figure := range role.figures {
-		r, err := figure.reckon(role.title, target, results)
+		r, err := figure.compute(role.title, target, results)
 		if err != nil {
 			return nil, err
 		}
@@ -44,7 +44,7 @@
 	return all, nil
 }
 
-func roleTable(figures []reckoned) string {
+func roleTable(figures []computedFigure) string {
 	var rows [][]string
 	for _, r := range figures {
 		rows = append(rows, []string{r.what, r.atSize(), r.from, r.allowed(), r.command, r.carrier()})
@@ -52,17 +52,17 @@
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
 
-// rankingTable orders all figures with a budget by the share of the target size at which they leave it. Reason is not
+// rankingTable orders all figures with a budget by the share of the target size at which they leave it. What is not
 // known comes last.
-func rankingTable(figures []reckoned) string {
-	var ranked []reckoned
+func rankingTable(figures []computedFigure) string {
+	var ranked []computedFigure
 	for _, r := range figures {
 		if r.budgeted {
 			ranked = append(ranked, r)
 		}
 	}
-	slices.SortStableFunc(ranked, func(a, b reckoned) int {
-		return cmp.Or(cmp.Compare(rankClass(&a), rankClass(&b)), cmp.Compare(a.share, b.share))
+	slices.SortStableFunc(ranked, func(a, b computedFigure) int {
+		return cmp.Or(cmp.Compare(rankClass(&a), rankClass(&b)), cmp.Compare(a.fraction, b.fraction))
 	})
 	var rows [][]string
 	place := 0
@@ -81,15 +81,15 @@
 const (
 	leftBefore = iota // the budget is left before the target size
 	unknown
-	kept
+	withinBudget
 )
 
-func rankClass(r *reckoned) int {
+func rankClass(r *computedFigure) int {
 	switch {
 	case r.limit.Basis == NotMeasured, r.limit.Basis == NoSize, r.limit.Basis == NotExtrapolated:
 		return unknown
 	case r.limit.Never:
-		return kept
+		return withinBudget
 	}
 	return leftBefore
 }
@@ -100,13 +100,13 @@
 		{"forwarders", Count.Format(t.Fleet.Forwarders)},
 		{"regions, zones", Count.Format(t.Fleet.Regions) + ", " + Count.Format(t.Fleet.Zones)},
 		{"machines set aside for control", Count.Format(t.Fleet.ControlMachines)},
-		{"events taken on", PerSecond.Format(t.Load.EventsPerSecond) + "; " + PerSecond.Format(t.Load.EventsPerSecond/t.Fleet.Forwarders) + " by each forwarder"},
+		{"events accepted", PerSecond.Format(t.Load.EventsPerSecond) + "; " + PerSecond.Format(t.Load.EventsPerSecond/t.Fleet.Forwarders) + " by each forwarder"},
 		{"destinations", Count.Format(t.Load.Destinations)},
-		{"of these down at any time", Count.Format(t.destinationsDown()) + " (" + share(t.Load.DownShare) + ")"},
+		{"of these down at any time", Count.Format(t.destinationsDown()) + " (" + percent(t.Load.DownFraction) + ")"},
 		{"backlog", Count.Format(t.Load.BacklogEvents) + " events, up to " + Count.Format(t.Load.BacklogPerForwarder) + " at a forwarder: " +
 			Seconds.Format(float64(t.Load.BacklogFor)) + " of what the destinations that are down get"},
 		{"changes of the configuration", Count.Format(t.Changes.PerDay) + " a day, in force everywhere within " + Seconds.Format(float64(t.Changes.InForceWithin))},
-		{"budget of control at a forwarder", Cores.Format(control.CoreShare) + ", " + Bytes.Format(float64(control.Memory)) + ", " +
+		{"budget of control at a forwarder", Cores.Format(control.CoreFraction) + ", " + Bytes.Format(float64(control.Memory)) + ", " +
 			BytesPerSecond.Format(float64(control.BytesPerSecond))},
 		{"budget of all else at a forwarder", Cores.Format(forwarder.Cores) + ", " + Bytes.Format(float64(forwarder.Memory)) + " (assumed), ready within " +
 			Seconds.Format(float64(forwarder.ReadyWithin)) + " of a restart, a backlog drained at " + PerSecond.Format(forwarder.DrainPerSecond)},
@@ -189,7 +189,7 @@
 			bend = " at " + digits(curve.Fit.BendAt)
 		}
 		rows = append(rows, []string{curve.Role, curve.Quantity, curve.SizeUnit, pointsOf(curve, unit),
-			string(curve.Fit.Shape) + bend, describe(curve, unit), share(curve.Fit.Residual)})
+			string(curve.Fit.Shape) + bend, describe(curve, unit), percent(curve.Fit.Residual)})
 	}
 	if len(rows) == 0 {
 		return "Nothing is measured yet.\n"
@@ -217,7 +217,8 @@
 		"a forwarder idle", "memory of a forwarder", "stand-in: bytes, processor time", "note"}, rows)
 }
 
-// timesInForce are the times by which the middle forwarder, all but one in a hundred, and the last had a change in force.
+// timesInForce are the times by which the middle forwarder, all but one in a hundred, and the last had a change in
+// force.
 func timesInForce(trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
@@ -231,7 +232,7 @@
 	return reached(trial.InForce50) + ", " + reached(trial.InForce99) + ", " + Seconds.Format(lastInForce(nil, trial))
 }
 
-// inTime tells if a trial's changes were in force everywhere within the time that the target allows.
+// inTime tells whether a trial's changes were in force everywhere within the time that the target allows.
 func inTime(t *Target, trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -11,7 +11,7 @@
 	"spanflow/internal/config"
 )
 
-// Address is the size that is built towards and what may be spent on it.
+// Target is the size that is built towards and what may be spent on it.
 type Target struct {
 	Fleet     Fleet              `toml:"fleet"`
 	Load      Load               `toml:"load"`
@@ -29,11 +29,11 @@
 	ControlMachines float64 `toml:"control_machines"`
 }
 
-// Load is what the forwarders take on and hold. Rates are a second.
+// Load is what the forwarders accept and hold. Rates are a second.
 type Load struct {
 	EventsPerSecond     float64         `toml:"events_per_second"` // all forwarders together
 	Destinations        float64         `toml:"destinations"`
-	DownShare           float64         `toml:"down_share"` // of the destinations, at any time
+	DownFraction        float64         `toml:"down_share"` // of the destinations, at any time
 	BacklogEvents       float64         `toml:"backlog_events"`
 	BacklogPerForwarder float64         `toml:"backlog_per_forwarder"`
 	BacklogFor          config.Duration `toml:"backlog_for"`
@@ -65,7 +65,7 @@
 
 // ControlBudget is for control alone.
 type ControlBudget struct {
-	CoreShare      float64     `toml:"core_share"` // of one core
+	CoreFraction   float64     `toml:"core_share"` // of one core
 	Memory         config.Size `toml:"memory"`
 	BytesPerSecond config.Size `toml:"bytes_per_second"`
 }
@@ -119,37 +119,37 @@
 // targetChecker collects what is wrong with a target.
 type targetChecker struct{ problems config.Problems }
 
-func (c *targetChecker) bad(field, format string, values ...any) {
+func (c *targetChecker) add(field, format string, values ...any) {
 	c.problems = append(c.problems, config.Problem{Field: field, Reason: fmt.Sprintf(format, values...)})
 }
 
 func (c *targetChecker) positive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
-		c.bad(field, "%v is not a number over 0, or it is missing", value)
+		c.add(field, "%v is not a number over 0, or it is missing", value)
 	}
 }
 
 func (c *targetChecker) count(field string, value float64) {
 	if c.positive(field, value); value != math.Trunc(value) {
-		c.bad(field, "%v is not a whole number", value)
+		c.add(field, "%v is not a whole number", value)
 	}
 }
 
-func (c *targetChecker) share(field string, value float64) {
+func (c *targetChecker) fraction(field string, value float64) {
 	if c.positive(field, value); value > 1 {
-		c.bad(field, "%v is over 1, the whole", value)
+		c.add(field, "%v is over 1, the whole", value)
 	}
 }
 
 func (c *targetChecker) skew(field string, value float64) {
 	if c.positive(field, value); value < 1 {
-		c.bad(field, "%v is under 1: the busiest cannot be under the mean", value)
+		c.add(field, "%v is under 1: the busiest cannot be under the mean", value)
 	}
 }
 
 func (c *targetChecker) agrees(field string, value, other float64, otherIs string) {
 	if math.Abs(value-other) > consistent*other {
-		c.bad(field, "%v does not agree with %v, which is %s", value, other, otherIs)
+		c.add(field, "%v does not agree with %v, which is %s", value, other, otherIs)
 	}
 }
 
@@ -169,14 +169,14 @@
 	c.count("fleet.zones", t.Fleet.Zones)
 	c.count("fleet.control_machines", t.Fleet.ControlMachines)
 	if t.Fleet.Zones < t.Fleet.Regions {
-		c.bad("fleet.zones", "%v zones are too few for %v regions", t.Fleet.Zones, t.Fleet.Regions)
+		c.add("fleet.zones", "%v zones are too few for %v regions", t.Fleet.Zones, t.Fleet.Regions)
 	}
 }
 
 func (t *Target) checkLoad(c *targetChecker) {
 	c.positive("load.events_per_second", t.Load.EventsPerSecond)
 	c.count("load.destinations", t.Load.Destinations)
-	c.share("load.down_share", t.Load.DownShare)
+	c.fraction("load.down_share", t.Load.DownFraction)
 	c.count("load.backlog_events", t.Load.BacklogEvents)
 	c.count("load.backlog_per_forwarder", t.Load.BacklogPerForwarder)
 	c.positive("load.backlog_for", float64(t.Load.BacklogFor))
@@ -203,7 +203,7 @@
 }
 
 func (t *Target) checkBudget(c *targetChecker) {
-	c.share("budget.control.core_share", t.Budget.Control.CoreShare)
+	c.fraction("budget.control.core_share", t.Budget.Control.CoreFraction)
 	c.positive("budget.control.memory", float64(t.Budget.Control.Memory))
 	c.positive("budget.control.bytes_per_second", float64(t.Budget.Control.BytesPerSecond))
 	c.positive("budget.forwarder.cores", t.Budget.Forwarder.Cores)
@@ -216,11 +216,11 @@
 	for i, e := range t.Estimates {
 		for _, field := range []struct{ name, value string }{{"what", e.What}, {"value", e.Value}, {"role", e.Role}, {"quantity", e.Quantity}} {
 			if field.value == "" {
-				c.bad(fmt.Sprintf("estimates[%d].%s", i, field.name), "is not told")
+				c.add(fmt.Sprintf("estimates[%d].%s", i, field.name), "is missing")
 			}
 		}
 		if !(e.Size >= 0) || math.IsInf(e.Size, 0) {
-			c.bad(fmt.Sprintf("estimates[%d].size", i), "%v is no size", e.Size)
+			c.add(fmt.Sprintf("estimates[%d].size", i), "%v is no size", e.Size)
 		}
 	}
 }
@@ -240,10 +240,10 @@
 }
 
 // eventsPerSecondDown are the events a second for the destinations that are down, at even parts.
-func (t *Target) eventsPerSecondDown() float64 { return t.Load.EventsPerSecond * t.Load.DownShare }
+func (t *Target) eventsPerSecondDown() float64 { return t.Load.EventsPerSecond * t.Load.DownFraction }
 
 // destinationsDown are those that are down at any time.
-func (t *Target) destinationsDown() float64 { return t.Load.Destinations * t.Load.DownShare }
+func (t *Target) destinationsDown() float64 { return t.Load.Destinations * t.Load.DownFraction }
 
 // changesPerSecond is the mean rate of changes.
 func (t *Target) changesPerSecond() float64 { return t.Changes.PerDay / secondsPerDay }
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenes many times and says what differs: pairs by seed, axes, and searches for scenes in
-// which a policy does badly.
+// Package experiment plays scenarios many times and says what differs: pairs by seed, axes, and searches for scenarios
+// in which a policy does badly or breaks a rule.
 package experiment
 
 import (
@@ -15,18 +15,19 @@
 	"spanflow/lab/sim"
 )
 
-// Arm is one side of a comparison.
+// Arm is one side of a comparison: a scenario and the policy that plays it.
 type Arm struct {
-	Name  string
-	Scene *scenario.Scenario
-	Make  sim.Maker
+	Name      string
+	Scenario  *scenario.Scenario
+	NewPolicy sim.Maker
 }
 
-// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds.
+// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds. done
+// is called after each; it may be nil and is called from several goroutines.
 func Play(a Arm, seeds []uint64, done func()) []*sim.Result {
 	all := make([]*sim.Result, len(seeds))
-	each(len(seeds), func(i int) {
-		all[i] = sim.Play(a.Scene, seeds[i], a.Make)
+	parallel(len(seeds), func(i int) {
+		all[i] = sim.Play(a.Scenario, seeds[i], a.NewPolicy)
 		if done != nil {
 			done()
 		}
@@ -34,7 +35,8 @@
 	return all
 }
 
-func each(n int, do func(i int)) {
+// parallel runs a function for each of n numbers, as many at once as there are cores.
+func parallel(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
 	for range min(n, runtime.GOMAXPROCS(0)) {
@@ -51,7 +53,7 @@
 	wg.Wait()
 }
 
-// Seeds are the first n from one on.
+// Seeds are n seeds from one on.
 func Seeds(from uint64, n int) []uint64 {
 	seeds := make([]uint64, n)
 	for i := range seeds {
@@ -60,26 +62,26 @@
 	return seeds
 }
 
-// Sum is what an arm's results come to.
-type Sum struct {
-	Name     string         `json:"name"`
-	G        []float64      `json:"g"` // by seed
-	Mean     float64        `json:"mean_g"`
-	Worst    float64        `json:"worst_g"`
-	P99      float64        `json:"mean_p99_s"`
-	Breaches map[string]int `json:"breaches"`
+// Summary sums up the results of an arm.
+type Summary struct {
+	Name       string         `json:"name"`
+	G          []float64      `json:"g"` // by seed
+	Mean       float64        `json:"mean_g"`
+	Worst      float64        `json:"worst_g"`
+	P99        float64        `json:"mean_p99_s"`
+	Violations map[string]int `json:"breaches"`
 }
 
-// SumUp sums up an arm.
-func SumUp(name string, results []*sim.Result) Sum {
-	s := Sum{Name: name, Worst: math.Inf(1), Breaches: map[string]int{}}
+// Summarize sums up the results of an arm.
+func Summarize(name string, results []*sim.Result) Summary {
+	s := Summary{Name: name, Worst: math.Inf(1), Violations: map[string]int{}}
 	for _, r := range results {
 		s.G = append(s.G, r.G)
 		s.Mean += r.G / float64(len(results))
 		s.Worst = math.Min(s.Worst, r.G)
 		s.P99 += r.Latency.P99 / float64(len(results))
 		for _, b := range r.Violations {
-			s.Breaches[string(b.Rule)]++
+			s.Violations[string(b.Rule)]++
 		}
 	}
 	return s
@@ -87,8 +89,8 @@
 
 // Comparison is a pair of arms, played with the same seeds.
 type Comparison struct {
-	A       Sum     `json:"a"`
-	B       Sum     `json:"b"`
+	A       Summary `json:"a"`
+	B       Summary `json:"b"`
 	Mean    float64 `json:"mean_difference"` // of the share of value delivered, B less A
 	Low     float64 `json:"low"`             // the middle 95% of resampled means
 	High    float64 `json:"high"`
@@ -100,17 +102,17 @@
 // Compare plays both arms, a pair a seed, and resamples the differences of the pairs.
 func Compare(a, b Arm, seeds []uint64, done func()) Comparison {
 	ra, rb := make([]*sim.Result, len(seeds)), make([]*sim.Result, len(seeds))
-	each(2*len(seeds), func(i int) { // interleaved
+	parallel(2*len(seeds), func(i int) { // interleaved
 		if i%2 == 0 {
-			ra[i/2] = sim.Play(a.Scene, seeds[i/2], a.Make)
+			ra[i/2] = sim.Play(a.Scenario, seeds[i/2], a.NewPolicy)
 		} else {
-			rb[i/2] = sim.Play(b.Scene, seeds[i/2], b.Make)
+			rb[i/2] = sim.Play(b.Scenario, seeds[i/2], b.NewPolicy)
 		}
 		if done != nil {
 			done()
 		}
 	})
-	c := Comparison{A: SumUp(a.Name, ra), B: SumUp(b.Name, rb)}
+	c := Comparison{A: Summarize(a.Name, ra), B: Summarize(b.Name, rb)}
 	diffs := make([]float64, len(seeds))
 	for i := range seeds {
 		diffs[i] = c.B.G[i] - c.A.G[i]
@@ -132,23 +134,23 @@
 	for _, v := range values {
 		mean += v / float64(len(values))
 	}
-	dice := rand.New(rand.NewPCG(11, 13))
+	random := rand.New(rand.NewPCG(11, 13))
 	means := make([]float64, resamples)
 	for i := range means {
 		for range values {
-			means[i] += values[dice.IntN(len(values))] / float64(len(values))
+			means[i] += values[random.IntN(len(values))] / float64(len(values))
 		}
 	}
 	slices.Sort(means)
 	return mean, means[resamples*25/1000], means[resamples*975/1000]
 }
 
-// Axes are what a sweep can vary: a scene with one figure set.
+// Axes are what a sweep can vary, by name: each sets one figure of a scenario.
 var Axes = map[string]func(s *scenario.Scenario, x float64){
 	"forwarders": func(s *scenario.Scenario, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
 	"slots":      func(s *scenario.Scenario, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
 	"load":       func(s *scenario.Scenario, x float64) { s.Load.PerSecond *= x },
-	"trouble": func(s *scenario.Scenario, x float64) { // how long each lasts, times
+	"trouble": func(s *scenario.Scenario, x float64) { // how long each lasts
 		s.Faults = slices.Clone(s.Faults)
 		for i := range s.Faults {
 			s.Faults[i].For *= config.Duration(x)
@@ -163,7 +165,8 @@
 	},
 }
 
-// Vary is a scene with one figure of an axis set.
+// Vary returns a copy of a scenario with the figure of an axis set, or an error if there is no such axis or the copy is
+// not sound.
 func Vary(s *scenario.Scenario, axis string, x float64) (*scenario.Scenario, error) {
 	set := Axes[axis]
 	if set == nil {
@@ -171,8 +174,8 @@
 	}
 	v := *s
 	set(&v, x)
-	if wrong := v.Check(); len(wrong) > 0 {
-		return nil, wrong
+	if problems := v.Check(); len(problems) > 0 {
+		return nil, problems
 	}
 	return &v, nil
 }
--- /dev/null
+++ b/lab/experiment/violation_search_test.go
@@ -0,0 +1,125 @@
+package experiment
+
+import (
+	"context"
+	"os"
+	"path/filepath"
+	"runtime"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/lab/scenario"
+	"spanflow/lab/sim"
+	"spanflow/scheduler"
+)
+
+// withoutSlowStart is the scheduler without its slow start after an outage: it takes a recovering destination to bear
+// any load.
+func withoutSlowStart(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
+	settings.OverloadMultiple, settings.SlowStartShare = 1e6, 1
+	return sim.SchedulerPolicy(settings, seed, now, h)
+}
+
+func searchViolations(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
+	h, err := OpenViolationSearch(dir)
+	require.NoError(t, err)
+	require.NoError(t, h.Run(context.Background(), dir, make, from, most, nil))
+	return h
+}
+
+// files are the texts of a folder by their names.
+func files(t *testing.T, dir string) map[string]string {
+	entries, err := os.ReadDir(dir)
+	require.NoError(t, err)
+	all := map[string]string{}
+	for _, e := range entries {
+		text, err := os.ReadFile(filepath.Join(dir, e.Name()))
+		require.NoError(t, err)
+		all[e.Name()] = string(text)
+	}
+	return all
+}
+
+func TestViolationSearchFindsASchedulerWithoutSlowStartAndKeepsTheScenario(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), "made", "when missing")
+	h := searchViolations(t, dir, withoutSlowStart, 1, 16)
+	require.NotEmpty(t, h.Violations)
+	b := h.Violations[0]
+	require.Contains(t, b.Rule, "returns not pushed over")
+	s, err := scenario.Read(filepath.Join(dir, b.File))
+	require.NoError(t, err)
+	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, withoutSlowStart), "the kept scenario still shows it")
+	require.NotZero(t, b.Steps)
+}
+
+func TestViolationSearchContinuesWhereItStoppedAndIsTheSameOnAnyNumberOfCores(t *testing.T) {
+	atOnce, inParts := t.TempDir(), t.TempDir()
+	h := searchViolations(t, atOnce, withoutSlowStart, 1, 12)
+	require.Equal(t, 12, h.Scenarios)
+	was := runtime.GOMAXPROCS(1)
+	defer runtime.GOMAXPROCS(was)
+	searchViolations(t, inParts, withoutSlowStart, 5, 8) // the later seeds first
+	searchViolations(t, inParts, withoutSlowStart, 1, 4)
+	require.Equal(t, files(t, atOnce), files(t, inParts))
+}
+
+func TestInterruptedViolationSearchKeepsWhatItFound(t *testing.T) {
+	dir := t.TempDir()
+	h, err := OpenViolationSearch(dir)
+	require.NoError(t, err)
+	ctx, interrupt := context.WithCancel(context.Background())
+	require.NoError(t, h.Run(ctx, dir, withoutSlowStart, 1, 1000, func(*ViolationSearch) { interrupt() }))
+	again, err := OpenViolationSearch(dir)
+	require.NoError(t, err)
+	require.Equal(t, h, again)
+	require.Equal(t, [][2]uint64{{1, searchBatch}}, again.Tried)
+}
+
+func TestViolationSearchRejectsADamagedOrForeignFile(t *testing.T) {
+	dir := t.TempDir()
+	searchViolations(t, dir, sim.SchedulerPolicy, 1, 8)
+	path := filepath.Join(dir, searchFile)
+	text, err := os.ReadFile(path)
+	require.NoError(t, err)
+	for _, c := range []struct{ old, new, says string }{
+		{"version = 1", "version = 9", "hunt.toml: version: 9 is not this program's, 1"},
+		{"version = 1", "version = 1\ncolour = 2", "hunt.toml:2: colour: unknown key"},
+		{"scenes = 8", "scenes = 9", "hunt.toml: scenes: 9, while 8 seeds are tried"},
+		{"tried = [[1, 8]]", "tried = [[8, 1]]", "hunt.toml: tried[0]: seeds are not in order"},
+		{string(text[20:]), "", "hunt.toml"}} {
+		changed := strings.Replace(string(text), c.old, c.new, 1)
+		require.NotEqual(t, string(text), changed, c.old)
+		require.NoError(t, os.WriteFile(path, []byte(changed), 0o600))
+		_, err := OpenViolationSearch(dir)
+		require.ErrorContains(t, err, c.says)
+	}
+	_, err = OpenViolationSearch(path)
+	require.Error(t, err, "a file is no folder")
+}
+
+// In each scenario that a search has found the rules hold, and it delivers the share that it states.
+func TestKeptFindingsHold(t *testing.T) {
+	require.NotEmpty(t, scenario.Findings())
+	for _, name := range scenario.Findings() {
+		s, err := scenario.Read(name)
+		require.NoError(t, err)
+		require.NotZero(t, s.Floor, "%s states no floor", name)
+		r := sim.Play(s, s.Seed, sim.SchedulerPolicy)
+		require.Empty(t, r.Violations, name)
+		require.GreaterOrEqual(t, r.G, s.Floor, name)
+	}
+}
+
+func TestEveryDrawnScenarioIsValid(t *testing.T) {
+	for seed := range uint64(2000) {
+		s := DrawWide(seed)
+		require.Empty(t, s.Check(), "seed %d", seed)
+		endpoints := 0
+		for _, p := range s.Receivers {
+			endpoints += p.Count * p.Endpoints
+		}
+		require.True(t, endpoints >= 1 && endpoints <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d endpoints", seed, endpoints)
+	}
+}
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -36,7 +36,7 @@
 			n[int(at/10)]++
 		}
 		slack := 2.0
-		if a.dice != nil {
+		if a.random != nil {
 			slack = 60
 		}
 		for i, want := range []float64{100, 200, 0, 500} {
@@ -61,10 +61,10 @@
 }
 
 func TestPicksFollowTheirWeights(t *testing.T) {
-	p, dice := Zipf(3, 1), rand.New(rand.NewPCG(1, 2))
+	p, random := Zipf(3, 1), rand.New(rand.NewPCG(1, 2))
 	var n [3]float64
 	for range 110_000 {
-		n[p.Pick(dice)]++
+		n[p.Pick(random)]++
 	}
 	for i, want := range []float64{60_000, 30_000, 20_000} {
 		require.InEpsilon(t, want, n[i], 0.03)
@@ -111,11 +111,13 @@
 }
 
 func drawn(rate, seconds float64) *Generator {
-	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Dests: []uint64{1}, Dest: Zipf(1, 0), Types: []string{"status"}}
+	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Destinations: []uint64{1}, DestinationPicker: Zipf(1, 0), Types: []string{"status"}}
 }
 
-// The figures told are those injected: a delay, and of a stall of two seconds what each arrival met of it.
-func TestTheTimesToldAreThoseInjected(t *testing.T) { synctest.Test(t, theTimesToldAreThoseInjected) }
+// The figures reported are those injected: a delay, and of a stall of two seconds what each arrival met of it.
+func TestReportedLatenciesAreThoseInjected(t *testing.T) {
+	synctest.Test(t, theTimesToldAreThoseInjected)
+}
 
 func theTimesToldAreThoseInjected(t *testing.T) {
 	run := Run{Connections: 400, Timeout: 10 * time.Second, TimeToLive: 20, Bytes: 100}
@@ -165,7 +167,7 @@
 	require.InEpsilon(t, 2.05, r.Intended.P99, 0.05)
 }
 
-func TestAForwarderThatIsNotThereAnswersNothing(t *testing.T) {
+func TestAMissingForwarderGivesNoAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
--- /dev/null
+++ b/lab/receiver/receiver_test.go
@@ -0,0 +1,212 @@
+package receiver_test
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"spanflow/lab/clock"
+	"spanflow/lab/load"
+	"spanflow/lab/receiver"
+	"spanflow/transport"
+)
+
+// testRecorder is a record that sums up waits.
+type testRecorder struct {
+	runs      int
+	waited    float64
+	overloads int
+	informed  float64
+	reported  []float64
+	all       []receiver.Execution
+}
+
+func (n *testRecorder) CallReceived(int, int, int, []receiver.Message) {}
+func (n *testRecorder) MessageExecuted(r receiver.Execution) {
+	n.runs++
+	n.waited += r.StartedAt - r.ReceivedAt
+	if len(n.all) < 10_000 {
+		n.all = append(n.all, r)
+	}
+}
+func (n *testRecorder) EndpointOverloaded(_, _ int, informed float64) {
+	n.overloads, n.informed = n.overloads+1, informed
+}
+func (n *testRecorder) RetryAfterSent(_, _, _ int, wait float64) {
+	n.reported = append(n.reported, wait)
+}
+func (n *testRecorder) EndpointRecovered(int, int) {}
+
+// feed sends calls by a rate and returns how each ended.
+func feed(settings receiver.Behavior, rate float64, calls int, even bool) (*testRecorder, map[transport.ResultCode]int) {
+	q, n, ends := &clock.Queue{}, &testRecorder{}, map[transport.ResultCode]int{}
+	random := rand.New(rand.NewPCG(1, 2))
+	d := receiver.New(0, settings, 1, 1, q, random, n)
+	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
+	if even {
+		arrivals = load.Even(load.Shape{{Rate: rate}}, math.Inf(1))
+	}
+	left := calls
+	var next func()
+	next = func() {
+		at, _ := arrivals.Next()
+		q.At(at, func() {
+			d.Endpoints[0].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.Code]++ }})
+			if left--; left > 0 {
+				next()
+			}
+		})
+	}
+	next()
+	for q.Step(math.Inf(1)) {
+	}
+	return n, ends
+}
+
+// erlangB is the share of calls lost with c servers and an offered load of a.
+func erlangB(c int, a float64) float64 {
+	b := 1.0
+	for i := 1; i <= c; i++ {
+		b = a * b / (float64(i) + a*b)
+	}
+	return b
+}
+
+func TestWaitsAreThoseOfTheory(t *testing.T) {
+	const mean, calls = 0.1, 1_000_000
+	for _, c := range []struct {
+		places int
+		busy   float64
+	}{{1, 0.7}, {4, 0.7}, {8, 0.8}} {
+		a := c.busy * float64(c.places)
+		b := erlangB(c.places, a)
+		erlangC := b / (1 - c.busy*(1-b))
+		want := erlangC * mean / (float64(c.places) * (1 - c.busy))
+		n, _ := feed(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: mean}, Concurrency: c.places, Queue: 1 << 30}, a/mean, calls, false)
+		require.InEpsilon(t, want, n.waited/float64(n.runs), 0.03, "M/M/%d", c.places)
+	}
+	n, _ := feed(receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
+	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.waited/float64(n.runs), 0.03, "M/D/1")
+}
+
+func TestLossesAreThoseOfTheory(t *testing.T) {
+	for _, c := range []struct {
+		places int
+		a      float64
+	}{{1, 0.5}, {4, 3}, {10, 9}} {
+		_, ends := feed(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
+		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
+	}
+}
+
+func TestALimitAdmitsExactlyItsRate(t *testing.T) {
+	quick := receiver.Distribution{Form: "fixed", Mean: 0.001}
+	_, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
+	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
+	n, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
+	require.Equal(t, 7*5, ends[transport.ResultOK], "seven in any two seconds")
+	require.Equal(t, 1000-35, ends[transport.ResultRetryAfter])
+	for i := range n.all[7:] {
+		require.GreaterOrEqual(t, n.all[i+7].ReceivedAt-n.all[i].ReceivedAt, 2-1e-6)
+	}
+	require.InDelta(t, 2-0.07, n.reported[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
+}
+
+// At full capacity it executes 40 a second; right after an outage it bears twice a quarter of that, 20 a second, as a
+// budget for any second and a half: a call beyond 31 within that time overloads it, a short burst does not.
+func TestAnEndpointInSlowStartFailsWhenOverloadedAndNotBefore(t *testing.T) {
+	settings := receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.1}, Concurrency: 4, Queue: 1000, SlowStartFraction: 0.25, SlowStartDuration: 10, OverloadMultiple: 2, OverloadWindow: 1.5, OverloadDowntime: 5}
+	for _, c := range []struct {
+		rate     float64
+		calls    int
+		informed float64 // share of the calls that comes from forwarders which met the outage
+		fell     bool
+	}{{15, 60, 1, false}, {30, 60, 1, true}, {30, 60, 0.5, true}, {30, 30, 1, false}} {
+		q, n := &clock.Queue{}, &testRecorder{}
+		d := receiver.New(0, settings, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+		endpoint := d.Endpoints[0]
+		endpoint.ForwarderSawFailure(1) // before the outage: of no account
+		endpoint.BeginOutage()
+		q.At(0.5, func() { endpoint.ForwarderSawFailure(0) })
+		q.After(1, endpoint.EndOutage)
+		q.At(1.005, func() { endpoint.ForwarderSawFailure(1) }) // after it
+		for i := range c.calls {
+			q.At(1.01+float64(i)/c.rate, func() {
+				from := 0
+				if float64(i%2) >= 2*c.informed {
+					from = 1
+				}
+				endpoint.Accept(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
+			})
+		}
+		for q.Step(4) {
+		}
+		require.Equal(t, c.fell, n.overloads > 0, "%v calls at %v a second", c.calls, c.rate)
+		if c.fell {
+			require.InDelta(t, c.informed, n.informed, 0.02)
+		}
+	}
+}
+
+func TestAnIdempotencyKeyIsKnownForItsWindowAndTakesEffectOnce(t *testing.T) {
+	q, n := &clock.Queue{}, &testRecorder{}
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	for i, at := range []float64{0, 1, 4.9, 5.5} {
+		q.At(at, func() {
+			d.Endpoints[i%2].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(i), IdempotencyKey: 9, DeduplicationWindow: 5}}, Answer: func(receiver.Answer) {}})
+		})
+	}
+	for q.Step(100) {
+	}
+	require.Equal(t, []bool{true, false, false, true}, []bool{n.all[0].Effect, n.all[1].Effect, n.all[2].Effect, n.all[3].Effect})
+}
+
+func TestFaultsDoWhatTheySay(t *testing.T) {
+	q, n := &clock.Queue{}, &testRecorder{}
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+	endpoint := d.Endpoints[0]
+	var ends []transport.ResultCode
+	call := func() *receiver.Call {
+		c := &receiver.Call{Messages: []receiver.Message{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.Code) }}
+		endpoint.Accept(c)
+		return c
+	}
+	run := func() []transport.ResultCode {
+		ends = nil
+		for q.Step(math.Inf(1)) {
+		}
+		return ends
+	}
+	endpoint.Fault.Hangs = 1
+	call()
+	call()
+	waiting := call()
+	require.Empty(t, run())
+	waiting.Cancel() // waits in line: never runs
+	endpoint.EndHang()
+	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
+	require.Equal(t, 2, n.runs)
+	endpoint.Fault.Silences = 1
+	call()
+	require.Empty(t, run())
+	endpoint.Fault = receiver.Fault{LostFraction: 1}
+	call()
+	require.Empty(t, run())
+	require.Equal(t, 3, n.runs, "ran, though nobody heard")
+	endpoint.Fault = receiver.Fault{ErrorFraction: 1, EveryNth: 2}
+	call()
+	call()
+	require.ElementsMatch(t, []transport.ResultCode{transport.ResultOK, transport.ResultServerError}, run())
+	endpoint.Fault, ends = receiver.Fault{Draining: true}, nil
+	call()
+	require.Equal(t, []transport.ResultCode{transport.ResultOverloaded}, ends)
+	endpoint.Fault = receiver.Fault{}
+	call()
+	ends = nil
+	endpoint.BeginOutage()
+	require.Equal(t, []transport.ResultCode{transport.ResultClosed}, ends, "what it works on breaks")
+	refused, _ := endpoint.Connectivity()
+	require.True(t, refused)
+}
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -7,339 +7,247 @@
 	"spanflow/scheduler"
 )
 
-// Baselines to compare the scheduler with. They are for the laboratory only. The oracle sees the true state of all
-// endpoints and is a ceiling that may be out of reach.
+// Baselines are policies to compare the scheduler with, by name. They are for the laboratory only. The oracle sees the
+// true state of all endpoints and is a ceiling that may be out of reach.
 var Baselines = map[string]Maker{
-	"fifo": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		return newPlain(t, now, h)
-	},
-	"backoff": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newPlain(t, now, h)
-		p.backoff = true
-		return p
-	},
-	"bucket": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newPlain(t, now, h)
-		p.backoff, p.bucket = true, true
-		return p
-	},
-	"oracle": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newPlain(t, now, h)
-		p.seer = true
-		return p
-	},
-	"least-loaded": func(t scheduler.Settings, seed uint64, now float64, h scheduler.Host) Policy {
-		p := newPlain(t, now, h)
-		p.backoff, p.least = true, true
-		return p
-	},
+	"fifo":         baselineMaker(func(*baseline) {}),
+	"backoff":      baselineMaker(func(b *baseline) { b.backoff = true }),
+	"bucket":       baselineMaker(func(b *baseline) { b.backoff, b.bucket = true, true }),
+	"oracle":       baselineMaker(func(b *baseline) { b.oracle = true }),
+	"least-loaded": baselineMaker(func(b *baseline) { b.backoff, b.leastLoaded = true, true }),
 }
 
-// plain sends messages in the order of their coming and repeats what may be repeated. It heeds waits, drains, the order
-// of keys and what must not run twice; of cold returns and limits it knows nothing.
-type plain struct {
-	terms   scheduler.Settings
-	host    scheduler.Host
-	now     float64
-	held    []*plainMessage
-	byDoor  map[uint64]*plainMessage
-	dests   map[uint64]*plainDest
-	out     int
-	woken   bool
-	backoff bool // repeats wait twice as long each time
-	bucket  bool // a destination gets at most as many calls a second as it answered of late, and a quarter more
-	least   bool // the endpoint with the fewest calls out, not the next in turn
-	seer    bool // sends only what would be worked on at once and answered well
-	sees    func(door uint64) (ready bool, busy int)
-	fault   fault
+// baselineMaker makes baselines with a variation.
+func baselineMaker(vary func(*baseline)) Maker {
+	return func(settings scheduler.Settings, _ uint64, now float64, host scheduler.Host) Policy {
+		b := newBaseline(settings, now, host)
+		vary(b)
+		return b
+	}
 }
 
-// fault breaks one rule on purpose: the audit's own tests need forwarders that do.
-type fault uint8
+// Times in seconds, rates per second.
+const (
+	baselineTimeout    = 2.0  // of an attempt
+	baselineRetryDelay = 0.1  // before an attempt after one that failed; with backoff it doubles
+	baselineTick       = 0.02 // between two looks at what is held
+	minAdmissionTime   = 0.1  // that a message needs to be admitted
+	minAttemptTime     = 0.05 // that a message needs for a further attempt
+	maxBackoffDoubling = 5
+	initialAnswerRate  = 5.0 // of a destination, for bucket
+	bucketBurst        = 4.0
+	bucketGrowth       = 1.25 // over the rate at which a destination answers
+)
+
+// baseline sends messages in the order of their coming and retries what may be retried. It heeds retry-afters, drains,
+// the order of keys and what must not be executed twice; of slow starts and limits it knows nothing.
+type baseline struct {
+	settings     scheduler.Settings
+	host         scheduler.Host
+	now          float64
+	held         []*baselineMessage
+	messageByID  map[uint64]*baselineMessage
+	destinations map[uint64]*baselineDestination
+	openCalls    int
+	timerSet     bool
+	backoff      bool // retries wait twice as long each time
+	bucket       bool // a destination gets at most as many calls a second as it answered of late, and a quarter more
+	leastLoaded  bool // the endpoint with the fewest open calls, not the next in turn
+	oracle       bool // sends only what would be executed at once and answered well
+	inspect      func(id uint64) (ready bool, inService int)
+	misbehavior  misbehavior
+}
+
+// misbehavior breaks one rule on purpose: the audit's own tests need forwarders that do.
+type misbehavior uint8
 
 const (
-	sound fault = iota
-	overlaps
-	disorders
-	ignoresWaits
+	behaves misbehavior = iota
+	overlapsAttempts
+	breaksKeyOrder
+	ignoresRetryAfter
 	callsDraining
 	answersTwice
 	neverAnswers
 	answersLate
-	repeatsBinding
+	repeatsAtMostOnce
 )
 
-type plainDest struct {
-	targets []*plainTarget
-	next    int
-	tokens  float64
-	filled  float64
-	rate    float64
-	keys    map[uint64][]*plainMessage
+type baselineDestination struct {
+	endpoints  []*baselineEndpoint
+	next       int // of the endpoints, in turn
+	tokens     float64
+	refilledAt float64
+	rate       float64 // of its answers
+	keyQueues  map[uint64][]*baselineMessage
 }
 
-type plainTarget struct {
-	is       *scheduler.Endpoint
-	standing scheduler.EndpointState
-	out      int
-	zone     int
-	until    float64 // told to wait
-	apart    bool
-	batch    int     // messages that one call carries at most
-	began    float64 // when the latest call began; what is sent at the same moment joins it
-	riders   int     // messages that it carries
+type baselineEndpoint struct {
+	handle       *scheduler.Endpoint
+	state        scheduler.EndpointState
+	openCalls    int
+	zone         int
+	blockedUntil float64 // by a retry-after
+	ownLimits    bool
+	batchSize    int     // messages that one call carries at most
+	callStarted  float64 // when the latest call began; what is sent at the same moment joins it
+	callMessages int     // messages that it carries
 }
 
-type plainMessage struct {
-	is      *scheduler.Message
-	typ     *scheduler.MessageType
-	expiry  float64
-	out     int
-	sent    int
-	ran     float64
-	zone    int
-	next    float64
-	done    bool
-	to      *plainTarget
-	restTil float64
+type baselineMessage struct {
+	handle          *scheduler.Message
+	messageType     *scheduler.MessageType
+	expiry          float64
+	openAttempts    int
+	attempts        int
+	firstRanAt      float64 // when it may first have been executed; 0: never
+	zone            int     // of that execution
+	notBefore       float64 // for a further attempt
+	done            bool
+	endpoint        *baselineEndpoint // of the attempt that is out
+	keyBlockedUntil float64
 }
 
-const plainTimeout = 2.0
-
-func newPlain(t scheduler.Settings, now float64, h scheduler.Host) *plain {
-	return &plain{terms: t, host: h, now: now, byDoor: map[uint64]*plainMessage{}, dests: map[uint64]*plainDest{}}
+func newBaseline(settings scheduler.Settings, now float64, host scheduler.Host) *baseline {
+	return &baseline{settings: settings, host: host, now: now, messageByID: map[uint64]*baselineMessage{},
+		destinations: map[uint64]*baselineDestination{}}
 }
 
-func (p *plain) NewDestination(door uint64) *scheduler.Destination {
-	p.dests[door] = &plainDest{keys: map[uint64][]*plainMessage{}, rate: 5, filled: p.now}
-	return &scheduler.Destination{ID: door}
+// NewDestination makes a destination.
+func (b *baseline) NewDestination(id uint64) *scheduler.Destination {
+	b.destinations[id] = &baselineDestination{keyQueues: map[uint64][]*baselineMessage{}, rate: initialAnswerRate, refilledAt: b.now}
+	return &scheduler.Destination{ID: id}
 }
 
-func (p *plain) UpdateEndpoints(whole bool, lines []scheduler.EndpointUpdate) {
-	for _, l := range lines {
-		d := p.dests[l.Destination.ID]
-		var t *plainTarget
-		for _, o := range d.targets {
-			if o.is == l.Endpoint {
-				t = o
-			}
-		}
-		if t == nil {
-			t = &plainTarget{is: l.Endpoint, zone: l.Zone, apart: l.Kind < len(p.terms.KindEndpointLimits) && p.terms.KindEndpointLimits[l.Kind]}
-			d.targets = append(d.targets, t)
-		}
-		t.standing, t.batch = l.State, 1
-		if l.Kind < len(p.terms.KindBatchSize) {
-			t.batch = max(1, p.terms.KindBatchSize[l.Kind])
+// UpdateEndpoints takes changed endpoints.
+func (b *baseline) UpdateEndpoints(_ bool, updates []scheduler.EndpointUpdate) {
+	for _, u := range updates {
+		e := b.destinations[u.Destination.ID].endpoint(u.Endpoint)
+		e.zone, e.state, e.batchSize = u.Zone, u.State, 1
+		e.ownLimits = u.Kind < len(b.settings.KindEndpointLimits) && b.settings.KindEndpointLimits[u.Kind]
+		if u.Kind < len(b.settings.KindBatchSize) {
+			e.batchSize = max(1, b.settings.KindBatchSize[u.Kind])
 		}
 	}
 }
 
-// joins tells if a message would join the call that has just begun: it needs no place of its own.
-func (p *plain) joins(t *plainTarget) bool { return p.seer && t.began == p.now && t.riders < t.batch }
+// endpoint is the destination's endpoint with a handle, made if it is new.
+func (d *baselineDestination) endpoint(handle *scheduler.Endpoint) *baselineEndpoint {
+	for _, e := range d.endpoints {
+		if e.handle == handle {
+			return e
+		}
+	}
+	e := &baselineEndpoint{handle: handle}
+	d.endpoints = append(d.endpoints, e)
+	return e
+}
 
-func (p *plain) Admit(size int, left float64) (bool, float64) {
-	return len(p.held) < p.terms.QueueCapacity && left > 0.1, math.Min(1, p.terms.MaxRetryAfter)
+// Admit admits a message while there is room and time.
+func (b *baseline) Admit(_ int, left float64) (admitted bool, retryAfter float64) {
+	return len(b.held) < b.settings.QueueCapacity && left > minAdmissionTime, b.retryAfter()
 }
 
-func (p *plain) Accept(d *scheduler.Message, typ int, left float64) {
-	x := &plainMessage{is: d, typ: &p.terms.Types[typ], expiry: p.now + left}
-	p.held = append(p.held, x)
-	p.byDoor[d.ID] = x
-	if x.typ.InOrder && d.Key != 0 {
-		dest := p.dests[d.Dest.ID]
-		dest.keys[d.Key] = append(dest.keys[d.Key], x)
+// retryAfter is when clients may come again.
+func (b *baseline) retryAfter() float64 { return math.Min(1, b.settings.MaxRetryAfter) }
+
+// Accept takes a message.
+func (b *baseline) Accept(message *scheduler.Message, typeIndex int, left float64) {
+	m := &baselineMessage{handle: message, messageType: &b.settings.Types[typeIndex], expiry: b.now + left}
+	b.held = append(b.held, m)
+	b.messageByID[message.ID] = m
+	if m.inOrder() {
+		d := b.destinations[message.Dest.ID]
+		d.keyQueues[message.Key] = append(d.keyQueues[message.Key], m)
 	}
 }
 
-func (p *plain) Recover(d *scheduler.Message, typ int, left float64, past scheduler.RecoveredState) {
-	p.Accept(d, typ, left)
-	x := p.byDoor[d.ID]
-	x.sent, x.ran, x.zone = past.Attempts, past.FirstRanAt, past.Zone
-	x.next = p.now + p.terms.KeyCooldown
+// inOrder tells whether the message has an ordering key.
+func (m *baselineMessage) inOrder() bool { return m.messageType.InOrder && m.handle.Key != 0 }
+
+// Recover takes a message that an earlier process left unanswered.
+func (b *baseline) Recover(message *scheduler.Message, typeIndex int, left float64, state scheduler.RecoveredState) {
+	b.Accept(message, typeIndex, left)
+	m := b.messageByID[message.ID]
+	m.attempts, m.firstRanAt, m.zone = state.Attempts, state.FirstRanAt, state.Zone
+	m.notBefore = b.now + b.settings.KeyCooldown
 }
 
-func (p *plain) SetTime(now float64) { p.now = now }
-func (p *plain) TimerFired()         { p.woken = false }
+// SetTime sets the clock.
+func (b *baseline) SetTime(now float64) { b.now = now }
+
+// TimerFired says that the timer has fired.
+func (b *baseline) TimerFired() { b.timerSet = false }
 
-func (p *plain) AttemptEnded(d *scheduler.Message, e scheduler.AttemptResult) {
-	x := p.byDoor[d.ID]
-	if x == nil {
+// AttemptEnded takes the result of an attempt.
+func (b *baseline) AttemptEnded(message *scheduler.Message, result scheduler.AttemptResult) {
+	m := b.messageByID[message.ID]
+	if m == nil {
 		return
 	}
-	if x.out--; x.out == 0 {
-		p.out--
-		x.to.out--
+	if m.openAttempts--; m.openAttempts == 0 {
+		b.openCalls--
+		m.endpoint.openCalls--
 	}
-	if e.RetryAfter > 0 {
-		for _, t := range p.dests[d.Dest.ID].targets {
-			if t == x.to || !t.apart {
-				t.until = math.Max(t.until, p.now+e.RetryAfter)
-			}
-		}
+	d := b.destinations[message.Dest.ID]
+	if result.RetryAfter > 0 {
+		d.block(m.endpoint, b.now+result.RetryAfter)
 	}
-	if e.Outcome == scheduler.Delivered {
-		p.dests[d.Dest.ID].rate++
+	if result.Outcome == scheduler.Delivered {
+		d.rate++
 	}
-	if x.done {
+	if m.done {
 		return
 	}
-	switch e.Outcome {
+	switch result.Outcome {
 	case scheduler.ServerError, scheduler.TimedOut, scheduler.Reset, scheduler.Cancelled:
-		if x.ran == 0 {
-			x.ran, x.zone = p.now-e.Latency, x.to.zone
+		if m.firstRanAt == 0 {
+			m.firstRanAt, m.zone = b.now-result.Latency, m.endpoint.zone
 		}
-		x.restTil = p.now + p.terms.KeyCooldown + 0.01
+		m.keyBlockedUntil = b.now + b.settings.KeyCooldown + 0.01
 	}
-	if e.Final {
-		p.end(x)
+	if result.Final {
+		b.finish(m)
 		return
 	}
-	wait := 0.1
-	if p.backoff {
-		wait *= math.Pow(2, float64(min(x.sent, 5)))
+	delay := baselineRetryDelay
+	if b.backoff {
+		delay *= math.Pow(2, float64(min(m.attempts, maxBackoffDoubling)))
 	}
-	x.next = p.now + wait
+	m.notBefore = b.now + delay
 }
 
-// end lets go of a message that has its answer. Its key rests if it may still run.
-func (p *plain) end(x *plainMessage) {
-	x.done = true
-	for i, o := range p.held {
-		if o == x {
-			p.held = append(p.held[:i:i], p.held[i+1:]...)
-			break
-		}
-	}
-	if x.typ.InOrder && x.is.Key != 0 {
-		dest := p.dests[x.is.Dest.ID]
-		list := dest.keys[x.is.Key]
-		for i, o := range list {
-			if o == x {
-				list = append(list[:i:i], list[i+1:]...)
-				break
-			}
-		}
-		if len(list) == 0 {
-			delete(dest.keys, x.is.Key)
-		} else {
-			dest.keys[x.is.Key] = list
-			list[0].next = math.Max(list[0].next, x.restTil)
+// block heeds a retry-after of an endpoint, which is for all of the destination that share its limits.
+func (d *baselineDestination) block(from *baselineEndpoint, until float64) {
+	for _, e := range d.endpoints {
+		if e == from || !e.ownLimits {
+			e.blockedUntil = math.Max(e.blockedUntil, until)
 		}
 	}
 }
 
-// hopeless tells that a message must not be sent any more, and whether it may be handed in again.
-func (p *plain) hopeless(x *plainMessage) (over, again bool) {
-	switch {
-	case p.now >= x.expiry-0.05 || x.sent >= p.terms.MaxAttempts:
-		return true, x.ran == 0 || x.typ.Idempotency == scheduler.Idempotent
-	case x.ran == 0 || x.typ.Idempotency == scheduler.Idempotent:
-		return false, false
-	case x.typ.Idempotency == scheduler.AtMostOnce:
-		return p.fault != repeatsBinding, false
-	}
-	return p.now > x.ran+x.typ.DeduplicationWindow-plainTimeout-0.5, false
-}
-
-func (p *plain) Reconcile() {
-	all := append([]*plainMessage(nil), p.held...)
-	if p.seer { // those that can be in time still, before those that are late already
-		late := func(x *plainMessage) bool { return p.now > x.expiry-x.typ.TimeToLive+x.typ.LatencyObjective }
-		slices.SortStableFunc(all, func(a, b *plainMessage) int {
-			switch la, lb := late(a), late(b); {
-			case la == lb:
-				return 0
-			case lb:
-				return -1
-			}
-			return 1
-		})
-	}
-	for _, x := range all {
-		if x.out > 0 && !(p.fault == overlaps && x.out == 1 && p.now > x.next) {
-			continue
-		}
-		if over, again := p.hopeless(x); over {
-			if p.fault == neverAnswers || p.fault == answersLate && p.now < x.expiry+1 {
-				continue
-			}
-			p.end(x)
-			for range 1 + map[bool]int{true: 1}[p.fault == answersTwice] {
-				if again {
-					p.host.Reject(x.is, math.Min(1, p.terms.MaxRetryAfter))
-				} else {
-					p.host.Fail(x.is)
-				}
-			}
-			continue
-		}
-		if p.now < x.next || p.out >= p.terms.ConcurrencyLimit {
-			continue
-		}
-		d := p.dests[x.is.Dest.ID]
-		if x.typ.InOrder && x.is.Key != 0 && d.keys[x.is.Key][0] != x && p.fault != disorders {
-			continue
-		}
-		if t := p.pick(d, x); t != nil {
-			p.send(x, t, d)
-		}
-	}
-	if len(p.held) > 0 && !p.woken {
-		p.woken = true
-		p.host.Wake(0.02)
-	}
-}
-
-func (p *plain) pick(d *plainDest, x *plainMessage) *plainTarget {
-	if p.bucket {
-		d.tokens = math.Min(4, d.tokens+(p.now-d.filled)*math.Max(1, d.rate*1.25))
-		d.rate *= math.Exp(d.filled - p.now)
-		if d.filled = p.now; d.tokens < 1 {
-			return nil
-		}
+// finish drops a message that has its answer. Its key waits if it may still be executed.
+func (b *baseline) finish(m *baselineMessage) {
+	m.done = true
+	b.held = without(b.held, m)
+	if !m.inOrder() {
+		return
 	}
-	var best *plainTarget
-	least := 0
-	for i := range d.targets {
-		t := d.targets[(d.next+i)%len(d.targets)]
-		if t.standing != scheduler.Ready && p.fault != callsDraining || t.standing == scheduler.Removed || p.now < t.until+0.005 && p.fault != ignoresWaits {
-			continue
-		}
-		if x.ran > 0 && x.typ.Idempotency == scheduler.IdempotentWithKey && x.typ.DeduplicatedPerZone && t.zone != x.zone {
-			continue
-		}
-		if p.joins(t) {
-			return t
-		}
-		if p.seer {
-			ready, busy := p.sees(t.is.ID)
-			if ready && (best == nil || busy < least) {
-				best, least = t, busy
-			}
-			continue
-		}
-		if best == nil || p.least && t.out < best.out {
-			best = t
-		}
+	d := b.destinations[m.handle.Dest.ID]
+	queue := without(d.keyQueues[m.handle.Key], m)
+	if len(queue) == 0 {
+		delete(d.keyQueues, m.handle.Key)
+		return
 	}
-	return best
+	d.keyQueues[m.handle.Key] = queue
+	queue[0].notBefore = math.Max(queue[0].notBefore, m.keyBlockedUntil)
 }
 
-func (p *plain) send(x *plainMessage, t *plainTarget, d *plainDest) {
-	if d.next++; p.joins(t) {
-		t.riders++
-	} else {
-		t.began, t.riders = p.now, 1
-	}
-	d.tokens--
-	if x.out == 0 {
-		p.out++
-		t.out++
-		x.to = t
+// without is a list without one message; the list itself stays as it is.
+func without(list []*baselineMessage, m *baselineMessage) []*baselineMessage {
+	i := slices.Index(list, m)
+	if i < 0 {
+		return list
 	}
-	x.out++
-	x.sent++
-	x.next = p.now + 0.02
-	p.host.Send(x.is, t.is, math.Min(plainTimeout, x.expiry-p.now))
+	return append(list[:i:i], list[i+1:]...)
 }
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -15,15 +15,15 @@
 	"spanflow/lab/audit"
 )
 
-// sleeper is a process of a day without a scene; its program writes down that it was started and does nothing.
+// sleeper is a process of a run without a scenario; its program writes down that it was started and does nothing.
 func sleeper(t *testing.T) *process {
 	program := filepath.Join(t.TempDir(), "sleeper")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\necho started >> \"$0.starts\"\nexec sleep 60\n"), 0o700))
-	d := &realDay{Real: Real{Program: program}, epoch: time.Now()}
+	d := &realRun{Real: Real{Program: program}, epoch: time.Now()}
 	d.log = audit.New(d, func(int) bool { return false }, 0)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
-	p := &process{day: d, log: log}
+	p := &process{run: d, log: log}
 	require.NoError(t, p.start())
 	t.Cleanup(p.stop)
 	return p
@@ -39,28 +39,28 @@
 	return rest[:1]
 }
 
-// present is the process that there is and its state, as of one moment of the day.
+// present is the process that there is and its state, as of one moment of the run.
 func (p *process) present() (pid int, is string, now float64) {
-	p.day.mu.Lock()
-	defer p.day.mu.Unlock()
-	return p.cmd.Process.Pid, state(p.cmd.Process.Pid), p.day.Now()
+	p.run.mu.Lock()
+	defer p.run.mu.Unlock()
+	return p.cmd.Process.Pid, state(p.cmd.Process.Pid), p.run.Now()
 }
 
 // starts is how many processes have begun.
 func (p *process) starts() int {
-	text, _ := os.ReadFile(p.day.Program + ".starts")
+	text, _ := os.ReadFile(p.run.Program + ".starts")
 	return strings.Count(string(text), "\n")
 }
 
 const patience = 10 * time.Second
 
-func TestAShorterStandstillDoesNotEndALongerOne(t *testing.T) {
+func TestAShorterStallDoesNotEndALongerOne(t *testing.T) {
 	p := sleeper(t)
-	p.day.mu.Lock()
-	until := p.day.Now() + 0.5
-	p.standStill(until)
-	p.standStill(p.day.Now() + 0.1)
-	p.day.mu.Unlock()
+	p.run.mu.Lock()
+	until := p.run.Now() + 0.5
+	p.stall(until)
+	p.stall(p.run.Now() + 0.1)
+	p.run.mu.Unlock()
 	require.Eventually(t, func() bool { _, is, _ := p.present(); return is == "T" }, patience, time.Millisecond)
 	for {
 		_, is, now := p.present()
@@ -73,21 +73,21 @@
 	require.Eventually(t, func() bool { _, is, _ := p.present(); return is != "T" }, patience, time.Millisecond)
 }
 
-// Whatever comes first: the process that follows a kill begins at the end of the standstill, and there is but one.
-func TestAProcessThatFollowsAKillBeginsAtTheEndOfAStandstill(t *testing.T) {
+// Whatever comes first: the process that follows a kill begins at the end of the stall, and there is but one.
+func TestAProcessThatFollowsAKillBeginsAtTheEndOfAStall(t *testing.T) {
 	for _, killFirst := range []bool{true, false} {
 		p := sleeper(t)
 		require.Eventually(t, func() bool { return p.starts() == 1 }, patience, time.Millisecond)
 		first, _, _ := p.present()
-		p.day.mu.Lock()
-		until := p.day.Now() + downFor + 0.5
+		p.run.mu.Lock()
+		until := p.run.Now() + restartDelay + 0.5
 		if killFirst {
 			p.kill()
 		}
-		p.standStill(until)
+		p.stall(until)
 		p.kill() // one that is down is not killed once more
 		p.kill()
-		p.day.mu.Unlock()
+		p.run.mu.Unlock()
 		for {
 			pid, _, now := p.present()
 			if now >= until {
@@ -105,22 +105,22 @@
 	}
 }
 
-// The kept standstill, shorter, on real sockets: it is seen there as on the simulated clock, and no rule is broken.
-func TestAStandstillThatMeetsARestartOnRealSockets(t *testing.T) {
+// The kept stall, shorter, on real sockets: it is seen there as on the simulated clock, and no rule is broken.
+func TestAStallThatMeetsARestartOnRealSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
-	s := standstill(t)
+	s := stallScenario(t)
 	s.Length, s.Drain = 8, 10
 	s.Types[0].LatencyObjective, s.Types[0].TimeToLive = 1.5, 8
 	s.Faults[0].At, s.Faults[1].At, s.Faults[1].For = 1.5, 2, 4
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
-	twin := Play(s, 1, Module)
+	twin := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, twin.Messages, r.Messages, "the same load")
 	require.Greater(t, twin.Late, twin.Messages/5)
-	require.Greater(t, r.Late, r.Messages/5, "the standstill is seen")
+	require.Greater(t, r.Late, r.Messages/5, "the stall is seen")
 	t.Logf("on sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, twin.G, twin.Late)
 }
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -19,13 +19,13 @@
 	"spanflow/scheduler"
 )
 
-func kept(t *testing.T, name string) *scenario.Scenario {
+func readScenario(t *testing.T, name string) *scenario.Scenario {
 	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	return s
 }
 
-func broken(r *Result) map[audit.Rule]int {
+func violationsByRule(r *Result) map[audit.Rule]int {
 	n := map[audit.Rule]int{}
 	for _, b := range r.Violations {
 		n[b.Rule]++
@@ -33,9 +33,9 @@
 	return n
 }
 
-func TestTheSchedulerKeepsTheRulesInEachKeptScenario(t *testing.T) {
+func TestTheSchedulerKeepsTheRulesInEachBuiltinScenario(t *testing.T) {
 	for _, name := range scenario.Builtin() {
-		r := Play(kept(t, name), 1, Module)
+		r := Play(readScenario(t, name), 1, SchedulerPolicy)
 		require.Empty(t, r.Violations, name)
 		require.Greater(t, r.G, 0.6, name)
 		t.Logf("%-32s G %.3f, served %d of %d, late %d, refused %d", name, r.G, r.Served, r.Messages, r.Late, r.Refused)
@@ -43,14 +43,14 @@
 }
 
 func TestTheSameScenarioAndSeedGiveTheSameBytes(t *testing.T) {
-	s := kept(t, "several-at-once")
-	want := Play(s, 7, Module).JSON()
+	s := readScenario(t, "several-at-once")
+	want := Play(s, 7, SchedulerPolicy).JSON()
 	for _, cores := range []int{1, 4} {
 		before := runtime.GOMAXPROCS(cores)
 		var wg sync.WaitGroup
 		got := make([][]byte, 4)
 		for i := range got {
-			wg.Go(func() { got[i] = Play(s, 7, Module).JSON() })
+			wg.Go(func() { got[i] = Play(s, 7, SchedulerPolicy).JSON() })
 		}
 		wg.Wait()
 		runtime.GOMAXPROCS(before)
@@ -58,57 +58,57 @@
 			require.True(t, bytes.Equal(want, g))
 		}
 	}
-	require.NotEqual(t, want, Play(s, 8, Module).JSON())
+	require.NotEqual(t, want, Play(s, 8, SchedulerPolicy).JSON())
 }
 
 // A forwarder that breaks one rule is caught at it, by that rule.
 func TestTheAuditCatchesEachRuleBrokenOnPurpose(t *testing.T) {
 	for _, c := range []struct {
-		fault fault
+		fault misbehavior
 		scene string
 		rule  audit.Rule
-	}{{overlaps, "calm", audit.NoDouble}, {disorders, "one-partner-hangs", audit.Order}, {ignoresWaits, "limits-cut", audit.Waits},
-		{callsDraining, "drains", audit.Drains}, {answersTwice, "one-partner-hangs", audit.OneAnswer}, {neverAnswers, "one-partner-hangs", audit.OneAnswer},
-		{answersLate, "one-partner-hangs", audit.OneAnswer}, {repeatsBinding, "several-at-once", audit.NoDouble}, {sound, "returns-cold", audit.Returns}} {
+	}{{overlapsAttempts, "calm", audit.RuleNoDoubleEffect}, {breaksKeyOrder, "one-partner-hangs", audit.RuleKeyOrder}, {ignoresRetryAfter, "limits-cut", audit.RuleRetryAfterHeeded},
+		{callsDraining, "drains", audit.RuleDrainObserved}, {answersTwice, "one-partner-hangs", audit.RuleOneAnswer}, {neverAnswers, "one-partner-hangs", audit.RuleOneAnswer},
+		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {behaves, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
 		var s *scenario.Scenario
 		if c.scene == "drains" {
-			s = kept(t, "calm")
+			s = readScenario(t, "calm")
 			s.Faults = []scenario.Fault{{Kind: "drain", At: 10, For: 5, Destinations: []int{0, 1}, Endpoints: []int{0}}}
 		} else {
-			s = kept(t, c.scene)
+			s = readScenario(t, c.scene)
 		}
-		make := func(fault fault) Maker {
-			return func(terms scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
-				p := newPlain(terms, now, h)
-				p.fault = fault
+		make := func(fault misbehavior) Maker {
+			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
+				p := newBaseline(settings, now, h)
+				p.misbehavior = fault
 				return p
 			}
 		}
-		n := broken(Play(s, 1, make(c.fault)))
+		n := violationsByRule(Play(s, 1, make(c.fault)))
 		require.NotZero(t, n[c.rule], "%d in %s: %v", c.fault, c.scene, n)
-		if c.fault != sound {
-			require.Zero(t, broken(Play(s, 1, make(sound)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
+		if c.fault != behaves {
+			require.Zero(t, violationsByRule(Play(s, 1, make(behaves)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
 		}
 	}
 }
 
-// The oracle is a ceiling: in no kept scene does the scheduler or a baseline deliver much more.
+// The oracle is a ceiling: in no built-in scenario does the scheduler or a baseline deliver much more.
 func TestTheOracleIsACeiling(t *testing.T) {
 	for _, name := range scenario.Builtin() {
-		s := kept(t, name)
+		s := readScenario(t, name)
 		top := Play(s, 1, Baselines["oracle"])
-		module := Play(s, 1, Module)
+		module := Play(s, 1, SchedulerPolicy)
 		require.Greater(t, top.G, module.G-0.01, name)
 		t.Logf("%-32s oracle %.3f module %.3f fifo %.3f", name, top.G, module.G, Play(s, 1, Baselines["fifo"]).G)
 	}
 }
 
-// One short scene on real sockets: the built program as processes, the same model of receivers.
+// One short scenario on real sockets: the built program as processes, the same model of receivers.
 func TestAScenarioOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
-	s := kept(t, "returns-cold")
+	s := readScenario(t, "returns-cold")
 	s.Length, s.Drain, s.Dispatch.Forwarders = 6, 6, 2
 	for i := range s.Types {
 		s.Types[i].TimeToLive, s.Types[i].DeduplicationWindow = 5, min(s.Types[i].DeduplicationWindow, 4)
@@ -118,48 +118,48 @@
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
 	require.Greater(t, r.Messages, 150)
-	twin := Play(s, 1, Module)
+	twin := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, twin.Messages, r.Messages, "the same load")
 	require.InDelta(t, twin.G, r.G, 0.15)
 	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
 }
 
-// random draws a scene: some receivers, some troubles.
-func random(base *scenario.Scenario, seed uint64) *scenario.Scenario {
-	dice := rand.New(rand.NewPCG(seed, 9))
+// drawScenario draws a scenario: some receivers, some faults.
+func drawScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
+	random := rand.New(rand.NewPCG(seed, 9))
 	s := *base
-	s.Length, s.Drain, s.Zones = 20, 20, 1+dice.IntN(2)
-	s.Dispatch.Forwarders = 1 + dice.IntN(4)
-	s.Dispatch.ConcurrencyLimit = 4 + dice.IntN(20)
-	s.Load.PerSecond = 5 + 60*dice.Float64()
+	s.Length, s.Drain, s.Zones = 20, 20, 1+random.IntN(2)
+	s.Dispatch.Forwarders = 1 + random.IntN(4)
+	s.Dispatch.ConcurrencyLimit = 4 + random.IntN(20)
+	s.Load.PerSecond = 5 + 60*random.Float64()
 	s.Receivers = append([]scenario.Receiver(nil), base.Receivers...)
 	for i := range s.Receivers {
 		p := &s.Receivers[i]
-		p.Endpoints, p.EndpointLimits, p.ReportsLimit = 1+dice.IntN(3), dice.IntN(3) == 0, dice.IntN(2) == 0
-		if dice.IntN(3) == 0 {
+		p.Endpoints, p.EndpointLimits, p.ReportsLimit = 1+random.IntN(3), random.IntN(3) == 0, random.IntN(2) == 0
+		if random.IntN(3) == 0 {
 			p.Calls, p.Window, p.ReportsRetryAfter = 20, 2, true
 		}
 	}
 	kinds := []string{"refuse", "hang", "silent", "slow", "err", "reset", "lose", "spoil", "reap", "cut", "drain", "stall", "restart", "move"}
 	s.Faults = nil
-	for range dice.IntN(4) {
-		s.Faults = append(s.Faults, scenario.Fault{Kind: kinds[dice.IntN(len(kinds))], At: config.Duration(4 + 8*dice.Float64()), For: config.Duration(1 + 7*dice.Float64()),
-			Destinations: []int{dice.IntN(8)}, Fraction: 0.2 + 0.6*dice.Float64(), By: 3})
+	for range random.IntN(4) {
+		s.Faults = append(s.Faults, scenario.Fault{Kind: kinds[random.IntN(len(kinds))], At: config.Duration(4 + 8*random.Float64()), For: config.Duration(1 + 7*random.Float64()),
+			Destinations: []int{random.IntN(8)}, Fraction: 0.2 + 0.6*random.Float64(), By: 3})
 	}
 	return &s
 }
 
-func TestAFaultlessForwarderIsNeverAccused(t *testing.T) {
-	base := kept(t, "calm")
+func TestTheAuditReportsNoViolationOfTheScheduler(t *testing.T) {
+	base := readScenario(t, "calm")
 	var wg sync.WaitGroup
 	accused := make([]string, 200)
-	places := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4)
 	for seed := range accused {
 		wg.Go(func() {
-			places <- struct{}{}
-			defer func() { <-places }()
-			s := random(base, uint64(seed))
-			if r := Play(s, uint64(seed), Module); len(r.Violations) > 0 {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			s := drawScenario(base, uint64(seed))
+			if r := Play(s, uint64(seed), SchedulerPolicy); len(r.Violations) > 0 {
 				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
 		})
@@ -180,7 +180,7 @@
 			s.Load.PerSecond = 480
 			s.Length, s.Drain = 30, 5
 			for b.Loop() {
-				Play(s, 1, Module)
+				Play(s, 1, SchedulerPolicy)
 			}
 			b.ReportMetric(35*float64(b.N)/b.Elapsed().Seconds(), "x-real-time")
 		})
