--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -41,8 +41,8 @@
 
 type endpointKey struct{ destination, endpoint int }
 
-// retryAfterKey is whom a retry-after is for; endpoint is anyEndpoint where a destination's endpoints share their
-// limits.
+// retryAfterKey names what a retry-after applies to; endpoint is anyEndpoint where a destination's endpoints share
+// their limits.
 type retryAfterKey struct{ destination, endpoint, forwarder int }
 
 const anyEndpoint = -1
@@ -132,12 +132,12 @@
 	}
 }
 
-// answerDeadline is until when a message has to have its answer.
+// answerDeadline is the moment by which a message has to have its final answer.
 func (l *Log) answerDeadline(m *Message) float64 {
 	return math.Max(m.Expiry, l.unavailableUntil[m.Forwarder]) + l.Slack.Answer
 }
 
-// EndpointDraining says that forwarders have been told by the endpoint list that an endpoint drains or leaves.
+// EndpointDraining says that the endpoint list has informed forwarders that an endpoint drains or leaves.
 func (l *Log) EndpointDraining(destination, endpoint int) {
 	key := endpointKey{destination, endpoint}
 	if _, known := l.drainingSince[key]; !known {
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -11,7 +11,8 @@
 	RuleNoDoubleEffect Rule = "2 no effect twice"
 	// RuleDrainObserved is kept if a draining endpoint gets no calls.
 	RuleDrainObserved Rule = "3 drains kept"
-	// RuleRecoveryNotOverloaded is kept if endpoints in their slow start are not overloaded by those that knew of it.
+	// RuleRecoveryNotOverloaded is kept if endpoints in their slow start are not overloaded by forwarders that knew of
+	// the outage.
 	RuleRecoveryNotOverloaded Rule = "4 returns not pushed over"
 	// RuleKeyOrder is kept if messages of one ordering key are sent one after another.
 	RuleKeyOrder Rule = "5 order per key"
@@ -36,7 +37,7 @@
 type Violation struct {
 	Rule    Rule     `json:"Rule"`
 	At      float64  `json:"At"`  // seconds of the run's clock
-	Message uint64   `json:"Doc"` // 0: it is of no one message
+	Message uint64   `json:"Doc"` // 0: it concerns no single message
 	Reason  string   `json:"What"`
 	History []string `json:"History"`
 }
