--- a/lab/capacity/file.go
+++ b/lab/capacity/file.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// ReadResults reads a file of measured results. UnknownOption fields are an error that names the file.
+// ReadResults reads a file of measured results. Unknown fields are an error that names the file.
 func ReadResults(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -44,7 +44,7 @@
 	Slope     float64 `json:"slope"`
 	Residual  float64 `json:"residual"`          // root mean square of the relative errors
 	BendAt    float64 `json:"bend_at,omitempty"` // the size from which the line does not hold, 0 if it holds
-	Power     float64 `json:"power"`             // of the size with which the value grows over all points: 0 level, 1 straight, 2 quadratic
+	Power     float64 `json:"power"`             // exponent of the size in the value: 0 level, 1 straight, 2 quadratic
 }
 
 // FleetTrial is one run of many hollow forwarders against one discovery server.
