--- a/lab/capacity/hollow/endpoint_list.go
+++ b/lab/capacity/hollow/endpoint_list.go
@@ -14,7 +14,7 @@
 	uidMultiplier   = 2654435761 // odd, so that different numbers get different ids
 )
 
-// entry is one target of the list, in discovery's published form.
+// entry is one endpoint of the list, in discovery's published form.
 type entry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -26,7 +26,7 @@
 	BootMs       int64   `json:"boot_ms"`
 }
 
-// The states of a target.
+// The states of an endpoint.
 const (
 	stateActive  = "active"
 	stateLeaving = "leaving"
@@ -46,7 +46,7 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone+1) }
 
-// makeList is a list with one target for each destination. Nothing calls their endpoints.
+// makeList is a list with one endpoint for each destination. Nothing calls the endpoints.
 func makeList(destinations int) []entry {
 	list := make([]entry, destinations)
 	for i := range list {
--- a/lab/capacity/hollow/gate.go
+++ b/lab/capacity/hollow/gate.go
@@ -11,7 +11,7 @@
 	received, sent atomic.Int64
 }
 
-// gate is the way between discovery and the forwarders of one zone. While it is cut, connections stay open and say
+// gate is the way between discovery and the forwarders of one zone. While it is cut, connections stay open and carry
 // nothing; once it is back, all connections of before are reset.
 type gate struct {
 	traffic *traffic
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -62,7 +62,7 @@
 	MemoryBytes  int64         // of all processes together; 0: a quarter of the machine's
 	ListBytes    int           // of one object of discovery's watch at most; 0: the forwarder's own limit
 	Seed         uint64
-	Program      []string     // that calls Serve with the role that is appended; its standard input and output are the connection to it
+	Program      []string     // calls Serve with the role that is appended, on standard input and output
 	Progress     func(string) // gets a line for each step; may be nil
 }
 
--- a/lab/capacity/hollow/message.go
+++ b/lab/capacity/hollow/message.go
@@ -70,7 +70,8 @@
 	Revision int64 `json:"revision"`
 }
 
-// restartRequest ends forwarders without a farewell and starts them anew, with the list of the first revision known.
+// restartRequest ends forwarders without a graceful stop and starts them anew, with the first revision of the list
+// known.
 type restartRequest struct {
 	EveryNth int `json:"every_nth"` // of the fleet
 }
@@ -94,7 +95,7 @@
 	Revision  int64        `json:"revision,omitempty"`  // to publishRequest
 	InForce   []int64      `json:"in_force,omitempty"`  // to awaitRequest: when, by forwarder; 0: not yet
 	Endings   []ending     `json:"endings,omitempty"`   // to awaitRequest: since the expectation
-	Late      int          `json:"late,omitempty"`      // to awaitRequest: "late" lines in the forwarders' logs since then
+	Late      int          `json:"late,omitempty"`      // to awaitRequest: "late" lines in the forwarders' logs since
 	Usage     *usage       `json:"usage,omitempty"`
 	Memory    *memoryUsage `json:"memory,omitempty"`
 }
--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -29,7 +29,7 @@
 	return &registry{list: makeList(destinations), revision: firstRevision, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// publish lets a target that is drawn leave, or come back if it was leaving, and returns the new revision.
+// publish lets an endpoint that is drawn leave, or come back if it was leaving, and returns the new revision.
 func (r *registry) publish() (int64, error) {
 	index := r.random.IntN(len(r.list))
 	target := &r.list[index]
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	warmUpDivisor = 10                     // the fleet is left alone for one part in so many of Config.Lasts before anything is measured
+	warmUpDivisor = 10                     // one part in so many of Config.Lasts passes before anything is measured
 	betweenTimes  = 250 * time.Millisecond // between two changes
 	maxEndings    = 3                      // reasons for ended watches that a note names
 )
@@ -161,15 +161,15 @@
 		seconds, 100*busyFraction(before.machine, after.machine), used.CPU))
 }
 
-// publish makes a change that all forwarders are expected to hear of, and returns its moment.
+// publish makes a change that all forwarders are expected to learn of, and returns its moment.
 func (t *trial) publish() (at int64, err error) {
 	t.revision++
 	t.result.Changes++
 	return t.fleet.publish()
 }
 
-// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could hear of
-// it.
+// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could learn
+// of it.
 func (t *trial) awaitInForce(since func(forwarder int) int64) error {
 	heard, err := t.fleet.await(inForceWithin)
 	if err != nil {
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -97,7 +97,7 @@
 	if len(s.Addresses) != zoneCount {
 		return 0, fmt.Errorf("addresses: %d, not one for each of %d zones", len(s.Addresses), zoneCount)
 	}
-	logging.Output = os.Stderr // standard output is the line to the coordinator
+	logging.Output = os.Stderr // standard output is the connection to the coordinator
 	logging.SetLevel(logging.LevelError)
 	nbio.MaxOpenFiles = s.Forwarders*descriptorsEach + spareOpen
 	debug.SetMemoryLimit(s.MemoryLimit)
