--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -135,7 +135,8 @@
 	os.RemoveAll(l.files)
 }
 
-// startStored starts a forwarder on a store with messages for destinations that are out, behind those of the targets.
+// startStored starts a forwarder on a store with messages for destinations that are out, numbered after those
+// of the endpoint servers.
 func (t *trial) startStored(targets *endpointServers, size int, what stored, window, room int) (*loadedForwarder, error) {
 	folder, err := os.MkdirTemp(t.Folder, "store")
 	if err != nil {
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -36,7 +36,7 @@
 	quickExpiryAfter   = 5 * time.Second
 )
 
-// measureBacklogDrain measures how fast stored messages go out to targets that answer at once.
+// measureBacklogDrain measures how fast stored messages go out to endpoints that answer at once.
 func measureBacklogDrain(t *trial) error {
 	return t.sweep("drains", 1, linearly, sizes(t.Largest), t.drainStored)
 }
--- a/lab/capacity/measure/down_destination.go
+++ b/lab/capacity/measure/down_destination.go
@@ -24,7 +24,7 @@
 const (
 	outageDays   = 5 // of which the mean is taken
 	quickDays    = 2
-	returnSecond = 1.0 // seconds from the return
+	returnSecond = 1.0 // seconds that are counted from the end of the outage on
 )
 
 // measureDownDestination plays a destination that is down for a minute before fleets of several sizes, all of which
@@ -72,8 +72,8 @@
 	return day.Dispatch.OverloadMultiple * day.Dispatch.SlowStartShare * capacity * returnSecond
 }
 
-// budget is the number of calls beyond which a returning destination falls over that stands so many: one and a bit
-// more for chance, as the operators' pages state it.
+// budget is the number of calls above which a recovering destination that can take allowed calls fails: these and a
+// margin for chance, as the operators' pages state it.
 func budget(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
 // outageCount counts the calls of all forwarders in an outage and just after it.
--- a/lab/capacity/measure/held_message.go
+++ b/lab/capacity/measure/held_message.go
@@ -184,16 +184,17 @@
 	return nil
 }
 
-// heldType is the type of messages that are written to a log, heldDestination their destination.
+// heldType is the type of messages that are written to a write-ahead log, heldDestination their destination.
 const (
 	heldType        = "update"
 	heldDestination = 1
 )
 
-// logLimit is the space in bytes that a log with so many messages needs at most, half of it being for compaction.
+// logLimit is the space in bytes that a write-ahead log with so many messages needs at most, half of it being for
+// compaction.
 func logLimit(size int) int64 { return 1<<21 + int64(size)*(bodyBytes+200)*5/2 }
 
-// fill writes so many messages to a log in a folder; they expire in a day.
+// fill writes so many messages to a write-ahead log in a folder; they expire in a day.
 func (t *trial) fill(folder string, size int) (*wal.Log, error) {
 	log, err := wal.Open(folder, logLimit(size))
 	if err != nil {
--- a/lab/capacity/measure/idle_client.go
+++ b/lab/capacity/measure/idle_client.go
@@ -18,7 +18,7 @@
 	spareForClients = 256 // descriptors beyond those that the clients need
 )
 
-// measureIdleClient measures what a client's connection costs that has asked once and says nothing more.
+// measureIdleClient measures what a client's connection costs that has sent one request and stays idle.
 func measureIdleClient(t *trial) error {
 	return t.sweep("connections", 1, linearly, sizes(t.Largest), func(size int) error {
 		// Clients get two thirds of the descriptors; all sizes get as many, as the forwarder's tables depend on them.
--- a/lab/capacity/measure/known_destination.go
+++ b/lab/capacity/measure/known_destination.go
@@ -62,7 +62,7 @@
 	})
 }
 
-// changes is the processor time of a change of the list: a destination's target is replaced.
+// changes is the processor time of a change of the list: a destination's endpoint is replaced.
 func (s *measuredScheduler) changes() float64 {
 	return withoutCollection(func() {
 		for i := range listChanges {
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -54,7 +54,7 @@
 	return sum.Seconds(), nil
 }
 
-// residentBytes is the memory that a process has in the machine's.
+// residentBytes is the resident memory of a process.
 func residentBytes(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
--- a/lab/capacity/measure/message_path.go
+++ b/lab/capacity/measure/message_path.go
@@ -33,8 +33,8 @@
 	deliveredWithin   = 10 * time.Second
 )
 
-// measureMessagePath measures a message's way through the built forwarder: from a client, by the write-ahead log, to a
-// target that answers at once.
+// measureMessagePath measures a message's way through the built forwarder: from a client, through the write-ahead log,
+// to an endpoint that answers at once.
 func measureMessagePath(t *trial) error {
 	err := t.sweep("rates", 0.5, equally, sizes(t.Largest), func(rate int) error { return t.path(rate, pathBody, t.recordRate) })
 	if err != nil {
@@ -49,7 +49,7 @@
 	delivered float64 // messages
 	seconds   float64
 	cpu       float64 // seconds of the forwarder's processor time
-	in, out   float64 // bytes between clients and forwarder, and between forwarder and targets
+	in, out   float64 // bytes between clients and forwarder, and between forwarder and endpoints
 	slowest   float64 // seconds from the moment at which a message was to be submitted to its answer, at most
 }
 
--- a/lab/capacity/measure/process.go
+++ b/lab/capacity/measure/process.go
@@ -18,14 +18,14 @@
 	startWithin  = 2 * time.Minute // a forwarder that is not ready by then has failed
 	pollInterval = time.Millisecond
 	settlingTime = 300 * time.Millisecond // before a started forwarder's memory is read
-	discardPort  = "127.0.0.1:9"          // nobody listens there
+	discardPort  = "127.0.0.1:9"          // nothing listens there
 )
 
 // configuration is what a forwarder that is measured differs in.
 type configuration struct {
-	destinations  int      // in its list, numbered from 1, each with one target
+	destinations  int      // in its list, numbered from 1, each with one endpoint
 	unlisted      int      // the number of a destination that is not in it; 0: all are
-	targets       []string // addresses of the targets, used in turn; empty: nobody listens there
+	targets       []string // addresses of the endpoints, used in turn; empty: nothing listens there
 	folder        string   // with its write-ahead log; empty: a new one
 	disk          int64    // bytes that its write-ahead log may take; 0: enough for a few messages
 	descriptors   int      // 0: enough for a few clients
@@ -40,7 +40,7 @@
 	defaultDisk          = 64_000_000
 	defaultDescriptors   = 1024
 	defaultQueueCapacity = 4000
-	endpointName         = "t%d" // of a destination's target
+	endpointName         = "t%d" // of a destination's endpoint
 )
 
 // write writes the configuration to a file.
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -18,7 +18,7 @@
 	readyWithMemory = quantity{"memory of the forwarder when ready", "messages owed", "bytes"}
 )
 
-// measureRestart measures how long a restart takes by the number of messages that are owed.
+// measureRestart measures how long a restart takes by the number of unanswered messages.
 func measureRestart(t *trial) error {
 	for _, s := range []struct {
 		what    string
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// filled is a new folder with a log of so many messages that no process has open.
+// filled is a new folder with a write-ahead log of so many messages that no process has open.
 func (t *trial) filled(size int) (folder string, err error) {
 	folder, err = os.MkdirTemp(t.Folder, "log")
 	if err != nil {
@@ -83,8 +83,8 @@
 	return folder, err
 }
 
-// recover measures from the scheduler's start until it has settled all that an earlier process owed. The destination's
-// wait outlasts the start, so that all of it stays held.
+// recover measures from the scheduler's start until it has reconciled all that an earlier process left unanswered. The
+// destination's retry-after outlasts the start, so that all of it stays held.
 func (t *trial) recover(size int, q quantity, past scheduler.RecoveredState) error {
 	took, err := t.bestOf(func() (float64, error) {
 		t.heap()
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -14,7 +14,7 @@
 type host struct {
 	out      []*scheduler.Message
 	ended    int // messages that were rejected or given up
-	released int // targets
+	released int // endpoints
 }
 
 func (h *host) Send(d *scheduler.Message, _ *scheduler.Endpoint, _ float64) {
