--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -54,15 +54,15 @@
 	return Estimate{Basis: Fitted, Value: value}
 }
 
-// Limit says where a budget is left.
+// Limit says where a budget is exceeded.
 type Limit struct {
-	Basis         Basis   // NotMeasured, NotExtrapolated: it is not known; Measured: at a measured size; else by the line
-	Never         bool    // kept at every size up to the one that was asked for
-	Size          float64 // from which on the budget is left; with Measured the first measured size at which it is
-	LargestWithin float64 // with Measured: the largest measured size below it, at which the budget is kept; 0: there is none
+	Basis         Basis   // NotMeasured, NotExtrapolated: not known; Measured: at a measured size; else by the line
+	Never         bool    // the budget is kept at every size up to the one that was asked for
+	Size          float64 // from which on the budget is exceeded; with Measured the first measured size at which it is
+	LargestWithin float64 // with Measured: the largest measured size below it, where the budget is kept; 0: none
 }
 
-// LeavesAt returns at which size a curve, nil if there is none, leaves a budget, looking up to a size.
+// LeavesAt returns at which size a curve, nil if there is none, exceeds a budget, looking up to a size.
 func LeavesAt(curve *capacity.Curve, budget, upTo float64) Limit {
 	if curve == nil {
 		return Limit{}
--- a/lab/capacity/page/failures.go
+++ b/lab/capacity/page/failures.go
@@ -2,7 +2,7 @@
 
 import "spanflow/lab/capacity"
 
-// failure is something that breaks, with what becomes of it by today's text.
+// failure is something that breaks, with what becomes of it in the present code.
 type failure struct {
 	what, expected string
 	lost           string // or waits
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -50,7 +50,8 @@
 func nobodyMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
 
 // reach is how far a trial went towards the target size, as shares of it. With forwarders and destinations at the same
-// share, what a trial kept is kept at the least of its shares, and what it left is left at the most of them.
+// share, a budget that a trial kept is kept at the least of its shares, and one that it exceeded is exceeded at the
+// most of them.
 type reach struct{ least, most float64 }
 
 // destinationsReached is the reach for figures of one forwarder, which do not depend on how many there are.
@@ -81,7 +82,7 @@
 	role     string
 	estimate Estimate
 	limit    Limit
-	fraction float64 // of the target size at which the budget is left, if limit has one
+	fraction float64 // of the target size at which the budget is exceeded, if limit has one
 	from     string
 	command  string
 	budget   float64
@@ -202,7 +203,7 @@
 	}
 }
 
-// leavesAt is at which share of the target size trials leave a budget: the smallest that did, and the largest below
+// leavesAt is at which share of the target size trials exceed a budget: the smallest that did, and the largest below
 // it that did not.
 func (u *trialUse) leavesAt(target *Target, trials []*capacity.FleetTrial, budget float64) Limit {
 	limit, kept := Limit{Basis: NotExtrapolated}, 0.0
@@ -269,7 +270,7 @@
 	return value
 }
 
-// leftBefore says of a curve that is not extrapolated where it leaves its budget, if that is known.
+// leftBefore says of a curve that is not extrapolated where it exceeds its budget, if that is known.
 func (r *computedFigure) leftBefore() string {
 	switch {
 	case !r.budgeted || r.limit.Never:
@@ -282,7 +283,7 @@
 	return ""
 }
 
-// leftAtMeasured says between which measured sizes a curve that is not straight leaves its budget.
+// leftAtMeasured says between which measured sizes a curve that is not straight exceeds its budget.
 func (r *computedFigure) leftAtMeasured() string {
 	left := "left at the measured size " + digits(r.limit.Size)
 	if r.limit.LargestWithin == 0 {
@@ -309,7 +310,7 @@
 	return r.carriedBy
 }
 
-// leaves is the cell that says where a budget is left.
+// leaves is the cell that says where a budget is exceeded.
 func (r *computedFigure) leaves() string {
 	switch {
 	case r.limit.Basis == NotMeasured:
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -70,7 +70,7 @@
 	return found
 }
 
-// TestQuotedBoundsAreThoseOfTheSource holds the bounds of today's text that the tables quote against it.
+// TestQuotedBoundsAreThoseOfTheSource holds the bounds that the tables quote against the present code.
 func TestQuotedBoundsAreThoseOfTheSource(t *testing.T) {
 	for _, quoted := range []struct{ folder, constant, value string }{
 		{"internal/discovery", "maxLineBytes", "4 << 20"},              // mostWatchLine
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -32,7 +32,7 @@
 	controlBytes   = &budget{name: "control's bytes", value: func(t *Target) float64 { return float64(t.Budget.Control.BytesPerSecond) }}
 	inForceWithin  = &budget{name: "in force within", value: func(t *Target) float64 { return float64(t.Changes.InForceWithin) }}
 
-	// watchLine is a bound of today's text and not of the operators.
+	// watchLine is a bound of the present code, not one that the operators set.
 	watchLine = &budget{name: "the bound of `internal/discovery` on a line", value: func(*Target) float64 { return mostWatchLine }}
 )
 
@@ -200,7 +200,7 @@
 // perForwarderWithAttempts is what the cost of a full list is of: a forwarder whose watch ended begins another.
 const perForwarderWithAttempts = "of one forwarder, with all attempts"
 
-// never stands for a time after which some forwarders still had not what they should have.
+// never stands for a time after which some forwarders still did not have what they should.
 const never = 1e9 // seconds
 
 func lastInForce(_ *Target, trial *capacity.FleetTrial) float64 {
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -52,7 +52,7 @@
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
 
-// rankingTable orders all figures with a budget by the share of the target size at which they leave it. What is not
+// rankingTable orders all figures with a budget by the share of the target size at which they exceed it. What is not
 // known comes last.
 func rankingTable(figures []computedFigure) string {
 	var ranked []computedFigure
@@ -79,7 +79,7 @@
 
 // The classes of a ranking, in its order.
 const (
-	leftBefore = iota // the budget is left before the target size
+	leftBefore = iota // the budget is exceeded before the target size
 	unknown
 	withinBudget
 )
