--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Step runs the next function, false if there is none up to a moment.
+// Step runs the next function; it returns false if none is due up to a moment.
 func (q *Queue) Step(until float64) bool {
 	if len(q.heap) == 0 || q.heap[0].at > until {
 		return false
