--- a/lab/experiment/draw_wide.go
+++ b/lab/experiment/draw_wide.go
@@ -116,7 +116,7 @@
 		if w.chance(0.25) {
 			r.Batch = 2 + w.random.IntN(9)
 		}
-		limit := w.drawLimit(&r) // messages are as many as calls are admitted: who gets many has capacity for many
+		limit := w.drawLimit(&r) // the load follows the calls admitted: a group that gets many has capacity for many
 		r.LoadWeight = float64(r.Count) * limit * w.between(0.5, 1.1)
 		destinations, capacity = destinations+r.Count, capacity+float64(r.Count)*limit
 		w.scenario.Receivers = append(w.scenario.Receivers, r)
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -99,7 +99,7 @@
 
 const resamples = 4000
 
-// Compare plays both arms, a pair a seed, and resamples the differences of the pairs.
+// Compare plays both arms, one pair for each seed, and resamples the differences of the pairs.
 func Compare(a, b Arm, seeds []uint64, done func()) Comparison {
 	ra, rb := make([]*sim.Result, len(seeds)), make([]*sim.Result, len(seeds))
 	parallel(2*len(seeds), func(i int) { // interleaved
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 	require.ErrorContains(t, err, "unknown axis")
 }
 
-// rejecting is the scheduler but for one receiver, whose messages it turns away.
+// rejecting is the scheduler but for one receiver, whose messages it rejects.
 type rejecting struct {
 	sim.Policy
 	now, began float64
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -27,7 +27,7 @@
 // brokenRuleLoss is how much a broken rule counts against shares of value.
 const brokenRuleLoss = 10
 
-// Loss is how badly: a broken rule counts most, then what a baseline delivers more.
+// Loss is how badly the policy does: a broken rule counts most, then what a baseline delivers more.
 func (f *Finding) Loss() float64 { return float64(brokenRuleLoss*len(f.Rules)) + f.Best - f.G }
 
 // Text is the finding as a scenario file to keep.
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sim.Baselines)) {
-		if name == "oracle" { // what no forwarder can know is no reproach
+		if name == "oracle" { // it knows what no forwarder can: no fair comparison
 			continue
 		}
 		if r := sim.Play(s, seed, sim.Baselines[name]); len(r.Violations) == 0 {
@@ -60,8 +60,8 @@
 
 const findingsBatch = 16 // scenarios
 
-// Search draws scenarios until ctx ends or there were limit, and returns the worst, shrunk; keep is how many. progress,
-// which may be nil, gets how many were drawn and the worst loss.
+// Search draws scenarios until ctx ends or limit scenarios were drawn, and returns the worst, shrunk; keep is how many.
+// progress, which may be nil, gets how many were drawn and the worst loss.
 func Search(ctx context.Context, base *scenario.Scenario, newPolicy sim.Maker, from uint64, limit, keep int, progress func(n int, worst float64)) []*Finding {
 	var found []*Finding
 	for n := 0; n < limit && ctx.Err() == nil; n += findingsBatch {
