--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -35,7 +35,7 @@
 type Run struct {
 	Addr        string
 	Connections int                      // at most
-	Timeout     time.Duration            // an answer that takes longer, counted from its sending, is none
+	Timeout     time.Duration            // an answer that takes longer, from the sending on, counts as none
 	TimeToLive  float64                  // seconds, of messages that have none of their own
 	Bytes       int                      // of a body, of messages that have no size of their own
 	Prefix      string                   // of ids
@@ -48,9 +48,9 @@
 	Sent      int            `json:"sent"`
 	Answers   map[string]int `json:"answers"` // ok, busy, error, none, expired
 	Lasted    float64        `json:"seconds"`
-	MostLate  float64        `json:"most_late_s"` // by which the tool itself was late in sending, with a connection at hand
+	MostLate  float64        `json:"most_late_s"` // by which the tool was late in sending, with a connection at hand
 	Intended  Latencies      `json:"intended"`    // from the intended moment to the answer
-	Naive     Latencies      `json:"naive"`       // from the sending, as a closed loop would count: hides what a stall does
+	Naive     Latencies      `json:"naive"`       // from the sending, as a closed loop would count: hides a stall
 	OpenAtEnd int            `json:"without_answer"`
 }
 
