--- a/lab/receiver/clock.go
+++ b/lab/receiver/clock.go
@@ -1,7 +1,7 @@
 package receiver
 
-// Clock is the time in which a model lives, in seconds. On a simulated clock After's functions run in order of time; on
-// a real one all of the model's calls have to be made under one lock, which After takes.
+// Clock is the time of a model, in seconds. On a simulated clock After's functions run in order of time; on a real one
+// all of the model's calls have to be made under one lock, which After takes.
 type Clock interface {
 	// Now is the present moment.
 	Now() float64
--- a/lab/receiver/deduplicator.go
+++ b/lab/receiver/deduplicator.go
@@ -12,7 +12,7 @@
 }
 
 // firstSeen tells whether a key is new to a call that came at a moment and has been executed by now, and remembers it.
-// The key is looked up as of the coming: a call that a hang held up is judged by what was known then.
+// The key is looked up as of the call's arrival: a call that a hang held up is judged by what was known then.
 func (d *deduplicator) firstSeen(key uint64, receivedAt, now, window float64) bool {
 	for len(d.order) > 0 && d.until[d.order[0]] <= now-deduplicationMargin {
 		delete(d.until, d.order[0])
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -23,7 +23,7 @@
 
 	SlowStartFraction float64 // fraction of its capacity that an endpoint has right after an outage
 	SlowStartDuration float64 // seconds until it has all of it again
-	OverloadMultiple  float64 // an endpoint in slow start fails when it gets more than this multiple of its present capacity,
+	OverloadMultiple  float64 // an endpoint in slow start fails above this multiple of its present capacity,
 	OverloadWindow    float64 // counted over any span of so many seconds,
 	OverloadDowntime  float64 // and is down for so many seconds
 }
@@ -59,7 +59,7 @@
 	// EndpointOverloaded says that calls in its slow start made an endpoint fail; informed is the fraction of them that
 	// came from forwarders which had seen the outage before.
 	EndpointOverloaded(destination, endpoint int, informed float64)
-	// RetryAfterSent says that a forwarder was answered to wait for so many seconds.
+	// RetryAfterSent says that a forwarder was sent a retry-after of so many seconds.
 	RetryAfterSent(destination, endpoint, forwarder int, seconds float64)
 	// EndpointRecovered says that an endpoint answers again after an outage.
 	EndpointRecovered(destination, endpoint int)
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -184,7 +184,7 @@
 	call()
 	waiting := call()
 	require.Empty(t, run())
-	waiting.Cancel() // waits in line: never runs
+	waiting.Cancel() // waits in the queue: never runs
 	endpoint.EndHang()
 	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
 	require.Equal(t, 2, n.runs)
