--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -51,7 +51,7 @@
 	Destinations  []int           `toml:"dest"`           // affected; empty: by Receiver, else all
 	Receiver      string          `toml:"partner"`        // name of a group of destinations; empty: all
 	Endpoints     []int           `toml:"target"`         // numbers at each destination; empty: all
-	Zone          int             `toml:"zone"`           // only endpoints of this zone, if above 0: its number plus one
+	Zone          int             `toml:"zone"`           // endpoints of this zone only, if above 0: its number plus 1
 	Fraction      float64         `toml:"share"`          // of calls, of the limit, or of forwarders
 	By            float64         `toml:"by"`             // slow: factor of service times
 	Every         int             `toml:"every"`          // gray failure: only one of so many calls
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -12,7 +12,7 @@
 	Name         string          `toml:"name"`
 	About        string          `toml:"about"` // what it is for, in a sentence
 	Seed         uint64          `toml:"seed"`
-	Length       config.Duration `toml:"length"` // messages come for so long
+	Length       config.Duration `toml:"length"` // clients submit messages for so long
 	Drain        config.Duration `toml:"drain"`  // what is held may end in so long after that
 	Zones        int             `toml:"zones"`
 	NetworkDelay config.Duration `toml:"network"` // one way
@@ -22,9 +22,9 @@
 	Receivers    []Receiver      `toml:"partners"`
 	Load         Load            `toml:"load"`
 	Faults       []Fault         `toml:"troubles"`
-	ListLag      config.Duration `toml:"list_lag"`    // until forwarders hear of a change of the endpoint list
-	Resubmit     bool            `toml:"comes_again"` // clients submit again what was rejected, as long as there is time
-	Floor        float64         `toml:"floor"`       // of a kept finding: the least share of the value that the scheduler delivers
+	ListLag      config.Duration `toml:"list_lag"`    // until forwarders learn of a change of the endpoint list
+	Resubmit     bool            `toml:"comes_again"` // clients submit again what was rejected, while there is time
+	Floor        float64         `toml:"floor"`       // of a kept finding: least share of the value delivered
 }
 
 // The idempotency of a type, as Type.Idempotency has it.
@@ -50,7 +50,7 @@
 	TimeToLive          config.Duration `toml:"life"`
 	DeduplicationWindow config.Duration `toml:"memory"`
 	LoadWeight          float64         `toml:"part"`  // of the messages, against the other types
-	Value               float64         `toml:"value"` // of one delivered within the objective; later it falls to half, at expiry to none
+	Value               float64         `toml:"value"` // within the objective; then half, falling to 0 at expiry
 	Keys                int             `toml:"keys"`  // ordering keys in use at once
 }
 
@@ -82,13 +82,13 @@
 	Queue             int             `toml:"queue"`        // calls that wait at an endpoint
 	Rate              float64         `toml:"rate"`         // calls a second that the limit admits; 0: no such limit
 	Burst             float64         `toml:"burst"`        // calls that it admits at once
-	Calls             int             `toml:"calls"`        // calls that are admitted within any Window; 0: no such limit
+	Calls             int             `toml:"calls"`        // calls admitted within any Window; 0: no such limit
 	Window            config.Duration `toml:"window"`
 	ReportsRetryAfter bool            `toml:"tells_wait"`
 	ReportsLimit      bool            `toml:"shows_limit"`
 	LoadWeight        float64         `toml:"part"`         // of the load, against other groups
 	Skew              float64         `toml:"skew"`         // heavy tail within the group: the i-th gets 1/i^skew
-	OverloadWindow    config.Duration `toml:"falls_within"` // over which calls count that overload an endpoint in slow start
+	OverloadWindow    config.Duration `toml:"falls_within"` // in which calls count that overload a slow start
 	OverloadDowntime  config.Duration `toml:"falls_for"`    // of an endpoint that was overloaded
 }
 
