--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -143,12 +143,12 @@
 	return e
 }
 
-// Admit admits a message while there is room and time.
+// Admit admits a message while there is capacity and time.
 func (b *baseline) Admit(_ int, left float64) (admitted bool, retryAfter float64) {
 	return len(b.held) < b.settings.QueueCapacity && left > minAdmissionTime, b.retryAfter()
 }
 
-// retryAfter is when clients may come again.
+// retryAfter is after how many seconds clients may submit again.
 func (b *baseline) retryAfter() float64 { return math.Min(1, b.settings.MaxRetryAfter) }
 
 // Accept takes a message.
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -47,7 +47,7 @@
 	run.After(wait, func() { run.submit(e, expiry, forwarderFor(e, run.networkRandom, len(run.forwarders))) })
 }
 
-// notifyClient tells a client a final answer.
+// notifyClient gives a client a final answer.
 func (run *simRun) notifyClient(s *submission, answer string, retryAfter float64) {
 	run.After(float64(run.scenario.NetworkDelay), func() {
 		run.log.FinalAnswer(s.id, answer)
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -189,7 +189,7 @@
 // listRetry is how many seconds later a change is announced again while the endpoint list does not come.
 const listRetry = 1
 
-// announce tells all forwarders of changed endpoints, after the endpoint list's lag.
+// announce informs all forwarders of changed endpoints, after the endpoint list's lag.
 func (run *simRun) announce(endpoints []*receiver.Endpoint) {
 	run.After(float64(run.scenario.ListLag)+float64(run.scenario.NetworkDelay), func() {
 		if run.listFaults > 0 { // it comes with the next change of the list, or when it comes again
--- a/lab/sim/forwarder.go
+++ b/lab/sim/forwarder.go
@@ -77,7 +77,7 @@
 	f.reconcile()
 }
 
-// recover takes on what an earlier process left unanswered.
+// recover takes over what an earlier process left unanswered.
 func (f *forwarder) recover() {
 	unanswered := f.unanswered
 	f.unanswered = nil
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -44,7 +44,7 @@
 	log                  *audit.Log
 	result               *Result
 	effects              map[uint64]*effect       // by the id of each of its messages
-	keyTails             map[uint64]chan struct{} // by ordering key; closed when the client of its latest message was answered
+	keyTails             map[uint64]chan struct{} // by ordering key; closed when its latest message was answered
 	deliveredToForwarder map[uint64]bool          // by message: the receiver has sent the answer
 	submittedTo          map[uint64]int           // by message: the forwarder
 	lastID               uint64
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -14,10 +14,10 @@
 	"spanflow/lab/scenario"
 )
 
-// noticeAnswers are the final answers by the state that a notice tells.
+// noticeAnswers are the final answers by the state that a notice reports.
 var noticeAnswers = map[string]string{"failed": answerFailed, "returned": answerRejected}
 
-// notice takes a final answer that a forwarder tells.
+// notice takes a final answer that a forwarder sends.
 func (run *realRun) notice(n emulator.Notice) {
 	id, err := strconv.ParseUint(n.ID, 16, 64)
 	run.mu.Lock()
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -9,7 +9,7 @@
 	"spanflow/lab/receiver"
 )
 
-// endpointServer serves one endpoint. While the endpoint refuses connections nobody listens at its address.
+// endpointServer serves one endpoint. While the endpoint refuses connections nothing listens at its address.
 type endpointServer struct {
 	run   *realRun
 	model *receiver.Endpoint
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -30,7 +30,7 @@
 
 // injectFaults puts the scenario's faults on the wall clock; the lock is held. What only the network could do (idle
 // connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
-// receiver that takes calls and says nothing.
+// receiver that takes calls and never answers.
 func (run *realRun) injectFaults() {
 	for i := range run.scenario.Faults {
 		run.injectFault(&run.scenario.Faults[i])
@@ -77,7 +77,7 @@
 	}
 }
 
-// announce changes the state of endpoints; discovery tells it after the list's lag.
+// announce changes the state of endpoints; discovery publishes it after the list's lag.
 func (run *realRun) announce(endpoints []*receiver.Endpoint, draining, removed bool) {
 	for _, e := range endpoints {
 		e.Fault.Draining, e.Fault.Removed = draining, removed
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -25,7 +25,7 @@
 	OfferedValue   float64           `json:"value_offered"`
 	DeliveredValue float64           `json:"value_delivered"`
 	G              float64           `json:"share"`     // of the value offered that was delivered
-	Latency        Percentiles       `json:"latency_s"` // from the intended moment to the end of the execution that took effect
+	Latency        Percentiles       `json:"latency_s"` // from the intended moment to when the effect took place
 	Seconds        []Second          `json:"seconds"`
 	Violations     []audit.Violation `json:"breaches"`
 	Events         uint64            `json:"events"` // of the simulated clock
