--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	maxRetryAfterMs   = 9_999_999   // milliseconds that a caller can be told to wait
+	maxRetryAfterMs   = 9_999_999   // the longest retry-after in a reply, in milliseconds
 	firstListWithin   = time.Second // after a start, until the first list from discovery has most likely come
 	maxUnknownOptions = 16          // unknown names that are logged
 )
@@ -17,7 +17,7 @@
 // handleRequest answers a caller's request.
 func (loop *eventLoop) handleRequest(r *request) {
 	switch {
-	case r.Ping && loop.operators.lameDuck: // clients are sent elsewhere: this tells their frontend so
+	case r.Ping && loop.operators.lameDuck: // clients are sent elsewhere: a health check by PING fails
 		r.From.Answer(invalid("lameduck: this forwarder is being emptied"))
 	case r.Ping:
 		r.From.Answer(transport.Reply{Status: transport.StatusAlive})
@@ -43,8 +43,8 @@
 	}
 }
 
-// admit accepts a message if the scheduler has capacity for it, and answers its caller then. Where the reply is not
-// StatusAccepted the caller has had no answer yet.
+// admit accepts a message if the scheduler has capacity for it, and answers its caller then. If the reply is not
+// StatusAccepted the caller has not been answered yet.
 func (loop *eventLoop) admit(r *request) transport.Reply {
 	submission := r.Submission
 	typ, known := loop.messages.types[submission.Type]
@@ -54,7 +54,7 @@
 	if reply, ok := loop.checkSubmission(submission, typ); !ok {
 		return reply
 	}
-	if r.From.Disconnected() { // nobody reads the answer, so nothing may be owed
+	if r.From.Disconnected() { // nobody reads the answer, so the message must not be accepted
 		return transport.Reply{Status: transport.StatusOverloaded}
 	}
 	entry := loop.newEntry(r)
--- a/forwarder/admission_queue.go
+++ b/forwarder/admission_queue.go
@@ -14,9 +14,9 @@
 	defaultWaitingBytes = 4 << 20 // of message bodies
 )
 
-// admissionQueue is one frontend's part of the event queue, with bounds of its own, and its transport.Submitter. Guards
-// against a frontend that floods: it waits until its own queue is no longer full, and the others' requests do not wait
-// behind its own.
+// admissionQueue is one frontend's part of the event queue, with bounds of its own, and its transport.Submitter. It
+// guards against a frontend that floods the event loop: that one waits until its own queue is no longer full, and the
+// requests of the others do not wait behind its own.
 type admissionQueue struct {
 	queue        *eventQueue
 	frontend     string // its name
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -46,7 +46,7 @@
 		ReportedShare: result.ReportedShare,
 	})
 	switch {
-	case final && m.scheduled.AwaitingAcknowledgement(): // owed until the notice is acknowledged, so it stays recorded
+	case final && m.scheduled.AwaitingAcknowledgement(): // pending until its notice is acknowledged: stays recorded
 	case final:
 		loop.completeMessage(m, outcome)
 	default:
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/wal"
 )
 
-// Backlog configures the store in which messages wait for destinations that are out or far behind.
+// Backlog configures the store in which messages wait for destinations that are unreachable or far behind.
 type Backlog struct {
 	Folder           string
 	Bytes            int64 // on disk, all files counted
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// resolveMoves ends the moves that a kill has cut short. With an error a message may be in the write-ahead log and in
-// the store: served then, it would be delivered twice.
+// resolveMoves completes the moves that a kill interrupted. With an error a message may be in the write-ahead log and
+// in the store: served then, it would be delivered twice.
 func (loop *eventLoop) resolveMoves() error {
 	owed := loop.wal.Pending()
 	refs := make([]backlog.Ref, len(owed))
@@ -118,7 +118,7 @@
 	return loop.backlog.policy.SetBounds(bounds)
 }
 
-// closeBacklog ends the use of the store, before the write-ahead log's folder is free for another process.
+// closeBacklog closes the store, before the write-ahead log's folder is free for another process.
 func (loop *eventLoop) closeBacklog() {
 	if loop.backlog == nil {
 		return
@@ -175,11 +175,11 @@
 	loop.telemetry.log.Error().Err(err).Msg("backlog cannot be written")
 }
 
-// walMover makes the write-ahead log the log that messages are moved from and to.
+// walMover adapts the write-ahead log to backlog.Mover, which moves messages from it and to it.
 type walMover struct{ wal *wal.Log }
 
 // Restore records a message whole under its number.
 func (l walMover) Restore(m *backlog.Message) error { return l.wal.Restore(entryOf(m)) }
 
-// Forget records that nothing more is owed for a number.
+// Forget records that the message with a number is done.
 func (l walMover) Forget(seq uint64) error { return l.wal.RecordDone(seq) }
--- a/forwarder/backlog_admission.go
+++ b/forwarder/backlog_admission.go
@@ -55,7 +55,7 @@
 	return loop.storeSubmission(m, now)
 }
 
-// storeSubmission stores a new message, or refuses it as the disk has no room for it.
+// storeSubmission stores a new message, or refuses it if it cannot be written.
 func (loop *eventLoop) storeSubmission(m *backlog.Message, now time.Time) policy.Decision {
 	m.Seq = loop.wal.NextSeq()
 	if err := loop.backlog.store.Append(m); err != nil {
--- a/forwarder/backlog_lanes.go
+++ b/forwarder/backlog_lanes.go
@@ -123,7 +123,7 @@
 	loop.noteReachability(m.scheduled.Dest)
 }
 
-// noteLeftMemory takes a message that is over out of its lane, if it is in one.
+// noteLeftMemory takes an answered message out of its lane, if it is in one.
 func (loop *eventLoop) noteLeftMemory(m *trackedMessage) {
 	if loop.backlog.remove(m) {
 		loop.backlog.policy.Ended(policyLane(m.lane))
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -112,9 +112,9 @@
 }
 
 // overtakenIfStored reports whether a later message of its key, in memory, is of another lane and would go first. To
-// look at the next one of the key that waits is enough: if it is of the same lane it was asked the same before, as
-// the newest go first. Those of the same lane that do not wait are answered (their notices may stay unacknowledged
-// for long) and were not asked.
+// look at the next one of the key that waits is enough: if it is of the same lane it was checked before, as the
+// newest go first. Those of the same lane that do not wait are answered (their notices may stay unacknowledged
+// for long) and were not checked.
 func overtakenIfStored(m *trackedMessage) bool {
 	next := m.scheduled.NextOfKey()
 	for next != nil && !next.Waiting() && scheduledLane(next) == m.lane {
@@ -123,7 +123,7 @@
 	return next != nil && scheduledLane(next) != m.lane
 }
 
-// releaseSpilled lets go of a message that the store has now.
+// releaseSpilled removes a message from memory that the store has now.
 func (loop *eventLoop) releaseSpilled(m *trackedMessage, size int64) {
 	loop.backlog.counts.spilled++
 	loop.backlog.policy.Spilled(policyLane(m.lane), size)
@@ -157,7 +157,7 @@
 	loop.acceptBatch(batch, now)
 }
 
-// logMoveError logs why messages could not be brought back, unless it is that the write-ahead log has no room for them
+// logMoveError logs why messages could not be brought back, unless it is that the write-ahead log has no space for them
 // now.
 func (loop *eventLoop) logMoveError(err error) {
 	if err != nil && !errors.Is(err, wal.ErrFull) {
--- a/forwarder/command_spool.go
+++ b/forwarder/command_spool.go
@@ -7,11 +7,11 @@
 	"spanflow/internal/statefile"
 )
 
-// spoolPollInterval is how often the process that holds the folder looks for commands: a drain binds a second after it
-// was asked for.
+// spoolPollInterval is how often the process that holds the folder looks for commands: a drain has to be in
+// effect a second after the request.
 const spoolPollInterval = 250 * time.Millisecond
 
-// spoolLogKey limits the log lines on the spool.
+// spoolLogKey is the kind of the rate-limited log lines on the spool, for mayLog.
 const spoolLogKey = "command spool"
 
 // runSpooledCommands carries out the commands in the spool, the oldest first, and reports whether there were any. One
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -9,7 +9,7 @@
 	"spanflow/transport"
 )
 
-// Config is everything a forwarder is told before it starts. Run works on a copy, so a Config can be used again.
+// Config is the whole configuration of a forwarder. Run works on a copy, so a Config can be used again.
 type Config struct {
 	Name       string // of the forwarder, as its log lines, metrics and calls have it
 	Folder     string // holds the write-ahead log and other state that outlives the process
@@ -68,7 +68,7 @@
 	return c.Discovery
 }
 
-// enableEndpointPolling has the scheduler ask for each watch of the list, whatever kind of discovery there is.
+// enableEndpointPolling has the scheduler ask for each watch of the list, whatever the kind of discovery.
 func (c *Config) enableEndpointPolling() {
 	c.Scheduler.LocalAgent = !c.Scheduler.PollEndpoints && c.Discovery != ""
 	c.Scheduler.PollEndpoints = true
--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -11,7 +11,7 @@
 // discoveryState is the source of the endpoint list, and how much of the list has been received.
 type discoveryState struct {
 	source       transport.EndpointSource
-	movable      transport.Reconfigurable // the source, if it is discovery
+	movable      transport.Reconfigurable // the source, if it is a discovery service
 	static       *staticEndpoints         // the source, if it is a list of the configuration
 	revision     int64                    // of the present list
 	listReceived bool                     // a list has come from the source since the start
--- a/forwarder/endpoint_follower.go
+++ b/forwarder/endpoint_follower.go
@@ -17,7 +17,7 @@
 	InForce func(revision int64) // called on the event loop once the scheduler has reconciled with a revision
 }
 
-// FollowEndpoints keeps discovery's list in force as Run does, with the same client, event queue and scheduler, until
+// FollowEndpoints applies discovery's list as Run does, with the same client, event queue and scheduler, until
 // ctx ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one
 // process. Of the configuration it needs the discovery address, the seed, the settings and the last known list.
 func FollowEndpoints(ctx context.Context, config *Config, follower EndpointFollower) error {
--- a/forwarder/event_loop.go
+++ b/forwarder/event_loop.go
@@ -74,7 +74,7 @@
 	return loop.scheduler.Done()
 }
 
-// handle takes in one event.
+// handle passes one event to the method for its type.
 func (loop *eventLoop) handle(ev event) {
 	switch ev := ev.(type) {
 	case *request:
--- a/forwarder/event_queue.go
+++ b/forwarder/event_queue.go
@@ -12,7 +12,7 @@
 // methods are safe to call from any goroutine, but for take, which only the event loop may call.
 type eventQueue struct {
 	mu         sync.Mutex
-	events     []event // all but what came by frontends
+	events     []event // all but the requests of frontends' callers
 	spare      []event // the slice that take returned last
 	admissions []*admissionQueue
 	oldest     time.Time     // when the first of the waiting events came
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,8 +1,8 @@
 // Package forwarder is the forwarder as a library: read a Config, then Run serves by it until its context ends.
 //
-// One goroutine, the event loop, has the scheduler of package scheduler to itself. Frontends, upstreams and the source
-// of the endpoint list (package transport says what each is) leave events in its queue; the event loop handles them in
-// batches, lets the scheduler reconcile once, and carries out what it decides. It knows no wire protocol.
+// One goroutine, the event loop, is the only one that uses the scheduler (package scheduler). Frontends, upstreams and
+// the source of the endpoint list (package transport defines each) push events to its queue; the event loop handles
+// them in batches, lets the scheduler reconcile once, and carries out what it decides. It knows no wire protocol.
 package forwarder
 
 import (
@@ -44,7 +44,7 @@
 	config = &own
 	log := config.Log.to(logTo, config.Name)
 	logging.SetLogger(networkLog{log})
-	nbio.MaxOpenFiles = config.Sockets + 1024 // it keeps a table of that size for each engine
+	nbio.MaxOpenFiles = config.Sockets + 1024 // nbio keeps a table of that size for each engine
 
 	queue := newEventQueue()
 	requests := newAdminRequests(config, queue)
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// openWAL opens the write-ahead log in the folder. A process that replaces another waits until that one has left it.
+// openWAL opens the write-ahead log in the folder. A process that replaces another waits until that one releases it.
 func openWAL(ctx context.Context, config *Config, log zerolog.Logger) (*wal.Log, error) {
 	wait := time.Duration(0)
 	if config.InheritedListener > 0 {
--- a/forwarder/frontends.go
+++ b/forwarder/frontends.go
@@ -20,7 +20,7 @@
 	WaitingBytes int          // of messages among those requests; 0: the default
 }
 
-// FrontendProtocol opens a frontend that hands its clients' requests to the submitter. connections is the most that it
+// FrontendProtocol opens a frontend that passes its clients' requests to the submitter. connections is the most that it
 // may hold.
 type FrontendProtocol func(f Frontend, connections int, submitter transport.Submitter) (transport.Frontend, error)
 
@@ -49,7 +49,7 @@
 
 const (
 	reservedDescriptors = 32 // for files, pollers and the like
-	spareConnections    = 4  // of a frontend: closed to make room while as many new ones come
+	spareConnections    = 4  // of a frontend: left for new ones, for which old ones are closed
 )
 
 // MaxClients is how many client connections a number of descriptors allows, for all frontends together: two thirds of
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -11,8 +11,8 @@
 // The methods in this file carry out what the scheduler decides: they make an eventLoop its Host.
 var _ scheduler.Host = (*eventLoop)(nil)
 
-// Send adds a message to the call that is being made up for the endpoint, as far as one call carries them. timeout is
-// in seconds.
+// Send adds a message to the pending call to an endpoint, or begins another if that one is full. The calls are sent at
+// the end of the turn at the latest. timeout is in seconds.
 func (loop *eventLoop) Send(message *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
 	m, endpoint := loop.messages.byNumber[message.ID], loop.endpoints.byNumber[to.ID]
 	if err := loop.wal.RecordAttempt(message.ID, micros(loop.schedulerTime(time.Now())), endpoint.zone); err != nil {
@@ -31,7 +31,7 @@
 	loop.calls.add(m, endpoint, time.Duration(timeout*float64(time.Second)))
 }
 
-// Reject gives a message back to its client, which may submit it again after retryAfter seconds.
+// Reject answers a message that was not delivered; its client may submit it again after retryAfter seconds.
 func (loop *eventLoop) Reject(message *scheduler.Message, retryAfter float64) {
 	loop.telemetry.counts.rejected++
 	loop.giveFinalAnswer(loop.messages.byNumber[message.ID], wal.Rejected, int(retryAfter*1000))
--- a/forwarder/learned_latencies.go
+++ b/forwarder/learned_latencies.go
@@ -9,7 +9,7 @@
 	"spanflow/internal/statefile"
 )
 
-// Learned latencies are kept while a process runs and at its end, so that the process that follows on the folder,
+// Learned latencies are written while a process runs and at its end, so that the process that follows on the folder,
 // perhaps in a fleet of another size, need not guess them. They are never needed: a file that is truncated, corrupt, or
 // from other message types and kinds of endpoints is ignored with a log line.
 
--- a/forwarder/log.go
+++ b/forwarder/log.go
@@ -12,8 +12,8 @@
 	"github.com/rs/zerolog"
 )
 
-// networkLog is the logger of nbio, the network library. Only errors are passed on: its other lines mean nothing to
-// on-call staff.
+// networkLog is the logger of nbio, the network library. Only errors are passed on: its other lines are of no
+// use to operators.
 type networkLog struct{ log zerolog.Logger }
 
 // SetLevel is ignored: the level is always that of errors.
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -45,7 +45,7 @@
 	receivedAt    time.Time
 	traced        bool
 	untried       bool // an earlier process accepted it, and no call has begun yet
-	withdrawn     bool // its waiting caller has gone: nothing is owed, though an attempt may be outstanding
+	withdrawn     bool // its waiting caller has gone: it gets no final answer, though an attempt may be outstanding
 }
 
 // add enters a message.
@@ -106,7 +106,7 @@
 	loop.removeIfFinished(m)
 }
 
-// recordDone records that nothing more is owed for a message.
+// recordDone records that a message is done.
 func (loop *eventLoop) recordDone(m *trackedMessage) {
 	if err := loop.wal.RecordDone(m.MessageID); err != nil {
 		loop.logWALError(err)
--- a/forwarder/operator_figures.go
+++ b/forwarder/operator_figures.go
@@ -13,9 +13,9 @@
 // happen.
 type figures struct {
 	fulfilled, throttled, faulted []int // by number of the message type
-	relayed                       int   // messages written whole to endpoints
+	relayed                       int   // messages written completely to endpoints
 	accepted, invalid             int   // configurations that were reloaded, or could not be
-	untried, called, expired      int   // of what the start found untried: all, those called since, those expired then
+	untried, called, expired      int   // recovered before any call: all, called since, expired at the start
 }
 
 // count adds one to a count of a message type.
--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -10,7 +10,7 @@
 	"spanflow/scheduler"
 )
 
-// operatorState is what operators have asked for, and the channel by which they ask.
+// operatorState is what operators have asked for, and where their requests come from.
 type operatorState struct {
 	requests *adminRequests
 	drains   *drains.Set // endpoints that operators have drained
@@ -21,7 +21,7 @@
 type adminRequests struct {
 	queue   *eventQueue
 	ready   atomic.Bool
-	standby atomic.Pointer[standby] // answers while another process owns the folder
+	standby atomic.Pointer[standby] // answers while another process holds the folder
 }
 
 func newAdminRequests(config *Config, queue *eventQueue) *adminRequests {
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -9,7 +9,8 @@
 	"spanflow/transport"
 )
 
-// recoverState gives the scheduler the last known list of endpoints and the messages that an earlier process owed.
+// recoverState gives the scheduler the last known list of endpoints and the messages that an earlier process left
+// unfinished.
 func (loop *eventLoop) recoverState(now time.Time) {
 	loop.scheduler = scheduler.New(loop.config.Scheduler, loop.config.Seed, loop.schedulerTime(now), loop)
 	loop.readLearnedState(now)
@@ -36,8 +37,8 @@
 	}
 }
 
-// recoverMessage gives the scheduler a message that an earlier process owed. One that would overtake stored ones is
-// answered without a call.
+// recoverMessage gives the scheduler a message that an earlier process left unfinished. One that would overtake stored
+// ones is answered without a call.
 func (loop *eventLoop) recoverMessage(e *wal.Entry, now time.Time, overtaking bool) {
 	typ, known := loop.messages.types[e.Type]
 	if !known {
@@ -98,7 +99,7 @@
 	}
 }
 
-// noteUntried counts a message that the start found untried.
+// noteUntried counts a recovered message for which no call has begun.
 func (loop *eventLoop) noteUntried(m *trackedMessage, secondsLeft float64) {
 	m.untried = true
 	loop.messages.untried++
@@ -108,8 +109,8 @@
 	}
 }
 
-// noteTried takes a message that the start found untried off the count of those that are: it is sent (called), or has
-// ended without. The last of them logs how many there were.
+// noteTried takes a message off the count of the untried recovered ones, if it is among them: it is sent (called), or
+// has ended without a call. With the last of them it logs how many there were.
 func (loop *eventLoop) noteTried(m *trackedMessage, called bool) {
 	if !m.untried {
 		return
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// The way of a configuration change: reload reads the configuration again, applyConfig compares it with the present one
-// part by part (ConfigParts), and what may change in a running forwarder is applied, all of it or nothing. What else
-// differs waits for the next start and is only logged.
+// A configuration change is applied in steps: reload reads the configuration again, applyConfig compares it with the
+// present one part by part (ConfigParts), and what may change in a running forwarder is applied, all of it or nothing.
+// What else differs waits for the next start and is only logged.
 
 // ReloadBehavior is when a changed part of the configuration takes effect.
 type ReloadBehavior uint8
@@ -33,8 +33,8 @@
 	partBacklog   = "backlog"
 )
 
-// ConfigPart is a part of the configuration that changes as a whole. Reloads go by ConfigParts, and so does what
-// commands tell of a change.
+// ConfigPart is a part of the configuration that changes as a whole. Reloads and the commands that describe a change
+// both use ConfigParts.
 type ConfigPart struct {
 	Name   string
 	Keys   []string // of the configuration file: whole sections or single keys
--- a/forwarder/retry_after.go
+++ b/forwarder/retry_after.go
@@ -8,8 +8,8 @@
 
 // The retry-after state says until when each endpoint gets no calls: for a Retry-After of its own, or as a backoff
 // after rejections. It is kept at the end of a process, and the process that takes over the folder observes it.
-// Guards against an upgrade that sends to an endpoint that has asked the old process to wait; the two are one
-// forwarder to it.
+// This guards against an upgrade that sends to an endpoint that has asked the old process to wait: to the endpoint the
+// two processes are one forwarder.
 
 // writeRetryAfter writes the state of the endpoints that are blocked beyond now, in seconds of the wall clock.
 func (loop *eventLoop) writeRetryAfter(now float64) {
--- a/forwarder/shutdown.go
+++ b/forwarder/shutdown.go
@@ -8,7 +8,7 @@
 const (
 	killAfter      = 3700 * time.Millisecond // after SIGTERM a forwarder may be killed
 	killMargin     = 500 * time.Millisecond  // of it, left for closing after the last turn
-	acceptFor      = 500 * time.Millisecond  // for so long new connections may still come
+	acceptFor      = 500 * time.Millisecond  // how long new connections are still expected
 	clientsPolling = 20 * time.Millisecond   // between two looks if the clients have gone
 )
 
@@ -81,8 +81,8 @@
 	}
 }
 
-// answerRemaining answers the requests that were read after the last turn. Guards against a command that is read and
-// lost with the process: what was read is answered, what was not its client sends again. No call begins any more.
+// answerRemaining answers the requests that were read after the last turn. It guards against a command that is read
+// and lost with the process: what was read is answered, what was not its client sends again. No call begins any more.
 func (loop *eventLoop) answerRemaining() {
 	loop.queue.close() // a frontend that waits in Submit can stop reading then
 	for _, l := range append(slices.Clone(loop.frontends.open), loop.frontends.leaving...) {
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -9,8 +9,8 @@
 )
 
 // standby answers the operators while the new process of an upgrade waits for the folder. Drains that they ask of it go
-// into the command spool: the process that holds the folder carries them out, and what is left when the folder changes
-// hands its new holder carries out before its first decision.
+// into the command spool: the process that holds the folder carries them out. What is left when this process takes over
+// the folder it carries out before its first decision.
 type standby struct {
 	mu        sync.Mutex
 	folder    string
@@ -30,8 +30,8 @@
 	return s
 }
 
-// takeOver ends the standby: calls go to the event loop from here on. It reports whether clients
-// are to be sent away.
+// takeOver ends the standby: requests go to the event loop from here on. It reports whether clients are to be sent
+// away.
 func (s *standby) takeOver() (lameDuck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +39,7 @@
 	return s.lameDuck
 }
 
-// answer answers a call. It returns false if the event loop is to answer.
+// answer answers a request. It returns false if the event loop is to answer.
 func (s *standby) answer(c admin.Request) (admin.Response, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/forwarder/telemetry.go
+++ b/forwarder/telemetry.go
@@ -86,9 +86,20 @@
 // noRecorder counts nothing.
 type noRecorder struct{}
 
-func (noRecorder) SubmissionAnswered(string, transport.Status)      {}
+// SubmissionAnswered does nothing.
+func (noRecorder) SubmissionAnswered(string, transport.Status) {}
+
+// AttemptEnded does nothing.
 func (noRecorder) AttemptEnded(transport.ResultCode, time.Duration) {}
-func (noRecorder) FinalAnswered(transport.Outcome, time.Duration)   {}
-func (noRecorder) LoopTurn(int, time.Duration)                      {}
-func (noRecorder) Addr() string                                     { return "" }
-func (noRecorder) Stop()                                            {}
+
+// FinalAnswered does nothing.
+func (noRecorder) FinalAnswered(transport.Outcome, time.Duration) {}
+
+// LoopTurn does nothing.
+func (noRecorder) LoopTurn(int, time.Duration) {}
+
+// Addr is empty: no metrics are served.
+func (noRecorder) Addr() string { return "" }
+
+// Stop does nothing.
+func (noRecorder) Stop() {}
--- a/forwarder/upstreams.go
+++ b/forwarder/upstreams.go
@@ -18,7 +18,7 @@
 // UpstreamProtocol makes an upstream that reports to the listener.
 type UpstreamProtocol func(d *dial.Dialer, s UpstreamSettings, listener transport.ResultListener) transport.Upstream
 
-// UpstreamSettings is what every upstream is told, whatever its protocol.
+// UpstreamSettings are the settings that every upstream gets, whatever its protocol.
 type UpstreamSettings struct {
 	Connect            time.Duration // a connection that takes longer is given up
 	KeepIdle           time.Duration // an idle connection is closed after so long
