--- a/transport/discovery.go
+++ b/transport/discovery.go
@@ -1,6 +1,6 @@
 package transport
 
-// EndpointList is what a source reports of endpoints: all of them, or changes.
+// EndpointList is what a source reports: all endpoints, or those that changed.
 type EndpointList struct {
 	Revision  int64      `json:"rev"`
 	Complete  bool       `json:"all"` // all endpoints; else only those that changed
--- a/transport/frontend.go
+++ b/transport/frontend.go
@@ -31,7 +31,7 @@
 
 // The statuses of replies.
 const (
-	StatusAccepted   Status = iota // the message is owed a final answer from now on
+	StatusAccepted   Status = iota // the forwarder is responsible for the message from now on
 	StatusOverloaded               // not accepted; submitting it again is harmless
 	StatusInvalid                  // not accepted, with the reason
 	StatusAlive                    // the event loop runs
@@ -51,12 +51,12 @@
 type Caller interface {
 	// Disconnected reports whether the caller can no longer receive an answer.
 	Disconnected() bool
-	// Answer replies to the caller's oldest open request. It reports whether the caller was there to receive it.
+	// Answer replies to the caller's oldest open request. It reports whether the caller was still connected.
 	Answer(Reply) bool
 }
 
 // WaitingCaller is a caller that receives the final answer itself, as its call stays open until then. If it
-// disconnects, nobody receives the final answer of its message, which is withdrawn: a frontend says so by
+// disconnects, nobody receives the final answer of its message, which is withdrawn: a frontend reports it with
 // Submitter.Withdraw, and a process that starts after another withdraws all messages of such callers.
 type WaitingCaller interface {
 	Caller
@@ -67,17 +67,17 @@
 // Submitter takes the requests of a frontend's callers, in each caller's order. Submit may block while too many
 // requests of that frontend are pending.
 type Submitter interface {
-	// Submit hands over a request.
+	// Submit passes a request to the event loop.
 	Submit(Request)
-	// Withdraw says that the WaitingCaller that submitted a message has disconnected.
+	// Withdraw reports that the WaitingCaller that submitted a message has disconnected.
 	Withdraw(id string)
 }
 
 // ConnectionStats counts a frontend's connections since the start.
 type ConnectionStats struct {
 	Open, Peak, Accepted        int
-	Refused                     int    // closed unread, for want of room
-	Evicted                     [3]int // closed to make room: after the last answer, between requests, before the first
+	Refused                     int    // closed unread, as there were too many
+	Evicted                     [3]int // closed for new ones: after the last answer, between requests, before the first
 	NeverSent, Idle, Incomplete int    // closed after a timeout: without a request, between two, within one
 }
 
@@ -93,7 +93,7 @@
 	Drain()
 	// Undrain keeps connections again after Drain.
 	Undrain()
-	// StopAccepting accepts no new connections.
+	// StopAccepting stops accepting new connections.
 	StopAccepting()
 	// StopReading reads nothing more. When it returns, whatever was read has been submitted; the last answers follow,
 	// then Stop.
--- a/transport/result.go
+++ b/transport/result.go
@@ -12,7 +12,7 @@
 	ResultRetryAfter                          // 429, or "later" with a time to wait
 	ResultOverloaded                          // 503, or "later"
 	ResultNoSlot                              // 503 with X-Line-Busy: this forwarder's slots are all in use
-	ResultAttemptsExhausted                   // 504, or "exhausted": no attempt is left, the end is still owed
+	ResultAttemptsExhausted                   // 504, or "exhausted": no attempt is left, no final answer yet
 	ResultGone                                // 410, or "gone": the message is withdrawn or out of time
 	ResultBadRequest                          // 400 or 413: the call could not be parsed, nothing of it ran
 	ResultConnectRefused                      // no connection: refused, unreachable, no descriptor
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,7 +1,7 @@
 // Package transport defines the interfaces and types by which frontends, upstreams, discovery, notifiers and metrics
-// meet the event loop.
+// work with the event loop.
 //
-// A Frontend turns its protocol into submissions and tells each caller the reply and, where the caller waits for it,
+// A Frontend turns its protocol into submissions and gives each caller the reply and, where the caller waits for it,
 // the final answer. An Upstream carries out calls to endpoints and reports one result code for each message. An
 // EndpointSource brings the list of endpoints, a Notifier delivers the final answers for which no caller waits. None of
 // them knows another, and none makes decisions: the event loop has the scheduler decide.
--- a/transport/upstream.go
+++ b/transport/upstream.go
@@ -12,7 +12,7 @@
 
 // Call is one call to an endpoint with one message or several.
 type Call struct {
-	EndpointID uint64 // the event loop's number: connections belong to it, also where another endpoint had its address
+	EndpointID uint64 // the event loop's number: connections belong to it, even if another endpoint had its address before
 	Address    string
 	Messages   []Message
 	Timeout    time.Duration // until the call is given up
