--- a/internal/statefile/spool.go
+++ b/internal/statefile/spool.go
@@ -13,8 +13,8 @@
 	drainWord   = "out"
 	undrainWord = "back"
 
-	// maxSpooledCommands bounds the spool. Guards against a caller that fills the folder while its holder hangs; hurts
-	// who drains more endpoints within the time in which the holder looks.
+	// maxSpooledCommands bounds the spool. It guards against a caller that fills the folder while the process that holds
+	// it hangs. More commands than this between two looks of that process are refused.
 	maxSpooledCommands  = 64
 	maxSpooledBytes     = 512 // of a command
 	spooledNameTemplate = "%08d"
@@ -93,6 +93,7 @@
 // SpoolFullError is the error for a command that the spool has no room for.
 type SpoolFullError struct{ Commands int }
 
+// Error says how many commands wait.
 func (e *SpoolFullError) Error() string {
 	return fmt.Sprintf("%d calls wait to be taken up", e.Commands)
 }
@@ -100,6 +101,7 @@
 // MalformedCommandError is the error for a file of the spool that holds no command.
 type MalformedCommandError struct{ Name string }
 
+// Error names the file.
 func (e *MalformedCommandError) Error() string {
 	return fmt.Sprintf("%s/%s is not a command", spoolDir, e.Name)
 }
