--- a/internal/drains/drains.go
+++ b/internal/drains/drains.go
@@ -1,5 +1,5 @@
-// Package drains holds the endpoints that operators have drained, and says what the scheduler is to be told of each. It
-// does no I/O: the event loop keeps the set in the folder and tells the scheduler.
+// Package drains holds the endpoints that operators have drained, and the state that the scheduler sees of each. It
+// does no I/O: the event loop writes the set to the folder and updates the scheduler.
 //
 // An endpoint stays drained until it is restored, whatever the endpoint list says, over restarts and upgrades. Draining
 // it twice needs one restore. An id that is neither listed nor drained is refused.
@@ -12,19 +12,19 @@
 	"spanflow/scheduler"
 )
 
-// MaxDrained is the number of endpoints that may be drained at once. Guards against a caller that names ids without end,
-// which would grow the set and its file; hurts a fleet with more endpoints drained than this, whose calls are refused.
+// MaxDrained is the number of endpoints that may be drained at once. It guards against a caller that drains one id
+// after another, which would grow the set and its file without bound. A fleet that needs more has its requests refused.
 const MaxDrained = 1024
 
 const maxIDLength = 256 // bytes
 
-// Result is the answer to a call.
+// Result is the result of Drain or Restore.
 type Result uint8
 
 // The results of Drain and Restore.
 const (
 	Accepted Result = iota // done, or it was so already
-	Unknown                // nobody has that id
+	Unknown                // no endpoint of that id is listed or drained
 	TooMany                // the set is full
 	BadName                // the id cannot be kept
 )
@@ -39,13 +39,13 @@
 // String is the result as operators are answered.
 func (r Result) String() string { return resultTexts[r] }
 
-// Change is what the event loop has to carry out after a call.
+// Change is what the event loop has to carry out after Drain or Restore.
 type Change uint8
 
 // The changes by Drain and Restore.
 const (
 	Unchanged Change = iota // nothing changed
-	Drained                 // the endpoint is to get nothing new from now on
+	Drained                 // the endpoint gets no new calls from now on
 	Restored                // the endpoint is back, and warming up: operators restarted it meanwhile
 )
 
@@ -66,12 +66,12 @@
 	return s
 }
 
-// validID tells if an id can be kept, one a line.
+// validID reports whether an id can be kept, one a line.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && !strings.ContainsAny(id, "\r\n\x00")
 }
 
-// Drained tells if an endpoint is drained.
+// Drained reports whether an endpoint is drained.
 func (s *Set) Drained(id string) bool {
 	_, found := slices.BinarySearch(s.ids, id)
 	return found
@@ -110,8 +110,8 @@
 	}
 }
 
-// State is what the scheduler is told of an endpoint in a listed state: a drained endpoint that is listed as ready
-// drains.
+// State is the state for the scheduler of an endpoint that the list has as listed: Draining for a drained endpoint that
+// is listed as ready, else the listed one.
 func (s *Set) State(id string, listed scheduler.EndpointState) scheduler.EndpointState {
 	if listed == scheduler.Ready && s.Drained(id) {
 		return scheduler.Draining
@@ -119,7 +119,7 @@
 	return listed
 }
 
-// IDs are the drained endpoints in order, to be kept. The slice belongs to the caller.
+// IDs are the ids of the drained endpoints in order, for New. The slice belongs to the caller.
 func (s *Set) IDs() []string { return slices.Clone(s.ids) }
 
 // Len is the number of drained endpoints.
