--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Append records a message and gives it its number. With an error it is not recorded: ErrFull if the log has no room
+// Append records a message and gives it its number. With an error it is not recorded: ErrFull if the log has no space
 // for it, or one of the filesystem.
 func (l *Log) Append(e *Entry) error {
 	if !l.hasSpace(e, 0) {
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// hasSpace tells if an entry may be recorded in place of one of so many bytes.
+// hasSpace reports whether an entry may be recorded in place of one that takes replaced bytes.
 func (l *Log) hasSpace(e *Entry, replaced int) bool {
 	size := e.Size()
 	return l.pending-replaced+size <= l.Capacity() && size <= maxPayload && len(e.Frontend) <= maxFrontendName
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// RecordAttemptEnd records that an attempt has ended without an end of the message, and if it may have run. It does
-// nothing for a message that is not pending.
+// RecordAttemptEnd records that an attempt has ended without finishing the message, and whether it may have run. It
+// does nothing for a message that is not pending.
 func (l *Log) RecordAttemptEnd(seq uint64, ran bool) error {
 	e := l.entries[seq]
 	if e == nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// append seals a record and writes it, after making room.
+// append seals a record and writes it, after freeing the space for it.
 func (l *Log) append(record []byte) error {
 	sealRecord(record)
 	l.buf = record
@@ -123,7 +123,7 @@
 		}
 	case l.Used()+int64(len(record))+l.reserve() > l.limit: // filled by the segments of processes that wrote little
 		record = slices.Clone(record)
-		_ = l.makeSpace(len(record), l.reserve()) // write tells if there is none
+		_ = l.makeSpace(len(record), l.reserve()) // write returns ErrFull if there is none
 	}
 	return l.write(record)
 }
--- a/internal/wal/entry.go
+++ b/internal/wal/entry.go
@@ -5,7 +5,7 @@
 	maxFrontendName = 64  // bytes
 )
 
-// Entry is a message that the forwarder has accepted and has not done with. Times are in microseconds of the wall
+// Entry is a message that the forwarder has accepted and not finished. Times are in microseconds of the wall
 // clock, 0 for none.
 type Entry struct {
 	Seq            uint64 // number in the order of acceptance
@@ -22,7 +22,7 @@
 	AttemptBegan   int64 // begin of the attempt in flight
 	AttemptZone    int
 	Answer         Answer
-	RetryAfter     int // with Rejected: milliseconds until the client may come again
+	RetryAfter     int // with Rejected: milliseconds until the client may submit it again
 	Body           []byte
 	Frontend       string // by which it came; empty for the platform's own
 	CallerWaits    bool   // its caller waited for the final answer
@@ -49,7 +49,7 @@
 	return size
 }
 
-// namesFrontend tells that an entry's record says by which frontend it came.
+// namesFrontend reports whether an entry's record names the frontend by which it came.
 func (e *Entry) namesFrontend() bool { return e.Frontend != "" || e.CallerWaits }
 
 func (e *Entry) attemptBegan(at int64, zone int) {
--- a/internal/wal/filter.go
+++ b/internal/wal/filter.go
@@ -14,7 +14,7 @@
 	State       string // one of States, in any case of letters
 }
 
-// Matches tells if an entry passes the filter.
+// Matches reports whether an entry passes the filter.
 func (f *Filter) Matches(e *Entry) bool {
 	return (f.ID == "" || e.ID == f.ID) &&
 		matches(f.Destination, e.Destination) &&
@@ -26,5 +26,5 @@
 		(f.State == "" || strings.EqualFold(e.State(), f.State))
 }
 
-// matches tells if a value is the wanted one, if any is.
+// matches reports whether a value is the wanted one; nil wants any.
 func matches[T comparable](want *T, value T) bool { return want == nil || *want == value }
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -8,10 +8,10 @@
 	"slices"
 )
 
-// View is what a folder holds, read without altering it or hindering the process that has it.
+// View is what a folder holds, read without altering it or hindering the process that holds it.
 type View struct {
 	Dir            string
-	HolderPID      int // the process that has it, 0 if none
+	HolderPID      int // the process that holds it, 0 if none
 	Files          []FileView
 	Pending        []*Entry // in the order of acceptance
 	DamagedRecords []DamagedRecord
@@ -35,7 +35,7 @@
 	Torn   bool   `json:"torn"` // the end of a file that was being written when its process ended, or is still: no damage
 }
 
-// The reasons of a DamagedRecord, as commands print them.
+// The reasons in a DamagedRecord, as commands print them.
 const (
 	reasonChecksum = "a record fails its checksum"
 	reasonNoRecord = "what follows is no record"
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%08d%s: byte %d: %s, %d bytes", d.File, segmentSuffix, d.Offset, d.Reason, d.Bytes)
 }
 
-// Damaged tells if anything is wrong beyond torn ends.
+// Damaged reports whether anything is wrong beyond torn ends.
 func (v *View) Damaged() bool {
 	return slices.ContainsFunc(v.DamagedRecords, func(d DamagedRecord) bool { return !d.Torn })
 }
@@ -170,7 +170,8 @@
 	f.damaged = append(f.damaged, d)
 }
 
-// containsRecord tells if a whole record lies anywhere in b: then what comes before it is damage, not a torn end.
+// containsRecord reports whether a whole record lies anywhere in b: then what comes before it is damage, not a torn
+// end.
 func containsRecord(b []byte) bool {
 	for i := range min(len(b), maxPayload+frameHeader) {
 		if _, payload, _, ok := cutRecord(b[i:]); ok && len(payload) > 0 {
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -20,12 +20,13 @@
 	maxPIDLength = 32 // bytes read of a lock file
 )
 
-// LockedError is the error for a folder that another running process has.
+// LockedError is the error for a folder that another running process holds.
 type LockedError struct {
 	Dir string
 	PID int // 0 if not known
 }
 
+// Error names the folder and, if it is known, the process that holds it.
 func (e *LockedError) Error() string {
 	if e.PID == 0 {
 		return e.Dir + " belongs to another running process"
@@ -33,9 +34,10 @@
 	return fmt.Sprintf("%s belongs to another running process, pid %d", e.Dir, e.PID)
 }
 
-// lockFolder locks a folder for this process. Guards against two forwarders that both send what is pending in it. The
-// kernel lets go of the lock when the process ends, however it does, so that nothing is left to clear up. Where the
-// file cannot be made or locked (a full disk, a file system without locks) the forwarder goes on unguarded: nil.
+// lockFolder locks a folder for this process. It guards against two forwarders that both send what is pending in it.
+// The kernel releases the lock when the process ends, however it does, so that nothing is left to clean up. Where the
+// file cannot be made or locked (a full disk, a file system without locks) it returns nil: the forwarder runs without a
+// lock.
 func lockFolder(ctx context.Context, dir string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, filePerm)
 	if err != nil {
@@ -63,11 +65,11 @@
 	return f, nil
 }
 
-// LockHolder tells which running process has the log of a folder, 0 if none is known.
+// LockHolder is the pid of the running process that holds a folder, 0 if none is known.
 func LockHolder(dir string) int { return LockHolderOfFile(filepath.Join(dir, lockFile)) }
 
-// LockHolderOfFile tells which running process holds a lock file that has the process's number in it, 0 if none is
-// known. It alters nothing, and keeps the lock from others for no longer than a moment.
+// LockHolderOfFile is the pid of the running process that holds a lock file, as written in it, 0 if none is known. It
+// alters nothing, and keeps the lock from others for no longer than a moment.
 func LockHolderOfFile(lockFile string) int {
 	f, err := os.Open(lockFile)
 	if err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,5 +1,5 @@
 // Package wal is the write-ahead log of a forwarder: the messages that it has accepted, their attempts and final
-// answers, until they are done. It is a row of segments, files that are only appended to; the oldest is freed by
+// answers, until they are done. It is a sequence of segments, files that are only appended to; the oldest is freed by
 // recording what is still pending in it anew. Writes are left to the kernel and not synced: the log outlives the end of
 // its process by any signal, and does not outlive a machine's loss of power.
 package wal
@@ -15,10 +15,10 @@
 	"time"
 )
 
-// ErrFull is the error for a record that the log has no room for.
+// ErrFull is the error for a record that the log has no space for.
 var ErrFull = errors.New("the write-ahead log is full")
 
-// ErrLimitTooSmall is the error for a limit that leaves no room for messages.
+// ErrLimitTooSmall is the error for a limit that leaves no space for messages.
 var ErrLimitTooSmall = errors.New("the write-ahead log's limit is too small")
 
 // Log is a write-ahead log that is open for appending until Close. It is not safe for concurrent use.
@@ -33,19 +33,19 @@
 	buf      []byte   // of the record that is being written
 	lock     *os.File // nil where the folder cannot be locked
 
-	// DroppedRecords is the number of records that could not be read by Open.
+	// DroppedRecords is the number of records that Open could not read.
 	DroppedRecords int
 }
 
 // Open opens the log in dir and reads what is pending; limit bounds the bytes in the folder. It waits a moment for a
-// folder that another process has, as one that was killed may still hold it. Errors: a LockedError,
+// folder that another process holds, as one that was killed may hold it a little longer. Errors: a LockedError,
 // ErrLimitTooSmall, or one of the filesystem. A folder that cannot be written to is no error: each record tries again.
 func Open(dir string, limit int64) (*Log, error) {
 	return OpenWhenFree(context.Background(), dir, limit, minLockWait)
 }
 
-// OpenWhenFree is Open that waits longer, up to wait, for a folder that another process has, as a process that replaces
-// another does while the other ends. It returns the error of ctx if that ends first.
+// OpenWhenFree is Open that waits longer, up to wait, for a folder that another process holds, as a process that
+// replaces another does while the other ends. It returns the error of ctx if that ends first.
 func OpenWhenFree(ctx context.Context, dir string, limit int64, wait time.Duration) (*Log, error) {
 	l := &Log{dir: dir, limit: limit, entries: map[uint64]*Entry{}, nextSeq: 1}
 	if l.Capacity() <= 0 {
@@ -62,7 +62,7 @@
 	return l, nil
 }
 
-// Close ends the writing and lets go of the folder.
+// Close closes the log's files and releases the folder.
 func (l *Log) Close() error {
 	var errs []error
 	if l.head != nil {
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -77,14 +77,14 @@
 		return err
 	}
 	if l.head != nil {
-		_ = l.head.Close() // each of its writes has told its own error
+		_ = l.head.Close() // each of its writes has returned its own error
 	}
 	l.head = f
 	l.segments = append(l.segments, segment{number: number})
 	return nil
 }
 
-// makeSpace frees the oldest segments until a record of so many bytes has room, and so much is left beside it.
+// makeSpace frees the oldest segments until a record of so many bytes fits, with left bytes to spare.
 func (l *Log) makeSpace(record int, left int64) error {
 	for range len(l.segments) {
 		if l.Used()+int64(record)+left <= l.limit {
