--- a/forwarder/backlog_keys_test.go
+++ b/forwarder/backlog_keys_test.go
@@ -96,7 +96,7 @@
 			require.Equal(t, "+OK", f.put(0, 100+number, number))
 		}
 	}
-	time.Sleep(3 * time.Second) // one expires
+	time.Sleep(3 * time.Second) // one message expires
 	close(release)
 	require.Eventually(t, func() bool { return len(f.storedIDs(0)) > 0 }, 20*time.Second, time.Millisecond)
 	time.Sleep(200 * time.Millisecond) // what is not stored then is held back
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -92,8 +92,8 @@
 	require.Zero(t, f.stored().Messages)
 }
 
-// A start finds the windows of destinations that are out: they are no demand of its first seconds, by which these would
-// be tried many times a second.
+// A start finds the windows of unreachable destinations: they do not count as demand of its first seconds, or these
+// destinations would be tried many times a second.
 func TestWindowsThatAStartFindsAreNoReasonToTryOften(t *testing.T) {
 	const count = 400
 	f := newBacklogFixture(t)
--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -24,7 +24,7 @@
 "Limits":{"AttemptsCap":6,"MaxOpen":4000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,"ConnectTimeout":1500},
 "Report":{"Fields":[]},"Discovery":"ask","WeightKind":"silent","NInstances":1,"Tenants":[]}}`
 
-// BenchmarkMessage drives the whole way over loopback: RESP frontend, event queue, event loop, scheduler, write-ahead
+// BenchmarkMessage drives the whole path over loopback: RESP frontend, event queue, event loop, scheduler, write-ahead
 // log, HTTP upstream, eight endpoints that answer at once. An op is a message from its submission to its delivery;
 // sixteen clients submit, each its next one when the one before has its answer, up to 128 under way. A rejected message
 // fails the run. cpu-ns/op is of the whole process, clients and endpoints included.
--- a/forwarder/transcript_test.go
+++ b/forwarder/transcript_test.go
@@ -36,7 +36,7 @@
 	transcriptError = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 )
 
-// wireFixture is a forwarder whose discovery and whose endpoint are played by the test, with the transcript of all wires.
+// wireFixture is a forwarder whose discovery and endpoint the test stands in for, with the transcript of all wires.
 type wireFixture struct {
 	t                   *testing.T
 	script              transcript.Transcript
@@ -92,7 +92,7 @@
 	w.script.Bytes("forwarder", []byte(answer))
 }
 
-// puts hands a message in for the endpoint's destination.
+// puts submits a message for the endpoint's destination.
 func (w *wireFixture) puts(what, id, options string) {
 	w.t.Helper()
 	w.asks(what, "MSG.PUT", "0000000000000000", id, options, "a body")
@@ -107,7 +107,7 @@
 	return request
 }
 
-// adminAnswer makes a call to the admin address.
+// adminAnswer makes a request to the admin address.
 func (w *wireFixture) adminAnswer(request string) string {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.admin)
@@ -121,7 +121,7 @@
 	return string(answer)
 }
 
-// operates makes a call to the admin address and adds it and its answer.
+// operates makes a request to the admin address and adds it and its answer.
 func (w *wireFixture) operates(what, request string) {
 	w.t.Helper()
 	answer := w.adminAnswer(request)
@@ -130,7 +130,7 @@
 	w.script.Bytes("forwarder", []byte(answer))
 }
 
-// listHeard answers a question for the list and waits until the forwarder has taken it up.
+// listHeard answers a request for the list and waits until the forwarder has applied it.
 func (w *wireFixture) listHeard(question *transcript.Request) {
 	w.t.Helper()
 	question.Answer("HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf(transcriptList, w.endpoint.Addr) + "\n")
