--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -90,8 +90,8 @@
 	return &again
 }
 
-// goldenStates are what must be read for each of the three types of message, in the order of taking; the eighth of each
-// is over.
+// goldenStates are what must be read for each of the three types of message, in the order of acceptance; the eighth of
+// each is done.
 var goldenStates = []Entry{
 	{},
 	{Attempts: 1},
@@ -123,7 +123,7 @@
 	return append(pending, named, waiting, &Entry{Seq: 27, Body: []byte{}}, restored)
 }
 
-// requirePending demands these messages and no others, whatever file they are in.
+// requirePending checks that these messages and no others are pending, whatever file they are in.
 func requirePending(t *testing.T, want, got []*Entry) {
 	t.Helper()
 	for _, e := range got {
--- a/internal/wal/inspect_test.go
+++ b/internal/wal/inspect_test.go
@@ -40,7 +40,7 @@
 	require.True(t, v.Damaged(), v.DamagedRecords)
 	require.Equal(t, []any{1, int64(0), 2}, []any{len(v.DamagedRecords), v.DamagedRecords[0].Offset, len(v.Pending)})
 	damaged[2] = 0xff                                                 // its length: what follows cannot be found by it
-	require.NoError(t, os.WriteFile(segmentPath(dir, 9), nil, 0o600)) // this one was ended in peace
+	require.NoError(t, os.WriteFile(segmentPath(dir, 9), nil, 0o600)) // segment 1 is not the last any more
 	require.NoError(t, os.WriteFile(segmentPath(dir, 1), damaged, 0o600))
 	v, err = Inspect(dir)
 	require.NoError(t, err)
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -91,7 +91,7 @@
 }
 
 // Each process begins a segment. Those of processes that wrote less than one holds are freed too, before they fill the
-// log: it would take nothing more and record no end, however little is pending.
+// log: it could record neither a message nor an end, however little is pending.
 func TestManyShortProcessesDoNotFillTheWriteAheadLog(t *testing.T) {
 	dir := t.TempDir()
 	kept := 0
