--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Bounds on clients, in seconds. They are policy, and the frontends keep them.
+// Limits on clients, in seconds. The frontends enforce them.
 const (
 	CommandTimeout    = 2.7 // seconds in which a client has to send a whole command
 	ClientIdleTimeout = 3.0 // seconds that a client may be connected between two commands
@@ -14,8 +14,8 @@
 	maxRejectionRetryAfter = 2    // seconds: longest Retry-After of a rejection, if the settings allow it
 )
 
-// Admit reports whether a message of a size in bytes, with so many seconds left, may be accepted, and if not, after how
-// many seconds it may be submitted again.
+// Admit reports whether a message of size bytes, with left seconds to its deadline, may be accepted, and if not, after
+// how many seconds it may be submitted again.
 func (s *Scheduler) Admit(size int, left float64) (accepted bool, retryAfter float64) {
 	queueFull := s.held.count >= s.settings.QueueCapacity
 	storeFull := s.settings.MaxStoredBytes > 0 && s.storedBytes+size > s.settings.MaxStoredBytes
@@ -25,8 +25,8 @@
 	return true, 0
 }
 
-// Accept takes a message of a type of Settings.Types, with so many seconds left to its deadline. The message belongs to
-// the scheduler until it is Finished.
+// Accept takes a message with left seconds to its deadline; messageType is an index into Settings.Types. The message
+// belongs to the scheduler until it is Finished.
 func (s *Scheduler) Accept(message *Message, messageType int, left float64) {
 	message.messageType = &s.settings.Types[messageType]
 	message.deadline, message.lifetime = s.now+left, left
@@ -46,7 +46,8 @@
 }
 
 // takeQuota counts a message against a tenant's quota, as far as this forwarder's even part of it goes, and reports
-// whether the quota was used up already. A burst of one tenant then waits behind what others have a right to.
+// whether the quota was used up already. A burst of one tenant then waits behind messages that are within the quotas of
+// others.
 func (s *Scheduler) takeQuota(tenant int) (overQuota bool) {
 	if tenant >= len(s.settings.TenantRate) {
 		return false
@@ -106,13 +107,13 @@
 // Withdraw takes back a message that its client does not want any more. It gets no final answer.
 func (s *Scheduler) Withdraw(message *Message) { s.finish(message) }
 
-// NoticeAcknowledged reports that a message's final answer has reached those whom it is for.
+// NoticeAcknowledged reports that a message's final answer was acknowledged.
 func (s *Scheduler) NoticeAcknowledged(message *Message) {
 	message.awaitingAcknowledgement = false
 	s.leaveKeyQueue(message)
 }
 
-// finish ends the forwarder's duty for a message; a call that carries it may still be in flight.
+// finish marks a message as answered and takes it out of all queues; a call that carries it may still be in flight.
 func (s *Scheduler) finish(message *Message) {
 	if message.answered {
 		return
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -13,7 +13,7 @@
 	rateAverageTime  = 2     // seconds over which the recent rate of a route is averaged
 )
 
-// call is one call that carries one message or several.
+// call is a call that carries one or more messages.
 type call struct {
 	endpoint   *Endpoint
 	began      float64
@@ -22,7 +22,7 @@
 	reusesIdle bool // on a connection that had been idle, as far as can be told
 }
 
-// startCall begins a call with messages to an endpoint; apply hands the messages to the host.
+// startCall begins a call with messages to an endpoint; apply passes the messages to the host.
 func (s *Scheduler) startCall(endpoint *Endpoint, messages []*Message) {
 	destination := endpoint.destination
 	call := &call{endpoint: endpoint, began: s.now, pending: len(messages), reusesIdle: s.reusesIdle(endpoint)}
@@ -66,7 +66,7 @@
 	s.changed = append(s.changed, message)
 }
 
-// AttemptEnded takes the end of a message's attempt, or its final answer if no attempt is in flight.
+// AttemptEnded records the result of a message's attempt, or its final answer if no attempt is in flight.
 func (s *Scheduler) AttemptEnded(message *Message, result AttemptResult) {
 	call := message.call
 	if result.Final {
@@ -98,7 +98,7 @@
 	}
 }
 
-// confirmLateDelivery has a notice sent of a delivery close to its deadline, see noticeMargin.
+// confirmLateDelivery requests a notice for a message that was delivered close to its deadline, see noticeMargin.
 func (s *Scheduler) confirmLateDelivery(message *Message, outcome Outcome) {
 	if outcome != Delivered || !message.AnsweredByNotice || message.answered {
 		return
@@ -124,7 +124,7 @@
 	}
 }
 
-// recordPossibleRun notes what the end of an attempt means for the repetition of the message and for its key.
+// recordPossibleRun notes that an attempt may have run, which restricts retries of the message and pauses its key.
 func (s *Scheduler) recordPossibleRun(message *Message, call *call, outcome Outcome) {
 	if outcome.mayStillRun() && message.keyQueue != nil {
 		s.pauseKey(message.keyQueue)
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -29,7 +29,7 @@
 	return t
 }
 
-// deliverOne takes a message, lets the scheduler settle, ends the call and lets it settle: one message's decisions.
+// deliverOne accepts a message, reconciles, ends the call and reconciles again: one message's decisions.
 func deliverOne(s *Scheduler, h *recordingHost, now *float64, to *Destination) {
 	*now += 0.001
 	s.SetTime(*now)
--- a/scheduler/coldreturn_test.go
+++ b/scheduler/coldreturn_test.go
@@ -22,7 +22,7 @@
 // coldRun is a fleet of forwarders that call a destination which fails all calls for some time and returns cold.
 type coldRun struct {
 	settings   Settings
-	capacity   float64 // calls a second that the destination does
+	capacity   float64 // calls a second that the destination can take
 	load       float64 // messages a second, in units of the capacity
 	forwarders []*harness
 	credit     []float64 // messages due at each forwarder
@@ -86,9 +86,9 @@
 	r.pending = append(r.pending, scheduledResult{now + 0.1, r.forwarders[forwarder], message, result})
 }
 
-// excess returns by how much the calls in any window until the destination is warm exceed what the settings allow in it
-// and what is put down to chance; negative: the least that was left. Windows in which a third of the calls or more came
-// from forwarders that had seen no failure do not count.
+// excess returns by how much, in the worst window until the destination is warm, the calls exceed what the settings
+// allow and what is attributed to chance; negative: the least margin that was left. Windows in which a third of the
+// calls or more came from forwarders that had seen no failure do not count.
 func (r *coldRun) excess() float64 {
 	back := coldStart + healthyFor + downFor
 	worst := math.Inf(-1)
@@ -122,8 +122,8 @@
 }
 
 // A cold destination is overloaded by the sum of what all forwarders send. Each judges by its own part, and beyond what
-// the settings allow only twice the root of it and two are put down to chance. Some of these forwarders have only a
-// message or two each while the destination is down.
+// the settings allow only twice the square root of it and two are attributed to chance. Some of these forwarders have
+// only a message or two each while the destination is down.
 func TestFleetDoesNotOverloadColdDestination(t *testing.T) {
 	for _, forwarders := range []int{20, 30, 60} {
 		for _, capacity := range []float64{3, 6, 12, 20, 60} { // calls a second
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -27,7 +27,7 @@
 	require.True(t, message.Finished())
 }
 
-// A long line in which each message is sent just too late would make a good endpoint look sick.
+// A long queue in which each message is sent just too late would make a good endpoint look unhealthy.
 func TestRejectsMessageWithLessTimeThanCallsTake(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
--- a/scheduler/destination.go
+++ b/scheduler/destination.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Destination is one receiver with all its endpoints. NewDestination makes it.
+// Destination is one logical receiver of messages with all its endpoints. NewDestination makes it.
 type Destination struct {
-	ID uint64 // the adapter's number
+	ID uint64 // the adapter's identifier
 
 	endpoints     []*Endpoint
 	sharedRoute   *Route // of all endpoints that have none of their own
@@ -54,7 +54,7 @@
 	return destination
 }
 
-// Forget lets go of a destination without endpoints and held messages, and reports whether it did. Without it, the
+// Forget removes a destination that has no endpoints and no held messages, and reports whether it did. Without it, the
 // number of destinations would grow with the names that clients use.
 func (s *Scheduler) Forget(destination *Destination) bool {
 	if len(destination.endpoints) > 0 || destination.held > 0 || destination.inRing || destination.updated {
@@ -72,10 +72,10 @@
 // Dark reports whether no endpoint of a destination answers.
 func (s *Scheduler) Dark(destination *Destination) bool { return s.allEjected(destination) }
 
-// Stored counts a message for a destination that is stored elsewhere from its admission on as demand.
+// Stored counts a message that is stored elsewhere from its admission on towards the demand of its destination.
 func (s *Scheduler) Stored(destination *Destination) { destination.accepted++ }
 
-// Uncount takes a message off a destination's demand: it was counted before, or by an earlier process.
+// Uncount takes a message off the demand of its destination: it was counted before, or by an earlier process.
 func (s *Scheduler) Uncount(destination *Destination) { destination.accepted-- }
 
 // markUpdated notes an event of a destination for the next Reconcile.
@@ -114,7 +114,7 @@
 	modeImpaired        // no endpoint is ejected, but its concurrency is lowered
 )
 
-// String returns the word that stands for the mode in log lines.
+// String returns the word for the mode in log lines; the words are part of the log's format.
 func (m mode) String() string { return [...]string{"well", "sick", "back", "ill"}[m] }
 
 // worstHealth returns the worst health of a destination's ready endpoints.
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	agentPollInterval       = 0.4 // seconds between polls of a local agent: its list counts as known to us
+	agentPollInterval       = 0.4 // seconds between polls of a local agent: its list counts as known to the forwarder
 	fleetPollRate           = 4.0 // polls a second, of all forwarders together
 	unreachablePollInterval = 2.7 // seconds to the next poll, 1.3 times that at most, if discovery was out of reach
 	maxPollDoublings        = 4   // by failures in a row
@@ -20,8 +20,8 @@
 func (s *Scheduler) PollTimedOut() { s.schedulePoll(&s.failedPolls, s.settings.PollWithin) }
 
 // WatchBroken reports that the list stopped coming, or that discovery is down or out of reach, so that no queue of
-// polls has to be kept short. A change counts as known to us six seconds after discovery could be reached, so that the
-// next poll cannot wait longer.
+// polls has to be kept short. A change counts as known to the forwarder six seconds after discovery could be reached,
+// so that the next poll cannot wait longer.
 //
 // Trade-off: an endpoint that began to drain in an outage gets no calls, at the price of polls in vain.
 func (s *Scheduler) WatchBroken() {
@@ -35,8 +35,8 @@
 	s.nextPoll = s.now + wait*(minPollSpread+s.random.uniform())
 }
 
-// WatchSilent reports that the watched list fell silent. What it missed soon counts as known to us, so that the poll
-// cannot wait.
+// WatchSilent reports that the watch of the endpoint list fell silent. Changes that it missed soon count as known to
+// the forwarder, so that the poll cannot wait.
 func (s *Scheduler) WatchSilent() {
 	s.nextPoll = s.now + math.Min(minPollWait, s.pollSpread())*s.random.uniform()
 }
@@ -50,8 +50,8 @@
 	return math.Min(float64(s.settings.Forwarders-1)/fleetPollRate, s.settings.PollWithin/maxPollSpreadDivisor)
 }
 
-// recordListArrival notes that the endpoint list came. A list that comes at the start is the last known one; the first
-// poll can then wait, and the list stays stale.
+// recordListArrival notes that the endpoint list arrived. One that arrives at the start is the last known list; the
+// first poll can then wait, and the list stays stale.
 func (s *Scheduler) recordListArrival(hasEndpoints bool) {
 	atStart := s.now == s.startedAt
 	s.failedPolls, s.failedWatches, s.listStale = 0, 0, s.listStale && atStart
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -17,9 +17,10 @@
 	require.Equal(t, 2, h.polls)
 }
 
-// Thirty-six forwarders start at once beside a discovery that takes their calls in turn, six a second, and fails one
-// that has waited for two seconds, its work done in vain. Each is served within half a minute, since those that
-// failed come back ever later; asked again within a second, most never were.
+// Thirty-six forwarders start at once with a discovery service that serves their polls in turn, six a second, and fails
+// each that has waited for two seconds, so that the work on it is wasted. Each forwarder is served within half a
+// minute, since those whose poll failed wait ever longer before the next; with a new poll within a second, most never
+// were.
 func TestFleetOfPollingForwardersIsServed(t *testing.T) {
 	asks := testSettings
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 36
@@ -45,7 +46,7 @@
 				line = append(line, call{h, now})
 			}
 		}
-		if tick%8 == 7 && len(line) > 0 { // the next in turn is done, for somebody who may have given up long ago
+		if tick%8 == 7 && len(line) > 0 { // the next in turn is served, though its forwarder may have given up long ago
 			if c := line[0]; now-c.came <= 2 {
 				served[c.of] = true
 				c.of.UpdateEndpoints(true, news)
@@ -81,7 +82,7 @@
 	asks.PollEndpoints, asks.PollWithin, asks.Forwarders = true, 10, 300
 	h := newHarness(asks)
 	h.reconcile()
-	for range 20 { // four times the time is theirs after a failure
+	for range 20 { // however many failed, a wait is below 1.3 times PollWithin
 		was := h.polls
 		h.PollTimedOut()
 		h.advance(1.4 * asks.PollWithin)
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -14,8 +14,8 @@
 const (
 	timerSlack         = 1e-6 // seconds: a message is looked at so much early, as sums of times are rounded
 	maxScratch         = 4096 // candidates for which the array is kept from one check to the next
-	keyExpiredMargin   = 0.05 // seconds before its deduplication window ends, a message is not repeated any more
-	keyExpiringFactor  = 2    // of three parts of that window: from here on only while an endpoint answers
+	keyExpiredMargin   = 0.05 // seconds before the end of its deduplication window: then no repeat any more
+	keyExpiringFactor  = 2    // of keyExpiringDivisor parts of that window: after these only if an endpoint answers
 	keyExpiringDivisor = 3
 )
 
@@ -108,7 +108,7 @@
 	byDeadline.push(&s.due.inFlight, message)
 }
 
-// unstage takes a message out of all that tells when it is due.
+// unstage takes a message out of all that records when it is due.
 func (s *Scheduler) unstage(message *Message) {
 	byTimer.remove(&s.due.timers, message)
 	if message.stage == stageInFlight {
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -35,8 +35,8 @@
 	return nil, ""
 }
 
-// inconsistent returns the first held message or destination that is not in just the structures that its state asks
-// for.
+// inconsistent returns the first held message or destination that is not in exactly the structures that its state
+// requires.
 func inconsistent(s *Scheduler) (what any, why string) {
 	waiting := map[*Destination]int{}
 	for message := range s.held.all() {
@@ -143,7 +143,7 @@
 	if closed == leaving {
 		closed = d.endpoints[1]
 	}
-	h.updateState(leaving, Removed) // its call is out, so that it is not let go of yet
+	h.updateState(leaving, Removed) // its call is in flight, so that it is not released yet
 	h.reconcile()
 	h.BlockUntil(closed, h.now+100)
 	waits := h.accept(d, status, 0)
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -23,7 +23,7 @@
 
 // Endpoint is one address of a destination.
 type Endpoint struct {
-	ID uint64 // the adapter's number
+	ID uint64 // the adapter's identifier
 
 	destination      *Destination
 	route            *Route
@@ -35,9 +35,9 @@
 	calledOften      bool    // the latest call came before an idle connection would have been closed
 	idleConnection   bool    // its connection was left open
 
-	lastSuccess         float64 // when it last answered as it should
+	lastSuccess         float64 // when it last delivered a message
 	consecutiveTimeouts int     // since it last answered
-	lastSuccessBegan    float64 // begin of the latest call that it answered as it should
+	lastSuccessBegan    float64 // begin of the latest call that delivered a message
 	health              health
 	failureRate         float64 // of its latest calls
 	lastFailure         float64
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, 6, h.callsInFlight)
 	good := h.addDestination(0, 0)
 	h.accept(good, status, 0)
-	h.advance(0.4) // an endpoint just listed is first sent to after a random wait
+	h.advance(0.4) // an endpoint just listed gets its first call after a random wait
 	require.Same(t, good, h.sent[len(h.sent)-1].message.Dest)
 }
 
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fleet is many forwarders of the scheduler in front of one destination that all share. It lets in so many calls a
-// second, counting those that it rejects too, and reports its limit and what is left of it.
+// fleet is many schedulers that share one destination. The destination accepts a limited number of calls a second,
+// counting those that it rejects too, and reports its limit and what is left of it.
 type fleet struct {
 	forwarders      []*harness
 	now             float64
 	limit           float64
-	capacity        float64 // calls that the limit still lets in
+	capacity        float64 // calls that the limit still allows
 	hung            bool    // its queue is full: it rejects all
 	silentReports   bool    // it reports nothing
 	debt            float64 // rejected calls use the limit up by so many beyond it
@@ -42,8 +42,7 @@
 	return f
 }
 
-// advance lets the fleet run, one message in so many seconds for each forwarder, and returns the calls and those
-// rejected.
+// advance runs the fleet, one message in so many seconds for each forwarder, and returns the calls and those rejected.
 func (f *fleet) advance(seconds, every float64) (calls, full int) {
 	f.calls, f.rejected = 0, 0
 	for end := f.now + seconds; f.now < end; f.now += 0.02 {
@@ -89,7 +88,7 @@
 }
 
 // A fleet of few messages each, some with far more, at an exact listed limit that rejected calls use up: after a burst
-// the sum of their calls falls under the limit, and what comes then is let in.
+// the sum of their calls falls under the limit, and later calls are accepted.
 func TestUnevenFleetStaysBelowExactLimitAfterBurst(t *testing.T) {
 	f := newFleet(100, 10)
 	f.silentReports, f.debt = true, 5
@@ -144,7 +143,7 @@
 			n.Recover(message, status, 15, RecoveredState{Attempts: earlier.attempts, FirstRanAt: earlier.firstRanAt})
 			owed[message] = true
 		}
-		for range 3 { // and what was handed in meanwhile
+		for range 3 { // and what was submitted meanwhile
 			owed[again.forwarders[i].accept(again.forwarders[i].destinations[0], status, 0)] = true
 		}
 	}
@@ -159,7 +158,7 @@
 	}
 }
 
-// Nearly all forwarders start anew while a destination is hung; it returns and takes a fifth of its load.
+// Nearly all forwarders restart while a destination is hung; it returns and takes a fifth of its load.
 func TestRestartedFleetDoesNotOverloadColdDestination(t *testing.T) {
 	f := newFleet(200, 20)
 	f.silentReports, f.hung = true, true
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// harness is a scheduler with a host that records what it is asked to do, and plays the endpoints as a test asks.
+// harness is a scheduler with a host that records what it is asked to do, and simulates the endpoints as a test says.
 type harness struct {
 	*Scheduler
 	now         float64
@@ -91,7 +91,7 @@
 	}
 }
 
-// keepBusy has a destination take some calls in quick succession.
+// keepBusy has a destination answer some calls in quick succession.
 func (h *harness) keepBusy(d *Destination) {
 	for range 12 {
 		h.accept(d, status, 0)
--- a/scheduler/heap.go
+++ b/scheduler/heap.go
@@ -91,7 +91,7 @@
 	return best, found
 }
 
-// visit calls with each member that is within a bound on the key, in no particular order. Its cost is their number.
+// visit calls call for each member that is within a bound on the key, in no particular order. Its cost is their number.
 // The heap must not be changed meanwhile.
 func visit[T any](heap []T, within func(T) bool, call func(T)) {
 	var descend func(i int)
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -6,7 +6,8 @@
 	// Send begins an attempt of a message. The host reports its end by AttemptEnded, after timeout seconds at the
 	// latest.
 	Send(message *Message, endpoint *Endpoint, timeout float64)
-	// Reject gives a message its final answer: it was not delivered, and may be submitted again after so many seconds.
+	// Reject gives a message its final answer: it was not delivered, and may be submitted again after retryAfter
+	// seconds.
 	Reject(message *Message, retryAfter float64)
 	// Fail gives a message its final answer: it may have run or not, and must not be repeated.
 	Fail(message *Message)
@@ -16,7 +17,7 @@
 	CloseIdle(endpoint *Endpoint)
 	// ReleaseEndpoint lets go of an endpoint that was removed; the scheduler does not use it any more.
 	ReleaseEndpoint(endpoint *Endpoint)
-	// Wake asks for TimerFired after so many seconds.
+	// Wake asks for a call of Scheduler.TimerFired in so many seconds.
 	Wake(in float64)
 	// WatchEndpoints asks for the endpoint list and its changes.
 	WatchEndpoints()
@@ -31,7 +32,7 @@
 const (
 	Delivered    Outcome = iota
 	ServerError          // the destination's own error; the message may have run
-	Overloaded           // turned away before it was looked at
+	Overloaded           // rejected before it was processed
 	TimedOut             // may have run, may still run
 	NoConnection         // never ran
 	Reset                // may have run, may still run
@@ -39,7 +40,7 @@
 	NotSent              // not sent
 )
 
-// mayStillRun reports whether the receiver may be at work on the message.
+// mayStillRun reports whether the destination may still be processing the message.
 func (o Outcome) mayStillRun() bool { return o == TimedOut || o == Reset || o == Cancelled }
 
 // AttemptResult is the event that an attempt ended.
@@ -60,7 +61,7 @@
 	return reported
 }
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
@@ -82,12 +83,13 @@
 	WarmingUp   bool // ready again after it was restarted: it gets a slow start, as after an outage
 }
 
-// RecoveredState is what an earlier process of this forwarder did with a message; times on the clock of SetTime.
+// RecoveredState is the history of a message under an earlier process of this forwarder; times are on the clock of
+// SetTime.
 type RecoveredState struct {
 	Attempts   int     // attempts made
 	FirstRanAt float64 // begin of the first that may have run; 0: surely none ran
 	Zone       int     // of its endpoint
 
 	Answered   bool // it has its final answer, for which NoticeAcknowledged has not been called yet
-	CallerGone bool // its caller waited for the final answer, and went with that process
+	CallerGone bool // its caller waited for the final answer, and was disconnected when that process ended
 }
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -49,8 +49,8 @@
 	require.Len(t, h.sent, 2)
 }
 
-// A numbered message that may have run is sent again only while its mark is known, and its call is given no time to
-// begin beyond that: a connection slow to come would carry a repeat outside its window.
+// A message with an idempotency key that may have run is sent again only while its key is known, and its call times out
+// by then: a connection that is slow to open would carry a repeat outside the deduplication window.
 func TestRepeatEndsWithinDeduplicationWindow(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
--- a/scheduler/keyqueue.go
+++ b/scheduler/keyqueue.go
@@ -35,7 +35,7 @@
 	queue.last = message
 }
 
-// dropIdleKeys lets go of the keys whose last message finished during their cooldown, once there are many.
+// dropIdleKeys removes the keys whose last message finished during their cooldown, once there are many.
 func (s *Scheduler) dropIdleKeys() {
 	if len(s.keyQueues) <= 2*s.held.count+maxIdleKeys {
 		return
@@ -47,7 +47,8 @@
 	}
 }
 
-// leaveKeyQueue lets go of a message to which nothing more can happen. The next one of its key may be sent then.
+// leaveKeyQueue removes a message to which nothing more can happen from the queue of its key. The next one of its key
+// may be sent then.
 func (s *Scheduler) leaveKeyQueue(message *Message) {
 	if !message.Finished() {
 		return
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -19,7 +19,7 @@
 	position: func(m *Message) *int32 { return &m.queuePosition },
 }
 
-// assignLane gives a fresh message its lane: its tenant's, or that of the messages beyond the quotas.
+// assignLane assigns a fresh message to a lane: its tenant's, or that of the messages beyond the quotas.
 func (s *Scheduler) assignLane(message *Message) {
 	destination := message.Dest
 	if message.overQuota = s.takeQuota(message.Tenant); message.overQuota {
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -4,14 +4,14 @@
 
 // Message is one message held by a forwarder. The caller sets the exported fields, once, before Accept.
 type Message struct {
-	ID     uint64 // the adapter's id
+	ID     uint64 // the adapter's identifier
 	Tenant int
 	Key    uint64 // ordering key; 0: none
 	Dest   *Destination
-	Size   int // bytes that it takes where messages are stored
+	Size   int // bytes that it takes in the write-ahead log
 
-	// AnsweredByNotice: its final answer, unless it is delivered in time, is a notice to a client that judges the time
-	// by another clock.
+	// AnsweredByNotice says that its final answer, unless it is delivered in time, is a notice to a client whose clock
+	// may differ.
 	AnsweredByNotice bool
 
 	messageType   *MessageType
@@ -67,7 +67,7 @@
 // mayHaveRun reports whether an attempt of the message may have run.
 func (m *Message) mayHaveRun() bool { return m.firstRanAt > 0 }
 
-// hasUsedKey reports whether the receiver may know the message's idempotency key.
+// hasUsedKey reports whether the destination may know the message's idempotency key.
 func (m *Message) hasUsedKey() bool {
 	return m.firstRanAt > 0 && m.messageType.Idempotency == IdempotentWithKey
 }
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	failureWeight      = 0.2 // weight of one failure in an endpoint's failure share, doubled if nothing answered
-	ejectionThreshold  = 0.6 // failure share from which on an endpoint is ejected
+	failureWeight      = 0.2 // weight of one failure in an endpoint's failure rate, doubled if nothing answered
+	ejectionThreshold  = 0.6 // failure rate from which on an endpoint is ejected
 	failureStreak      = 3   // consecutive failures that eject a route's endpoints
 	lowVolumeStreak    = 2   // the same at low volume
 	shortOutage        = 3.0 // seconds without an answer that are no outage
@@ -16,13 +16,13 @@
 	connectRetrySpread = 0.8 // at random: a full connection table is as full at once after
 )
 
-// health says how an endpoint has answered of late.
+// health is the state of an endpoint by its recent results.
 type health uint8
 
 const (
 	healthy    health = iota
 	ejected           // gets no calls but probes
-	recovering        // answers again, its rate is raised slowly
+	recovering        // answers again; its rate is raised slowly
 )
 
 // Ejected reports whether an endpoint gets probes only, after it failed.
@@ -124,7 +124,7 @@
 	s.closeIdle = append(s.closeIdle, destination.endpoints...)
 }
 
-// failureWeight returns the weight of a failure in the endpoint's failure share.
+// failureWeight returns the weight of a failure in the endpoint's failure rate.
 func (s *Scheduler) failureWeight(endpoint *Endpoint, call *call, outcome Outcome) float64 {
 	weight := failureWeight
 	if endpoint.lastSuccessBegan >= call.began {
@@ -146,8 +146,8 @@
 // ejectOnStreak ejects a route's endpoints after three failures in a row, two at low volume; rejections count after the
 // first failure. One failure must be a fast one, and no answer may have come for a while.
 //
-// Trade-off: many forwarders with few calls do not go on until each is sure, and together push a destination over as
-// it returns; chance failures can eject too.
+// Trade-off: many forwarders with few calls do not go on calling until each is sure, and together overload a
+// destination as it returns; chance failures can eject too.
 func (s *Scheduler) ejectOnStreak(endpoint *Endpoint) {
 	route, streak := endpoint.route, failureStreak
 	if s.lowVolume(endpoint.destination) {
@@ -170,7 +170,7 @@
 
 // eject begins or prolongs an endpoint's ejection.
 //
-// Trade-off: a destination that returns cold is not pushed over, and one that is down, hung, closed or failing is not
+// Trade-off: a destination that returns cold is not overloaded, and one that is down, hung, closed or failing is not
 // called in vain; chance failures can eject too.
 func (s *Scheduler) eject(endpoint *Endpoint) {
 	endpoint.health, endpoint.concurrencyLimit = ejected, 1
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -10,7 +10,7 @@
 	balancedFraction    = 0.5  // reported share of a limit that leaves the learned rate as it is
 	scarceFraction      = 0.25 // reported share below which a rate is learned
 	reportSilence       = 2    // seconds without a report after which rejections alone rule the learned rate
-	evenPartMargin      = 1.5  // times the even part of a limit that is likely to be let through
+	evenPartMargin      = 1.5  // times the even part of a limit that is likely to be accepted
 	minRateDivisor      = 10   // the learned rate is at least this part of the guaranteed one
 	burstDuration       = 0.3  // seconds of the learned rate that may be called at once
 	firstBackoff        = 0.1  // seconds, doubled by each rejection in a row
@@ -21,7 +21,7 @@
 	longRetryAfter      = 2.5  // seconds: a limit has room again sooner, a closed destination has not
 	closedRejections    = 5    // rejections in a row from which on a destination may be closed
 	persistentAfter     = 1    // seconds after the first rejection in a row
-	tokenDebt           = 2    // calls: largest debt of tokens after a first rejection, in units of the factor below
+	tokenDebt           = 2    // calls: largest debt of tokens after a first rejection, less where calls are frequent
 	tokenSpread         = 2.75 // calls: random part of the tokens then, so that forwarders do not return together
 	fullDebtRate        = 0.5  // calls a second: recent rate below which that applies in full; above, less the higher
 )
@@ -30,14 +30,14 @@
 // its own.
 type Route struct {
 	blockedUntil          float64 // by a Retry-After or a backoff
-	learnedRate           float64 // calls a second that seem to be let through; 0: no limit was met
-	tokens                float64 // calls that the learned rate lets through now
+	learnedRate           float64 // calls a second that seem to be accepted; 0: no limit was met
+	tokens                float64 // calls that the learned rate allows now
 	refilledAt            float64 // when the tokens were last refilled
 	recentRate            float64 // calls a second of late
 	consecutiveFailures   int     // since the last success; rejections after the first of them count too
 	fastFailure           bool    // an error or a failed connect is among these
-	lastSuccess           float64 // when it last answered as it should
-	consecutiveRejections int     // since a call was let in
+	lastSuccess           float64 // when it last delivered a message
+	consecutiveRejections int     // since a call was accepted
 	lastRejection         float64 // when one last taught something
 	firstRejection        float64 // when the first of these was
 	noShortWaitSince      float64 // since when calls are rejected without a short Retry-After
@@ -51,7 +51,7 @@
 // BlockedUntil returns until when an endpoint's route takes no call: a Retry-After, or a backoff after rejections.
 func (e *Endpoint) BlockedUntil() float64 { return e.route.blockedUntil }
 
-// BlockUntil keeps calls off an endpoint's route until a time, as an earlier process of this forwarder was told to. The
+// BlockUntil keeps calls off an endpoint's route until a time that an earlier process of this forwarder learned. The
 // endpoint must be listed.
 func (s *Scheduler) BlockUntil(endpoint *Endpoint, until float64) {
 	endpoint.route.block(until)
@@ -82,7 +82,7 @@
 	}
 	faster := (s.now - route.lastRejection) / growthDoubling
 	if route.consecutiveRejections > 0 && route.reportedLimit > 0 {
-		faster = 0 // nothing was let in since, as others use the limit up: silence does not mean capacity
+		faster = 0 // nothing was accepted since, as others use the limit up: silence does not mean capacity
 	}
 	route.learnedRate *= 1 + learnedRateGrowth*elapsed*(1+faster)
 }
@@ -126,12 +126,12 @@
 	}
 }
 
-// recordRejection learns from a call that was turned away before it was looked at: above the limit, queue full, or
-// closed. Calls that were in flight at the last rejection carry no new information and are ignored.
+// recordRejection learns from a call that was rejected before it was processed: above the limit, queue full, or closed.
+// Calls that were in flight at the last rejection carry no new information and are ignored.
 //
 // Trade-offs: a dozen rejections at once are not taken for a dozen in a row, even where those that follow are rejected
-// again. At low volume no rate is learned without a report of what is left, so that hundreds of forwarders do not ask
-// again soon and use the limit up with rejections; a chance rejection then costs a long backoff.
+// again. At low volume no rate is learned without a report of what is left, so that hundreds of forwarders do not retry
+// soon and use the limit up with rejections; a chance rejection then costs a long backoff.
 func (s *Scheduler) recordRejection(endpoint *Endpoint, call *call, result AttemptResult) {
 	route := endpoint.route
 	if call.began < route.lastRejection {
@@ -157,7 +157,7 @@
 		s.learnRate(endpoint, result)
 	}
 	s.coolDownAfterRejections(endpoint, lowVolume)
-	// Closed rather than above its limit: nothing let in for long and no short Retry-After, or a long one.
+	// Closed rather than above its limit: nothing accepted for long and no short Retry-After, or a long one.
 	closed := route.consecutiveRejections >= closedRejections && s.now-route.noShortWaitSince > longRetryAfter
 	if closed || result.RetryAfter > longRetryAfter {
 		s.ejectRoute(endpoint)
@@ -185,7 +185,7 @@
 	} else {
 		rate = math.Max(rate, throughput(endpoint))
 	}
-	if result.ReportedShare < 0 { // all is used up, by all together: an even part is likely to be let through
+	if result.ReportedShare < 0 { // all is used up, by all together: an even part is likely to be accepted
 		rate = math.Min(rate, evenPartMargin*s.guaranteedRate(endpoint))
 	}
 	route.learnedRate = math.Max(learnedRateCut*rate, s.guaranteedRate(endpoint))
@@ -206,10 +206,11 @@
 	return float64(inFlight) / endpoint.destination.latency.p90
 }
 
-// coolDownAfterRejections has a route rest that rejects again a second later, or at once where it reports no limit,
-// with nothing let in between.
+// coolDownAfterRejections blocks a route for its cooldown if it rejects again more than persistentAfter seconds after
+// the first rejection (except at low volume), or at once where it reports that there is no limit, with nothing accepted
+// in between.
 //
-// Trade-off: many forwarders with a message each do not go on calling a hung destination and push it over; limits that
+// Trade-off: many forwarders with a message each do not go on calling a hung destination and overload it; limits that
 // soon have room are used later.
 func (s *Scheduler) coolDownAfterRejections(endpoint *Endpoint, lowVolume bool) {
 	route := endpoint.route
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -51,7 +51,7 @@
 	require.Greater(t, len(h.sent), sent+15)
 }
 
-// A burst above a limit is rejected all at once; that is one sign of the limit, not a dozen in a row.
+// A burst above a limit is rejected all at once; that counts as one rejection, not as a dozen in a row.
 func TestSimultaneousRejectionsCutTheRateOnce(t *testing.T) {
 	pace := func(n int) float64 {
 		h := newHarness(testSettings)
@@ -70,7 +70,7 @@
 	require.GreaterOrEqual(t, pace(6), pace(1))
 }
 
-// A burst that a full queue rejects teaches a rate far below what the destination takes. It is not paid for long.
+// A burst that a full queue rejects teaches a rate far below what the destination takes. Its effect must not last long.
 func TestLearnedRateGrowthAcceleratesWithoutRejections(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -7,7 +7,7 @@
 	minWake         = 0.001 // seconds
 )
 
-// Reconcile decides all that follows from the events since the last time, and calls the host.
+// Reconcile decides what follows from the events since its last call, and calls the host.
 func (s *Scheduler) Reconcile() {
 	s.endExpired()
 	s.serveRounds(false)
@@ -40,7 +40,7 @@
 	}
 }
 
-// applyAction has the host do what is wanted for a message.
+// applyAction has the host carry out a message's action.
 func (s *Scheduler) applyAction(message *Message) {
 	switch message.action {
 	case actionSend:
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Rare moments: recovered messages, a list that falls silent, one that has not arrived yet.
+// Rare situations: recovered messages, a watch that falls silent, a list that has not arrived yet.
 
 func TestTriesRecoveredMessageThoughLittleTimeIsLeft(t *testing.T) {
 	h := newHarness(socketSettings())
@@ -17,7 +17,7 @@
 	owed, fresh := &Message{Dest: d}, &Message{Dest: d}
 	h.Recover(owed, status, 0.3, RecoveredState{})
 	h.Accept(fresh, status, 0.3)
-	fresh.lifetime = 20 // it waited here for most of its life
+	fresh.lifetime = 20 // it waited here for most of its time to live
 	h.reconcile()
 	require.Equal(t, "rejected", h.answers[fresh], "calls mostly take longer")
 	require.Empty(t, h.answers[owed])
@@ -111,7 +111,7 @@
 	h := newHarness(told)
 	h.addDestination(0, 0)
 	h.reconcile()
-	for n := range 10 { // each question goes wrong at once
+	for n := range 10 { // each poll fails at once
 		require.Equal(t, n+1, h.polls)
 		h.PollTimedOut()
 		h.advance(0.56)
@@ -144,8 +144,8 @@
 	require.Equal(t, "abandoned", h.answers[first], "once")
 }
 
-// Whatever a failed, rejected or abandoned poll allows, a change counts as known six seconds after discovery had it and
-// could be reached. A connection that never comes up takes a second and a half of that.
+// Whatever a failed, rejected or timed-out poll allows, a change counts as known six seconds after discovery had it and
+// could be reached. A connection that is never established takes a second and a half of that.
 func TestPollsSoonAfterDiscoveryOutage(t *testing.T) {
 	const toldIn, failsIn = 6.0, 1.5
 	asks := testSettings
@@ -167,13 +167,13 @@
 }
 
 // The window in which an endpoint knows a repeat may be as short as a second, on days of restarts too: what may have
-// run is neither sent nor still waited for beyond it, and whatever is past its window ends as a failure, once.
+// run is neither sent nor still waited for beyond it, and whatever is past its window is answered as a failure, once.
 func TestKeepsShortDeduplicationWindowOverRestart(t *testing.T) {
 	const window, life = 1.0, 20.0
 	short := socketSettings()
 	short.Types = append([]MessageType{}, short.Types...)
 	short.Types[ticket].DeduplicationWindow = window
-	for age := 0.0; age < 1.6; age += 0.04 { // of the call that was out when the process was killed
+	for age := 0.0; age < 1.6; age += 0.04 { // of the call that was in flight when the process was killed
 		h := newHarness(short)
 		d := h.addDestination(0, 0, 0)
 		message, ran := &Message{Dest: d, Key: 5}, h.now-age
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -24,7 +24,7 @@
 	s.enqueue(message)
 }
 
-// resume makes a recovered message wait as its history asks for: untried, or for a further call.
+// resume makes a recovered message wait as its history requires: for its first call, or for a retry.
 func (s *Scheduler) resume(message *Message) {
 	if message.recoveredUntried {
 		message.leaveShedClass()
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -3,8 +3,8 @@
 import "math"
 
 // ring is the destinations with waiting messages, in round-robin order from a cursor on. A destination none of whose
-// endpoints can take a call before some time is parked until then: it keeps its place in the order, and is passed over
-// without a look. The order is kept in a treap by position, so that the cost of a round does not grow with the
+// endpoints can take a call before some time is parked until then: it keeps its place in the order, and rounds skip it
+// without examining it. The order is kept in a treap by position, so that the cost of a round does not grow with the
 // number of parked members.
 type ring struct {
 	root   *ringNode
@@ -132,7 +132,7 @@
 	}
 }
 
-// each calls with all members in their order from the cursor on.
+// each calls call for all members, in their order from the cursor on.
 func (r *ring) each(call func(*Destination)) {
 	walk(r.root, r.cursor, r.size(), call)
 	walk(r.root, 0, r.cursor, call)
@@ -242,7 +242,7 @@
 	return -1
 }
 
-// walk calls with the members at positions from (included) to end (not included), in order.
+// walk calls call for the members at positions from (included) to end (not included), in order.
 func walk(n *ringNode, from, end int, call func(*Destination)) {
 	if n == nil || from >= end {
 		return
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,16 +1,18 @@
 // Package scheduler decides which message is sent when, to which endpoint, and which is given up. It does no I/O,
 // reads no clock and starts no goroutine.
 //
-// Events go in, one Reconcile follows, and calls to the Host come out. For all that happens at one moment the adapter
-// calls SetTime, then one method for each event in the order of arrival (UpdateEndpoints, PollTimedOut, WatchBroken,
-// WatchSilent, Accept, Recover, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and then Reconcile once.
-// The event methods only update the state; Reconcile decides what follows from it and calls the Host for what differs.
-// Admit says before Accept whether a message may be accepted. A Scheduler, and everything it was given, belongs to one
-// goroutine.
+// Events go in, one Reconcile follows, and calls to the Host come out. The adapter is the program around a Scheduler:
+// it reports the events and implements Host. For all that happens at one moment it calls SetTime, then one method for
+// each event in the order of arrival (UpdateEndpoints, PollTimedOut, WatchBroken, WatchSilent, Accept, Recover,
+// TakeBack, GiveUp, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and then Reconcile once. The event
+// methods only update the state; Reconcile decides what follows from it and calls the Host for what differs. Admit says
+// before Accept whether a message may be accepted. A Scheduler, and everything it was given, belongs to one goroutine.
 //
 // Times are seconds on the caller's clock, rates are calls a second unless messages are named. The request path is
 // described in docs/design.md. Each concern has a file:
 //
+//   - host.go, settings.go, message.go, destination.go: the interface to the adapter, and the state of each message
+//     and destination
 //   - admission.go: quotas, admission, recovery after a restart
 //   - scheduling.go, lane.go, ring.go: tenants and destinations take turns; a round has a quantum
 //   - keyqueue.go: messages with the same ordering key
@@ -25,6 +27,7 @@
 //   - shedding.go: load shedding while the queue is nearly full
 //   - discovery.go: when to poll for the endpoint list
 //   - reconcile.go: the difference between desired and present state
+//   - heap.go, random.go: heaps whose members can be removed, and the source of random decisions
 package scheduler
 
 import "math"
@@ -51,7 +54,7 @@
 	callsInFlight       int
 	storedBytes         int     // of messages of which something can still happen
 	stopAt              float64 // when a stopping process ends; 0: it does not stop
-	wakeAt              float64 // the wake-up that is set
+	wakeAt              float64 // when the host is to call TimerFired; infinite while no wake-up is set
 
 	idleReuse       successRate     // how calls on reused idle connections end
 	noIdleUntil     float64         // until then no idle connection is kept
@@ -61,9 +64,9 @@
 	shortestTimeToLive float64
 
 	nextPoll      float64 // when to ask for the endpoint list; infinite while it is watched
-	listStale     bool    // the present list counts as known to us but has not arrived
+	listStale     bool    // the present list counts as known to the forwarder but has not arrived
 	failedPolls   int     // in a row
-	failedWatches int     // of these, those that failed for another reason than discovery's load
+	failedWatches int     // the same for failures that are not due to discovery's load
 }
 
 // New returns a scheduler without destinations. The seed determines all its random decisions; now is the present time
@@ -96,10 +99,10 @@
 // TimerFired reports that the wake-up the host was asked for has come.
 func (s *Scheduler) TimerFired() { s.wakeAt = math.Inf(1) }
 
-// Stop reports that the process ends in so many seconds. No call begins that is likely to be in flight then; what is
-// held is left to the next process.
+// Stop reports that the process ends in so many seconds. No call begins that is likely to be in flight then; held
+// messages are left to the next process.
 //
-// Trade-off: calls are not cut off, but if no process follows, what is held is lost.
+// Trade-off: calls are not cut off, but if no process follows, held messages are lost.
 func (s *Scheduler) Stop(in float64) { s.stopAt = s.now + in }
 
 // Done reports whether a stopping process has nothing left to wait for.
--- a/scheduler/scheduling_test.go
+++ b/scheduler/scheduling_test.go
@@ -13,7 +13,7 @@
 	first, second := h.accept(d, ticket, 5), h.accept(d, ticket, 5)
 	h.advance(0.1)
 	require.Len(t, h.sent, 1)
-	h.Withdraw(first) // its call is still out
+	h.Withdraw(first) // its call is still in flight
 	h.advance(0.1)
 	require.Len(t, h.sent, 1)
 	h.endAttempt(first, TimedOut, 0)
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -1,16 +1,16 @@
 package scheduler
 
-// Idempotency says what a second attempt of a message would do.
+// Idempotency says whether a second attempt of a message is safe.
 type Idempotency uint8
 
-// The ways in which a receiver treats a second attempt.
+// The ways in which a destination treats a second attempt.
 const (
 	Idempotent        Idempotency = iota // it may run again
-	IdempotentWithKey                    // it carries an idempotency key by which the receiver knows a repeat
+	IdempotentWithKey                    // it carries an idempotency key by which the destination recognizes a repeat
 	AtMostOnce                           // it must never run twice
 )
 
-// MessageType is what the settings say of one message type; times in seconds.
+// MessageType is the settings of one message type; times in seconds.
 type MessageType struct {
 	Idempotency                  Idempotency
 	DeduplicatedPerZone          bool // IdempotentWithKey: only endpoints of one zone know the key, not all
@@ -38,12 +38,12 @@
 	OverloadMultiple                float64 // how many times its capacity a recovering destination may be offered
 	HalvingValue                    bool    // value halves with each further LatencyObjective, down to LateValueShare
 	MaxRetryAfter                   float64 // longest Retry-After that a rejection may name; 0: none
-	PollEndpoints                   bool    // the endpoint list comes only after it was asked for
-	LocalAgent                      bool    // an agent has the list: it counts as known from the start on
-	PollWithin                      float64 // longest time between polls while the list does not come; 0: not stated
+	PollEndpoints                   bool    // the endpoint list arrives only after it was requested
+	LocalAgent                      bool    // a local agent has the list: it counts as known from the start on
+	PollWithin                      float64 // longest time between polls while the list does not arrive; 0: not stated
 	ListedRateTolerance             float64 // a listed rate may be this many times too high; 0: none is listed
 	MaxStoredBytes                  int     // bytes of messages that can be stored; 0: no bound
-	AwaitAcknowledgement            bool    // an answer is given only once NoticeAcknowledged says so
+	AwaitAcknowledgement            bool    // a rejected or failed message is finished only after NoticeAcknowledged
 }
 
 // HasType reports whether the settings define message type n.
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -4,10 +4,10 @@
 
 const sheddingThreshold = 0.97 // of the queue's capacity: from here on the longest backlog is cut
 
-// shedLoad answers what is worth least of the longest backlog while the queue is nearly full.
+// shedLoad answers the least valuable messages of the longest backlog while the queue is nearly full.
 //
-// Trade-off: an ejected or flooded destination does not have everybody's messages turned away, but the flood might have
-// passed in time.
+// Trade-off: an ejected or flooded destination does not cause the messages of all others to be rejected, but the flood
+// might have passed in time.
 func (s *Scheduler) shedLoad() {
 	for float64(s.held.count) > sheddingThreshold*float64(s.settings.QueueCapacity) {
 		message := s.shedCandidate(s.longestBacklog())
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -8,8 +8,8 @@
 	minSlowStartDuration  = 0.1  // seconds
 	minProbeSpread        = 0.7  // of the mean time between probes
 	probeSpread           = 0.6  // random part of it
-	cooldownCalls         = 2    // usual times between calls that a route rests
-	minGuaranteedRate     = 1    // calls a second that a route surely takes, of all forwarders together
+	cooldownCalls         = 2    // length of a cooldown, in usual intervals between calls
+	minGuaranteedRate     = 1    // calls a second that a route is assumed to take, of all forwarders together
 	healthyCallsAssumed   = 1    // added to the calls of a destination's healthy time
 	healthySecondsAssumed = 2    // added to that time, so that the first calls give no extreme rate
 )
@@ -20,7 +20,7 @@
 }
 
 // recoveryRate returns the calls a second that an endpoint may get while it is ejected or recovering, so that all
-// forwarders together, each judging by its own part, stay within what a cold destination stands.
+// forwarders together, each judging by its own part, stay within what a cold destination can take.
 func (s *Scheduler) recoveryRate(endpoint *Endpoint) float64 {
 	peers := 0
 	for _, other := range endpoint.destination.endpoints {
@@ -39,10 +39,10 @@
 }
 
 // usualRate returns the calls a second that this forwarder makes or may make to an endpoint's destination as a rule:
-// its demand, but no more than the destination got done while it was healthy.
+// its demand, but no more than the destination completed while it was healthy.
 //
-// Trade-off: a ramp does not push over a destination that was asked for more than it can do, but is too slow where the
-// destination's best is not known yet.
+// Trade-off: a ramp does not overload a destination that was offered more than it can handle, but is too slow where the
+// destination's capacity is not known yet.
 func (s *Scheduler) usualRate(endpoint *Endpoint) float64 {
 	destination := endpoint.destination
 	rate := destination.accepted / (s.now - s.startedAt + startWindow)
@@ -54,13 +54,13 @@
 	return math.Max(rate*(destination.calls+1)/(destination.attempts+1), s.guaranteedRate(endpoint))
 }
 
-// cooldown returns how long a route rests after failures, in seconds: the usual time of two calls, at most half of a
-// message's time to live.
+// cooldown returns how long a route is blocked after repeated failures or rejections, in seconds: the usual time of two
+// calls, at most half of a message's time to live.
 func (s *Scheduler) cooldown(endpoint *Endpoint) float64 {
 	return math.Min(cooldownCalls/s.usualRate(endpoint), s.shortestTimeToLive/2)
 }
 
-// guaranteedRate returns this forwarder's even part of the rate that a route surely takes.
+// guaranteedRate returns this forwarder's even part of the rate that a route is assumed to take.
 func (s *Scheduler) guaranteedRate(endpoint *Endpoint) float64 {
 	rate := math.Max(minGuaranteedRate, endpoint.route.reportedLimit)
 	if s.settings.ListedRateTolerance > 0 {
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -27,7 +27,7 @@
 		h.advance(0.1)
 		h.endAttempts(d, TimedOut)
 	}
-	require.InDelta(t, 7, len(h.sent)-n, 4) // a trial every two seconds or so, not fifteen messages at once
+	require.InDelta(t, 7, len(h.sent)-n, 4) // a probe every two seconds or so, not fifteen messages at once
 	h.advance(3)
 	n = len(h.sent)
 	h.endAttempts(d, Delivered)
@@ -61,10 +61,10 @@
 	require.Positive(t, cold)
 }
 
-// A destination that was asked for four times what it gets done (the rest is rejected) goes down and returns cold: the
-// ramp goes by what it got done, not by what was asked of it.
+// A destination that was offered four times its capacity (the rest is rejected) goes down and returns cold: the ramp
+// follows what it completed, not what it was offered.
 func TestSlowStartFollowsHealthyThroughput(t *testing.T) {
-	met := func(done int) int { // calls in the first four seconds of its return, of twelve a second asked
+	met := func(done int) int { // calls in the first four seconds of its return, of twelve a second offered
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		h.keepBusy(d)
@@ -84,7 +84,7 @@
 			h.advance(0.08)
 			h.endAttempts(d, NoConnection)
 		}
-		for d.endpoints[0].Ejected() { // it is back: a trial succeeds
+		for d.endpoints[0].Ejected() { // it is back: a probe succeeds
 			h.accept(d, payment, 0)
 			h.advance(0.08)
 			h.endAttempts(d, Delivered)
