--- a/internal/backlog/policy/bounds.go
+++ b/internal/backlog/policy/bounds.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Bounds are the settings of a policy.
+// Bounds is the settings of a policy.
 type Bounds struct {
 	Bytes            int64            // stored messages in all
 	DestinationBytes int64            // of one destination
@@ -20,7 +20,7 @@
 	Memory int
 	// Batch is how many messages come back in one turn of the event loop, over all lanes.
 	Batch int
-	// ExpiryLead is how long before the end of its time a stored message comes back to be answered.
+	// ExpiryLead is how long before its expiry a stored message is brought back to be answered.
 	ExpiryLead time.Duration
 }
 
@@ -50,7 +50,7 @@
 	return nil
 }
 
-// tenant is how many bytes of a tenant may be stored.
+// tenant returns how many bytes of a tenant may be stored.
 func (b *Bounds) tenant(tenant uint32) int64 {
 	if own, ok := b.Tenants[tenant]; ok {
 		return own
@@ -64,7 +64,8 @@
 	expiryLead  = 3 * time.Second
 )
 
-// WithDefaults fills in what is not for operators to set; capacity is how many messages the scheduler holds at once.
+// WithDefaults fills in the fields that operators do not set; capacity is how many messages the scheduler holds at
+// once.
 func (b Bounds) WithDefaults(capacity int) Bounds {
 	b.Memory = max(1, int(memoryFraction*float64(capacity)))
 	b.Batch = batch
--- a/internal/backlog/policy/decide.go
+++ b/internal/backlog/policy/decide.go
@@ -14,10 +14,10 @@
 	Refused              // it is not accepted
 )
 
-// Bound is which bound stands against a message.
+// Bound is the bound that prevents a message from being stored.
 type Bound uint8
 
-// The bounds that may stand against a message.
+// The bounds that may prevent a message from being stored.
 const (
 	NoBound Bound = iota
 	TotalBound
@@ -27,21 +27,21 @@
 	KeyBound  // an earlier message of its ordering key is stored for another lane
 )
 
-// String names the bound in log lines.
+// String returns the name of the bound in log lines.
 func (b Bound) String() string {
 	return [...]string{"none", "bytes in all", "bytes of the destination", "bytes of the tenant", "disk",
 		"an earlier message of its key is stored"}[b]
 }
 
-// Decision is what becomes of a new message.
+// Decision is the decision on a new message.
 type Decision struct {
 	Place      Place
-	Bound      Bound         // with Refused: what stands against it
+	Bound      Bound         // with Refused: the bound that was reached
 	RetryAfter time.Duration // with Refused: when there may be room
 }
 
-// Decide tells where a new message goes. The event loop then calls Held or Stored, as decided; a refused message is not
-// counted.
+// Decide decides where a new message goes. The event loop then calls Held or Stored, as decided; a refused message is
+// not counted.
 func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
 	l := p.lanes[lane]
 	fits := l == nil || l.stored.messages == 0 && l.held < p.maxHeld(lane)
@@ -51,8 +51,8 @@
 	return p.storeOrRefuse(lane, bytes, now)
 }
 
-// DecideWithin is Decide for a message with so much time left, which memory and the log have room for or not (fits).
-// One that would have to be answered at once after it is stored is refused.
+// DecideWithin is Decide for a message with left time to its deadline; fits says whether the scheduler and the
+// write-ahead log have room for it. A message that would have to be answered as soon as it is stored is refused.
 func (p *Policy) DecideWithin(lane Lane, bytes int64, left time.Duration, fits bool, now time.Time) Decision {
 	d := p.Decide(lane, bytes, now)
 	if d.Place == Memory && !fits {
@@ -72,13 +72,13 @@
 	return Decision{Place: Store}
 }
 
-// Refuse is the answer to a message of so many bytes that a bound stands against, also one that the store itself has no
-// room for (DiskBound) or that has to go after a stored one of another lane (KeyBound).
+// Refuse returns the decision on a message that a bound keeps out, also one that the store itself has no room for
+// (DiskBound) or that must be sent after a stored one of another lane (KeyBound).
 func (p *Policy) Refuse(bound Bound, bytes int64, now time.Time) Decision {
 	return Decision{Place: Refused, Bound: bound, RetryAfter: p.drain.retryAfter(bytes, now)}
 }
 
-// maxHeld is how many messages of a lane without stored ones may be in memory.
+// maxHeld returns how many messages of a lane without stored ones may be in memory.
 func (p *Policy) maxHeld(lane Lane) int {
 	if d := p.destinations[lane.Destination]; d != nil && d.out {
 		return p.bounds.Window
@@ -86,7 +86,7 @@
 	return p.bounds.Behind
 }
 
-// bound tells which bound stands against storing so many bytes more.
+// bound returns the bound that storing so many more bytes would exceed, NoBound if there is none.
 func (p *Policy) bound(lane Lane, bytes int64) Bound {
 	destination := int64(0)
 	if d := p.destinations[lane.Destination]; d != nil {
--- a/internal/backlog/policy/drain_rate.go
+++ b/internal/backlog/policy/drain_rate.go
@@ -12,12 +12,12 @@
 
 // drainRate measures how fast bytes leave the store.
 type drainRate struct {
-	since    time.Time // begin of the window that is measured
+	since    time.Time // start of the window that is measured
 	bytes    int64     // that left in it
 	previous float64   // bytes a second in the window before it
 }
 
-// add says that bytes have left the store.
+// add records that bytes have left the store.
 func (d *drainRate) add(bytes int64, now time.Time) {
 	d.roll(now)
 	d.bytes += bytes
@@ -36,7 +36,7 @@
 	d.since, d.bytes = now, 0
 }
 
-// retryAfter is when there may be room for so many bytes, between one second and thirty.
+// retryAfter returns after how long there may be room for so many bytes, between minRetryAfter and maxRetryAfter.
 func (d *drainRate) retryAfter(bytes int64, now time.Time) time.Duration {
 	d.roll(now)
 	rate := max(d.previous, float64(d.bytes)/rateWindow.Seconds())
--- a/internal/backlog/policy/memory.go
+++ b/internal/backlog/policy/memory.go
@@ -10,7 +10,7 @@
 	reserveDivisor  = 12   // the reserve is this part of Bounds.Memory, beyond it
 )
 
-// freeMemory is how many messages more may be in memory.
+// freeMemory returns how many more messages may be in memory.
 func (p *Policy) freeMemory() int {
 	if p.bounds.Memory == 0 {
 		return math.MaxInt
@@ -18,8 +18,9 @@
 	return max(0, p.bounds.Memory-p.held)
 }
 
-// freeMemoryFor is how many messages more of a lane may be in memory, where so many of all lanes may and so many are. A
-// lane with few there, whose destination is not out, finds room in a reserve: lanes that hold much do not keep it out.
+// freeMemoryFor returns how many more messages of a lane may be in memory, where left more of all lanes may be and held
+// are. A lane with few messages there, whose destination is not out, may use a reserve, so that lanes with many do not
+// keep it out.
 func (p *Policy) freeMemoryFor(lane Lane, left, held int) int {
 	if d := p.destinations[lane.Destination]; p.bounds.Memory == 0 || d != nil && d.out {
 		return left
--- a/internal/backlog/policy/moves.go
+++ b/internal/backlog/policy/moves.go
@@ -1,25 +1,25 @@
 package policy
 
-// MoveKind is what is to be done with a lane.
+// MoveKind is the kind of a move.
 type MoveKind uint8
 
 // The kinds of moves.
 const (
-	SpillTail MoveKind = iota // move the newest messages in memory out to the store
+	SpillTail MoveKind = iota // move the newest messages in memory to the store
 	BringBack                 // move the oldest stored messages back
 )
 
-// Move is a move that is due.
+// Move is a move of a lane's messages that is due.
 type Move struct {
 	Kind  MoveKind
 	Lane  Lane
 	Count int // messages at most
 }
 
-// maxLanesPerTurn is how many lanes are looked at for moves in one turn of the event loop.
+// maxLanesPerTurn is how many lanes are checked for moves in one turn of the event loop.
 const maxLanesPerTurn = 256
 
-// Due gives the moves that are due now, at most so many messages as Batch allows, lanes in turn. The moves have to be
+// Due returns the moves that are due now, lanes in turn, of at most Bounds.Batch messages in all. The moves must be
 // tried before it is called again; a lane whose move was not carried out becomes due again by Unmoved.
 func (p *Policy) Due() []Move {
 	var moves []Move
@@ -58,17 +58,17 @@
 	return moves
 }
 
-// Unmoved says that a move of a lane was not carried out whole: it is due again.
+// Unmoved records that a move of a lane was not carried out completely: it is due again.
 func (p *Policy) Unmoved(lane Lane) {
 	if l := p.lanes[lane]; l != nil {
 		p.queueIfDue(l)
 	}
 }
 
-// MoreDue tells if there are lanes for which a move may be due.
+// MoreDue reports whether there are lanes for which a move may be due.
 func (p *Policy) MoreDue() bool { return len(p.queue) > 0 }
 
-// due is the move that a lane needs, with a Count of 0 if none.
+// due returns the move that a lane needs, with a Count of 0 if none.
 func (p *Policy) due(l *laneState) Move {
 	switch {
 	case l.stored.messages > 0 && l.held <= p.bounds.Window/2:
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy decides which messages wait in memory and which in the backlog store: what is stored when, brought
-// back when, and refused. It does no I/O and reads no clock: the event loop tells it what happened and carries out what
-// it decides (package backlog does the moving).
+// Package policy decides which messages wait in memory and which in the backlog store: when messages are stored,
+// brought back or refused. It does no I/O and reads no clock: the event loop reports what happened and carries out what
+// the policy decides (package backlog does the moving).
 package policy
 
 import "time"
@@ -11,7 +11,7 @@
 	bytes    int64
 }
 
-// laneState is what a policy knows of a lane.
+// laneState is the state of a lane.
 type laneState struct {
 	id     Lane
 	held   int // messages in memory
@@ -19,7 +19,7 @@
 	queued bool // waits for a move
 }
 
-// Policy knows how many messages of each lane are where. It is not safe for concurrent use.
+// Policy counts how many messages of each lane are in memory and in the store. It is not safe for concurrent use.
 type Policy struct {
 	bounds       Bounds
 	lanes        map[Lane]*laneState
@@ -31,14 +31,14 @@
 	drain        drainRate
 }
 
-// destinationState is what a policy knows of a destination.
+// destinationState is the state of a destination.
 type destinationState struct {
 	bytes int64 // stored
-	out   bool  // it takes nothing for now
+	out   bool  // it takes no messages for now
 	lanes map[Lane]*laneState
 }
 
-// New makes a policy for an empty store. An error is that of Bounds.Check.
+// New returns a policy for an empty store. An error is that of Bounds.Check.
 func New(bounds Bounds) (*Policy, error) {
 	if err := bounds.Check(); err != nil {
 		return nil, err
@@ -47,7 +47,7 @@
 		tenants: map[uint32]int64{}}, nil
 }
 
-// SetBounds alters the settings. Messages stored beyond lower bounds stay; new messages are refused until there is
+// SetBounds replaces the settings. Messages stored beyond lower bounds stay; new messages are refused until there is
 // room. An error is that of Bounds.Check.
 func (p *Policy) SetBounds(bounds Bounds) error {
 	if err := bounds.Check(); err != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// Held says that a new message of a lane, or one found in the log at the start, is in memory.
+// Held records that a new message of a lane, or one found in the write-ahead log at the start, is in memory.
 func (p *Policy) Held(lane Lane) {
 	l := p.lane(lane)
 	l.held++
@@ -68,7 +68,7 @@
 	p.queueIfDue(l)
 }
 
-// Ended says that a message of a lane has left memory, as it is done.
+// Ended records that a message of a lane is finished and has left memory.
 func (p *Policy) Ended(lane Lane) {
 	l := p.lane(lane)
 	l.held--
@@ -77,14 +77,14 @@
 	p.forget(l)
 }
 
-// Stored says that a new message of a lane, or so many found in the store at the start, are stored.
+// Stored records that a new message of a lane was stored, or that so many were found in the store at the start.
 func (p *Policy) Stored(lane Lane, messages int, bytes int64) {
 	l := p.lane(lane)
 	p.addStored(l, messages, bytes)
 	p.queueIfDue(l)
 }
 
-// Spilled says that a message of a lane has gone from memory to the store.
+// Spilled records that a message of a lane was moved from memory to the store.
 func (p *Policy) Spilled(lane Lane, bytes int64) {
 	l := p.lane(lane)
 	l.held--
@@ -92,7 +92,7 @@
 	p.addStored(l, 1, bytes)
 }
 
-// Back says that a message of a lane has come back from the store to memory.
+// Back records that a message of a lane was brought back from the store to memory.
 func (p *Policy) Back(lane Lane, bytes int64, now time.Time) {
 	l := p.lane(lane)
 	l.held++
@@ -101,14 +101,14 @@
 	p.drain.add(bytes, now)
 }
 
-// Discarded says that a stored message of a lane is gone without having come back.
+// Discarded records that a stored message of a lane was removed without being brought back.
 func (p *Policy) Discarded(lane Lane, bytes int64) {
 	l := p.lane(lane)
 	p.addStored(l, -1, -bytes)
 	p.forget(l)
 }
 
-// Out says whether a destination takes nothing for now.
+// Out records whether a destination takes no messages for now.
 func (p *Policy) Out(destination uint64, out bool) {
 	d := p.destinations[destination]
 	if d == nil {
@@ -124,19 +124,19 @@
 	p.forgetDestination(destination, d)
 }
 
-// ExpiryDue tells up to which expiry stored messages have to come back now to be answered before it.
+// ExpiryDue returns the time up to which stored messages expire that must be brought back now, to be answered in time.
 func (p *Policy) ExpiryDue(now time.Time) time.Time { return now.Add(p.bounds.ExpiryLead) }
 
-// ExpiryBatch is how many messages are answered at the end of their time in one turn of the event loop.
+// ExpiryBatch returns how many expiring messages are answered in one turn of the event loop.
 func (p *Policy) ExpiryBatch() int { return expiryBatch }
 
-// Amount is how many messages and bytes are stored.
+// Amount returns how many messages and bytes are stored.
 func (p *Policy) Amount() (messages int, bytes int64) { return p.stored.messages, p.stored.bytes }
 
-// TenantBytes is what a tenant has stored.
+// TenantBytes returns how many bytes a tenant has stored.
 func (p *Policy) TenantBytes(tenant uint32) int64 { return p.tenants[tenant] }
 
-// lane is the state of a lane, a new one if there is none.
+// lane returns the state of a lane, a new one if there is none.
 func (p *Policy) lane(id Lane) *laneState {
 	l := p.lanes[id]
 	if l == nil {
@@ -147,7 +147,7 @@
 	return l
 }
 
-// destination is the state of a destination, a new one if there is none.
+// destination returns the state of a destination, a new one if there is none.
 func (p *Policy) destination(number uint64) *destinationState {
 	d := p.destinations[number]
 	if d == nil {
@@ -157,7 +157,7 @@
 	return d
 }
 
-// addStored adds to what is stored of a lane, or takes off.
+// addStored adds to the amounts stored of a lane, or with negative arguments subtracts from them.
 func (p *Policy) addStored(l *laneState, messages int, bytes int64) {
 	l.stored.messages += messages
 	l.stored.bytes += bytes
@@ -188,7 +188,7 @@
 	}
 }
 
-// Lane is a queue of its own: messages of one tenant for one destination, in the order of acceptance.
+// Lane identifies a queue: the messages of one tenant for one destination, in the order of acceptance.
 type Lane struct {
 	Destination uint64
 	Tenant      uint32
