--- a/internal/backlog/append.go
+++ b/internal/backlog/append.go
@@ -5,8 +5,7 @@
 )
 
 // Append stores a message: behind the newest of its lane or, if its number is lower than all of them, before the
-// oldest.
-// With an error nothing is stored: ErrFull (with room again once others have left), ErrStored, ErrOrder, ErrTooLarge,
+// oldest. With an error nothing is stored: ErrFull (until others are released), ErrStored, ErrOrder, ErrTooLarge,
 // ErrClosed, or one of the filesystem.
 func (s *Store) Append(m *Message) error {
 	if s.lock == nil {
@@ -92,7 +91,7 @@
 	delete(s.lanes, l.id)
 }
 
-// addToSums adds an entry to the sums, or with -1 takes it off.
+// addToSums adds an entry to the totals of the store and its lane with a sign of 1, and subtracts it with -1.
 func (s *Store) addToSums(l *lane, e *entry, sign int) {
 	s.messages += sign
 	s.bytes += int64(sign) * e.size()
--- a/internal/backlog/ballast.go
+++ b/internal/backlog/ballast.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// makeBallast sets disk space aside that is given up once the disk is full, so that the store can be drained then. It
-// is tried again when a segment is removed.
+// makeBallast reserves disk space that is given up once the disk is full, so that the store can be drained then. A
+// failed attempt is repeated when a segment is removed.
 func (s *Store) makeBallast() {
 	if s.ballast || s.Used()+s.bounds.SegmentBytes > s.bounds.Bytes {
 		return
@@ -51,7 +51,7 @@
 	s.ballast = true
 }
 
-// releaseBallast gives up the space set aside. It returns false if there was none or it could not be given up.
+// releaseBallast frees the reserved space and reports whether it did: false if there was none or it could not be freed.
 func (s *Store) releaseBallast() bool {
 	if !s.ballast {
 		return false
--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -24,7 +24,7 @@
 		Body: make([]byte, benchBody), Taken: int64(seq), Expiry: int64(seq) + 3_600_000_000}
 }
 
-// fillTo stores messages until so many are stored.
+// fillTo appends messages until so many are stored.
 func fillTo(b *testing.B, s *Store, messages int) {
 	for s.Messages() < messages {
 		require.NoError(b, s.Append(benchMessage(s.LastSeq()+1)))
--- a/internal/backlog/bounds.go
+++ b/internal/backlog/bounds.go
@@ -14,14 +14,14 @@
 	defaultOpenFiles = 8 // segments open for reading at once if no number is given
 )
 
-// Bounds limit what a store may take.
+// Bounds limits the resources of a store.
 type Bounds struct {
 	Bytes        int64 // on disk, all files counted
 	SegmentBytes int64 // of one segment; 0: a 64th of Bytes, at least 256 KiB and at most 16 MiB
 	OpenFiles    int   // segments open for reading at once, beside the one written to and the lock; 0: 8
 }
 
-// withDefaults fills in what is not given and checks the rest. An error names the field.
+// withDefaults fills in the fields that are not given and checks the rest. An error names the field.
 func (b Bounds) withDefaults() (Bounds, error) {
 	if b.SegmentBytes == 0 {
 		b.SegmentBytes = min(max(b.Bytes/segmentsPerStore, minSegmentBytes), maxSegmentBytes)
@@ -41,9 +41,9 @@
 	return b, nil
 }
 
-// reserve is what is kept free of messages: the ballast, and room to free a segment.
+// reserve returns the bytes that are kept free of messages: the ballast, and room to free a segment.
 func (b *Bounds) reserve() int64 { return (1 + reservedSegments) * b.SegmentBytes }
 
-// capacity is how many bytes of live records are stored at most: with less than a quarter of garbage,
-// compaction would copy too much for what it frees.
+// capacity returns how many bytes of live records are stored at most: with less than a quarter of garbage, compaction
+// would copy too much for what it frees.
 func (b *Bounds) capacity() int64 { return (b.Bytes - b.reserve()) / 4 * 3 }
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -5,9 +5,9 @@
 	"io/fs"
 )
 
-const scanBufferSize = 64 << 10 // bytes read at once while segments are freed
+const scanBufferSize = 64 << 10 // bytes read at once while segments are compacted
 
-// compactionRate is how many bytes are looked through, to free segments, for each byte written or released.
+// compactionRate is how many bytes are scanned, to free segments, for each byte written or released.
 const compactionRate = 8
 
 // compact frees segments after so many bytes were written or released, in proportion to them.
@@ -16,9 +16,9 @@
 	s.compactionBudget -= s.compactUpTo(s.compactionBudget)
 }
 
-// compactUpTo looks through up to so many bytes of the oldest segments, writes what is live in them anew, and removes
-// them. It returns how many bytes it looked through. A kill at any moment leaves messages in two places that say the
-// same. An error ends it, also that a segment cannot be removed: the next write tries again.
+// compactUpTo scans up to budget bytes of the oldest segments, copies their live records to the last segment, and
+// removes them. It returns how many bytes it scanned. A kill at any moment leaves at worst two equal copies of a
+// message. Any error ends it, also that a segment cannot be removed: the next write tries again.
 func (s *Store) compactUpTo(budget int64) (spent int64) {
 	s.removeUnusedSegments()
 	for spent < budget && s.shouldCompact() && len(s.segments) > 1 {
@@ -32,7 +32,7 @@
 	return spent
 }
 
-// shouldCompact tells if so much on disk is dead that the live rest of the oldest segment is worth copying.
+// shouldCompact reports whether so much on disk is dead that the live rest of the oldest segment is worth copying.
 func (s *Store) shouldCompact() bool {
 	dead := s.Used() - s.bytes
 	if s.ballast {
@@ -44,8 +44,8 @@
 	return dead > s.bytes+reservedSegments*s.bounds.SegmentBytes
 }
 
-// removeUnusedSegments removes the oldest segments while nothing in them is live. Only the oldest may go: a release must
-// outlast the message's record.
+// removeUnusedSegments removes the oldest segments while nothing in them is live. Only the oldest may be removed: a
+// release must outlast the message's record.
 func (s *Store) removeUnusedSegments() {
 	if s.messages == 0 && len(s.segments) == 1 && s.segments[0].size > s.bounds.SegmentBytes/2 {
 		if s.rotate() != nil {
@@ -74,8 +74,8 @@
 	offset int // within the copies
 }
 
-// copyLiveRecords writes the live records of the oldest segment's next part anew and returns how many bytes it looked
-// through.
+// copyLiveRecords copies the live records in the next part of the oldest segment to the last one and returns how many
+// bytes it scanned.
 func (s *Store) copyLiveRecords() (looked int64, err error) {
 	oldest := s.segments[0]
 	from := max(s.compactedUpTo, segmentHeaderSize)
@@ -118,7 +118,7 @@
 	return upTo - from, nil
 }
 
-// liveEntry is the entry of a record if the record is the one that counts, else nil.
+// liveEntry returns the entry of a record if the record is the one that counts, else nil.
 func (s *Store) liveEntry(number uint32, r scannedRecord) *entry {
 	if r.payload[0] != kindMessage {
 		return nil
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -99,8 +99,8 @@
 	require.GreaterOrEqual(t, kills, 100)
 }
 
-// An error at any one call, or a write cut short, leaves a store that goes on, and one that can be read by the next
-// process. The move that it hit is ended later.
+// After an error at any one call, or a write cut short, the store goes on, and the next process can read it. The move
+// that was interrupted is completed later.
 func TestFaultAtEveryCall(t *testing.T) {
 	faults := 0
 	for _, leaving := range []leftover{leavesNothing, leavesHalf, leavesAll, shortWrite} {
@@ -124,7 +124,7 @@
 	t.Logf("%d faults", faults)
 }
 
-// faultAt runs the script with faults; it tells if it was long enough for them to come.
+// faultAt runs the script with faults; it reports whether the script was long enough for them to occur.
 func faultAt(t *testing.T, files *memFS) bool {
 	files.files = map[string][]byte{}
 	h := newHarness(files, smallBounds)
@@ -137,7 +137,7 @@
 	}
 	files.failAt = 0
 	require.NoError(t, h.mover.Retry())
-	require.NoError(t, h.bringBack(testLanes[0], 0)) // what was on the way
+	require.NoError(t, h.bringBack(testLanes[0], 0)) // what was being moved
 	h.check(t)
 	h.fs = files.reboot()
 	require.NoError(t, h.start(), "call %d", files.calls)
--- a/internal/backlog/entry.go
+++ b/internal/backlog/entry.go
@@ -1,12 +1,12 @@
 package backlog
 
-// entry is what memory holds of a stored message.
+// entry is the index entry of a stored message in memory.
 type entry struct {
 	seq     uint64
 	expiry  int64 // microseconds of the wall clock
 	segment uint32
 	offset  uint32
-	packed  uint32 // bytes of its record, and in the lowest bits its state and if it keeps the order of its key
+	packed  uint32 // bytes of its record, and in the lowest bits its state and whether it keeps the order of its key
 	heapAt  uint32 // its place in the lane's heap of expiries, from 1; 0 once it is released
 }
 
--- a/internal/backlog/expiry.go
+++ b/internal/backlog/expiry.go
@@ -18,14 +18,19 @@
 // node of a heap comes no sooner than the node.
 type expiryWalk struct{ nodes []expiryNode }
 
+// Len is part of heap.Interface.
 func (w *expiryWalk) Len() int { return len(w.nodes) }
 
+// Less is part of heap.Interface: the earlier expiry comes first.
 func (w *expiryWalk) Less(i, j int) bool { return earlier(w.nodes[i].entry(), w.nodes[j].entry()) }
 
+// Swap is part of heap.Interface.
 func (w *expiryWalk) Swap(i, j int) { w.nodes[i], w.nodes[j] = w.nodes[j], w.nodes[i] }
 
+// Push is part of heap.Interface; x is an expiryNode.
 func (w *expiryWalk) Push(x any) { w.nodes = append(w.nodes, x.(expiryNode)) }
 
+// Pop is part of heap.Interface.
 func (w *expiryWalk) Pop() any {
 	n := w.nodes[len(w.nodes)-1]
 	w.nodes = w.nodes[:len(w.nodes)-1]
--- a/internal/backlog/fs.go
+++ b/internal/backlog/fs.go
@@ -7,18 +7,18 @@
 
 // FS is the filesystem as the store uses it. Tests inject faults at every call.
 type FS interface {
-	// MakeDir makes a folder with its parents unless it is there.
+	// MakeDir makes a folder with its parents unless it exists.
 	MakeDir(dir string) error
-	// List gives the names of the regular files in a folder.
+	// List returns the names of the regular files in a folder.
 	List(dir string) ([]string, error)
-	// Create makes a file for appending. It is an error if one has the name.
+	// Create makes a file for appending. It is an error if the name is in use.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (File, error)
 	// Remove removes a file.
 	Remove(name string) error
-	// Lock takes a lock file for this process until it is closed or the process ends, however it does. If another
-	// process has it, the error is a LockedError.
+	// Lock locks a file for this process until the result is closed or the process ends in any way. If another process
+	// has the lock, the error is a LockedError.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -27,7 +27,7 @@
 	io.Writer
 	io.ReaderAt
 	io.Closer
-	// Size is the length in bytes.
+	// Size returns the length in bytes.
 	Size() (int64, error)
 	// Truncate cuts the file to a length in bytes.
 	Truncate(size int64) error
@@ -43,7 +43,7 @@
 
 type osFile struct{ *os.File }
 
-// Size is the length of the file in bytes.
+// Size returns the length of the file in bytes.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -52,10 +52,10 @@
 	return info.Size(), nil
 }
 
-// MakeDir makes a folder with its parents unless it is there.
+// MakeDir makes a folder with its parents unless it exists.
 func (OS) MakeDir(dir string) error { return os.MkdirAll(dir, dirPerm) }
 
-// List gives the names of the regular files in a folder.
+// List returns the names of the regular files in a folder.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -12,8 +12,8 @@
 )
 
 // The folders in testdata were written by version 1 of the format. A store written by an earlier release must be read,
-// and written, with the same bytes. Sums, expiries and states are not on disk: they are made from the records, so that
-// the tests ask for them after reading.
+// and written, with the same bytes. Totals, expiries and states are not on disk: they are computed from the records, so
+// that the tests check them after reading.
 const (
 	goldenStore     = "version1" // each kind of record, in several segments
 	goldenFreed     = "freed"    // after old segments were freed
@@ -88,7 +88,7 @@
 	require.NoError(t, s.Release([]Ref{goldenRef(goldenLanes[1], 35)}))
 }
 
-// requireGoldenStore demands what writeGoldenStore leaves.
+// requireGoldenStore requires what writeGoldenStore leaves.
 func requireGoldenStore(t *testing.T, s *Store) {
 	t.Helper()
 	released := map[uint64]bool{12: true, 13: true, 35: true}
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -40,7 +40,7 @@
 }
 
 // harness is a minimal forwarder: it accepts messages, moves them, and delivers them lane by lane in order. What
-// clients and destinations know outlasts its process.
+// clients and destinations know survives its process.
 type harness struct {
 	fs     *memFS
 	bounds Bounds
@@ -65,7 +65,7 @@
 		doneByLane: map[Lane][]uint64{}, expired: map[uint64]bool{}}
 }
 
-// start begins a process: it reads the log and the store and resolves what was on the way.
+// start begins a process: it reads the log and the store and resolves interrupted moves.
 func (h *harness) start() (err error) {
 	h.held = map[Lane][]*Message{}
 	if h.log, err = openTestLog(h.fs); err != nil {
@@ -114,7 +114,7 @@
 		CallerWaits: seq%4 == 0}
 }
 
-// accept takes a new message on: into the store if its lane has messages there, else into the log.
+// accept takes a new message: into the store if its lane has messages there, else into the log.
 func (h *harness) accept(lane Lane) error {
 	m := testMessage(lane, h.next)
 	h.next++
@@ -135,7 +135,7 @@
 	return err
 }
 
-// spill moves all but the first messages of a lane out to the store.
+// spill moves all but the first messages of a lane to the store.
 func (h *harness) spill(lane Lane, window int) error {
 	ms := h.held[lane]
 	if len(ms) <= window {
@@ -157,7 +157,7 @@
 	return errors.Join(err, h.handOver(batch))
 }
 
-// handOver gives the scheduler messages that came back, or answers them.
+// handOver passes messages that were brought back to the scheduler, or answers them.
 func (h *harness) handOver(batch Batch) (err error) {
 	for _, m := range batch.Messages {
 		if !batch.Expired {
@@ -200,7 +200,7 @@
 	h.doneByLane[m.Lane] = append(h.doneByLane[m.Lane], m.Seq)
 }
 
-// locations tells in how many places messages are: in memory and in the store.
+// locations returns in how many places messages are: in memory and in the store.
 func (h *harness) locations(t *testing.T) map[uint64]int {
 	places := map[uint64]int{}
 	for lane, ms := range h.held {
@@ -232,8 +232,8 @@
 	return places
 }
 
-// check demands that nothing is lost and nothing is there twice. Messages on the way back are in neither place until
-// the store has released them; then strict is false.
+// check requires that nothing is lost and nothing is there twice. Messages that are being brought back are in neither
+// place until the store has released them; then strict is false.
 func (h *harness) check(t *testing.T) {
 	places := h.locations(t)
 	if h.acceptUnanswered != 0 { // its client had no answer: either is right
--- a/internal/backlog/hashtable.go
+++ b/internal/backlog/hashtable.go
@@ -15,7 +15,7 @@
 type slot[S any] interface {
 	comparable
 	hash() uint64
-	// same tells if two slots are of one element. Elements that are not the same may have one hash.
+	// same reports whether two slots are of the same element. Different elements may have the same hash.
 	same(other S) bool
 }
 
@@ -34,7 +34,7 @@
 
 func (t *hashTable[S]) shard(hash uint64) *hashShard[S] { return &t.shards[hash%idShards] }
 
-// find gives the slot of an element, nil if it is not there. It is valid until the next change.
+// find returns the slot of an element, nil if it is not there. The slot is valid until the next change.
 func (t *hashTable[S]) find(element S) *S {
 	shard := t.shard(element.hash())
 	if i, has := shard.find(element); has {
@@ -55,7 +55,7 @@
 	t.count++
 }
 
-// delete takes an element out, if it is there.
+// delete removes an element, if it is there.
 func (t *hashTable[S]) delete(element S) {
 	shard := t.shard(element.hash())
 	i, has := shard.find(element)
@@ -70,13 +70,13 @@
 	}
 }
 
-// home is where a hash is looked for first.
+// home returns the slot at which the search for a hash begins.
 func (t *hashShard[S]) home(hash uint64) int {
 	high, _ := bits.Mul64(bits.RotateLeft64(hash, -8)*0x9E3779B97F4A7C15, uint64(len(t.slots)))
 	return int(high)
 }
 
-// find gives the slot of an element, or the one where it belongs.
+// find returns the place of an element, or the free one where it belongs, and whether the element is there.
 func (t *hashShard[S]) find(element S) (place int, has bool) {
 	if len(t.slots) == 0 {
 		return 0, false
--- a/internal/backlog/inspect.go
+++ b/internal/backlog/inspect.go
@@ -11,10 +11,11 @@
 
 const maxInspections = 20 // segments may be freed while they are read
 
-// View is a store read without its lock, in use or not.
+// View is a store that was read without its lock, whether or not another process uses it.
 type View struct{ store *Store }
 
-// Inspect reads a folder without altering it or hindering the process that has it. Errors are as of Open.
+// Inspect reads a store without altering it or disturbing the process that has it open. Errors are as of Open, and
+// ErrChanged.
 func Inspect(files FS, dir string) (*View, error) {
 	for range maxInspections {
 		s, err := load(files, dir, Bounds{Bytes: math.MaxInt64, SegmentBytes: maxSegmentBytes, OpenFiles: defaultOpenFiles})
@@ -31,17 +32,17 @@
 	return nil, ErrChanged
 }
 
-// Close ends the reading.
+// Close closes the files that are open for reading.
 func (v *View) Close() error { return v.store.Close() }
 
-// Stats sums up what was stored when Inspect read it.
+// Stats sums up what was stored when Inspect read it. ErrChanged says that segments were freed since.
 func (v *View) Stats() (*Stats, error) {
 	stats, err := v.store.Stats()
 	return stats, asErrChanged(err)
 }
 
-// Each calls each for the messages of every lane that pick wants, in the order of lanes and within them of numbers. It
-// ends with the first error of each. ErrChanged says that segments were freed since Inspect: inspect again.
+// Each calls each for the messages of every lane for which pick returns true, in the order of lanes and within them of
+// numbers. It ends with the first error of each. ErrChanged says that segments were freed since Inspect: inspect again.
 func (v *View) Each(pick func(Lane) bool, each func(*Message) error) error {
 	for _, id := range v.store.Lanes() {
 		if !pick(id) {
--- a/internal/backlog/keytable.go
+++ b/internal/backlog/keytable.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// elsewhere tells if another lane than this one has messages of a key. By the rules of the event loop all of a key are
-// in one lane, but the answer does not go by that.
+// elsewhere reports whether another lane than this one has messages of a key. By the rules of the event loop all of a
+// key are in one lane, but the answer does not rely on that.
 func (t *keyTable) elsewhere(key uint64, lane uint32) bool {
 	shard := t.shard(key)
 	if len(shard.slots) == 0 {
@@ -57,7 +57,7 @@
 	return false
 }
 
-// laneNumbers gives lanes with stored messages numbers above 0, each to one lane at a time.
+// laneNumbers allocates numbers above 0 to lanes with stored messages, each to one lane at a time.
 type laneNumbers struct {
 	last uint32
 	free []uint32 // at most as many as there were lanes at once
--- a/internal/backlog/lane.go
+++ b/internal/backlog/lane.go
@@ -51,7 +51,7 @@
 	return l.begin
 }
 
-// trim lets go of released entries at both ends, and of all that lie between once they are more than the live ones.
+// trim removes released entries at both ends, and all that lie between once they clearly outnumber the live ones.
 func (l *lane) trim() {
 	l.trimEnds()
 	if int(l.end-l.begin) > 2*l.liveCount()+4*blockSize {
@@ -77,7 +77,7 @@
 	}
 }
 
-// rebuild lays the live entries out anew, with late ones where they belong.
+// rebuild lays out the live entries afresh, with late ones where they belong.
 func (l *lane) rebuild(late []entry) {
 	old := *l
 	l.blocks, l.base, l.begin, l.end, l.heap = nil, 0, 0, 0, nil
@@ -110,7 +110,7 @@
 	}
 }
 
-// find gives the live entry with a number, nil if there is none.
+// find returns the live entry with a number, nil if there is none.
 func (l *lane) find(seq uint64) *entry {
 	n := int(l.end - l.begin)
 	i := sort.Search(n, func(i int) bool { return l.at(l.begin+uint32(i)).seq >= seq })
@@ -176,27 +176,32 @@
 	}
 }
 
-// next is the entry that expires first.
+// next returns the entry that expires first.
 func (l *lane) next() *entry { return l.at(l.heap[0]) }
 
-// laneHeap is all lanes, that with the earliest expiry first. It is for container/heap.
+// laneHeap is all lanes, that with the earliest expiry first. It implements heap.Interface.
 type laneHeap []*lane
 
+// Len is part of heap.Interface.
 func (h laneHeap) Len() int { return len(h) }
 
+// Less is part of heap.Interface: the lane whose first message expires earlier comes first.
 func (h laneHeap) Less(i, j int) bool { return earlier(h[i].next(), h[j].next()) }
 
+// Swap is part of heap.Interface. It keeps lane.heapAt up to date.
 func (h laneHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapAt, h[j].heapAt = i, j
 }
 
+// Push is part of heap.Interface; x is a *lane.
 func (h *laneHeap) Push(x any) {
 	l := x.(*lane)
 	l.heapAt = len(*h)
 	*h = append(*h, l)
 }
 
+// Pop is part of heap.Interface.
 func (h *laneHeap) Pop() any {
 	old := *h
 	l := old[len(old)-1]
--- a/internal/backlog/lock.go
+++ b/internal/backlog/lock.go
@@ -20,7 +20,8 @@
 	maxPIDLength = 32 // bytes read of a lock file
 )
 
-// Lock takes a lock by flock on a file that holds the process's id.
+// Lock takes a lock by flock on a file that holds the process id. It waits a moment for another process that holds the
+// lock.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, filePerm)
 	if err != nil {
--- a/internal/backlog/memfs_test.go
+++ b/internal/backlog/memfs_test.go
@@ -42,7 +42,7 @@
 
 func newMemFS() *memFS { return &memFS{files: map[string][]byte{}} }
 
-// reboot gives the files as a process that starts after a kill finds them.
+// reboot returns the files as a process that starts after a kill finds them.
 func (m *memFS) reboot() *memFS {
 	fresh := newMemFS()
 	fresh.capacity = m.capacity
@@ -52,7 +52,7 @@
 	return fresh
 }
 
-// step counts a call. It gives the error of a call that fails, and what the call still does.
+// step counts a call. It returns the error of a call that fails, and what the call still does.
 func (m *memFS) step(alters bool) (leftover, error) {
 	if m.dead {
 		return leavesNothing, errKilled
@@ -149,7 +149,7 @@
 	return nil
 }
 
-// used is the bytes of all files.
+// used returns the bytes of all files.
 func (m *memFS) used() int {
 	n := 0
 	for _, text := range m.files {
--- a/internal/backlog/message_codec.go
+++ b/internal/backlog/message_codec.go
@@ -26,7 +26,7 @@
 	flagOrdered
 )
 
-// messageFixed is what a message's record begins with.
+// messageFixed is the part of fixed length at the start of a message's record.
 type messageFixed struct {
 	seq, key, destination                          uint64
 	accepted, expiry, mayHaveRun, deduplicationEnd int64
@@ -43,12 +43,12 @@
 
 func (f *messageFixed) keepsOrder() bool { return f.flags&flagOrdered != 0 && f.key != 0 }
 
-// texts are the message's texts in the order of its record.
+// texts returns the message's texts in the order of its record.
 func (m *Message) texts() [messageTexts]string {
 	return [messageTexts]string{m.ID, m.Type, m.DeduplicationKey, m.Frontend}
 }
 
-// fits tells if the message's parts are within what a record can hold.
+// fits reports whether the message's parts are within what a record can hold.
 func (m *Message) fits() bool {
 	for _, text := range m.texts() {
 		if len(text) > maxTextLength {
@@ -58,7 +58,7 @@
 	return len(m.Body) <= maxBodyLength
 }
 
-// encode adds the message's record without its header to b.
+// encode appends the message's record without its header to b.
 func (m *Message) encode(b []byte) []byte {
 	little := binary.LittleEndian
 	for _, v := range []uint64{
@@ -88,7 +88,7 @@
 	return append(b, m.Body...)
 }
 
-// decodeMessageFixed reads what a message's record begins with; ok is false if it is malformed.
+// decodeMessageFixed reads the part of fixed length of a message's record; ok is false if it is malformed.
 func decodeMessageFixed(b []byte) (f messageFixed, ok bool) {
 	if len(b) < messageFixedSize {
 		return f, false
@@ -141,7 +141,7 @@
 	}, true
 }
 
-// recordID is the client's id within a message's record.
+// recordID returns the client's id in a message's record.
 func recordID(b []byte, f *messageFixed) string {
 	return string(b[messageFixedSize : messageFixedSize+f.textLengths[0]])
 }
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -6,18 +6,18 @@
 
 // Log is the write-ahead log as a Mover uses it.
 type Log interface {
-	// Restore records a message whole, with its history, under the number that it has. It may be recorded already: the
+	// Restore records a whole message, with its history, under the number that it has. It may be recorded already: the
 	// latest record counts.
 	Restore(m *Message) error
-	// Forget records that nothing is pending in the log for a number. It is no error if nothing was.
+	// Forget records that nothing is pending in the log for a number. It is no error if nothing was pending.
 	Forget(seq uint64) error
 }
 
-// Mover moves messages between the write-ahead log and the store, so that a kill at any line leaves a message in one,
-// or in both and known by its number. It is not safe for concurrent use.
+// Mover moves messages between the write-ahead log and the store, so that a kill at any moment leaves a message in one
+// of them, or in both under the same number. It is not safe for concurrent use.
 //
-// Spill: 1. the store has the message; 2. the log forgets it.
-// BringBack: 1. the log has the message; 2. the store releases it; only then is it handed to the scheduler.
+//   - Spill: 1. the store has the message; 2. the log forgets it.
+//   - BringBack: 1. the log has the message; 2. the store releases it; only then does the scheduler take it.
 //
 // Where both have a message, the log's copy counts: nothing happens to a message while the store has it, so the log's
 // is as new or newer. Messages leave for the store newest first and come back oldest first: at each moment all of a
@@ -31,21 +31,21 @@
 	unreleased Batch
 }
 
-// Batch is a number of messages that have come back together.
+// Batch is a group of messages that were brought back together.
 type Batch struct {
 	Messages []*Message
-	// Expired says that they must be answered without an attempt, as their time is over. If not, the scheduler takes
-	// them, in this order, before anything newer of their lane.
+	// Expired says that the messages must be answered without an attempt, as their time is over. Otherwise the
+	// scheduler takes them, in this order, before anything newer of their lane.
 	Expired bool
 }
 
-// NewMover makes the mover of a log and a store.
+// NewMover returns a mover between a write-ahead log and a store.
 func NewMover(log Log, store *Store) *Mover {
 	return &Mover{log: log, store: store, unforgotten: map[uint64]struct{}{}}
 }
 
-// Resolve ends the moves that a kill has cut short, before anything else is done after a start. Given are the messages
-// that are pending in the log; those that the store has too are released from it. It returns those that the log has
+// Resolve completes the moves that a kill has cut short. It must be called after a start, before anything else is done.
+// Messages pending in the log that the store has too are released from the store. It returns those that the log has
 // though their lane has older ones stored: they had been brought back to be answered at the end of their time, and must
 // be answered without an attempt, since an attempt would overtake the older ones.
 func (m *Mover) Resolve(pending []Ref) (overtaking []Ref, err error) {
@@ -66,9 +66,9 @@
 	return overtaking, nil
 }
 
-// Spill moves messages of one lane, given in the order of their numbers, out to the store, the newest first. None of
-// them may be in flight. It returns how many of them, from the end, are in the store now; an error says why not all.
-// With the error of the log alone all those are moved, and the log is asked to forget them again later.
+// Spill moves messages of one lane, given in the order of their numbers, to the store, the newest first. None of them
+// may be in flight. It returns how many of them, from the end, are in the store now; an error says why not all. If only
+// the log returns an error, these are moved all the same, and Retry has the log forget them later.
 func (m *Mover) Spill(messages []*Message) (moved int, err error) {
 	if err := m.Retry(); err != nil {
 		return 0, err
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// Retry asks the log again to forget what the store has.
+// Retry repeats the calls of Log.Forget that failed, for messages that the store has.
 func (m *Mover) Retry() error {
 	for seq := range m.unforgotten {
 		if err := m.forget(seq); err != nil {
@@ -105,8 +105,8 @@
 }
 
 // BringBack moves the first n messages of a lane back to the log and returns those that the scheduler now has to take,
-// in the order of their numbers. A batch that an error has kept from coming back before comes in its place, whatever it
-// was for. With an error the batch may be shorter, also empty.
+// in the order of their numbers. If an error interrupted an earlier call, it returns the rest of that batch instead,
+// whatever it was for. With an error the batch may be shorter or empty.
 func (m *Mover) BringBack(lane Lane, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
 		return m.release()
@@ -116,7 +116,7 @@
 }
 
 // BringBackExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. It
-// returns a batch that was kept from coming back, and errors, as BringBack does.
+// returns the rest of an interrupted batch, and errors, as BringBack does.
 func (m *Mover) BringBackExpired(now int64, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
 		return m.release()
@@ -139,7 +139,7 @@
 	return done, errors.Join(err, releaseErr)
 }
 
-// release ends the second step of the messages on the way back.
+// release carries out the second step for the messages that are being brought back, and returns them.
 func (m *Mover) release() (Batch, error) {
 	refs := make([]Ref, len(m.unreleased.Messages))
 	for i, message := range m.unreleased.Messages {
--- a/internal/backlog/move_wal_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -193,7 +193,7 @@
 	o.done[lane] = append(o.done[lane], seq)
 }
 
-// compare holds what a new process finds against what was observed.
+// compare checks what a new process finds against what was observed.
 func (o *observations) compare(t *testing.T, f *forwarder) {
 	require.Empty(t, f.overtaking)
 	places := map[uint64]int{}
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -27,7 +27,7 @@
 	return ms, nil
 }
 
-// NextExpiry is when the next stored message's time is over, in microseconds of the wall clock; ok is false if none is
+// NextExpiry returns the earliest expiry of a stored message, in microseconds of the wall clock; ok is false if none is
 // stored.
 func (s *Store) NextExpiry() (at int64, ok bool) {
 	if len(s.expiries) == 0 {
--- a/internal/backlog/record.go
+++ b/internal/backlog/record.go
@@ -46,7 +46,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header begins a segment.
+// header is the content of a segment's header.
 type header struct {
 	number   uint32
 	previous uint32 // bytes of the segment before that count
@@ -63,7 +63,8 @@
 	return little.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader reads a segment's header. The version goes before the checksum: newer ones may be laid out otherwise.
+// decodeHeader reads a segment's header. The version is checked before the checksum: newer versions may have another
+// layout.
 func decodeHeader(file string, number uint32, b []byte) (*header, error) {
 	little := binary.LittleEndian
 	if len(b) < segmentHeaderSize || string(b[:headerVersionOffset]) != segmentMagic {
@@ -86,7 +87,7 @@
 	return h, nil
 }
 
-// beginRecord adds room for a record's header and its kind.
+// beginRecord appends room for a record's header, and its kind.
 func beginRecord(b []byte, kind byte) []byte {
 	var room [recordHeaderSize]byte
 	return append(append(b, room[:]...), kind)
@@ -112,14 +113,14 @@
 	return n, n > 0 && n <= maxPayload
 }
 
-// checkedPayload is the payload of a whole record; ok is false if it fails its checksum.
+// checkedPayload returns the payload of a whole record; ok is false if it fails its checksum.
 func checkedPayload(b []byte) (payload []byte, ok bool) {
 	payload = b[recordHeaderSize:]
 	sum := binary.LittleEndian.Uint32(b[payloadChecksumOffset:])
 	return payload, sum == crc32.Checksum(payload, castagnoli)
 }
 
-// encodeRelease adds a record that releases messages of one lane.
+// encodeRelease appends a record that releases messages of one lane.
 func encodeRelease(b []byte, lane Lane, refs []Ref) []byte {
 	little := binary.LittleEndian
 	start := len(b)
--- a/internal/backlog/release.go
+++ b/internal/backlog/release.go
@@ -4,8 +4,8 @@
 	"container/heap"
 )
 
-// Release removes messages that are in the write-ahead log again or done. Those that are not stored are ignored. With
-// an error none is released: ErrClosed, or one of the filesystem.
+// Release removes messages that are back in the write-ahead log or finished. Those that are not stored are ignored.
+// With an error none is released: ErrClosed, or one of the filesystem.
 func (s *Store) Release(refs []Ref) error {
 	if s.lock == nil {
 		return ErrClosed
--- a/internal/backlog/replay.go
+++ b/internal/backlog/replay.go
@@ -30,7 +30,7 @@
 	file   File
 	name   string
 	size   int64
-	header *header // nil: cut short, as the process was killed while it began the segment
+	header *header // nil: cut short, as the process was killed while it created the segment
 }
 
 // openSegment opens a segment and reads its header. A cut header is no damage in the last segment.
@@ -64,7 +64,7 @@
 	return err
 }
 
-// replayAll applies all segments in order. How much of one counts is said by the header of the next.
+// replayAll applies all segments in order. The header of each says how many bytes of the one before count.
 func (s *Store) replayAll(numbers []uint32) error {
 	var buf []byte
 	var current *openedSegment
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// replayMessage adds a message. One that is known is a copy, which counts from then on.
+// replayMessage adds a message. If it is known, the record is a copy, which counts from then on.
 func (s *Store) replayMessage(g *segment, f *messageFixed, r scannedRecord) {
 	id := Lane{f.destination, f.tenant}
 	l := s.lanes[id]
@@ -199,7 +199,7 @@
 	}
 }
 
-// finishReplay builds the heaps and the sums.
+// finishReplay builds the heaps and the totals.
 func (s *Store) finishReplay() {
 	for _, l := range s.lanes {
 		late := slices.SortedFunc(maps.Values(l.late), func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
--- a/internal/backlog/scan.go
+++ b/internal/backlog/scan.go
@@ -27,7 +27,7 @@
 	bufLength int    // bytes in buf
 }
 
-// scan calls each for every record from an offset on and gives the offset behind the last whole one.
+// scan calls each for every record from an offset on and returns the offset behind the last whole one.
 func (s *scanner) scan(from int64, each func(scannedRecord) error) (sound int64, err error) {
 	s.bufOffset, s.bufLength = from, 0
 	for offset := from; offset < s.end; {
@@ -52,7 +52,8 @@
 	return s.end, nil
 }
 
-// next makes the record at an offset whole in the buffer and gives its length, 0 if the segment's end is torn there.
+// next reads the whole record at an offset into the buffer and returns its length, 0 if the segment's end is torn
+// there.
 func (s *scanner) next(offset int64) (total int, err error) {
 	left := s.end - offset
 	if left < recordHeaderSize {
@@ -83,7 +84,7 @@
 	return &DamageError{File: s.name, Offset: offset, Reason: what}
 }
 
-// fill brings so many bytes from an offset on into the buffer, and what fits behind them.
+// fill reads at least n bytes from an offset on into the buffer, and as many more as it has room for.
 func (s *scanner) fill(offset int64, n int) error {
 	if offset >= s.bufOffset && offset+int64(n) <= s.bufOffset+int64(s.bufLength) {
 		return nil
--- a/internal/backlog/segments.go
+++ b/internal/backlog/segments.go
@@ -18,10 +18,10 @@
 	messages, releases int // records that a replay found
 }
 
-// segment finds a segment by its number.
+// segment returns the segment with a number.
 func (s *Store) segment(number uint32) *segment { return s.segments[number-s.segments[0].number] }
 
-// segmentName is the path of a segment.
+// segmentName returns the path of a segment.
 func segmentName(dir string, number uint32) string {
 	return filepath.Join(dir, fmt.Sprintf("%010d%s", number, segmentSuffix))
 }
@@ -36,7 +36,7 @@
 	return uint32(n), err == nil
 }
 
-// listSegments lists the numbers of a folder's segments, in order. It is an error if one between them is missing.
+// listSegments returns the numbers of a folder's segments, in order. It is an error if one between them is missing.
 func listSegments(fs FS, dir string) ([]uint32, error) {
 	names, err := fs.List(dir)
 	if err != nil {
@@ -63,7 +63,7 @@
 	file   File
 }
 
-// reader opens a segment for reading, or finds it open.
+// reader returns a segment's file for reading and opens it if needed.
 func (s *Store) reader(number uint32) (File, error) {
 	if s.head != nil && s.segments[len(s.segments)-1].number == number {
 		return s.head, nil
@@ -85,7 +85,7 @@
 	return file, nil
 }
 
-// closeReaders closes the files that were not used for longest until so many are left.
+// closeReaders closes the least recently used files until at most left are open.
 func (s *Store) closeReaders(left int) {
 	for len(s.readers) > left {
 		_ = s.readers[0].file.Close() // it was only read
--- a/internal/backlog/sigkill_test.go
+++ b/internal/backlog/sigkill_test.go
@@ -16,7 +16,7 @@
 
 var killBounds = Bounds{Bytes: 4 << 20, SegmentBytes: 64 << 10}
 
-// TestMain is one of the processes that are killed, if it is given a folder.
+// TestMain runs as one of the processes that are killed if it is given a folder, else it runs the tests.
 func TestMain(m *testing.M) {
 	for name, run := range map[string]func(dir string) error{childDir: storeForever, forwarderDir: forwardForever} {
 		if dir := os.Getenv(name); dir != "" {
--- a/internal/backlog/stats.go
+++ b/internal/backlog/stats.go
@@ -4,12 +4,12 @@
 	"slices"
 )
 
-// Usage is what a part of the store holds.
+// Usage is how much a part of the store holds.
 type Usage struct {
 	Messages int             `json:"messages"`
 	Bytes    int64           `json:"bytes"`
 	States   [stateCount]int `json:"-"`                // messages by state
-	Oldest   int64           `json:"oldest,omitempty"` // when the oldest was accepted, in microseconds of the wall clock
+	Oldest   int64           `json:"oldest,omitempty"` // when the oldest was accepted, microseconds of the wall clock
 }
 
 func (u *Usage) add(l *lane, oldest int64) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// Stats is what the store holds, in sum and by parts.
+// Stats is how much the store holds, in total, by destination and by tenant.
 type Stats struct {
 	Usage
 	Lanes        int
@@ -33,7 +33,7 @@
 	Segments     int
 }
 
-// Stats sums up what is stored. It reads one record a lane, to tell when the oldest was accepted.
+// Stats sums up what is stored. It reads one record a lane, to find out when the oldest was accepted.
 func (s *Store) Stats() (*Stats, error) {
 	stats := &Stats{
 		Lanes:        len(s.lanes),
@@ -56,7 +56,7 @@
 	return stats, nil
 }
 
-// LaneUsage is what a lane holds, without the time of its oldest message.
+// LaneUsage returns how much a lane holds, without the time of its oldest message.
 func (s *Store) LaneUsage(id Lane) Usage {
 	l := s.lanes[id]
 	if l == nil {
@@ -67,7 +67,7 @@
 	return u
 }
 
-// Lanes gives all lanes with stored messages, by destination and tenant.
+// Lanes returns all lanes with stored messages, ordered by destination and tenant.
 func (s *Store) Lanes() []Lane {
 	lanes := make([]Lane, 0, len(s.lanes))
 	for id := range s.lanes {
@@ -87,7 +87,7 @@
 	return 1
 }
 
-// States is how many messages are stored in each state.
+// States returns how many messages are stored in each state.
 func (s *Store) States() (counts [stateCount]int) {
 	for _, l := range s.lanes {
 		for state, n := range l.states {
@@ -97,8 +97,8 @@
 	return counts
 }
 
-// Oldest is when the oldest stored message was accepted, in microseconds of the wall clock; 0 if none is stored. It
-// reads one record.
+// Oldest returns when the oldest stored message was accepted, in microseconds of the wall clock; 0 if none is stored.
+// It reads one record.
 func (s *Store) Oldest() (int64, error) {
 	var oldest *lane
 	for _, l := range s.lanes {
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -1,10 +1,10 @@
-// Package backlog keeps messages on disk that wait for a destination that is out or far behind, so that they do not
-// take memory: a queue for each lane (destination and tenant) over shared segments that are only appended to. Memory
-// holds a fixed-size entry for each message, no text. Package backlog/policy decides what is stored and brought back
-// when; Mover moves messages between the write-ahead log and the store.
+// Package backlog keeps messages on disk that wait for a destination that is unavailable or far behind, so that they do
+// not take memory: a queue for each lane (destination and tenant) over shared segments that are only appended to.
+// Memory holds a fixed-size entry for each message, no text. Package backlog/policy decides when messages are stored
+// and brought back; Mover moves messages between the write-ahead log and the store.
 //
-// A store outlives the end of its process by any signal. Like the write-ahead log (internal/wal) it leaves writing to
-// the disk to the kernel and does not sync: it does not outlive a machine's loss of power.
+// A store survives the end of its process by any signal. Like the write-ahead log (internal/wal) it leaves writing to
+// the disk to the kernel and does not sync: it does not survive a loss of power.
 package backlog
 
 import (
@@ -18,7 +18,7 @@
 	fs               FS
 	dir              string
 	bounds           Bounds
-	lock             io.Closer  // nil: for reading alone, or closed
+	lock             io.Closer  // nil: read-only, or closed
 	segments         []*segment // oldest first
 	head             File       // the last segment, for writing; nil: the next write begins one
 	readers          []reader   // the latest used last
@@ -38,9 +38,9 @@
 	buf              []byte
 }
 
-// Open opens the store in a folder, which is made if it is not there, and reads what is stored. A DamageError or a
-// VersionError names a file that cannot be read; nothing is altered then. A LockedError says that another process has
-// the folder.
+// Open opens the store in a folder, which is made if it does not exist, and builds the index of what is stored. A
+// DamageError or a VersionError names a file that cannot be read; nothing is altered then. A LockedError says that
+// another process has the store open.
 func Open(fs FS, dir string, bounds Bounds) (*Store, error) {
 	bounds, err := bounds.withDefaults()
 	if err != nil {
@@ -66,7 +66,7 @@
 	return s, nil
 }
 
-// Close ends the use of the store and lets go of its folder. What is stored stays on disk.
+// Close closes the store's files and releases its lock. What is stored stays on disk.
 func (s *Store) Close() error {
 	var errs []error
 	for _, r := range s.readers {
@@ -84,8 +84,8 @@
 	return errors.Join(errs...)
 }
 
-// SetBounds alters the bounds. Messages stored beyond lower ones stay; new messages are refused until there is room. An
-// error names the field that is wrong.
+// SetBounds replaces the bounds. Messages stored beyond lower bounds stay; new messages are refused until there is
+// room. An error names the field that is wrong.
 func (s *Store) SetBounds(b Bounds) error {
 	b, err := b.withDefaults()
 	if err != nil {
@@ -104,19 +104,19 @@
 	return nil
 }
 
-// Messages is how many messages are stored.
+// Messages returns how many messages are stored.
 func (s *Store) Messages() int { return s.messages }
 
-// Bytes is what the stored messages take on disk, without records that are dead already.
+// Bytes returns what the live records of stored messages take on disk.
 func (s *Store) Bytes() int64 { return s.bytes }
 
-// LastSeq is the greatest number that the store knows to be used. Numbers given from now on must be greater.
+// LastSeq returns the greatest number that the store knows to be used. Numbers assigned from now on must be greater.
 func (s *Store) LastSeq() uint64 { return s.lastSeq }
 
-// Has tells if a message with this client's id is stored. It goes by a hash of 64 bits.
+// Has reports whether a message with this client's id is stored. It compares hashes of 64 bits.
 func (s *Store) Has(id string) bool { return s.ids.has(hashID(id)) }
 
-// KeyElsewhere tells if messages that keep the order of a key are stored in another lane than this one.
+// KeyElsewhere reports whether messages that keep the order of a key are stored in another lane than this one.
 func (s *Store) KeyElsewhere(key uint64, id Lane) bool {
 	if key == 0 {
 		return false
@@ -128,7 +128,7 @@
 	return s.keys.elsewhere(hashKey(key), number)
 }
 
-// Stored tells how many messages of a lane are stored.
+// Stored returns how many messages of a lane are stored.
 func (s *Store) Stored(id Lane) int {
 	if l := s.lanes[id]; l != nil {
 		return l.liveCount()
@@ -136,7 +136,7 @@
 	return 0
 }
 
-// Contains tells if a message with this number is stored in the lane.
+// Contains reports whether a message with this number is stored in the lane.
 func (s *Store) Contains(id Lane, seq uint64) bool {
 	l := s.lanes[id]
 	return l != nil && l.find(seq) != nil
--- a/internal/backlog/verify.go
+++ b/internal/backlog/verify.go
@@ -10,8 +10,8 @@
 	Fault    error  `json:"-"`
 }
 
-// Verify reads every segment on its own, without altering anything, and tells what is wrong in each. It is an error if
-// a segment between others is missing or the folder cannot be read.
+// Verify reads every segment on its own, without altering anything, and reports what is wrong in each. It is an error
+// if a segment between others is missing or the folder cannot be read.
 func Verify(files FS, dir string) ([]SegmentReport, error) {
 	numbers, err := listSegments(files, dir)
 	if err != nil {
--- a/internal/backlog/write.go
+++ b/internal/backlog/write.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Used is what the store's files take on disk, in bytes.
+// Used returns what the store's files take on disk, in bytes.
 func (s *Store) Used() int64 {
 	used := int64(0)
 	for _, g := range s.segments {
@@ -17,7 +17,7 @@
 	return used
 }
 
-// Written is how many bytes this process has written to the store.
+// Written returns how many bytes this process has written to the store.
 func (s *Store) Written() int64 { return s.written }
 
 // ensureSpace compacts at most a segment's bytes until a record has room, or returns a FullError. The room that the
@@ -37,7 +37,7 @@
 	return full
 }
 
-// freeBytes is how many bytes may still be written for new messages.
+// freeBytes returns how many bytes may still be written for new messages.
 func (s *Store) freeBytes() int64 {
 	kept := int64(s.messages)*singleReleaseSize + reservedSegments*s.bounds.SegmentBytes
 	if !s.ballast {
@@ -66,8 +66,8 @@
 	return where, offset, nil
 }
 
-// truncateHead cuts what a failed write has left off the last segment. If that fails too, the next segment's header
-// says how much of this one counts.
+// truncateHead removes what a failed write has left at the end of the last segment. If that fails too, the next
+// segment's header says how much of this one counts.
 func (s *Store) truncateHead(most int64) {
 	g := s.segments[len(s.segments)-1]
 	if s.head.Truncate(g.size) != nil {
@@ -77,7 +77,8 @@
 	}
 }
 
-// writeEssential writes what a full disk must not prevent, since it leads to room: it gives up the ballast for it.
+// writeEssential writes records that a full disk must not prevent, since they lead to free space: it releases the
+// ballast for them.
 func (s *Store) writeEssential(b []byte) (where *segment, offset uint32, err error) {
 	where, offset, err = s.write(b)
 	if err != nil && isDiskFull(err) && s.releaseBallast() {
@@ -97,7 +98,7 @@
 	return s.rotate()
 }
 
-// rotate begins a new segment.
+// rotate creates a new segment.
 func (s *Store) rotate() error {
 	h := header{number: 1, lastSeq: s.lastSeq}
 	if n := len(s.segments); n > 0 {
