--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts forwarders of the scheduler on the frames of standard input and output.
+// Command simadapter runs forwarders for the simulator: it reads batches of events on standard input and writes a reply
+// to each on standard output.
 package main
 
 import (
--- a/cmd/spanflow/main.go
+++ b/cmd/spanflow/main.go
@@ -1,6 +1,6 @@
-// Command spanflow is one forwarder, configured by its environment. With arguments it becomes spanflowctl, which lies
-// beside it and has the commands, the operators' configuration and metrics: their libraries would raise the memory of a
-// forwarder that uses none of them by half.
+// Command spanflow is one forwarder, configured by its environment. With arguments it becomes spanflowctl, a program
+// in the same folder that has the commands, the operators' configuration and metrics: their libraries would raise the
+// memory of a forwarder that uses none of them by half.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"spanflow/forwarder"
 )
 
-// commandsProgram has the commands.
+// commandsProgram is the name of the program that has the commands.
 const commandsProgram = "spanflowctl"
 
 func main() {
--- a/internal/admin/bounded_listener.go
+++ b/internal/admin/bounded_listener.go
@@ -8,7 +8,7 @@
 )
 
 // boundedListener keeps a bounded number of connections open. For a new one over the bound it closes the oldest on
-// which no request has come yet, or else the new one.
+// which no request has arrived yet or, if there is none, the new one.
 type boundedListener struct {
 	net.Listener
 	max int
@@ -20,7 +20,7 @@
 // connState is what is known of an open connection.
 type connState struct {
 	since  time.Time
-	active bool // a request has come on it
+	active bool // a request has arrived on it
 }
 
 func newBoundedListener(l net.Listener, maxConns int) *boundedListener {
@@ -60,7 +60,8 @@
 	return true
 }
 
-// oldestIdle is the connection that has been without a request for longest; nil: there is none. The lock is held.
+// oldestIdle returns the connection that has been open longest without a request, nil if there is none. The lock is
+// held.
 func (b *boundedListener) oldestIdle() net.Conn {
 	var oldest net.Conn
 	for conn, state := range b.conns {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Times of a request. Callers that send nothing, or half a request, are cut off before an answer would be late; the
-// event loop has what is left of the second.
+// Timeouts of a request. Those for reading, for the event loop and for writing are together less than RequestTimeout, so
+// that callers that send nothing, or part of a request, are cut off in time.
 const (
 	// RequestTimeout bounds a request, from its connection to the end of its response.
 	RequestTimeout   = time.Second
@@ -19,8 +19,8 @@
 
 const maxHeaderBytes = 4 << 10
 
-// MaxRequests bounds the connections at once. Guards against silent callers eating descriptors meant for clients and
-// endpoints; each lives under a second. Hurts when more operators than this call in the same second.
+// MaxRequests limits the connections open at once, so that silent callers do not take the descriptors that clients and
+// endpoints need. A connection lives for less than a second; more callers than this within one second may be cut off.
 const MaxRequests = 12
 
 // routes are the paths that the event loop answers.
@@ -54,7 +54,7 @@
 	return Serve(l, handler), nil
 }
 
-// Serve answers requests that come by l, which it owns from now on, until Stop.
+// Serve answers requests that arrive on l until Stop. The server owns l and closes it.
 func Serve(l net.Listener, handler Handler) *Server {
 	bounded := newBoundedListener(l, MaxRequests)
 	s := &Server{
@@ -77,7 +77,7 @@
 	return s
 }
 
-// Addr is where it listens.
+// Addr returns the address on which the server listens.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Stop closes the address and every connection to it.
@@ -121,7 +121,7 @@
 	return mux
 }
 
-// handle carries a request to the event loop and waits for its response, not beyond what the second leaves.
+// handle passes a request to the event loop and waits for its response, for eventLoopTimeout at most.
 func handle(handler Handler, request Request) Response {
 	responses := make(chan Response, 1)
 	handler.Handle(request, func(r Response) {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is what the command lines share: exit codes, and the printing of errors and values.
+// Package cli holds what the command lines share: exit codes, and the printing of errors and values.
 package cli
 
 import (
@@ -27,7 +27,7 @@
 // nothing.
 var ErrFound error = failure{errors.New("")}
 
-// Run wraps a command's work: an error of it is a failure, not a wrong command line.
+// Run wraps a command's work, so that an error of it counts as a failure and not as a wrong command line.
 func Run(work func(args []string) error) func(*cobra.Command, []string) error {
 	return func(_ *cobra.Command, args []string) error {
 		if err := work(args); err != nil {
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -15,10 +15,10 @@
 	"spanflow/internal/wal"
 )
 
-// errLimitReached ends the reading of a store once what was asked for is there.
+// errLimitReached stops the reading of a store once enough messages have been read.
 var errLimitReached = errors.New("enough was read")
 
-// backlogFolder is where a configuration has the backlog store.
+// backlogFolder finds the backlog store's folder in a configuration.
 var backlogFolder = folderSource{
 	ofForwarder: func(c *forwarder.Config) string {
 		if c.Backlog == nil {
@@ -31,7 +31,7 @@
 
 const backlogLock = "backlog.lock" // in a store's folder
 
-// backlogHolder is the running process that has a store's folder, 0 if none is known.
+// backlogHolder returns the id of the running process that holds a store's folder, 0 if none is known.
 func backlogHolder(folder string) int {
 	return wal.LockHolderOfFile(filepath.Join(folder, backlogLock))
 }
@@ -190,14 +190,14 @@
 	return s.printMessage(report)
 }
 
-// backlogVerification is what verify prints.
+// backlogVerification is what "backlog verify" prints.
 type backlogVerification struct {
 	Folder   string          `json:"folder"`
 	Damaged  bool            `json:"damaged"`
 	Segments []segmentReport `json:"segments"`
 }
 
-// segmentReport is what verify prints of a segment.
+// segmentReport is what verify prints about a segment.
 type segmentReport struct {
 	backlog.SegmentReport
 	Damage string `json:"fault,omitempty"`
--- a/internal/commands/backlog_read.go
+++ b/internal/commands/backlog_read.go
@@ -51,7 +51,7 @@
 	return (f.state == "" || m.State().String() == f.state) && (f.expiresBefore == 0 || m.Expiry < f.expiresBefore)
 }
 
-// viewBacklog reads a store, again while the process that has it frees segments that were not read yet.
+// viewBacklog reads a store, and reads it again if the process that holds it freed segments that were not read yet.
 func viewBacklog(folder string, read func(*backlog.View) error) error {
 	for range maxStoreReads {
 		view, err := backlog.Inspect(backlog.OS{}, folder)
@@ -98,7 +98,8 @@
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Tenant, b.Tenant))
 }
 
-// verifySegments reads a store's segments, again while the process that has it frees one that was not read yet.
+// verifySegments reads a store's segments, and reads them again if the process that holds the store freed one that was
+// not read yet.
 func verifySegments(folder string) ([]segmentReport, error) {
 	for range maxStoreReads {
 		found, err := backlog.Verify(backlog.OS{}, folder)
--- a/internal/commands/backlog_stat.go
+++ b/internal/commands/backlog_stat.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/cli"
 )
 
-// backlogStats are what backlog stat prints.
+// backlogStats is what "backlog stat" prints.
 type backlogStats struct {
 	Folder       string         `json:"folder"`
 	HolderPID    int            `json:"owner_pid,omitempty"`
@@ -27,7 +27,7 @@
 	Tenants      []backlogUsage `json:"by_tenant"`
 }
 
-// backlogUsage is what a destination or a tenant has stored.
+// backlogUsage is what is stored for a destination or a tenant.
 type backlogUsage struct {
 	Of     string    `json:"of"` // the destination's number, the tenant's name or number
 	Stored int       `json:"stored"`
@@ -39,7 +39,7 @@
 	return backlogUsage{Of: of, Stored: u.Messages, Bytes: u.Bytes, Oldest: wallTime(u.Oldest)}
 }
 
-// String is the usage as stat prints it for people.
+// String returns the usage as stat prints it as text.
 func (u *backlogUsage) String() string {
 	return fmt.Sprintf("%d, %d bytes, oldest taken %s", u.Stored, u.Bytes, u.Oldest.Format(time.RFC3339))
 }
@@ -66,7 +66,7 @@
 	return stats.write(s.out)
 }
 
-// sumBacklog is what stat prints of a store, the destinations and tenants with the most messages first.
+// sumBacklog returns what stat prints of a store, the destinations and tenants with the most messages first.
 func sumBacklog(folder string, sums *backlog.Stats, tenants []string) *backlogStats {
 	stats := &backlogStats{
 		Folder:       folder,
@@ -98,7 +98,7 @@
 	return stats
 }
 
-// write prints the sums for people.
+// write prints the sums as text.
 func (s *backlogStats) write(w io.Writer) error {
 	t := newColumns(w)
 	fmt.Fprintf(t, "folder\t%s\n", s.Folder)
--- a/internal/commands/check.go
+++ b/internal/commands/check.go
@@ -13,7 +13,7 @@
 	"spanflow/internal/wal"
 )
 
-// reservedDescriptors are those that neither clients nor endpoints get; see forwarder.MaxClients.
+// reservedDescriptors is the number of descriptors kept from clients and endpoints; see forwarder.MaxClients.
 const reservedDescriptors = 32
 
 func (s *session) checkCommand() *cobra.Command {
@@ -28,7 +28,7 @@
 	})
 }
 
-// checkReport is what check prints: problems and notes, and without problems what would run.
+// checkReport is what check prints: problems and notes and, if there are no problems, what would run.
 type checkReport struct {
 	OK                  bool            `json:"fine"`
 	Problems            config.Problems `json:"wrong"`
@@ -125,7 +125,7 @@
 	}
 }
 
-// noteHolders notes the folders that a running process has.
+// noteHolders notes the folders that a running process holds.
 func (r *checkReport) noteHolders() {
 	note := func(field string, pid int) {
 		reason := fmt.Sprintf("belongs to a running process, pid %d: a second one would be refused", pid)
@@ -139,7 +139,7 @@
 	}
 }
 
-// write prints the report for people.
+// write prints the report as text.
 func (r *checkReport) write(w io.Writer) {
 	for _, p := range r.Problems {
 		fmt.Fprintln(w, "wrong:", p)
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -1,4 +1,4 @@
-// Package commands is spanflow's command line, one file a command.
+// Package commands implements spanflow's command line, one file per command.
 package commands
 
 import (
@@ -18,7 +18,7 @@
 // platformConfigVariable names a configuration in the platform's form.
 const platformConfigVariable = "PROXY_CONFIG"
 
-// session is one run of the command line: its surroundings and the flags that several commands have.
+// session is one run of the command line: its environment, its output and the flags that several commands share.
 type session struct {
 	environ  []string // NAME=VALUE
 	out, err io.Writer
@@ -57,10 +57,10 @@
 	return root
 }
 
-// showHelp is what a command does that has only subcommands.
+// showHelp runs a command that has only subcommands: it prints the help text.
 func showHelp(c *cobra.Command, _ []string) error { return c.Help() }
 
-// getenv is the last value of a variable; empty: it is not set.
+// getenv returns the last value of a variable, empty if it is not set.
 func (s *session) getenv(name string) string {
 	for _, entry := range slices.Backward(s.environ) {
 		if n, value, ok := strings.Cut(entry, "="); ok && n == name {
@@ -86,7 +86,7 @@
 	}
 }
 
-// configFile is the path of the configuration that is asked for, and whether it has the platform's form.
+// configFile returns the path of the configuration that is asked for, and whether it has the platform's form.
 func (s *session) configFile() (path string, platform bool, err error) {
 	if path = s.configPath; path == "" {
 		path = s.getenv(config.ConfigVariable)
@@ -121,7 +121,7 @@
 	})
 }
 
-// reportProblems prints the problems of a configuration, a line each, and returns cli.ErrFound for them. Other errors
+// reportProblems prints the problems of a configuration, one per line, and returns cli.ErrFound for them. Other errors
 // are returned as they are.
 func (s *session) reportProblems(err error) error {
 	var problems config.Problems
--- a/internal/commands/config.go
+++ b/internal/commands/config.go
@@ -64,7 +64,7 @@
 	return t.Flush()
 }
 
-// configFields are all fields of the configuration, whichever form it has.
+// configFields returns all fields of the configuration, whichever form it has.
 func (s *session) configFields() ([]fieldReport, error) {
 	path, platform, err := s.configFile()
 	if err != nil {
@@ -98,7 +98,7 @@
 	return string(source.Layer)
 }
 
-// platformFields are what the platform's form and its variables say.
+// platformFields returns what the platform's form and its variables set.
 func (s *session) platformFields(c *forwarder.Config, path string) []fieldReport {
 	source := func(variable string) string {
 		if s.getenv(variable) != "" {
--- a/internal/commands/inspect.go
+++ b/internal/commands/inspect.go
@@ -13,7 +13,7 @@
 	"spanflow/internal/config"
 )
 
-// inspectFlags are the flags of the commands that look into the write-ahead log or the backlog store.
+// inspectFlags are the flags of the commands that read the write-ahead log or the backlog store.
 type inspectFlags struct {
 	folder        string
 	destination   string
@@ -40,13 +40,13 @@
 	c.Flags().StringVar(&f.tenant, "tenant", "", "only of this tenant, by number, or by name with a configuration")
 }
 
-// folderSource tells where a configuration of either form has a folder; empty: it has none.
+// folderSource reads a folder's path from a configuration of either form, empty if the configuration has none.
 type folderSource struct {
 	ofForwarder func(*forwarder.Config) string
 	ofFile      func(*config.Loaded) string
 }
 
-// folder is the folder that is asked for. The names of tenants come with a configuration, if there is one.
+// folder returns the folder that is asked for, and the names of tenants if there is a configuration.
 func (s *session) folder(flag string, source folderSource) (folder string, tenants []string, err error) {
 	if flag != "" && s.configPath == "" {
 		return flag, nil, nil
--- a/internal/commands/messages.go
+++ b/internal/commands/messages.go
@@ -36,7 +36,7 @@
 	RetryAfterMs    int       `json:"come_back_ms,omitempty"`
 }
 
-// wallTime is a time in microseconds of the wall clock; 0 is none.
+// wallTime converts microseconds of the wall clock into a time; 0 becomes the zero time.
 func wallTime(micros int64) time.Time {
 	if micros <= 0 {
 		return time.Time{}
@@ -44,7 +44,7 @@
 	return time.UnixMicro(micros)
 }
 
-// tenantName is a tenant's name, or its number if it is not known.
+// tenantName returns a tenant's name, or its number if the name is not known.
 func tenantName(tenant int, tenants []string) string {
 	if tenant < len(tenants) {
 		return tenants[tenant]
@@ -63,7 +63,7 @@
 
 const rowsPerFlush = 1000 // of a table whose columns are aligned together
 
-// messageTable prints messages: as rows under a heading, or as JSON objects, one a line.
+// messageTable prints messages: as rows under a heading, or as JSON objects, one per line.
 type messageTable struct {
 	rows    int
 	text    *tabwriter.Writer
@@ -132,7 +132,7 @@
 	return err
 }
 
-// holderText names the process that has a folder.
+// holderText describes the process that holds a folder.
 func holderText(pid int) string {
 	if pid == 0 {
 		return "none"
--- a/internal/commands/wal.go
+++ b/internal/commands/wal.go
@@ -20,7 +20,7 @@
 	walAlias = "ledger"
 )
 
-// walFolder is where a configuration has the write-ahead log.
+// walFolder finds the write-ahead log's folder in a configuration.
 var walFolder = folderSource{
 	ofForwarder: func(c *forwarder.Config) string { return c.Folder },
 	ofFile:      func(l *config.Loaded) string { return l.Folder() },
@@ -130,7 +130,7 @@
 	return filter, nil
 }
 
-// inspectWAL reads the folder that is asked for. The names of tenants come with a configuration, if there is one.
+// inspectWAL reads the folder that is asked for, and returns the names of tenants if there is a configuration.
 func (s *session) inspectWAL(flags *inspectFlags) (*wal.View, []string, error) {
 	folder, tenants, err := s.folder(flags.folder, walFolder)
 	if err != nil {
@@ -199,7 +199,7 @@
 	return s.printMessage(report)
 }
 
-// walVerification is what verify prints.
+// walVerification is what "wal verify" prints.
 type walVerification struct {
 	Folder  string              `json:"folder"`
 	Damaged bool                `json:"damaged"`
--- a/internal/commands/wal_stat.go
+++ b/internal/commands/wal_stat.go
@@ -11,7 +11,7 @@
 	"spanflow/internal/wal"
 )
 
-// walStats are what wal stat prints.
+// walStats is what "wal stat" prints.
 type walStats struct {
 	Folder       string             `json:"folder"`
 	HolderPID    int                `json:"owner_pid,omitempty"`
@@ -24,7 +24,7 @@
 	FirstExpiry  time.Time          `json:"first_expiry,omitzero"`
 }
 
-// destinationStats are what is owed for one destination.
+// destinationStats are the counts of one destination's messages in the write-ahead log.
 type destinationStats struct {
 	Destination uint64 `json:"dest"`
 	Owed        int    `json:"owed"`
@@ -79,7 +79,7 @@
 	return stats
 }
 
-// write prints the sums for people.
+// write prints the sums as text.
 func (s *walStats) write(w io.Writer) error {
 	t := newColumns(w)
 	fmt.Fprintf(t, "folder\t%s\n", s.Folder)
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -29,8 +29,8 @@
 
 var plainName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Check returns all problems of a configuration, and notes on what may be meant otherwise though it runs; both in the
-// order of the file's lines.
+// Check returns all problems of a configuration, and notes on what is valid but may not be intended; both in the order
+// of the file's lines.
 func (l *Loaded) Check() (problems, notes Problems) {
 	c := &checker{Loaded: l}
 	c.checkProcess()
@@ -63,8 +63,8 @@
 	notes    Problems
 }
 
-// problemAt is a problem without a reason, at a field's place: its variable or flag, its line, or the line of the table
-// that should have it.
+// problemAt returns a problem without a reason, at a field's place: its variable or flag, its line, or the line of the
+// table that should have it.
 func (c *checker) problemAt(field string) Problem {
 	p := Problem{Field: field}
 	source, found := c.Sources[field]
@@ -83,7 +83,7 @@
 	return p
 }
 
-// parent is the table of a field; empty: it has none.
+// parent returns the table of a field, empty if it has none.
 func parent(field string) string {
 	for i := len(field) - 1; i >= 0; i-- {
 		switch field[i] {
@@ -108,7 +108,7 @@
 	c.notes = append(c.notes, p)
 }
 
-// oneOf checks a field that has one of a few words.
+// oneOf checks a field that takes one of a few words.
 func (c *checker) oneOf(field, value string, known ...string) {
 	if !slices.Contains(known, value) {
 		c.problem(field, "%q is none of %q%s", value, known, suggestion(value, known))
@@ -121,13 +121,13 @@
 	}
 }
 
-// isRate tells if a number is finite and over 0.
+// isRate reports whether a number is finite and over 0.
 func isRate(value float64) bool { return value > 0 && !math.IsInf(value, 0) }
 
-// isFraction tells if a number is between 0 and 1.
+// isFraction reports whether a number is between 0 and 1, both included.
 func isFraction(value float64) bool { return value >= 0 && value <= 1 }
 
-// checkProcess checks what is said of the process as a whole.
+// checkProcess checks the fields that concern the process as a whole.
 func (c *checker) checkProcess() {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
 		c.problem("name", "a name has 1 to 64 letters")
--- a/internal/config/check_backlog.go
+++ b/internal/config/check_backlog.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// resolveLinks is a path without symbolic links, as far as it exists.
+// resolveLinks returns a path without symbolic links, as far as it exists.
 func resolveLinks(path string) string {
 	path, err := filepath.Abs(path)
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// within tells if a resolved path lies under another.
+// within reports whether a resolved path lies under another.
 func within(path, folder string) bool {
 	relative, err := filepath.Rel(folder, path)
 	return err == nil && relative != "." && relative != ".." &&
--- a/internal/config/check_frontends.go
+++ b/internal/config/check_frontends.go
@@ -7,7 +7,7 @@
 	"spanflow/forwarder"
 )
 
-// defaultWaitingBytes is what a frontend's waiting messages may take if nothing is said of them.
+// defaultWaitingBytes is what a frontend's waiting messages may take if the configuration does not say.
 const defaultWaitingBytes = 4 << 20
 
 func (c *checker) checkFrontends() {
@@ -76,7 +76,7 @@
 	}
 }
 
-// hasAnyPort tells if the port of an address is chosen when it is opened.
+// hasAnyPort reports whether the port of an address is chosen when the address is opened.
 func hasAnyPort(addr string) bool {
 	_, port, err := net.SplitHostPort(addr)
 	return err == nil && port == "0"
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -92,7 +92,7 @@
 	return strings.Join(parts, ".")
 }
 
-// tableKeys are the keys that a table of a form has; nil: the form has no such table.
+// tableKeys returns the keys that a table of a form has, nil if the form has no such table.
 func tableKeys(form reflect.Type, table []string) []string {
 	for _, name := range table {
 		f, ok := fieldOf(form, name)
@@ -109,7 +109,7 @@
 	return keys(form)
 }
 
-// keys are the keys of a struct's fields.
+// keys returns the keys of a struct's fields.
 func keys(t reflect.Type) []string {
 	var all []string
 	for i := range t.NumField() {
@@ -120,7 +120,7 @@
 
 func key(f reflect.StructField) string { return f.Tag.Get("toml") }
 
-// fieldOf is the field of a struct that a key names.
+// fieldOf returns the field of a struct that a key names.
 func fieldOf(t reflect.Type, name string) (reflect.StructField, bool) {
 	for i := range t.NumField() {
 		if f := t.Field(i); key(f) == name {
@@ -130,7 +130,7 @@
 	return reflect.StructField{}, false
 }
 
-// suggestion names the known name that is nearest to an unknown one; empty: none is near.
+// suggestion returns the known name that is nearest to an unknown one, empty if none is near.
 func suggestion(name string, known []string) string {
 	shortest, nearest := maxEditDistance+1, ""
 	for _, k := range known {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Names of what exists without being configured.
+// Names of the upstream and the kind that exist without being configured.
 const (
 	defaultUpstream = protocolHTTP
 	defaultKind     = "partners"
@@ -73,7 +73,7 @@
 	}
 }
 
-// Or sets a value that is zero to another.
+// Or replaces a zero value by another.
 func Or[T comparable](value *T, other T) {
 	var zero T
 	if *value == zero {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -119,14 +119,14 @@
 	return nil
 }
 
-// Value is one field with the value in force.
+// Value is one field with its effective value.
 type Value struct {
 	Field  string
 	Value  any
 	Source Source
 }
 
-// Values are all fields in the order of the form.
+// Values returns all fields in the order of the form.
 func (l *Loaded) Values() []Value {
 	return l.appendValues(nil, reflect.ValueOf(l.File), "")
 }
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -2,7 +2,7 @@
 // whole, with the source of each value known. It makes a forwarder's Config of it.
 package config
 
-// File is the form of a configuration file. Its descriptions stand in the schema that operators see.
+// File is the form of a configuration file. Its descriptions appear in the schema that operators see.
 type File struct {
 	Name      string     `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
 	Seed      string     `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
@@ -24,13 +24,13 @@
 	Endpoints []Endpoint `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
 }
 
-// Ledger is the write-ahead log.
+// Ledger configures the write-ahead log, by the name that the file has for it.
 type Ledger struct {
 	Folder string `toml:"folder" jsonschema_description:"The folder that lasts, relative to the file. It is made if missing."`
 	Disk   Size   `toml:"disk" jsonschema_description:"Space that the folder may take, 1 MB at least."`
 }
 
-// Backlog is the store on disk in which messages wait for destinations that are out or far behind.
+// Backlog configures the store on disk in which messages wait for destinations that are unavailable or far behind.
 type Backlog struct {
 	Folder      string `toml:"folder" jsonschema_description:"The store's folder, relative to the file. It is made if missing. Empty: no store, all that is held stays in memory."`
 	Disk        Size   `toml:"disk" jsonschema_description:"Space that the folder may take, 2 MiB at least. Some three quarters of it hold messages."`
@@ -40,14 +40,14 @@
 	Behind      int    `toml:"behind" jsonschema_description:"Messages of a lane beyond which its destination counts as far behind, though it answers."`
 }
 
-// Limits are what the process may use.
+// Limits are the resources that the process may use.
 type Limits struct {
 	Cores       float64 `toml:"cores" jsonschema_description:"Cores to use; a part of one counts as one."`
 	Memory      Size    `toml:"memory" jsonschema_description:"Memory, 16 MB at least."`
 	Descriptors int     `toml:"descriptors" jsonschema_description:"File descriptors, 64 at least. A third is for targets, the rest for clients."`
 }
 
-// Discovery is the service that has the list of endpoints.
+// Discovery configures the service that has the list of endpoints.
 type Discovery struct {
 	Address string `toml:"address" jsonschema_description:"Address and port. Empty: the targets of this file are the list."`
 	Notices string `toml:"notices" jsonschema_description:"Where the final answers go that no caller waits for. Empty: to address; without one, into the log alone."`
@@ -73,7 +73,7 @@
 	ReportShare       string   `toml:"report_left" jsonschema_description:"Field of a load report that tells the share of the limit that is left, 0 to 1."`
 }
 
-// Log are the lines written to standard error.
+// Log configures the lines written to standard error.
 type Log struct {
 	Level  string   `toml:"level" jsonschema:"enum=trace,enum=debug,enum=info,enum=warn,enum=error" jsonschema_description:"Least level of lines."`
 	Format string   `toml:"format" jsonschema:"enum=json,enum=console" jsonschema_description:"json, or console for people."`
@@ -82,13 +82,13 @@
 	IDs    []string `toml:"ids" jsonschema_description:"Ids of documents whose course is logged."`
 }
 
-// Metrics are served over HTTP.
+// Metrics configures the metrics served over HTTP.
 type Metrics struct {
 	Listen    string `toml:"listen" jsonschema_description:"Address and port. Empty: nothing listens."`
 	TokenFile string `toml:"token_file" jsonschema_description:"File with the bearer token that a reader has to show. Empty: anybody may read."`
 }
 
-// Frontend is an address where messages come in.
+// Frontend is an address at which clients submit messages.
 type Frontend struct {
 	Name         string `toml:"name" jsonschema_description:"Its name in the ledger, log lines and metrics; lower case, digits, hyphens."`
 	Protocol     string `toml:"protocol" jsonschema_description:"resp"`
@@ -119,7 +119,7 @@
 	LateValueShare float64 `toml:"late_share" jsonschema_description:"Share of the value that is left at the end of life, 0 to 1."`
 }
 
-// Kind is a kind of destinations; their endpoints are called alike.
+// Kind is a kind of destinations, whose endpoints are all called in the same way.
 type Kind struct {
 	Name           string `toml:"name"`
 	Batch          int    `toml:"batch" jsonschema_description:"Documents that one call carries at most."`
--- a/internal/config/forwarder_config.go
+++ b/internal/config/forwarder_config.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// staticEndpoints is the file's own list.
+// staticEndpoints returns the file's own list of endpoints.
 func (l *Loaded) staticEndpoints() *transport.EndpointList {
 	list := &transport.EndpointList{Complete: true}
 	for _, e := range l.Endpoints {
@@ -138,7 +138,7 @@
 	return list
 }
 
-// backlogConfig is the backlog store's configuration; nil: there is no store.
+// backlogConfig returns the backlog store's configuration, nil if there is no store.
 func (l *Loaded) backlogConfig() (*forwarder.Backlog, error) {
 	b := &l.Backlog
 	if b.Folder == "" {
@@ -180,10 +180,10 @@
 	wordAtMostOnce:        scheduler.AtMostOnce,
 }
 
-// listedRateTolerances are how many times too high a listed rate may be.
+// listedRateTolerances says by which factor a listed rate may be too high.
 var listedRateTolerances = map[string]float64{ratesExact: 1, ratesRough: 1.5}
 
-// schedulerSettings are the scheduler's settings, and the names behind their numbers.
+// schedulerSettings returns the scheduler's settings, and the names behind their numbers.
 func (l *Loaded) schedulerSettings() (scheduler.Settings, settings.Names) {
 	d := &l.Dispatch
 	s := scheduler.Settings{
@@ -244,7 +244,7 @@
 	}
 }
 
-// Reload tells when a running forwarder follows a change of a field, by the table that the reload itself uses.
+// Reload returns when a running forwarder applies a change of a field, from the table that the reload itself uses.
 func Reload(field string) forwarder.ReloadBehavior {
 	for _, part := range forwarder.ConfigParts {
 		for _, key := range part.Keys {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Layer is where a value comes from. Each layer takes precedence over those before it.
+// Layer is the kind of place that a value comes from. Each layer takes precedence over those before it.
 type Layer string
 
 // The layers.
@@ -16,7 +16,7 @@
 // flagName is the flag that sets fields.
 const flagName = "--set"
 
-// Source tells where a value comes from.
+// Source is the place that a value comes from.
 type Source struct {
 	Layer Layer
 	Name  string // of the variable or flag
--- a/internal/config/metrics_token.go
+++ b/internal/config/metrics_token.go
@@ -12,8 +12,8 @@
 	othersPermissions = 0o007
 )
 
-// metricsToken reads the secret that a reader of metrics has to show; empty: none is asked for. It stands in a file of
-// its own, never in a configuration, and is shown nowhere.
+// metricsToken reads the secret that a reader of metrics has to present, empty if none is required. It is kept in a
+// file of its own, never in a configuration, and is printed nowhere.
 func (l *Loaded) metricsToken() (string, error) {
 	if l.Metrics.TokenFile == "" {
 		return "", nil
--- a/internal/config/paths.go
+++ b/internal/config/paths.go
@@ -2,13 +2,14 @@
 
 import "path/filepath"
 
-// Folder is the write-ahead log's folder, as seen from where the program runs.
+// Folder returns the write-ahead log's folder, relative to the working directory or absolute.
 func (l *Loaded) Folder() string { return l.resolve(l.Ledger.Folder) }
 
-// BacklogFolder is the backlog store's folder, as seen from where the program runs; empty: there is no store.
+// BacklogFolder returns the backlog store's folder, relative to the working directory or absolute; empty if there is no
+// store.
 func (l *Loaded) BacklogFolder() string { return l.resolve(l.Backlog.Folder) }
 
-// resolve makes a path that is relative to the configuration file one that is relative to where the program runs.
+// resolve makes a path that is relative to the configuration file relative to the working directory.
 func (l *Loaded) resolve(path string) string {
 	if path == "" || filepath.IsAbs(path) || l.Path == "" {
 		return path
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -8,12 +8,12 @@
 // Problem is one thing that is wrong with a configuration, or worth a note.
 type Problem struct {
 	File   string `json:"file,omitempty"`
-	Line   int    `json:"line,omitempty"` // 0: it is not one line's
+	Line   int    `json:"line,omitempty"` // 0: no single line
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"what"`
 }
 
-// String is the problem as a line: file, line, field and reason.
+// String returns the problem as one line of text: file, line, field and reason.
 func (p Problem) String() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -29,10 +29,10 @@
 	return b.String() + p.Reason
 }
 
-// Problems are all that is wrong with a configuration; as an error it is their lines.
+// Problems is all that is wrong with a configuration; its error text has one line for each.
 type Problems []Problem
 
-// Error is the lines of all problems.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -12,7 +12,7 @@
 	maxReads     = 10 // of a file that changes meanwhile
 )
 
-// errChanging is a file that was replaced or written to during each of maxReads reads.
+// errChanging says that a file was replaced or written to during each of maxReads reads.
 var errChanging = errors.New("it changes while it is read")
 
 // readFile reads a whole file. If it is replaced or written to meanwhile it is read again.
@@ -26,7 +26,7 @@
 	return nil, errChanging
 }
 
-// readOnce reads a file and tells whether it stayed the same meanwhile. stat is os.Stat but for tests.
+// readOnce reads a file and tells whether it stayed the same meanwhile. stat is os.Stat except in tests.
 func readOnce(path string, stat func(string) (os.FileInfo, error)) (text []byte, stable bool, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return text, stable, nil
 }
 
-// pathReason is the text of an error without the operation and the path, which a Problem names itself.
+// pathReason returns the text of an error without the operation and the path, which a Problem names itself.
 func pathReason(err error) string {
 	var pathError *os.PathError
 	if errors.As(err, &pathError) {
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -7,7 +7,7 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Schema is the form of a configuration as JSON Schema, made from the types.
+// Schema returns the form of a configuration as JSON Schema, made from the types.
 func Schema() ([]byte, error) {
 	reflector := jsonschema.Reflector{FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, DoNotReference: true, Anonymous: true}
 	schema := reflector.Reflect(&File{})
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -13,7 +13,7 @@
 
 const nanosecondsPerSecond = 1e9
 
-// Duration is a time in seconds, written with its unit: "3s", "100ms".
+// Duration is a duration in seconds, written with its unit: "3s", "100ms".
 type Duration float64
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// String writes the time with its unit.
+// String returns the duration with its unit.
 func (s Duration) String() string {
 	return time.Duration(math.Round(float64(s) * nanosecondsPerSecond)).String()
 }
@@ -34,7 +34,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// JSONSchema is the form of the text; see jsonschema.Reflector.
+// JSONSchema returns the schema of the text; see jsonschema.Reflector.
 func (Duration) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`, Description: "a time with its unit"}
 }
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// String writes the size with the largest unit of which it is a multiple.
+// String returns the size with the largest unit of which it is a multiple.
 func (s Size) String() string {
 	for _, unit := range sizeUnits {
 		if s >= unit.bytes && s%unit.bytes == 0 {
@@ -71,7 +71,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// JSONSchema is the form of the text; see jsonschema.Reflector.
+// JSONSchema returns the schema of the text; see jsonschema.Reflector.
 func (Size) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^[0-9]+(\.[0-9]+)? ?[kKMGT]?i?B$`, Description: "a number of bytes with its unit"}
 }
--- a/internal/config/variables.go
+++ b/internal/config/variables.go
@@ -20,20 +20,20 @@
 	{"PROXY_ADMIN", "admin"},
 }
 
-// variable is one of an environment that sets a field.
+// variable is an environment variable that sets a field.
 type variable struct {
 	name, value string
 	field       string   // empty: unknown
-	known       []string // names that there are, if the field is unknown
+	known       []string // the names that exist, if the field is unknown
 }
 
-// Variable is the name of the variable that sets a field of the file.
+// Variable returns the name of the variable that sets a field of the file.
 func Variable(field string) string {
 	return variablePrefix + strings.ToUpper(strings.ReplaceAll(field, ".", "_"))
 }
 
-// variables are those of an environment (NAME=VALUE) that set fields, the platform's first, the others by name. Empty
-// ones do not count.
+// variables returns the variables of an environment (NAME=VALUE) that set fields, the platform's first, then the others
+// by name. Empty ones are left out.
 func variables(environ []string) []variable {
 	values := map[string]string{}
 	for _, entry := range environ {
@@ -50,7 +50,7 @@
 	return append(all, ownVariables(values)...)
 }
 
-// ownVariables are those with the prefix.
+// ownVariables returns the variables with the prefix.
 func ownVariables(values map[string]string) []variable {
 	fields := map[string]string{}
 	var known []string
@@ -74,7 +74,7 @@
 	return own
 }
 
-// settableFields are the fields that a variable can set: all but those of lists of tables.
+// settableFields returns the fields that a variable can set: all but those of lists of tables.
 func settableFields(t reflect.Type, prefix string) []string {
 	var fields []string
 	for i := range t.NumField() {
--- a/internal/config/words.go
+++ b/internal/config/words.go
@@ -1,6 +1,6 @@
 package config
 
-// Words that fields of the form have.
+// Values of the form's fields that take one of a few words.
 const (
 	protocolRESP = "resp"
 	protocolHTTP = "http"
--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -111,7 +111,7 @@
 	return n, err
 }
 
-// MarkDelivered says that the handler has what was read. A handler that calls IsQuiet or ReadPending under a lock of
+// MarkDelivered records that the handler has what was read. A handler that calls IsQuiet or ReadPending under a lock of
 // its own calls MarkDelivered under that lock.
 func (c *Conn) MarkDelivered() {
 	c.reading.Lock()
--- a/internal/dial/dialer.go
+++ b/internal/dial/dialer.go
@@ -1,7 +1,7 @@
 // Package dial opens outgoing connections on an nbio engine and reports what becomes of them.
 //
-// A Conn belongs to the caller of Dial. It ends once: by the caller (Close, Abort, CloseUnlessConnected), of which the
-// Handler hears nothing, or by the peer or the network, which Handler.Closed reports.
+// A Conn belongs to the caller of Dial. It ends once: by the caller (Close, Abort, CloseUnlessConnected), which is
+// not reported, or by the peer or the network, which Handler.Closed reports.
 package dial
 
 import (
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,7 +14,7 @@
 
 const (
 	maxLineBytes      = 4 << 20                   // of one object of a watch, unless Client.MaxLineBytes says otherwise
-	heartbeatInterval = 2 * time.Second           // the service sends an empty line so often while nothing changes
+	heartbeatInterval = 2 * time.Second           // between two empty lines that the service sends without a change
 	answerTimeout     = 2 * time.Second           // to the first line, once the connection is up
 	silenceTimeout    = heartbeatInterval * 3 / 2 // between two lines
 	promptAnswer      = 500 * time.Millisecond    // an answer within this did not wait behind other requests
@@ -54,7 +54,7 @@
 }
 
 // Watch asks for the changes since a revision, on a new connection. An earlier watch is closed and reports nothing
-// more. The listener hears each list, and once that the watch has ended.
+// more. The listener receives each list, and once the end of the watch.
 func (c *Client) Watch(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,7 +72,7 @@
 	w.expectLine(c.connectTimeout + answerTimeout)
 }
 
-// Reconfigure leaves the address for another. A list that was watched is watched there from a revision on.
+// Reconfigure changes the service's address. A list that was watched is watched at the new one from a revision on.
 func (c *Client) Reconfigure(addr string, revision int64) {
 	c.mu.Lock()
 	c.addr = addr
@@ -83,7 +83,7 @@
 	}
 }
 
-// Stop closes the connection and opens none any more. The listener hears nothing of it.
+// Stop closes the connection and opens no other. It is not reported to the listener.
 func (c *Client) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// errLineTooLong is an object of the list that is longer than the client allows.
+// errLineTooLong says that an object of the list is longer than the client allows.
 var errLineTooLong = errors.New("a line of the list is over the limit")
 
 // objectReader cuts the body of a watch into JSON objects. Each ends with its line; it may be indented over several. An
@@ -16,10 +16,10 @@
 	maxBytes int // of one object
 
 	buffer   []byte // the present object as far as it has come
-	complete bool   // it has come whole, and the next one begins anew
+	complete bool   // the present object has arrived whole; the next byte begins another
 	depth    int    // of open brackets
 	inString bool
-	escaped  bool // behind a backslash in a string
+	escaped  bool // the next byte follows a backslash in a string
 
 	firstLineChecked bool
 	searched         int // bytes of the first line that were searched for its end
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,20 +12,23 @@
 	"spanflow/transport"
 )
 
-// outdatedRevisionError is a change that is older than the list that is held.
+// outdatedRevisionError says that a change is older than the list that is held.
 type outdatedRevisionError struct{ revision, held int64 }
 
+// Error names both revisions.
 func (e *outdatedRevisionError) Error() string {
 	return fmt.Sprintf("version %d of the list came after version %d", e.revision, e.held)
 }
 
-// malformedLineError is an object of the list that is not JSON, or not a list.
+// malformedLineError says that an object of the watch is not JSON, or not a list.
 type malformedLineError struct{ cause error }
 
+// Error returns a text with the cause.
 func (e *malformedLineError) Error() string {
 	return fmt.Sprintf("a line of the list cannot be read: %v", e.cause)
 }
 
+// Unwrap returns the error of decoding the object.
 func (e *malformedLineError) Unwrap() error { return e.cause }
 
 // watch is one connection with an open answer. All of it is guarded by the client's lock.
@@ -37,14 +40,14 @@
 	objects  objectReader
 	revision int64 // the latest that is held
 	started  time.Time
-	received bool // a line has come
+	received bool // a line has arrived
 	closed   bool
 
 	timer *time.Timer
 	waits int // how often the timer was started, so that one that fires late is known as such
 }
 
-// expectLine ends the watch if no line comes in time. Guards against a connection that goes silent.
+// expectLine ends the watch if no line comes in time, as happens on a connection that has died unnoticed.
 func (w *watch) expectLine(within time.Duration) {
 	if w.timer != nil {
 		w.timer.Stop()
@@ -85,7 +88,7 @@
 	w.client.listener.WatchEnded(reason, how)
 }
 
-// failure tells how a watch ended that did not fall silent: as timed out if its request waited for an answer in vain.
+// failure returns how a watch ended that did not fall silent: as timed out if its request got no answer in time.
 func (w *watch) failure(cause error) transport.WatchEnd {
 	if w.received || w.status == http.StatusOK || errors.Is(cause, dial.ErrConnectTimeout) ||
 		w.client.now().Sub(w.started) < promptAnswer {
@@ -142,7 +145,7 @@
 			}
 		}
 		w.received = true
-		w.expectLine(silenceTimeout) // only now: guards against a connection on which bytes trickle and no line comes
+		w.expectLine(silenceTimeout) // only now: bytes that trickle in without completing a line do not count
 		piece = rest
 	}
 	return nil
@@ -154,7 +157,7 @@
 	if err := json.Unmarshal(object, list); err != nil {
 		return &malformedLineError{err}
 	}
-	// Guards against changes that are older than what is held, by which a draining endpoint would serve again. A complete
+	// A change that is older than what is held could have a draining endpoint serve again: it is refused. A complete
 	// list in answer to the request may be older: the service then counts its revisions anew.
 	if list.Revision < w.revision && (w.received || !list.Complete) {
 		return &outdatedRevisionError{list.Revision, w.revision}
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// replyTimeout ends a wait for a forwarder's answer.
+// replyTimeout limits the wait for a forwarder's answer.
 const replyTimeout = 10 * time.Second
 
-// Client is a client's connection to a forwarder. It is not safe for concurrent use, but that one goroutine may write
-// while another one reads.
+// Client is a client's connection to a forwarder. It is not safe for concurrent use, except that one goroutine may
+// write while another one reads.
 type Client struct {
 	net.Conn
 	reader *bufio.Reader
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,5 +1,5 @@
-// Package emulator plays the parties that a forwarder talks to, as the protocol's pages describe them: the discovery
-// service, endpoints and clients. It also starts the programs under test. Tests, the laboratory and the example use it;
+// Package emulator emulates the peers of a forwarder as the protocol's description has them: the discovery service,
+// endpoints and clients. It also starts the programs under test. Tests, the laboratory and the example use it;
 // the forwarder does not.
 package emulator
 
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// patience ends a wait for something that does not come. It is no bound on how fast a program has to be.
+// patience limits how long a test waits for an event before it fails. It is no bound on how fast a program has to be.
 const patience = 15 * time.Second
 
 // Test is the part of *testing.T that a wait needs.
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -14,7 +14,7 @@
 	callsBuffered = 4096 // calls that a test need not have taken yet
 )
 
-// Call is a request as an endpoint got it.
+// Call is a request as an endpoint received it.
 type Call struct {
 	Endpoint       string   // address that it came to
 	ID             string   // id of the first message
@@ -24,7 +24,7 @@
 	Path           string
 }
 
-// Reply tells an endpoint what to do with a call. The zero value answers 200.
+// Reply is what an endpoint does with a call. The zero value answers 200.
 type Reply struct {
 	Status int // of HTTP; 0 stands for 200
 	Fields map[string]string
@@ -42,8 +42,8 @@
 	reply func(Call) Reply
 }
 
-// NewEndpoint listens at addr, or at a free port of loopback if addr is empty, until the program ends. The function reply
-// decides on each call and may be called concurrently; nil answers 200 to all.
+// NewEndpoint listens at addr, or at a free port of loopback if addr is empty, until the program ends. The function
+// reply decides on each call and may be called concurrently; nil answers 200 to all.
 func NewEndpoint(addr string, reply func(Call) Reply) (*Endpoint, error) {
 	e := &Endpoint{Calls: make(chan Call, callsBuffered), reply: reply}
 	var err error
@@ -51,7 +51,7 @@
 	return e, err
 }
 
-// Do replaces the function that decides on calls, as NewEndpoint takes it.
+// Do replaces the reply function that NewEndpoint was given.
 func (e *Endpoint) Do(reply func(Call) Reply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,10 +129,10 @@
 	if body == "" && len(call.IDs) > 1 && r.Status <= http.StatusOK {
 		body = allDelivered(call.IDs)
 	}
-	_, _ = io.WriteString(w, body) // a forwarder that has gone is no concern of the endpoint
+	_, _ = io.WriteString(w, body) // the forwarder may have closed the connection
 }
 
-// allDelivered is the body of an answer that tells "ok" of each message.
+// allDelivered returns the body of an answer with the state "ok" for each message.
 func allDelivered(ids []string) string {
 	var states []string
 	for _, id := range ids {
--- a/internal/emulator/lock.go
+++ b/internal/emulator/lock.go
@@ -12,8 +12,8 @@
 	waitsAtLock = "[sync.Mutex.Lock"
 )
 
-// AwaitAtLock waits until a goroutine with a call of function on its stack, such as "upstream.(*connection).Data(", waits for
-// a mutex. A test that holds the mutex thereby knows that the program stands just before it.
+// AwaitAtLock waits until a goroutine with a call of function on its stack, such as "upstream.(*connection).Data(",
+// waits for a mutex. A test that holds the mutex then knows that the goroutine is about to lock it.
 func AwaitAtLock(t Test, function string) {
 	t.Helper()
 	stacks := make([]byte, stackBytes)
--- a/internal/emulator/log.go
+++ b/internal/emulator/log.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// countTimeout ends a wait for a further line of a kind that was logged before.
+// countTimeout limits the wait for a further line of a kind that was logged before.
 const countTimeout = 10 * time.Second
 
 // Log takes a program's log lines as an io.Writer and lets a test wait for one. It is safe for concurrent use, but only
@@ -17,7 +17,7 @@
 	written chan struct{} // has an item if something was written since the last wait
 }
 
-// NewLog makes an empty log.
+// NewLog returns an empty log.
 func NewLog() *Log { return &Log{written: make(chan struct{}, 1)} }
 
 // Write adds lines to the log. It never fails.
@@ -38,10 +38,10 @@
 	return l.text.String()
 }
 
-// Has tells if text was written.
+// Has reports whether text was written.
 func (l *Log) Has(text string) bool { return strings.Contains(l.String(), text) }
 
-// Count tells how often text was written.
+// Count returns how often text was written.
 func (l *Log) Count(text string) int { return strings.Count(l.String(), text) }
 
 // Await waits until text was written and returns the whole log. It ends the test if text does not come within 15 s.
@@ -50,7 +50,7 @@
 	return l.await(t, text, 1, patience)
 }
 
-// AwaitCount waits until text was written so many times and returns the whole log. It ends the test if that takes more
+// AwaitCount waits until text was written count times and returns the whole log. It ends the test if that takes more
 // than 10 s.
 func (l *Log) AwaitCount(t Test, text string, count int) string {
 	t.Helper()
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// ReadyLine is in the log line that a forwarder writes once it serves.
+// ReadyLine is a part of the log line that a forwarder writes once it serves.
 const ReadyLine = `"message":"ready"`
 
 // CleanupTest is the part of *testing.T that a started program needs.
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares the files that a test writes with those in its package's testdata, byte for byte. It is for
-// tests alone. The files in testdata show a format as it is on operators' disks; they are written anew by
+// Package golden compares the files that a test writes with those in its package's testdata, byte for byte. Only
+// tests import it. The files in testdata show a format as it is on operators' disks; they are written anew by
 // `go test -update`, which is right only together with a new version of the format.
 package golden
 
@@ -15,8 +15,8 @@
 
 var update = flag.Bool("update", false, "write the files in testdata anew")
 
-// Updating tells if the test runs with -update: then files in testdata are written in place of being compared. All
-// packages that compare with files ask here, as a test binary has but one flag of a name.
+// Updating reports whether the test runs with -update: then files in testdata are written in place of being compared.
+// All packages that compare with files use it, as a test binary can define a flag only once.
 func Updating() bool { return *update }
 
 const (
@@ -79,7 +79,7 @@
 	return files
 }
 
-// replaceFiles makes dir hold these files alone.
+// replaceFiles makes dir hold these files and no others.
 func replaceFiles(t testing.TB, dir string, files map[string][]byte) {
 	t.Helper()
 	if err := os.RemoveAll(dir); err != nil {
@@ -98,7 +98,7 @@
 
 func sortedNames(files map[string][]byte) []string { return slices.Sorted(maps.Keys(files)) }
 
-// firstDifference is the offset of the first byte that differs, -1 if there is none.
+// firstDifference returns the offset of the first byte that differs, -1 if there is none.
 func firstDifference(a, b []byte) int {
 	if bytes.Equal(a, b) {
 		return -1
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -13,7 +13,7 @@
 	maxNumberDigits = 16
 )
 
-// Lowest status of a final answer; those below are interim.
+// firstFinalStatus is the lowest status of a final answer; those below are interim.
 const firstFinalStatus = 200
 
 // Statuses without a body.
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a forwarder does and serves the figures over HTTP. The platform's program does without
-// it, as it would raise the program's memory by half: a program that wants it gives it to its Config.
+// Package metrics counts what a forwarder does and serves its metrics over HTTP. The platform's program does without
+// it, as it would raise the program's memory by half; a program that wants it sets it in its Config.
 //
 // The names of metrics and the values of labels are older than the names in the code. They stay: dashboards use them.
 package metrics
@@ -26,9 +26,9 @@
 	stopTimeout    = 200 * time.Millisecond
 )
 
-// Server is a transport.Recorder that serves its figures. They are in a set of their own, so that several forwarders in
-// a process keep apart. Labels take only values from short lists (results, outcomes, configured frontends): nothing
-// grows with names that come and go.
+// Server is a transport.Recorder that serves its metrics. They are in a set of their own, so that several forwarders in
+// a process are kept apart. Labels take only values from short lists (results, outcomes, configured frontends), so that
+// the number of time series is bounded.
 type Server struct {
 	set            *metrics.Set
 	forwarderLabel string                                          // name and value
@@ -43,7 +43,7 @@
 	addr           string
 }
 
-// answerLabels are the answers to submissions as values of a label.
+// answerLabels are the label values for the answers to submissions.
 var answerLabels = [...]string{
 	transport.StatusAccepted:   "taken",
 	transport.StatusOverloaded: "busy",
@@ -120,7 +120,7 @@
 	return nil
 }
 
-// write answers a request for the figures.
+// write answers a request for the metrics.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, token string) {
 	if !authorized(r, token) {
 		w.Header().Set("WWW-Authenticate", "Bearer")
@@ -138,10 +138,10 @@
 	return token == "" || subtle.ConstantTimeCompare([]byte(presented), []byte("Bearer "+token)) == 1
 }
 
-// Addr returns the address at which the figures are served.
+// Addr returns the address at which the metrics are served.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop ends the serving, within 200 ms.
+// Stop stops serving, within 200 ms.
 func (s *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
--- a/internal/notify/client.go
+++ b/internal/notify/client.go
@@ -1,6 +1,6 @@
 // Package notify sends notices: the final answers of messages that were not delivered and whose callers do not wait for
-// them. It posts them to the receiver's /v1/notices, each again and again until it is acknowledged. A notice may arrive
-// more than once, which does no harm.
+// them. It posts them to /v1/notices at the configured address, each repeatedly until it is acknowledged. A notice may
+// therefore arrive more than once, which does no harm.
 package notify
 
 import (
@@ -47,7 +47,7 @@
 	}
 }
 
-// Notify sends a notice until it is acknowledged, which the listener hears.
+// Notify sends a notice until it is acknowledged, which is reported to the listener.
 func (c *Client) Notify(notice transport.FinalAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +55,7 @@
 	c.send()
 }
 
-// Reconfigure leaves the address for another, where the notices without an acknowledgement go. Notices have no
+// Reconfigure changes the address; notices that were not acknowledged go to the new one. Notices have no
 // revision; the parameter makes the client a transport.Reconfigurable.
 func (c *Client) Reconfigure(addr string, _ int64) {
 	c.mu.Lock()
@@ -67,7 +67,7 @@
 	c.send()
 }
 
-// Stop closes the connection and sends nothing any more.
+// Stop closes the connection; nothing is sent after it.
 func (c *Client) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/notify/connection.go
+++ b/internal/notify/connection.go
@@ -59,8 +59,8 @@
 	return b
 }
 
-// timedOut makes a call that is not answered again at once, on a new connection. Guards against a final answer sent
-// right at a message's expiry on a connection that has died unnoticed: a message is lost 300 ms after its expiry.
+// timedOut repeats a call that was not answered in time at once, on a new connection: the old one may have died
+// unnoticed, and a message counts as lost if its notice has not arrived 300 ms after its expiry.
 func (n *connection) timedOut(call int) {
 	c := n.client
 	c.mu.Lock()
--- a/internal/peertest/peertest.go
+++ b/internal/peertest/peertest.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Patience bounds what would otherwise hang; no test is judged by it.
+// Patience limits waits that would otherwise hang; no test measures against it.
 const Patience = 15 * time.Second
 
 // Next waits for the next value.
@@ -30,12 +30,12 @@
 	Fire func()
 }
 
-const maxTimers = 99 // started and not looked at by the test
+const maxTimers = 99 // started and not yet taken by the test
 
 // Timers are the timers that a client started, in their order.
 type Timers struct{ started chan Timer }
 
-// NewTimers returns Timers without any.
+// NewTimers returns an empty Timers.
 func NewTimers() *Timers { return &Timers{make(chan Timer, maxTimers)} }
 
 // AfterFunc takes the place of time.AfterFunc.
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -17,7 +17,7 @@
 	crlfBytes     = 2
 )
 
-// ErrFraming says that what was received is not a command: the connection cannot be understood from there on.
+// ErrFraming says that what was received is not a command: what follows on the connection cannot be parsed.
 var ErrFraming = errors.New("not an array of bulk strings")
 
 // ErrSize says that an array or a bulk string is over the limit.
--- a/internal/respserver/command.go
+++ b/internal/respserver/command.go
@@ -27,7 +27,7 @@
 	putArgs // how many, with the name
 )
 
-// Errors of a MSG.PUT that cannot be taken on; their texts are part of the protocol.
+// Errors of a MSG.PUT that cannot be accepted; their texts are part of the protocol.
 var (
 	errPutArgs        = errors.New("MSG.PUT takes a key, an id, names with values, and a body")
 	errKey            = errors.New("the key is not a hexadecimal number")
--- a/internal/settings/platform_settings.go
+++ b/internal/settings/platform_settings.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// platformSettings is the platform's settings as they are written. Keys match whatever their case; unknown ones pass.
+// platformSettings is the JSON form of the platform's settings. Keys match without regard to case; unknown ones are
+// ignored.
 // Times are in milliseconds.
 type platformSettings struct {
 	Classes    []class
@@ -59,11 +60,11 @@
 	QueueCapacity  int     `json:"MaxOpen"`
 	IdleTimeout    float64 `json:"ConnIdle"`
 	ConnectTimeout float64
-	RetryAfter     bool // whether a rejection may name a time
+	RetryAfter     bool // whether a rejection may have a Retry-After time
 	MaxRetryAfter  float64
 }
 
-// Words that fields have.
+// Values of the fields that take one of a few words.
 const (
 	idempotencyRetryable = "retryable"
 	idempotencyDedup     = "dedup"
@@ -82,20 +83,22 @@
 	weightLive    = "live"
 )
 
-// unknownWordError is a word that its field does not have.
+// unknownWordError says that a field has a word that it cannot take.
 type unknownWordError struct{ field, word string }
 
+// Error names the field and the word.
 func (e *unknownWordError) Error() string { return fmt.Sprintf("%s: unknown word %q", e.field, e.word) }
 
-// rangeError is a number that its field cannot have.
+// rangeError says that a field has a number that it cannot take.
 type rangeError struct {
 	field string
 	value float64
 }
 
+// Error names the field and the number.
 func (e *rangeError) Error() string { return fmt.Sprintf("%s: %v is out of range", e.field, e.value) }
 
-// check returns an error for the first field with which no forwarder can work.
+// check returns an error for the first field with a value that a forwarder cannot work with.
 func (p *platformSettings) check() error {
 	switch {
 	case len(p.Classes) == 0:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -9,7 +9,7 @@
 	"spanflow/scheduler"
 )
 
-// Names are what the event loop needs beside the scheduler's settings.
+// Names holds what the event loop needs beside the scheduler's settings.
 type Names struct {
 	Types, Zones, Kinds []string // by their numbers
 	Tenants             []string
@@ -17,7 +17,7 @@
 	LimitField          string  // its name
 	ShareIndex          int     // place of the part of the limit that is left, -1 if there is none
 	ShareField          string  // its name
-	Connect             float64 // seconds after which a connection that has not come up is given up
+	Connect             float64 // seconds within which a connection has to be established
 }
 
 // The load report's fields with the limit in calls a second, and the part of it that is left just now.
@@ -57,7 +57,7 @@
 	return s, names, nil
 }
 
-// settings are the scheduler's, but for tenants and types.
+// settings returns the scheduler's settings, without tenants and types.
 func (p *platformSettings) settings() scheduler.Settings {
 	s := scheduler.Settings{
 		Forwarders:         p.NInstances,
@@ -107,7 +107,7 @@
 	return names
 }
 
-// idempotency is what a second attempt at a message of the class may do. number is the class's.
+// idempotency returns what a second attempt at a message of the class may do. number is the number of the class.
 func (c *class) idempotency(number int) (scheduler.Idempotency, error) {
 	switch c.Idempotency {
 	case idempotencyRetryable:
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -42,7 +42,7 @@
 	409: scheduler.NotSent,
 }
 
-// decode reads one complete event of the instance and returns what it does to the scheduler.
+// decode reads one complete event of the instance and returns a function that applies it to the scheduler.
 func (in *instance) decode(code eventCode, r *reader) (func(), error) {
 	switch code {
 	case eventEndpoints:
@@ -62,7 +62,7 @@
 	}
 }
 
-// skip reads an event that has no use here.
+// skip reads an event that is not used.
 func skip(code eventCode, r *reader) {
 	switch code {
 	case eventEstablished:
--- a/internal/simproto/frames.go
+++ b/internal/simproto/frames.go
@@ -6,7 +6,7 @@
 	"math"
 )
 
-// eventCode is the first byte of an event of a batch; the names are those of the protocol's description.
+// eventCode is the first byte of an event of a batch; the comments give the names of the protocol's description.
 type eventCode uint8
 
 const (
--- a/internal/simproto/host.go
+++ b/internal/simproto/host.go
@@ -49,7 +49,7 @@
 	return h.out.frame(), nil
 }
 
-// reconcile lets the forwarders that had events decide, in the order of their first ones.
+// reconcile lets the forwarders that had events decide, in the order of their first events.
 func (h *Host) reconcile() {
 	for _, in := range h.touched {
 		if in.dirty && h.instances[in.number] == in {
@@ -59,7 +59,7 @@
 	}
 }
 
-// handleEvent decodes one event and carries it out at a time in seconds.
+// handleEvent decodes one event and applies it at the time now, in seconds.
 func (h *Host) handleEvent(r *reader, now float64) error {
 	code := eventCode(r.u8())
 	if code >= eventCodes {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// instance is one forwarder, with what the IDs of the protocol stand for. It is the scheduler's Host.
+// instance is one forwarder, with the objects that the IDs of the protocol stand for. It is its scheduler's Host.
 type instance struct {
 	host         *Host
 	number       uint16
@@ -181,7 +181,7 @@
 	return e
 }
 
-// release forgets a message about which nothing more can follow.
+// release forgets a message that no later event can concern.
 func (in *instance) release(m *scheduler.Message) {
 	if m.Finished() {
 		delete(in.messages, uint32(m.ID))
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -8,7 +8,7 @@
 	watchOn   = 1
 )
 
-// The methods below make an instance the scheduler.Host. Each writes a record, in the order of the calls.
+// The methods below make an instance a scheduler.Host. Those that write a record do so in the order of the calls.
 
 // Send writes that a message is to be sent to an endpoint, with its timeout in seconds.
 func (in *instance) Send(m *scheduler.Message, e *scheduler.Endpoint, timeout float64) {
--- a/internal/transcript/server.go
+++ b/internal/transcript/server.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// patience ends a wait for something that does not come.
+// patience limits how long a test waits for an event before it fails.
 const patience = 15 * time.Second
 
 const (
@@ -36,7 +36,7 @@
 	conn       net.Conn
 }
 
-// NewServer listens at a free port of host, which is one of loopback, until the test ends. It ends the test if it cannot.
+// NewServer listens at a free port of host, a loopback address, until the test ends. It ends the test if it cannot.
 func NewServer(tb testing.TB, host string) *Server {
 	tb.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
@@ -75,6 +75,7 @@
 // oneByte reads one byte at a time, so that a buffered reader on it never holds a part of the next request.
 type oneByte struct{ io.Reader }
 
+// Read reads at most one byte.
 func (r oneByte) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
 
 // readRequest reads one request, whose body is as long as Content-Length says.
@@ -118,7 +119,7 @@
 
 // Answer writes raw as it is on the connection by which the request came.
 func (r *Request) Answer(raw string) {
-	_, _ = io.WriteString(r.conn, raw) // a peer that has gone is seen by what it does next
+	_, _ = io.WriteString(r.conn, raw) // that the peer has closed the connection shows in Ended
 }
 
 // Close closes the connection by which the request came.
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -27,8 +27,8 @@
 	with    string
 }
 
-// Mask replaces what matches pattern by with in everything that is added from here on. It is for values that differ
-// from run to run: ports, times.
+// Mask has whatever matches pattern replaced by with, in everything that is added from then on. It is for values
+// that differ from run to run: ports, times.
 func (t *Transcript) Mask(pattern, with string) {
 	t.masks = append(t.masks, mask{regexp.MustCompile(pattern), with})
 }
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -21,7 +21,7 @@
 	statusGatewayTimeout     = 504
 )
 
-// Bounds of figures in answers; what lies beyond is ignored as absurd.
+// Limits of numbers in answers; a number over its limit is ignored as implausible.
 const (
 	maxRetryAfter    = 1e6 // seconds
 	maxReportedValue = 1e9
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -21,8 +21,9 @@
 	unreadBufferBytes = 4 << 10          // read at once from a connection whose call is about to time out
 	dataHandoverTime  = time.Millisecond // within which bytes that were read reach connection.Data
 
-	// defaultReuseProof guards against the second copy of an answer, or noise behind it, being taken for the answer to
-	// the next call. It delays calls that follow each other closely on a connection.
+	// defaultReuseProof is the silence after an answer that lets a connection be reused: without it a second copy of the
+	// answer, or stray bytes after it, could be taken for the answer to the next call. It delays calls that follow each
+	// other closely on a connection.
 	defaultReuseProof = 3 * time.Millisecond
 )
 
