--- a/cmd/spanflow/admin_harness_test.go
+++ b/cmd/spanflow/admin_harness_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// isReady tells if the process says that it is ready; one that does not listen yet is not.
+// isReady reports whether the process says that it is ready; one that does not listen yet is not.
 func (p *adminProcess) isReady() bool {
 	response, err := (&http.Client{Timeout: time.Second}).Get("http://" + p.admin + "/_ready")
 	if err != nil {
--- a/cmd/spanflow/admin_test.go
+++ b/cmd/spanflow/admin_test.go
@@ -79,7 +79,7 @@
 }
 
 // Counters and gauges agree with what the test counts: messages delivered, rejected at submission, sent to the
-// endpoint, owed, and endpoints listed and drained.
+// endpoint, without a final answer, and endpoints listed and drained.
 func TestAdminCountersMatchTraffic(t *testing.T) {
 	h := newHarness(t, "single")
 	p := h.startWithAdmin(nil)
--- a/cmd/spanflow/configuration_test.go
+++ b/cmd/spanflow/configuration_test.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// One process follows another on the same folder with another endpoint list and other settings: what is owed and the
-// learned call times carry over, and the first messages go out at once.
+// One process follows another on the same folder with another endpoint list and other settings: undelivered
+// messages and learned call times carry over, and the first messages are sent at once.
 func TestRestartWithOtherSettingsSendsAtOnce(t *testing.T) {
 	h := newHarness(t, "single")
 	c := h.start()
--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -36,7 +36,7 @@
 	return fleet
 }
 
-// awaitFleet waits until forwarders serve and notes where.
+// awaitFleet waits until forwarders serve and records their addresses.
 func awaitFleet(fleet []*fleetMember) {
 	for _, m := range fleet {
 		m.listen = m.forwarder.AwaitReady(m.t)
@@ -88,8 +88,8 @@
 	return ids
 }
 
-// allEnded tells if each message was delivered or has a notice. The calls of survivors that were out at the kill were
-// answered by the release and count as neither.
+// allEnded reports whether each message was delivered or has a notice. The calls of survivors in progress at the kill
+// were answered by the release and count as neither.
 func (f *fleetCalls) allEnded(ids []string, noticed map[string]int, outAtKill map[string]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// ofSurvivor tells if a message was submitted to a forwarder that is not killed.
+// ofSurvivor reports whether a message was submitted to a forwarder that is not killed.
 func ofSurvivor(id string) bool {
 	for member := killedOnes; member < fleetSize; member++ {
 		if strings.HasPrefix(id, fmt.Sprintf("d%d-", member)) {
@@ -139,15 +139,15 @@
 	return ids
 }
 
-// Most of a fleet is killed at once with messages out and messages held, and started again on its folders: each message
-// ends once, by delivery or by a notice, and none that must not run twice is sent twice.
+// Most of a fleet is killed at once with calls in progress and messages waiting, and started again on its folders:
+// each message ends once, by delivery or by a notice, and none that must not run twice is sent twice.
 func TestFleetMostlyKilledAtOnceAnswersEveryMessageOnce(t *testing.T) {
 	h := newHarness(t, "single")
 	calls := newFleetCalls()
 	h.endpoint.Do(calls.reply)
 	fleet := h.startFleet(fleetSize)
 	ids := submitToFleet(fleet)
-	require.Eventually(t, func() bool { // some are out at each
+	require.Eventually(t, func() bool { // each has calls in progress
 		return len(calls.messages()) >= 2*len(fleet)
 	}, 10*time.Second, 10*time.Millisecond)
 
--- a/cmd/spanflow/harness_test.go
+++ b/cmd/spanflow/harness_test.go
@@ -160,7 +160,7 @@
 // kill ends the forwarder by SIGKILL.
 func (h *harness) kill() { h.process.Kill() }
 
-// stop ends the forwarder by SIGTERM and requires that it is gone in time.
+// stop ends the forwarder by SIGTERM and requires that it ends in time.
 func (h *harness) stop() {
 	h.t.Helper()
 	signalled := time.Now()
--- a/cmd/spanflow/repeated_kills_test.go
+++ b/cmd/spanflow/repeated_kills_test.go
@@ -82,7 +82,7 @@
 	r.ended[n.ID] = true
 }
 
-// allEnded tells if each message was delivered or has a notice.
+// allEnded reports whether each message was delivered or has a notice.
 func (r *ruleChecker) allEnded(ids []string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/cmd/spanflow/restart_test.go
+++ b/cmd/spanflow/restart_test.go
@@ -9,8 +9,8 @@
 	"spanflow/internal/emulator"
 )
 
-// The process is killed with a message delivered, one out that may run again, one out that may not, and one waiting
-// behind another of its key; the next process ends each exactly once and in order.
+// The process is killed with one message delivered, one in progress that may run again, one in progress that may not,
+// and one waiting behind another of its key; the next process ends each exactly once and in order.
 func TestKilledForwarderRecoversAcceptedMessages(t *testing.T) {
 	h := newHarness(t, "single")
 	hold := make(chan struct{})
@@ -83,7 +83,7 @@
 	h.endpoint.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := h.start()
 	ids := map[string]bool{}
-	for i := range 20 { // some of these are out, and the others wait
+	for i := range 20 { // some of these are in progress, and the others wait
 		id := string(rune('a' + i))
 		ids[id] = true
 		h.put(c, zero, id, "c=status,d=20000,dest=7", "+OK")
--- a/cmd/spanflow/suspended_test.go
+++ b/cmd/spanflow/suspended_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// allEnded tells if each message has been called or has a notice.
+// allEnded reports whether each message has been called or has a notice.
 func (r *messageRecords) allEnded(ids []string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +109,7 @@
 	}
 }
 
-// isStopped tells if a process is held by SIGSTOP.
+// isStopped reports whether a process is held by SIGSTOP.
 func isStopped(t *testing.T, pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	require.NoError(t, err)
--- a/cmd/spanflowctl/backlog_kills_test.go
+++ b/cmd/spanflowctl/backlog_kills_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// storedMessages is how many messages the backlog of a process that has ended holds.
+// storedMessages returns how many messages the backlog of a process that has ended holds.
 func (h *backlogHarness) storedMessages() int {
 	h.t.Helper()
 	view, err := backlog.Inspect(backlog.OS{}, h.backlogFolder())
--- a/cmd/spanflowctl/backlog_stop_test.go
+++ b/cmd/spanflowctl/backlog_stop_test.go
@@ -33,7 +33,7 @@
 	require.NoError(h.t, store.Close())
 }
 
-// countOwed is how many messages are in the folders of a process that has ended, each counted once.
+// countOwed returns how many messages are in the folders of a process that has ended, each counted once.
 func (h *backlogHarness) countOwed() int {
 	h.t.Helper()
 	ids := map[string]bool{}
--- a/cmd/spanflowctl/harness_test.go
+++ b/cmd/spanflowctl/harness_test.go
@@ -78,7 +78,7 @@
 	require.NoError(h.t, os.Rename(h.configFile+".new", h.configFile))
 }
 
-// backlogFolder is where a configuration with the folder "stored" has its backlog.
+// backlogFolder returns the backlog's folder for a configuration with the folder "stored".
 func (h *harness) backlogFolder() string { return filepath.Join(h.folder, "stored") }
 
 // start starts the forwarder and waits until it serves.
--- a/cmd/spanflowctl/history_test.go
+++ b/cmd/spanflowctl/history_test.go
@@ -145,14 +145,14 @@
 	m.notices = append(m.notices, n.State)
 }
 
-// answered tells how many messages have a final answer.
+// answered returns how many messages have a final answer.
 func (h *history) answered() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ended
 }
 
-// delivered tells if a message was delivered.
+// delivered reports whether a message was delivered.
 func (h *history) delivered(s submission) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -185,7 +185,7 @@
 	return accepted, runs, notices
 }
 
-// noticed tells for how many messages a notice came.
+// noticed returns for how many messages a notice came.
 func (h *history) noticed() (messages int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/commands/backlog_read_test.go
+++ b/internal/commands/backlog_read_test.go
@@ -107,7 +107,7 @@
 	require.NoError(t, err)
 	require.Greater(t, len(names), 3)
 	free := func() error {
-		for i := 20; i < messages/2; i += 10 { // all but 20 at the begin
+		for i := 20; i < messages/2; i += 10 { // all but the first 20
 			if err := store.Release(refs[i : i+10]); err != nil {
 				return err
 			}
--- a/internal/commands/backlog_test.go
+++ b/internal/commands/backlog_test.go
@@ -142,7 +142,7 @@
 }
 
 func TestBacklogCommandsNameTheFileOfADamagedOrNewerStore(t *testing.T) {
-	const versionAt, recordAt = 8, 60 // bytes from a segment's begin
+	const versionAt, recordAt = 8, 60 // offsets in a segment, in bytes
 	for _, c := range []struct {
 		what string
 		at   int
--- a/internal/commands/harness_test.go
+++ b/internal/commands/harness_test.go
@@ -38,7 +38,7 @@
 	return store
 }
 
-// newStore is a closed store with messages of three lanes, each with another history.
+// newStore makes a store with messages of three lanes, each with another history, and closes it.
 func newStore(t *testing.T) string {
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, storeBounds)
@@ -77,7 +77,7 @@
 	return path
 }
 
-// listedIDs are the ids of a list as JSON, a message a line.
+// listedIDs returns the ids of a list as JSON, one message per line.
 func listedIDs(t *testing.T, out string) []string {
 	all := []string{}
 	for line := range strings.Lines(out) {
@@ -88,7 +88,7 @@
 	return all
 }
 
-// readFiles are a folder's files with their texts.
+// readFiles returns the texts of a folder's files by name.
 func readFiles(t *testing.T, folder string) map[string]string {
 	all := map[string]string{}
 	names, err := filepath.Glob(filepath.Join(folder, "*"))
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -26,7 +26,7 @@
 	return nil, errChanging
 }
 
-// readOnce reads a file and tells whether it stayed the same meanwhile. stat is os.Stat except in tests.
+// readOnce reads a file and reports whether it stayed the same meanwhile. stat is os.Stat except in tests.
 func readOnce(path string, stat func(string) (os.FileInfo, error)) (text []byte, stable bool, err error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -29,8 +29,8 @@
 	l.ends <- watchEnd{reason, how}
 }
 
-// harness is a client of a discovery service that the test plays. The timers fire when the test says so: a pause of the
-// machine changes nothing.
+// harness is a client of a discovery service that the test emulates. The timers fire when the test says so: a pause
+// of the machine changes nothing.
 type harness struct {
 	*Client
 	*recordingListener
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// recordedClient is a client of a discovery service and the transcript of what it sends.
+// recordedClient is a client of a discovery service, with the transcript of what it sends.
 type recordedClient struct {
 	*discovery.Client
 	listener
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -92,7 +92,7 @@
 	h.mu.Unlock()
 	conn.Write([]byte(answerUnsized + "{\"rev\":1,\"all\":true,\"targets\":[]}\n"))
 	peertest.Next(t, h.lists)
-	h.mu.Lock() // the reader has gone on to wait anew
+	h.mu.Lock() // the reader has started to wait again
 	waits := w.waits
 	h.mu.Unlock()
 	require.Greater(t, waits, late)
@@ -126,7 +126,7 @@
 	require.Equal(t, []int64{2, 2}, []int64{h.nextRevision(t), h.nextRevision(t)}, "a revision that comes twice is not stale")
 }
 
-// What an old watch's reader had in hand when the list was asked for again is not reported: the new watch brings it.
+// What an old watch's reader held when the list was requested again is not reported: the new watch brings it.
 func TestReplacedWatchReportsNothingMore(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(1)
--- a/internal/notify/client_test.go
+++ b/internal/notify/client_test.go
@@ -20,8 +20,8 @@
 func (l *recordingListener) NoticesUnanswered(reason string)  { l.lost <- reason }
 func (l *recordingListener) NoticesAcknowledged(ids []uint64) { l.acknowledged <- ids }
 
-// harness is a client of a receiver of notices that the test plays. The timers fire when the test says so: a pause of
-// the machine changes nothing.
+// harness is a client of a receiver of notices that the test emulates. The timers fire when the test says so: a pause
+// of the machine changes nothing.
 type harness struct {
 	*Client
 	*recordingListener
@@ -144,7 +144,7 @@
 	conn, request := h.peer.Accept(t)
 	require.Contains(t, request, `{"id":"a","state":"returned"}`)
 	h.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Rejected})
-	old.Write([]byte(answerNoContent)) // nobody listens there any more
+	old.Write([]byte(answerNoContent)) // the client has closed this connection
 	conn.Write([]byte(answerNoContent))
 	require.Equal(t, []uint64{1}, peertest.Next(t, h.acknowledged))
 }
