--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Timeouts of a request. Those for reading, for the event loop and for writing are together less than RequestTimeout, so
-// that callers that send nothing, or part of a request, are cut off in time.
+// Timeouts of a request. Those for reading, for the event loop and for writing are together less than RequestTimeout,
+// so that callers that send nothing, or part of a request, are cut off in time.
 const (
 	// RequestTimeout bounds a request, from its connection to the end of its response.
 	RequestTimeout   = time.Second
