--- a/lab/capacity/hollow/gate.go
+++ b/lab/capacity/hollow/gate.go
@@ -55,6 +55,7 @@
 	gate *gate
 }
 
+// Accept waits for the next connection and puts it under the gate.
 func (l *gatedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -73,12 +74,14 @@
 	gate *gate
 }
 
+// Read reads from the connection and counts the bytes as received.
 func (c *gatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.gate.traffic.received.Add(int64(n))
 	return n, err
 }
 
+// Write waits until the gate lets traffic pass, then writes and counts the bytes as sent.
 func (c *gatedConn) Write(b []byte) (int, error) {
 	<-c.gate.passes()
 	n, err := c.Conn.Write(b)
@@ -86,6 +89,7 @@
 	return n, err
 }
 
+// Close takes the connection out of the gate and closes it.
 func (c *gatedConn) Close() error {
 	c.gate.mu.Lock()
 	delete(c.gate.open, c)
--- a/lab/capacity/hollow/process.go
+++ b/lab/capacity/hollow/process.go
@@ -77,6 +77,7 @@
 // tail keeps the latest bytes written to it.
 type tail struct{ text []byte }
 
+// Write keeps the end of all that was written, mostStderr bytes at most. It never fails.
 func (t *tail) Write(b []byte) (int, error) {
 	t.text = append(t.text, b...)
 	if len(t.text) > mostStderr {
@@ -85,6 +86,7 @@
 	return len(b), nil
 }
 
+// String returns the bytes that are kept.
 func (t *tail) String() string { return string(t.text) }
 
 // Serve is the work of a process that the coordinator started: it answers requests until the input or ctx ends. An
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -17,17 +17,34 @@
 	released int // endpoints
 }
 
-func (h *host) Send(d *scheduler.Message, _ *scheduler.Endpoint, _ float64) {
-	h.out = append(h.out, d)
+// Send keeps the message as one with an attempt in flight.
+func (h *host) Send(message *scheduler.Message, _ *scheduler.Endpoint, _ float64) {
+	h.out = append(h.out, message)
 }
-func (h *host) Reject(*scheduler.Message, float64)  { h.ended++ }
-func (h *host) Fail(*scheduler.Message)             { h.ended++ }
-func (h *host) CancelUnsent(*scheduler.Endpoint)    {}
-func (h *host) CloseIdle(*scheduler.Endpoint)       {}
+
+// Reject counts a message as ended.
+func (h *host) Reject(*scheduler.Message, float64) { h.ended++ }
+
+// Fail counts a message as ended.
+func (h *host) Fail(*scheduler.Message) { h.ended++ }
+
+// CancelUnsent does nothing: each call counts as sent at once.
+func (h *host) CancelUnsent(*scheduler.Endpoint) {}
+
+// CloseIdle does nothing: there are no connections.
+func (h *host) CloseIdle(*scheduler.Endpoint) {}
+
+// ReleaseEndpoint counts a released endpoint.
 func (h *host) ReleaseEndpoint(*scheduler.Endpoint) { h.released++ }
-func (h *host) Wake(float64)                        {}
-func (h *host) WatchEndpoints()                     {}
-func (h *host) Log(string)                          {}
+
+// Wake does nothing: the measurement sets the clock itself.
+func (h *host) Wake(float64) {}
+
+// WatchEndpoints does nothing: the measurement updates the endpoints itself.
+func (h *host) WatchEndpoints() {}
+
+// Log drops the line.
+func (h *host) Log(string) {}
 
 // measuredScheduler is the scheduler with a clock of its own.
 type measuredScheduler struct {
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -153,10 +153,17 @@
 // heat is the messages held by destination and second; it is a plotter.GridXYZ.
 type heat struct{ seconds []sim.Second }
 
-func (h heat) Dims() (c, r int)   { return len(h.seconds), len(h.seconds[0].HeldByDestination) }
+// Dims returns the numbers of seconds and of destinations.
+func (h heat) Dims() (c, r int) { return len(h.seconds), len(h.seconds[0].HeldByDestination) }
+
+// Z returns the colour value of a cell: the logarithm of the messages held, plus one.
 func (h heat) Z(c, r int) float64 { return math.Log1p(float64(h.seconds[c].HeldByDestination[r])) }
-func (h heat) X(c int) float64    { return float64(c) + 0.5 }
-func (h heat) Y(r int) float64    { return float64(r) }
+
+// X returns the middle of a second.
+func (h heat) X(c int) float64 { return float64(c) + 0.5 }
+
+// Y returns the number of a destination.
+func (h heat) Y(r int) float64 { return float64(r) }
 
 func (d *reportedRun) heatPlot() (*plot.Plot, error) {
 	if len(d.Result.Seconds) < 2 || len(d.Result.Seconds[0].HeldByDestination) < 2 {
