--- a/forwarder/backlog_admission.go
+++ b/forwarder/backlog_admission.go
@@ -65,7 +65,7 @@
 		return loop.backlog.policy.Refuse(policy.DiskBound, int64(m.Size()), now)
 	}
 	loop.backlog.policy.Stored(policyLane(m.Lane), 1, int64(m.Size()))
-	loop.scheduler.Stored(loop.destination(m.Lane.Destination))
+	loop.scheduler.CountDemand(loop.destination(m.Lane.Destination))
 	return policy.Decision{Place: policy.Store}
 }
 
--- a/forwarder/backlog_lanes.go
+++ b/forwarder/backlog_lanes.go
@@ -133,6 +133,6 @@
 // noteReachability informs the policy whether a destination answers.
 func (loop *eventLoop) noteReachability(d *scheduler.Destination) {
 	if loop.backlog != nil {
-		loop.backlog.policy.Out(d.ID, loop.scheduler.Dark(d))
+		loop.backlog.policy.Out(d.ID, loop.scheduler.Unresponsive(d))
 	}
 }
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -191,14 +191,14 @@
 	loop.backlog.enter(m)
 	if expired {
 		loop.backlog.counts.expired++
-		loop.scheduler.GiveUp(m.scheduled, typ, secondsLeft, recovered)
+		loop.scheduler.AnswerWithoutCall(m.scheduled, typ, secondsLeft, recovered)
 		loop.noteLeftMemory(m) // its notice may stay unacknowledged for long
 	} else {
 		loop.backlog.counts.broughtBack++
-		loop.scheduler.TakeBack(m.scheduled, typ, secondsLeft, recovered)
-		if stored.Seq >= loop.backlog.firstSeq || !loop.scheduler.Answered(m.scheduled.Dest) {
+		loop.scheduler.LoadStored(m.scheduled, typ, secondsLeft, recovered)
+		if stored.Seq >= loop.backlog.firstSeq || !loop.scheduler.HasDelivered(m.scheduled.Dest) {
 			// Its demand was counted when it was stored, or hours ago.
-			loop.scheduler.Uncount(m.scheduled.Dest)
+			loop.scheduler.UncountDemand(m.scheduled.Dest)
 		}
 	}
 	loop.noteReachability(m.scheduled.Dest)
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -59,7 +59,7 @@
 	}
 	secondsLeft := float64(e.Expiry)/1e6 - loop.schedulerTime(now)
 	if overtaking && !recovered.Answered && !recovered.CallerGone {
-		loop.scheduler.GiveUp(m.scheduled, typ, secondsLeft, recovered)
+		loop.scheduler.AnswerWithoutCall(m.scheduled, typ, secondsLeft, recovered)
 	} else {
 		loop.scheduler.Recover(m.scheduled, typ, secondsLeft, recovered)
 		loop.discountWindow(m)
@@ -81,7 +81,7 @@
 // demand and try each often.
 func (loop *eventLoop) discountWindow(m *trackedMessage) {
 	if loop.backlog != nil || m.scheduled.Dest.InheritsDemand() {
-		loop.scheduler.Uncount(m.scheduled.Dest)
+		loop.scheduler.UncountDemand(m.scheduled.Dest)
 	}
 }
 
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// TakeBack takes a message that was stored elsewhere, with its history, before anything newer of its key.
-func (s *Scheduler) TakeBack(message *Message, messageType int, left float64, recovered RecoveredState) {
+// LoadStored takes a message that was stored elsewhere, with its history, before anything newer of its key.
+func (s *Scheduler) LoadStored(message *Message, messageType int, left float64, recovered RecoveredState) {
 	if recovered.Attempts > 0 {
 		s.Recover(message, messageType, left, recovered)
 	} else {
@@ -94,13 +94,13 @@
 	}
 }
 
-// GiveUp takes a message that was stored elsewhere, with its history, and has the next Reconcile answer it without a
+// AnswerWithoutCall takes a message that was stored elsewhere, with its history, and has the next Reconcile answer it without a
 // call.
-func (s *Scheduler) GiveUp(message *Message, messageType int, left float64, recovered RecoveredState) {
+func (s *Scheduler) AnswerWithoutCall(message *Message, messageType int, left float64, recovered RecoveredState) {
 	s.Recover(message, messageType, left, recovered)
-	s.Uncount(message.Dest)
+	s.UncountDemand(message.Dest)
 	if !message.answered {
-		s.rejectOrFail(message, GivenUp)
+		s.rejectOrFail(message, AnsweredWithoutCall)
 	}
 }
 
--- a/scheduler/coldreturn_test.go
+++ b/scheduler/coldreturn_test.go
@@ -150,7 +150,7 @@
 			for range waiting {
 				h.Recover(&Message{Dest: d, Tenant: 9}, status, 15, RecoveredState{})
 				require.True(t, d.InheritsDemand())
-				h.Uncount(d)
+				h.UncountDemand(d)
 			}
 			for range int(coldWindow / coldStep) {
 				h.advance(coldStep)
--- a/scheduler/destination.go
+++ b/scheduler/destination.go
@@ -65,19 +65,19 @@
 	return true
 }
 
-// Answered reports whether a destination has delivered a message since the start.
-func (s *Scheduler) Answered(destination *Destination) bool {
+// HasDelivered reports whether a destination has delivered a message since the start.
+func (s *Scheduler) HasDelivered(destination *Destination) bool {
 	return slices.ContainsFunc(destination.endpoints, func(endpoint *Endpoint) bool { return endpoint.lastSuccess > 0 })
 }
 
-// Dark reports whether no endpoint of a destination answers.
-func (s *Scheduler) Dark(destination *Destination) bool { return s.allEjected(destination) }
+// Unresponsive reports whether no endpoint of a destination answers.
+func (s *Scheduler) Unresponsive(destination *Destination) bool { return s.allEjected(destination) }
 
-// Stored counts a message that is stored elsewhere from its admission on towards the demand of its destination.
-func (s *Scheduler) Stored(destination *Destination) { destination.accepted++ }
+// CountDemand counts a message that is stored elsewhere from its admission on towards the demand of its destination.
+func (s *Scheduler) CountDemand(destination *Destination) { destination.accepted++ }
 
-// Uncount takes a message off the demand of its destination: it was counted before, or by an earlier process.
-func (s *Scheduler) Uncount(destination *Destination) { destination.accepted-- }
+// UncountDemand takes a message off the demand of its destination: it was counted before, or by an earlier process.
+func (s *Scheduler) UncountDemand(destination *Destination) { destination.accepted-- }
 
 // InheritsDemand reports whether an earlier process handed over the usual rate of a destination: what it had accepted
 // is part of that.
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -91,23 +91,23 @@
 
 // The reasons of final answers.
 const (
-	NoReason          AnswerReason = iota
-	OutOfTime                      // too little time is left for a call, or its endpoints are blocked for longer
-	RepeatUnsafe                   // it may have run, and a further attempt could run a second time
-	AttemptsExhausted              // it has had all its attempts
-	LoadShed                       // the queue is nearly full
-	GivenUp                        // the adapter had it given up
-	DeliveredLate                  // delivered so close to its deadline that its client may not count it
+	NoReason            AnswerReason = iota
+	OutOfTime                        // too little time is left for a call, or its endpoints are blocked for longer
+	RepeatUnsafe                     // it may have run, and a further attempt could run a second time
+	AttemptsExhausted                // it has had all its attempts
+	LoadShed                         // the queue is nearly full
+	AnsweredWithoutCall              // the adapter had it given up
+	DeliveredLate                    // delivered so close to its deadline that its client may not count it
 )
 
 var answerReasonNames = [...]string{
-	NoReason:          "none",
-	OutOfTime:         "out of time",
-	RepeatUnsafe:      "a repeat is not safe",
-	AttemptsExhausted: "no attempt left",
-	LoadShed:          "load shed",
-	GivenUp:           "given up",
-	DeliveredLate:     "delivered close to its deadline",
+	NoReason:            "none",
+	OutOfTime:           "out of time",
+	RepeatUnsafe:        "a repeat is not safe",
+	AttemptsExhausted:   "no attempt left",
+	LoadShed:            "load shed",
+	AnsweredWithoutCall: "given up",
+	DeliveredLate:       "delivered close to its deadline",
 }
 
 // String returns the reason as logs have it.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -4,7 +4,7 @@
 // Events go in, one Reconcile follows, and calls to the Host come out. The adapter is the program around a Scheduler:
 // it reports the events and implements Host. For all that happens at one moment it calls SetTime, then one method for
 // each event in the order of arrival (PauseKeys, ContinueWatch, UpdateEndpoints, PollTimedOut, WatchBroken,
-// WatchSilent, Accept, Recover, TakeBack, GiveUp, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and
+// WatchSilent, Accept, Recover, LoadStored, AnswerWithoutCall, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and
 // then Reconcile once. The event methods only update the state; Reconcile decides what follows from it and calls the
 // Host for what differs. Admit says before Accept whether a message may be accepted. A Scheduler, and everything it was
 // given, belongs to one goroutine.
