--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -104,7 +104,7 @@
 
 // maySpill reports whether a message in memory may go to the store.
 func (loop *eventLoop) maySpill(m *trackedMessage) bool {
-	if !m.scheduled.Waiting() || m.waitingCaller != nil {
+	if !m.scheduled.Queued() || m.waitingCaller != nil {
 		return false
 	}
 	entry := loop.wal.Entry(m.MessageID)
@@ -117,7 +117,7 @@
 // for long) and were not checked.
 func overtakenIfStored(m *trackedMessage) bool {
 	next := m.scheduled.NextOfKey()
-	for next != nil && !next.Waiting() && scheduledLane(next) == m.lane {
+	for next != nil && !next.Queued() && scheduledLane(next) == m.lane {
 		next = next.NextOfKey()
 	}
 	return next != nil && scheduledLane(next) != m.lane
--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -42,7 +42,7 @@
 	s.assignLane(message)
 	destination.addToShedClass(message)
 	s.enqueue(message)
-	s.awaitCall(message)
+	s.trackQueued(message)
 }
 
 // takeQuota counts a message against a tenant's quota, as far as this forwarder's even part of it goes, and reports
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -94,7 +94,7 @@
 	s.leaveKeyQueue(message)
 	if !message.answered {
 		s.retry(message)
-		s.awaitCall(message)
+		s.trackQueued(message)
 	}
 }
 
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -5,8 +5,8 @@
 const (
 	idleLossLimit          = 2.0  // losses on reused idle connections, and
 	idleLossDivisor        = 4    // one in so many of the calls on them, that stop their use
-	idleRateFade           = 8    // seconds in which the count of such calls falls to 1/e
-	idleDistrust           = 20   // seconds for which no idle connection is kept then
+	idleReuseDecayTime     = 8    // seconds in which the count of such calls falls to 1/e
+	noIdleDuration         = 20   // seconds for which no idle connection is kept then
 	failedConnectPause     = 30   // seconds for which none is kept at destinations of a kind after a failed connect
 	minReusedIdle          = 0.5  // seconds without a call after which a connection counts as idle
 	maxIdleCloseMargin     = 0.5  // seconds by which an idle connection is closed before the other side would, at most
@@ -48,9 +48,9 @@
 	if !call.reusesIdle {
 		return
 	}
-	s.idleReuse.record(s.now, idleRateFade, lost)
+	s.idleReuse.record(s.now, idleReuseDecayTime, lost)
 	if lost && s.idleReuse.failures > math.Max(idleLossLimit, s.idleReuse.successes/idleLossDivisor) {
-		s.noIdleUntil = s.now + idleDistrust
+		s.noIdleUntil = s.now + noIdleDuration
 	}
 }
 
--- a/scheduler/destination.go
+++ b/scheduler/destination.go
@@ -27,7 +27,7 @@
 	updated       bool      // it is in Scheduler.updatedDestinations
 	ringNode      *ringNode // its place in the ring, nil while it is in none
 	held          int       // messages without a final answer
-	waiting       int       // of these, the ones that wait for a call
+	queued        int       // of these, the ones that wait for a call
 	callsInFlight int
 
 	accepted, attempts, calls float64 // since the start: messages accepted, attempts made, calls made
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -25,10 +25,10 @@
 const (
 	stageNone            stage = iota
 	stageInFlight              // a call carries it: in dueMessages.inFlight
-	stageWaiting               // waits and cannot be late yet: in deadlineHeaps.waiting
+	stageQueued                // waits and cannot be late yet: in deadlineHeaps.queued
 	stageAtRisk                // waits and is late once its destination is slow enough: in deadlineHeaps.atRisk
 	stageRecoveredAtRisk       // the same for one recovered untried: in deadlineHeaps.recoveredAtRisk
-	stageRecovered             // as stageWaiting, for one recovered untried: in no heap but the timers
+	stageRecovered             // as stageQueued, for one recovered untried: in no heap but the timers
 )
 
 // dueMessages is where a check of deadlines finds what it has to look at.
@@ -44,7 +44,7 @@
 
 // deadlineHeaps is the waiting messages of one destination, each in one heap by deadline.
 type deadlineHeaps struct {
-	waiting, atRisk, recoveredAtRisk []*Message
+	queued, atRisk, recoveredAtRisk []*Message
 
 	// keyExpiring is the messages whose idempotency keys are soon forgotten; those that do not wait any more are
 	// removed later.
@@ -81,10 +81,10 @@
 	return m.firstRanAt + m.messageType.DeduplicationWindow - keyExpiredMargin
 }
 
-// awaitCall keeps a message that waits for a call, from its admission or from the end of a call on.
-func (s *Scheduler) awaitCall(message *Message) {
+// trackQueued keeps a message that waits for a call, from its admission or from the end of a call on.
+func (s *Scheduler) trackQueued(message *Message) {
 	s.unstage(message)
-	s.due.consider(message)
+	s.due.addCandidate(message)
 	s.due.touch(message.Dest)
 	untried := message.recoveredUntried && message.attempts == 0
 	switch atRisk := s.now+timerSlack >= message.atRiskAt(); {
@@ -95,7 +95,7 @@
 	case untried:
 		message.stage = stageRecovered
 	default:
-		message.Dest.pushStage(message, stageWaiting)
+		message.Dest.pushStage(message, stageQueued)
 	}
 	s.trackKeyExpiry(message, s.now+timerSlack)
 	s.setTimer(message)
@@ -130,8 +130,8 @@
 // stageHeap returns where messages of a stage are, nil for those that are in none of the destination's heaps.
 func (d *Destination) stageHeap(stage stage) *[]*Message {
 	switch stage {
-	case stageWaiting:
-		return &d.deadlines.waiting
+	case stageQueued:
+		return &d.deadlines.queued
 	case stageAtRisk:
 		return &d.deadlines.atRisk
 	case stageRecoveredAtRisk:
@@ -145,7 +145,7 @@
 func (s *Scheduler) setTimer(message *Message) {
 	byTimer.remove(&s.due.timers, message)
 	message.timer = math.Inf(1)
-	if message.stage == stageWaiting || message.stage == stageRecovered {
+	if message.stage == stageQueued || message.stage == stageRecovered {
 		message.timer = message.atRiskAt()
 	}
 	if message.hasUsedKey() {
@@ -160,10 +160,10 @@
 	}
 }
 
-// consider has the next check look at a message.
-func (u *dueMessages) consider(message *Message) {
-	if !message.considered {
-		message.considered = true
+// addCandidate has the next check look at a message.
+func (u *dueMessages) addCandidate(message *Message) {
+	if !message.isCandidate {
+		message.isCandidate = true
 		u.candidates = append(u.candidates, message)
 	}
 }
@@ -181,7 +181,7 @@
 func (s *Scheduler) collectDue() []*Message {
 	u := &s.due
 	limit := s.now + timerSlack
-	visit(u.inFlight, func(message *Message) bool { return message.deadline+deadlineGrace <= limit }, u.consider)
+	visit(u.inFlight, func(message *Message) bool { return message.deadline+deadlineGrace <= limit }, u.addCandidate)
 	s.fireTimers(limit)
 	visit(u.late, func(destination *Destination) bool { return destination.lateAt <= limit }, u.touch)
 	for _, destination := range u.touched {
@@ -193,7 +193,7 @@
 	found := u.candidates
 	u.candidates, u.reviewed = u.scratch(), found
 	for _, message := range found {
-		message.considered = false
+		message.isCandidate = false
 	}
 	slices.SortFunc(found, func(a, b *Message) int { return cmp.Compare(a.sequence, b.sequence) })
 	return found
@@ -214,7 +214,7 @@
 	within := func(message *Message) bool { return message.timer <= limit }
 	visit(u.timers, within, func(message *Message) { u.fired = append(u.fired, message) })
 	for _, message := range u.fired {
-		u.consider(message)
+		u.addCandidate(message)
 		s.fire(message, limit)
 	}
 	u.fired = nil
@@ -241,8 +241,8 @@
 func (s *Scheduler) moveToAtRisk(message *Message) {
 	next := stageAtRisk
 	switch message.stage {
-	case stageWaiting:
-		byDeadline.remove(&message.Dest.deadlines.waiting, message)
+	case stageQueued:
+		byDeadline.remove(&message.Dest.deadlines.queued, message)
 	case stageRecovered:
 		next = stageRecoveredAtRisk
 	default:
@@ -262,19 +262,19 @@
 	}
 	shut := destination.blockedUntil()
 	outlasted := func(message *Message) bool { return message.deadline <= shut }
-	visit(heaps.waiting, outlasted, s.due.consider)
-	visit(heaps.atRisk, outlasted, s.due.consider)
+	visit(heaps.queued, outlasted, s.due.addCandidate)
+	visit(heaps.atRisk, outlasted, s.due.addCandidate)
 	margin := math.Max(minTimeLeft, destination.latency.p90)
 	late := func(message *Message) bool { return message.deadline-margin <= limit }
-	visit(heaps.atRisk, late, s.due.consider)
-	visit(heaps.recoveredAtRisk, late, s.due.consider)
+	visit(heaps.atRisk, late, s.due.addCandidate)
+	visit(heaps.recoveredAtRisk, late, s.due.addCandidate)
 	heaps.keyExpiring = slices.DeleteFunc(heaps.keyExpiring, func(message *Message) bool {
 		message.keyExpiring = message.queued
 		return !message.queued
 	})
 	if len(heaps.keyExpiring) > 0 && s.allEjected(destination) {
 		for _, message := range heaps.keyExpiring {
-			s.due.consider(message)
+			s.due.addCandidate(message)
 		}
 	}
 	s.scheduleLate(destination, margin)
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -55,9 +55,9 @@
 	}
 	for _, d := range s.destinations {
 		switch {
-		case waiting[d] != d.waiting:
+		case waiting[d] != d.queued:
 			return d, "its waiting messages are counted"
-		case d.inRing != (d.ringNode != nil) || d.waiting > 0 && !d.inRing:
+		case d.inRing != (d.ringNode != nil) || d.queued > 0 && !d.inRing:
 			return d, "it is in the ring while messages wait"
 		}
 	}
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -12,7 +12,7 @@
 	restoringStreak       = 3    // timely answers in a row after which healthyFraction holds again
 	initialConcurrency    = 2    // calls in flight that a new endpoint may have
 	newEndpointSpread     = 0.3  // seconds: all forwarders learn of a new endpoint at about the same time
-	failureFade           = 8.0  // seconds in which a failure's weight in the choice falls to 1/e
+	failureDecayTime      = 8.0  // seconds in which a failure's weight in the choice falls to 1/e
 	otherZoneCost         = 0.5  // in the choice, in units of a full endpoint
 	newConnectionCost     = 0.01 // the same: a few calls do not open a connection to each endpoint in turn
 	silenceMin            = 0.4  // seconds without an answer that are not silence yet
@@ -139,11 +139,11 @@
 // slotFraction returns part of the slots, at least one.
 func slotFraction(slots int, part float64) int { return max(1, int(part*float64(slots))) }
 
-// mayCall reports whether a destination may have one more call in flight.
+// mayStartCall reports whether a destination may have one more call in flight.
 //
 // Trade-off: destinations that are slow or failed lately leave the last slots to the others, but for one call if none
 // timed out. Many of them cannot fill all slots; while all else is idle they could have had more.
-func (s *Scheduler) mayCall(destination *Destination) bool {
+func (s *Scheduler) mayStartCall(destination *Destination) bool {
 	impaired, slots, share := s.impaired(destination), s.settings.ConcurrencyLimit, healthyFraction
 	if impaired {
 		share = impairedFraction
@@ -165,7 +165,7 @@
 
 // selectEndpoint returns the endpoint of a destination that is to get one more call, nil if none can take it.
 func (s *Scheduler) selectEndpoint(destination *Destination) *Endpoint {
-	if !s.mayCall(destination) {
+	if !s.mayStartCall(destination) {
 		return nil
 	}
 	best, least := (*Endpoint)(nil), math.Inf(1)
@@ -203,7 +203,7 @@
 // one type, say) does not get half of them; the siblings get more while they are nearly full.
 func (s *Scheduler) cost(endpoint *Endpoint) float64 {
 	cost := float64(len(endpoint.calls))/endpoint.concurrencyLimit +
-		endpoint.failureRate*math.Exp((endpoint.lastFailure-s.now)/failureFade)
+		endpoint.failureRate*math.Exp((endpoint.lastFailure-s.now)/failureDecayTime)
 	if endpoint.zone != s.settings.Zone {
 		cost += otherZoneCost
 	}
--- a/scheduler/keyqueue.go
+++ b/scheduler/keyqueue.go
@@ -80,7 +80,7 @@
 			delete(s.keyQueues, message.Key)
 		}
 	} else if wasFirst && queue.first.queued {
-		queue.first.expose()
+		queue.first.makeSelectable()
 	}
 }
 
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -2,7 +2,7 @@
 
 // lane is a tenant's messages that wait for their first call.
 type lane struct {
-	waiting    int         // messages, those behind others of their key included
+	queued     int         // messages, those behind others of their key included
 	queues     []typeQueue // by type, of those types that were seen here
 	inRotation bool        // it is in Destination.lanes
 	byValue    bool        // the latest message was chosen by value
@@ -43,12 +43,12 @@
 // enqueue makes a message wait for a call, in its lane or, if it has none, among the retries.
 func (s *Scheduler) enqueue(message *Message) {
 	message.queued = true
-	message.Dest.waiting++
+	message.Dest.queued++
 	if message.lane != nil {
-		message.lane.waiting++
+		message.lane.queued++
 	}
 	if message.keyQueue == nil || message.keyQueue.first == message {
-		message.expose()
+		message.makeSelectable()
 	}
 	if !message.Dest.inRing {
 		message.Dest.inRing = true
@@ -62,20 +62,20 @@
 		return
 	}
 	message.queued = false
-	if message.Dest.waiting--; message.Dest.waiting == 0 {
+	if message.Dest.queued--; message.Dest.queued == 0 {
 		s.ring.unpark(message.Dest.ringNode)
 	}
 	if message.lane == nil {
 		message.Dest.retries.remove(message)
 		return
 	}
-	message.lane.waiting--
+	message.lane.queued--
 	message.lane.remove(message)
 	message.lane = nil
 }
 
-// expose lets rounds find a waiting message that is first of its key.
-func (m *Message) expose() {
+// makeSelectable lets rounds find a waiting message that is first of its key.
+func (m *Message) makeSelectable() {
 	if m.lane == nil {
 		m.Dest.retries.add(m)
 	} else {
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -31,19 +31,19 @@
 	awaitingAcknowledgement bool
 	recoveredUntried        bool // an earlier process had accepted it and not tried it
 
-	sequence                uint64   // its number in the order of admission
-	rank                    uint64   // its place among those that wait
-	previous, next          *Message // in heldList
-	shedClass               *shedClass
-	shedPrevious, shedNext  *Message // in shedClass
-	keyPrevious, keyNext    *Message // in keyQueue
-	queuePosition           int32    // in the heap of its lane or of the retries
-	urgencyPosition         int32    // in the heap of urgent retries
-	deadlinePosition        int32    // in the heap of its stage
-	timerPosition           int32    // in the heap of timers
-	timer                   float64  // when it has to be looked at next
-	stage                   stage
-	keyExpiring, considered bool
+	sequence                 uint64   // its number in the order of admission
+	rank                     uint64   // its place among those that wait
+	previous, next           *Message // in heldList
+	shedClass                *shedClass
+	shedPrevious, shedNext   *Message // in shedClass
+	keyPrevious, keyNext     *Message // in keyQueue
+	queuePosition            int32    // in the heap of its lane or of the retries
+	urgencyPosition          int32    // in the heap of urgent retries
+	deadlinePosition         int32    // in the heap of its stage
+	timerPosition            int32    // in the heap of timers
+	timer                    float64  // when it has to be looked at next
+	stage                    stage
+	keyExpiring, isCandidate bool
 
 	action     action // what the host is to do with it
 	reason     AnswerReason
@@ -58,8 +58,8 @@
 // Finished reports whether nothing more can happen to the message.
 func (m *Message) Finished() bool { return m.answered && m.call == nil && !m.awaitingAcknowledgement }
 
-// Waiting reports whether the message waits for a call: Withdraw may then take it back without a trace.
-func (m *Message) Waiting() bool { return m.queued }
+// Queued reports whether the message waits for a call: Withdraw may then take it back without a trace.
+func (m *Message) Queued() bool { return m.queued }
 
 // AnswerReason says why the message has a final answer though it was not delivered, or not surely in time.
 func (m *Message) AnswerReason() AnswerReason { return m.reason }
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -10,7 +10,7 @@
 	balancedFraction    = 0.5  // reported share of a limit that leaves the learned rate as it is
 	scarceFraction      = 0.25 // reported share below which a rate is learned
 	reportSilence       = 2    // seconds without a report after which rejections alone rule the learned rate
-	evenPartMargin      = 1.5  // times the even part of a limit that is likely to be accepted
+	fairShareMargin     = 1.5  // times the even part of a limit that is likely to be accepted
 	minRateDivisor      = 10   // the learned rate is at least this part of the guaranteed one
 	burstDuration       = 0.3  // seconds of the learned rate that may be called at once
 	firstBackoff        = 0.1  // seconds, doubled by each rejection in a row
@@ -186,7 +186,7 @@
 		rate = math.Max(rate, throughput(endpoint))
 	}
 	if result.ReportedShare < 0 { // all is used up, by all together: an even part is likely to be accepted
-		rate = math.Min(rate, evenPartMargin*s.guaranteedRate(endpoint))
+		rate = math.Min(rate, fairShareMargin*s.guaranteedRate(endpoint))
 	}
 	route.learnedRate = math.Max(learnedRateCut*rate, s.guaranteedRate(endpoint))
 }
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	waitingInterval = 0.02  // seconds between two calls of Reconcile while messages wait
-	minWake         = 0.001 // seconds
+	queuedCheckInterval = 0.02  // seconds between two calls of Reconcile while messages wait
+	minWake             = 0.001 // seconds
 )
 
 // Reconcile decides what follows from the events since its last call, and calls the host.
@@ -58,7 +58,7 @@
 	next := s.nextPoll
 	for message := range s.held.all() {
 		if message.call == nil {
-			return math.Min(next, s.now+waitingInterval)
+			return math.Min(next, s.now+queuedCheckInterval)
 		}
 		next = math.Min(next, message.deadline+deadlineGrace)
 	}
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -32,7 +32,7 @@
 		s.dequeue(message)
 		s.retry(message)
 	}
-	s.awaitCall(message)
+	s.trackQueued(message)
 }
 
 func (r *retryLane) add(message *Message) {
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -21,13 +21,13 @@
 	priority            uint32
 	size, active        int32 // of the subtree: members, and those of them that are not parked
 	until               float64
-	parkedAt            int32 // position in the heap of parked members
+	heapPosition        int32 // position in the heap of parked members
 	isParked            bool
 }
 
 var byParkedUntil = ordering[*ringNode]{
 	before:   func(a, b *ringNode) bool { return a.until < b.until },
-	position: func(n *ringNode) *int32 { return &n.parkedAt },
+	position: func(n *ringNode) *int32 { return &n.heapPosition },
 }
 
 func (r *ring) size() int { return int(sizeOf(r.root)) }
--- a/scheduler/scheduling.go
+++ b/scheduler/scheduling.go
@@ -24,7 +24,7 @@
 			idle = -1
 		}
 		idle++
-		if destination.inRing = destination.waiting > 0; destination.inRing {
+		if destination.inRing = destination.queued > 0; destination.inRing {
 			s.ring.advance()
 		} else {
 			s.ring.drop()
@@ -62,7 +62,7 @@
 		}
 		until = math.Min(until, endpoint.notBefore)
 	}
-	if destination.waiting > 0 {
+	if destination.queued > 0 {
 		s.ring.park(destination.ringNode, until)
 	}
 }
@@ -164,7 +164,7 @@
 			b.messages = append(b.messages, next)
 			idle = 0
 		}
-		if lane.inRotation = lane.waiting > 0; lane.inRotation {
+		if lane.inRotation = lane.queued > 0; lane.inRotation {
 			destination.lanes = append(destination.lanes, lane)
 		}
 	}
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -23,7 +23,7 @@
 func (s *Scheduler) longestBacklog() *Destination {
 	var longest *Destination
 	s.ring.each(func(destination *Destination) {
-		if destination.waiting > 0 && (longest == nil || backlogTime(destination) > backlogTime(longest)) {
+		if destination.queued > 0 && (longest == nil || backlogTime(destination) > backlogTime(longest)) {
 			longest = destination
 		}
 	})
@@ -33,7 +33,7 @@
 // backlogTime returns the seconds of a slot that a destination's waiting messages take: a few calls may clear a long
 // queue.
 func backlogTime(destination *Destination) float64 {
-	return float64(destination.waiting) * destination.latency.p90 / float64(max(1, destination.batchSize))
+	return float64(destination.queued) * destination.latency.p90 / float64(max(1, destination.batchSize))
 }
 
 // currentValue returns what a message is worth now. Where value falls evenly, a late message loses no less by waiting.
