--- a/forwarder/callers_test.go
+++ b/forwarder/callers_test.go
@@ -88,7 +88,7 @@
 
 // Callers of one frontend flood without reading their answers; those of the others go on being served.
 func TestFloodedFrontendStarvesNoOther(t *testing.T) {
-	f := newFixture(t, forwarder.Frontend{Name: "flood", Protocol: "memory", Waiting: 1000}).start()
+	f := newFixture(t, forwarder.Frontend{Name: "flood", Protocol: "memory", MaxWaitingRequests: 1000}).start()
 	end, flooded := make(chan struct{}), make(chan struct{})
 	var submitted atomic.Int64
 	go func() {
--- a/forwarder/calls.go
+++ b/forwarder/calls.go
@@ -109,11 +109,11 @@
 
 // upstreamSettings are the settings of an upstream.
 func (c *Config) upstreamSettings(u Upstream, connectTimeout time.Duration) UpstreamSettings {
-	if u.Connect > 0 {
-		connectTimeout = time.Duration(u.Connect * float64(time.Second))
+	if u.ConnectTimeout > 0 {
+		connectTimeout = time.Duration(u.ConnectTimeout * float64(time.Second))
 	}
 	return UpstreamSettings{
-		Connect:            connectTimeout,
+		ConnectTimeout:     connectTimeout,
 		KeepIdle:           time.Duration(c.Scheduler.KeepIdle() * float64(time.Second)),
 		ReportedLimitField: c.Names.LimitField,
 		ReportedShareField: c.Names.ShareField,
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -24,16 +24,16 @@
 	UpstreamProtocols map[string]UpstreamProtocol // of an embedding program, beside those that come with this package
 	KindUpstream      map[string]string           // name of the upstream for endpoints of a kind, if not the default
 
-	Discovery        string                  // address of the discovery service; empty: the list is StaticEndpoints
-	StaticEndpoints  *transport.EndpointList // the configuration's own list
-	LastEndpoints    transport.EndpointList  // the list as last known
-	ListBytes        int                     // bound of one object of the watch, in bytes; 0: by MemoryMB
-	DiscoveryMovable bool                    // frontends, endpoints, backlog bounds and logs may change on reload
-
-	MemoryMB int     // for the whole process
-	Sockets  int     // descriptors for the whole process
-	DiskMB   int     // for the write-ahead log
-	Cores    float64 // processors that the process may keep busy
+	Discovery       string                  // address of the discovery service; empty: the list is StaticEndpoints
+	StaticEndpoints *transport.EndpointList // the configuration's own list
+	LastEndpoints   transport.EndpointList  // the list as last known
+	ListBytes       int                     // bound of one object of the watch, in bytes; 0: by MemoryMB
+	FullReload      bool                    // frontends, endpoints, backlog bounds and logs may change on reload
+
+	MemoryMB    int     // for the whole process
+	Descriptors int     // descriptors for the whole process
+	DiskMB      int     // for the write-ahead log
+	Cores       float64 // processors that the process may keep busy
 
 	Scheduler scheduler.Settings
 	Names     settings.Names // of the types, tenants, kinds and zones in Scheduler
--- a/forwarder/config_platform.go
+++ b/forwarder/config_platform.go
@@ -115,10 +115,10 @@
 		configuredDiscovery: p.Discovery,
 		LastEndpoints:       p.Known,
 
-		MemoryMB: p.Limits.MemoryMB,
-		Sockets:  p.Limits.Sockets,
-		DiskMB:   p.Limits.DiskMB,
-		Cores:    p.Limits.Cores,
+		MemoryMB:    p.Limits.MemoryMB,
+		Descriptors: p.Limits.Sockets,
+		DiskMB:      p.Limits.DiskMB,
+		Cores:       p.Limits.Cores,
 
 		Log:   Log{Level: zerolog.TraceLevel},
 		Admin: variableOr("PROXY_ADMIN", p.Admin),
@@ -146,7 +146,7 @@
 		value, min int
 	}{
 		{"limits.memory_mb", c.MemoryMB, minMemoryMB},
-		{"limits.sockets", c.Sockets, minSockets},
+		{"limits.sockets", c.Descriptors, minSockets},
 		{"limits.disk_mb", c.DiskMB, minDiskMB},
 	} {
 		if limit.value < limit.min {
--- a/forwarder/config_test.go
+++ b/forwarder/config_test.go
@@ -18,7 +18,7 @@
 	})
 	require.NoError(t, err)
 	require.Equal(t, []any{"n3", "127.0.0.9:1", "127.0.0.5:8500", ".", uint64(0x8c1f30d27a5be964), 192, 1024, 3},
-		[]any{o.Name, o.Frontends[0].Listen, o.Discovery, o.Folder, o.Seed, o.MemoryMB, o.Sockets, o.DiskMB})
+		[]any{o.Name, o.Frontends[0].Listen, o.Discovery, o.Folder, o.Seed, o.MemoryMB, o.Descriptors, o.DiskMB})
 	require.Equal(t, uint64(3), o.LastEndpoints.Endpoints[0].Destination)
 	require.Equal(t, []string{"x"}, o.Names.Tenants)
 }
--- a/forwarder/endpoint_follower.go
+++ b/forwarder/endpoint_follower.go
@@ -12,9 +12,9 @@
 
 // EndpointFollower is what FollowEndpoints works with beside a configuration.
 type EndpointFollower struct {
-	Dialer  *dial.Dialer // opens the connection to discovery; the caller stops it
-	LogTo   io.Writer
-	InForce func(revision int64) // called on the event loop once the scheduler has reconciled with a revision
+	Dialer       *dial.Dialer // opens the connection to discovery; the caller stops it
+	LogTo        io.Writer
+	OnReconciled func(revision int64) // called on the event loop once the scheduler has reconciled with a revision
 }
 
 // FollowEndpoints applies discovery's list as Run does, with the same client, event queue and scheduler, until
@@ -32,7 +32,7 @@
 	loop.scheduler = scheduler.New(own.Scheduler, own.Seed, loop.schedulerTime(loop.epoch), loop)
 	loop.updateEndpoints(&own.LastEndpoints, true)
 	loop.scheduler.Reconcile()
-	loop.followEndpoints(ctx, follower.InForce)
+	loop.followEndpoints(ctx, follower.OnReconciled)
 	return nil
 }
 
--- a/forwarder/endpoint_follower_test.go
+++ b/forwarder/endpoint_follower_test.go
@@ -25,9 +25,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	inForce, ended := make(chan int64, 9), make(chan error, 1)
 	follower := forwarder.EndpointFollower{
-		Dialer:  dialer,
-		LogTo:   emulator.NewLog(),
-		InForce: func(revision int64) { inForce <- revision },
+		Dialer:       dialer,
+		LogTo:        emulator.NewLog(),
+		OnReconciled: func(revision int64) { inForce <- revision },
 	}
 	go func() {
 		ended <- forwarder.FollowEndpoints(ctx, config, follower)
--- a/forwarder/fixture_test.go
+++ b/forwarder/fixture_test.go
@@ -75,14 +75,14 @@
 		reload:    make(chan os.Signal, 1),
 	}
 	f.config = &forwarder.Config{
-		Name:             "n1",
-		Folder:           t.TempDir(),
-		MemoryMB:         64,
-		Sockets:          256,
-		DiskMB:           3,
-		Cores:            1,
-		Seed:             7,
-		DiscoveryMovable: true,
+		Name:        "n1",
+		Folder:      t.TempDir(),
+		MemoryMB:    64,
+		Descriptors: 256,
+		DiskMB:      3,
+		Cores:       1,
+		Seed:        7,
+		FullReload:  true,
 		Frontends: append([]forwarder.Frontend{
 			{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:0"},
 			{Name: innerFrontend, Protocol: "memory"},
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -46,7 +46,7 @@
 	config = &own
 	log := config.Log.to(logTo, config.Name)
 	logging.SetLogger(networkLog{log})
-	nbio.MaxOpenFiles = config.Sockets + 1024 // nbio keeps a table of that size for each engine
+	nbio.MaxOpenFiles = config.Descriptors + 1024 // nbio keeps a table of that size for each engine
 
 	queue := newEventQueue()
 	requests := newAdminRequests(config, queue)
@@ -72,7 +72,7 @@
 		return unlessStopped(ctx, log, err)
 	}
 	defer walLog.Close()
-	dialer, err := dial.New("outlet", (config.Sockets-reservedDescriptors)/3)
+	dialer, err := dial.New("outlet", (config.Descriptors-reservedDescriptors)/3)
 	if err != nil {
 		return err
 	}
--- a/forwarder/frontends.go
+++ b/forwarder/frontends.go
@@ -11,13 +11,13 @@
 
 // Frontend configures one frontend: an address where clients are served.
 type Frontend struct {
-	Name         string // as the write-ahead log and log lines have it; "resp" and "" are the platform's own
-	Protocol     string // see Config.FrontendProtocols
-	Listen       string
-	Listener     net.Listener // taken in place of Listen; nil: Listen is opened
-	Connections  int          // at most; 0: an even part of what the descriptors leave
-	Waiting      int          // requests that may wait for the event loop; 0: the default
-	WaitingBytes int          // of messages among those requests; 0: the default
+	Name               string // as the write-ahead log and log lines have it; "resp" and "" are the platform's own
+	Protocol           string // see Config.FrontendProtocols
+	Listen             string
+	Listener           net.Listener // taken in place of Listen; nil: Listen is opened
+	Connections        int          // at most; 0: an even part of what the descriptors leave
+	MaxWaitingRequests int          // requests that may wait for the event loop; 0: the default
+	MaxWaitingBytes    int          // of messages among those requests; 0: the default
 }
 
 // FrontendProtocol opens a frontend that passes its clients' requests to the submitter. connections is the most that it
@@ -89,7 +89,7 @@
 
 // FrontendConnections is how many connections each frontend gets; nil if their numbers do not fit the descriptors.
 func (c *Config) FrontendConnections() []int {
-	connections, err := divideConnections(c.Frontends, MaxClients(c.Sockets))
+	connections, err := divideConnections(c.Frontends, MaxClients(c.Descriptors))
 	if err != nil {
 		return nil
 	}
@@ -122,7 +122,7 @@
 func (loop *eventLoop) openFrontends(frontends []Frontend, connections []int) ([]*openFrontend, error) {
 	var opened []*openFrontend
 	for i, config := range frontends {
-		queue := loop.queue.newAdmissionQueue(config.Name, config.walName(), config.Waiting, config.WaitingBytes)
+		queue := loop.queue.newAdmissionQueue(config.Name, config.walName(), config.MaxWaitingRequests, config.MaxWaitingBytes)
 		f, err := loop.config.frontendProtocol(config.Protocol)(config, connections[i], queue)
 		if err != nil {
 			queue.close()
@@ -138,7 +138,7 @@
 
 // openConfiguredFrontends opens the frontends that the configuration names.
 func (loop *eventLoop) openConfiguredFrontends() error {
-	connections, err := divideConnections(loop.config.Frontends, MaxClients(loop.config.Sockets))
+	connections, err := divideConnections(loop.config.Frontends, MaxClients(loop.config.Descriptors))
 	if err != nil {
 		return err
 	}
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -43,7 +43,7 @@
 }
 
 // ConfigParts are all parts of the configuration. All but discovery take effect on reload only where the
-// configuration's form has them so (DiscoveryMovable): the platform's form changes nothing but discovery.
+// configuration's form has them so (FullReload): the platform's form changes nothing but discovery.
 var ConfigParts = []ConfigPart{
 	{"name", []string{"name"}, OnRestart, func(c *Config) any { return c.Name }},
 	{partListen, []string{"fronts"}, OnReload, func(c *Config) any { return c.Frontends }},
@@ -54,7 +54,7 @@
 	{"admin", []string{"admin"}, OnRestart, func(c *Config) any { return c.Admin }},
 	{"metrics", []string{"metrics"}, OnRestart, func(c *Config) any { return [2]string{c.Metrics, c.TokenFile} }},
 	{"seed", []string{"seed"}, OnRestart, func(c *Config) any {
-		if c.DiscoveryMovable && !c.RandomSeed { // the platform's is another at each start
+		if c.FullReload && !c.RandomSeed { // the platform's is another at each start
 			return c.Seed
 		}
 		return c.RandomSeed
@@ -67,7 +67,7 @@
 	},
 	{"backlog_folder", []string{"backlog.folder"}, OnRestart, func(c *Config) any { return c.Backlog.folder() }},
 	{"limits", []string{"limits", "ledger.disk"}, OnRestart, func(c *Config) any {
-		return [4]float64{float64(c.MemoryMB), float64(c.Sockets), float64(c.DiskMB), c.Cores}
+		return [4]float64{float64(c.MemoryMB), float64(c.Descriptors), float64(c.DiskMB), c.Cores}
 	}},
 	{
 		"settings", []string{"types", "kinds", "tenants", "zones", "zone", "dispatch", "outlets"},
@@ -96,7 +96,7 @@
 
 // takesEffect is when a change of the part in this configuration takes effect.
 func (p *ConfigPart) takesEffect(c *Config) ReloadBehavior {
-	if p.Name != partDiscovery && !c.DiscoveryMovable {
+	if p.Name != partDiscovery && !c.FullReload {
 		return OnRestart
 	}
 	return p.When
@@ -262,7 +262,7 @@
 // left alone; one that goes takes no new connections, and each of its callers is answered before its connection ends.
 // The new ones open first: if one cannot, nothing has changed.
 func (loop *eventLoop) replaceFrontends(next []Frontend) error {
-	limits, err := divideConnections(next, MaxClients(loop.config.Sockets))
+	limits, err := divideConnections(next, MaxClients(loop.config.Descriptors))
 	if err != nil {
 		return err
 	}
--- a/forwarder/reload_test.go
+++ b/forwarder/reload_test.go
@@ -35,9 +35,9 @@
 	require.NoError(t, loop.applyConfig(read(other, "")))
 	require.Equal(t, []string{"127.0.0.6:8500"}, discovery.to)
 	require.Equal(t, "127.0.0.6:8500", loop.config.Notices())
-	loop.config.DiscoveryMovable = true
+	loop.config.FullReload = true
 	next := read(other, "")
-	next.DiscoveryMovable, next.Seed, next.noticeAddress = true, loop.config.Seed, "127.0.0.7:1"
+	next.FullReload, next.Seed, next.noticeAddress = true, loop.config.Seed, "127.0.0.7:1"
 	require.ErrorContains(t, loop.applyConfig(next), "discovery.notices")
 	loop.config.noticeAddress = "127.0.0.8:1"
 	require.NoError(t, loop.applyConfig(next))
--- a/forwarder/upstreams.go
+++ b/forwarder/upstreams.go
@@ -10,9 +10,9 @@
 
 // Upstream configures one upstream: a way to call endpoints.
 type Upstream struct {
-	Name     string
-	Protocol string  // see Config.UpstreamProtocols
-	Connect  float64 // seconds after which a connection that has not come up is given up; 0: the default
+	Name           string
+	Protocol       string  // see Config.UpstreamProtocols
+	ConnectTimeout float64 // seconds after which a connection that has not come up is given up; 0: the default
 }
 
 // UpstreamProtocol makes an upstream that reports to the listener.
@@ -20,7 +20,7 @@
 
 // UpstreamSettings are the settings that every upstream gets, whatever its protocol.
 type UpstreamSettings struct {
-	Connect            time.Duration // a connection that takes longer is given up
+	ConnectTimeout     time.Duration // a connection that takes longer is given up
 	KeepIdle           time.Duration // an idle connection is closed after so long
 	ReportedLimitField string        // the field of a load report with the endpoint's limit
 	ReportedShareField string        // the field with the part of that limit that is left
@@ -43,7 +43,7 @@
 
 func newHTTP(d *dial.Dialer, s UpstreamSettings, listener transport.ResultListener) transport.Upstream {
 	return upstream.New(d, listener, upstream.Settings{
-		Connect:    s.Connect,
+		Connect:    s.ConnectTimeout,
 		KeepIdle:   s.KeepIdle,
 		LimitField: s.ReportedLimitField,
 		ShareField: s.ReportedShareField,
--- a/internal/commands/check.go
+++ b/internal/commands/check.go
@@ -108,7 +108,7 @@
 // describe fills in what would run.
 func (r *checkReport) describe(c *forwarder.Config) {
 	r.Name, r.Folder, r.ConcurrencyLimit, r.Metrics = c.Name, c.Folder, c.Scheduler.ConcurrencyLimit, c.Metrics
-	r.OutgoingConnections = c.Sockets - reservedDescriptors - forwarder.MaxClients(c.Sockets)
+	r.OutgoingConnections = c.Descriptors - reservedDescriptors - forwarder.MaxClients(c.Descriptors)
 	r.HolderPID = wal.LockHolder(c.Folder)
 	if b := c.Backlog; b != nil {
 		r.Backlog = &backlogPlan{Folder: b.Folder, Bytes: b.Bytes, HolderPID: backlogHolder(b.Folder)}
--- a/internal/commands/config.go
+++ b/internal/commands/config.go
@@ -115,7 +115,7 @@
 		{"state", c.Folder, source("PROXY_STATE"), restart},
 		{"limits.cores", c.Cores, path, restart},
 		{"limits.memory_mb", c.MemoryMB, path, restart},
-		{"limits.sockets", c.Sockets, path, restart},
+		{"limits.sockets", c.Descriptors, path, restart},
 		{"limits.disk_mb", c.DiskMB, path, restart},
 		{"settings", settings, path, restart},
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -64,7 +64,7 @@
 	o, err := ForwarderConfig(path, nil, nil)
 	require.NoError(t, err)
 	require.Equal(t, []any{"n1", 48, 1024, 1, 7, 1},
-		[]any{o.Name, o.MemoryMB, o.Sockets, o.Scheduler.Zone, int(o.StaticEndpoints.Endpoints[0].Destination), len(o.Frontends)})
+		[]any{o.Name, o.MemoryMB, o.Descriptors, o.Scheduler.Zone, int(o.StaticEndpoints.Endpoints[0].Destination), len(o.Frontends)})
 	require.Equal(t, forwarder.Frontend{Name: "resp", Protocol: "resp", Listen: "127.0.0.1:6379"}, o.Frontends[0])
 	y := o.Scheduler.Types[0]
 	require.Equal(t, []any{true, 3.0, 24.0, 15.0}, []any{y.InOrder, y.LatencyObjective, y.TimeToLive, y.DeduplicationWindow})
--- a/internal/config/forwarder_config.go
+++ b/internal/config/forwarder_config.go
@@ -60,18 +60,18 @@
 		return nil, err
 	}
 	c := &forwarder.Config{
-		Name:             l.Name,
-		Folder:           folder,
-		Discovery:        l.Discovery.Address,
-		DiscoveryMovable: true,
-		MemoryMB:         int(l.Limits.Memory / megabyte),
-		Sockets:          l.Limits.Descriptors,
-		DiskMB:           int(l.Ledger.Disk / megabyte),
-		Cores:            l.Limits.Cores,
-		KindUpstream:     map[string]string{},
-		Metrics:          l.Metrics.Listen,
-		TokenFile:        l.Metrics.TokenFile,
-		Admin:            l.Admin,
+		Name:         l.Name,
+		Folder:       folder,
+		Discovery:    l.Discovery.Address,
+		FullReload:   true,
+		MemoryMB:     int(l.Limits.Memory / megabyte),
+		Descriptors:  l.Limits.Descriptors,
+		DiskMB:       int(l.Ledger.Disk / megabyte),
+		Cores:        l.Limits.Cores,
+		KindUpstream: map[string]string{},
+		Metrics:      l.Metrics.Listen,
+		TokenFile:    l.Metrics.TokenFile,
+		Admin:        l.Admin,
 	}
 	c.SetConfiguredAddresses(l.Discovery.Address, l.Discovery.Notices)
 	c.Scheduler, c.Names = l.schedulerSettings()
@@ -105,16 +105,16 @@
 func (l *Loaded) addFrontendsAndUpstreams(c *forwarder.Config) {
 	for _, f := range l.Frontends {
 		c.Frontends = append(c.Frontends, forwarder.Frontend{
-			Name:         f.Name,
-			Protocol:     f.Protocol,
-			Listen:       f.Listen,
-			Connections:  f.Connections,
-			Waiting:      f.Waiting,
-			WaitingBytes: int(f.WaitingBytes),
+			Name:               f.Name,
+			Protocol:           f.Protocol,
+			Listen:             f.Listen,
+			Connections:        f.Connections,
+			MaxWaitingRequests: f.Waiting,
+			MaxWaitingBytes:    int(f.WaitingBytes),
 		})
 	}
 	for _, u := range l.Upstreams {
-		c.Upstreams = append(c.Upstreams, forwarder.Upstream{Name: u.Name, Protocol: u.Protocol, Connect: float64(u.Connect)})
+		c.Upstreams = append(c.Upstreams, forwarder.Upstream{Name: u.Name, Protocol: u.Protocol, ConnectTimeout: float64(u.Connect)})
 	}
 	for _, k := range l.Kinds {
 		c.KindUpstream[k.Name] = k.Upstream
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -135,7 +135,7 @@
 	m := &hollowForwarder{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(m.ended)
-		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, InForce: func(revision int64) { w.recordRevision(m, revision) }})
+		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, OnReconciled: func(revision int64) { w.recordRevision(m, revision) }})
 	}()
 	return m, nil
 }
