--- a/cmd/spanflowctl/backlog_stop_test.go
+++ b/cmd/spanflowctl/backlog_stop_test.go
@@ -20,14 +20,14 @@
 	for i := range count {
 		s := submission{typ: "status", destination: 1 + i%len(h.endpoints), key: 1 + i%1000, number: i}
 		require.NoError(h.t, store.Append(&backlog.Message{
-			Seq:    uint64(i + 1),
-			Lane:   backlog.Lane{Destination: uint64(s.destination), Tenant: 2},
-			Key:    uint64(s.key),
-			Type:   s.typ,
-			ID:     s.id(),
-			Body:   []byte(body300),
-			Taken:  now.UnixMicro(),
-			Expiry: now.Add(time.Hour).UnixMicro(),
+			Seq:        uint64(i + 1),
+			Lane:       backlog.Lane{Destination: uint64(s.destination), Tenant: 2},
+			Key:        uint64(s.key),
+			Type:       s.typ,
+			ID:         s.id(),
+			Body:       []byte(body300),
+			AcceptedAt: now.UnixMicro(),
+			Expiry:     now.Add(time.Hour).UnixMicro(),
 		}))
 	}
 	require.NoError(h.t, store.Close())
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -163,7 +163,7 @@
 }
 
 // hasID reports whether a message with a client's id is stored.
-func (b *backlogState) hasID(id string) bool { return b != nil && b.store.Has(id) }
+func (b *backlogState) hasID(id string) bool { return b != nil && b.store.HasID(id) }
 
 // logBacklogError logs that the store cannot be read or written.
 func (loop *eventLoop) logBacklogError(err error) {
--- a/forwarder/backlog_admission.go
+++ b/forwarder/backlog_admission.go
@@ -45,7 +45,7 @@
 	}
 	fits, _ := loop.scheduler.Admit(e.Size(), secondsLeft)
 	timeLeft := time.Duration(secondsLeft * float64(time.Second))
-	decision := decisions.DecideWithin(policyLane(m.Lane), size, timeLeft, fits, now)
+	decision := decisions.DecideWithDeadline(policyLane(m.Lane), size, timeLeft, fits, now)
 	if decision.Place != policy.Store {
 		return decision
 	}
@@ -83,7 +83,7 @@
 	loop.telemetry.counts.refused++
 	loop.backlog.counts.refused++
 	if loop.telemetry.mayLog("backlog refused") {
-		messages, bytes := loop.backlog.policy.Amount()
+		messages, bytes := loop.backlog.policy.StoredAmount()
 		loop.telemetry.log.Warn().Stringer("bound", decision.Bound).Int("messages", messages).Int64("bytes", bytes).
 			Msg("backlog refused")
 	}
--- a/forwarder/backlog_lanes.go
+++ b/forwarder/backlog_lanes.go
@@ -38,7 +38,7 @@
 
 // keyElsewhere reports whether a message has to go after one of its ordering key that is stored in another lane.
 func (loop *eventLoop) keyElsewhere(e *wal.Entry) bool {
-	return loop.keepsOrder(e) && loop.backlog.store.KeyElsewhere(e.Key, laneOf(e))
+	return loop.keepsOrder(e) && loop.backlog.store.KeyInOtherLane(e.Key, laneOf(e))
 }
 
 // storedMessage is what the store keeps of a message.
@@ -51,7 +51,7 @@
 		Type:             e.Type,
 		ID:               e.ID,
 		Body:             e.Body,
-		Taken:            accepted.UnixMicro(),
+		AcceptedAt:       accepted.UnixMicro(),
 		Expiry:           e.Expiry,
 		Attempts:         uint32(e.Attempts),
 		MayHaveRun:       e.FirstRanAt,
@@ -133,6 +133,6 @@
 // noteReachability informs the policy whether a destination answers.
 func (loop *eventLoop) noteReachability(d *scheduler.Destination) {
 	if loop.backlog != nil {
-		loop.backlog.policy.Out(d.ID, loop.scheduler.Dark(d))
+		loop.backlog.policy.SetUnavailable(d.ID, loop.scheduler.Dark(d))
 	}
 }
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -31,7 +31,7 @@
 	moves := b.policy.Due()
 	for _, move := range moves {
 		if moved := loop.moveLane(move, now); moved < move.Count {
-			b.policy.Unmoved(move.Lane)
+			b.policy.MoveIncomplete(move.Lane)
 			b.wakeWithin(now, retryMoves)
 		}
 	}
@@ -135,7 +135,7 @@
 
 // bringBack moves up to limit of the oldest stored messages of a lane back to memory, and returns how many.
 func (loop *eventLoop) bringBack(lane backlog.Lane, limit int, now time.Time) (moved int) {
-	batch, err := loop.backlog.mover.BringBack(lane, limit)
+	batch, err := loop.backlog.mover.Load(lane, limit)
 	loop.logMoveError(err)
 	loop.acceptBatch(batch, now)
 	return len(batch.Messages)
@@ -149,7 +149,7 @@
 	if !ok || time.UnixMicro(expiry).After(due) {
 		return
 	}
-	batch, err := b.mover.BringBackExpired(due.UnixMicro(), b.policy.ExpiryBatch())
+	batch, err := b.mover.LoadExpired(due.UnixMicro(), b.policy.ExpiryBatch())
 	loop.logMoveError(err)
 	if err != nil {
 		b.wakeWithin(now, retryMoves)
@@ -168,7 +168,7 @@
 // acceptBatch gives the scheduler the messages that have come back.
 func (loop *eventLoop) acceptBatch(batch backlog.Batch, now time.Time) {
 	for _, stored := range batch.Messages {
-		loop.backlog.policy.Back(policyLane(stored.Lane), int64(stored.Size()), now)
+		loop.backlog.policy.Loaded(policyLane(stored.Lane), int64(stored.Size()), now)
 		loop.acceptStored(stored, batch.Expired, now)
 	}
 }
@@ -181,7 +181,7 @@
 		loop.telemetry.log.Error().Str("id", e.ID).Str("type", e.Type).Msg("stored message of an unknown type")
 	}
 	m := loop.track(e, typ)
-	m.receivedAt = time.UnixMicro(stored.Taken)
+	m.receivedAt = time.UnixMicro(stored.AcceptedAt)
 	secondsLeft := float64(e.Expiry)/1e6 - loop.schedulerTime(now)
 	recovered := scheduler.RecoveredState{
 		Attempts:   e.Attempts,
--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -21,7 +21,7 @@
 func benchMessage(seq uint64) *Message {
 	return &Message{Seq: seq, Lane: Lane{seq % benchLanes, 1}, Key: seq, Type: "order",
 		ID:   fmt.Sprintf("01J9Z3T5-%016x", seq),
-		Body: make([]byte, benchBody), Taken: int64(seq), Expiry: int64(seq) + 3_600_000_000}
+		Body: make([]byte, benchBody), AcceptedAt: int64(seq), Expiry: int64(seq) + 3_600_000_000}
 }
 
 // fillTo appends messages until so many are stored.
@@ -91,7 +91,7 @@
 			for done := 0; done < b.N; {
 				lane := lanes[0]
 				lanes = append(lanes[1:], lane)
-				batch, err := mover.BringBack(lane, min(drainBatch, b.N-done))
+				batch, err := mover.Load(lane, min(drainBatch, b.N-done))
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -136,7 +136,7 @@
 		return false
 	}
 	files.failAt = 0
-	require.NoError(t, h.mover.Retry())
+	require.NoError(t, h.mover.RetryForget())
 	require.NoError(t, h.bringBack(testLanes[0], 0)) // what was being moved
 	h.check(t)
 	h.fs = files.reboot()
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -51,8 +51,9 @@
 func goldenMessage(lane Lane, seq uint64) *Message {
 	kind := goldenKinds[seq%3]
 	m := &Message{Seq: seq, Lane: lane, Key: seq % 4 * 0x1122334455667788, Ordered: kind.ordered, Type: kind.name,
-		ID: fmt.Sprintf("id-%d", seq), Body: []byte{0, 1, 0xfe, 0xff, byte(seq)}, Taken: int64(1_700_000_000_000_000 + seq),
-		Expiry: int64(1_700_000_016_000_000 - seq*7), DeduplicationKey: kind.key, DeduplicationEnd: kind.keyEnd}
+		ID: fmt.Sprintf("id-%d", seq), Body: []byte{0, 1, 0xfe, 0xff, byte(seq)},
+		AcceptedAt: int64(1_700_000_000_000_000 + seq), Expiry: int64(1_700_000_016_000_000 - seq*7),
+		DeduplicationKey: kind.key, DeduplicationEnd: kind.keyEnd}
 	switch state := State(seq / 3 % 3); state {
 	case MayHaveRun:
 		m.Attempts, m.MayHaveRun, m.MayHaveRunZone = 3, int64(1_700_000_001_000_000+seq), 70_000
@@ -95,7 +96,7 @@
 	want := map[Lane][]*Message{goldenLanes[2]: {{Seq: 40, Lane: goldenLanes[2]}}}
 	states := [stateCount]int{Untried: 1}
 	for seq := uint64(10); seq < 37; seq++ {
-		require.Equal(t, !released[seq], s.Has(fmt.Sprintf("id-%d", seq)))
+		require.Equal(t, !released[seq], s.HasID(fmt.Sprintf("id-%d", seq)))
 		if lane := goldenLanes[seq%2]; !released[seq] {
 			m := goldenMessage(lane, seq)
 			want[lane] = append(want[lane], m)
@@ -120,8 +121,8 @@
 	t.Helper()
 	key := goldenMessage(goldenLanes[1], 11).Key
 	require.NotZero(t, key)
-	require.True(t, s.KeyElsewhere(key, goldenLanes[0]))
-	require.False(t, s.KeyElsewhere(key, goldenLanes[1]), "odd numbers alone have this key, all of one lane")
+	require.True(t, s.KeyInOtherLane(key, goldenLanes[0]))
+	require.False(t, s.KeyInOtherLane(key, goldenLanes[1]), "odd numbers alone have this key, all of one lane")
 	next, ok := s.NextExpiry()
 	require.True(t, ok)
 	require.Zero(t, next, "of the empty message")
@@ -202,7 +203,7 @@
 // movedMessage is a golden message as the write-ahead log keeps it.
 func movedMessage(seq uint64) *Message {
 	m := goldenMessage(goldenLanes[0], seq)
-	m.Taken, m.DeduplicationEnd, m.Ordered = 0, 0, false
+	m.AcceptedAt, m.DeduplicationEnd, m.Ordered = 0, 0, false
 	return m
 }
 
@@ -232,10 +233,10 @@
 	moved, err := mover.Spill(messages[3:])
 	require.NoError(t, err)
 	require.Equal(t, 9, moved)
-	batch, err := mover.BringBack(goldenLanes[0], 2)
+	batch, err := mover.Load(goldenLanes[0], 2)
 	require.NoError(t, err)
 	require.Equal(t, messages[3:5], batch.Messages)
-	batch, err = mover.BringBackExpired(messages[11].Expiry, 1)
+	batch, err = mover.LoadExpired(messages[11].Expiry, 1)
 	require.NoError(t, err)
 	require.True(t, batch.Expired)
 	require.Equal(t, messages[11:], batch.Messages)
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -107,8 +107,8 @@
 
 func testMessage(lane Lane, seq uint64) *Message {
 	return &Message{Seq: seq, Lane: lane, Key: seq % 5, Type: "order", ID: fmt.Sprintf("id-%d", seq),
-		Body:  []byte(fmt.Sprint("body of ", seq)),
-		Taken: int64(seq), Expiry: int64(1000 + seq*7919%997), Attempts: uint32(seq % 3), MayHaveRun: int64(seq % 2 * 77),
+		Body:       []byte(fmt.Sprint("body of ", seq)),
+		AcceptedAt: int64(seq), Expiry: int64(1000 + seq*7919%997), Attempts: uint32(seq % 3), MayHaveRun: int64(seq % 2 * 77),
 		MayHaveRunZone: uint32(seq % 4), DeduplicationKey: fmt.Sprint("k", seq), DeduplicationEnd: int64(seq * 3),
 		Frontend:    "web",
 		CallerWaits: seq%4 == 0}
@@ -120,7 +120,7 @@
 	h.next++
 	h.acceptUnanswered = m.Seq
 	var err error
-	if h.store.Stored(lane) > 0 {
+	if h.store.LaneMessages(lane) > 0 {
 		err = h.store.Append(m)
 	} else if err = h.log.Restore(m); err == nil {
 		h.held[lane] = append(h.held[lane], m)
@@ -147,13 +147,13 @@
 }
 
 func (h *harness) bringBack(lane Lane, n int) error {
-	batch, err := h.mover.BringBack(lane, n)
+	batch, err := h.mover.Load(lane, n)
 	return errors.Join(err, h.handOver(batch))
 }
 
 // expire answers some whose time is over.
 func (h *harness) expire(now int64, n int) error {
-	batch, err := h.mover.BringBackExpired(now, n)
+	batch, err := h.mover.LoadExpired(now, n)
 	return errors.Join(err, h.handOver(batch))
 }
 
@@ -213,9 +213,9 @@
 		}
 	}
 	for _, lane := range h.store.Lanes() {
-		ms, err := h.store.Head(lane, h.store.Stored(lane))
+		ms, err := h.store.Head(lane, h.store.LaneMessages(lane))
 		require.NoError(t, err)
-		require.Len(t, ms, h.store.Stored(lane))
+		require.Len(t, ms, h.store.LaneMessages(lane))
 		for i, m := range ms {
 			places[m.Seq]++
 			if i > 0 {
@@ -275,7 +275,7 @@
 		}
 	}
 	for _, lane := range h.store.Lanes() {
-		ms, _ := h.store.Head(lane, h.store.Stored(lane))
+		ms, _ := h.store.Head(lane, h.store.LaneMessages(lane))
 		for _, m := range ms {
 			if m.Seq == seq {
 				return m
@@ -349,7 +349,7 @@
 			if err := h.finish(lane, len(h.held[lane])); err != nil {
 				return err
 			}
-			if h.store.Stored(lane) == 0 && len(h.held[lane]) == 0 {
+			if h.store.LaneMessages(lane) == 0 && len(h.held[lane]) == 0 {
 				break
 			}
 			if err := h.bringBack(lane, 5); err != nil {
--- a/internal/backlog/keytable_test.go
+++ b/internal/backlog/keytable_test.go
@@ -28,7 +28,7 @@
 func (k *keyModel) read(t *testing.T, s *Store) {
 	k.messages = map[uint64]*Message{}
 	for _, lane := range s.Lanes() {
-		messages, err := s.Head(lane, s.Stored(lane))
+		messages, err := s.Head(lane, s.LaneMessages(lane))
 		require.NoError(t, err)
 		for _, m := range messages {
 			k.messages[m.Seq] = m
@@ -61,7 +61,7 @@
 			if lanesOf[key][lane] {
 				others--
 			}
-			require.Equal(t, others > 0, s.KeyElsewhere(key, lane), "key %d, lane %v", key, lane)
+			require.Equal(t, others > 0, s.KeyInOtherLane(key, lane), "key %d, lane %v", key, lane)
 		}
 	}
 	checkStore(t, s)
@@ -175,17 +175,17 @@
 		refs = append(refs, m.Ref())
 	}
 	require.Equal(t, keys, s.keys.count)
-	require.True(t, s.KeyElsewhere(7<<40, Lane{8, 1}))
-	require.False(t, s.KeyElsewhere(7<<40, Lane{7, 1}))
-	require.True(t, s.KeyElsewhere(7<<40, Lane{99, 1}), "a lane of which nothing is stored")
+	require.True(t, s.KeyInOtherLane(7<<40, Lane{8, 1}))
+	require.False(t, s.KeyInOtherLane(7<<40, Lane{7, 1}))
+	require.True(t, s.KeyInOtherLane(7<<40, Lane{99, 1}), "a lane of which nothing is stored")
 	for _, ref := range refs {
 		require.NoError(t, s.Release([]Ref{ref}))
 	}
 	for lane := uint64(100); lane < 300; lane++ { // one at a time
 		m := &Message{Seq: keys + lane, Lane: Lane{lane, 1}, Key: 7 << 40, Ordered: true}
 		require.NoError(t, s.Append(m))
-		require.False(t, s.KeyElsewhere(m.Key, m.Lane))
-		require.True(t, s.KeyElsewhere(m.Key, Lane{lane + 1, 1}))
+		require.False(t, s.KeyInOtherLane(m.Key, m.Lane))
+		require.True(t, s.KeyInOtherLane(m.Key, Lane{lane + 1, 1}))
 		require.NoError(t, s.Release([]Ref{m.Ref()}))
 	}
 	require.Zero(t, s.keys.count)
@@ -202,10 +202,10 @@
 	s := openStore(t, newMemFS(), smallBounds)
 	require.NoError(t, s.Append(&Message{Seq: 1, Lane: keyLanes[0], ID: "a", Key: 5}))
 	require.NoError(t, s.Append(&Message{Seq: 2, Lane: keyLanes[0], ID: "b", Ordered: true}))
-	require.False(t, s.KeyElsewhere(5, keyLanes[1]))
-	require.False(t, s.KeyElsewhere(0, keyLanes[1]))
+	require.False(t, s.KeyInOtherLane(5, keyLanes[1]))
+	require.False(t, s.KeyInOtherLane(0, keyLanes[1]))
 	require.NoError(t, s.Append(&Message{Seq: 3, Lane: keyLanes[0], ID: "c", Key: 5, Ordered: true}))
-	require.True(t, s.KeyElsewhere(5, keyLanes[1]))
+	require.True(t, s.KeyInOtherLane(5, keyLanes[1]))
 }
 
 // A message spilled before a newer one of its lane, which has left since, and copied by a kill while its segment was
@@ -230,5 +230,5 @@
 	checkStore(t, s)
 	require.NoError(t, s.Release([]Ref{older.Ref()}))
 	require.Zero(t, s.Messages())
-	require.False(t, s.KeyElsewhere(3, testLanes[1]))
+	require.False(t, s.KeyInOtherLane(3, testLanes[1]))
 }
--- a/internal/backlog/message.go
+++ b/internal/backlog/message.go
@@ -17,12 +17,12 @@
 	Key  uint64 // ordering key, 0 for none
 	// Ordered says that its type keeps the order of its key: messages of one key are sent one at a time in the order of
 	// acceptance, whatever their lanes.
-	Ordered bool
-	Type    string
-	ID      string // the client's id of the message
-	Body    []byte
-	Taken   int64 // when it was accepted
-	Expiry  int64 // its deadline
+	Ordered    bool
+	Type       string
+	ID         string // the client's id of the message
+	Body       []byte
+	AcceptedAt int64 // when it was accepted
+	Expiry     int64 // its deadline
 
 	Attempts         uint32 // that have begun
 	MayHaveRun       int64  // begin of the first attempt that may have run
--- a/internal/backlog/message_codec.go
+++ b/internal/backlog/message_codec.go
@@ -62,7 +62,7 @@
 func (m *Message) encode(b []byte) []byte {
 	little := binary.LittleEndian
 	for _, v := range []uint64{
-		m.Seq, m.Key, m.Lane.Destination, uint64(m.Taken), uint64(m.Expiry), uint64(m.MayHaveRun),
+		m.Seq, m.Key, m.Lane.Destination, uint64(m.AcceptedAt), uint64(m.Expiry), uint64(m.MayHaveRun),
 		uint64(m.DeduplicationEnd), 0,
 	} {
 		b = little.AppendUint64(b, v)
@@ -129,7 +129,7 @@
 		Type:             texts[1],
 		ID:               texts[0],
 		Body:             append([]byte(nil), rest...),
-		Taken:            f.accepted,
+		AcceptedAt:       f.accepted,
 		Expiry:           f.expiry,
 		Attempts:         f.attempts,
 		MayHaveRun:       f.mayHaveRun,
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -70,7 +70,7 @@
 // may be in flight. It returns how many of them, from the end, are in the store now; an error says why not all. If only
 // the log returns an error, these are moved all the same, and Retry has the log forget them later.
 func (m *Mover) Spill(messages []*Message) (moved int, err error) {
-	if err := m.Retry(); err != nil {
+	if err := m.RetryForget(); err != nil {
 		return 0, err
 	}
 	for i := len(messages) - 1; i >= 0; i-- {
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// Retry repeats the calls of Log.Forget that failed, for messages that the store has.
-func (m *Mover) Retry() error {
+// RetryForget repeats the calls of Log.Forget that failed, for messages that the store has.
+func (m *Mover) RetryForget() error {
 	for seq := range m.unforgotten {
 		if err := m.forget(seq); err != nil {
 			return err
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// BringBack moves the first n messages of a lane back to the log and returns those that the scheduler now has to take,
+// Load moves the first n messages of a lane back to the log and returns those that the scheduler now has to take,
 // in the order of their numbers. If an error interrupted an earlier call, it returns the rest of that batch instead,
 // whatever it was for. With an error the batch may be shorter or empty.
-func (m *Mover) BringBack(lane Lane, n int) (Batch, error) {
+func (m *Mover) Load(lane Lane, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
 		return m.release()
 	}
@@ -115,9 +115,9 @@
 	return m.restore(Batch{Messages: messages}, err)
 }
 
-// BringBackExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. It
+// LoadExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. It
 // returns the rest of an interrupted batch, and errors, as BringBack does.
-func (m *Mover) BringBackExpired(now int64, n int) (Batch, error) {
+func (m *Mover) LoadExpired(now int64, n int) (Batch, error) {
 	if len(m.unreleased.Messages) > 0 {
 		return m.release()
 	}
--- a/internal/backlog/move_wal_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -49,7 +49,7 @@
 // walMessage is a test message with what the log keeps.
 func walMessage(lane Lane, seq uint64) *Message {
 	m := testMessage(lane, seq)
-	m.Taken, m.DeduplicationEnd, m.ID = 0, 0, fmt.Sprintf("client-%016x", rand.Uint64())
+	m.AcceptedAt, m.DeduplicationEnd, m.ID = 0, 0, fmt.Sprintf("client-%016x", rand.Uint64())
 	return m
 }
 
@@ -104,7 +104,7 @@
 			return err
 		}
 	case 6, 7:
-		batch, err := f.mover.BringBack(lane, 1+rng.IntN(8))
+		batch, err := f.mover.Load(lane, 1+rng.IntN(8))
 		for _, m := range batch.Messages {
 			f.held[m.Lane] = append(f.held[m.Lane], m)
 		}
@@ -117,7 +117,7 @@
 
 func (f *forwarder) accept(lane Lane) error {
 	var m *Message
-	if f.store.Stored(lane) > 0 {
+	if f.store.LaneMessages(lane) > 0 {
 		m = walMessage(lane, f.log.NextSeq())
 		if err := f.store.Append(m); err != nil {
 			return err
@@ -221,7 +221,7 @@
 		}
 	}
 	for _, lane := range f.store.Lanes() {
-		ms, err := f.store.Head(lane, f.store.Stored(lane))
+		ms, err := f.store.Head(lane, f.store.LaneMessages(lane))
 		require.NoError(t, err)
 		for _, m := range ms {
 			note(m)
--- a/internal/backlog/policy/decide.go
+++ b/internal/backlog/policy/decide.go
@@ -51,9 +51,9 @@
 	return p.storeOrRefuse(lane, bytes, now)
 }
 
-// DecideWithin is Decide for a message with left time to its deadline; fits says whether the scheduler and the
+// DecideWithDeadline is Decide for a message with left time to its deadline; fits says whether the scheduler and the
 // write-ahead log have room for it. A message that would have to be answered as soon as it is stored is refused.
-func (p *Policy) DecideWithin(lane Lane, bytes int64, left time.Duration, fits bool, now time.Time) Decision {
+func (p *Policy) DecideWithDeadline(lane Lane, bytes int64, left time.Duration, fits bool, now time.Time) Decision {
 	d := p.Decide(lane, bytes, now)
 	if d.Place == Memory && !fits {
 		d = p.storeOrRefuse(lane, bytes, now)
--- a/internal/backlog/policy/memory_test.go
+++ b/internal/backlog/policy/memory_test.go
@@ -21,11 +21,11 @@
 		}
 	}
 	fresh := Lane{Destination: 9}
-	p.Out(fresh.Destination, true) // else it finds room in the reserve
+	p.SetUnavailable(fresh.Destination, true) // else it finds room in the reserve
 	require.Equal(t, Store, arrive(p, fresh, 100).Place, "though its lane is empty")
 	p.Ended(Lane{Destination: 1})
 	require.Equal(t, Store, arrive(p, fresh, 100).Place, "behind the one of its lane that is stored")
-	require.Equal(t, []Move{{Kind: BringBack, Lane: fresh, Count: 1}}, p.Due(), "as many as there is room for")
+	require.Equal(t, []Move{{Kind: LoadOldest, Lane: fresh, Count: 1}}, p.Due(), "as many as there is room for")
 }
 
 func TestLanesWithoutRoomInMemoryComeBackLater(t *testing.T) {
@@ -46,7 +46,7 @@
 		require.Len(t, moves, 1)
 		require.False(t, back[moves[0].Lane], "lanes take turns")
 		back[moves[0].Lane] = true
-		p.Back(moves[0].Lane, 10, start)
+		p.Loaded(moves[0].Lane, 10, start)
 		held = moves[0].Lane
 	}
 	require.Len(t, back, 1000)
@@ -55,19 +55,19 @@
 func TestMessageWithoutTimeOrRoomIsStoredOrRefused(t *testing.T) {
 	p, lane := boundedMemory(t, 4), Lane{Destination: 1}
 	lead := testBounds().ExpiryLead
-	require.Equal(t, Memory, p.DecideWithin(lane, 100, time.Second, true, start).Place)
-	require.Equal(t, Store, p.DecideWithin(lane, 100, lead+1, false, start).Place)
-	d := p.DecideWithin(lane, 100, lead, false, start)
+	require.Equal(t, Memory, p.DecideWithDeadline(lane, 100, time.Second, true, start).Place)
+	require.Equal(t, Store, p.DecideWithDeadline(lane, 100, lead+1, false, start).Place)
+	d := p.DecideWithDeadline(lane, 100, lead, false, start)
 	require.Equal(t, Refused, d.Place)
 	require.Positive(t, d.RetryAfter)
-	require.Equal(t, Refused, p.DecideWithin(lane, 1_000_000, time.Hour, false, start).Place, "a bound stands against it")
+	require.Equal(t, Refused, p.DecideWithDeadline(lane, 1_000_000, time.Hour, false, start).Place, "a bound stands against it")
 }
 
 func TestDiscardedMessageFreesItsBytes(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{Destination: 1, Tenant: 2}
 	p.Stored(lane, 1, 700)
 	p.Discarded(lane, 700)
-	messages, bytes := p.Amount()
+	messages, bytes := p.StoredAmount()
 	require.Zero(t, messages)
 	require.Zero(t, bytes)
 	require.Zero(t, p.TenantBytes(2))
--- a/internal/backlog/policy/moves.go
+++ b/internal/backlog/policy/moves.go
@@ -5,8 +5,8 @@
 
 // The kinds of moves.
 const (
-	SpillTail MoveKind = iota // move the newest messages in memory to the store
-	BringBack                 // move the oldest stored messages back
+	SpillTail  MoveKind = iota // move the newest messages in memory to the store
+	LoadOldest                 // move the oldest stored messages back
 )
 
 // Move is a move of a lane's messages that is due.
@@ -38,7 +38,7 @@
 			continue
 		}
 		limit := left
-		if m.Kind == BringBack {
+		if m.Kind == LoadOldest {
 			limit = min(left, p.freeMemoryFor(l.id, memory, held))
 		}
 		if m.Count > limit {
@@ -49,7 +49,7 @@
 			continue
 		}
 		left -= m.Count
-		if m.Kind == BringBack {
+		if m.Kind == LoadOldest {
 			memory = max(0, memory-m.Count)
 			held += m.Count
 		}
@@ -58,8 +58,8 @@
 	return moves
 }
 
-// Unmoved records that a move of a lane was not carried out completely: it is due again.
-func (p *Policy) Unmoved(lane Lane) {
+// MoveIncomplete records that a move of a lane was not carried out completely: it is due again.
+func (p *Policy) MoveIncomplete(lane Lane) {
 	if l := p.lanes[lane]; l != nil {
 		p.queueIfDue(l)
 	}
@@ -72,7 +72,7 @@
 func (p *Policy) due(l *laneState) Move {
 	switch {
 	case l.stored.messages > 0 && l.held <= p.bounds.Window/2:
-		return Move{Kind: BringBack, Lane: l.id, Count: min(p.bounds.Window-l.held, l.stored.messages)}
+		return Move{Kind: LoadOldest, Lane: l.id, Count: min(p.bounds.Window-l.held, l.stored.messages)}
 	case l.stored.messages == 0 && l.held > p.maxHeld(l.id) && p.bound(l.id, 1) == NoBound:
 		return Move{Kind: SpillTail, Lane: l.id, Count: l.held - p.bounds.Window}
 	}
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -92,8 +92,8 @@
 	p.addStored(l, 1, bytes)
 }
 
-// Back records that a message of a lane was brought back from the store to memory.
-func (p *Policy) Back(lane Lane, bytes int64, now time.Time) {
+// Loaded records that a message of a lane was brought back from the store to memory.
+func (p *Policy) Loaded(lane Lane, bytes int64, now time.Time) {
 	l := p.lane(lane)
 	l.held++
 	p.held++
@@ -108,8 +108,8 @@
 	p.forget(l)
 }
 
-// Out records whether a destination takes no messages for now.
-func (p *Policy) Out(destination uint64, out bool) {
+// SetUnavailable records whether a destination takes no messages for now.
+func (p *Policy) SetUnavailable(destination uint64, out bool) {
 	d := p.destinations[destination]
 	if d == nil {
 		if !out {
@@ -130,8 +130,8 @@
 // ExpiryBatch returns how many expiring messages are answered in one turn of the event loop.
 func (p *Policy) ExpiryBatch() int { return expiryBatch }
 
-// Amount returns how many messages and bytes are stored.
-func (p *Policy) Amount() (messages int, bytes int64) { return p.stored.messages, p.stored.bytes }
+// StoredAmount returns how many messages and bytes are stored.
+func (p *Policy) StoredAmount() (messages int, bytes int64) { return p.stored.messages, p.stored.bytes }
 
 // TenantBytes returns how many bytes a tenant has stored.
 func (p *Policy) TenantBytes(tenant uint32) int64 { return p.tenants[tenant] }
--- a/internal/backlog/policy/policy_test.go
+++ b/internal/backlog/policy/policy_test.go
@@ -69,7 +69,7 @@
 		arrive(p, lane, 100)
 	}
 	require.Empty(t, p.Due())
-	p.Out(1, true)
+	p.SetUnavailable(1, true)
 	require.Equal(t, []Move{{SpillTail, lane, 7}}, p.Due())
 	for range 7 {
 		p.Spilled(lane, 100)
@@ -77,7 +77,7 @@
 	require.Empty(t, p.Due())
 	require.Equal(t, Store, arrive(p, lane, 100).Place)
 
-	p.Out(2, true)
+	p.SetUnavailable(2, true)
 	for range 8 {
 		require.Equal(t, Memory, arrive(p, Lane{2, 1}, 100).Place)
 	}
@@ -89,16 +89,16 @@
 	for range 15 {
 		arrive(p, lane, 100)
 	}
-	p.Out(1, true)
+	p.SetUnavailable(1, true)
 	require.Len(t, p.Due(), 1)
 	require.Empty(t, p.Due())
-	p.Unmoved(lane)
+	p.MoveIncomplete(lane)
 	require.Equal(t, []Move{{SpillTail, lane, 7}}, p.Due())
 }
 
 func TestWindowIsRefilledWhenHalfEmpty(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{1, 1}
-	p.Out(1, true)
+	p.SetUnavailable(1, true)
 	for range 30 {
 		arrive(p, lane, 100)
 	}
@@ -108,9 +108,9 @@
 	}
 	require.Empty(t, p.Due(), "more than half of it is left")
 	p.Ended(lane)
-	require.Equal(t, []Move{{BringBack, lane, 4}}, p.Due())
+	require.Equal(t, []Move{{LoadOldest, lane, 4}}, p.Due())
 	for range 4 {
-		p.Back(lane, 100, start)
+		p.Loaded(lane, 100, start)
 	}
 	require.Empty(t, p.Due())
 }
@@ -129,11 +129,11 @@
 	for turn := 1; turn <= destinations*8/bounds.Batch; turn++ {
 		sum := 0
 		for _, m := range p.Due() {
-			require.Equal(t, BringBack, m.Kind)
+			require.Equal(t, LoadOldest, m.Kind)
 			sum += m.Count
 			served[m.Lane] += m.Count
 			for range m.Count {
-				p.Back(m.Lane, 100, start)
+				p.Loaded(m.Lane, 100, start)
 			}
 		}
 		require.LessOrEqual(t, sum, bounds.Batch)
@@ -189,7 +189,7 @@
 	p.Stored(lane, 400, 40_000)
 	require.Equal(t, 30*time.Second, p.Decide(lane, 100, start).RetryAfter, "nothing drains")
 	for i := range 200 { // 1,000 bytes a second
-		p.Back(lane, 100, start.Add(time.Duration(i)*100*time.Millisecond))
+		p.Loaded(lane, 100, start.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	p.Stored(lane, 200, 20_000)
 	now := start.Add(20 * time.Second)
@@ -205,12 +205,12 @@
 	lower.Bytes, lower.DestinationBytes, lower.TenantBytes, lower.Window, lower.Behind = 20_000, 20_000, 20_000, 30, 30
 	require.NoError(t, p.SetBounds(lower))
 	require.Equal(t, Refused, arrive(p, lane, 100).Place)
-	messages, bytes := p.Amount()
+	messages, bytes := p.StoredAmount()
 	require.Equal(t, 300, messages)
 	require.Equal(t, int64(30_000), bytes)
-	require.Equal(t, []Move{{BringBack, lane, 30}}, p.Due(), "the wider window is filled")
+	require.Equal(t, []Move{{LoadOldest, lane, 30}}, p.Due(), "the wider window is filled")
 	for range 101 {
-		p.Back(lane, 100, start)
+		p.Loaded(lane, 100, start)
 	}
 	require.Equal(t, Store, arrive(p, lane, 100).Place)
 }
@@ -252,7 +252,7 @@
 			}
 			q.memory = append(q.memory, q.store[0])
 			q.store = q.store[1:]
-			s.policy.Back(m.Lane, 100, start)
+			s.policy.Loaded(m.Lane, 100, start)
 		}
 	}
 }
@@ -263,7 +263,7 @@
 	q := s.queue(lane)
 	switch rng.IntN(5) {
 	case 0:
-		s.policy.Out(lane.Destination, rng.IntN(2) == 0)
+		s.policy.SetUnavailable(lane.Destination, rng.IntN(2) == 0)
 	case 1:
 		if len(q.memory) > 0 {
 			q.memory = q.memory[1:]
@@ -285,7 +285,7 @@
 // drain brings all messages back and ends them.
 func (s *simulation) drain(t *testing.T) {
 	for d := range uint64(6) {
-		s.policy.Out(d, false)
+		s.policy.SetUnavailable(d, false)
 	}
 	for lane, q := range s.queues {
 		for len(q.memory)+len(q.store) > 0 {
@@ -344,8 +344,8 @@
 	for range reservedPerLane {
 		p.Ended(lane)
 	}
-	require.Equal(t, []Move{{Kind: BringBack, Lane: lane, Count: reservedPerLane}}, p.Due())
-	p.Out(3, true)
+	require.Equal(t, []Move{{Kind: LoadOldest, Lane: lane, Count: reservedPerLane}}, p.Due())
+	p.SetUnavailable(3, true)
 	require.Equal(t, Store, p.Decide(Lane{Destination: 3}, 10, now).Place)
 	for range memory / reserveDivisor {
 		p.Held(Lane{Destination: 1})
--- a/internal/backlog/stats.go
+++ b/internal/backlog/stats.go
@@ -47,10 +47,10 @@
 		if err != nil {
 			return nil, err
 		}
-		stats.add(l, first.Taken)
+		stats.add(l, first.AcceptedAt)
 		destination, tenant := stats.Destinations[id.Destination], stats.Tenants[id.Tenant]
-		destination.add(l, first.Taken)
-		tenant.add(l, first.Taken)
+		destination.add(l, first.AcceptedAt)
+		tenant.add(l, first.AcceptedAt)
 		stats.Destinations[id.Destination], stats.Tenants[id.Tenant] = destination, tenant
 	}
 	return stats, nil
@@ -113,5 +113,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return m.Taken, nil
+	return m.AcceptedAt, nil
 }
--- a/internal/backlog/stats_test.go
+++ b/internal/backlog/stats_test.go
@@ -24,7 +24,7 @@
 	require.NoError(t, err)
 	require.Zero(t, oldest)
 	for seq := range uint64(10) {
-		m := &Message{Seq: 5 + seq, Lane: Lane{Destination: seq % 3}, ID: string(rune('a' + seq)), Taken: int64(100 + seq)}
+		m := &Message{Seq: 5 + seq, Lane: Lane{Destination: seq % 3}, ID: string(rune('a' + seq)), AcceptedAt: int64(100 + seq)}
 		if seq%2 == 0 {
 			m.Attempts = 1
 		}
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -113,11 +113,11 @@
 // LastSeq returns the greatest number that the store knows to be used. Numbers assigned from now on must be greater.
 func (s *Store) LastSeq() uint64 { return s.lastSeq }
 
-// Has reports whether a message with this client's id is stored. It compares hashes of 64 bits.
-func (s *Store) Has(id string) bool { return s.ids.has(hashID(id)) }
+// HasID reports whether a message with this client's id is stored. It compares hashes of 64 bits.
+func (s *Store) HasID(id string) bool { return s.ids.has(hashID(id)) }
 
-// KeyElsewhere reports whether messages that keep the order of a key are stored in another lane than this one.
-func (s *Store) KeyElsewhere(key uint64, id Lane) bool {
+// KeyInOtherLane reports whether messages that keep the order of a key are stored in another lane than this one.
+func (s *Store) KeyInOtherLane(key uint64, id Lane) bool {
 	if key == 0 {
 		return false
 	}
@@ -128,8 +128,8 @@
 	return s.keys.elsewhere(hashKey(key), number)
 }
 
-// Stored returns how many messages of a lane are stored.
-func (s *Store) Stored(id Lane) int {
+// LaneMessages returns how many messages of a lane are stored.
+func (s *Store) LaneMessages(id Lane) int {
 	if l := s.lanes[id]; l != nil {
 		return l.liveCount()
 	}
--- a/internal/backlog/store_test.go
+++ b/internal/backlog/store_test.go
@@ -24,7 +24,7 @@
 
 	require.ErrorIs(t, s.Append(testMessage(one, 12)), ErrStored)
 	require.ErrorIs(t, s.Append(testMessage(one, 5)), ErrOrder)
-	require.Equal(t, 8, s.Stored(one))
+	require.Equal(t, 8, s.LaneMessages(one))
 	require.Equal(t, 14, s.Messages())
 	require.Equal(t, uint64(115), s.LastSeq())
 
@@ -35,9 +35,9 @@
 		NewRef(Lane{9, 9}, 1, "id", 1),
 	}))
 	require.Equal(t, []uint64{9, 10, 12, 13, 14, 15}, headSeqs(t, s, one, 100))
-	require.False(t, s.Has("id-11"))
-	require.True(t, s.Has("id-12"))
-	require.False(t, s.Has("id-77"))
+	require.False(t, s.HasID("id-11"))
+	require.True(t, s.HasID("id-12"))
+	require.False(t, s.HasID("id-77"))
 	checkStore(t, s)
 
 	require.NoError(t, s.Close())
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -128,7 +128,7 @@
 		Frontend:        frontendName(m.Frontend),
 		CallerWaits:     m.CallerWaits,
 		Attempts:        int(m.Attempts),
-		Taken:           wallTime(m.Taken),
+		Taken:           wallTime(m.AcceptedAt),
 		Expiry:          wallTime(m.Expiry),
 		MayHaveRunSince: wallTime(m.MayHaveRun),
 		Sequence:        m.Seq,
--- a/internal/commands/backlog_read_test.go
+++ b/internal/commands/backlog_read_test.go
@@ -29,7 +29,7 @@
 				return
 			default:
 			}
-			if w.err = store.Append(newMessage(lane, next)); w.err == nil && store.Stored(lane) > 20 {
+			if w.err = store.Append(newMessage(lane, next)); w.err == nil && store.LaneMessages(lane) > 20 {
 				var head []*backlog.Message
 				if head, w.err = store.Head(lane, 1); w.err == nil {
 					w.err = store.Release([]backlog.Ref{head[0].Ref()})
--- a/internal/commands/harness_test.go
+++ b/internal/commands/harness_test.go
@@ -29,7 +29,7 @@
 
 func newMessage(lane backlog.Lane, seq uint64) *backlog.Message {
 	return &backlog.Message{Seq: seq, Lane: lane, Key: 5, Type: "ticket", ID: fmt.Sprintf("id-%d", seq), Body: []byte(fmt.Sprintf("body of %d", seq)),
-		Taken: time.Now().UnixMicro(), Expiry: time.Now().Add(time.Hour).UnixMicro()}
+		AcceptedAt: time.Now().UnixMicro(), Expiry: time.Now().Add(time.Hour).UnixMicro()}
 }
 
 func openStore(t *testing.T, folder string, bounds backlog.Bounds) *backlog.Store {
--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -86,14 +86,14 @@
 			return 0, 0, t.ctx.Err()
 		}
 		m := &backlog.Message{
-			Seq:    uint64(n + 1),
-			Lane:   backlog.Lane{Destination: uint64(what.first + n%what.destinations)},
-			Key:    uint64(n + 1),
-			Type:   heldType,
-			ID:     storedID(n),
-			Body:   bytes.Repeat([]byte("x"), bodyBytes),
-			Taken:  time.Now().UnixMicro(),
-			Expiry: day.UnixMicro(),
+			Seq:        uint64(n + 1),
+			Lane:       backlog.Lane{Destination: uint64(what.first + n%what.destinations)},
+			Key:        uint64(n + 1),
+			Type:       heldType,
+			ID:         storedID(n),
+			Body:       bytes.Repeat([]byte("x"), bodyBytes),
+			AcceptedAt: time.Now().UnixMicro(),
+			Expiry:     day.UnixMicro(),
 		}
 		if what.expiry != nil {
 			m.Expiry = what.expiry(n).UnixMicro()
