--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -57,7 +57,7 @@
 // handleOperatorRequest answers a request of the operators.
 func (loop *eventLoop) handleOperatorRequest(r operatorRequest) {
 	switch r.Operation {
-	case admin.Figures:
+	case admin.Vars:
 		r.reply(admin.Response{OK: true, Text: loop.operatorFigures()})
 	case admin.LameDuckOn, admin.LameDuckOff:
 		// A stopping process goes on draining: its clients are to go elsewhere whatever the operators say.
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -50,7 +50,7 @@
 	case admin.LameDuckOn, admin.LameDuckOff:
 		s.lameDuck = c.Operation == admin.LameDuckOn
 		return admin.Response{OK: true, Text: c.Operation.String()}, true
-	case admin.Figures:
+	case admin.Vars:
 		return admin.Response{OK: true, Text: s.figures()}, true
 	}
 	return s.drain(c), true
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,7 +17,7 @@
 
 // The operations.
 const (
-	Figures Operation = iota
+	Vars Operation = iota
 	Detach
 	Attach
 	LameDuckOn
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -29,7 +29,7 @@
 	operation    Operation
 	named        bool // of one endpoint
 }{
-	{http.MethodGet, "/_vars", Figures, false},
+	{http.MethodGet, "/_vars", Vars, false},
 	{http.MethodPost, "/_targets/detach", Detach, true},
 	{http.MethodPost, "/_targets/attach", Attach, true},
 	{http.MethodPost, "/_lameduck/on", LameDuckOn, false},
