--- a/forwarder/upstreams.go
+++ b/forwarder/upstreams.go
@@ -43,9 +43,9 @@
 
 func newHTTP(d *dial.Dialer, s UpstreamSettings, listener transport.ResultListener) transport.Upstream {
 	return upstream.New(d, listener, upstream.Settings{
-		Connect:    s.Connect,
-		KeepIdle:   s.KeepIdle,
-		LimitField: s.ReportedLimitField,
-		ShareField: s.ReportedShareField,
+		ConnectTimeout: s.Connect,
+		IdleTimeout:    s.KeepIdle,
+		LimitField:     s.ReportedLimitField,
+		ShareField:     s.ReportedShareField,
 	})
 }
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -129,8 +129,8 @@
 	return len(piece), nil
 }
 
-// Ended reports whether the end of the connection completes the answer.
-func (r *Reader) Ended() bool { return r.state == readingUntilClose }
+// EndsAtClose reports whether the end of the connection completes the answer.
+func (r *Reader) EndsAtClose() bool { return r.state == readingUntilClose }
 
 // Started reports whether anything of an answer has been received, interim ones aside.
 func (r *Reader) Started() bool { return r.state != readingStatusLine || len(r.line) > 0 }
@@ -232,7 +232,7 @@
 	}
 	name, value := line[:colon], bytes.TrimSpace(line[colon+1:])
 	switch {
-	case HasToken(name, "content-length"):
+	case EqualFold(name, "content-length"):
 		n, err := strconv.ParseUint(string(value), 10, 31)
 		if err != nil || len(value) > maxNumberDigits || r.hasLength && int(n) != r.bodyLeft {
 			return ErrMalformed
@@ -241,13 +241,13 @@
 			return ErrSize
 		}
 		r.bodyLeft, r.hasLength = int(n), true
-	case HasToken(name, "transfer-encoding"):
-		r.chunked = HasToken(value, "chunked")
+	case EqualFold(name, "transfer-encoding"):
+		r.chunked = EqualFold(value, "chunked")
 		if !r.chunked {
 			return ErrMalformed
 		}
-	case HasToken(name, "connection"):
-		r.Close = r.Close || HasToken(value, "close")
+	case EqualFold(name, "connection"):
+		r.Close = r.Close || EqualFold(value, "close")
 	}
 	if r.code >= firstFinalStatus {
 		h.Field(name, value)
@@ -273,8 +273,8 @@
 	}
 }
 
-// HasToken reports whether b, the name or value of a field, equals word without regard to case. word is in lower case.
-func HasToken(b []byte, word string) bool {
+// EqualFold reports whether b, the name or value of a field, equals word without regard to case. word is in lower case.
+func EqualFold(b []byte, word string) bool {
 	if len(b) != len(word) {
 		return false
 	}
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -26,7 +26,7 @@
 			text = text[used:]
 		}
 	}
-	return s.text.String(), text, done || r.Ended(), err
+	return s.text.String(), text, done || r.EndsAtClose(), err
 }
 
 func TestAnswersAreParsedAlikeInPiecesOfAnySize(t *testing.T) {
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// Waiting returns how many bytes of an unfinished command are kept.
-func (r *Reader) Waiting() int { return len(r.unfinished) }
+// Buffered returns how many bytes of an unfinished command are kept.
+func (r *Reader) Buffered() int { return len(r.unfinished) }
 
 // parseCommand parses one command into args and returns its length, 0 while it is not complete.
 func parseCommand(b []byte, args [][]byte) ([][]byte, int, error) {
--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -50,9 +50,9 @@
 	var r Reader
 	none := func([][]byte) error { return nil }
 	require.NoError(t, r.Feed([]byte("*1\r\n$4\r\nPI"), none))
-	require.Equal(t, 10, r.Waiting())
+	require.Equal(t, 10, r.Buffered())
 	require.NoError(t, r.Feed([]byte("NG\r\n"), none))
-	require.Zero(t, r.Waiting())
+	require.Zero(t, r.Buffered())
 }
 
 func FuzzFeed(f *testing.F) {
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -74,7 +74,7 @@
 		c.commandBegan = now
 	}
 	s.mu.Unlock()
-	c.partial.Store(c.reader.Waiting() > 0)
+	c.partial.Store(c.reader.Buffered() > 0)
 	if err != nil {
 		c.refuse("ERR " + err.Error())
 	}
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -43,13 +43,13 @@
 // Field keeps the fields that are used.
 func (a *answer) Field(name, value []byte) {
 	switch {
-	case http1.HasToken(name, "retry-after"):
+	case http1.EqualFold(name, "retry-after"):
 		if s, err := strconv.ParseFloat(string(value), 64); err == nil && s > 0 && s < maxRetryAfter {
 			a.retryAfter = s
 		}
-	case http1.HasToken(name, "x-line-busy"):
+	case http1.EqualFold(name, "x-line-busy"):
 		a.noSlot = string(value) == "1"
-	case http1.HasToken(name, "x-pressure"):
+	case http1.EqualFold(name, "x-pressure"):
 		a.loadReport = string(value)
 	}
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -29,11 +29,11 @@
 
 // Settings are the client's timeouts and the fields of load reports that it reads.
 type Settings struct {
-	Connect    time.Duration // limit for establishing a connection
-	KeepIdle   time.Duration // idle connections are closed after this time
-	LimitField string        // field of a load report that has the limit in calls a second
-	ShareField string        // field of a load report that has the remaining share of the limit
-	ReuseProof time.Duration // how long a connection must be silent after an answer before its reuse; 0: 3 ms
+	ConnectTimeout time.Duration // limit for establishing a connection
+	IdleTimeout    time.Duration // idle connections are closed after this time
+	LimitField     string        // field of a load report that has the limit in calls a second
+	ShareField     string        // field of a load report that has the remaining share of the limit
+	ReuseDelay     time.Duration // how long a connection must be silent after an answer before its reuse; 0: 3 ms
 }
 
 // Client holds the connections to all endpoints and the calls on them. It is safe for concurrent use.
@@ -51,8 +51,8 @@
 // New returns a client without connections. It dials through d, which stays the caller's to stop, and reports the end
 // of each call to results.
 func New(d *dial.Dialer, results transport.ResultListener, settings Settings) *Client {
-	if settings.ReuseProof == 0 {
-		settings.ReuseProof = defaultReuseProof
+	if settings.ReuseDelay == 0 {
+		settings.ReuseDelay = defaultReuseProof
 	}
 	return &Client{
 		dialer:      d,
@@ -138,7 +138,7 @@
 		cl.closeLongestIdle()
 	}
 	conn := &connection{client: cl, endpointID: call.EndpointID, reader: http1.Reader{MaxBody: maxAnswerBytes}}
-	conn.conn = cl.dialer.Dial(call.Address, cl.settings.Connect, conn)
+	conn.conn = cl.dialer.Dial(call.Address, cl.settings.ConnectTimeout, conn)
 	cl.maybeUnsent[conn] = struct{}{}
 	return conn
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -84,7 +84,7 @@
 // A second copy of an answer comes while the next call waits for the connection to be proven silent: the call moves to
 // a new one. The wait has no end here, so that the copy comes within it on any machine.
 func TestBytesAfterAnswerAreNotTheNextAnswer(t *testing.T) {
-	f := newFixtureWith(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, ReuseProof: time.Hour}, nil)
+	f := newFixtureWith(t, Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, ReuseDelay: time.Hour}, nil)
 	for range 20 {
 		f.send(time.Hour, "b")
 		c := f.acceptCall()
@@ -101,7 +101,7 @@
 
 // Until its connection is proven silent a call can be cancelled: nothing of it was written.
 func TestCallWaitsForConnectionToBeProvenSilent(t *testing.T) {
-	f := newFixtureWith(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, ReuseProof: time.Hour}, nil)
+	f := newFixtureWith(t, Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, ReuseDelay: time.Hour}, nil)
 	f.send(time.Hour, "b")
 	f.acceptCall().Write([]byte(emptyOK))
 	f.requireResult(transport.ResultOK)
@@ -118,10 +118,10 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	f := newFixtureWith(t, Settings{Connect: 20 * time.Millisecond, KeepIdle: time.Minute}, never)
+	f := newFixtureWith(t, Settings{ConnectTimeout: 20 * time.Millisecond, IdleTimeout: time.Minute}, never)
 	f.send(time.Hour, "b")
 	f.requireResult(transport.ResultConnectTimeout)
-	f = newFixtureWith(t, Settings{Connect: time.Hour, KeepIdle: time.Minute}, never)
+	f = newFixtureWith(t, Settings{ConnectTimeout: time.Hour, IdleTimeout: time.Minute}, never)
 	f.send(20*time.Millisecond, "b")
 	f.requireResult(transport.ResultTimeoutBeforeSent)
 	f.send(time.Hour, "b")
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -44,7 +44,7 @@
 	c.generation++
 	generation := c.generation
 	c.timer = time.AfterFunc(call.Timeout, func() { c.timerFired(generation) })
-	if wait := c.client.settings.ReuseProof - c.startedAt.Sub(c.idleSince); wait > 0 {
+	if wait := c.client.settings.ReuseDelay - c.startedAt.Sub(c.idleSince); wait > 0 {
 		c.state = awaitingSilence
 		c.client.maybeUnsent[c] = struct{}{}
 		time.AfterFunc(wait, func() { c.sendDelayed(generation) })
@@ -201,7 +201,7 @@
 // closedWithCall ends the call of a connection that has ended. The client's lock is held.
 func (c *connection) closedWithCall(cause error) {
 	switch {
-	case c.reader.Ended():
+	case c.reader.EndsAtClose():
 		c.finish(c.answer.resultCodes(c.call), "")
 	case errors.Is(cause, dial.ErrConnectTimeout):
 		c.finish(c.sameCodes(transport.ResultConnectTimeout), "")
@@ -268,7 +268,7 @@
 	cl.idle[c.endpointID] = append(cl.idle[c.endpointID], c)
 	c.state, c.idleSince = idle, time.Now()
 	generation := c.generation
-	c.timer = time.AfterFunc(cl.settings.KeepIdle, func() { c.timerFired(generation) })
+	c.timer = time.AfterFunc(cl.settings.IdleTimeout, func() { c.timerFired(generation) })
 }
 
 // close closes the socket; dial does not call Closed for it. A call on the connection is the caller's to finish or
--- a/internal/upstream/fixture_test.go
+++ b/internal/upstream/fixture_test.go
@@ -28,7 +28,7 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	return newFixtureWith(t, Settings{Connect: time.Minute, KeepIdle: time.Minute, LimitField: "x1", ShareField: "x0"}, nil)
+	return newFixtureWith(t, Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, LimitField: "x1", ShareField: "x0"}, nil)
 }
 
 // newFixtureWith has settings of its own, and connects by connect unless that is nil.
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	t.Cleanup(dialer.Stop)
 	e := &endpoint{t: t, server: transcript.NewServer(t, "127.4.0.2"), results: make(results, 9)}
-	e.client = upstream.New(dialer, e.results, upstream.Settings{Connect: time.Minute, KeepIdle: time.Minute})
+	e.client = upstream.New(dialer, e.results, upstream.Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute})
 	e.script.Mask(regexp.QuoteMeta(e.server.Addr), "ENDPOINT")
 	return e
 }
