--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -27,7 +27,7 @@
 	if c.ListBytes > 0 {
 		return c.ListBytes
 	}
-	return max(discovery.DefaultMaxLineBytes, c.MemoryMB<<20/listMemoryFraction)
+	return max(discovery.DefaultMaxObjectBytes, c.MemoryMB<<20/listMemoryFraction)
 }
 
 // openDiscovery opens the source of the list, discovery or a list of the configuration, and the notifier.
@@ -35,7 +35,7 @@
 	config := loop.config
 	if config.Discovery != "" {
 		client := newControlPlane(dialer, config.Discovery, connectTimeout, loop.queue)
-		client.endpoints.MaxLineBytes = config.maxListBytes()
+		client.endpoints.MaxObjectBytes = config.maxListBytes()
 		loop.discovery.source, loop.discovery.movable = client, client
 		if config.noticeAddress == "" {
 			loop.notices.notifier = client
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -20,13 +20,13 @@
 	promptAnswer      = 500 * time.Millisecond    // an answer within this did not wait behind other requests
 )
 
-// DefaultMaxLineBytes is the bound of one object of a watch, in bytes, where Client.MaxLineBytes is not set.
-const DefaultMaxLineBytes = maxLineBytes
+// DefaultMaxObjectBytes is the bound of one object of a watch, in bytes, where Client.MaxLineBytes is not set.
+const DefaultMaxObjectBytes = maxLineBytes
 
 // Client watches the list at one address, on one connection at a time. It is safe for concurrent use.
 type Client struct {
-	// MaxLineBytes bounds one object of a watch, in bytes; 0: DefaultMaxLineBytes. It is set before the first Watch.
-	MaxLineBytes int
+	// MaxObjectBytes bounds one object of a watch, in bytes; 0: DefaultMaxLineBytes. It is set before the first Watch.
+	MaxObjectBytes int
 
 	dialer         *dial.Dialer
 	connectTimeout time.Duration
@@ -97,8 +97,8 @@
 }
 
 func (c *Client) lineLimit() int {
-	if c.MaxLineBytes > 0 {
-		return c.MaxLineBytes
+	if c.MaxObjectBytes > 0 {
+		return c.MaxObjectBytes
 	}
 	return maxLineBytes
 }
--- a/internal/discovery/objects_test.go
+++ b/internal/discovery/objects_test.go
@@ -31,7 +31,7 @@
 	const bound = 1000
 	for _, bytes := range []int{bound, bound + 1} {
 		h := newHarness(t)
-		h.MaxLineBytes = bound
+		h.MaxObjectBytes = bound
 		h.Watch(0)
 		conn, _ := h.peer.Accept(t)
 		line := `{"rev":1,"all":true,"targets":[]}`
