--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -23,9 +23,9 @@
 // Unwrap returns the command's own error.
 func (f failure) Unwrap() error { return f.error }
 
-// ErrFound is returned by a command that has printed what is wrong itself: Main exits with ExitError and prints
+// ErrReported is returned by a command that has printed what is wrong itself: Main exits with ExitError and prints
 // nothing.
-var ErrFound error = failure{errors.New("")}
+var ErrReported error = failure{errors.New("")}
 
 // Run wraps a command's work, so that an error of it counts as a failure and not as a wrong command line.
 func Run(work func(args []string) error) func(*cobra.Command, []string) error {
@@ -58,8 +58,8 @@
 	return ExitError
 }
 
-// Print writes a value as indented JSON.
-func Print(w io.Writer, v any) error {
+// PrintJSON writes a value as indented JSON.
+func PrintJSON(w io.Writer, v any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	return encoder.Encode(v)
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -214,7 +214,7 @@
 	}
 	damaged := slices.ContainsFunc(segments, func(r segmentReport) bool { return r.Fault != nil })
 	if s.json {
-		err = cli.Print(s.out, backlogVerification{folder, damaged, segments})
+		err = cli.PrintJSON(s.out, backlogVerification{folder, damaged, segments})
 	} else {
 		s.printSegments(segments, damaged)
 	}
--- a/internal/commands/backlog_stat.go
+++ b/internal/commands/backlog_stat.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	if s.json {
-		return cli.Print(s.out, stats)
+		return cli.PrintJSON(s.out, stats)
 	}
 	return stats.write(s.out)
 }
--- a/internal/commands/check.go
+++ b/internal/commands/check.go
@@ -83,12 +83,12 @@
 		r.noteHolders()
 	}
 	if s.json {
-		err = cli.Print(s.out, r)
+		err = cli.PrintJSON(s.out, r)
 	} else {
 		r.write(s.out) // an error of reading is printed to standard error, too
 	}
 	if err == nil && !r.OK {
-		return cli.ErrFound
+		return cli.ErrReported
 	}
 	return err
 }
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -131,5 +131,5 @@
 	for _, p := range problems {
 		fmt.Fprintln(s.err, p)
 	}
-	return cli.ErrFound
+	return cli.ErrReported
 }
--- a/internal/commands/config.go
+++ b/internal/commands/config.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	if s.json {
-		return cli.Print(s.out, fields)
+		return cli.PrintJSON(s.out, fields)
 	}
 	t := newColumns(s.out)
 	fmt.Fprintln(t, "FIELD\tVALUE\tSOURCE\tCHANGE")
@@ -83,7 +83,7 @@
 	}
 	var fields []fieldReport
 	for _, v := range l.Values() {
-		fields = append(fields, fieldReport{v.Field, v.Value, sourceText(v.Source, path), config.Reload(v.Field).String()})
+		fields = append(fields, fieldReport{v.Field, v.Value, sourceText(v.Source, path), config.ReloadBehavior(v.Field).String()})
 	}
 	return fields, nil
 }
--- a/internal/commands/messages.go
+++ b/internal/commands/messages.go
@@ -101,7 +101,7 @@
 // printMessage prints one message with its body.
 func (s *session) printMessage(m *messageReport) error {
 	if s.json {
-		return cli.Print(s.out, m)
+		return cli.PrintJSON(s.out, m)
 	}
 	t := newColumns(s.out)
 	line := func(name string, value any) { fmt.Fprintf(t, "%s\t%v\n", name, value) }
--- a/internal/commands/version.go
+++ b/internal/commands/version.go
@@ -51,7 +51,7 @@
 func (s *session) printVersion() error {
 	b := readBuildInfo()
 	if s.json {
-		return cli.Print(s.out, b)
+		return cli.PrintJSON(s.out, b)
 	}
 	_, err := fmt.Fprintln(s.out, strings.TrimSpace(fmt.Sprintf("spanflow %s %s %s", b.Version, b.Go, b.Revision)))
 	return err
--- a/internal/commands/wal.go
+++ b/internal/commands/wal.go
@@ -23,7 +23,7 @@
 // walFolder finds the write-ahead log's folder in a configuration.
 var walFolder = folderSource{
 	ofForwarder: func(c *forwarder.Config) string { return c.Folder },
-	ofFile:      func(l *config.Loaded) string { return l.Folder() },
+	ofFile:      func(l *config.Loaded) string { return l.WALFolder() },
 }
 
 func (s *session) walCommand() *cobra.Command {
@@ -215,7 +215,7 @@
 	}
 	damaged := view.Damaged()
 	if s.json {
-		err = cli.Print(s.out, walVerification{view.Dir, damaged, len(view.Pending), view.Files, view.DamagedRecords})
+		err = cli.PrintJSON(s.out, walVerification{view.Dir, damaged, len(view.Pending), view.Files, view.DamagedRecords})
 	} else {
 		s.printFiles(view, damaged)
 	}
--- a/internal/commands/wal_stat.go
+++ b/internal/commands/wal_stat.go
@@ -38,7 +38,7 @@
 	}
 	stats := sumWAL(view, time.Now())
 	if s.json {
-		return cli.Print(s.out, stats)
+		return cli.PrintJSON(s.out, stats)
 	}
 	return stats.write(s.out)
 }
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -211,7 +211,7 @@
 		if name == "folder" {
 			want = forwarder.OnRestart
 		}
-		require.Equal(t, want, Reload("backlog."+name), name)
+		require.Equal(t, want, ReloadBehavior("backlog."+name), name)
 		in := 0
 		for _, p := range forwarder.ConfigParts {
 			for _, key := range p.Keys {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -140,10 +140,10 @@
 	} else if !slices.Contains(c.Zones, c.Zone) {
 		c.problem("zone", "%q is none of zones %q", c.Zone, c.Zones)
 	}
-	if c.Ledger.Folder == "" {
+	if c.WriteAheadLog.Folder == "" {
 		c.problem("ledger.folder", "is not set")
 	} else {
-		c.checkFolder("ledger.folder", c.Folder())
+		c.checkFolder("ledger.folder", c.WALFolder())
 	}
 	c.checkMetricsAndAdmin()
 }
@@ -185,7 +185,7 @@
 		value, min Size
 	}{
 		{"limits.memory", c.Limits.Memory, minMemory},
-		{"ledger.disk", c.Ledger.Disk, minDisk},
+		{"ledger.disk", c.WriteAheadLog.Disk, minDisk},
 	} {
 		if limit.value < limit.min {
 			c.problem(limit.field, "%s is under the least, %s", limit.value, limit.min)
@@ -226,7 +226,7 @@
 	if !(d.OverloadMultiple >= 1) || math.IsInf(d.OverloadMultiple, 0) {
 		c.problem("dispatch.fall_multiple", "%v is under 1", d.OverloadMultiple)
 	}
-	c.oneOf("dispatch.late", d.Late, lateLine, lateHalves)
+	c.oneOf("dispatch.late", d.LateValueDecay, lateLine, lateHalves)
 	c.oneOf("dispatch.listed_rates", d.ListedRates, ratesNone, ratesExact, ratesRough)
 	if connections := c.Limits.Descriptors / 3; d.ConcurrencyLimit > connections {
 		c.note("dispatch.slots", "%d calls find at most %d connections, a third of limits.descriptors",
--- a/internal/config/check_backlog.go
+++ b/internal/config/check_backlog.go
@@ -38,17 +38,17 @@
 func (c *checker) checkBacklogFolder() {
 	folder := c.BacklogFolder()
 	c.checkFolder("backlog.folder", folder)
-	if c.Ledger.Folder == "" {
+	if c.WriteAheadLog.Folder == "" {
 		return
 	}
-	store, log := resolveLinks(folder), resolveLinks(c.Folder())
+	store, log := resolveLinks(folder), resolveLinks(c.WALFolder())
 	switch {
 	case store == log:
 		c.problem("backlog.folder", "%s is ledger.folder too", folder)
 	case within(store, log):
-		c.problem("backlog.folder", "%s lies within ledger.folder, %s", folder, c.Folder())
+		c.problem("backlog.folder", "%s lies within ledger.folder, %s", folder, c.WALFolder())
 	case within(log, store):
-		c.problem("backlog.folder", "ledger.folder, %s, lies within %s", c.Folder(), folder)
+		c.problem("backlog.folder", "ledger.folder, %s, lies within %s", c.WALFolder(), folder)
 	}
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -215,8 +215,8 @@
 		require.True(t, known || name == "seed", "%s stands in no part of an order", name)
 	}
 	require.Equal(t, false, s.Additional)
-	require.Equal(t, forwarder.OnReload, Reload("fronts[0].listen"))
-	require.Equal(t, forwarder.OnRestart, Reload("limits.memory"))
+	require.Equal(t, forwarder.OnReload, ReloadBehavior("fronts[0].listen"))
+	require.Equal(t, forwarder.OnRestart, ReloadBehavior("limits.memory"))
 }
 
 func TestUnitsSurviveReadingAndWriting(t *testing.T) {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -11,12 +11,12 @@
 // Defaults returns the values of the fields that nothing sets.
 func Defaults() File {
 	return File{
-		Name:    "spanflow",
-		Zones:   []string{"a"},
-		Zone:    "a",
-		Ledger:  Ledger{Folder: "state", Disk: 64e6},
-		Backlog: Backlog{Disk: 256e6, Window: 64, Behind: 1000},
-		Limits:  Limits{Cores: 1, Memory: 192e6, Descriptors: 1024},
+		Name:          "spanflow",
+		Zones:         []string{"a"},
+		Zone:          "a",
+		WriteAheadLog: WriteAheadLog{Folder: "state", Disk: 64e6},
+		Backlog:       Backlog{Disk: 256e6, Window: 64, Behind: 1000},
+		Limits:        Limits{Cores: 1, Memory: 192e6, Descriptors: 1024},
 		Dispatch: Dispatch{
 			ConcurrencyLimit:  64,
 			QueueCapacity:     2000,
@@ -30,7 +30,7 @@
 			SlowStartDuration: 10,
 			PollWithin:        10,
 			OverloadMultiple:  2,
-			Late:              lateLine,
+			LateValueDecay:    lateLine,
 			ListedRates:       ratesNone,
 			ReportLimit:       "x1",
 			ReportShare:       "x0",
@@ -45,36 +45,36 @@
 		f.Kinds = []Kind{{Name: defaultKind}}
 	}
 	for i := range f.Frontends {
-		Or(&f.Frontends[i].Protocol, protocolRESP)
-		Or(&f.Frontends[i].Name, f.Frontends[i].Protocol)
+		SetDefault(&f.Frontends[i].Protocol, protocolRESP)
+		SetDefault(&f.Frontends[i].Name, f.Frontends[i].Protocol)
 	}
 	for i := range f.Upstreams {
-		Or(&f.Upstreams[i].Protocol, protocolHTTP)
-		Or(&f.Upstreams[i].Name, f.Upstreams[i].Protocol)
+		SetDefault(&f.Upstreams[i].Protocol, protocolHTTP)
+		SetDefault(&f.Upstreams[i].Name, f.Upstreams[i].Protocol)
 	}
 	if !slices.ContainsFunc(f.Upstreams, func(u Upstream) bool { return u.Name == defaultUpstream }) {
 		f.Upstreams = append(f.Upstreams, Upstream{Name: defaultUpstream, Protocol: protocolHTTP})
 	}
 	for i := range f.Kinds {
-		Or(&f.Kinds[i].Batch, 1)
-		Or(&f.Kinds[i].Upstream, defaultUpstream)
+		SetDefault(&f.Kinds[i].Batch, 1)
+		SetDefault(&f.Kinds[i].Upstream, defaultUpstream)
 	}
 	for i := range f.Types {
-		Or(&f.Types[i].Group, groupAll)
-		Or(&f.Types[i].Value, 1)
+		SetDefault(&f.Types[i].Group, groupAll)
+		SetDefault(&f.Types[i].Value, 1)
 	}
 	for i := range f.Endpoints {
 		endpoint := &f.Endpoints[i]
-		Or(&endpoint.State, stateActive)
-		Or(&endpoint.Kind, f.Kinds[0].Name)
+		SetDefault(&endpoint.State, stateActive)
+		SetDefault(&endpoint.Kind, f.Kinds[0].Name)
 		if len(f.Zones) > 0 {
-			Or(&endpoint.Zone, f.Zones[0])
+			SetDefault(&endpoint.Zone, f.Zones[0])
 		}
 	}
 }
 
-// Or replaces a zero value by another.
-func Or[T comparable](value *T, other T) {
+// SetDefault replaces a zero value by another.
+func SetDefault[T comparable](value *T, other T) {
 	var zero T
 	if *value == zero {
 		*value = other
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -4,28 +4,28 @@
 
 // File is the form of a configuration file. Its descriptions appear in the schema that operators see.
 type File struct {
-	Name      string     `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
-	Seed      string     `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
-	Zones     []string   `toml:"zones" jsonschema_description:"Zones that targets may be in."`
-	Zone      string     `toml:"zone" jsonschema_description:"Zone of this forwarder, one of zones."`
-	Ledger    Ledger     `toml:"ledger"`
-	Backlog   Backlog    `toml:"backlog"`
-	Limits    Limits     `toml:"limits"`
-	Discovery Discovery  `toml:"discovery"`
-	Dispatch  Dispatch   `toml:"dispatch"`
-	Log       Log        `toml:"log"`
-	Metrics   Metrics    `toml:"metrics"`
-	Admin     string     `toml:"admin" jsonschema_description:"The operators' address, HTTP/1.1: readiness, figures, targets out by hand, lameduck. Empty: none."`
-	Frontends []Frontend `toml:"fronts" jsonschema_description:"Where documents come in."`
-	Upstreams []Upstream `toml:"outlets" jsonschema_description:"How targets are called. The one named http is there if it is not told."`
-	Types     []Type     `toml:"types" jsonschema_description:"Document types."`
-	Kinds     []Kind     `toml:"kinds" jsonschema_description:"Kinds of destinations."`
-	Tenants   []Tenant   `toml:"tenants" jsonschema_description:"Tenants with a share. Documents of others share a lane."`
-	Endpoints []Endpoint `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
+	Name          string        `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
+	Seed          string        `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
+	Zones         []string      `toml:"zones" jsonschema_description:"Zones that targets may be in."`
+	Zone          string        `toml:"zone" jsonschema_description:"Zone of this forwarder, one of zones."`
+	WriteAheadLog WriteAheadLog `toml:"ledger"`
+	Backlog       Backlog       `toml:"backlog"`
+	Limits        Limits        `toml:"limits"`
+	Discovery     Discovery     `toml:"discovery"`
+	Dispatch      Dispatch      `toml:"dispatch"`
+	Log           Log           `toml:"log"`
+	Metrics       Metrics       `toml:"metrics"`
+	Admin         string        `toml:"admin" jsonschema_description:"The operators' address, HTTP/1.1: readiness, figures, targets out by hand, lameduck. Empty: none."`
+	Frontends     []Frontend    `toml:"fronts" jsonschema_description:"Where documents come in."`
+	Upstreams     []Upstream    `toml:"outlets" jsonschema_description:"How targets are called. The one named http is there if it is not told."`
+	Types         []Type        `toml:"types" jsonschema_description:"Document types."`
+	Kinds         []Kind        `toml:"kinds" jsonschema_description:"Kinds of destinations."`
+	Tenants       []Tenant      `toml:"tenants" jsonschema_description:"Tenants with a share. Documents of others share a lane."`
+	Endpoints     []Endpoint    `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
 }
 
-// Ledger configures the write-ahead log, by the name that the file has for it.
-type Ledger struct {
+// WriteAheadLog configures the write-ahead log, by the name that the file has for it.
+type WriteAheadLog struct {
 	Folder string `toml:"folder" jsonschema_description:"The folder that lasts, relative to the file. It is made if missing."`
 	Disk   Size   `toml:"disk" jsonschema_description:"Space that the folder may take, 1 MB at least."`
 }
@@ -67,7 +67,7 @@
 	SlowStartDuration Duration `toml:"cold_for" jsonschema_description:"Time in which it gets warm."`
 	PollWithin        Duration `toml:"ask_within" jsonschema_description:"While discovery's list does not come it is asked for at least so often; forwarders started together spread their questions over up to half of it."`
 	OverloadMultiple  float64  `toml:"fall_multiple" jsonschema_description:"A cold destination falls over at this multiple of its present capacity."`
-	Late              string   `toml:"late" jsonschema:"enum=line,enum=halves" jsonschema_description:"How value falls after the agreed time: evenly to late_share at the end of life, or by half with each further agreed time, to late_share at least."`
+	LateValueDecay    string   `toml:"late" jsonschema:"enum=line,enum=halves" jsonschema_description:"How value falls after the agreed time: evenly to late_share at the end of life, or by half with each further agreed time, to late_share at least."`
 	ListedRates       string   `toml:"listed_rates" jsonschema:"enum=none,enum=exact,enum=rough" jsonschema_description:"What per_second in the list is worth."`
 	ReportLimit       string   `toml:"report_limit" jsonschema_description:"Field of a load report that tells a limit in calls a second."`
 	ReportShare       string   `toml:"report_left" jsonschema_description:"Field of a load report that tells the share of the limit that is left, 0 to 1."`
--- a/internal/config/forwarder_config.go
+++ b/internal/config/forwarder_config.go
@@ -55,7 +55,7 @@
 // ForwarderConfig makes a forwarder's configuration of one in which Check found no problem. It makes no folder, and the
 // result has no Reload.
 func (l *Loaded) ForwarderConfig() (*forwarder.Config, error) {
-	folder, err := filepath.Abs(l.Folder())
+	folder, err := filepath.Abs(l.WALFolder())
 	if err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 		DiscoveryMovable: true,
 		MemoryMB:         int(l.Limits.Memory / megabyte),
 		Sockets:          l.Limits.Descriptors,
-		DiskMB:           int(l.Ledger.Disk / megabyte),
+		DiskMB:           int(l.WriteAheadLog.Disk / megabyte),
 		Cores:            l.Limits.Cores,
 		KindUpstream:     map[string]string{},
 		Metrics:          l.Metrics.Listen,
@@ -198,7 +198,7 @@
 		SlowStartDuration:   float64(d.SlowStartDuration),
 		OverloadMultiple:    d.OverloadMultiple,
 		IdleTimeout:         float64(d.IdleTimeout),
-		HalvingValue:        d.Late == lateHalves,
+		HalvingValue:        d.LateValueDecay == lateHalves,
 		MaxRetryAfter:       float64(d.MaxRetryAfter),
 		ListedRateTolerance: listedRateTolerances[d.ListedRates],
 	}
@@ -244,8 +244,8 @@
 	}
 }
 
-// Reload returns when a running forwarder applies a change of a field, from the table that the reload itself uses.
-func Reload(field string) forwarder.ReloadBehavior {
+// ReloadBehavior returns when a running forwarder applies a change of a field. It reads the same table as the reload.
+func ReloadBehavior(field string) forwarder.ReloadBehavior {
 	for _, part := range forwarder.ConfigParts {
 		for _, key := range part.Keys {
 			if field == key || strings.HasPrefix(field, key+".") || strings.HasPrefix(field, key+"[") {
--- a/internal/config/paths.go
+++ b/internal/config/paths.go
@@ -2,8 +2,8 @@
 
 import "path/filepath"
 
-// Folder returns the write-ahead log's folder, relative to the working directory or absolute.
-func (l *Loaded) Folder() string { return l.resolve(l.Ledger.Folder) }
+// WALFolder returns the write-ahead log's folder, relative to the working directory or absolute.
+func (l *Loaded) WALFolder() string { return l.resolve(l.WriteAheadLog.Folder) }
 
 // BacklogFolder returns the backlog store's folder, relative to the working directory or absolute; empty if there is no
 // store.
--- a/internal/config/variables.go
+++ b/internal/config/variables.go
@@ -27,8 +27,8 @@
 	known       []string // the names that exist, if the field is unknown
 }
 
-// Variable returns the name of the variable that sets a field of the file.
-func Variable(field string) string {
+// VariableName returns the name of the variable that sets a field of the file.
+func VariableName(field string) string {
 	return variablePrefix + strings.ToUpper(strings.ReplaceAll(field, ".", "_"))
 }
 
@@ -55,8 +55,8 @@
 	fields := map[string]string{}
 	var known []string
 	for _, field := range settableFields(reflect.TypeFor[File](), "") {
-		fields[Variable(field)] = field
-		known = append(known, Variable(field))
+		fields[VariableName(field)] = field
+		known = append(known, VariableName(field))
 	}
 	slices.Sort(known)
 	var own []variable
--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -77,7 +77,7 @@
 
 func (s *session) printFleets(trials []capacity.FleetTrial) error {
 	if s.json {
-		return cli.Print(s.out, trials)
+		return cli.PrintJSON(s.out, trials)
 	}
 	if len(trials) == 0 {
 		return nil
--- a/lab/commands/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if m.json {
-		return cli.Print(m.out, curves)
+		return cli.PrintJSON(m.out, curves)
 	}
 	return m.printCurves(curves)
 }
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -90,7 +90,7 @@
 func printPage(c *cobra.Command, report *pageReport, check bool) error {
 	asJSON, _ := c.Flags().GetBool("json")
 	if asJSON {
-		if err := cli.Print(c.OutOrStdout(), report); err != nil {
+		if err := cli.PrintJSON(c.OutOrStdout(), report); err != nil {
 			return err
 		}
 	}
--- a/lab/commands/compare.go
+++ b/lab/commands/compare.go
@@ -30,7 +30,7 @@
 			seeds := s.seedsFor(a.Scenario)
 			r := experiment.Compare(a, b, seeds, s.progress(2*len(seeds)))
 			if s.json {
-				return cli.Print(s.out, r)
+				return cli.PrintJSON(s.out, r)
 			}
 			return s.printComparison(&r, len(seeds))
 		})})
@@ -89,7 +89,7 @@
 				return err
 			}
 			if s.json {
-				return cli.Print(s.out, steps)
+				return cli.PrintJSON(s.out, steps)
 			}
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			fmt.Fprintf(t, "%s\tMEAN G\tWORST G\tMEAN P99\tRULES BROKEN\n", strings.ToUpper(axis))
--- a/lab/commands/load.go
+++ b/lab/commands/load.go
@@ -142,7 +142,7 @@
 
 func (l *loadCommand) printReport(r *load.Report) error {
 	if l.json {
-		return cli.Print(l.out, r)
+		return cli.PrintJSON(l.out, r)
 	}
 	fmt.Fprintf(l.out, "\n%d sent in %.1f s: %v; the tool itself late by %.3f s at most\n", r.Sent, r.Lasted, r.Answers, r.MostLate)
 	t := tabwriter.NewWriter(l.out, 0, 4, 2, ' ', 0)
--- a/lab/commands/real.go
+++ b/lab/commands/real.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if s.json {
-		return cli.Print(s.out, results)
+		return cli.PrintJSON(s.out, results)
 	}
 	fmt.Fprintln(s.out, "on sockets, then simulated:")
 	s.printResults(results)
--- a/lab/commands/run.go
+++ b/lab/commands/run.go
@@ -60,7 +60,7 @@
 		}
 	}
 	if s.json {
-		if err := cli.Print(s.out, results); err != nil {
+		if err := cli.PrintJSON(s.out, results); err != nil {
 			return err
 		}
 	} else {
--- a/lab/commands/violations.go
+++ b/lab/commands/violations.go
@@ -66,7 +66,7 @@
 		return err
 	}
 	if s.json {
-		err = cli.Print(s.out, v)
+		err = cli.PrintJSON(s.out, v)
 	} else {
 		err = s.printViolationSearch(v)
 	}
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -77,26 +77,26 @@
 func (s *Scenario) applyDefaults() {
 	for i := range s.Types {
 		t := &s.Types[i]
-		config.Or(&t.Group, KnownInAllZones)
-		config.Or(&t.LoadWeight, 1)
-		config.Or(&t.Value, 1)
-		config.Or(&t.Keys, 1000)
+		config.SetDefault(&t.Group, KnownInAllZones)
+		config.SetDefault(&t.LoadWeight, 1)
+		config.SetDefault(&t.Value, 1)
+		config.SetDefault(&t.Keys, 1000)
 	}
 	for i := range s.Tenants {
-		config.Or(&s.Tenants[i].LoadWeight, 1)
+		config.SetDefault(&s.Tenants[i].LoadWeight, 1)
 	}
 	for i := range s.Receivers {
 		r := &s.Receivers[i]
-		config.Or(&r.Count, 1)
-		config.Or(&r.Endpoints, 1)
-		config.Or(&r.Batch, 1)
-		config.Or(&r.Service, ServiceLognormal)
+		config.SetDefault(&r.Count, 1)
+		config.SetDefault(&r.Endpoints, 1)
+		config.SetDefault(&r.Batch, 1)
+		config.SetDefault(&r.Service, ServiceLognormal)
 		if r.Service == ServiceLognormal {
-			config.Or(&r.Sigma, 0.5)
+			config.SetDefault(&r.Sigma, 0.5)
 		}
-		config.Or(&r.Concurrency, 4)
-		config.Or(&r.LoadWeight, 1)
-		config.Or(&r.OverloadDowntime, 5)
-		config.Or(&r.OverloadWindow, 1.5)
+		config.SetDefault(&r.Concurrency, 4)
+		config.SetDefault(&r.LoadWeight, 1)
+		config.SetDefault(&r.OverloadDowntime, 5)
+		config.SetDefault(&r.OverloadWindow, 1.5)
 	}
 }
