--- a/cmd/spanflow-lab/main.go
+++ b/cmd/spanflow-lab/main.go
@@ -1,4 +1,4 @@
-// Command spanflow-lab is the laboratory: simulated runs, experiments and a load tool.
+// Command spanflow-lab is the laboratory of spanflow: simulated runs, experiments and a load generator.
 package main
 
 import (
--- a/cmd/spanflow/main.go
+++ b/cmd/spanflow/main.go
@@ -1,6 +1,6 @@
-// Command spanflow is one forwarder, configured by its environment. With arguments it becomes spanflowctl, a program
-// in the same folder that has the commands, the operators' configuration and metrics: their libraries would raise the
-// memory of a forwarder that uses none of them by half.
+// Command spanflow runs one forwarder, configured by environment variables. With arguments it executes spanflowctl, a
+// program in the same folder that contains the commands, the operators' configuration and the metrics. They are in a
+// separate program because their libraries would increase the memory of a forwarder that does not use them by half.
 package main
 
 import (
@@ -15,10 +15,10 @@
 	"spanflow/internal/signals"
 )
 
-// commandsProgram is the name of the program that has the commands.
+// commandsProgram is the name of the program that contains the commands.
 const commandsProgram = "spanflowctl"
 
-// runCommand is the command of that program that serves.
+// runCommand is the command of commandsProgram that runs a forwarder.
 const runCommand = "run"
 
 func main() {
@@ -44,7 +44,7 @@
 	read := func() (*forwarder.Config, error) { return forwarder.ConfigFromEnvironment(os.Getenv) }
 	config, err := signals.Interruptible(caught.Stop(), read, nil)
 	if caught.Stop().Err() != nil {
-		return nil // nobody was served
+		return nil // stopped before serving
 	}
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return forwarder.Run(caught.Stop(), config, caught.Reloads(), os.Stderr, func(string) { caught.SetServing() })
 }
 
-// replaceProcess runs another program of the same build in the place of this one. It returns only with an error.
+// replaceProcess replaces this process with another program of the same build. It returns only if that fails.
 func replaceProcess(program string, args []string) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -62,7 +62,7 @@
 	path := filepath.Join(filepath.Dir(self), program)
 	if _, err := os.Stat(path); err != nil {
 		if path, err = exec.LookPath(program); err != nil {
-			return fmt.Errorf("the commands are in %s, which is neither beside %s nor on the path", program, self)
+			return fmt.Errorf("the commands are in %s, which is neither in the folder of %s nor on the PATH", program, self)
 		}
 	}
 	return syscall.Exec(path, append([]string{"spanflow"}, args...), os.Environ())
--- a/cmd/spanflowctl/main.go
+++ b/cmd/spanflowctl/main.go
@@ -1,4 +1,4 @@
-// Command spanflowctl is spanflow with all its commands. The spanflow program becomes this one if it has arguments.
+// Command spanflowctl contains all commands of spanflow. The spanflow program executes it if called with arguments.
 package main
 
 import (
--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,6 +1,6 @@
-// Command demo plays the parties around one forwarder: two endpoints, the receiver of notices and a client. Without
-// arguments it serves; "demo DEST BODY" submits one message; "demo demo" also starts a forwarder, submits two messages
-// and shows what becomes of them.
+// Command demo emulates the peers of one forwarder: two endpoints, the receiver of notices and a client. Without
+// arguments it serves as endpoints and receiver; "demo DEST BODY" submits one message; "demo demo" serves, starts a
+// forwarder, submits two messages and prints their final answers.
 package main
 
 import (
@@ -18,11 +18,11 @@
 
 const (
 	forwarderAddr = "127.0.0.1:6379"
-	discoveryAddr = "127.0.0.1:8500" // here it only takes notices
+	discoveryAddr = "127.0.0.1:8500" // only receives notices in this example
 	acceptingAddr = "127.0.0.1:9001" // destination 1: accepts everything
 	rejectingAddr = "127.0.0.1:9002" // destination 2: rejects everything
 	configFile    = "example/spanflow.toml"
-	patience      = 15 * time.Second // of the whole demonstration
+	demoTimeout   = 15 * time.Second
 	dialInterval  = 50 * time.Millisecond
 )
 
@@ -44,8 +44,8 @@
 	}
 }
 
-// serve plays the endpoints and the receiver of notices and returns only if they cannot listen. If ended is not nil, it
-// gets an empty string once they serve and then the id of each message that ends.
+// serve emulates the endpoints and the receiver of notices, and returns only if they cannot listen. If ended is not
+// nil, serve sends it an empty string once they are listening, and then the id of each message that ends.
 func serve(ended chan<- string) error {
 	discovery, err := emulator.NewDiscovery(discoveryAddr)
 	if err != nil {
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Println("endpoints serve")
+	fmt.Println("endpoints are ready to serve")
 	if ended != nil {
 		ended <- ""
 	}
@@ -100,7 +100,7 @@
 func demonstrate() error {
 	ended, failed := make(chan string), make(chan error, 1)
 	go func() { failed <- serve(ended) }()
-	expired := time.After(patience)
+	timeout := time.After(demoTimeout)
 	select {
 	case err := <-failed:
 		return err
@@ -110,10 +110,10 @@
 	if err != nil {
 		return err
 	}
-	if err := awaitForwarder(exited, expired); err != nil {
+	if err := awaitForwarder(exited, timeout); err != nil {
 		return err
 	}
-	if err := submitBoth(ended, expired); err != nil {
+	if err := submitBoth(ended, timeout); err != nil {
 		return err
 	}
 	_ = forwarder.Process.Signal(syscall.SIGTERM) // it may have ended already
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// startForwarder starts the program beside this one. The channel gets the error of its end.
+// startForwarder starts the spanflow program in the folder of this one. The channel receives the result of its Wait.
 func startForwarder() (*exec.Cmd, <-chan error, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -139,36 +139,36 @@
 }
 
 // awaitForwarder waits until the forwarder listens for clients.
-func awaitForwarder(exited <-chan error, expired <-chan time.Time) error {
+func awaitForwarder(exited <-chan error, timeout <-chan time.Time) error {
 	for {
 		if client, err := emulator.NewClient(forwarderAddr); err == nil {
 			return client.Close()
 		}
 		select {
 		case err := <-exited:
-			return fmt.Errorf("the forwarder ended: %v", err) // nil if it ended with status 0
-		case <-expired:
-			return errors.New("the forwarder does not listen")
+			return fmt.Errorf("the forwarder exited: %v", err) // nil if the exit status is 0
+		case <-timeout:
+			return errors.New("the forwarder did not listen in time")
 		case <-time.After(dialInterval):
 		}
 	}
 }
 
 // submitBoth submits a message for each destination and waits until both have ended.
-func submitBoth(ended <-chan string, expired <-chan time.Time) error {
-	open := map[string]bool{}
+func submitBoth(ended <-chan string, timeout <-chan time.Time) error {
+	pending := map[string]bool{}
 	for _, destination := range []string{"1", "2"} {
 		id, err := submit(destination, "hello")
 		if err != nil {
 			return err
 		}
-		open[id] = true
+		pending[id] = true
 	}
-	for len(open) > 0 {
+	for len(pending) > 0 {
 		select {
 		case id := <-ended:
-			delete(open, id)
-		case <-expired:
+			delete(pending, id)
+		case <-timeout:
 			return errors.New("a message did not end in time")
 		}
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli holds what the command lines share: exit codes, and the printing of errors and values.
+// Package cli holds the code that the command-line programs share: exit codes, and the printing of errors and values.
 package cli
 
 import (
@@ -13,21 +13,21 @@
 // Exit codes.
 const (
 	ExitOK    = 0
-	ExitError = 1 // it ran and found something wrong, or could not do what was asked
-	ExitUsage = 2 // the command line cannot be understood
+	ExitError = 1 // the command failed or found a problem
+	ExitUsage = 2 // the command line is invalid
 )
 
-// failure is an error of a command that was understood.
+// failure is an error of a command whose command line is valid.
 type failure struct{ error }
 
-// Unwrap returns the command's own error.
+// Unwrap returns the command's error.
 func (f failure) Unwrap() error { return f.error }
 
-// ErrReported is returned by a command that has printed what is wrong itself: Main exits with ExitError and prints
-// nothing.
+// ErrReported is returned by a command that has already printed its problems. Main then exits with ExitError and prints
+// nothing more.
 var ErrReported error = failure{errors.New("")}
 
-// Run wraps a command's work, so that an error of it counts as a failure and not as a wrong command line.
+// Run adapts a command's work to cobra, so that its error counts as a failure and not as an invalid command line.
 func Run(work func(args []string) error) func(*cobra.Command, []string) error {
 	return func(_ *cobra.Command, args []string) error {
 		if err := work(args); err != nil {
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -16,9 +16,9 @@
 )
 
 // errLimitReached stops the reading of a store once enough messages have been read.
-var errLimitReached = errors.New("enough was read")
+var errLimitReached = errors.New("limit reached")
 
-// backlogFolder finds the backlog store's folder in a configuration.
+// backlogFolder reads the path of the backlog store's folder from a configuration.
 var backlogFolder = folderSource{
 	ofForwarder: func(c *forwarder.Config) string {
 		if c.Backlog == nil {
@@ -29,7 +29,7 @@
 	ofFile: func(l *config.Loaded) string { return l.BacklogFolder() },
 }
 
-const backlogLock = "backlog.lock" // in a store's folder
+const backlogLock = "backlog.lock" // name of the lock file in a store's folder
 
 // backlogHolder returns the id of the running process that holds a store's folder, 0 if none is known.
 func backlogHolder(folder string) int {
@@ -39,11 +39,11 @@
 func (s *session) backlogCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "backlog",
-		Short: "Look at what is stored for destinations that are out or far behind",
+		Short: "Inspect the messages stored for destinations that are unavailable or far behind",
 		Args:  cobra.NoArgs,
-		Long: `Reads a backlog store's folder, whether a forwarder has it or not. Nothing is altered and no forwarder waits for it;
-with one running, what is printed is as of a moment ago. A store that is damaged or was written by a newer version is
-refused: the file is named and the exit code is 1.`,
+		Long: `Reads a backlog store's folder, even while a forwarder is using it. Nothing is changed and the forwarder is not delayed,
+so the output may be out of date by the time it is printed. If the store is damaged or was written by a newer version,
+the command names the file and the exit code is 1.`,
 		RunE: showHelp,
 	}
 	flags := &inspectFlags{}
@@ -60,17 +60,17 @@
 		Use:   "list",
 		Short: "List the stored messages",
 		Args:  cobra.NoArgs,
-		Long: `Lists messages by destination and tenant, and within them in the order in which they were taken on. States: untried (no
-attempt yet), tried (attempted, surely never run), may-have-run.`,
+		Long: `Lists messages by destination and tenant, and within these in the order of acceptance. States: untried (no attempt yet),
+tried (attempted, but certainly not executed by an endpoint), may-have-run (an endpoint may have executed it).`,
 		Example: "  spanflow backlog list -f /var/lib/spanflow-backlog --dest 7 --limit 20\n" +
 			"  spanflow backlog list -c spanflow.toml --expires-within 1m --json",
 		RunE: cli.Run(func([]string) error { return s.backlogList(flags) }),
 	}
 	flags.addLaneFlags(c)
 	f := c.Flags()
-	f.StringVar(&flags.state, "state", "", "only in this state")
-	f.DurationVar(&flags.expiresWithin, "expires-within", 0, "only those whose expiry is past or comes within so long")
-	f.IntVar(&flags.limit, "limit", 0, "so many at most; 0: all")
+	f.StringVar(&flags.state, "state", "", "only messages in this state")
+	f.DurationVar(&flags.expiresWithin, "expires-within", 0, "only messages that have expired or expire within this time")
+	f.IntVar(&flags.limit, "limit", 0, "maximum number of messages; 0 means all")
 	states := cobra.FixedCompletions(backlogStates(), cobra.ShellCompDirectiveNoFileComp)
 	must(c.RegisterFlagCompletionFunc("state", states))
 	return c
@@ -81,8 +81,9 @@
 		Use:   "show ID",
 		Short: "Show one stored message with its body",
 		Args:  cobra.ExactArgs(1),
-		Long:  `Shows the stored message with a client's id. The store is read until it is found; --dest and --tenant shorten that.`,
-		RunE:  cli.Run(func(args []string) error { return s.backlogShow(flags, args[0]) }),
+		Long: `Shows the stored message with the id that its client gave it. The store is read until the message is found; --dest and
+--tenant make that faster.`,
+		RunE: cli.Run(func(args []string) error { return s.backlogShow(flags, args[0]) }),
 	}
 	flags.addLaneFlags(c)
 	return c
@@ -91,7 +92,7 @@
 func (s *session) backlogStatCommand(flags *inspectFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "stat",
-		Short: "Sum up what is stored, by state, destination and tenant",
+		Short: "Count the stored messages by state, destination and tenant",
 		Args:  cobra.NoArgs,
 		RunE:  cli.Run(func([]string) error { return s.backlogStat(flags) }),
 	}
@@ -100,10 +101,10 @@
 func (s *session) backlogVerifyCommand(flags *inspectFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify",
-		Short: "Read every record and tell what is damaged",
+		Short: "Read every record and report damage",
 		Args:  cobra.NoArgs,
-		Long: `Reads every segment on its own. A torn end, left by a process that was killed while writing or is writing now, is
-reported and is no damage. Anything else that cannot be read is damage: then the exit code is 1.`,
+		Long: `Reads each segment separately. A torn end was left by a process that was killed while writing, or is being
+written now; it is reported, but is not damage. Anything else that cannot be read is damage, and the exit code is 1.`,
 		RunE: cli.Run(func([]string) error { return s.backlogVerify(flags) }),
 	}
 }
@@ -190,14 +191,14 @@
 	return s.printMessage(report)
 }
 
-// backlogVerification is what "backlog verify" prints.
+// backlogVerification is the output of "backlog verify".
 type backlogVerification struct {
 	Folder   string          `json:"folder"`
 	Damaged  bool            `json:"damaged"`
 	Segments []segmentReport `json:"segments"`
 }
 
-// segmentReport is what verify prints about a segment.
+// segmentReport is the output of verify for a segment.
 type segmentReport struct {
 	backlog.SegmentReport
 	Damage string `json:"fault,omitempty"`
--- a/internal/commands/backlog_read.go
+++ b/internal/commands/backlog_read.go
@@ -11,7 +11,7 @@
 	"spanflow/internal/backlog"
 )
 
-// maxStoreReads is how often a store that changes meanwhile is read again without a message having been read.
+// maxStoreReads limits how often the reading of a store that keeps changing is started over without progress.
 const maxStoreReads = 20
 
 // backlogFilter selects stored messages; zero fields select all.
@@ -22,7 +22,7 @@
 	expiresBefore int64 // microseconds of the wall clock
 }
 
-// backlogFilter reads the flags. An error names the flag.
+// backlogFilter returns the filter that the flags describe. An error names the invalid flag.
 func (f *inspectFlags) backlogFilter(tenants []string) (filter backlogFilter, err error) {
 	if filter.destination, filter.tenant, err = f.lane(tenants); err != nil {
 		return filter, err
@@ -33,9 +33,9 @@
 	case f.state != "" && !slices.Contains(known, f.state):
 		return filter, fmt.Errorf("--state: %q is none of %q", f.state, known)
 	case f.limit < 0:
-		return filter, fmt.Errorf("--limit: %d is under 0", f.limit)
+		return filter, fmt.Errorf("--limit: %d is negative", f.limit)
 	case f.expiresWithin < 0:
-		return filter, fmt.Errorf("--expires-within: %v is under 0s", f.expiresWithin)
+		return filter, fmt.Errorf("--expires-within: %v is negative", f.expiresWithin)
 	case f.expiresWithin > 0:
 		filter.expiresBefore = time.Now().Add(f.expiresWithin).UnixMicro()
 	}
@@ -51,7 +51,8 @@
 	return (f.state == "" || m.State().String() == f.state) && (f.expiresBefore == 0 || m.Expiry < f.expiresBefore)
 }
 
-// viewBacklog reads a store, and reads it again if the process that holds it freed segments that were not read yet.
+// viewBacklog calls read with a view of a store, and again with a new view if the process that holds the store freed
+// segments before they were read.
 func viewBacklog(folder string, read func(*backlog.View) error) error {
 	for range maxStoreReads {
 		view, err := backlog.Inspect(backlog.OS{}, folder)
@@ -67,10 +68,10 @@
 	return fmt.Errorf("%s: %w", folder, backlog.ErrChanged)
 }
 
-// eachStored calls a function for the stored messages that a filter selects, each once, by lanes and within them in the
-// order of taking. A store that changes meanwhile is read on from where it was.
+// eachStored calls a function once for each stored message that a filter selects, ordered by lane and within a lane by
+// acceptance. If the store changes meanwhile, reading resumes after the last message that was read.
 func eachStored(folder string, filter *backlogFilter, each func(*backlog.Message) error) error {
-	var last *backlog.Message // that was read
+	var last *backlog.Message // latest message read
 	for {
 		before := last
 		err := viewBacklog(folder, func(view *backlog.View) error {
@@ -98,8 +99,8 @@
 	return cmp.Or(cmp.Compare(a.Destination, b.Destination), cmp.Compare(a.Tenant, b.Tenant))
 }
 
-// verifySegments reads a store's segments, and reads them again if the process that holds the store freed one that was
-// not read yet.
+// verifySegments verifies a store's segments. It starts over if the process that holds the store freed a segment before
+// it was read.
 func verifySegments(folder string) ([]segmentReport, error) {
 	for range maxStoreReads {
 		found, err := backlog.Verify(backlog.OS{}, folder)
--- a/internal/commands/backlog_read_test.go
+++ b/internal/commands/backlog_read_test.go
@@ -13,7 +13,7 @@
 	"spanflow/internal/backlog"
 )
 
-// writer appends and releases messages in one lane, so that segments come and go, until it is stopped.
+// writer appends and releases messages in one lane until it is stopped, so that segments are created and freed.
 type writer struct {
 	stop chan struct{}
 	done sync.WaitGroup
@@ -46,22 +46,22 @@
 	require.NoError(t, w.err)
 }
 
-// A store is read while a process writes to it and frees segments: what stays stored is seen each time, once and in its
-// order, and nothing hinders the writer.
+// While a process writes to a store and frees segments, each read must return every message that stays stored once and
+// in order, and the writer must not fail.
 func TestStoreIsReadWhileItIsWritten(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, storeBounds)
 	defer store.Close()
-	staying, busy := backlog.Lane{Destination: 7, Tenant: 1}, backlog.Lane{Destination: 5}
-	const stay = 50
-	want := make([]string, stay)
+	quietLane, busyLane := backlog.Lane{Destination: 7, Tenant: 1}, backlog.Lane{Destination: 5}
+	const quietMessages = 50
+	want := make([]string, quietMessages)
 	for i := range want {
-		m := newMessage(staying, uint64(i+1))
+		m := newMessage(quietLane, uint64(i+1))
 		want[i] = m.ID
 		require.NoError(t, store.Append(m))
 	}
-	first := lastSegment(t, folder)
-	w := startWriter(store, busy, 1000)
+	freed := lastSegment(t, folder)
+	w := startWriter(store, busyLane, 1000)
 	reads := 0
 	for began := time.Now(); time.Since(began) < time.Second; reads++ {
 		out, code := run("backlog", "list", "-f", folder, "--dest", "7", "--json")
@@ -86,12 +86,13 @@
 		require.Equal(t, 0, code, out)
 	}
 	w.finish(t)
-	require.NoFileExists(t, first, "segments were freed meanwhile")
+	require.NoFileExists(t, freed, "segments must be freed during the test")
 	t.Logf("%d rounds of reads", reads)
 }
 
-// Segments that are freed between opening and reading make the store be read again, on from where it was.
-func TestListGoesOnWhereSegmentsWereFreed(t *testing.T) {
+// If segments are freed after a store is opened and before they are read, the store is opened again and reading resumes
+// after the last message.
+func TestListResumesAfterSegmentsAreFreed(t *testing.T) {
 	const messages = 400
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, storeBounds)
@@ -107,12 +108,12 @@
 	require.NoError(t, err)
 	require.Greater(t, len(names), 3)
 	free := func() error {
-		for i := 20; i < messages/2; i += 10 { // all but the first 20
+		for i := 20; i < messages/2; i += 10 { // except the first 20
 			if err := store.Release(refs[i : i+10]); err != nil {
 				return err
 			}
 		}
-		for seq := range uint64(messages) { // what is written gives leave to free segments
+		for seq := range uint64(messages) { // compaction frees segments in proportion to the bytes written
 			m := newMessage(backlog.Lane{Destination: 5}, 1000+seq)
 			if err := store.Append(m); err != nil {
 				return err
@@ -138,16 +139,16 @@
 			want = append(want, seq)
 		}
 	}
-	// Of the released ones some may be seen: the segment that was open can still be read.
-	var kept []uint64
+	// Some released messages may still be listed, because the segment that was already open stays readable.
+	var retained []uint64
 	for i, seq := range seen {
 		if i > 0 {
-			require.Greater(t, seq, seen[i-1], "each once and in order")
+			require.Greater(t, seq, seen[i-1], "each message once and in order")
 		}
 		if seq <= 20 || seq > messages/2 {
-			kept = append(kept, seq)
+			retained = append(retained, seq)
 		}
 	}
-	require.Equal(t, want, kept)
-	require.Less(t, len(seen), messages, "it was read again")
+	require.Equal(t, want, retained)
+	require.Less(t, len(seen), messages, "released messages in freed segments must not be listed")
 }
--- a/internal/commands/backlog_stat.go
+++ b/internal/commands/backlog_stat.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/cli"
 )
 
-// backlogStats is what "backlog stat" prints.
+// backlogStats is the output of "backlog stat".
 type backlogStats struct {
 	Folder       string         `json:"folder"`
 	HolderPID    int            `json:"owner_pid,omitempty"`
@@ -27,7 +27,7 @@
 	Tenants      []backlogUsage `json:"by_tenant"`
 }
 
-// backlogUsage is what is stored for a destination or a tenant.
+// backlogUsage sums up the messages stored for a destination or a tenant.
 type backlogUsage struct {
 	Of     string    `json:"of"` // the destination's number, the tenant's name or number
 	Stored int       `json:"stored"`
@@ -39,7 +39,7 @@
 	return backlogUsage{Of: of, Stored: u.Messages, Bytes: u.Bytes, Oldest: wallTime(u.Oldest)}
 }
 
-// String returns the usage as stat prints it as text.
+// String returns the usage as in the text output of stat.
 func (u *backlogUsage) String() string {
 	return fmt.Sprintf("%d, %d bytes, oldest taken %s", u.Stored, u.Bytes, u.Oldest.Format(time.RFC3339))
 }
@@ -66,7 +66,7 @@
 	return stats.write(s.out)
 }
 
-// sumBacklog returns what stat prints of a store, the destinations and tenants with the most messages first.
+// sumBacklog returns the output of stat for a store. The destinations and tenants with the most messages come first.
 func sumBacklog(folder string, sums *backlog.Stats, tenants []string) *backlogStats {
 	stats := &backlogStats{
 		Folder:       folder,
--- a/internal/commands/backlog_test.go
+++ b/internal/commands/backlog_test.go
@@ -15,7 +15,7 @@
 	"spanflow/internal/backlog"
 )
 
-func TestBacklogListIsByLaneAndFiltered(t *testing.T) {
+func TestBacklogListOrdersByLaneAndFilters(t *testing.T) {
 	folder := newStore(t)
 	before := readFiles(t, folder)
 	for _, c := range []struct {
@@ -44,10 +44,10 @@
 	require.Len(t, lines, 6)
 	require.Regexp(t, `^ID +STATE +DEST +TYPE +TENANT +KEY +FRONT +SENT +EXPIRY +BYTES$`, lines[0])
 	require.Regexp(t, `^id-3 +may-have-run +7 +ticket +1 +0000000000000005 +web +1 .* 9$`, lines[2])
-	require.Equal(t, before, readFiles(t, folder), "nothing is altered")
+	require.Equal(t, before, readFiles(t, folder), "reading must not change any file")
 }
 
-func TestConfigurationNamesTheStoreAndItsTenants(t *testing.T) {
+func TestConfigurationProvidesStoreFolderAndTenantNames(t *testing.T) {
 	folder := newStore(t)
 	path := writeConfig(t, fmt.Sprintf("[backlog]\nfolder = %q\n", folder))
 	out, code := run("backlog", "list", "-c", path, "--tenant", "shop", "--json")
@@ -84,20 +84,20 @@
 	require.Contains(t, out, folder+` stores no document with the id "id-3"`)
 }
 
-func TestBacklogStatSumsUpTheStore(t *testing.T) {
+func TestBacklogStatCountsMessages(t *testing.T) {
 	folder := newStore(t)
 	out, code := run("backlog", "stat", "-f", folder, "--json")
 	require.Equal(t, 0, code, out)
-	var sums backlogStats
-	require.NoError(t, json.Unmarshal([]byte(out), &sums))
-	require.Equal(t, []any{folder, 0, 1, 5, 3}, []any{sums.Folder, sums.HolderPID, sums.Segments, sums.Stored, sums.Lanes})
-	require.Equal(t, map[string]int{"untried": 3, "tried": 1, "may-have-run": 1}, sums.States)
-	require.Len(t, sums.Destinations, 2)
-	require.Equal(t, []any{"9", 3, "7", 2}, []any{sums.Destinations[0].Of, sums.Destinations[0].Stored, sums.Destinations[1].Of, sums.Destinations[1].Stored})
-	require.Equal(t, []any{"0", 4, "1", 1}, []any{sums.Tenants[0].Of, sums.Tenants[0].Stored, sums.Tenants[1].Of, sums.Tenants[1].Stored})
-	require.Equal(t, sums.Bytes, sums.Destinations[0].Bytes+sums.Destinations[1].Bytes)
-	require.Equal(t, sums.Bytes, sums.Tenants[0].Bytes+sums.Tenants[1].Bytes)
-	require.WithinDuration(t, time.Now(), sums.Oldest, time.Minute)
+	var stats backlogStats
+	require.NoError(t, json.Unmarshal([]byte(out), &stats))
+	require.Equal(t, []any{folder, 0, 1, 5, 3}, []any{stats.Folder, stats.HolderPID, stats.Segments, stats.Stored, stats.Lanes})
+	require.Equal(t, map[string]int{"untried": 3, "tried": 1, "may-have-run": 1}, stats.States)
+	require.Len(t, stats.Destinations, 2)
+	require.Equal(t, []any{"9", 3, "7", 2}, []any{stats.Destinations[0].Of, stats.Destinations[0].Stored, stats.Destinations[1].Of, stats.Destinations[1].Stored})
+	require.Equal(t, []any{"0", 4, "1", 1}, []any{stats.Tenants[0].Of, stats.Tenants[0].Stored, stats.Tenants[1].Of, stats.Tenants[1].Stored})
+	require.Equal(t, stats.Bytes, stats.Destinations[0].Bytes+stats.Destinations[1].Bytes)
+	require.Equal(t, stats.Bytes, stats.Tenants[0].Bytes+stats.Tenants[1].Bytes)
+	require.WithinDuration(t, time.Now(), stats.Oldest, time.Minute)
 
 	store := openStore(t, folder, storeBounds)
 	defer store.Close()
@@ -109,7 +109,7 @@
 	}
 	out, code = run("check", "-c", writeConfig(t, fmt.Sprintf("[backlog]\nfolder = %q\n", folder)))
 	require.Equal(t, 0, code, out)
-	require.Contains(t, out, fmt.Sprintf("backlog.folder: belongs to a running process, pid %d", os.Getpid()))
+	require.Contains(t, out, fmt.Sprintf("backlog.folder: belongs to a running process, pid %d, so a second process could not start", os.Getpid()))
 }
 
 func TestBacklogCommandsOnAnEmptyStore(t *testing.T) {
@@ -124,7 +124,7 @@
 	require.Equal(t, []any{"sound; 0 segments\n", 0}, []any{out, code})
 }
 
-func TestBacklogVerifyReportsATornEndAsNoDamage(t *testing.T) {
+func TestBacklogVerifyDoesNotCountATornEndAsDamage(t *testing.T) {
 	folder := newStore(t)
 	name := lastSegment(t, folder)
 	text, err := os.ReadFile(name)
@@ -137,28 +137,28 @@
 	require.Contains(t, out, "sound; 1 segments")
 	out, code = run("backlog", "list", "-f", folder, "--json")
 	require.Equal(t, 0, code, out)
-	require.Equal(t, []string{"id-3", "id-1", "id-2", "id-4"}, listedIDs(t, out), "the message that was being written is not there")
-	require.Equal(t, before, readFiles(t, folder), "nothing is altered")
+	require.Equal(t, []string{"id-3", "id-1", "id-2", "id-4"}, listedIDs(t, out), "the partly written message must not be listed")
+	require.Equal(t, before, readFiles(t, folder), "reading must not change any file")
 }
 
-func TestBacklogCommandsNameTheFileOfADamagedOrNewerStore(t *testing.T) {
-	const versionAt, recordAt = 8, 60 // offsets in a segment, in bytes
+func TestBacklogCommandsNameTheDamagedOrNewerFile(t *testing.T) {
+	const versionOffset, recordOffset = 8, 60 // in bytes, within a segment
 	for _, c := range []struct {
-		what string
-		at   int
-		to   byte
-	}{{"checksum", recordAt, 0xff}, {"version 9 of the backlog store", versionAt, 9}, {"not a segment of a backlog store", 0, 'x'}} {
+		reason string
+		offset int
+		value  byte
+	}{{"checksum", recordOffset, 0xff}, {"version 9 of the backlog store", versionOffset, 9}, {"not a segment of a backlog store", 0, 'x'}} {
 		folder := newStore(t)
 		name := lastSegment(t, folder)
 		text, err := os.ReadFile(name)
 		require.NoError(t, err)
-		text[c.at] = c.to
+		text[c.offset] = c.value
 		require.NoError(t, os.WriteFile(name, text, 0o600))
 		for _, command := range [][]string{{"list"}, {"list", "--json"}, {"show", "id-1"}, {"stat"}, {"verify"}, {"verify", "--json"}} {
 			out, code := run(append(append([]string{"backlog"}, command...), "-f", folder)...)
 			require.Equal(t, 1, code, "%v: %s", command, out)
 			require.Contains(t, out, name+": ", command)
-			require.Contains(t, out, c.what, command)
+			require.Contains(t, out, c.reason, command)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 	}
 }
 
-func TestLongListIsPrintedWhole(t *testing.T) {
+func TestLongListIsPrintedCompletely(t *testing.T) {
 	const messages = 2*rowsPerFlush + 500
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, backlog.Bounds{Bytes: 4 << 20})
@@ -194,8 +194,8 @@
 	require.Equal(t, 1+messages, strings.Count(out, "\n"))
 }
 
-// A table's rows are not kept in memory until its end.
-func TestTablePrintsRowsWithoutCollectingAll(t *testing.T) {
+// A table must not keep all its rows in memory until its end.
+func TestTableFlushesRowsInGroups(t *testing.T) {
 	var out bytes.Buffer
 	rows := (&session{out: &out}).newMessageTable()
 	for range rowsPerFlush {
@@ -204,24 +204,24 @@
 	require.Equal(t, 1+rowsPerFlush, strings.Count(out.String(), "\n"))
 }
 
-func TestBacklogCommandsNameWrongArguments(t *testing.T) {
+func TestBacklogCommandsRejectInvalidArguments(t *testing.T) {
 	folder := newStore(t)
-	without := writeConfig(t, "")
+	withoutStore := writeConfig(t, "")
 	for _, c := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
-		{[]string{"list"}, 1, "no folder: use --folder, or --config FILE"},
+		{[]string{"list"}, 1, "no folder; use --folder or --config FILE"},
 		{[]string{"list", "-f", "/nowhere"}, 1, "/nowhere"},
 		{[]string{"stat", "-f", "/nowhere"}, 1, "no such file"},
 		{[]string{"verify", "-f", "/nowhere"}, 1, "no such file"},
-		{[]string{"list", "-c", without}, 1, without + " names no folder: use --folder"},
+		{[]string{"list", "-c", withoutStore}, 1, withoutStore + " sets no folder; use --folder"},
 		{[]string{"list", "-f", folder, "--dest", "x"}, 1, `--dest: "x" is not a number`},
 		{[]string{"list", "-f", folder, "--tenant", "shop"}, 1, `--tenant: "shop" is not a number`},
 		{[]string{"list", "-f", folder, "--state", "held"}, 1, `--state: "held" is none of ["untried" "tried" "may-have-run"]`},
-		{[]string{"list", "-f", folder, "--limit", "-1"}, 1, "--limit: -1 is under 0"},
-		{[]string{"list", "-f", folder, "--expires-within", "-1s"}, 1, "--expires-within: -1s is under 0s"},
+		{[]string{"list", "-f", folder, "--limit", "-1"}, 1, "--limit: -1 is negative"},
+		{[]string{"list", "-f", folder, "--expires-within", "-1s"}, 1, "--expires-within: -1s is negative"},
 		{[]string{"list", "-f", folder, "--expires-within", "soon"}, 2, "expires-within"},
 		{[]string{"show", "-f", folder}, 2, "accepts 1 arg"},
 		{[]string{"show", "none", "-f", folder}, 1, `stores no document with the id "none"`},
@@ -230,7 +230,7 @@
 	} {
 		out, code := run(append([]string{"backlog"}, c.args...)...)
 		require.Equal(t, c.code, code, "%v: %s", c.args, out)
-		require.Contains(t, out, c.says, c.args)
+		require.Contains(t, out, c.want, c.args)
 	}
 	out, code := run("__complete", "backlog", "list", "--state", "")
 	require.Equal(t, 0, code, out)
--- a/internal/commands/check.go
+++ b/internal/commands/check.go
@@ -19,16 +19,16 @@
 func (s *session) checkCommand() *cobra.Command {
 	return s.withConfigFlags(&cobra.Command{
 		Use:   "check",
-		Short: "Check a configuration and tell what would run",
+		Short: "Check a configuration and show what would run",
 		Args:  cobra.NoArgs,
-		Long: `Reads everything a run would read, without opening a port or the write-ahead log, and prints what would run. Each thing
-that is wrong is named by file, line and field; then the exit code is 1.`,
+		Long: `Reads everything that 'spanflow run' would read, without opening a port or the write-ahead log, and prints what would
+run. Each problem is printed with its file, line and field. If there is any, the exit code is 1.`,
 		Example: "  spanflow check --config deploy/spanflow.toml",
 		RunE:    cli.Run(func([]string) error { return s.check() }),
 	})
 }
 
-// checkReport is what check prints: problems and notes and, if there are no problems, what would run.
+// checkReport is the output of check: problems, notes and, if there are no problems, a description of what would run.
 type checkReport struct {
 	OK                  bool            `json:"fine"`
 	Problems            config.Problems `json:"wrong"`
@@ -85,7 +85,7 @@
 	if s.json {
 		err = cli.PrintJSON(s.out, r)
 	} else {
-		r.write(s.out) // an error of reading is printed to standard error, too
+		r.write(s.out) // an error that prevents loading is returned too, so that it also appears on standard error
 	}
 	if err == nil && !r.OK {
 		return cli.ErrReported
@@ -105,7 +105,7 @@
 	return l.ForwarderConfig()
 }
 
-// describe fills in what would run.
+// describe fills in the description of what would run.
 func (r *checkReport) describe(c *forwarder.Config) {
 	r.Name, r.Folder, r.ConcurrencyLimit, r.Metrics = c.Name, c.Folder, c.Scheduler.ConcurrencyLimit, c.Metrics
 	r.OutgoingConnections = c.Sockets - reservedDescriptors - forwarder.MaxClients(c.Sockets)
@@ -125,10 +125,10 @@
 	}
 }
 
-// noteHolders notes the folders that a running process holds.
+// noteHolders adds a note for each folder that a running process holds.
 func (r *checkReport) noteHolders() {
 	note := func(field string, pid int) {
-		reason := fmt.Sprintf("belongs to a running process, pid %d: a second one would be refused", pid)
+		reason := fmt.Sprintf("belongs to a running process, pid %d, so a second process could not start", pid)
 		r.Notes = append(r.Notes, config.Problem{Field: field, Reason: reason})
 	}
 	if r.HolderPID > 0 {
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -15,7 +15,7 @@
 	"spanflow/internal/config"
 )
 
-// platformConfigVariable names a configuration in the platform's form.
+// platformConfigVariable is the environment variable with the path of a configuration in the platform's format.
 const platformConfigVariable = "PROXY_CONFIG"
 
 // session is one run of the command line: its environment, its output and the flags that several commands share.
@@ -37,20 +37,20 @@
 func (s *session) root() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "spanflow",
-		Short: "A dispatcher of messages to outside receivers",
-		Long: `spanflow takes messages for destinations, holds them for seconds if need be, and sends each to one of the destination's
-endpoints. It keeps order, retries, and heeds Retry-After times and endpoints that are warming up.
+		Short: "Dispatches messages to external receivers",
+		Long: `spanflow accepts messages for destinations, queues them for seconds if necessary, and sends each to one of the
+destination's endpoints. It preserves order, retries, and respects Retry-After times and endpoints that are warming up.
 
-Without any argument it runs as the platform's PROXY_CONFIG and further variables say. The commands below read a
-configuration of their own, in TOML; SPANFLOW_CONFIG names it where --config does not.
+Without arguments it runs as configured by PROXY_CONFIG and the platform's other variables. The commands below read a
+separate configuration, in TOML; SPANFLOW_CONFIG names the file if --config is not set.
 
-Exit codes: 0 fine; 1 something is wrong, and has been named; 2 the command line cannot be understood.`,
+Exit codes: 0 success; 1 a problem, which has been printed; 2 the command line is invalid.`,
 		Args: cobra.NoArgs,
 		// Shells complete commands, but not their aliases.
 		ValidArgs: []cobra.Completion{cobra.CompletionWithDesc(walAlias, "The former name of "+walName)},
 		RunE:      showHelp,
 	}
-	root.PersistentFlags().BoolVar(&s.json, "json", false, "output for programs, as JSON")
+	root.PersistentFlags().BoolVar(&s.json, "json", false, "print JSON, for programs")
 	root.CompletionOptions.SetDefaultShellCompDirective(cobra.ShellCompDirectiveDefault)
 	root.AddCommand(s.runCommand(), s.checkCommand(), s.configCommand())
 	root.AddCommand(s.walCommand(), s.backlogCommand(), s.versionCommand())
@@ -70,23 +70,23 @@
 	return ""
 }
 
-// withConfigFlags gives a command the flags that name a configuration.
+// withConfigFlags adds the flags that select and override the configuration to a command.
 func (s *session) withConfigFlags(c *cobra.Command) *cobra.Command {
 	f := c.Flags()
-	f.StringVarP(&s.configPath, "config", "c", "", "configuration (TOML, or the platform's form where it ends in .json)")
-	f.StringArrayVar(&s.set, "set", nil, "FIELD=VALUE that overrides file and variables, say limits.memory=48MB")
+	f.StringVarP(&s.configPath, "config", "c", "", "configuration file (TOML, or the platform's format if the name ends in .json)")
+	f.StringArrayVar(&s.set, "set", nil, "FIELD=VALUE that overrides the file and variables, such as limits.memory=48MB")
 	must(c.MarkFlagFilename("config", "toml", "json"))
 	return c
 }
 
-// must panics with an error that only a mistake in the program can cause.
+// must panics if there is an error, which only a mistake in the program can cause.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// configFile returns the path of the configuration that is asked for, and whether it has the platform's form.
+// configFile returns the path of the selected configuration, and whether it is in the platform's format.
 func (s *session) configFile() (path string, platform bool, err error) {
 	if path = s.configPath; path == "" {
 		path = s.getenv(config.ConfigVariable)
@@ -101,7 +101,7 @@
 	return path, platform || strings.HasSuffix(path, ".json"), nil
 }
 
-// forwarderConfig reads the configuration, whichever form it has.
+// forwarderConfig reads the configuration in either format.
 func (s *session) forwarderConfig() (*forwarder.Config, error) {
 	path, platform, err := s.configFile()
 	if err != nil {
@@ -111,7 +111,7 @@
 		return config.ForwarderConfig(path, s.environ, s.set)
 	}
 	if len(s.set) > 0 {
-		return nil, errors.New("--set has no use with the platform's form")
+		return nil, errors.New("--set is not supported with a configuration in the platform's format")
 	}
 	return forwarder.ConfigFromEnvironment(func(name string) string {
 		if name == platformConfigVariable {
--- a/internal/commands/config.go
+++ b/internal/commands/config.go
@@ -11,19 +11,19 @@
 )
 
 func (s *session) configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Look at the configuration", Args: cobra.NoArgs, RunE: showHelp}
+	c := &cobra.Command{Use: "config", Short: "Inspect the configuration", Args: cobra.NoArgs, RunE: showHelp}
 	show := &cobra.Command{
 		Use:   "show",
-		Short: "Show what is in force, and where each value comes from",
+		Short: "Show the effective values and their sources",
 		Args:  cobra.NoArgs,
-		Long: `Shows each field with its value, its source (default, file with line, variable, flag) and whether a running forwarder
-follows a change of it when it reads its configuration again (reload) or at the next start (restart). Secrets stand in
-files of their own; only the paths of those are shown.`,
+		Long: `Shows each field with its value, its source (default, file with line, variable, flag) and when a running forwarder
+applies a change of it: when it reloads its configuration (reload) or at the next start (restart). Secrets are kept in
+separate files; only the paths of these are shown.`,
 		RunE: cli.Run(func([]string) error { return s.showConfig() }),
 	}
 	schema := &cobra.Command{
 		Use:   "schema",
-		Short: "Print the form as JSON Schema",
+		Short: "Print the JSON Schema of a configuration file",
 		Args:  cobra.NoArgs,
 		RunE:  cli.Run(func([]string) error { return s.printSchema() }),
 	}
@@ -45,7 +45,7 @@
 	Field  string `json:"field"`
 	Value  any    `json:"value"`
 	Source string `json:"source"`
-	Change string `json:"change"` // when a change of it takes effect
+	Change string `json:"change"` // when a change takes effect
 }
 
 func (s *session) showConfig() error {
@@ -64,7 +64,7 @@
 	return t.Flush()
 }
 
-// configFields returns all fields of the configuration, whichever form it has.
+// configFields returns all fields of the configuration in either format.
 func (s *session) configFields() ([]fieldReport, error) {
 	path, platform, err := s.configFile()
 	if err != nil {
@@ -98,7 +98,7 @@
 	return string(source.Layer)
 }
 
-// platformFields returns what the platform's form and its variables set.
+// platformFields returns the fields that a configuration in the platform's format and its variables set.
 func (s *session) platformFields(c *forwarder.Config, path string) []fieldReport {
 	source := func(variable string) string {
 		if s.getenv(variable) != "" {
--- a/internal/commands/harness_test.go
+++ b/internal/commands/harness_test.go
@@ -15,10 +15,10 @@
 	"spanflow/internal/backlog"
 )
 
-// storeBounds make small segments, so that a short test frees some.
+// storeBounds sets a small segment size, so that short tests free some segments.
 var storeBounds = backlog.Bounds{Bytes: 8 << 14, SegmentBytes: 1 << 14}
 
-// run runs a command line and returns what it printed, errors too, and its exit code.
+// run runs a command line and returns its output, including errors, and its exit code.
 func run(args ...string) (string, int) { return runWith(nil, args...) }
 
 func runWith(environ []string, args ...string) (string, int) {
@@ -38,24 +38,24 @@
 	return store
 }
 
-// newStore makes a store with messages of three lanes, each with another history, and closes it.
+// newStore creates and closes a store with messages in three lanes and in all states, one of which expires soon.
 func newStore(t *testing.T) string {
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, storeBounds)
 	tried := newMessage(backlog.Lane{Destination: 9, Tenant: 0}, 2)
 	tried.Attempts = 2
-	ran := newMessage(backlog.Lane{Destination: 7, Tenant: 1}, 3)
-	ran.Attempts, ran.MayHaveRun, ran.DeduplicationKey, ran.Frontend, ran.CallerWaits = 1, time.Now().UnixMicro(), "n-3", "web", true
-	soon := newMessage(backlog.Lane{Destination: 9, Tenant: 0}, 4)
-	soon.Expiry = time.Now().Add(10 * time.Second).UnixMicro()
-	for _, m := range []*backlog.Message{newMessage(backlog.Lane{Destination: 9, Tenant: 0}, 1), tried, ran, soon, newMessage(backlog.Lane{Destination: 7, Tenant: 0}, 5)} {
+	mayHaveRun := newMessage(backlog.Lane{Destination: 7, Tenant: 1}, 3)
+	mayHaveRun.Attempts, mayHaveRun.MayHaveRun, mayHaveRun.DeduplicationKey, mayHaveRun.Frontend, mayHaveRun.CallerWaits = 1, time.Now().UnixMicro(), "n-3", "web", true
+	expiring := newMessage(backlog.Lane{Destination: 9, Tenant: 0}, 4)
+	expiring.Expiry = time.Now().Add(10 * time.Second).UnixMicro()
+	for _, m := range []*backlog.Message{newMessage(backlog.Lane{Destination: 9, Tenant: 0}, 1), tried, mayHaveRun, expiring, newMessage(backlog.Lane{Destination: 7, Tenant: 0}, 5)} {
 		require.NoError(t, store.Append(m))
 	}
 	require.NoError(t, store.Close())
 	return folder
 }
 
-// writeConfig writes a configuration with a tenant's name and, unless the text is empty, a [backlog] section.
+// writeConfig writes a configuration with a named tenant and the given section, and returns its path.
 func writeConfig(t *testing.T, section string) string {
 	path := filepath.Join(t.TempDir(), "c.toml")
 	text := `[[fronts]]
@@ -77,7 +77,7 @@
 	return path
 }
 
-// listedIDs returns the ids of a list as JSON, one message per line.
+// listedIDs returns the ids in the JSON output of list, which has one message per line.
 func listedIDs(t *testing.T, out string) []string {
 	all := []string{}
 	for line := range strings.Lines(out) {
@@ -88,7 +88,7 @@
 	return all
 }
 
-// readFiles returns the texts of a folder's files by name.
+// readFiles returns the contents of a folder's files by path.
 func readFiles(t *testing.T, folder string) map[string]string {
 	all := map[string]string{}
 	names, err := filepath.Glob(filepath.Join(folder, "*"))
--- a/internal/commands/inspect.go
+++ b/internal/commands/inspect.go
@@ -27,33 +27,33 @@
 	limit         int
 }
 
-// withFolderFlags gives a command the flags that name a folder.
+// withFolderFlags adds the flags that select a folder, directly or by a configuration, to a command.
 func (s *session) withFolderFlags(c *cobra.Command, flags *inspectFlags) *cobra.Command {
-	s.withConfigFlags(c).Flags().StringVarP(&flags.folder, "folder", "f", "", "the folder (default: the configuration's)")
+	s.withConfigFlags(c).Flags().StringVarP(&flags.folder, "folder", "f", "", "folder to read (default: the one in the configuration)")
 	must(c.MarkFlagDirname("folder"))
 	return c
 }
 
-// addLaneFlags gives a command the flags that select a destination and a tenant.
+// addLaneFlags adds the flags that select a destination and a tenant to a command.
 func (f *inspectFlags) addLaneFlags(c *cobra.Command) {
-	c.Flags().StringVar(&f.destination, "dest", "", "only for this destination")
-	c.Flags().StringVar(&f.tenant, "tenant", "", "only of this tenant, by number, or by name with a configuration")
+	c.Flags().StringVar(&f.destination, "dest", "", "only messages for this destination")
+	c.Flags().StringVar(&f.tenant, "tenant", "", "only messages of this tenant: its number or, with a configuration, its name")
 }
 
-// folderSource reads a folder's path from a configuration of either form, empty if the configuration has none.
+// folderSource reads a folder's path from a configuration in either format, empty if the configuration has none.
 type folderSource struct {
 	ofForwarder func(*forwarder.Config) string
 	ofFile      func(*config.Loaded) string
 }
 
-// folder returns the folder that is asked for, and the names of tenants if there is a configuration.
+// folder returns the selected folder, and the names of the tenants if there is a configuration.
 func (s *session) folder(flag string, source folderSource) (folder string, tenants []string, err error) {
 	if flag != "" && s.configPath == "" {
 		return flag, nil, nil
 	}
 	path, platform, err := s.configFile()
 	if err != nil {
-		return "", nil, errors.New("no folder: use --folder, or --config FILE")
+		return "", nil, errors.New("no folder; use --folder or --config FILE")
 	}
 	if platform {
 		folder, tenants, err = s.platformFolder(source)
@@ -67,7 +67,7 @@
 		folder = flag
 	}
 	if folder == "" {
-		return "", nil, fmt.Errorf("%s names no folder: use --folder", path)
+		return "", nil, fmt.Errorf("%s sets no folder; use --folder", path)
 	}
 	return folder, tenants, nil
 }
@@ -91,7 +91,7 @@
 	return source.ofFile(l), tenants, nil
 }
 
-// lane reads the flags that select a destination and a tenant; nil: the flag is not set.
+// lane parses the flags that select a destination and a tenant. A nil result means that the flag is not set.
 func (f *inspectFlags) lane(tenants []string) (destination *uint64, tenant *int, err error) {
 	if f.destination != "" {
 		if destination, err = parseNumber("dest", f.destination, 10, 32); err != nil {
@@ -112,7 +112,7 @@
 	return destination, &number, nil
 }
 
-// parseNumber reads a flag's number.
+// parseNumber parses the number that a flag is set to.
 func parseNumber(flag, text string, base, bits int) (*uint64, error) {
 	n, err := strconv.ParseUint(text, base, bits)
 	if err != nil {
--- a/internal/commands/messages.go
+++ b/internal/commands/messages.go
@@ -11,10 +11,10 @@
 	"spanflow/internal/cli"
 )
 
-// platformFrontend is how the platform's frontend is shown, which has no name on disk.
+// platformFrontend is the name shown for the platform's frontend, whose name is empty on disk.
 const platformFrontend = "resp"
 
-// messageReport is one message as it is printed.
+// messageReport is the output for one message.
 type messageReport struct {
 	ID              string    `json:"id"`
 	State           string    `json:"state"`
@@ -61,13 +61,13 @@
 
 func keyText(key uint64) string { return fmt.Sprintf("%016x", key) }
 
-const rowsPerFlush = 1000 // of a table whose columns are aligned together
+const rowsPerFlush = 1000 // rows of a table that are aligned together
 
-// messageTable prints messages: as rows under a heading, or as JSON objects, one per line.
+// messageTable prints messages as rows under a heading, or as JSON objects, one per line.
 type messageTable struct {
 	rows    int
 	text    *tabwriter.Writer
-	objects *json.Encoder // nil: as text
+	objects *json.Encoder // nil for text output
 }
 
 func (s *session) newMessageTable() *messageTable {
--- a/internal/commands/run.go
+++ b/internal/commands/run.go
@@ -15,18 +15,19 @@
 		Args:  cobra.NoArgs,
 		Long: `Runs a forwarder in the foreground. Its log goes to standard error.
 
-SIGTERM ends it: it finishes what it can for up to 3.2 s, the rest stays owed in the write-ahead log's folder. SIGHUP
-makes it read its configuration again; 'spanflow config show' tells which fields change then and which at a restart.`,
+On SIGTERM it processes its messages for up to 3.2 s more and exits; unfinished messages stay pending in the write-ahead
+log. On SIGHUP it reloads its configuration; 'spanflow config show' shows which fields change on reload and which only at
+a restart.`,
 		Example: "  spanflow run --config example/spanflow.toml\n  spanflow run -c spanflow.toml --set log.format=console",
 		RunE:    cli.Run(func([]string) error { return s.run() }),
 	})
 }
 
 func (s *session) run() error {
-	caught := signals.Catch() // first: a signal that is not caught ends the process
+	caught := signals.Catch() // before anything else, as an uncaught signal ends the process
 	c, err := signals.Interruptible(caught.Stop(), s.forwarderConfig, nil)
 	if caught.Stop().Err() != nil {
-		return nil // nobody was served
+		return nil // stopped before serving
 	}
 	if err != nil {
 		return s.reportProblems(err)
--- a/internal/commands/version.go
+++ b/internal/commands/version.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// buildInfo is what version prints.
+// buildInfo is the output of version.
 type buildInfo struct {
 	Version  string `json:"version"`
 	Go       string `json:"go"`
--- a/internal/commands/wal.go
+++ b/internal/commands/wal.go
@@ -14,13 +14,13 @@
 	"spanflow/internal/wal"
 )
 
-// Names of the command.
+// Names of the command that inspects the write-ahead log.
 const (
 	walName  = "wal"
 	walAlias = "ledger"
 )
 
-// walFolder finds the write-ahead log's folder in a configuration.
+// walFolder reads the path of the write-ahead log's folder from a configuration.
 var walFolder = folderSource{
 	ofForwarder: func(c *forwarder.Config) string { return c.Folder },
 	ofFile:      func(l *config.Loaded) string { return l.WALFolder() },
@@ -30,10 +30,10 @@
 	c := &cobra.Command{
 		Use:     walName,
 		Aliases: []string{walAlias},
-		Short:   "Look at what is owed, in the write-ahead log",
+		Short:   "Inspect the pending messages in the write-ahead log",
 		Args:    cobra.NoArgs,
-		Long: `Reads a write-ahead log's folder, whether a forwarder has it or not. Nothing is altered and no forwarder waits for it;
-with one running, what is printed is as of a moment ago.`,
+		Long: `Reads a write-ahead log's folder, even while a forwarder is using it. Nothing is changed and the forwarder is not
+delayed, so the output may be out of date by the time it is printed.`,
 		RunE: showHelp,
 	}
 	flags := &inspectFlags{}
@@ -48,23 +48,24 @@
 func (s *session) walListCommand(flags *inspectFlags) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "list",
-		Short: "List the messages that are owed a final answer",
+		Short: "List the pending messages",
 		Args:  cobra.NoArgs,
-		Long: `Lists messages in the order in which they were taken on. States: held (no attempt yet), tried (attempted, surely never
-run), out (an attempt is in progress), may-have-run, returned and abandoned (answered; the answer is not confirmed yet).`,
+		Long: `Lists messages in the order of acceptance. States: held (no attempt yet), tried (attempted, but certainly not executed by
+an endpoint), out (an attempt is in progress), may-have-run (an endpoint may have executed it), returned (rejected) and
+abandoned (failed); in the last two the client's answer is not confirmed yet.`,
 		Example: "  spanflow wal list -f /var/lib/spanflow --dest 7 --state may-have-run\n" +
 			"  spanflow wal list -f state --expired-for 10s --json",
 		RunE: cli.Run(func([]string) error { return s.walList(flags) }),
 	}
 	flags.addLaneFlags(c)
 	f := c.Flags()
-	f.StringVar(&flags.key, "key", "", "only with this ordering key, hexadecimal")
-	f.StringVar(&flags.frontend, "front", "", "only by this frontend; resp for the platform's")
-	f.StringVar(&flags.messageType, "type", "", "only of this message type")
-	f.StringVar(&flags.state, "state", "", "only in this state")
-	f.DurationVar(&flags.expiredFor, "expired-for", 0, "only those whose expiry is past for so long")
-	f.DurationVar(&flags.expiresWithin, "expires-within", 0, "only those whose expiry is past or comes within so long")
-	f.IntVar(&flags.limit, "limit", 0, "so many at most")
+	f.StringVar(&flags.key, "key", "", "only messages with this ordering key (hexadecimal)")
+	f.StringVar(&flags.frontend, "front", "", "only messages from this frontend; resp means the platform's")
+	f.StringVar(&flags.messageType, "type", "", "only messages of this type")
+	f.StringVar(&flags.state, "state", "", "only messages in this state")
+	f.DurationVar(&flags.expiredFor, "expired-for", 0, "only messages that expired at least this long ago")
+	f.DurationVar(&flags.expiresWithin, "expires-within", 0, "only messages that have expired or expire within this time")
+	f.IntVar(&flags.limit, "limit", 0, "maximum number of messages; 0 means all")
 	return c
 }
 
@@ -80,7 +81,7 @@
 func (s *session) walStatCommand(flags *inspectFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "stat",
-		Short: "Sum up what is owed, by state and destination",
+		Short: "Count the pending messages by state and destination",
 		Args:  cobra.NoArgs,
 		RunE:  cli.Run(func([]string) error { return s.walStat(flags) }),
 	}
@@ -89,15 +90,15 @@
 func (s *session) walVerifyCommand(flags *inspectFlags) *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify",
-		Short: "Read every record and tell what is damaged",
+		Short: "Read every record and report damage",
 		Args:  cobra.NoArgs,
-		Long: `Reads every record. A torn end, left by a process that was killed while writing or is writing now, is reported and is no
-damage. Anything else that cannot be read is damage: then the exit code is 1.`,
+		Long: `Reads every record. A torn end was left by a process that was killed while writing, or is being
+written now; it is reported, but is not damage. Anything else that cannot be read is damage, and the exit code is 1.`,
 		RunE: cli.Run(func([]string) error { return s.walVerify(flags) }),
 	}
 }
 
-// walFilter reads the flags. An error names the flag.
+// walFilter returns the filter that the flags describe. An error names the invalid flag.
 func (f *inspectFlags) walFilter(tenants []string) (filter wal.Filter, err error) {
 	if filter.Destination, filter.Tenant, err = f.lane(tenants); err != nil {
 		return filter, err
@@ -115,7 +116,7 @@
 		filter.Frontend = &name
 	}
 	if f.expiredFor > 0 && f.expiresWithin > 0 {
-		return filter, errors.New("--expired-for and --expires-within: one of them")
+		return filter, errors.New("--expired-for and --expires-within cannot be combined")
 	}
 	if f.expiredFor > 0 {
 		filter.OlderThan = time.Now().Add(-f.expiredFor).UnixMicro()
@@ -130,7 +131,7 @@
 	return filter, nil
 }
 
-// inspectWAL reads the folder that is asked for, and returns the names of tenants if there is a configuration.
+// inspectWAL reads the selected folder, and returns the names of the tenants if there is a configuration.
 func (s *session) inspectWAL(flags *inspectFlags) (*wal.View, []string, error) {
 	folder, tenants, err := s.folder(flags.folder, walFolder)
 	if err != nil {
@@ -199,11 +200,11 @@
 	return s.printMessage(report)
 }
 
-// walVerification is what "wal verify" prints.
+// walVerification is the output of "wal verify".
 type walVerification struct {
 	Folder  string              `json:"folder"`
 	Damaged bool                `json:"damaged"`
-	Owed    int                 `json:"owed"`
+	Pending int                 `json:"owed"`
 	Files   []wal.FileView      `json:"files"`
 	Faults  []wal.DamagedRecord `json:"faults"`
 }
--- a/internal/commands/wal_stat.go
+++ b/internal/commands/wal_stat.go
@@ -11,14 +11,14 @@
 	"spanflow/internal/wal"
 )
 
-// walStats is what "wal stat" prints.
+// walStats is the output of "wal stat".
 type walStats struct {
 	Folder       string             `json:"folder"`
 	HolderPID    int                `json:"owner_pid,omitempty"`
 	Files        int                `json:"files"`
 	DiskBytes    int64              `json:"bytes_on_disk"`
-	Owed         int                `json:"owed"`
-	OwedBytes    int                `json:"bytes_owed"`
+	Pending      int                `json:"owed"`
+	PendingBytes int                `json:"bytes_owed"`
 	States       map[string]int     `json:"by_state"`
 	Destinations []destinationStats `json:"by_destination"`
 	FirstExpiry  time.Time          `json:"first_expiry,omitzero"`
@@ -27,7 +27,7 @@
 // destinationStats are the counts of one destination's messages in the write-ahead log.
 type destinationStats struct {
 	Destination uint64 `json:"dest"`
-	Owed        int    `json:"owed"`
+	Pending     int    `json:"owed"`
 	Expired     int    `json:"past_expiry"`
 }
 
@@ -43,26 +43,26 @@
 	return stats.write(s.out)
 }
 
-// sumWAL sums up a write-ahead log, the destinations with the most messages first.
+// sumWAL returns the output of stat for a write-ahead log. The destinations with the most messages come first.
 func sumWAL(view *wal.View, now time.Time) *walStats {
 	stats := &walStats{
 		Folder:    view.Dir,
 		HolderPID: view.HolderPID,
 		Files:     len(view.Files),
 		DiskBytes: view.Bytes,
-		Owed:      len(view.Pending),
+		Pending:   len(view.Pending),
 		States:    map[string]int{},
 	}
 	destinations := map[uint64]*destinationStats{}
 	for _, e := range view.Pending {
 		stats.States[e.State()]++
-		stats.OwedBytes += e.Size()
+		stats.PendingBytes += e.Size()
 		d := destinations[e.Destination]
 		if d == nil {
 			d = &destinationStats{Destination: e.Destination}
 			destinations[e.Destination] = d
 		}
-		d.Owed++
+		d.Pending++
 		if e.Expiry < now.UnixMicro() {
 			d.Expired++
 		}
@@ -74,7 +74,7 @@
 		stats.Destinations = append(stats.Destinations, *d)
 	}
 	slices.SortFunc(stats.Destinations, func(a, b destinationStats) int {
-		return cmp.Or(cmp.Compare(b.Owed, a.Owed), cmp.Compare(a.Destination, b.Destination))
+		return cmp.Or(cmp.Compare(b.Pending, a.Pending), cmp.Compare(a.Destination, b.Destination))
 	})
 	return stats
 }
@@ -85,8 +85,8 @@
 	fmt.Fprintf(t, "folder\t%s\n", s.Folder)
 	fmt.Fprintf(t, "owner\t%s\n", holderText(s.HolderPID))
 	fmt.Fprintf(t, "files\t%d, %d bytes on disk\n", s.Files, s.DiskBytes)
-	fmt.Fprintf(t, "owed\t%d documents, %d bytes\n", s.Owed, s.OwedBytes)
-	if s.Owed > 0 {
+	fmt.Fprintf(t, "owed\t%d documents, %d bytes\n", s.Pending, s.PendingBytes)
+	if s.Pending > 0 {
 		fmt.Fprintf(t, "first expiry\t%s\n", s.FirstExpiry.Format(time.RFC3339))
 	}
 	for _, state := range wal.States() {
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, d := range s.Destinations {
-		fmt.Fprintf(t, "destination %d\t%d, %d of them past expiry\n", d.Destination, d.Owed, d.Expired)
+		fmt.Fprintf(t, "destination %d\t%d, %d of them past expiry\n", d.Destination, d.Pending, d.Expired)
 	}
 	return t.Flush()
 }
--- a/internal/commands/wal_test.go
+++ b/internal/commands/wal_test.go
@@ -8,7 +8,7 @@
 	"spanflow/internal/wal"
 )
 
-// The former name of the command does the same, and shells complete it.
+// The former name of the command must have the same output and be offered by shell completion.
 func TestLedgerIsAnAliasOfWAL(t *testing.T) {
 	folder := t.TempDir()
 	log, err := wal.Open(folder, 64e6)
@@ -16,8 +16,8 @@
 	require.NoError(t, log.Close())
 	for _, args := range [][]string{{"stat"}, {"stat", "--json"}, {"list"}, {"verify"}, {"show", "none"}} {
 		out, code := run(append(append([]string{walName}, args...), "-f", folder)...)
-		again, aliasCode := run(append(append([]string{walAlias}, args...), "-f", folder)...)
-		require.Equal(t, out, again, args)
+		aliasOut, aliasCode := run(append(append([]string{walAlias}, args...), "-f", folder)...)
+		require.Equal(t, out, aliasOut, args)
 		require.Equal(t, code, aliasCode, args)
 	}
 	for _, c := range []struct {
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -35,106 +35,107 @@
 }
 
 func TestNoBacklogStoreWithoutAFolder(t *testing.T) {
-	o, err := ForwarderConfig(writeFile(t, validConfig), nil, nil)
+	cfg, err := ForwarderConfig(writeFile(t, validConfig), nil, nil)
 	require.NoError(t, err)
-	require.Nil(t, o.Backlog)
+	require.Nil(t, cfg.Backlog)
 	require.NotContains(t, notesOf(t, validConfig), "backlog")
 	unused := strings.Replace(backlogSection, "folder = \"stored\"\n", "", 1)
-	o, err = ForwarderConfig(writeFile(t, validConfig+unused), nil, nil)
+	cfg, err = ForwarderConfig(writeFile(t, validConfig+unused), nil, nil)
 	require.NoError(t, err)
-	require.Nil(t, o.Backlog)
+	require.Nil(t, cfg.Backlog)
 	for _, name := range []string{"disk", "destination", "tenant", "window", "behind"} {
-		require.Contains(t, notesOf(t, validConfig+unused), "backlog."+name+": has no use, as backlog.folder is empty")
+		require.Contains(t, notesOf(t, validConfig+unused), "backlog."+name+": has no effect, because backlog.folder is empty")
 	}
 	tight := strings.Replace(validConfig, "[limits]", "[dispatch]\nroom = 10\n[limits]\ndescriptors = 64", 1)
-	require.NotContains(t, notesOf(t, tight), "backlog", "the defaults are held against nothing")
+	require.NotContains(t, notesOf(t, tight), "backlog", "defaults are not checked without a store")
 }
 
 func TestForwarderConfigOfABacklogStore(t *testing.T) {
 	path := writeFile(t, validConfig+backlogSection)
-	o, err := ForwarderConfig(path, nil, nil)
+	cfg, err := ForwarderConfig(path, nil, nil)
 	require.NoError(t, err)
 	folder := filepath.Join(filepath.Dir(path), "stored")
-	require.Equal(t, &forwarder.Backlog{Folder: folder, Bytes: 64e6, DestinationBytes: 16e6, TenantBytes: 32e6, Window: 32, Behind: 500}, o.Backlog)
-	require.NoDirExists(t, folder, "who opens the store makes it")
-	next, err := o.Reload()
+	require.Equal(t, &forwarder.Backlog{Folder: folder, Bytes: 64e6, DestinationBytes: 16e6, TenantBytes: 32e6, Window: 32, Behind: 500}, cfg.Backlog)
+	require.NoDirExists(t, folder, "the folder is created when the store is opened")
+	next, err := cfg.Reload()
 	require.NoError(t, err)
-	require.Equal(t, o.Backlog, next.Backlog)
+	require.Equal(t, cfg.Backlog, next.Backlog)
 
-	o, err = ForwarderConfig(writeFile(t, validConfig+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
+	cfg, err = ForwarderConfig(writeFile(t, validConfig+"[backlog]\nfolder = \"/var/none/stored\"\n"), nil, nil)
 	require.NoError(t, err)
-	require.Equal(t, &forwarder.Backlog{Folder: "/var/none/stored", Bytes: 256e6, Window: 64, Behind: 1000}, o.Backlog, "the defaults")
+	require.Equal(t, &forwarder.Backlog{Folder: "/var/none/stored", Bytes: 256e6, Window: 64, Behind: 1000}, cfg.Backlog, "the defaults")
 }
 
-func TestProblemsOfTheBacklogStoreNameTheField(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
+func TestBacklogProblemsNameTheField(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
 		{`folder = "stored"`, `folder = "c.toml"`, "c.toml:23: backlog.folder: c.toml is not a folder"},
 		{`folder = "stored"`, `folder = "state"`, "c.toml:23: backlog.folder: "},
-		{`folder = "stored"`, `folder = "./state/../state"`, "is ledger.folder too"},
+		{`folder = "stored"`, `folder = "./state/../state"`, "is also ledger.folder"},
 		{`folder = "stored"`, `folder = "state/stored"`, "lies within ledger.folder"},
 		{`folder = "stored"`, `folder = "."`, "backlog.folder: ledger.folder, "},
 		{`folder = "stored"`, `folder = 7`, "c.toml:23: backlog.folder"},
 		{`disk = "64MB"`, `disk = "64"`, `c.toml:24: backlog.disk: "64" is not a size with its unit`},
-		{`disk = "64MB"`, `disk = "2MB"`, "c.toml:24: backlog.disk: 2MB is under the least, 2MiB"},
+		{`disk = "64MB"`, `disk = "2MB"`, "c.toml:24: backlog.disk: 2MB is below the minimum, 2MiB"},
 		{`disk = "64MB"`, `dsk = "64MB"`, "c.toml:24: backlog.dsk: unknown key; disk may be meant"},
-		{`destination = "16MB"`, `destination = "65MB"`, "c.toml:25: backlog.destination: 65MB is over backlog.disk, 64MB"},
-		{`tenant = "32MB"`, `tenant = "1GB"`, "c.toml:26: backlog.tenant: 1GB is over backlog.disk, 64MB"},
-		{`window = 32`, `window = 0`, "c.toml:27: backlog.window: 0 is under the least, 1"},
-		{`window = 32`, `window = -5`, "c.toml:27: backlog.window: -5 is under the least, 1"},
-		{`window = 32`, `window = 501`, "c.toml:28: backlog.behind: 500 is under backlog.window, 501"},
+		{`destination = "16MB"`, `destination = "65MB"`, "c.toml:25: backlog.destination: 65MB exceeds backlog.disk, 64MB"},
+		{`tenant = "32MB"`, `tenant = "1GB"`, "c.toml:26: backlog.tenant: 1GB exceeds backlog.disk, 64MB"},
+		{`window = 32`, `window = 0`, "c.toml:27: backlog.window: 0 is below the minimum, 1"},
+		{`window = 32`, `window = -5`, "c.toml:27: backlog.window: -5 is below the minimum, 1"},
+		{`window = 32`, `window = 501`, "c.toml:28: backlog.behind: 500 is less than backlog.window, 501"},
 		{`window = 32`, `window = "32"`, "c.toml:27: backlog.window"},
-		{`behind = 500`, `behind = 31`, "c.toml:28: backlog.behind: 31 is under backlog.window, 32"},
-		{"window = 32\nbehind = 500", "window = 2001\nbehind = 2001", "c.toml:27: backlog.window: 2001 is over dispatch.room, 2000"},
-		{`behind = 500`, "behind = 500\n[limits]\ndescriptors = 73", "limits.descriptors: 73 is under the least with a backlog store, 74"},
+		{`behind = 500`, `behind = 31`, "c.toml:28: backlog.behind: 31 is less than backlog.window, 32"},
+		{"window = 32\nbehind = 500", "window = 2001\nbehind = 2001", "c.toml:27: backlog.window: 2001 exceeds dispatch.room, 2000"},
+		{`behind = 500`, "behind = 500\n[limits]\ndescriptors = 73", "limits.descriptors: 73 is below the minimum with a backlog store, 74"},
 	} {
 		text := strings.Replace(validConfig+backlogSection, c.old, c.new, 1)
 		require.NotEqual(t, validConfig+backlogSection, text)
 		if strings.Contains(c.new, "[limits]") {
 			text = strings.Replace(text, "[limits]\nmemory = \"48MB\"\n", "", 1)
 		}
-		require.Contains(t, problemsOf(t, text, nil, nil), c.says, c.new)
+		require.Contains(t, problemsOf(t, text, nil, nil), c.want, c.new)
 	}
 	require.Empty(t, problemsOf(t, validConfig+backlogSection, nil, nil))
-	require.Contains(t, problemsOf(t, validConfig+backlogSection, nil, []string{"backlog.disk=1MB"}), "backlog.disk: 1MB is under the least")
+	require.Contains(t, problemsOf(t, validConfig+backlogSection, nil, []string{"backlog.disk=1MB"}), "backlog.disk: 1MB is below the minimum")
 	require.Contains(t, problemsOf(t, validConfig+backlogSection, []string{"SPANFLOW_BACKLOG_WINDOW=many"}, nil), `SPANFLOW_BACKLOG_WINDOW: "many" is not a whole number`)
 }
 
-// A folder that is reached by another name is the same folder.
-func TestLinkToTheLogsFolderIsTheSameFolder(t *testing.T) {
+// A path that reaches the write-ahead log's folder through a symbolic link counts as that folder.
+func TestSymlinkToTheLogFolderIsTheSameFolder(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.Mkdir(filepath.Join(dir, "state"), 0o700))
 	require.NoError(t, os.Symlink("state", filepath.Join(dir, "link")))
-	for folder, says := range map[string]string{"link": "is ledger.folder too", "link/new/deep": "lies within ledger.folder"} {
+	for folder, want := range map[string]string{"link": "is also ledger.folder", "link/new/deep": "lies within ledger.folder"} {
 		path := filepath.Join(dir, "c.toml")
 		require.NoError(t, os.WriteFile(path, []byte(validConfig+strings.Replace(backlogSection, `"stored"`, fmt.Sprintf("%q", folder), 1)), 0o600))
 		l, err := Load(path, nil, nil)
 		require.NoError(t, err)
 		problems, _ := l.Check()
-		require.ErrorContains(t, problems, says)
+		require.ErrorContains(t, problems, want)
 	}
 }
 
-func TestNotesOnWhatTheBacklogStoreNeeds(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
-		{"window = 32", "window = 126", "backlog.window: dispatch.room, 2000, holds the windows of 15 lanes only"},
-		{"behind = 500", "behind = 2001", "backlog.behind: 2001 is over dispatch.room, 2000: a destination that answers never counts as far behind"},
-		{`disk = "64MB"`, `disk = "1GB"`, "backlog.disk: full of messages of 300 bytes it takes up to 160MB of memory for their places, over half of limits.memory, 48MB"},
+func TestNotesOnBacklogSettings(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
+		{"window = 32", "window = 126", "backlog.window: dispatch.room, 2000, holds the windows of only 15 lanes"},
+		{"behind = 500", "behind = 2001", "backlog.behind: 2001 exceeds dispatch.room, 2000, so a destination that answers never counts as far behind"},
+		{`disk = "64MB"`, `disk = "1GB"`, "backlog.disk: when full of 300-byte messages, its index takes up to 160MB of memory, more than half of limits.memory, 48MB"},
 	} {
-		require.Contains(t, notesOf(t, strings.Replace(validConfig+backlogSection, c.old, c.new, 1)), c.says)
+		require.Contains(t, notesOf(t, strings.Replace(validConfig+backlogSection, c.old, c.new, 1)), c.want)
 	}
 	require.NotContains(t, notesOf(t, validConfig+backlogSection), "backlog")
 	require.NotContains(t, notesOf(t, "[backlog]\nfolder = \"stored\"\n"+strings.NewReplacer(`name = "n1"`+"\n", "", `zones = ["a", "b"]`+"\n", "",
-		`zone = "b"`+"\n", "", `memory = "48MB"`, "").Replace(validConfig)), "backlog", "nothing about the defaults")
+		`zone = "b"`+"\n", "", `memory = "48MB"`, "").Replace(validConfig)), "backlog", "no notes on the defaults")
 }
 
-// What passes the check is accepted by the packages that the configuration goes to: the bounds here are those there.
+// A configuration that passes the check must also be valid in packages backlog and policy, whose limits the check
+// repeats.
 func TestStoreAndPolicyAcceptWhatPassesTheCheck(t *testing.T) {
 	check := func(flags ...string) (*forwarder.Backlog, error) {
-		o, err := ForwarderConfig(writeFile(t, validConfig+backlogSection), nil, flags)
+		cfg, err := ForwarderConfig(writeFile(t, validConfig+backlogSection), nil, flags)
 		if err != nil {
 			return nil, err
 		}
-		return o.Backlog, nil
+		return cfg.Backlog, nil
 	}
 	use := func(b *forwarder.Backlog) error {
 		store, err := backlog.Open(backlog.OS{}, t.TempDir(), backlog.Bounds{Bytes: b.Bytes})
@@ -142,7 +143,7 @@
 			return err
 		}
 		defer store.Close()
-		orAll := func(bound int64) int64 { // 0: no bound of its own
+		orAll := func(bound int64) int64 { // 0 means no separate limit
 			if bound == 0 {
 				return b.Bytes
 			}
@@ -159,9 +160,9 @@
 		require.NoError(t, err, flags)
 		require.NoError(t, use(b), flags)
 	}
-	sound, err := check()
+	valid, err := check()
 	require.NoError(t, err)
-	for flag, spoil := range map[string]func(*forwarder.Backlog){
+	for flag, invalidate := range map[string]func(*forwarder.Backlog){
 		fmt.Sprintf("backlog.disk=%dB", minBacklog-1): func(b *forwarder.Backlog) { b.Bytes = minBacklog - 1 },
 		"backlog.destination=65MB":                    func(b *forwarder.Backlog) { b.DestinationBytes = 65e6 },
 		"backlog.tenant=65MB":                         func(b *forwarder.Backlog) { b.TenantBytes = 65e6 },
@@ -170,29 +171,29 @@
 	} {
 		_, err := check(flag)
 		require.Error(t, err, flag)
-		b := *sound
-		spoil(&b)
+		b := *valid
+		invalidate(&b)
 		require.Error(t, use(&b), flag)
 	}
 }
 
-func TestBacklogFieldsComeInLayers(t *testing.T) {
+func TestBacklogFieldsAreLayered(t *testing.T) {
 	path := writeFile(t, validConfig+backlogSection)
 	l, err := Load(path, []string{"SPANFLOW_BACKLOG_DISK=128MB", "SPANFLOW_BACKLOG_WINDOW=16"}, []string{"backlog.window=8", "backlog.tenant=0B"})
 	require.NoError(t, err)
 	require.Equal(t, Backlog{Folder: "stored", Disk: 128e6, Destination: 16e6, Tenant: 0, Window: 8, Behind: 500}, l.Backlog)
-	from := map[string]Source{}
+	sources := map[string]Source{}
 	for _, v := range l.Values() {
-		from[v.Field] = v.Source
+		sources[v.Field] = v.Source
 	}
 	require.Equal(t, []Source{{ByFile, "", 23}, {ByVariable, "SPANFLOW_BACKLOG_DISK", 24}, {ByFlag, "--set", 27}, {ByFlag, "--set", 26}, {ByFile, "", 28}},
-		[]Source{from["backlog.folder"], from["backlog.disk"], from["backlog.window"], from["backlog.tenant"], from["backlog.behind"]})
+		[]Source{sources["backlog.folder"], sources["backlog.disk"], sources["backlog.window"], sources["backlog.tenant"], sources["backlog.behind"]})
 	_, notes := l.Check()
-	require.Contains(t, notes.Error(), "backlog.window: --set goes before line 27 of the file")
+	require.Contains(t, notes.Error(), "backlog.window: --set overrides line 27 of the file")
 
 	again := validConfig + "[backlog]\n"
-	for _, v := range l.Values() { // what is shown can be read again
-		if name, is := strings.CutPrefix(v.Field, "backlog."); is {
+	for _, v := range l.Values() { // the shown values can be parsed again
+		if name, ok := strings.CutPrefix(v.Field, "backlog."); ok {
 			value := fmt.Sprint(v.Value)
 			if reflect.TypeOf(v.Value).Kind() != reflect.Int {
 				value = fmt.Sprintf("%q", value)
@@ -212,19 +213,19 @@
 			want = forwarder.OnRestart
 		}
 		require.Equal(t, want, ReloadBehavior("backlog."+name), name)
-		in := 0
+		parts := 0
 		for _, p := range forwarder.ConfigParts {
 			for _, key := range p.Keys {
 				if key == "backlog."+name {
-					in++
+					parts++
 				}
 			}
 		}
-		require.Equal(t, 1, in, "%s stands in one part of an order", name)
+		require.Equal(t, 1, parts, "%s must be a key of exactly one config part", name)
 	}
 }
 
-// The lines of the example file, taken out of their comment, say what holds without them.
+// The commented-out [backlog] lines of the example file must show the defaults.
 func TestBacklogLinesOfTheExampleFileAreTheDefaults(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/spanflow.toml")
 	require.NoError(t, err)
@@ -242,6 +243,6 @@
 	want.Folder = "/var/lib/spanflow-backlog"
 	require.Equal(t, want, l.Backlog)
 	for _, name := range keys(reflect.TypeFor[Backlog]()) {
-		require.Contains(t, section, "\n"+name+" = ", "each field is there")
+		require.Contains(t, section, "\n"+name+" = ", "every field is listed")
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -14,7 +14,7 @@
 	"spanflow/forwarder"
 )
 
-// Bounds of what a configuration may say.
+// Limits of the values in a configuration.
 const (
 	minMemory      = 16e6
 	minDescriptors = 64
@@ -24,13 +24,13 @@
 	maxTypes       = 64
 	maxEndpoints   = 1 << 20
 	maxBatch       = 1000
-	minConnections = 8 // of a frontend
+	minConnections = 8 // per frontend
 )
 
 var plainName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Check returns all problems of a configuration, and notes on what is valid but may not be intended; both in the order
-// of the file's lines.
+// Check returns all problems of a configuration, and notes on values that are valid but may not be intended. Both are
+// ordered by line.
 func (l *Loaded) Check() (problems, notes Problems) {
 	c := &checker{Loaded: l}
 	c.checkProcess()
@@ -47,7 +47,7 @@
 	c.checkLog()
 	for _, v := range l.Values() {
 		if s := v.Source; s.Line > 0 && (s.Layer == ByVariable || s.Layer == ByFlag) {
-			c.note(v.Field, "%s goes before line %d of the file", s.Name, s.Line)
+			c.note(v.Field, "%s overrides line %d of the file", s.Name, s.Line)
 		}
 	}
 	byLine := func(a, b Problem) int { return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Field, b.Field)) }
@@ -63,8 +63,8 @@
 	notes    Problems
 }
 
-// problemAt returns a problem without a reason, at a field's place: its variable or flag, its line, or the line of the
-// table that should have it.
+// problemAt returns a Problem for a field, still without a reason. Its location is the variable or flag that sets the
+// field, the field's line in the file, or else the line of the table that the field belongs to.
 func (c *checker) problemAt(field string) Problem {
 	p := Problem{Field: field}
 	source, found := c.Sources[field]
@@ -83,7 +83,7 @@
 	return p
 }
 
-// parent returns the table of a field, empty if it has none.
+// parent returns the path of the table that contains a field, empty for top-level fields and lists.
 func parent(field string) string {
 	for i := len(field) - 1; i >= 0; i-- {
 		switch field[i] {
@@ -108,10 +108,10 @@
 	c.notes = append(c.notes, p)
 }
 
-// oneOf checks a field that takes one of a few words.
+// oneOf checks a field that accepts only the known words.
 func (c *checker) oneOf(field, value string, known ...string) {
 	if !slices.Contains(known, value) {
-		c.problem(field, "%q is none of %q%s", value, known, suggestion(value, known))
+		c.problem(field, "%q is not one of %q%s", value, known, suggestion(value, known))
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 }
 
-// isRate reports whether a number is finite and over 0.
+// isRate reports whether a number is finite and greater than 0.
 func isRate(value float64) bool { return value > 0 && !math.IsInf(value, 0) }
 
 // isFraction reports whether a number is between 0 and 1, both included.
@@ -130,15 +130,15 @@
 // checkProcess checks the fields that concern the process as a whole.
 func (c *checker) checkProcess() {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
-		c.problem("name", "a name has 1 to 64 letters")
+		c.problem("name", "must be 1 to 64 bytes long")
 	}
 	if _, err := strconv.ParseUint(c.Seed, 16, 64); c.Seed != "" && err != nil {
 		c.problem("seed", "%q is not a hexadecimal number of up to 16 digits", c.Seed)
 	}
 	if len(c.Zones) == 0 {
-		c.problem("zones", "there is none")
+		c.problem("zones", "none is configured")
 	} else if !slices.Contains(c.Zones, c.Zone) {
-		c.problem("zone", "%q is none of zones %q", c.Zone, c.Zones)
+		c.problem("zone", "%q is not one of zones %q", c.Zone, c.Zones)
 	}
 	if c.WriteAheadLog.Folder == "" {
 		c.problem("ledger.folder", "is not set")
@@ -148,7 +148,7 @@
 	c.checkMetricsAndAdmin()
 }
 
-// checkFolder checks that a path is a folder or can become one.
+// checkFolder checks that a path is a folder or does not exist yet.
 func (c *checker) checkFolder(field, path string) {
 	info, err := os.Stat(path)
 	switch {
@@ -165,7 +165,7 @@
 			c.problem("metrics.token_file", "%s", pathReason(err))
 		}
 		if c.Metrics.Listen == "" {
-			c.note("metrics.token_file", "has no use, as metrics.listen is empty")
+			c.note("metrics.token_file", "has no effect, because metrics.listen is empty")
 		}
 	}
 	if c.Admin != "" {
@@ -178,7 +178,7 @@
 
 func (c *checker) checkLimits() {
 	if !(c.Limits.Cores > 0 && c.Limits.Cores <= maxCores) {
-		c.problem("limits.cores", "%v is not a number of cores", c.Limits.Cores)
+		c.problem("limits.cores", "%v is not a valid number of cores", c.Limits.Cores)
 	}
 	for _, limit := range []struct {
 		field      string
@@ -188,11 +188,11 @@
 		{"ledger.disk", c.WriteAheadLog.Disk, minDisk},
 	} {
 		if limit.value < limit.min {
-			c.problem(limit.field, "%s is under the least, %s", limit.value, limit.min)
+			c.problem(limit.field, "%s is below the minimum, %s", limit.value, limit.min)
 		}
 	}
 	if c.Limits.Descriptors < minDescriptors {
-		c.problem("limits.descriptors", "%d is under the least, %d", c.Limits.Descriptors, minDescriptors)
+		c.problem("limits.descriptors", "%d is below the minimum, %d", c.Limits.Descriptors, minDescriptors)
 	}
 }
 
@@ -208,28 +208,28 @@
 		{"forwarders", d.Forwarders},
 	} {
 		if count.value < 1 {
-			c.problem("dispatch."+count.field, "%d is under the least, 1", count.value)
+			c.problem("dispatch."+count.field, "%d is below the minimum, 1", count.value)
 		}
 	}
 	if d.Connect <= 0 {
-		c.problem("dispatch.connect", "0s leaves no time for a connection")
+		c.problem("dispatch.connect", "0s leaves no time to establish a connection")
 	}
 	if d.IdleTimeout <= 0 {
-		c.problem("dispatch.idle_life", "0s keeps no connection")
+		c.problem("dispatch.idle_life", "0s would keep no idle connection")
 	}
 	if d.PollWithin <= 0 {
-		c.problem("dispatch.ask_within", "0s leaves no time between two questions for the list")
+		c.problem("dispatch.ask_within", "0s leaves no time between two polls of the endpoint list")
 	}
 	if !(d.SlowStartShare > 0 && d.SlowStartShare <= 1) {
-		c.problem("dispatch.cold_from", "%v is not a share over 0 up to 1", d.SlowStartShare)
+		c.problem("dispatch.cold_from", "%v is not a share greater than 0 and at most 1", d.SlowStartShare)
 	}
 	if !(d.OverloadMultiple >= 1) || math.IsInf(d.OverloadMultiple, 0) {
-		c.problem("dispatch.fall_multiple", "%v is under 1", d.OverloadMultiple)
+		c.problem("dispatch.fall_multiple", "%v is not a finite number of at least 1", d.OverloadMultiple)
 	}
-	c.oneOf("dispatch.late", d.LateValueDecay, lateLine, lateHalves)
+	c.oneOf("dispatch.late", d.LateValueDecay, decayLine, decayHalves)
 	c.oneOf("dispatch.listed_rates", d.ListedRates, ratesNone, ratesExact, ratesRough)
 	if connections := c.Limits.Descriptors / 3; d.ConcurrencyLimit > connections {
-		c.note("dispatch.slots", "%d calls find at most %d connections, a third of limits.descriptors",
+		c.note("dispatch.slots", "%d concurrent calls can use at most %d connections, a third of limits.descriptors",
 			d.ConcurrencyLimit, connections)
 	}
 }
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -17,17 +17,17 @@
 	tomlErrorPrefix = "toml: "
 )
 
-// Decode reads a TOML text into a form, a pointer to a struct, strictly: a key that the form does not have is a Problem
-// that suggests the nearest known one. path names the file in Problems.
-func Decode(path string, text []byte, form any) error {
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(form)
+// Decode decodes TOML text into v, a pointer to a struct. It is strict: an unknown key is a Problem that suggests the
+// nearest known one. path names the file in Problems.
+func Decode(path string, text []byte, v any) error {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v)
 	var unknown *toml.StrictMissingError
 	var malformed *toml.DecodeError
 	switch {
 	case err == nil:
 		return nil
 	case errors.As(err, &unknown):
-		return unknownKeys(path, unknown, reflect.TypeOf(form).Elem())
+		return unknownKeys(path, unknown, reflect.TypeOf(v).Elem())
 	case errors.As(err, &malformed):
 		line, _ := malformed.Position()
 		field := strings.Join(malformed.Key(), ".")
@@ -36,7 +36,7 @@
 	return Problems{{File: path, Reason: strings.TrimPrefix(err.Error(), tomlErrorPrefix)}}
 }
 
-func unknownKeys(path string, unknown *toml.StrictMissingError, form reflect.Type) Problems {
+func unknownKeys(path string, unknown *toml.StrictMissingError, structType reflect.Type) Problems {
 	var problems Problems
 	for _, e := range unknown.Errors {
 		key := e.Key()
@@ -46,14 +46,14 @@
 			File:   path,
 			Line:   line,
 			Field:  strings.Join(key, "."),
-			Reason: "unknown key" + suggestion(last, tableKeys(form, table)),
+			Reason: "unknown key" + suggestion(last, tableKeys(structType, table)),
 		})
 	}
 	return problems
 }
 
-// fieldLines finds the line of each field and table of a TOML text: "limits.memory", "fronts[0].listen". What cannot be
-// parsed has none; the decoder says what is wrong with it.
+// fieldLines returns the line of each field and table in a TOML text by path, such as "limits.memory" or
+// "fronts[0].listen". Text that cannot be parsed has no entries; the decoder reports its errors.
 func fieldLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	parser := unstable.Parser{}
@@ -85,14 +85,14 @@
 	return lines
 }
 
-// lineCounter finds the lines of places in a text that are asked for in their order. The parser's own positions are
-// counted from the start of the text each, so that a file with many tables would take time quadratic in its length.
+// lineCounter converts offsets in a text, given in ascending order, to line numbers. The parser's Position counts lines
+// from the start of the text each time, which would take quadratic time for a file with many tables.
 type lineCounter struct {
 	text         []byte
-	offset, line int // of the place asked for last
+	offset, line int // of the latest call of lineAt
 }
 
-// lineAt returns the line of a place that is not before the last one.
+// lineAt returns the line of an offset, which must not be before that of the previous call.
 func (c *lineCounter) lineAt(offset int) int {
 	c.line += bytes.Count(c.text[c.offset:offset], []byte{'\n'})
 	c.offset = offset
@@ -107,24 +107,24 @@
 	return strings.Join(parts, ".")
 }
 
-// tableKeys returns the keys that a table of a form has, nil if the form has no such table.
-func tableKeys(form reflect.Type, table []string) []string {
+// tableKeys returns the keys of a table within a struct type, nil if there is no such table.
+func tableKeys(structType reflect.Type, table []string) []string {
 	for _, name := range table {
-		f, ok := fieldOf(form, name)
+		f, ok := fieldOf(structType, name)
 		if !ok {
 			return nil
 		}
-		if form = f.Type; form.Kind() == reflect.Slice {
-			form = form.Elem()
+		if structType = f.Type; structType.Kind() == reflect.Slice {
+			structType = structType.Elem()
 		}
-		if form.Kind() != reflect.Struct {
+		if structType.Kind() != reflect.Struct {
 			return nil
 		}
 	}
-	return keys(form)
+	return keys(structType)
 }
 
-// keys returns the keys of a struct's fields.
+// keys returns the TOML keys of a struct's fields.
 func keys(t reflect.Type) []string {
 	var all []string
 	for i := range t.NumField() {
@@ -135,7 +135,7 @@
 
 func key(f reflect.StructField) string { return f.Tag.Get("toml") }
 
-// fieldOf returns the field of a struct that a key names.
+// fieldOf returns the field of a struct that has the given TOML key.
 func fieldOf(t reflect.Type, name string) (reflect.StructField, bool) {
 	for i := range t.NumField() {
 		if f := t.Field(i); key(f) == name {
@@ -145,7 +145,7 @@
 	return reflect.StructField{}, false
 }
 
-// suggestion returns the known name that is nearest to an unknown one, empty if none is near.
+// suggestion returns a text with the known name nearest to an unknown one, empty if none is near.
 func suggestion(name string, known []string) string {
 	shortest, nearest := maxEditDistance+1, ""
 	for _, k := range known {
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -8,7 +8,7 @@
 	defaultKind     = "partners"
 )
 
-// Defaults returns the values of the fields that nothing sets.
+// Defaults returns the values of the fields that neither the file nor a variable or flag sets.
 func Defaults() File {
 	return File{
 		Name:          "spanflow",
@@ -30,7 +30,7 @@
 			SlowStartDuration: 10,
 			PollWithin:        10,
 			OverloadMultiple:  2,
-			LateValueDecay:    lateLine,
+			LateValueDecay:    decayLine,
 			ListedRates:       ratesNone,
 			ReportLimit:       "x1",
 			ReportShare:       "x0",
@@ -39,7 +39,8 @@
 	}
 }
 
-// applyElementDefaults gives each element of the lists of tables the values that it lacks.
+// applyElementDefaults adds the default kind and upstream if they are missing, and sets the unset fields of the
+// elements of the lists of tables.
 func (f *File) applyElementDefaults() {
 	if len(f.Kinds) == 0 {
 		f.Kinds = []Kind{{Name: defaultKind}}
@@ -73,10 +74,10 @@
 	}
 }
 
-// SetDefault replaces a zero value by another.
-func SetDefault[T comparable](value *T, other T) {
+// SetDefault sets a variable that has its zero value to a default.
+func SetDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
-		*value = other
+		*value = defaultValue
 	}
 }
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// setField sets a field by its path. An element of a list of tables is named by its number, fronts[0].listen, or by its
-// name, fronts.resp.listen; a front that is not there yet is added.
+// setField parses text and sets the field at a path. The path selects an element of a list of tables by index
+// (fronts[0].listen) or by name (fronts.resp.listen). A frontend that does not exist yet is added.
 func (l *Loaded) setField(path, text string, source Source) error {
 	v, at := reflect.ValueOf(&l.File).Elem(), ""
 	names := strings.ReplaceAll(strings.ReplaceAll(path, "[", "."), "]", "")
@@ -34,7 +34,7 @@
 			v = v.Index(i)
 			at += fmt.Sprintf("[%d]", i)
 		default:
-			return fmt.Errorf("%s has no parts", at)
+			return fmt.Errorf("%s has no fields", at)
 		}
 	}
 	if err := setValue(v, text); err != nil {
@@ -45,14 +45,14 @@
 	return nil
 }
 
-// elementIndex finds an element of a list of tables by its number or name.
+// elementIndex returns the index of an element of a list of tables, which is given by index or name.
 func elementIndex(list reflect.Value, name string) (int, error) {
 	if list.Type().Elem().Kind() != reflect.Struct {
-		return 0, errors.New("is set as a whole, a,b,c")
+		return 0, errors.New("must be set as a whole, as in a,b,c")
 	}
 	if i, err := strconv.Atoi(name); err == nil {
 		if i < 0 || i >= list.Len() {
-			return 0, fmt.Errorf("there is no number %d", i)
+			return 0, fmt.Errorf("there is no element with the index %d", i)
 		}
 		return i, nil
 	}
@@ -67,10 +67,10 @@
 		list.Set(reflect.Append(list, reflect.ValueOf(Frontend{Name: name})))
 		return list.Len() - 1, nil
 	}
-	return 0, fmt.Errorf("there is none named %q", name)
+	return 0, fmt.Errorf("there is no element named %q", name)
 }
 
-// setValue reads a value from text.
+// setValue parses text as v's type and sets v.
 func setValue(v reflect.Value, text string) error {
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
 		return u.UnmarshalText([]byte(text))
@@ -104,7 +104,7 @@
 		v.SetFloat(n)
 	case reflect.Slice:
 		if v.Type().Elem().Kind() != reflect.String {
-			return errors.New("is a list of tables: name one of them")
+			return errors.New("is a list of tables; set the fields of one of its elements")
 		}
 		list := []string{}
 		for part := range strings.SplitSeq(text, ",") {
@@ -114,7 +114,7 @@
 		}
 		v.Set(reflect.ValueOf(list))
 	default:
-		return errors.New("is a table: name a field of it")
+		return errors.New("is a table; set its fields one by one")
 	}
 	return nil
 }
@@ -126,7 +126,7 @@
 	Source Source
 }
 
-// Values returns all fields in the order of the form.
+// Values returns all fields in the order in which File declares them.
 func (l *Loaded) Values() []Value {
 	return l.appendValues(nil, reflect.ValueOf(l.File), "")
 }
--- a/internal/config/form.go
+++ b/internal/config/form.go
@@ -1,8 +1,8 @@
-// Package config reads the operators' configuration: TOML in layers (defaults, file, variables, flags), checked as a
-// whole, with the source of each value known. It makes a forwarder's Config of it.
+// Package config reads and checks the operators' configuration and converts it to a forwarder.Config. Values come from
+// layers: defaults, a TOML file, environment variables and flags. The source of each value is recorded.
 package config
 
-// File is the form of a configuration file. Its descriptions appear in the schema that operators see.
+// File is the structure of a configuration file. The descriptions in its tags appear in the schema that operators see.
 type File struct {
 	Name          string        `toml:"name" jsonschema_description:"Name of the forwarder in log lines and metrics."`
 	Seed          string        `toml:"seed" jsonschema_description:"Seed of the module's random numbers, hexadecimal. Empty: drawn at each start."`
@@ -24,7 +24,7 @@
 	Endpoints     []Endpoint    `toml:"targets" jsonschema_description:"A list of targets that needs no discovery."`
 }
 
-// WriteAheadLog configures the write-ahead log, by the name that the file has for it.
+// WriteAheadLog configures the write-ahead log. Its table in the file is [ledger].
 type WriteAheadLog struct {
 	Folder string `toml:"folder" jsonschema_description:"The folder that lasts, relative to the file. It is made if missing."`
 	Disk   Size   `toml:"disk" jsonschema_description:"Space that the folder may take, 1 MB at least."`
@@ -47,13 +47,13 @@
 	Descriptors int     `toml:"descriptors" jsonschema_description:"File descriptors, 64 at least. A third is for targets, the rest for clients."`
 }
 
-// Discovery configures the service that has the list of endpoints.
+// Discovery configures the service that provides the endpoint list.
 type Discovery struct {
 	Address string `toml:"address" jsonschema_description:"Address and port. Empty: the targets of this file are the list."`
 	Notices string `toml:"notices" jsonschema_description:"Where the final answers go that no caller waits for. Empty: to address; without one, into the log alone."`
 }
 
-// Dispatch are the settings by which the scheduler decides.
+// Dispatch holds the scheduler's settings.
 type Dispatch struct {
 	ConcurrencyLimit  int      `toml:"slots" jsonschema_description:"Calls out at once, all destinations together."`
 	QueueCapacity     int      `toml:"room" jsonschema_description:"Documents held at once."`
@@ -127,13 +127,13 @@
 	Upstream       string `toml:"outlet" jsonschema_description:"Name of the outlet by which its targets are called."`
 }
 
-// Tenant is a tenant with a rate of its own.
+// Tenant is a tenant with a configured rate.
 type Tenant struct {
 	Name      string  `toml:"name"`
 	PerSecond float64 `toml:"per_second" jsonschema_description:"Documents a second, all forwarders together."`
 }
 
-// Endpoint is one endpoint of the file's own list.
+// Endpoint is one endpoint of the file's list.
 type Endpoint struct {
 	UID         string  `toml:"uid" jsonschema_description:"Its name, the same at every forwarder."`
 	Address     string  `toml:"address" jsonschema_description:"Address and port."`
--- a/internal/config/forwarder_config.go
+++ b/internal/config/forwarder_config.go
@@ -21,8 +21,9 @@
 	folderMode = 0o700
 )
 
-// ForwarderConfig loads and checks a configuration and makes a forwarder's of it, which loads it again on reload. The
-// write-ahead log's folder is made if it is missing. The error is Problems if the configuration is at fault.
+// ForwarderConfig loads and checks a configuration and converts it to a forwarder's, whose Reload function loads it
+// again. It creates the write-ahead log's folder if it is missing. The error is of type Problems if the configuration
+// is invalid.
 func ForwarderConfig(path string, environ, flags []string) (*forwarder.Config, error) {
 	c, err := loadChecked(path, environ, flags)
 	if err != nil {
@@ -52,8 +53,8 @@
 	return l.ForwarderConfig()
 }
 
-// ForwarderConfig makes a forwarder's configuration of one in which Check found no problem. It makes no folder, and the
-// result has no Reload.
+// ForwarderConfig converts a configuration in which Check found no problem to a forwarder's. It creates no folder, and
+// the result has no Reload function.
 func (l *Loaded) ForwarderConfig() (*forwarder.Config, error) {
 	folder, err := filepath.Abs(l.WALFolder())
 	if err != nil {
@@ -121,7 +122,7 @@
 	}
 }
 
-// staticEndpoints returns the file's own list of endpoints.
+// staticEndpoints returns the endpoint list of the file.
 func (l *Loaded) staticEndpoints() *transport.EndpointList {
 	list := &transport.EndpointList{Complete: true}
 	for _, e := range l.Endpoints {
@@ -180,10 +181,11 @@
 	wordAtMostOnce:        scheduler.AtMostOnce,
 }
 
-// listedRateTolerances says by which factor a listed rate may be too high.
+// listedRateTolerances are the factors by which a listed rate may be too high.
 var listedRateTolerances = map[string]float64{ratesExact: 1, ratesRough: 1.5}
 
-// schedulerSettings returns the scheduler's settings, and the names behind their numbers.
+// schedulerSettings returns the scheduler's settings, and the names of the types, zones, kinds and tenants to which
+// they refer by number.
 func (l *Loaded) schedulerSettings() (scheduler.Settings, settings.Names) {
 	d := &l.Dispatch
 	s := scheduler.Settings{
@@ -198,7 +200,7 @@
 		SlowStartDuration:   float64(d.SlowStartDuration),
 		OverloadMultiple:    d.OverloadMultiple,
 		IdleTimeout:         float64(d.IdleTimeout),
-		HalvingValue:        d.LateValueDecay == lateHalves,
+		HalvingValue:        d.LateValueDecay == decayHalves,
 		MaxRetryAfter:       float64(d.MaxRetryAfter),
 		ListedRateTolerance: listedRateTolerances[d.ListedRates],
 	}
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-// Layer is the kind of place that a value comes from. Each layer takes precedence over those before it.
+// Layer is a kind of source of values. Each layer overrides the layers before it.
 type Layer string
 
-// The layers.
+// The layers, in ascending order of precedence.
 const (
 	ByDefault  Layer = "default"
 	ByFile     Layer = "file"
@@ -16,23 +16,23 @@
 // flagName is the flag that sets fields.
 const flagName = "--set"
 
-// Source is the place that a value comes from.
+// Source is the origin of a value.
 type Source struct {
 	Layer Layer
 	Name  string // of the variable or flag
-	Line  int    // of the field in the file, also where a variable or a flag takes precedence; 0: it is not there
+	Line  int    // of the field in the file, even if a variable or flag overrides it; 0 if the file does not set it
 }
 
 // Loaded is a configuration as read, with its defaults applied.
 type Loaded struct {
 	File
 	Path    string
-	Sources map[string]Source // by field, for those that something sets
-	lines   map[string]int    // of the file, by field or table
+	Sources map[string]Source // by field; fields with default values have no entry
+	lines   map[string]int    // in the file, by field or table
 }
 
-// Load reads a file (none if path is empty) and applies variables (NAME=VALUE) and flags (FIELD=VALUE) over it. An
-// error is Problems.
+// Load reads a file, or none if path is empty, and applies environment variables (NAME=VALUE) and then flags
+// (FIELD=VALUE) to it. Errors are of type Problems.
 func Load(path string, environ, flags []string) (*Loaded, error) {
 	l := &Loaded{File: Defaults(), Path: path, Sources: map[string]Source{}, lines: map[string]int{}}
 	if path != "" {
@@ -52,7 +52,7 @@
 	return l, nil
 }
 
-// parse decodes the file's text.
+// parse decodes the file's text and records the line of each field.
 func (l *Loaded) parse(text []byte) error {
 	l.lines = fieldLines(text)
 	if err := Decode(l.Path, text, &l.File); err != nil {
--- a/internal/config/metrics_token.go
+++ b/internal/config/metrics_token.go
@@ -12,8 +12,8 @@
 	othersPermissions = 0o007
 )
 
-// metricsToken reads the secret that a reader of metrics has to present, empty if none is required. It is kept in a
-// file of its own, never in a configuration, and is printed nowhere.
+// metricsToken reads the token that readers of the metrics must present, empty if none is required. It is kept in a
+// separate file, never in a configuration, and is never printed.
 func (l *Loaded) metricsToken() (string, error) {
 	if l.Metrics.TokenFile == "" {
 		return "", nil
@@ -28,7 +28,7 @@
 		return "", err
 	}
 	if mode := info.Mode().Perm(); mode&othersPermissions != 0 {
-		return "", fmt.Errorf("%s is open to everybody (mode %o): take the last digit away", f.Name(), mode)
+		return "", fmt.Errorf("%s is accessible to other users (mode %o); remove their permissions with chmod o-rwx", f.Name(), mode)
 	}
 	text, err := io.ReadAll(io.LimitReader(f, maxTokenBytes))
 	if err != nil {
--- a/internal/config/paths.go
+++ b/internal/config/paths.go
@@ -9,7 +9,7 @@
 // store.
 func (l *Loaded) BacklogFolder() string { return l.resolve(l.Backlog.Folder) }
 
-// resolve makes a path that is relative to the configuration file relative to the working directory.
+// resolve converts a path relative to the configuration file to one relative to the working directory.
 func (l *Loaded) resolve(path string) string {
 	if path == "" || filepath.IsAbs(path) || l.Path == "" {
 		return path
--- a/internal/config/problem.go
+++ b/internal/config/problem.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Problem is one thing that is wrong with a configuration, or worth a note.
+// Problem is an error in a configuration, or a note on it.
 type Problem struct {
 	File   string `json:"file,omitempty"`
-	Line   int    `json:"line,omitempty"` // 0: no single line
+	Line   int    `json:"line,omitempty"` // 0 if it concerns no single line
 	Field  string `json:"field,omitempty"`
 	Reason string `json:"what"`
 }
@@ -29,10 +29,10 @@
 	return b.String() + p.Reason
 }
 
-// Problems is all that is wrong with a configuration; its error text has one line for each.
+// Problems are the errors in a configuration, or the notes on it.
 type Problems []Problem
 
-// Error returns the problems, one per line.
+// Error returns the texts of the problems, separated by semicolons.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i, problem := range p {
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -9,13 +9,13 @@
 
 const (
 	maxFileBytes = 16 << 20
-	maxReads     = 10 // of a file that changes meanwhile
+	maxReads     = 10 // of a file that keeps changing
 )
 
 // errChanging says that a file was replaced or written to during each of maxReads reads.
-var errChanging = errors.New("it changes while it is read")
+var errChanging = errors.New("keeps changing while it is read")
 
-// readFile reads a whole file. If it is replaced or written to meanwhile it is read again.
+// readFile reads a whole file. If the file is replaced or written to meanwhile, it is read again.
 func readFile(path string) ([]byte, error) {
 	for range maxReads {
 		text, stable, err := readOnce(path, os.Stat)
@@ -26,7 +26,7 @@
 	return nil, errChanging
 }
 
-// readOnce reads a file and reports whether it stayed the same meanwhile. stat is os.Stat except in tests.
+// readOnce reads a file and reports whether it stayed unchanged meanwhile. stat is os.Stat except in tests.
 func readOnce(path string, stat func(string) (os.FileInfo, error)) (text []byte, stable bool, err error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -38,16 +38,16 @@
 		return nil, false, err
 	}
 	if before.IsDir() {
-		return nil, false, errors.New("it is a folder")
+		return nil, false, errors.New("is a folder, not a file")
 	}
 	if text, err = io.ReadAll(io.LimitReader(f, maxFileBytes+1)); err != nil {
 		return nil, false, err
 	}
 	if len(text) > maxFileBytes {
-		return nil, false, fmt.Errorf("it is over %s", Size(maxFileBytes))
+		return nil, false, fmt.Errorf("is larger than %s", Size(maxFileBytes))
 	}
 	after, err := stat(path)
-	if err != nil { // removed, to be replaced
+	if err != nil { // removed, probably to be replaced
 		return nil, false, nil
 	}
 	stable = os.SameFile(before, after) && before.ModTime().Equal(after.ModTime()) && int64(len(text)) == after.Size()
--- a/internal/config/schema.go
+++ b/internal/config/schema.go
@@ -7,12 +7,12 @@
 	"github.com/invopop/jsonschema"
 )
 
-// Schema returns the form of a configuration as JSON Schema, made from the types.
+// Schema returns the JSON Schema of a configuration file, generated from File.
 func Schema() ([]byte, error) {
 	reflector := jsonschema.Reflector{FieldNameTag: "toml", RequiredFromJSONSchemaTags: true, DoNotReference: true, Anonymous: true}
 	schema := reflector.Reflect(&File{})
 	if schema == nil {
-		return nil, errors.New("the form has no schema")
+		return nil, errors.New("the configuration has no schema")
 	}
 	schema.Title, schema.Description = "spanflow", "Configuration of a spanflow forwarder (TOML)."
 	return json.MarshalIndent(schema, "", "  ")
--- a/internal/config/units.go
+++ b/internal/config/units.go
@@ -34,7 +34,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Duration) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// JSONSchema returns the schema of the text; see jsonschema.Reflector.
+// JSONSchema returns the schema of the text form, for jsonschema.Reflector.
 func (Duration) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^([0-9]+(\.[0-9]+)?(ns|us|ms|s|m|h))+$`, Description: "a time with its unit"}
 }
@@ -71,7 +71,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Size) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// JSONSchema returns the schema of the text; see jsonschema.Reflector.
+// JSONSchema returns the schema of the text form, for jsonschema.Reflector.
 func (Size) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^[0-9]+(\.[0-9]+)? ?[kKMGT]?i?B$`, Description: "a number of bytes with its unit"}
 }
--- a/internal/config/variables.go
+++ b/internal/config/variables.go
@@ -8,10 +8,10 @@
 
 const variablePrefix = "SPANFLOW_"
 
-// ConfigVariable is the variable with the path of the file; it sets no field.
+// ConfigVariable is the environment variable with the path of the configuration file. It sets no field.
 const ConfigVariable = variablePrefix + "CONFIG"
 
-// platformVariables are the platform's variables with the fields that they set.
+// platformVariables are the platform's environment variables with the fields that they set.
 var platformVariables = []struct{ name, field string }{
 	{"PROXY_NAME", "name"},
 	{"PROXY_LISTEN", "fronts.resp.listen"},
@@ -23,17 +23,17 @@
 // variable is an environment variable that sets a field.
 type variable struct {
 	name, value string
-	field       string   // empty: unknown
-	known       []string // the names that exist, if the field is unknown
+	field       string   // empty if unknown
+	known       []string // the valid variable names, if the field is unknown
 }
 
-// VariableName returns the name of the variable that sets a field of the file.
+// VariableName returns the name of the environment variable that sets a field of the file.
 func VariableName(field string) string {
 	return variablePrefix + strings.ToUpper(strings.ReplaceAll(field, ".", "_"))
 }
 
 // variables returns the variables of an environment (NAME=VALUE) that set fields, the platform's first, then the others
-// by name. Empty ones are left out.
+// by name. Empty variables are ignored.
 func variables(environ []string) []variable {
 	values := map[string]string{}
 	for _, entry := range environ {
@@ -47,11 +47,11 @@
 			all = append(all, variable{name: p.name, field: p.field, value: value})
 		}
 	}
-	return append(all, ownVariables(values)...)
+	return append(all, prefixedVariables(values)...)
 }
 
-// ownVariables returns the variables with the prefix.
-func ownVariables(values map[string]string) []variable {
+// prefixedVariables returns the variables with variablePrefix, including unknown ones, sorted by name.
+func prefixedVariables(values map[string]string) []variable {
 	fields := map[string]string{}
 	var known []string
 	for _, field := range settableFields(reflect.TypeFor[File](), "") {
@@ -59,7 +59,7 @@
 		known = append(known, VariableName(field))
 	}
 	slices.Sort(known)
-	var own []variable
+	var prefixed []variable
 	for name, value := range values {
 		if !strings.HasPrefix(name, variablePrefix) || name == ConfigVariable {
 			continue
@@ -68,13 +68,13 @@
 		if v.field == "" {
 			v.known = known
 		}
-		own = append(own, v)
+		prefixed = append(prefixed, v)
 	}
-	slices.SortFunc(own, func(a, b variable) int { return strings.Compare(a.name, b.name) })
-	return own
+	slices.SortFunc(prefixed, func(a, b variable) int { return strings.Compare(a.name, b.name) })
+	return prefixed
 }
 
-// settableFields returns the fields that a variable can set: all but those of lists of tables.
+// settableFields returns the fields that a variable can set, which are all except those in lists of tables.
 func settableFields(t reflect.Type, prefix string) []string {
 	var fields []string
 	for i := range t.NumField() {
--- a/internal/config/words.go
+++ b/internal/config/words.go
@@ -1,6 +1,6 @@
 package config
 
-// Values of the form's fields that take one of a few words.
+// Values of the enumerated fields of a configuration file.
 const (
 	protocolRESP = "resp"
 	protocolHTTP = "http"
@@ -12,8 +12,8 @@
 	groupAll  = "all"
 	groupZone = "zone"
 
-	lateLine   = "line"
-	lateHalves = "halves"
+	decayLine   = "line"
+	decayHalves = "halves"
 
 	ratesNone  = "none"
 	ratesExact = "exact"
--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -1,7 +1,7 @@
-// Package metrics counts what a forwarder does and serves its metrics over HTTP. The platform's program does without
-// it, as it would raise the program's memory by half; a program that wants it sets it in its Config.
+// Package metrics records a forwarder's metrics and serves them over HTTP. The platform's program does not link it,
+// because it would increase the program's memory by half. Other programs set it as the Recorder of forwarder.Config.
 //
-// The names of metrics and the values of labels are older than the names in the code. They stay: dashboards use them.
+// Metric names and label values are older than the names in the code and must not change, because dashboards use them.
 package metrics
 
 import (
@@ -26,12 +26,12 @@
 	stopTimeout    = 200 * time.Millisecond
 )
 
-// Server is a transport.Recorder that serves its metrics. They are in a set of their own, so that several forwarders in
-// a process are kept apart. Labels take only values from short lists (results, outcomes, configured frontends), so that
-// the number of time series is bounded.
+// Server is a transport.Recorder that serves its metrics. Each Server has a separate metric set, so that a process can
+// run several forwarders. Label values come from short lists (results, outcomes, configured frontends), which bounds
+// the number of time series.
 type Server struct {
 	set            *metrics.Set
-	forwarderLabel string                                          // name and value
+	forwarderLabel string                                          // label name and value
 	answers        map[string]*[len(answerLabels)]*metrics.Counter // by frontend
 	attempts       [transport.ResultCancelled + 1]*metrics.Counter
 	attemptSeconds *metrics.PrometheusHistogram
@@ -50,8 +50,8 @@
 	transport.StatusInvalid:    "declined",
 }
 
-// New returns a recorder for the given frontends and gauges and serves it at a TCP address under /metrics, to readers
-// that present the token as their bearer token, if it is not empty. The error is that of listening.
+// New returns a recorder for the given frontends and gauges, and serves its metrics under /metrics at a TCP address. If
+// token is not empty, readers must present it as their bearer token. The error is that of listening.
 func New(addr, token, forwarder string, frontends []string, gauges []transport.Gauge) (transport.Recorder, error) {
 	s := &Server{
 		set:            metrics.NewSet(),
@@ -92,7 +92,7 @@
 	s.turnSeconds = histogram("owner_turn_seconds", 0.00001, 4, 10)
 }
 
-// name returns a metric's name with its labels, given as names and values in turn.
+// name returns a metric's full name. The labels are given as alternating names and values.
 func (s *Server) name(name string, labels ...string) string {
 	full := namePrefix + name + "{" + s.forwarderLabel
 	for i := 0; i < len(labels); i += 2 {
@@ -132,7 +132,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// authorized reports whether a request has the token, in constant time.
+// authorized reports whether a request has the token, which it compares in constant time.
 func authorized(r *http.Request, token string) bool {
 	presented := r.Header.Get("Authorization")
 	return token == "" || subtle.ConstantTimeCompare([]byte(presented), []byte("Bearer "+token)) == 1
@@ -141,7 +141,7 @@
 // Addr returns the address at which the metrics are served.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop stops serving, within 200 ms.
+// Stop stops serving. After 200 ms it closes the connections that are still open.
 func (s *Server) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -169,7 +169,7 @@
 	s.messageSeconds.Update(after.Seconds())
 }
 
-// LoopTurn counts the events of a turn of the event loop and its duration; turns without events are not counted.
+// LoopTurn counts the events of a turn of the event loop and its duration. Turns without events are not counted.
 func (s *Server) LoopTurn(events int, took time.Duration) {
 	if events == 0 {
 		return
--- a/internal/settings/platform_settings.go
+++ b/internal/settings/platform_settings.go
@@ -6,8 +6,7 @@
 	"slices"
 )
 
-// platformSettings is the JSON form of the platform's settings. Keys match without regard to case; unknown ones are
-// ignored.
+// platformSettings is the JSON format of the platform's settings. Keys are case-insensitive, unknown keys are ignored.
 // Times are in milliseconds.
 type platformSettings struct {
 	Classes    []class
@@ -31,7 +30,7 @@
 	LatencyObjective         float64  `json:"Slo"`
 	TimeToLive               float64  `json:"HardLimit"`
 	DeduplicationWindow      float64  `json:"MemorySpan"`
-	Value                    *float64 `json:"Worth"` // absent: 1
+	Value                    *float64 `json:"Worth"` // 1 if absent
 	LateValueFraction        float64  `json:"LateShare"`
 }
 
@@ -64,7 +63,7 @@
 	MaxRetryAfter  float64
 }
 
-// Values of the fields that take one of a few words.
+// Values of the enumerated fields.
 const (
 	idempotencyRetryable = "retryable"
 	idempotencyDedup     = "dedup"
@@ -83,13 +82,13 @@
 	weightLive    = "live"
 )
 
-// unknownWordError says that a field has a word that it cannot take.
+// unknownWordError is the error of a field with a word that it does not accept.
 type unknownWordError struct{ field, word string }
 
 // Error names the field and the word.
 func (e *unknownWordError) Error() string { return fmt.Sprintf("%s: unknown word %q", e.field, e.word) }
 
-// rangeError says that a field has a number that it cannot take.
+// rangeError is the error of a field with a number that it does not accept.
 type rangeError struct {
 	field string
 	value float64
@@ -98,15 +97,15 @@
 // Error names the field and the number.
 func (e *rangeError) Error() string { return fmt.Sprintf("%s: %v is out of range", e.field, e.value) }
 
-// check returns an error for the first field with a value that a forwarder cannot work with.
+// check returns an error for the first field with an invalid value.
 func (p *platformSettings) check() error {
 	switch {
 	case len(p.Classes) == 0:
 		return errors.New("no message type in Classes")
 	case p.Extra.ConcurrencyLimit < 1:
-		return errors.New("Extra.CallsOut is not a number of slots")
+		return errors.New("Extra.CallsOut: the concurrency limit is below the minimum, 1")
 	case p.NInstances < 1:
-		return errors.New("NInstances is not a number of forwarders")
+		return errors.New("NInstances: the number of forwarders is below the minimum, 1")
 	case !slices.Contains([]string{"", decayLine, decayHalves}, p.Extra.Decay):
 		return &unknownWordError{"Extra.Decay", p.Extra.Decay}
 	case !slices.Contains([]string{"", weightSilent, weightNominal, weightRough, weightLive}, p.WeightKind):
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,4 @@
-// Package settings reads the platform's settings, written in JSON, into those of the scheduler.
+// Package settings converts the platform's settings, which are JSON, to the scheduler's.
 package settings
 
 import (
@@ -9,24 +9,24 @@
 	"spanflow/scheduler"
 )
 
-// Names holds what the event loop needs beside the scheduler's settings.
+// Names holds the settings that the event loop needs in addition to the scheduler's.
 type Names struct {
-	Types, Zones, Kinds []string // by their numbers
+	Types, Zones, Kinds []string // by number
 	Tenants             []string
-	LimitIndex          int     // place of the limit among a load report's values, -1 if there is none
-	LimitField          string  // its name
-	ShareIndex          int     // place of the part of the limit that is left, -1 if there is none
-	ShareField          string  // its name
+	LimitIndex          int     // index of the limit among a load report's values, -1 if there is none
+	LimitField          string  // name of the limit's field
+	ShareIndex          int     // index of the remaining share of the limit, -1 if there is none
+	ShareField          string  // name of the remaining share's field
 	Connect             float64 // seconds within which a connection has to be established
 }
 
-// The load report's fields with the limit in calls a second, and the part of it that is left just now.
+// Fields of a load report: the limit in calls per second, and the share of it that currently remains.
 const (
 	limitField     = "x1"
 	remainingField = "x0"
 )
 
-// Tolerances of the rates in the list, by how exact they are.
+// Factors by which a rate in the endpoint list may be too high.
 const (
 	nominalTolerance = 1
 	roughTolerance   = 1.5
@@ -34,7 +34,7 @@
 
 const millisecondsPerSecond = 1000
 
-// Read decodes settings. An error names the field at fault.
+// Read decodes the platform's settings. Errors name the invalid field.
 func Read(text []byte) (scheduler.Settings, Names, error) {
 	var p platformSettings
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -107,8 +107,9 @@
 	return names
 }
 
-// idempotency returns what a second attempt at a message of the class may do. number is the number of the class.
-func (c *class) idempotency(number int) (scheduler.Idempotency, error) {
+// idempotency returns the effect that a second attempt of a message of the class may have. index is the place of the
+// class in Classes.
+func (c *class) idempotency(index int) (scheduler.Idempotency, error) {
 	switch c.Idempotency {
 	case idempotencyRetryable:
 		return scheduler.Idempotent, nil
@@ -117,7 +118,7 @@
 	case idempotencyFragile:
 		return scheduler.AtMostOnce, nil
 	}
-	return 0, &unknownWordError{fmt.Sprintf("Classes[%d].Idempotency", number), c.Idempotency}
+	return 0, &unknownWordError{fmt.Sprintf("Classes[%d].Idempotency", index), c.Idempotency}
 }
 
 func (c *class) messageType(idempotency scheduler.Idempotency) scheduler.MessageType {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,24 +12,24 @@
 "Extra":{"CallsOut":3,"Decay":"halves","Unheard":1},"Limits":{"AttemptsCap":12,"MaxOpen":19,"RetryAfter":false,"MaxRetryAfter":3000,
 "SecondCopies":true},"NInstances":218,"WeightKind":"nominal"}`
 
-func TestReadTakesOverSettings(t *testing.T) {
+func TestReadConvertsSettings(t *testing.T) {
 	got, _, err := Read([]byte(exampleSettings))
 	require.NoError(t, err)
 	require.True(t, got.HalvingValue)
 	require.Equal(t, 1.0, got.ListedRateTolerance)
-	require.Zero(t, got.MaxRetryAfter, "a rejection may not say when to come back")
+	require.Zero(t, got.MaxRetryAfter, "MaxRetryAfter has no effect if RetryAfter is false")
 	require.Equal(t, []float64{1, 2}, []float64{got.Types[0].Value, got.Types[1].Value})
 	require.Equal(t, 0.5, got.Types[1].LateValueShare)
 }
 
-func TestReadDefaultsToEqualValuesThatFallEvenly(t *testing.T) {
+func TestReadDefaultsToEqualValuesAndLinearDecay(t *testing.T) {
 	got, _, err := Read([]byte(`{"Classes":[{"Idempotency":"retryable","Slo":1,"HardLimit":2}],"Extra":{"CallsOut":1},"NInstances":1}`))
 	require.NoError(t, err)
 	require.False(t, got.HalvingValue)
 	require.Equal(t, 1.0, got.Types[0].Value)
 }
 
-func TestReadNamesTheFieldAtFault(t *testing.T) {
+func TestReadNamesTheInvalidField(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"halves"`, `"thirds"`, `Extra.Decay: unknown word "thirds"`},
 		{`"nominal"`, `"guessed"`, `WeightKind: unknown word "guessed"`},
