--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,6 +1,6 @@
 // Command demo emulates the peers of one forwarder: two endpoints, the receiver of notices and a client. Without
 // arguments it serves as endpoints and receiver; "demo DEST BODY" submits one message; "demo demo" serves, starts a
-// forwarder, submits two messages and prints their final answers.
+// forwarder, submits two messages and prints their outcomes.
 package main
 
 import (
--- a/internal/commands/backlog_stat.go
+++ b/internal/commands/backlog_stat.go
@@ -98,7 +98,7 @@
 	return stats
 }
 
-// write prints the sums as text.
+// write prints the statistics as text.
 func (s *backlogStats) write(w io.Writer) error {
 	t := newColumns(w)
 	fmt.Fprintf(t, "folder\t%s\n", s.Folder)
--- a/internal/commands/check.go
+++ b/internal/commands/check.go
@@ -13,7 +13,8 @@
 	"spanflow/internal/wal"
 )
 
-// reservedDescriptors is the number of descriptors kept from clients and endpoints; see forwarder.MaxClients.
+// reservedDescriptors is the number of descriptors that neither clients nor endpoints may use; see
+// forwarder.MaxClients.
 const reservedDescriptors = 32
 
 func (s *session) checkCommand() *cobra.Command {
--- a/internal/commands/commands.go
+++ b/internal/commands/commands.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// reportProblems prints the problems of a configuration, one per line, and returns cli.ErrFound for them. Other errors
-// are returned as they are.
+// reportProblems prints the problems of a configuration, one per line, and returns cli.ErrReported. It returns other
+// errors unchanged.
 func (s *session) reportProblems(err error) error {
 	var problems config.Problems
 	if !errors.As(err, &problems) {
--- a/internal/commands/wal_stat.go
+++ b/internal/commands/wal_stat.go
@@ -79,7 +79,7 @@
 	return stats
 }
 
-// write prints the sums as text.
+// write prints the statistics as text.
 func (s *walStats) write(w io.Writer) error {
 	t := newColumns(w)
 	fmt.Fprintf(t, "folder\t%s\n", s.Folder)
--- a/internal/config/backlog_test.go
+++ b/internal/config/backlog_test.go
@@ -79,8 +79,8 @@
 		{`disk = "64MB"`, `dsk = "64MB"`, "c.toml:24: backlog.dsk: unknown key; disk may be meant"},
 		{`destination = "16MB"`, `destination = "65MB"`, "c.toml:25: backlog.destination: 65MB exceeds backlog.disk, 64MB"},
 		{`tenant = "32MB"`, `tenant = "1GB"`, "c.toml:26: backlog.tenant: 1GB exceeds backlog.disk, 64MB"},
-		{`window = 32`, `window = 0`, "c.toml:27: backlog.window: 0 is below the minimum, 1"},
-		{`window = 32`, `window = -5`, "c.toml:27: backlog.window: -5 is below the minimum, 1"},
+		{`window = 32`, `window = 0`, "c.toml:27: backlog.window: 0 is under the least, 1"},
+		{`window = 32`, `window = -5`, "c.toml:27: backlog.window: -5 is under the least, 1"},
 		{`window = 32`, `window = 501`, "c.toml:28: backlog.behind: 500 is less than backlog.window, 501"},
 		{`window = 32`, `window = "32"`, "c.toml:27: backlog.window"},
 		{`behind = 500`, `behind = 31`, "c.toml:28: backlog.behind: 31 is less than backlog.window, 32"},
@@ -143,13 +143,13 @@
 			return err
 		}
 		defer store.Close()
-		orAll := func(bound int64) int64 { // 0 means no separate limit
+		effectiveBound := func(bound int64) int64 { // 0 means no separate limit
 			if bound == 0 {
 				return b.Bytes
 			}
 			return bound
 		}
-		bounds := policy.Bounds{Bytes: b.Bytes, DestinationBytes: orAll(b.DestinationBytes), TenantBytes: orAll(b.TenantBytes),
+		bounds := policy.Bounds{Bytes: b.Bytes, DestinationBytes: effectiveBound(b.DestinationBytes), TenantBytes: effectiveBound(b.TenantBytes),
 			Window: b.Window, Behind: b.Behind, Batch: 1, ExpiryLead: time.Second}
 		return bounds.Check()
 	}
--- a/internal/config/defaults.go
+++ b/internal/config/defaults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Names of the upstream and the kind that exist without being configured.
+// Names of the upstream and the kind that exist by default.
 const (
 	defaultUpstream = protocolHTTP
 	defaultKind     = "partners"
@@ -74,7 +74,7 @@
 	}
 }
 
-// SetDefault sets a variable that has its zero value to a default.
+// SetDefault replaces the zero value of a variable with a default.
 func SetDefault[T comparable](value *T, defaultValue T) {
 	var zero T
 	if *value == zero {
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -12,7 +12,7 @@
 	maxReads     = 10 // of a file that keeps changing
 )
 
-// errChanging says that a file was replaced or written to during each of maxReads reads.
+// errChanging is the error of a file that was replaced or written to during each of maxReads reads.
 var errChanging = errors.New("keeps changing while it is read")
 
 // readFile reads a whole file. If the file is replaced or written to meanwhile, it is read again.
