--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -103,8 +103,8 @@
 		Use:   "verify",
 		Short: "Read every record and report damage",
 		Args:  cobra.NoArgs,
-		Long: `Reads each segment separately. A torn end was left by a process that was killed while writing, or is being
-written now; it is reported, but is not damage. Anything else that cannot be read is damage, and the exit code is 1.`,
+		Long: `Reads each segment separately. A torn end was left by a process that was killed while writing, or is being written now;
+it is reported, but is not damage. Anything else that cannot be read is damage, and the exit code is 1.`,
 		RunE: cli.Run(func([]string) error { return s.backlogVerify(flags) }),
 	}
 }
