--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -4,32 +4,32 @@
 
 // Limits on clients, in seconds. The frontends enforce them.
 const (
-	CommandTimeout    = 2.7 // seconds in which a client has to send a whole command
-	ClientIdleTimeout = 3.0 // seconds that a client may be connected between two commands
+	CommandTimeout    = 2.7 // time in which a client has to send a complete command
+	ClientIdleTimeout = 3.0 // time that a client may stay connected between two commands
 )
 
 const (
-	minTimeLeft            = 0.04 // seconds before the deadline: nothing is sent after, so that the answer is in time
-	quotaBurst             = 1    // seconds of a tenant's rate that it may use at once
-	maxRejectionRetryAfter = 2    // seconds: longest Retry-After of a rejection, if the settings allow it
+	minTimeLeft            = 0.04 // seconds before the deadline after which nothing is sent, so that the answer is in time
+	quotaBurst             = 1    // a tenant may use its rate for this many seconds at once
+	maxRejectionRetryAfter = 2    // longest Retry-After of a rejection in seconds; the settings may lower it
 )
 
-// Admit reports whether a message of size bytes, with left seconds to its deadline, may be accepted, and if not, after
-// how many seconds it may be submitted again.
-func (s *Scheduler) Admit(size int, left float64) (accepted bool, retryAfter float64) {
+// Admit reports whether a message of size bytes may be accepted timeLeft seconds before its deadline. If not,
+// retryAfter is the number of seconds after which it may be submitted again.
+func (s *Scheduler) Admit(size int, timeLeft float64) (accepted bool, retryAfter float64) {
 	queueFull := s.held.count >= s.settings.QueueCapacity
 	storeFull := s.settings.MaxStoredBytes > 0 && s.storedBytes+size > s.settings.MaxStoredBytes
-	if queueFull || storeFull || left <= minTimeLeft {
+	if queueFull || storeFull || timeLeft <= minTimeLeft {
 		return false, s.rejectionRetryAfter()
 	}
 	return true, 0
 }
 
-// Accept takes a message with left seconds to its deadline; messageType is an index into Settings.Types. The message
-// belongs to the scheduler until it is Finished.
-func (s *Scheduler) Accept(message *Message, messageType int, left float64) {
+// Accept queues a message timeLeft seconds before its deadline; messageType is an index into Settings.Types. The
+// message belongs to the scheduler until it is Finished.
+func (s *Scheduler) Accept(message *Message, messageType int, timeLeft float64) {
 	message.messageType = &s.settings.Types[messageType]
-	message.deadline, message.lifetime = s.now+left, left
+	message.deadline, message.lifetime = s.now+timeLeft, timeLeft
 	message.sequence = s.nextRank()
 	message.rank = message.sequence
 	s.held.add(message)
@@ -45,9 +45,9 @@
 	s.trackQueued(message)
 }
 
-// takeQuota counts a message against a tenant's quota, as far as this forwarder's even part of it goes, and reports
-// whether the quota was used up already. A burst of one tenant then waits behind messages that are within the quotas of
-// others.
+// takeQuota counts a message against this forwarder's equal share of a tenant's quota, and reports whether that share
+// was already used up. Messages over the quota are sent after those of other tenants that are within their quotas, so
+// that a burst of one tenant does not delay the others.
 func (s *Scheduler) takeQuota(tenant int) (overQuota bool) {
 	if tenant >= len(s.settings.TenantRate) {
 		return false
@@ -61,20 +61,20 @@
 	return false
 }
 
-// Recover takes a message that an earlier process of this forwarder had accepted, in the order of admission. An attempt
-// that was in flight then may have run, and the next one is a retry. A message that cannot be delivered any more gets
-// its final answer from the next Reconcile.
-func (s *Scheduler) Recover(message *Message, messageType int, left float64, recovered RecoveredState) {
-	s.Accept(message, messageType, left)
+// Recover takes over a message that an earlier process of this forwarder accepted. It is called in the order of
+// admission. An attempt that was in flight when that process ended may have run, and the next attempt is a retry. A
+// message that can no longer be delivered gets its final answer in the next Reconcile.
+func (s *Scheduler) Recover(message *Message, messageType int, timeLeft float64, recovered RecoveredState) {
+	s.Accept(message, messageType, timeLeft)
 	switch {
 	case recovered.CallerGone:
-		// The caller may have submitted another message for the same effect. Trade-off: there is no second effect, but
-		// a caller that relied on this message loses it. If it may still run, its key pauses.
+		// The caller may have submitted another message for the same effect. Trade-off: the effect does not happen
+		// twice, but a caller that relied on this message loses it. If it may still run, its ordering key pauses.
 		if recovered.Attempts > 0 && message.keyQueue != nil {
 			s.pauseKey(message.keyQueue)
 		}
 		s.finish(message)
-	case recovered.Answered: // it is not sent any more
+	case recovered.Answered: // it is not sent again
 		message.awaitingAcknowledgement = true
 		s.finish(message)
 	default:
@@ -85,35 +85,36 @@
 	}
 }
 
-// LoadStored takes a message that was stored elsewhere, with its history, before anything newer of its key.
-func (s *Scheduler) LoadStored(message *Message, messageType int, left float64, recovered RecoveredState) {
+// LoadStored queues a message that was loaded from the backlog store, with its history. It must be called before any
+// newer message with the same ordering key is accepted.
+func (s *Scheduler) LoadStored(message *Message, messageType int, timeLeft float64, recovered RecoveredState) {
 	if recovered.Attempts > 0 {
-		s.Recover(message, messageType, left, recovered)
+		s.Recover(message, messageType, timeLeft, recovered)
 	} else {
-		s.Accept(message, messageType, left)
+		s.Accept(message, messageType, timeLeft)
 	}
 }
 
-// AnswerWithoutCall takes a message that was stored elsewhere, with its history, and has the next Reconcile answer it without a
-// call.
-func (s *Scheduler) AnswerWithoutCall(message *Message, messageType int, left float64, recovered RecoveredState) {
-	s.Recover(message, messageType, left, recovered)
+// AnswerWithoutCall takes a message that was loaded from the backlog store, with its history, and makes the next
+// Reconcile reject or fail it without a call.
+func (s *Scheduler) AnswerWithoutCall(message *Message, messageType int, timeLeft float64, recovered RecoveredState) {
+	s.Recover(message, messageType, timeLeft, recovered)
 	s.UncountDemand(message.Dest)
 	if !message.answered {
 		s.rejectOrFail(message, AnsweredWithoutCall)
 	}
 }
 
-// Withdraw takes back a message that its client does not want any more. It gets no final answer.
+// Withdraw removes a message that its client no longer wants. The message gets no final answer.
 func (s *Scheduler) Withdraw(message *Message) { s.finish(message) }
 
-// NoticeAcknowledged reports that a message's final answer was acknowledged.
+// NoticeAcknowledged reports that the client acknowledged the final answer of a message.
 func (s *Scheduler) NoticeAcknowledged(message *Message) {
 	message.awaitingAcknowledgement = false
 	s.leaveKeyQueue(message)
 }
 
-// finish marks a message as answered and takes it out of all queues; a call that carries it may still be in flight.
+// finish marks a message as answered and removes it from all queues. A call with the message may still be in flight.
 func (s *Scheduler) finish(message *Message) {
 	if message.answered {
 		return
--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -2,27 +2,28 @@
 
 import "math"
 
-// Trade-off: within noticeMargin of its deadline a delivery may be late by its client's clock, and the client would
-// then have no answer. A notice goes out as well, which is needless where the clocks agree.
+// A message that is delivered less than noticeMargin before its deadline may be late by its client's clock, and the
+// client would then have no answer. Therefore the client gets a notice as well. Trade-off: the notice is unnecessary if
+// the clocks agree.
 const noticeMargin = 0.1 // seconds
 
 const (
-	retryAfterMargin = 0.002 // seconds beyond a Retry-After, and
-	retryAfterSpread = 0.05  // seconds at random, before the next call
-	cooldownMargin   = 0.001 // seconds beyond the cooldown of an ordering key
+	retryAfterMargin = 0.002 // seconds added to a Retry-After before the next call
+	retryAfterSpread = 0.05  // maximum random delay in seconds, which is also added
+	cooldownMargin   = 0.001 // seconds added to the cooldown of an ordering key
 	rateAverageTime  = 2     // seconds over which the recent rate of a route is averaged
 )
 
-// call is a call that carries one or more messages.
+// call carries one or more messages to an endpoint.
 type call struct {
 	endpoint   *Endpoint
 	began      float64
-	pending    int // messages whose attempt has not ended
-	recorded   bool
-	reusesIdle bool // on a connection that had been idle, as far as can be told
+	pending    int  // number of messages whose attempt has not ended
+	recorded   bool // recordResult has been called for it
+	reusesIdle bool // probably uses a connection that had been idle
 }
 
-// startCall begins a call with messages to an endpoint; apply passes the messages to the host.
+// startCall begins a call with messages to an endpoint. Scheduler.apply passes the messages to the host.
 func (s *Scheduler) startCall(endpoint *Endpoint, messages []*Message) {
 	destination := endpoint.destination
 	call := &call{endpoint: endpoint, began: s.now, pending: len(messages), reusesIdle: s.reusesIdle(endpoint)}
@@ -42,7 +43,8 @@
 	}
 }
 
-// delayProbes sets the earliest time of the next call to a recovering endpoint, or to the ejected ones of a route.
+// delayProbes sets the earliest time of the next call to a recovering endpoint, or, if the endpoint is ejected, to all
+// ejected endpoints of its route.
 func (s *Scheduler) delayProbes(endpoint *Endpoint) {
 	for _, other := range endpoint.destination.endpoints {
 		recovers := other == endpoint && endpoint.health == recovering
@@ -59,14 +61,14 @@
 	message.call, message.action, message.endpoint = call, actionSend, call.endpoint
 	message.attempts++
 	message.timeout = math.Min(timeout, message.deadline-s.now)
-	if message.hasUsedKey() { // a repeat ends while its idempotency key is known
-		known := message.firstRanAt + message.messageType.DeduplicationWindow
-		message.timeout = math.Min(message.timeout, known-s.now)
+	if message.hasUsedKey() { // a repeat times out before its idempotency key is forgotten
+		forgottenAt := message.firstRanAt + message.messageType.DeduplicationWindow
+		message.timeout = math.Min(message.timeout, forgottenAt-s.now)
 	}
 	s.changed = append(s.changed, message)
 }
 
-// AttemptEnded records the result of a message's attempt, or its final answer if no attempt is in flight.
+// AttemptEnded records the result of a message's attempt. A final result is recorded even if no attempt is in flight.
 func (s *Scheduler) AttemptEnded(message *Message, result AttemptResult) {
 	call := message.call
 	if result.Final {
@@ -80,7 +82,7 @@
 	s.markUpdated(endpoint.destination)
 	message.call = nil
 	s.endCall(call)
-	if result.RetryAfter > 0 { // each message of a call may have its own
+	if result.RetryAfter > 0 { // each message of a call may have a different one
 		s.recordRetryAfter(endpoint, result.RetryAfter)
 	}
 	if !call.recorded {
@@ -98,7 +100,7 @@
 	}
 }
 
-// confirmLateDelivery requests a notice for a message that was delivered close to its deadline, see noticeMargin.
+// confirmLateDelivery requests a notice for a message that was delivered close to its deadline; see noticeMargin.
 func (s *Scheduler) confirmLateDelivery(message *Message, outcome Outcome) {
 	if outcome != Delivered || !message.AnsweredByNotice || message.answered {
 		return
@@ -109,7 +111,7 @@
 	}
 }
 
-// endCall notes that one of a call's messages has its result; with the last one the call is over.
+// endCall records that the attempt of one of a call's messages has ended. The call ends with the last of them.
 func (s *Scheduler) endCall(call *call) {
 	call.pending--
 	if call.pending > 0 {
@@ -118,13 +120,14 @@
 	endpoint := call.endpoint
 	s.callsInFlight--
 	endpoint.destination.callsInFlight--
-	endpoint.calls, endpoint.idleConnection = without(endpoint.calls, call), true
+	endpoint.calls, endpoint.idleConnection = removeFirst(endpoint.calls, call), true
 	if !s.keepsIdle(endpoint) {
 		s.closeIdle = append(s.closeIdle, endpoint)
 	}
 }
 
-// recordPossibleRun notes that an attempt may have run, which restricts retries of the message and pauses its key.
+// recordPossibleRun records an attempt that may have run, which restricts retries of the message, and pauses the
+// message's ordering key if the attempt may still run.
 func (s *Scheduler) recordPossibleRun(message *Message, call *call, outcome Outcome) {
 	if outcome.mayStillRun() && message.keyQueue != nil {
 		s.pauseKey(message.keyQueue)
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -3,33 +3,36 @@
 import "math"
 
 const (
-	idleLossLimit          = 2.0  // losses on reused idle connections, and
-	idleLossDivisor        = 4    // one in so many of the calls on them, that stop their use
-	idleReuseDecayTime     = 8    // seconds in which the count of such calls falls to 1/e
-	noIdleDuration         = 20   // seconds for which no idle connection is kept then
-	failedConnectPause     = 30   // seconds for which none is kept at destinations of a kind after a failed connect
+	// Idle connections are no longer kept if the calls lost on reused ones are more than idleLossLimit and more than
+	// the successful ones divided by idleLossDivisor.
+	idleLossLimit          = 2.0
+	idleLossDivisor        = 4
+	idleReuseDecayTime     = 8    // seconds in which the counts of these calls decay to 1/e
+	noIdleDuration         = 20   // seconds for which no idle connection is kept after such losses
+	failedConnectPause     = 30   // seconds for which destinations of a kind keep none after a failed connect
 	minReusedIdle          = 0.5  // seconds without a call after which a connection counts as idle
-	maxIdleCloseMargin     = 0.5  // seconds by which an idle connection is closed before the other side would, at most
-	idleCloseMarginDivisor = 10.0 // or this part of the idle timeout
+	maxIdleCloseMargin     = 0.5  // maximum number of seconds before the idle timeout at which a connection is closed
+	idleCloseMarginDivisor = 10.0 // the same maximum as a part of the idle timeout; the smaller one applies
 )
 
-// KeepIdle returns how long an idle connection is kept, in seconds: not so long that the other side's close crosses a
-// call.
+// KeepIdle returns for how many seconds an idle connection is kept. That is shorter than the idle timeout, so that the
+// other side does not close a connection on which a call is just being sent.
 func (s *Settings) KeepIdle() float64 {
 	return s.IdleTimeout - math.Min(maxIdleCloseMargin, s.IdleTimeout/idleCloseMarginDivisor)
 }
 
-// reusesIdle reports whether the next call to an endpoint probably takes a connection that has been idle.
+// reusesIdle reports whether the next call to an endpoint probably uses a connection that has been idle.
 func (s *Scheduler) reusesIdle(endpoint *Endpoint) bool {
 	idle := s.now - endpoint.lastUsed
 	return len(endpoint.calls) == 0 && endpoint.idleConnection && idle > minReusedIdle && idle < s.settings.IdleTimeout
 }
 
-// keepsIdle reports whether the connection of a call that has just ended is kept. One that would close before the next
-// call, judged by the call before, is not kept, nor any at destinations of a kind of which one failed a connect lately.
+// keepsIdle reports whether the connection of a call that has just ended is kept. It is not kept if the interval
+// between the latest calls suggests that it would be closed before the next call, or if a connect to a destination of
+// the same kind failed recently.
 //
-// Trade-off: the idle connections of many forwarders do not fill connection tables that take a dozen, at the price of
-// more handshakes.
+// Trade-off: the idle connections of many forwarders do not fill connection tables with room for a dozen, but more
+// handshakes are needed.
 func (s *Scheduler) keepsIdle(endpoint *Endpoint) bool {
 	if s.now < s.noIdleUntil {
 		return false
@@ -40,10 +43,11 @@
 	return !(s.now < s.noIdleKindUntil[endpoint.destination.kind]) && endpoint.calledOften
 }
 
-// recordIdleReuse counts how a call on a reused idle connection ended; when many are lost none is kept for a while.
+// recordIdleReuse counts how a call on a reused idle connection ended. After many losses, no idle connection is kept
+// for a while.
 //
-// Trade-off: connections that go dead unseen while idle are noticed, but when all else fails too there are more
-// handshakes.
+// Trade-off: connections that died unnoticed while idle are detected, but if calls fail for other reasons, there are
+// unnecessary handshakes.
 func (s *Scheduler) recordIdleReuse(call *call, lost bool) {
 	if !call.reusesIdle {
 		return
@@ -54,13 +58,13 @@
 	}
 }
 
-// successRate counts successes and failures; both fade with time.
+// successRate counts successes and failures. Both counts decay exponentially.
 type successRate struct{ successes, failures, updatedAt float64 }
 
-// record counts one more; fade is the time in seconds in which the counts so far fall to 1/e.
-func (r *successRate) record(now, fade float64, failed bool) {
-	left := math.Exp((r.updatedAt - now) / fade)
-	r.successes, r.failures, r.updatedAt = r.successes*left, r.failures*left, now
+// record counts a success or a failure; decayTime is the time in seconds in which earlier counts decay to 1/e.
+func (r *successRate) record(now, decayTime float64, failed bool) {
+	decay := math.Exp((r.updatedAt - now) / decayTime)
+	r.successes, r.failures, r.updatedAt = r.successes*decay, r.failures*decay, now
 	if failed {
 		r.failures++
 	} else {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	deadlineGrace       = 0.01 // seconds after the deadline: the end of the call should have come
-	lateLifetimeDivisor = 8    // a message may be sent while its lifetime divided by this is left
+	deadlineGrace       = 0.01 // seconds after the deadline by which the end of the call should have been reported
+	lateLifetimeDivisor = 8    // a message may always be sent while its lifetime divided by this is left
 )
 
-// tooLate reports whether a message has less time left than calls to its destination mostly take, or its endpoints are
-// blocked for.
+// tooLate reports whether a message has less time left than most calls to its destination take, or whether its
+// endpoints are blocked until its deadline.
 //
-// Trade-off: a long queue is not sent just too late, each message a timeout that makes its endpoint look bad, and what
-// cannot be sent any more is not kept; fast calls could still have been made. A message that an earlier process had not
-// tried is held while there is time, whatever blocks its endpoints; sent too late it would take the place of others.
+// Trade-off: a long queue is not sent just too late, where each message would time out and make its endpoint look
+// unhealthy, and messages that can no longer be sent are not kept; but a fast call could still have been in time. A
+// recovered message that was not attempted yet is held as long as there is time, even if its endpoints are blocked. If
+// it were sent too late, it would take a slot from other messages.
 func (s *Scheduler) tooLate(message *Message) bool {
 	destination := message.Dest
 	enough := math.Max(minTimeLeft, math.Min(destination.latency.p90, message.lifetime/lateLifetimeDivisor))
@@ -30,7 +31,7 @@
 	})
 }
 
-// endExpired answers the messages that cannot be delivered any more.
+// endExpired rejects or fails the messages that can no longer be delivered.
 func (s *Scheduler) endExpired() {
 	for _, message := range s.collectDue() {
 		if message.answered || message.call != nil && s.now < message.deadline+deadlineGrace {
@@ -42,7 +43,7 @@
 	}
 }
 
-// undeliverable returns why no further attempt of a message is made, NoReason if one may be.
+// undeliverable returns why no further attempt of a message is made, or NoReason if an attempt is possible.
 func (s *Scheduler) undeliverable(message *Message) AnswerReason {
 	switch {
 	case s.repeatUnsafe(message):
@@ -64,11 +65,12 @@
 	if messageType.Idempotency == AtMostOnce || s.now > message.keyExpiredAt() {
 		return true
 	}
-	// While nothing answers, a message whose key is soon forgotten goes back; its client may still repeat it.
+	// While no endpoint answers, a message whose key is soon forgotten is rejected early enough for its client to
+	// submit it again while the key is known.
 	return !messageType.DeduplicatedPerZone && s.now > message.keyExpiringAt() && s.allEjected(message.Dest)
 }
 
-// rejectOrFail gives a message its final answer: a rejection where a second try is harmless, else a failure.
+// rejectOrFail gives a message its final answer: rejected if submitting it again is harmless, otherwise failed.
 func (s *Scheduler) rejectOrFail(message *Message, reason AnswerReason) {
 	messageType := message.messageType
 	message.reason = reason
@@ -78,7 +80,7 @@
 	if ran && (messageType.Idempotency == AtMostOnce || messageType.Idempotency == IdempotentWithKey && keyForgotten) {
 		message.action = actionFail
 	}
-	if !message.mayHaveRun() { // else its key is soon forgotten
+	if !message.mayHaveRun() { // otherwise its key is soon forgotten, and the client must not wait
 		message.retryAfter = s.rejectionRetryAfter()
 	}
 	message.awaitingAcknowledgement = s.settings.AwaitAcknowledgement
--- a/scheduler/destination.go
+++ b/scheduler/destination.go
@@ -5,43 +5,44 @@
 	"slices"
 )
 
-// Destination is one logical receiver of messages with all its endpoints. NewDestination makes it.
+// Destination is one logical receiver of messages with all its endpoints. NewDestination creates it.
 type Destination struct {
 	ID uint64 // the adapter's identifier
 
 	endpoints     []*Endpoint
-	sharedRoute   *Route // of all endpoints that have none of their own
+	sharedRoute   *Route // for all endpoints without their own route
 	kind          int
-	batchSize     int     // most messages in one call
-	listedRate    float64 // calls a second as listed
-	lanes         []*lane // of tenants with waiting messages, in turn
-	tenantLanes   []lane  // the last is for messages without a tenant
-	overQuotaLane lane    // beyond the tenants' quotas: after all other fresh messages
+	batchSize     int     // maximum number of messages in one call
+	listedRate    float64 // calls per second according to the endpoint list
+	lanes         []*lane // lanes with queued messages, in round-robin order of the tenants
+	tenantLanes   []lane  // the last one is for messages without a tenant
+	overQuotaLane lane    // messages beyond the tenants' quotas; sent after all other fresh messages
 	retries       retryLane
-	shedClasses   []*shedClass   // of held messages
-	deadlines     *deadlineHeaps // of waiting messages; nil while none waits
+	shedClasses   []*shedClass   // groups of held messages for load shedding
+	deadlines     *deadlineHeaps // queued messages by deadline; nil while not needed
 	lateAt        float64        // when the first of them is too late
-	latePosition  int32          // in the heap by that time
-	touched       bool           // the next check of deadlines looks at it
+	latePosition  int32          // in the heap by lateAt
+	touched       bool           // the next deadline check examines the destination
 	inRing        bool
-	updated       bool      // it is in Scheduler.updatedDestinations
-	ringNode      *ringNode // its place in the ring, nil while it is in none
-	held          int       // messages without a final answer
-	queued        int       // of these, the ones that wait for a call
+	updated       bool      // the destination is in Scheduler.updatedDestinations
+	ringNode      *ringNode // position in the ring; nil while not in the ring
+	held          int       // number of messages without a final answer
+	queued        int       // number of held messages that are queued for a call
 	callsInFlight int
 
 	accepted, attempts, calls float64 // since the start: messages accepted, attempts made, calls made
-	inheritedRate             float64 // usual calls a second as an earlier process handed it over; 0: it did not
+	inheritedRate             float64 // usual calls per second, handed over by an earlier process; 0 if it was not
 	healthyDeliveries         float64 // messages delivered while the destination was not degraded
-	healthySeconds            float64 // how long that was
-	healthyCountedAt          float64 // up to when healthySeconds is counted
+	healthySeconds            float64 // total time in which the destination was not degraded
+	healthyCountedAt          float64 // time until which healthySeconds is counted
 	degraded                  bool    // an endpoint is ejected or recovering
-	timelyStreak              int     // timely answers in a row
+	timelyStreak              int     // number of consecutive timely answers
 	latency                   latencyHistogram
 	mode                      mode
 }
 
-// NewDestination returns a destination without endpoints. The adapter calls it once for each, at the first mention.
+// NewDestination returns a destination without endpoints. The adapter calls it once for each destination, when the
+// destination is first mentioned.
 func (s *Scheduler) NewDestination(id uint64) *Destination {
 	destination := &Destination{
 		ID:               id,
@@ -55,13 +56,13 @@
 	return destination
 }
 
-// Forget removes a destination that has no endpoints and no held messages, and reports whether it did. Without it, the
-// number of destinations would grow with the names that clients use.
+// Forget removes a destination if it has no endpoints and no held messages, and reports whether it did. Otherwise, the
+// number of destinations would grow with every name that clients use.
 func (s *Scheduler) Forget(destination *Destination) bool {
 	if len(destination.endpoints) > 0 || destination.held > 0 || destination.inRing || destination.updated {
 		return false
 	}
-	s.destinations = without(s.destinations, destination)
+	s.destinations = removeFirst(s.destinations, destination)
 	return true
 }
 
@@ -73,14 +74,16 @@
 // Unresponsive reports whether no endpoint of a destination answers.
 func (s *Scheduler) Unresponsive(destination *Destination) bool { return s.allEjected(destination) }
 
-// CountDemand counts a message that is stored elsewhere from its admission on towards the demand of its destination.
+// CountDemand adds one message to the demand of a destination. The adapter calls it for a message that goes to the
+// backlog store right at its admission, without Accept.
 func (s *Scheduler) CountDemand(destination *Destination) { destination.accepted++ }
 
-// UncountDemand takes a message off the demand of its destination: it was counted before, or by an earlier process.
+// UncountDemand subtracts one message from the demand of a destination. The adapter calls it for a message that was
+// already counted, by this process or an earlier one.
 func (s *Scheduler) UncountDemand(destination *Destination) { destination.accepted-- }
 
-// InheritsDemand reports whether an earlier process handed over the usual rate of a destination: what it had accepted
-// is part of that.
+// InheritsDemand reports whether an earlier process handed over the usual rate of a destination. That rate includes the
+// messages which that process accepted.
 func (d *Destination) InheritsDemand() bool { return d.inheritedRate > 0 }
 
 // markUpdated notes an event of a destination for the next Reconcile.
@@ -97,29 +100,29 @@
 	}
 }
 
-// lowVolumeRate is the rate of messages a second below which a destination has low volume: rejections then teach no
-// rate, and two failures in a row eject.
+// lowVolumeRate is the rate, in messages per second, below which a destination has low volume. At low volume, no rate
+// is learned from rejections, and two consecutive failures eject endpoints.
 const lowVolumeRate = 1.0
 
-// startWindow is added to the time since the start, in seconds, so that the first messages give no extreme rate.
+// startWindow is added to the time since the start, in seconds, so that the first messages do not result in an extreme
+// rate.
 const startWindow = 2
 
-// lowVolume reports whether a destination gets few messages.
 func (s *Scheduler) lowVolume(destination *Destination) bool {
 	return s.acceptedRate(destination) < lowVolumeRate
 }
 
-// mode is the state of a destination as operators see it in the log.
+// mode is the state of a destination that operators see in the log.
 type mode uint8
 
 const (
 	modeHealthy    mode = iota
 	modeEjected         // an endpoint is ejected
 	modeRecovering      // an endpoint is recovering, none is ejected
-	modeImpaired        // no endpoint is ejected, but its concurrency is lowered
+	modeImpaired        // no endpoint is ejected or recovering, but the destination's concurrency is lowered
 )
 
-// String returns the word for the mode in log lines; the words are part of the log's format.
+// String returns the name of the mode in log lines. The names are part of the log's format.
 func (m mode) String() string { return [...]string{"well", "sick", "back", "ill"}[m] }
 
 // worstHealth returns the worst health of a destination's ready endpoints.
@@ -133,7 +136,7 @@
 	return worst
 }
 
-// mode returns the present mode of a destination whose worst health is given.
+// mode returns the current mode of a destination; worst is the result of Destination.worstHealth.
 func (s *Scheduler) mode(destination *Destination, worst health) mode {
 	switch {
 	case worst == ejected:
@@ -147,7 +150,7 @@
 	}
 }
 
-// updateModes brings the modes of destinations with events up to date and logs the changes.
+// updateModes updates the modes of all destinations with events, logs the changes and releases removed endpoints.
 func (s *Scheduler) updateModes() {
 	for _, destination := range s.updatedDestinations {
 		s.releaseRemoved(destination)
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -6,48 +6,49 @@
 	"slices"
 )
 
-// What a check of deadlines has to look at is found by time and by events, never by a walk over all held messages.
-// Heaps give a superset of what can be due, and endExpired decides on each by its exact conditions. A message that
-// waits for a call is looked at when it begins to wait, when its timer fires, and when an event of its destination or
-// the time makes it late there; one that is in flight, once its deadline is over.
+// A deadline check finds the messages that may be due by their times and by events. It never walks over all held
+// messages. Heaps yield a superset of the messages that are due, and endExpired tests the exact conditions for each. A
+// queued message is checked when it is queued, when its timer fires, and when it becomes too late for its destination,
+// because of an event there or because time passed. A message in flight is checked once its deadline has passed.
 
 const (
-	timerSlack         = 1e-6 // seconds: a message is looked at so much early, as sums of times are rounded
-	maxScratch         = 4096 // candidates for which the array is kept from one check to the next
-	keyExpiredMargin   = 0.05 // seconds before the end of its deduplication window: then no repeat any more
-	keyExpiringFactor  = 2    // of keyExpiringDivisor parts of that window: after these only if an endpoint answers
+	timerSlack       = 1e-6 // seconds by which a message is checked early, because sums of times are rounded
+	maxScratch       = 4096 // largest capacity of the candidates' array that is reused by later checks
+	keyExpiredMargin = 0.05 // seconds before the end of a message's deduplication window when its repeats end
+	// While no endpoint answers, a message's repeats already end after this fraction of its deduplication window.
+	keyExpiringFactor  = 2
 	keyExpiringDivisor = 3
 )
 
-// stage is where a held message is kept until it is due.
+// stage tells which structure keeps a held message until the message is due.
 type stage uint8
 
 const (
 	stageNone            stage = iota
-	stageInFlight              // a call carries it: in dueMessages.inFlight
-	stageQueued                // waits and cannot be late yet: in deadlineHeaps.queued
-	stageAtRisk                // waits and is late once its destination is slow enough: in deadlineHeaps.atRisk
-	stageRecoveredAtRisk       // the same for one recovered untried: in deadlineHeaps.recoveredAtRisk
-	stageRecovered             // as stageQueued, for one recovered untried: in no heap but the timers
+	stageInFlight              // in a call; kept in dueMessages.inFlight
+	stageQueued                // queued and not late yet, however slow the destination is; in deadlineHeaps.queued
+	stageAtRisk                // queued and late if the destination is slow enough; in deadlineHeaps.atRisk
+	stageRecoveredAtRisk       // as stageAtRisk, for recovered untried messages; in deadlineHeaps.recoveredAtRisk
+	stageRecovered             // as stageQueued, for recovered untried messages; in no heap except for the timers
 )
 
-// dueMessages is where a check of deadlines finds what it has to look at.
+// dueMessages holds the structures in which a deadline check finds the messages to check.
 type dueMessages struct {
-	inFlight   []*Message     // a heap by deadline
-	timers     []*Message     // those that wait, a heap by their timers
-	late       []*Destination // a heap by the time at which their first waiting message is late
-	touched    []*Destination // with events since the last check
-	candidates []*Message
-	reviewed   []*Message // the candidates of the latest check
-	fired      []*Message // of this check
+	inFlight   []*Message     // heap by deadline
+	timers     []*Message     // queued messages, a heap by Message.timer
+	late       []*Destination // heap by Destination.lateAt
+	touched    []*Destination // destinations with events since the last check
+	candidates []*Message     // messages for the next check
+	reviewed   []*Message     // candidates of the latest check
+	fired      []*Message     // messages whose timers fired in this check
 }
 
-// deadlineHeaps is the waiting messages of one destination, each in one heap by deadline.
+// deadlineHeaps holds the queued messages of one destination in heaps by deadline. A message is in at most one of them.
 type deadlineHeaps struct {
 	queued, atRisk, recoveredAtRisk []*Message
 
-	// keyExpiring is the messages whose idempotency keys are soon forgotten; those that do not wait any more are
-	// removed later.
+	// keyExpiring lists the messages whose idempotency keys are soon forgotten. Messages that are no longer queued are
+	// removed at the next examination of the destination.
 	keyExpiring []*Message
 }
 
@@ -66,22 +67,23 @@
 	}
 )
 
-// atRiskAt returns when a message can be late first, however slow its destination: see tooLate.
+// atRiskAt returns the earliest time at which a message can be too late for the slowest destination; see tooLate.
 func (m *Message) atRiskAt() float64 {
 	return m.deadline - math.Max(minTimeLeft, m.lifetime/lateLifetimeDivisor)
 }
 
-// keyExpiringAt returns when a repeat of a message is given up if no endpoint answers.
+// keyExpiringAt returns when a message is no longer repeated if no endpoint answers.
 func (m *Message) keyExpiringAt() float64 {
 	return m.firstRanAt + m.messageType.DeduplicationWindow*keyExpiringFactor/keyExpiringDivisor
 }
 
-// keyExpiredAt returns when a repeat of a message is given up in any case.
+// keyExpiredAt returns when a message is no longer repeated in any case.
 func (m *Message) keyExpiredAt() float64 {
 	return m.firstRanAt + m.messageType.DeduplicationWindow - keyExpiredMargin
 }
 
-// trackQueued keeps a message that waits for a call, from its admission or from the end of a call on.
+// trackQueued enters a message that was just queued, after its admission or the end of a call, into the structures for
+// deadline checks.
 func (s *Scheduler) trackQueued(message *Message) {
 	s.unstage(message)
 	s.due.addCandidate(message)
@@ -101,14 +103,14 @@
 	s.setTimer(message)
 }
 
-// trackInFlight keeps a message that a call carries from now on.
+// trackInFlight moves a message whose call begins to the messages in flight.
 func (s *Scheduler) trackInFlight(message *Message) {
 	s.unstage(message)
 	message.stage = stageInFlight
 	byDeadline.push(&s.due.inFlight, message)
 }
 
-// unstage takes a message out of all that records when it is due.
+// unstage removes a message from its stage and from the timers.
 func (s *Scheduler) unstage(message *Message) {
 	byTimer.remove(&s.due.timers, message)
 	if message.stage == stageInFlight {
@@ -127,7 +129,7 @@
 	byDeadline.push(d.stageHeap(stage), message)
 }
 
-// stageHeap returns where messages of a stage are, nil for those that are in none of the destination's heaps.
+// stageHeap returns the destination's heap for a stage, nil if the stage has none.
 func (d *Destination) stageHeap(stage stage) *[]*Message {
 	switch stage {
 	case stageQueued:
@@ -141,7 +143,7 @@
 	}
 }
 
-// setTimer sets a waiting message's timer to the next time at which it may be due or changes its stage.
+// setTimer sets a queued message's timer to the next time at which the message may be due or changes its stage.
 func (s *Scheduler) setTimer(message *Message) {
 	byTimer.remove(&s.due.timers, message)
 	message.timer = math.Inf(1)
@@ -160,7 +162,7 @@
 	}
 }
 
-// addCandidate has the next check look at a message.
+// addCandidate adds a message to the next deadline check.
 func (u *dueMessages) addCandidate(message *Message) {
 	if !message.isCandidate {
 		message.isCandidate = true
@@ -168,7 +170,7 @@
 	}
 }
 
-// touch has the next check look at what an event of a destination may have made due.
+// touch makes the next deadline check examine a destination, because an event may have made its messages due.
 func (u *dueMessages) touch(destination *Destination) {
 	if !destination.touched {
 		destination.touched = true
@@ -176,8 +178,7 @@
 	}
 }
 
-// collectDue returns the messages that the check has to look at, in the order of admission. They are valid until the
-// next call.
+// collectDue returns the messages that may be due, in the order of admission. The slice is valid until the next call.
 func (s *Scheduler) collectDue() []*Message {
 	u := &s.due
 	limit := s.now + timerSlack
@@ -199,7 +200,7 @@
 	return found
 }
 
-// scratch returns the array of the latest check's candidates, emptied, unless it is large.
+// scratch returns the emptied array of the latest check's candidates for reuse, or nil if the array is large.
 func (u *dueMessages) scratch() []*Message {
 	if cap(u.reviewed) > maxScratch {
 		return nil
@@ -208,7 +209,7 @@
 	return u.reviewed[:0]
 }
 
-// fireTimers moves on the messages whose timers have fired.
+// fireTimers processes the messages whose timers have fired.
 func (s *Scheduler) fireTimers(limit float64) {
 	u := &s.due
 	within := func(message *Message) bool { return message.timer <= limit }
@@ -220,7 +221,7 @@
 	u.fired = nil
 }
 
-// fire carries out what the time has brought to a waiting message.
+// fire updates the stage of a queued message whose timer has fired, and sets its next timer.
 func (s *Scheduler) fire(message *Message, limit float64) {
 	if limit >= message.atRiskAt() {
 		s.moveToAtRisk(message)
@@ -229,7 +230,8 @@
 	s.setTimer(message)
 }
 
-// trackKeyExpiry enters a message whose key is soon forgotten among those that are given up if nothing answers.
+// trackKeyExpiry enters a message whose key is soon forgotten into the list of messages that are rejected if no
+// endpoint answers.
 func (s *Scheduler) trackKeyExpiry(message *Message, limit float64) {
 	if message.hasUsedKey() && !message.keyExpiring && limit >= message.keyExpiringAt() {
 		message.keyExpiring = true
@@ -237,7 +239,7 @@
 	}
 }
 
-// moveToAtRisk moves a message on to those that may be late.
+// moveToAtRisk moves a message to the heap of messages that may be late.
 func (s *Scheduler) moveToAtRisk(message *Message) {
 	next := stageAtRisk
 	switch message.stage {
@@ -252,18 +254,18 @@
 	s.due.touch(message.Dest)
 }
 
-// examine finds what may be due at a destination: what is blocked beyond its deadline, what is late, and what must not
-// wait while nothing answers.
+// examine adds the messages of a destination that may be due to the candidates: those with a deadline before the end of
+// a block, those that are late, and, if no endpoint answers, those whose keys are soon forgotten.
 func (s *Scheduler) examine(destination *Destination, limit float64) {
 	heaps := destination.deadlines
 	if heaps == nil {
 		byLate.remove(&s.due.late, destination)
 		return
 	}
-	shut := destination.blockedUntil()
-	outlasted := func(message *Message) bool { return message.deadline <= shut }
-	visit(heaps.queued, outlasted, s.due.addCandidate)
-	visit(heaps.atRisk, outlasted, s.due.addCandidate)
+	blockedUntil := destination.blockedUntil()
+	blocked := func(message *Message) bool { return message.deadline <= blockedUntil }
+	visit(heaps.queued, blocked, s.due.addCandidate)
+	visit(heaps.atRisk, blocked, s.due.addCandidate)
 	margin := math.Max(minTimeLeft, destination.latency.p90)
 	late := func(message *Message) bool { return message.deadline-margin <= limit }
 	visit(heaps.atRisk, late, s.due.addCandidate)
@@ -283,7 +285,7 @@
 	}
 }
 
-// scheduleLate sets the time at which the first waiting message of a destination is late.
+// scheduleLate sets the time at which the first queued message of a destination becomes late.
 func (s *Scheduler) scheduleLate(destination *Destination, margin float64) {
 	byLate.remove(&s.due.late, destination)
 	first := math.Inf(1)
@@ -298,8 +300,8 @@
 	}
 }
 
-// blockedUntil returns the time before which no endpoint of a destination takes a call; negative infinity if one may
-// any time.
+// blockedUntil returns the time before which the routes of all endpoints of a destination take no call. It returns
+// negative infinity if there is no endpoint or if one is not ready, as it may become ready at any time.
 func (d *Destination) blockedUntil() float64 {
 	until := math.Inf(1)
 	for _, endpoint := range d.endpoints {
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	healthyFraction       = 0.75 // of all slots, most for one destination in good health
-	impairedFraction      = 0.5  // of all slots, most for one that failed lately or is silent
-	impairedTotalFraction = 0.85 // of all slots, from here on none for a destination that failed lately
-	restoringStreak       = 3    // timely answers in a row after which healthyFraction holds again
-	initialConcurrency    = 2    // calls in flight that a new endpoint may have
-	newEndpointSpread     = 0.3  // seconds: all forwarders learn of a new endpoint at about the same time
-	failureDecayTime      = 8.0  // seconds in which a failure's weight in the choice falls to 1/e
-	otherZoneCost         = 0.5  // in the choice, in units of a full endpoint
-	newConnectionCost     = 0.01 // the same: a few calls do not open a connection to each endpoint in turn
-	silenceMin            = 0.4  // seconds without an answer that are not silence yet
-	silenceMultiple       = 3    // times the high latency: from here on a call without an answer is silence
+	healthyFraction       = 0.75 // maximum share of all slots for one healthy destination
+	impairedFraction      = 0.5  // maximum share of all slots for one impaired destination
+	impairedTotalFraction = 0.85 // share of all slots in use above which an impaired destination gets no further ones
+	restoringStreak       = 3    // consecutive timely answers after which healthyFraction applies again
+	initialConcurrency    = 2    // concurrency limit of a new endpoint
+	newEndpointSpread     = 0.3  // maximum random delay in seconds of the first call, as all forwarders learn of a new endpoint at once
+	failureDecayTime      = 8.0  // seconds in which the weight of a failure in Scheduler.cost decays to 1/e
+	otherZoneCost         = 0.5  // cost of an endpoint in another zone; an endpoint at its concurrency limit costs 1
+	newConnectionCost     = 0.01 // cost of a new connection, so that a few calls do not open one to each endpoint
+	silenceMin            = 0.4  // an endpoint is silent if a call has no answer for more than this many seconds, and
+	silenceMultiple       = 3    // for more than the destination's 90th percentile latency multiplied by this
 	unknownRate           = 1e9  // a listed or reported rate of this or more is ignored
-	slowObjectiveDivisor  = 2    // a destination is slow if its latency is beyond this part of the objective
+	slowObjectiveDivisor  = 2    // a destination is slow if its latency exceeds the shortest objective divided by this
 )
 
 // Endpoint is one address of a destination.
@@ -29,32 +29,32 @@
 	route            *Route
 	zone             int
 	state            EndpointState
-	concurrencyLimit float64 // calls in flight that it may have
-	calls            []*call // in flight
-	lastUsed         float64 // begin of the latest call
-	calledOften      bool    // the latest call came before an idle connection would have been closed
-	idleConnection   bool    // its connection was left open
-
-	lastSuccess         float64 // when it last delivered a message
-	consecutiveTimeouts int     // since it last answered
-	lastSuccessBegan    float64 // begin of the latest call that delivered a message
+	concurrencyLimit float64 // maximum number of calls in flight
+	calls            []*call // calls in flight
+	lastUsed         float64 // start of the latest call
+	calledOften      bool    // the latest call began before an idle connection would have been closed
+	idleConnection   bool    // a connection was left open after a call
+
+	lastSuccess         float64 // when the endpoint last delivered a message
+	consecutiveTimeouts int     // since the last delivery
+	lastSuccessBegan    float64 // start of the latest of the calls that delivered a message
 	health              health
-	failureRate         float64 // of its latest calls
+	failureRate         float64 // exponentially weighted share of failed calls
 	lastFailure         float64
 	recoveringSince     float64
-	notBefore           float64 // it gets no call before
+	notBefore           float64 // time before which the endpoint gets no call
 }
 
-// UpdateEndpoints applies a change of the endpoint list. If whole, all endpoints are named and those that are not were
-// removed.
-func (s *Scheduler) UpdateEndpoints(whole bool, updates []EndpointUpdate) {
+// UpdateEndpoints applies a change of the endpoint list. If complete, updates names all endpoints, and those that it
+// does not name were removed.
+func (s *Scheduler) UpdateEndpoints(complete bool, updates []EndpointUpdate) {
 	named := map[*Endpoint]bool{}
 	s.recordListArrival(len(updates) > 0)
 	for i := range updates {
 		named[updates[i].Endpoint] = true
 		s.updateEndpoint(&updates[i])
 	}
-	if whole {
+	if complete {
 		s.removeUnnamed(named)
 	}
 }
@@ -84,8 +84,8 @@
 	}
 }
 
-// addEndpoint adds an endpoint to a destination. Its random last use makes the first call go anywhere, so that not all
-// forwarders start with the first endpoint of the list.
+// addEndpoint adds an endpoint to a destination. Its time of last use is random, so that forwarders choose different
+// endpoints for their first call and not all of them the first one of the list.
 func (s *Scheduler) addEndpoint(endpoint *Endpoint, destination *Destination, kind int) {
 	endpoint.destination, endpoint.route, endpoint.state = destination, destination.sharedRoute, Removed
 	endpoint.concurrencyLimit, endpoint.lastUsed = initialConcurrency, -s.random.uniform()
@@ -106,7 +106,8 @@
 	}
 }
 
-// releaseRemoved forgets removed endpoints once no call to them is in flight: new ones come all day.
+// releaseRemoved releases removed endpoints once no call to them is in flight. Without it, the number of endpoints
+// would keep growing, as new ones are listed all day.
 func (s *Scheduler) releaseRemoved(destination *Destination) {
 	for i := len(destination.endpoints) - 1; i >= 0; i-- {
 		if endpoint := destination.endpoints[i]; endpoint.state == Removed && len(endpoint.calls) == 0 {
@@ -117,9 +118,11 @@
 	}
 }
 
-// silent reports whether a call has been in flight for far longer than usual and nothing was answered since it began.
+// silent reports whether a call to an endpoint has been in flight for far longer than usual and the endpoint has
+// delivered nothing since that call began.
 //
-// Trade-off: a silent destination does not keep its share until the timeout, but one slow call looks the same.
+// Trade-off: a silent destination does not keep its share of the slots until its calls time out, but a single slow call
+// looks the same as silence.
 func (s *Scheduler) silent(endpoint *Endpoint) bool {
 	return len(endpoint.calls) > 0 && endpoint.lastSuccess < endpoint.calls[0].began &&
 		s.now-endpoint.calls[0].began > math.Max(silenceMin, silenceMultiple*endpoint.destination.latency.p90)
@@ -130,26 +133,27 @@
 	return destination.timelyStreak < restoringStreak || slices.ContainsFunc(destination.endpoints, s.silent)
 }
 
-// allEjected reports whether no endpoint of a destination answers.
+// allEjected reports whether no endpoint of a destination answers: each one is ejected or not ready.
 func (s *Scheduler) allEjected(destination *Destination) bool {
 	alive := func(endpoint *Endpoint) bool { return endpoint.state == Ready && endpoint.health != ejected }
 	return !slices.ContainsFunc(destination.endpoints, alive)
 }
 
-// slotFraction returns part of the slots, at least one.
+// slotFraction returns the given part of all slots, at least one slot.
 func slotFraction(slots int, part float64) int { return max(1, int(part*float64(slots))) }
 
 // mayStartCall reports whether a destination may have one more call in flight.
 //
-// Trade-off: destinations that are slow or failed lately leave the last slots to the others, but for one call if none
-// timed out. Many of them cannot fill all slots; while all else is idle they could have had more.
+// The last slots are reserved: a slow or impaired destination uses them for one call at most, and for none if a call to
+// one of its endpoints timed out since that endpoint's last delivery. Trade-off: many such destinations together cannot
+// fill all slots, but they get fewer than they could have while all other destinations are idle.
 func (s *Scheduler) mayStartCall(destination *Destination) bool {
 	impaired, slots, share := s.impaired(destination), s.settings.ConcurrencyLimit, healthyFraction
 	if impaired {
 		share = impairedFraction
 	}
-	stops := s.listStale || s.stopAt > 0 && s.now+destination.latency.p90 > s.stopAt
-	if stops || s.callsInFlight >= slots || destination.callsInFlight >= slotFraction(slots, share) {
+	suspended := s.listStale || s.stopAt > 0 && s.now+destination.latency.p90 > s.stopAt
+	if suspended || s.callsInFlight >= slots || destination.callsInFlight >= slotFraction(slots, share) {
 		return false
 	}
 	if s.callsInFlight < slotFraction(slots, impairedTotalFraction) {
@@ -163,7 +167,7 @@
 	return !slices.ContainsFunc(destination.endpoints, timedOut)
 }
 
-// selectEndpoint returns the endpoint of a destination that is to get one more call, nil if none can take it.
+// selectEndpoint returns the endpoint of a destination for the next call, nil if no endpoint can take one.
 func (s *Scheduler) selectEndpoint(destination *Destination) *Endpoint {
 	if !s.mayStartCall(destination) {
 		return nil
@@ -193,14 +197,15 @@
 	if float64(inFlight) >= math.Floor(endpoint.concurrencyLimit) || endpoint.health == ejected {
 		return false
 	}
-	// One call a moment: more messages would join the same call.
+	// With batches, only one call begins at a time: further messages would have been part of that call.
 	return endpoint.destination.batchSize <= 1 || endpoint.calls[inFlight-1].began != s.now
 }
 
-// cost orders endpoints that can take a call: the least comes first.
+// cost ranks the endpoints that can take a call. The one with the lowest cost is chosen.
 //
-// Trade-off: an endpoint that failed of late comes after its siblings, so that one which fails some messages (all of
-// one type, say) does not get half of them; the siblings get more while they are nearly full.
+// Trade-off: an endpoint that failed recently is chosen after the other endpoints, so that an endpoint which fails some
+// messages (for example, all of one type) does not get half of them; but the other endpoints get more calls even if
+// they are nearly full.
 func (s *Scheduler) cost(endpoint *Endpoint) float64 {
 	cost := float64(len(endpoint.calls))/endpoint.concurrencyLimit +
 		endpoint.failureRate*math.Exp((endpoint.lastFailure-s.now)/failureDecayTime)
--- a/scheduler/heap.go
+++ b/scheduler/heap.go
@@ -1,12 +1,12 @@
 package scheduler
 
-const minShrinkCapacity = 64 // members; the array of a smaller heap is kept when it empties
+const minShrinkCapacity = 64 // members; a smaller array is kept when the heap empties
 
-// ordering is the order of a binary heap and the place where each member keeps its own position in it, so that any
-// member can be removed in logarithmic time. A member is in at most one heap of an ordering at a time.
+// ordering defines the order of a binary heap and where each member stores its position in the heap, so that any member
+// can be removed in logarithmic time. A member is in at most one heap of an ordering at a time.
 type ordering[T any] struct {
 	before   func(a, b T) bool
-	position func(member T) *int32 // 1 + its index in the heap; 0 while it is in none
+	position func(member T) *int32 // 1 + index of the member in its heap; 0 while the member is in no heap
 }
 
 func (o *ordering[T]) push(heap *[]T, member T) {
@@ -14,7 +14,7 @@
 	o.up(*heap, len(*heap)-1)
 }
 
-// remove takes a member out of the heap that holds it; one that is in no heap is left alone.
+// remove removes a member from the heap that holds it. It does nothing if the member is in no heap.
 func (o *ordering[T]) remove(heap *[]T, member T) {
 	position := o.position(member)
 	if *position == 0 {
@@ -74,7 +74,8 @@
 	*o.position(member) = int32(i + 1)
 }
 
-// first finds the earliest of the members that are accepted. Its cost is the number of those before it that are not.
+// first returns the earliest accepted member. Its cost is proportional to the number of earlier members that are not
+// accepted.
 func (o *ordering[T]) first(heap []T, accept func(T) bool) (best T, found bool) {
 	var search func(i int)
 	search = func(i int) {
@@ -91,8 +92,9 @@
 	return best, found
 }
 
-// visit calls call for each member that is within a bound on the key, in no particular order. Its cost is their number.
-// The heap must not be changed meanwhile.
+// visit calls call for each member for which within is true, in no particular order. within must be true for all
+// members up to a bound in the heap's order and false for the rest. The cost is proportional to the number of calls.
+// The heap must not be changed during the visit.
 func visit[T any](heap []T, within func(T) bool, call func(T)) {
 	var descend func(i int)
 	descend = func(i int) {
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -1,27 +1,27 @@
 package scheduler
 
-// Host carries out what a scheduler decides. All methods are called from within Reconcile: a host reports results as
-// later events, not from within these methods.
+// Host carries out the decisions of a scheduler. Reconcile calls its methods. They must not call event methods of the
+// scheduler: the host reports results as later events.
 type Host interface {
-	// Send begins an attempt of a message. The host reports its end by AttemptEnded, after timeout seconds at the
-	// latest.
+	// Send begins an attempt of a message. The host reports the end of the attempt with AttemptEnded, at the latest
+	// after timeout seconds.
 	Send(message *Message, endpoint *Endpoint, timeout float64)
-	// Reject gives a message its final answer: it was not delivered, and may be submitted again after retryAfter
-	// seconds.
+	// Reject gives a message the final answer "rejected": it was not delivered, and may be submitted again after
+	// retryAfter seconds.
 	Reject(message *Message, retryAfter float64)
-	// Fail gives a message its final answer: it may have run or not, and must not be repeated.
+	// Fail gives a message the final answer "failed": it may or may not have run, and must not be repeated.
 	Fail(message *Message)
-	// CancelUnsent ends the calls to an endpoint of which nothing has been sent, as NotSent.
+	// CancelUnsent ends those calls to an endpoint of which nothing has been sent yet. Their outcome is NotSent.
 	CancelUnsent(endpoint *Endpoint)
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(endpoint *Endpoint)
-	// ReleaseEndpoint lets go of an endpoint that was removed; the scheduler does not use it any more.
+	// ReleaseEndpoint frees an endpoint that was removed from the list. The scheduler no longer uses it.
 	ReleaseEndpoint(endpoint *Endpoint)
-	// Wake asks for a call of Scheduler.TimerFired in so many seconds.
+	// Wake requests a call of Scheduler.TimerFired after that many seconds.
 	Wake(in float64)
-	// WatchEndpoints asks for the endpoint list and its changes.
+	// WatchEndpoints requests the endpoint list and its changes.
 	WatchEndpoints()
-	// Log takes one line for the operators' log.
+	// Log writes one line to the operators' log.
 	Log(line string)
 }
 
@@ -31,14 +31,14 @@
 // The outcomes of an attempt.
 const (
 	Delivered    Outcome = iota
-	ServerError          // the destination's own error; the message may have run
-	Overloaded           // rejected before it was processed
-	TimedOut             // may have run, may still run
-	NoConnection         // never ran
-	Reset                // may have run, may still run
-	Cancelled            // may have run, may still run
-	NotSent              // not sent
-	Malformed            // an answer that cannot be read, so that the call was given up; may have run, may still run
+	ServerError          // the destination answered with an error; the message may have run
+	Overloaded           // the destination rejected the message before processing it
+	TimedOut             // no answer in time; the message may have run or may still run
+	NoConnection         // no connection was established; the message never ran
+	Reset                // the connection was lost; the message may have run or may still run
+	Cancelled            // the call was cancelled; the message may have run or may still run
+	NotSent              // nothing was sent; the message never ran
+	Malformed            // the answer cannot be parsed and the call was aborted; the message may have run or may still run
 )
 
 // mayStillRun reports whether the destination may still be processing the message.
@@ -46,20 +46,21 @@
 	return o == TimedOut || o == Reset || o == Cancelled || o == Malformed
 }
 
-// isError reports whether the destination answered, and with anything but a delivery or a rejection: it is up.
+// isError reports whether the destination answered, but neither delivered nor rejected the message. Such a destination
+// is up.
 func (o Outcome) isError() bool { return o == ServerError || o == Malformed }
 
-// AttemptResult is the event that an attempt ended.
+// AttemptResult describes how an attempt ended.
 type AttemptResult struct {
 	Outcome             Outcome
 	Final               bool    // the message has its final answer
-	Latency, RetryAfter float64 // seconds; RetryAfter may come with any outcome, 0: none
-	ReportedLimit       float64 // the reported limit in calls a second; 0: not reported, below 0: there is none
-	ReportedShare       float64 // reported share of that limit that is left; 0: not reported, below 0: nothing is left
+	Latency, RetryAfter float64 // seconds; RetryAfter is possible with any outcome, 0 means none
+	ReportedLimit       float64 // calls per second; 0 means not reported, below 0 means there is no limit
+	ReportedShare       float64 // unused share of that limit; 0 means not reported, below 0 means nothing is left
 }
 
-// ReportedValue converts a reported figure to the form of AttemptResult.ReportedLimit and
-// AttemptResult.ReportedShare, where a reported 0 (no limit, nothing left) is negative.
+// ReportedValue converts a reported number to the form of AttemptResult.ReportedLimit and AttemptResult.ReportedShare.
+// A reported 0 (no limit, or nothing left) becomes negative there, because 0 means that nothing was reported.
 func ReportedValue(reported float64) float64 {
 	if reported == 0 {
 		return -1
@@ -73,29 +74,29 @@
 // The states of an endpoint.
 const (
 	Ready    EndpointState = iota
-	Draining               // gets no new call
-	Removed                // not listed any more
+	Draining               // gets no new calls
+	Removed                // no longer listed
 )
 
-// EndpointUpdate is one entry of the endpoint list. The adapter owns the identity of Endpoint and Destination: the same
-// endpoint always has the same pointer.
+// EndpointUpdate is one entry of the endpoint list. The adapter creates Endpoint and Destination, and always uses the
+// same pointer for the same endpoint or destination.
 type EndpointUpdate struct {
 	Endpoint    *Endpoint
 	Destination *Destination
-	Kind        int     // of the destination: index into the settings that are stated per kind
-	Zone        int     // of the endpoint
-	Rate        float64 // calls a second that the destination takes; 0: unknown
+	Kind        int     // kind of the destination: index into the per-kind settings
+	Zone        int     // zone of the endpoint
+	Rate        float64 // calls per second that the destination can take; 0 means unknown
 	State       EndpointState
-	WarmingUp   bool // ready again after it was restarted: it gets a slow start, as after an outage
+	WarmingUp   bool // the endpoint was restarted and is ready again; it gets a slow start, as after an outage
 }
 
-// RecoveredState is the history of a message under an earlier process of this forwarder; times are on the clock of
+// RecoveredState is the history of a message in an earlier process of this forwarder. Times are on the clock of
 // SetTime.
 type RecoveredState struct {
 	Attempts   int     // attempts made
-	FirstRanAt float64 // begin of the first that may have run; 0: surely none ran
-	Zone       int     // of its endpoint
+	FirstRanAt float64 // start of the first attempt that may have run; 0 means that no attempt ran
+	Zone       int     // zone of the endpoint of that attempt
 
-	Answered   bool // it has its final answer, for which NoticeAcknowledged has not been called yet
-	CallerGone bool // its caller waited for the final answer, and was disconnected when that process ended
+	Answered   bool // the message has its final answer, for which NoticeAcknowledged has not been called yet
+	CallerGone bool // the message's caller waited for the final answer and was disconnected when that process ended
 }
--- a/scheduler/keyqueue.go
+++ b/scheduler/keyqueue.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-const maxIdleKeys = 64 // keys beyond twice the number of held messages, before idle ones are looked for
+const maxIdleKeys = 64 // idle keys are removed if there are more keys than this plus twice the number of held messages
 
-// keyQueue is the unfinished messages of one ordering key, in the order of admission. Only the first may be sent.
+// keyQueue holds the unfinished messages of one ordering key in the order of admission. Only the first may be sent.
 type keyQueue struct {
 	first, last   *Message
-	cooldownUntil float64 // no first attempt before
+	cooldownUntil float64 // time before which no message of the key gets its first attempt
 }
 
-// PauseKeys reports that attempts of an earlier process of this forwarder may have been in flight until now. Which keys
-// they had is not known any more, as messages that have their final answer are on no record: every key pauses. It
-// is called before the first message.
+// PauseKeys reports that attempts of an earlier process of this forwarder may have been in flight until now. Their
+// ordering keys are unknown, because messages with a final answer are not recorded. Therefore all keys pause. It must
+// be called before the first message is accepted.
 //
-// Trade-off: the next message of a key is not called while the one before may still run; what is in order and waits, or
-// comes within a cooldown of the start, is sent that much later.
+// Trade-off: the next message of a key is not sent while the previous one may still run; but messages with a key that
+// are recovered, or accepted within a cooldown after the start, are sent later by up to that time.
 func (s *Scheduler) PauseKeys() { s.keysPausedUntil = s.cooldownEnd() }
 
-// cooldownEnd returns when a cooldown that begins now ends.
+// cooldownEnd returns the end of a cooldown of an ordering key that begins now.
 func (s *Scheduler) cooldownEnd() float64 { return s.now + s.settings.KeyCooldown + cooldownMargin }
 
 // pauseKey starts the cooldown of an ordering key, as one of its messages may still run.
@@ -26,7 +26,7 @@
 	queue.cooldownUntil = math.Max(queue.cooldownUntil, s.cooldownEnd())
 }
 
-// joinKeyQueue puts a message behind the earlier ones of its key.
+// joinKeyQueue appends a message to the queue of its ordering key, if it has one.
 func (s *Scheduler) joinKeyQueue(message *Message) {
 	if !message.messageType.InOrder || message.Key == 0 {
 		return
@@ -46,7 +46,8 @@
 	queue.last = message
 }
 
-// dropIdleKeys removes the keys whose last message finished during their cooldown, once there are many.
+// dropIdleKeys removes keys without messages whose cooldown has ended, if there are many keys. leaveKeyQueue keeps a
+// key whose last message finishes during the cooldown.
 func (s *Scheduler) dropIdleKeys() {
 	if len(s.keyQueues) <= 2*s.held.count+maxIdleKeys {
 		return
@@ -58,8 +59,8 @@
 	}
 }
 
-// leaveKeyQueue removes a message to which nothing more can happen from the queue of its key. The next one of its key
-// may be sent then.
+// leaveKeyQueue removes a message from the queue of its ordering key if it is finished, so that the next message of the
+// key may be sent. It also subtracts the size of the message from the stored bytes.
 func (s *Scheduler) leaveKeyQueue(message *Message) {
 	if !message.Finished() {
 		return
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -1,14 +1,15 @@
 package scheduler
 
-// lane is a tenant's messages that wait for their first call.
+// lane holds one tenant's messages that are queued for their first call.
 type lane struct {
-	queued     int         // messages, those behind others of their key included
-	queues     []typeQueue // by type, of those types that were seen here
-	inRotation bool        // it is in Destination.lanes
+	queued     int         // number of messages, including those behind others of their ordering key
+	queues     []typeQueue // one for each message type seen in this lane
+	inRotation bool        // the lane is in Destination.lanes
 	byValue    bool        // the latest message was chosen by value
 }
 
-// typeQueue is the messages of one type in a lane that are first of their key: a heap in the order of admission.
+// typeQueue holds those messages of one type in a lane that are the first of their ordering key. It is a heap in the
+// order of admission.
 type typeQueue struct {
 	messageType *MessageType
 	messages    []*Message
@@ -19,7 +20,7 @@
 	position: func(m *Message) *int32 { return &m.queuePosition },
 }
 
-// assignLane assigns a fresh message to a lane: its tenant's, or that of the messages beyond the quotas.
+// assignLane assigns a fresh message to its tenant's lane, or to the lane for messages beyond the quotas.
 func (s *Scheduler) assignLane(message *Message) {
 	destination := message.Dest
 	if message.overQuota = s.takeQuota(message.Tenant); message.overQuota {
@@ -34,13 +35,13 @@
 	}
 }
 
-// nextRank returns the next number in the order of admission and of coming back as a retry.
+// nextRank returns the next Message.rank. Messages get one when they are admitted and again when they become a retry.
 func (s *Scheduler) nextRank() uint64 {
 	s.lastRank++
 	return s.lastRank
 }
 
-// enqueue makes a message wait for a call, in its lane or, if it has none, among the retries.
+// enqueue queues a message for a call, in its lane or, if it has none, among the retries.
 func (s *Scheduler) enqueue(message *Message) {
 	message.queued = true
 	message.Dest.queued++
@@ -56,7 +57,7 @@
 	}
 }
 
-// dequeue ends a message's waiting. It can come back only as a retry.
+// dequeue removes a message from its queue. It can be queued again only as a retry.
 func (s *Scheduler) dequeue(message *Message) {
 	if !message.queued {
 		return
@@ -74,7 +75,8 @@
 	message.lane = nil
 }
 
-// makeSelectable lets rounds find a waiting message that is first of its key.
+// makeSelectable enters a queued message that is the first of its ordering key into the heap from which calls are
+// filled.
 func (m *Message) makeSelectable() {
 	if m.lane == nil {
 		m.Dest.retries.add(m)
@@ -114,8 +116,9 @@
 	return next
 }
 
-// mostValuable returns the accepted message of a lane that is worth most now, of several the earliest. While value does
-// not change with age that is the first of a type; else all that waits in the lane is looked at.
+// mostValuable returns the accepted message of a lane with the highest current value, the earliest one on a tie. If
+// value does not change with age, only the first message of each type is compared; otherwise all messages of the lane
+// that are first of their ordering key.
 func (s *Scheduler) mostValuable(lane *lane, accept func(*Message) bool) *Message {
 	var next *Message
 	consider := func(message *Message) {
--- a/scheduler/latency.go
+++ b/scheduler/latency.go
@@ -4,20 +4,20 @@
 
 const (
 	latencyFirstEdge   = 0.02  // seconds; the upper edge of the first bin is latencyEdgeGrowth times this
-	latencyEdgeGrowth  = 1.5   // ratio of the edges of neighbouring bins
-	latencyMaxCalls    = 100.0 // from so many counted calls on, all counts are halved
+	latencyEdgeGrowth  = 1.5   // ratio of the upper edges of adjacent bins
+	latencyMaxCalls    = 100.0 // all counts are halved when the counted calls exceed this
 	latencyQuantile    = 0.9
-	initialLatency     = 0.9 // seconds that a call takes before any was measured
-	initialLatencyCall = 1.0 // calls that initialLatency counts as
-	restoredCalls      = 5.0 // most calls that an earlier process's measurements count as
+	initialLatency     = 0.9 // seconds that calls are assumed to take before any was measured
+	initialLatencyCall = 1.0 // number of measured calls that initialLatency counts as
+	restoredCalls      = 5.0 // maximum number of calls that the measurements of an earlier process count as
 )
 
-// latencyHistogram counts call times in bins of growing width and forgets old ones by halving all counts. An assumed
-// first call counts along.
+// latencyHistogram counts call times in bins of growing width. It halves all counts from time to time, so that recent
+// calls have more weight. The quantile includes an assumed call of initialLatency.
 type latencyHistogram struct {
 	counts, upperEdges [16]float64
 	total              float64
-	p90                float64 // upper edge of the bin that holds latencyQuantile
+	p90                float64 // upper edge of the bin that contains latencyQuantile
 	priorBin           int     // bin of the assumed call
 }
 
@@ -33,7 +33,7 @@
 	return h
 }
 
-// bin returns the index of the bin for x seconds; the last one has no upper edge.
+// bin returns the index of the bin for x seconds. The last bin has no upper limit.
 func (h *latencyHistogram) bin(x float64) int {
 	n := 0
 	for n < len(h.counts)-1 && x >= h.upperEdges[n] {
@@ -67,8 +67,8 @@
 	}
 }
 
-// restore takes the counts of an earlier histogram, scaled down to so many calls at most, if nothing was counted yet.
-// It reports whether it did.
+// restore sets the counts to those of an earlier histogram, scaled down to at most maxCalls calls. It does nothing and
+// returns false if calls were already counted or if counts is not valid.
 func (h *latencyHistogram) restore(counts []float64, maxCalls float64) bool {
 	total := 0.0
 	for _, n := range counts {
@@ -88,15 +88,15 @@
 	return true
 }
 
-// RestoreLatencies takes the call times that an earlier process measured, as Latencies returned them, and reports
-// whether they could be used. Of all that a process learns they are the only figures that mean the same in a fleet of
-// another size: rates, loads and health start afresh. They count as a few calls.
+// RestoreLatencies restores the call times that an earlier process measured, as returned by Latencies, and reports
+// whether they could be used. Of all learned values, only latencies remain valid if the size of the fleet changes;
+// rates, loads and health are learned anew. The restored latencies count as a few calls.
 func (s *Scheduler) RestoreLatencies(destination *Destination, counts []float64) bool {
 	return destination.latency.restore(counts, restoredCalls)
 }
 
-// Latencies returns the counts of a destination's measured call times, nil if there are none, to be kept beyond a
-// restart. The slice is only valid until the next event.
+// Latencies returns the counts of a destination's measured call times, which the adapter keeps for the next process. It
+// returns nil if nothing was measured. The slice is only valid until the next event.
 func (d *Destination) Latencies() []float64 {
 	if d.latency.total == 0 {
 		return nil
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -2,70 +2,71 @@
 
 import "iter"
 
-// Message is one message held by a forwarder. The caller sets the exported fields, once, before Accept.
+// Message is one message held by a forwarder. The adapter sets the exported fields once, before Accept.
 type Message struct {
 	ID     uint64 // the adapter's identifier
 	Tenant int
-	Key    uint64 // ordering key; 0: none
+	Key    uint64 // ordering key; 0 means none
 	Dest   *Destination
-	Size   int // bytes that it takes in the write-ahead log
+	Size   int // bytes in the write-ahead log
 
-	// AnsweredByNotice says that its final answer, unless it is delivered in time, is a notice to a client whose clock
-	// may differ.
+	// AnsweredByNotice says that the client gets a notice if the message is not delivered in time. The client's clock
+	// may differ from this forwarder's clock.
 	AnsweredByNotice bool
 
 	messageType   *MessageType
 	deadline      float64
 	lifetime      float64 // time to the deadline when it was accepted
 	keyQueue      *keyQueue
-	lane          *lane   // nil from its first call on
-	call          *call   // the call that carries it now
-	attempts      int     // made so far
-	firstRanAt    float64 // begin of the first attempt that may have run; 0: surely never ran
-	firstRanZone  int
-	answered      bool // it has its final answer
-	queued        bool // it waits for a call
-	overQuota     bool // beyond its tenant's quota
-	bytesReleased bool // its size is taken off storedBytes
-	// its final answer is on its way
+	lane          *lane   // nil after the first call with the message began
+	call          *call   // the call in flight that carries the message
+	attempts      int     // number of attempts made
+	firstRanAt    float64 // start of the first attempt that may have run; 0 means that no attempt ran
+	firstRanZone  int     // zone of the endpoint of that attempt
+	answered      bool    // the message has its final answer
+	queued        bool    // the message is queued for a call
+	overQuota     bool    // the message exceeds its tenant's quota
+	bytesReleased bool    // the message's size has been subtracted from storedBytes
+	// the final answer has been given and its acknowledgement is outstanding
 	awaitingAcknowledgement bool
-	recoveredUntried        bool // an earlier process had accepted it and not tried it
+	recoveredUntried        bool // accepted but not attempted by an earlier process
 
-	sequence                 uint64   // its number in the order of admission
-	rank                     uint64   // its place among those that wait
-	previous, next           *Message // in heldList
+	sequence                 uint64   // position in the order of admission
+	rank                     uint64   // position among the queued messages; renewed when the message becomes a retry
+	previous, next           *Message // neighbors in heldList
 	shedClass                *shedClass
-	shedPrevious, shedNext   *Message // in shedClass
-	keyPrevious, keyNext     *Message // in keyQueue
+	shedPrevious, shedNext   *Message // neighbors in shedClass
+	keyPrevious, keyNext     *Message // neighbors in keyQueue
 	queuePosition            int32    // in the heap of its lane or of the retries
 	urgencyPosition          int32    // in the heap of urgent retries
 	deadlinePosition         int32    // in the heap of its stage
 	timerPosition            int32    // in the heap of timers
-	timer                    float64  // when it has to be looked at next
+	timer                    float64  // time of the next deadline check of the message
 	stage                    stage
-	keyExpiring, isCandidate bool
+	keyExpiring, isCandidate bool // listed in deadlineHeaps.keyExpiring, in dueMessages.candidates
 
-	action     action // what the host is to do with it
+	action     action // what the host has to do with the message
 	reason     AnswerReason
 	endpoint   *Endpoint
 	timeout    float64
 	retryAfter float64
 }
 
-// AwaitingAcknowledgement reports whether the message's final answer is on its way and not acknowledged.
+// AwaitingAcknowledgement reports whether the message has a final answer that is not acknowledged yet.
 func (m *Message) AwaitingAcknowledgement() bool { return m.awaitingAcknowledgement }
 
 // Finished reports whether nothing more can happen to the message.
 func (m *Message) Finished() bool { return m.answered && m.call == nil && !m.awaitingAcknowledgement }
 
-// Queued reports whether the message waits for a call: Withdraw may then take it back without a trace.
+// Queued reports whether the message is queued for a call. Such a message is in no call, so that Withdraw removes it
+// completely.
 func (m *Message) Queued() bool { return m.queued }
 
-// AnswerReason says why the message has a final answer though it was not delivered, or not surely in time.
+// AnswerReason returns why the message got a final answer without a delivery that is certain to be in time.
 func (m *Message) AnswerReason() AnswerReason { return m.reason }
 
-// NextOfKey returns the next unfinished message of the same ordering key in the order of admission; nil if there is
-// none or the message's type does not keep the order of keys.
+// NextOfKey returns the next unfinished message with the same ordering key in the order of admission. It returns nil if
+// there is none or if messages of this type are not sent in order.
 func (m *Message) NextOfKey() *Message { return m.keyNext }
 
 // mayHaveRun reports whether an attempt of the message may have run.
@@ -76,7 +77,7 @@
 	return m.firstRanAt > 0 && m.messageType.Idempotency == IdempotentWithKey
 }
 
-// action is what the host is to do with a message; apply carries it out.
+// action is what the host has to do with a message. Scheduler.apply passes it to the host.
 type action uint8
 
 const (
@@ -92,12 +93,12 @@
 // The reasons of final answers.
 const (
 	NoReason            AnswerReason = iota
-	OutOfTime                        // too little time is left for a call, or its endpoints are blocked for longer
-	RepeatUnsafe                     // it may have run, and a further attempt could run a second time
-	AttemptsExhausted                // it has had all its attempts
-	LoadShed                         // the queue is nearly full
-	AnsweredWithoutCall              // the adapter had it given up
-	DeliveredLate                    // delivered so close to its deadline that its client may not count it
+	OutOfTime                        // too little time is left for a call, or all endpoints are blocked for longer
+	RepeatUnsafe                     // an attempt may have run, and a further attempt could run a second time
+	AttemptsExhausted                // the maximum number of attempts has been made
+	LoadShed                         // the queue was nearly full
+	AnsweredWithoutCall              // the adapter called Scheduler.AnswerWithoutCall
+	DeliveredLate                    // delivered so close to the deadline that it may be late by the client's clock
 )
 
 var answerReasonNames = [...]string{
@@ -110,10 +111,10 @@
 	DeliveredLate:       "delivered close to its deadline",
 }
 
-// String returns the reason as logs have it.
+// String returns the text of the reason in logs.
 func (r AnswerReason) String() string { return answerReasonNames[r] }
 
-// heldList is the messages of a forwarder that have no final answer, in the order of admission.
+// heldList is a linked list of a forwarder's messages that have no final answer, in the order of admission.
 type heldList struct {
 	first, last *Message
 	count       int
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	failureWeight      = 0.2 // weight of one failure in an endpoint's failure rate, doubled if nothing answered
-	ejectionThreshold  = 0.6 // failure rate from which on an endpoint is ejected
+	failureWeight      = 0.2 // weight of one failure in an endpoint's failure rate, doubled if there was no answer
+	ejectionThreshold  = 0.6 // failure rate above which an endpoint is ejected
 	failureStreak      = 3   // consecutive failures that eject a route's endpoints
 	lowVolumeStreak    = 2   // the same at low volume
-	shortOutage        = 3.0 // seconds without an answer that are no outage
-	timelyMultiple     = 4   // times the high latency: an answer that took longer is not timely
-	connectRetryMin    = 0.2 // seconds before the next call after a failed connect, plus
-	connectRetrySpread = 0.8 // at random: a full connection table is as full at once after
+	shortOutage        = 3.0 // seconds since the last delivery that do not count as an outage yet
+	timelyMultiple     = 4   // an answer is not timely if it took longer than the 90th percentile latency times this
+	connectRetryMin    = 0.2 // seconds before the next call after a failed connect, as a full connection table stays full
+	connectRetrySpread = 0.8 // maximum random delay in seconds, which is added to that
 )
 
-// health is the state of an endpoint by its recent results.
+// health is the state of an endpoint according to the results of its recent calls.
 type health uint8
 
 const (
 	healthy    health = iota
-	ejected           // gets no calls but probes
+	ejected           // gets only probes
 	recovering        // answers again; its rate is raised slowly
 )
 
-// Ejected reports whether an endpoint gets probes only, after it failed.
+// Ejected reports whether the endpoint failed and therefore gets only probes.
 func (e *Endpoint) Ejected() bool { return e.health == ejected }
 
-// EndpointHealth is what one process of a forwarder hands over to the next of an endpoint that is ejected or
-// recovering.
+// EndpointHealth describes an endpoint that is ejected or recovering. One process of a forwarder hands it over to its
+// successor.
 type EndpointHealth struct {
-	Ejected       bool    // else it is recovering
-	RecoveringFor float64 // seconds
-	UsualRate     float64 // calls a second that this forwarder makes to its destination as a rule
+	Ejected       bool    // otherwise the endpoint is recovering
+	RecoveringFor float64 // seconds since the recovery began
+	UsualRate     float64 // calls per second that this forwarder usually makes to the endpoint's destination
 }
 
 // Health returns the health of an endpoint that is ejected or recovering; impaired is false for any other.
@@ -48,10 +48,10 @@
 	return state, true
 }
 
-// RestoreHealth gives a listed endpoint the health that an earlier process of this forwarder handed over.
+// RestoreHealth sets the health of a listed endpoint to that which an earlier process of this forwarder handed over.
 //
-// Trade-off: an upgrade does not push over what the earlier process was bringing back slowly; an endpoint that has
-// become well meanwhile is probed or slowed down for a while longer.
+// Trade-off: an upgrade does not overload an endpoint that was in slow start in the earlier process; but an endpoint
+// that is healthy by now is probed or limited for a while longer.
 func (s *Scheduler) RestoreHealth(endpoint *Endpoint, state EndpointHealth) {
 	destination := endpoint.destination
 	destination.inheritedRate = math.Max(destination.inheritedRate, state.UsualRate)
@@ -63,7 +63,8 @@
 	s.markUpdated(destination)
 }
 
-// recordResult learns from the end of a call. It is called once for each call.
+// recordResult updates the learned state of an endpoint, its route and its destination after a call. It is called once
+// for each call.
 func (s *Scheduler) recordResult(endpoint *Endpoint, call *call, result AttemptResult) {
 	s.recordReports(endpoint, result)
 	switch result.Outcome {
@@ -83,7 +84,7 @@
 func (s *Scheduler) recordSuccess(endpoint *Endpoint, call *call, latency float64) {
 	destination, route := endpoint.destination, endpoint.route
 	s.recordIdleReuse(call, false)
-	// Silence with answers before and after is loss on the way: the endpoint is not cold after it.
+	// Timeouts with deliveries shortly before and after are due to losses in the network: the endpoint is not cold.
 	if endpoint.health == ejected && endpoint.consecutiveTimeouts > 0 && s.now-endpoint.lastSuccess < shortOutage {
 		endpoint.health, endpoint.notBefore, endpoint.failureRate = healthy, s.now, failureWeight
 	}
@@ -106,10 +107,11 @@
 	}
 }
 
-// beginRecovery ends the ejection of all endpoints of a route: an outage mostly takes all of them, and ends for all.
+// beginRecovery ends the ejection of all endpoints of a route, because an outage usually affects all of them and ends
+// for all of them at once.
 func (s *Scheduler) beginRecovery(endpoint *Endpoint) {
 	route := endpoint.route
-	if route.learnedRate > 0 { // it was learned during the outage
+	if route.learnedRate > 0 { // learned during the outage and probably too low
 		route.learnedRate = math.Max(route.learnedRate, s.usualRate(endpoint))
 	}
 	for _, other := range endpoint.destination.endpoints {
@@ -134,12 +136,12 @@
 	endpoint.failureRate += weight * (1 - endpoint.failureRate)
 	endpoint.lastFailure, endpoint.concurrencyLimit = s.now, math.Max(1, endpoint.concurrencyLimit/2)
 	if !result.Outcome.isError() {
-		s.closeIdle = append(s.closeIdle, endpoint) // its connections may be dead, or too many
+		s.closeIdle = append(s.closeIdle, endpoint) // its connections may be dead, or there may be too many
 		s.recordIdleReuse(call, true)
 	}
 	route.consecutiveFailures++
 	if result.Outcome == NoConnection && result.Latency > initialLatency {
-		route.consecutiveFailures++ // not even refused: silence
+		route.consecutiveFailures++ // not refused but unanswered, which counts twice
 	}
 	route.fastFailure = route.fastFailure || result.Outcome.isError() || result.Outcome == NoConnection
 	if endpoint.failureRate > ejectionThreshold || weight > failureWeight && endpoint.routeHasEjected() {
@@ -151,7 +153,7 @@
 	s.ejectOnStreak(endpoint)
 }
 
-// recordFailedConnect closes idle connections, as the other side's connection table may be full of them.
+// recordFailedConnect closes idle connections, because they may fill the destination's connection table.
 func (s *Scheduler) recordFailedConnect(endpoint *Endpoint) {
 	destination := endpoint.destination
 	s.noIdleKindUntil[destination.kind] = s.now + failedConnectPause
@@ -163,7 +165,7 @@
 func (s *Scheduler) failureWeight(endpoint *Endpoint, call *call, outcome Outcome) float64 {
 	weight := failureWeight
 	if endpoint.lastSuccessBegan >= call.began {
-		return weight / 2 // it answered a call that began later: this one was lost alone
+		return weight / 2 // the endpoint answered a call that began later, so that only this one was lost
 	}
 	if outcome == TimedOut || outcome == NoConnection && s.now-endpoint.route.lastSuccess > shortOutage {
 		return weight * 2
@@ -171,18 +173,19 @@
 	return weight
 }
 
-// routeHasEjected reports whether an endpoint of the same route, itself included, is ejected.
+// routeHasEjected reports whether a ready endpoint of the same route, possibly e itself, is ejected.
 func (e *Endpoint) routeHasEjected() bool {
 	return slices.ContainsFunc(e.destination.endpoints, func(other *Endpoint) bool {
 		return other.state == Ready && other.health == ejected && other.route == e.route
 	})
 }
 
-// ejectOnStreak ejects a route's endpoints after three failures in a row, two at low volume; rejections count after the
-// first failure. One failure must be a fast one, and no answer may have come for a while.
+// ejectOnStreak ejects a route's endpoints after three consecutive failures, or two at low volume. Rejections count
+// after the first failure. One of the failures must be an error or a failed connect, and the route must have delivered
+// nothing for longer than shortOutage.
 //
-// Trade-off: many forwarders with few calls do not go on calling until each is sure, and together overload a
-// destination as it returns; chance failures can eject too.
+// Trade-off: many forwarders with few calls each do not continue to call until each of them is certain, and thus do not
+// overload a returning destination together; but chance failures can cause an ejection, too.
 func (s *Scheduler) ejectOnStreak(endpoint *Endpoint) {
 	route, streak := endpoint.route, failureStreak
 	if s.lowVolume(endpoint.destination) {
@@ -203,10 +206,10 @@
 	}
 }
 
-// eject begins or prolongs an endpoint's ejection.
+// eject begins or prolongs the ejection of an endpoint.
 //
 // Trade-off: a destination that returns cold is not overloaded, and one that is down, hung, closed or failing is not
-// called in vain; chance failures can eject too.
+// called in vain; but chance failures can cause an ejection, too.
 func (s *Scheduler) eject(endpoint *Endpoint) {
 	endpoint.health, endpoint.concurrencyLimit = ejected, 1
 	from := math.Max(s.now, endpoint.route.blockedUntil)
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -3,55 +3,56 @@
 import "math"
 
 const (
-	learnedRateCut      = 0.7  // a rejection lowers the learned rate to this part
-	learnedRateGrowth   = 0.08 // a second: growth of the learned rate while nothing is rejected
+	learnedRateCut      = 0.7  // factor by which a rejection lowers the learned rate
+	learnedRateGrowth   = 0.08 // growth of the learned rate per second while nothing is rejected
 	growthDoubling      = 2    // seconds without a rejection after which that growth has doubled
-	reportedGrowth      = 0.6  // a second: exponent of the learned rate's growth by the reported share
-	balancedFraction    = 0.5  // reported share of a limit that leaves the learned rate as it is
+	reportedGrowth      = 0.6  // per second; how strongly the reported share changes the learned rate (in an exponent)
+	balancedFraction    = 0.5  // reported share of a limit at which the learned rate does not change
 	scarceFraction      = 0.25 // reported share below which a rate is learned
-	reportSilence       = 2    // seconds without a report after which rejections alone rule the learned rate
-	fairShareMargin     = 1.5  // times the even part of a limit that is likely to be accepted
-	minRateDivisor      = 10   // the learned rate is at least this part of the guaranteed one
-	burstDuration       = 0.3  // seconds of the learned rate that may be called at once
-	firstBackoff        = 0.1  // seconds, doubled by each rejection in a row
+	reportSilence       = 2    // seconds without a report after which the learned rate depends on rejections alone
+	fairShareMargin     = 1.5  // this many times the equal share of a limit is likely to be accepted
+	minRateDivisor      = 10   // the learned rate is at least the guaranteed rate divided by this
+	burstDuration       = 0.3  // calls of this many seconds at the learned rate may be made at once
+	firstBackoff        = 0.1  // seconds; doubled by each consecutive rejection
 	maxBackoffDoublings = 4
-	slowBackoff         = 6    // seconds, the same at low volume
-	maxSlowBackoff      = 24   // seconds
-	minBackoffSpread    = 0.5  // a backoff is 0.5 to 1.5 times as long
-	longRetryAfter      = 2.5  // seconds: a limit has room again sooner, a closed destination has not
-	closedRejections    = 5    // rejections in a row from which on a destination may be closed
-	persistentAfter     = 1    // seconds after the first rejection in a row
-	tokenDebt           = 2    // calls: largest debt of tokens after a first rejection, less where calls are frequent
-	tokenSpread         = 2.75 // calls: random part of the tokens then, so that forwarders do not return together
-	fullDebtRate        = 0.5  // calls a second: recent rate below which that applies in full; above, less the higher
+	slowBackoff         = 6    // seconds; firstBackoff at low volume
+	maxSlowBackoff      = 24   // seconds; maximum at low volume
+	minBackoffSpread    = 0.5  // a backoff is multiplied by a random factor from 0.5 to 1.5
+	longRetryAfter      = 2.5  // seconds; a limit has capacity again within this time, a closed destination does not
+	closedRejections    = 5    // consecutive rejections after which a destination may be closed
+	persistentAfter     = 1    // seconds after the first consecutive rejection at which rejections count as persistent
+	tokenDebt           = 2    // calls; largest debt of tokens after a first rejection, less if calls are frequent
+	tokenSpread         = 2.75 // calls; random part of these tokens, so that forwarders do not return together
+	fullDebtRate        = 0.5  // recent calls per second up to which both apply in full; they shrink at higher rates
 )
 
-// Route is what a rate limit and a Retry-After bind: all endpoints of a destination, or one where each has a limit of
-// its own.
+// Route is the unit to which a rate limit and a Retry-After apply: all endpoints of a destination, or a single endpoint
+// if each has its own limit.
 type Route struct {
-	blockedUntil          float64 // by a Retry-After or a backoff
-	learnedRate           float64 // calls a second that seem to be accepted; 0: no limit was met
-	tokens                float64 // calls that the learned rate allows now
+	blockedUntil          float64 // end of a Retry-After or a backoff
+	learnedRate           float64 // calls per second that seem to be accepted; 0 if no limit was met
+	tokens                float64 // number of calls that the learned rate allows now
 	refilledAt            float64 // when the tokens were last refilled
-	recentRate            float64 // calls a second of late
-	consecutiveFailures   int     // since the last success; rejections after the first of them count too
-	fastFailure           bool    // an error or a failed connect is among these
-	lastSuccess           float64 // when it last delivered a message
-	consecutiveRejections int     // since a call was accepted
-	lastRejection         float64 // when one last taught something
-	firstRejection        float64 // when the first of these was
-	noShortWaitSince      float64 // since when calls are rejected without a short Retry-After
-	reportedLimit         float64 // calls a second; 0: not reported, below 0: there is none
-	remainingReportedAt   float64 // when the share of the limit that is left was last reported
+	recentRate            float64 // average of the recent calls per second
+	consecutiveFailures   int     // failures since the last success, and rejections after the first of them
+	fastFailure           bool    // one of these failures was an error or a failed connect
+	lastSuccess           float64 // when the route last delivered a message
+	consecutiveRejections int     // rejections since the last accepted call
+	lastRejection         float64 // time of the latest rejection that was not ignored
+	firstRejection        float64 // time of the first consecutive rejection
+	noShortWaitSince      float64 // start of the time in which calls are rejected without a short Retry-After
+	reportedLimit         float64 // calls per second; 0 if not reported, below 0 if there is no limit
+	remainingReportedAt   float64 // when the unused share of the limit was last reported
 }
 
-// block keeps calls off a route until a time.
+// block prevents calls on a route until the given time.
 func (r *Route) block(until float64) { r.blockedUntil = math.Max(r.blockedUntil, until) }
 
-// BlockedUntil returns until when an endpoint's route takes no call: a Retry-After, or a backoff after rejections.
+// BlockedUntil returns the time before which the endpoint's route takes no call because of a Retry-After or a backoff
+// after rejections.
 func (e *Endpoint) BlockedUntil() float64 { return e.route.blockedUntil }
 
-// BlockUntil keeps calls off an endpoint's route until a time that an earlier process of this forwarder learned. The
+// BlockUntil prevents calls on an endpoint's route until a time that an earlier process of this forwarder recorded. The
 // endpoint must be listed.
 func (s *Scheduler) BlockUntil(endpoint *Endpoint, until float64) {
 	endpoint.route.block(until)
@@ -70,25 +71,28 @@
 	return s.now >= route.blockedUntil && (route.learnedRate == 0 || route.tokens >= 1)
 }
 
-// refill adds the tokens of so many seconds to a route, and raises its learned rate unless reports rule it.
+// refill adds the tokens of the elapsed seconds to a route. It also raises the learned rate, unless the destination's
+// reports determine it.
 //
-// Trade-off: the rate grows faster the longer nothing was rejected, so that a rate which a full queue taught in a burst
-// is not paid for long after; limits that reject seldom are met more often.
+// Trade-off: the longer nothing was rejected, the faster the rate grows, so that a rate that was learned from a full
+// queue during a burst has no long effect; but limits that rarely reject are exceeded more often.
 func (s *Scheduler) refill(route *Route, elapsed float64) {
 	burst := math.Max(1, route.learnedRate*burstDuration)
 	route.tokens = math.Min(route.tokens+route.learnedRate*elapsed, burst)
 	if s.now < route.blockedUntil || !(s.now > route.remainingReportedAt+reportSilence) {
 		return
 	}
-	faster := (s.now - route.lastRejection) / growthDoubling
+	acceleration := (s.now - route.lastRejection) / growthDoubling
 	if route.consecutiveRejections > 0 && route.reportedLimit > 0 {
-		faster = 0 // nothing was accepted since, as others use the limit up: silence does not mean capacity
+		// Nothing was accepted since the rejection, because other forwarders use up the limit. That nothing more was
+		// rejected does not mean that there is capacity.
+		acceleration = 0
 	}
-	route.learnedRate *= 1 + learnedRateGrowth*elapsed*(1+faster)
+	route.learnedRate *= 1 + learnedRateGrowth*elapsed*(1+acceleration)
 }
 
-// recordRetryAfter blocks a route. Calls that have not been sent are cancelled: connecting can take long, and they
-// would arrive within the time.
+// recordRetryAfter blocks a route after a Retry-After. Calls that have not been sent are cancelled, because
+// establishing a connection can take long and they would arrive before the Retry-After is over.
 func (s *Scheduler) recordRetryAfter(endpoint *Endpoint, retryAfter float64) {
 	for _, other := range endpoint.destination.endpoints {
 		if other.route == endpoint.route && len(other.calls) > 0 {
@@ -98,40 +102,42 @@
 	endpoint.route.block(s.now + retryAfter + retryAfterMargin + retryAfterSpread*s.random.uniform())
 }
 
-// recordReports takes what a result reports of the route's limit. Values that cannot be a rate of calls are ignored.
+// recordReports records the limit and its unused share that a result reports. Values that cannot be a rate are ignored.
 func (s *Scheduler) recordReports(endpoint *Endpoint, result AttemptResult) {
 	route := endpoint.route
 	if result.ReportedLimit != 0 && math.Abs(result.ReportedLimit) < unknownRate {
 		route.reportedLimit = result.ReportedLimit
 	}
-	if left := math.Min(1, result.ReportedShare); route.reportedLimit > 0 && (left > 0 || left < 0) {
-		s.recordRemaining(endpoint, math.Max(0, left))
+	if share := math.Min(1, result.ReportedShare); route.reportedLimit > 0 && (share > 0 || share < 0) {
+		s.recordRemaining(endpoint, math.Max(0, share))
 	}
 }
 
-// recordRemaining moves a route's learned rate by the reported share of its limit that is left, which all
-// forwarders use up together.
+// recordRemaining adjusts a route's learned rate to the reported unused share of its limit, which all forwarders use up
+// together.
 //
-// Trade-off: many forwarders do not each learn by rejections of their own, which use the limit up too, that nothing is
-// left, and those with little to send do not keep an even part to themselves; late reports mislead.
-func (s *Scheduler) recordRemaining(endpoint *Endpoint, left float64) {
+// Trade-off: forwarders learn that nothing is left without a rejection for each of them, which would use up the limit,
+// too, and those with little to send do not reserve an equal share for themselves; but late reports mislead.
+func (s *Scheduler) recordRemaining(endpoint *Endpoint, share float64) {
 	route := endpoint.route
 	elapsed := math.Min(1, s.now-route.remainingReportedAt)
 	route.remainingReportedAt = s.now
 	if route.learnedRate > 0 {
-		moved := route.learnedRate * math.Exp(reportedGrowth*(left-balancedFraction)*elapsed)
-		route.learnedRate = math.Min(unknownRate, math.Max(moved, s.guaranteedRate(endpoint)/minRateDivisor))
-	} else if left < scarceFraction {
+		adjusted := route.learnedRate * math.Exp(reportedGrowth*(share-balancedFraction)*elapsed)
+		route.learnedRate = math.Min(unknownRate, math.Max(adjusted, s.guaranteedRate(endpoint)/minRateDivisor))
+	} else if share < scarceFraction {
 		route.learnedRate = math.Max(route.recentRate, s.guaranteedRate(endpoint))
 	}
 }
 
-// recordRejection learns from a call that was rejected before it was processed: above the limit, queue full, or closed.
-// Calls that were in flight at the last rejection carry no new information and are ignored.
+// recordRejection updates the route of a call that was rejected before it was processed, because the destination's
+// limit is exceeded, its queue is full or it is closed. It ignores calls that were in flight at the last rejection, as
+// they carry no new information.
 //
-// Trade-offs: a dozen rejections at once are not taken for a dozen in a row, even where those that follow are rejected
-// again. At low volume no rate is learned without a report of what is left, so that hundreds of forwarders do not retry
-// soon and use the limit up with rejections; a chance rejection then costs a long backoff.
+// Trade-offs: a dozen simultaneous rejections do not count as a dozen consecutive ones, even if the calls after them
+// are rejected, too. At low volume, no rate is learned unless the destination reports its limit; a long backoff
+// applies, so that hundreds of forwarders do not retry soon and use up the limit with rejected calls. A chance
+// rejection then causes a long backoff.
 func (s *Scheduler) recordRejection(endpoint *Endpoint, call *call, result AttemptResult) {
 	route := endpoint.route
 	if call.began < route.lastRejection {
@@ -148,23 +154,26 @@
 	}
 	if route.consecutiveRejections == 1 {
 		route.firstRejection = s.now
-		// No debt of earlier calls; and where calls are few, those rejected together do not come back together.
+		// Earlier calls leave no debt. If calls are few, a random debt keeps forwarders that were rejected together
+		// from returning together.
 		route.tokens = (tokenSpread*s.random.uniform() - tokenDebt) * math.Min(1, fullDebtRate/route.recentRate)
 	}
-	// Rejections of an ejected endpoint, or of one that reports no limit, teach no rate: slow start covers its return.
-	// Trade-off: no tiny rate is learned during a hang, but nothing is learned where the limit itself is the cause.
+	// No rate is learned from rejections by an endpoint that is ejected or that reports that it has no limit; slow
+	// start covers its return. Trade-off: no tiny rate is learned while an endpoint hangs, but nothing is learned if
+	// the rejections are due to the limit.
 	if endpoint.health != ejected && route.reportedLimit >= 0 && !lowVolume {
 		s.learnRate(endpoint, result)
 	}
 	s.coolDownAfterRejections(endpoint, lowVolume)
-	// Closed rather than above its limit: nothing accepted for long and no short Retry-After, or a long one.
+	// The destination is considered closed, rather than above its limit, if nothing was accepted for long without a
+	// short Retry-After, or if there is a long Retry-After.
 	closed := route.consecutiveRejections >= closedRejections && s.now-route.noShortWaitSince > longRetryAfter
 	if closed || result.RetryAfter > longRetryAfter {
 		s.ejectRoute(endpoint)
 	}
 }
 
-// backoff returns the mean pause after a rejection without a Retry-After, in seconds.
+// backoff returns the mean backoff after a rejection without a Retry-After, in seconds.
 func backoff(route *Route, lowVolume bool) float64 {
 	if lowVolume {
 		return math.Min(maxSlowBackoff, slowBackoff*math.Pow(2, float64(route.consecutiveRejections-1)))
@@ -175,7 +184,7 @@
 // learnRate lowers a route's learned rate after a rejection, or sets it after the first one.
 func (s *Scheduler) learnRate(endpoint *Endpoint, result AttemptResult) {
 	route := endpoint.route
-	if route.consecutiveRejections > 1 { // the limit that is known may hold no longer
+	if route.consecutiveRejections > 1 { // the known limit may be out of date
 		route.learnedRate = math.Max(learnedRateCut*route.learnedRate, s.guaranteedRate(endpoint)/minRateDivisor)
 		return
 	}
@@ -185,16 +194,16 @@
 	} else {
 		rate = math.Max(rate, throughput(endpoint))
 	}
-	if result.ReportedShare < 0 { // all is used up, by all together: an even part is likely to be accepted
+	if result.ReportedShare < 0 { // all forwarders together use up the limit, so that an equal share is likely accepted
 		rate = math.Min(rate, fairShareMargin*s.guaranteedRate(endpoint))
 	}
 	route.learnedRate = math.Max(learnedRateCut*rate, s.guaranteedRate(endpoint))
 }
 
-// throughput estimates the calls a second that a route does, by Little's law: the calls in flight, answered in the
-// usual time.
+// throughput estimates the calls per second that a route completes, by Little's law, from the calls in flight and the
+// usual latency.
 //
-// Trade-off: a queue that is full in a burst is not taken for a limit at the usual load, but all that is in flight may
+// Trade-off: a queue that is full during a burst does not lower the rate to the usual load, but all calls in flight may
 // be rejected.
 func throughput(endpoint *Endpoint) float64 {
 	inFlight := 0
@@ -206,12 +215,12 @@
 	return float64(inFlight) / endpoint.destination.latency.p90
 }
 
-// coolDownAfterRejections blocks a route for its cooldown if it rejects again more than persistentAfter seconds after
-// the first rejection (except at low volume), or at once where it reports that there is no limit, with nothing accepted
-// in between.
+// coolDownAfterRejections blocks a route for its cooldown after consecutive rejections: if the latest one comes more
+// than persistentAfter seconds after the first (except at low volume), or already at the second one if the destination
+// reports that it has no limit.
 //
-// Trade-off: many forwarders with a message each do not go on calling a hung destination and overload it; limits that
-// soon have room are used later.
+// Trade-off: many forwarders with one message each do not continue to call a hung destination and overload it; but a
+// limit that soon has capacity again is used later.
 func (s *Scheduler) coolDownAfterRejections(endpoint *Endpoint, lowVolume bool) {
 	route := endpoint.route
 	persistent := s.now > route.firstRejection+persistentAfter && !lowVolume
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	queuedCheckInterval = 0.02  // seconds between two calls of Reconcile while messages wait
-	minWake             = 0.001 // seconds
+	queuedCheckInterval = 0.02  // longest time in seconds between two calls of Reconcile while messages are queued
+	minWake             = 0.001 // shortest wake-up time in seconds
 )
 
-// Reconcile decides what follows from the events since its last call, and calls the host.
+// Reconcile makes the decisions that follow from the events since its last call, and calls the host to carry them out.
 func (s *Scheduler) Reconcile() {
 	s.endExpired()
 	s.serveRounds(false)
@@ -17,7 +17,8 @@
 	s.apply()
 }
 
-// apply brings the present state to the desired one: attempts, answers, the endpoint list, the next wake-up.
+// apply calls the host for all decisions: cancelled calls, attempts, final answers, closed idle connections, a request
+// for the endpoint list and the next wake-up.
 func (s *Scheduler) apply() {
 	for _, endpoint := range s.cancelUnsent {
 		s.host.CancelUnsent(endpoint)
@@ -40,7 +41,7 @@
 	}
 }
 
-// applyAction has the host carry out a message's action.
+// applyAction calls the host for the action of one message.
 func (s *Scheduler) applyAction(message *Message) {
 	switch message.action {
 	case actionSend:
@@ -53,7 +54,7 @@
 	message.action = actionNone
 }
 
-// nextWake returns when Reconcile has to be called next if no event comes.
+// nextWake returns the time at which Reconcile has to be called if there is no event before.
 func (s *Scheduler) nextWake() float64 {
 	next := s.nextPoll
 	for message := range s.held.all() {
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	urgentLifetimeDivisor = 2 // a retry is urgent from this part of its time to live before the deadline on, or
-	urgentWindowDivisor   = 3 // once this part of its deduplication window is over
+	urgentLifetimeDivisor = 2 // a retry is urgent once its time to live divided by this is left before the deadline,
+	urgentWindowDivisor   = 3 // or once its deduplication window divided by this has passed
 )
 
-// retryLane is a destination's messages that wait for a further call, without those behind others of their key.
+// retryLane holds those messages of a destination that are queued for a retry and are the first of their ordering key.
 type retryLane struct {
-	messages []*Message // heap in the order of coming back
-	urgent   []*Message // the same messages, a heap by the time from which they go before fresh ones
+	messages []*Message // heap by Message.rank: in the order in which the messages became retries
+	urgent   []*Message // the same messages, a heap by Message.urgentAt
 }
 
 var byUrgency = ordering[*Message]{
@@ -18,13 +18,13 @@
 	position: func(m *Message) *int32 { return &m.urgencyPosition },
 }
 
-// retry makes a message wait for a further call.
+// retry queues a message for a further attempt.
 func (s *Scheduler) retry(message *Message) {
 	message.rank = s.nextRank()
 	s.enqueue(message)
 }
 
-// resume makes a recovered message wait as its history requires: for its first call, or for a retry.
+// resume queues a recovered message according to its history: for its first call, or for a retry.
 func (s *Scheduler) resume(message *Message) {
 	if message.recoveredUntried {
 		message.leaveShedClass()
@@ -51,12 +51,12 @@
 	return message
 }
 
-// anyUrgent reports whether some message goes before fresh ones.
+// anyUrgent reports whether a message is urgent and has to be sent before fresh ones.
 func (r *retryLane) anyUrgent(now float64) bool {
 	return len(r.urgent) > 0 && now > r.urgent[0].urgentAt()
 }
 
-// urgentAt returns the time from which on a retry goes before fresh messages, as soon it cannot be sent any more.
+// urgentAt returns the time after which a retry goes before fresh messages, because it soon cannot be sent any more.
 func (m *Message) urgentAt() float64 {
 	at := m.deadline - m.messageType.TimeToLive/urgentLifetimeDivisor
 	if m.hasUsedKey() {
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -2,26 +2,26 @@
 
 import "math"
 
-// ring is the destinations with waiting messages, in round-robin order from a cursor on. A destination none of whose
-// endpoints can take a call before some time is parked until then: it keeps its place in the order, and rounds skip it
-// without examining it. The order is kept in a treap by position, so that the cost of a round does not grow with the
-// number of parked members.
+// ring holds the destinations with queued messages in round-robin order, beginning at a cursor. A destination whose
+// endpoints cannot take a call before a certain time is parked until then: it keeps its position in the order, and
+// rounds skip it without examining it. The order is kept in a treap by position, so that the cost of a round does not
+// grow with the number of parked members.
 type ring struct {
 	root   *ringNode
-	cursor int         // position whose round is next
-	parked []*ringNode // heap by the end of the parking
-	spare  *ringNode   // nodes to be used again, linked by right
-	random uint32      // state of the generator of treap priorities, apart from the one that decisions draw from
+	cursor int         // position of the member whose round is next
+	parked []*ringNode // parked members, a heap by the end of the parking
+	spare  *ringNode   // nodes for reuse, linked by right
+	random uint32      // generator state for treap priorities, separate from the generator for decisions
 }
 
-// ringNode is a destination's place in the ring.
+// ringNode is the position of a destination in the ring.
 type ringNode struct {
 	left, right, parent *ringNode
 	destination         *Destination
 	priority            uint32
-	size, active        int32 // of the subtree: members, and those of them that are not parked
-	until               float64
-	heapPosition        int32 // position in the heap of parked members
+	size, active        int32   // in the subtree: number of all members, and of members that are not parked
+	until               float64 // end of the parking
+	heapPosition        int32   // in the heap of parked members
 	isParked            bool
 }
 
@@ -46,7 +46,7 @@
 	return n.active
 }
 
-// add puts a destination behind all others: right before the cursor.
+// add appends a destination at the end of the order, which is the position before the cursor.
 func (r *ring) add(destination *Destination) {
 	r.random ^= r.random<<13 | 1
 	r.random ^= r.random >> 17
@@ -68,12 +68,13 @@
 	}
 }
 
-// next moves the cursor to the first member from it on that is not parked and returns how many parked ones it passed,
-// at most limit. If it finds none within the limit the cursor stands that many further on, and next returns nil.
+// next moves the cursor to the next member that is not parked, beginning at the cursor itself, and returns that
+// member's destination and the number of parked members that it skipped. If the next limit members are all parked, it
+// moves the cursor past them and returns nil and limit.
 func (r *ring) next(limit int) (destination *Destination, passed int) {
 	size := r.size()
 	position := firstActive(r.root, r.cursor)
-	if position < 0 { // around the end
+	if position < 0 { // wrap around
 		if position = firstActive(r.root, 0); position >= 0 {
 			position += size
 		}
@@ -87,10 +88,10 @@
 	return at(r.root, r.cursor).destination, passed
 }
 
-// advance moves the cursor past the member that it stands at.
+// advance moves the cursor to the next member.
 func (r *ring) advance() { r.cursor = (r.cursor + 1) % r.size() }
 
-// drop removes the member that the cursor stands at.
+// drop removes the member at the cursor.
 func (r *ring) drop() {
 	before, rest := split(r.root, r.cursor)
 	member, after := split(rest, 1)
@@ -104,7 +105,7 @@
 	}
 }
 
-// park has rounds pass over a member until a time.
+// park makes rounds skip a member until the given time.
 func (r *ring) park(n *ringNode, until float64) {
 	r.unpark(n)
 	n.until = until
@@ -115,7 +116,7 @@
 	}
 }
 
-// unpark gives a member its rounds again.
+// unpark ends the parking of a member, so that rounds no longer skip it.
 func (r *ring) unpark(n *ringNode) {
 	if n == nil || !n.isParked {
 		return
@@ -125,14 +126,14 @@
 	n.recount()
 }
 
-// wake unparks those whose time has come.
+// wake unparks the members whose parking has ended.
 func (r *ring) wake(now float64) {
 	for len(r.parked) > 0 && r.parked[0].until <= now {
 		r.unpark(r.parked[0])
 	}
 }
 
-// each calls call for all members, in their order from the cursor on.
+// each calls call for all members in order, beginning at the cursor.
 func (r *ring) each(call func(*Destination)) {
 	walk(r.root, r.cursor, r.size(), call)
 	walk(r.root, 0, r.cursor, call)
@@ -145,7 +146,7 @@
 	}
 }
 
-// update computes the counts of a subtree from its children's.
+// update computes the counts of a subtree from those of its children.
 func (n *ringNode) update() {
 	n.size = 1 + sizeOf(n.left) + sizeOf(n.right)
 	n.active = activeOf(n.left) + activeOf(n.right)
@@ -160,14 +161,14 @@
 	}
 }
 
-// recount recomputes the counts from a member up to the root.
+// recount updates the counts of all subtrees from a member's up to the root's.
 func (n *ringNode) recount() {
 	for ; n != nil; n = n.parent {
 		n.update()
 	}
 }
 
-// split cuts a treap into its first so many members and the rest.
+// split divides a treap into its first count members and the rest.
 func split(n *ringNode, count int) (before, after *ringNode) {
 	if n == nil {
 		return nil, nil
@@ -191,7 +192,7 @@
 	}
 }
 
-// merge joins two treaps, the first one's members before the second one's.
+// merge joins two treaps; the members of a come before those of b.
 func merge(a, b *ringNode) *ringNode {
 	switch {
 	case a == nil:
@@ -222,7 +223,8 @@
 	}
 }
 
-// firstActive returns the first position, from one on, of a member that is not parked; -1 if there is none.
+// firstActive returns the first position, not before from, of a member that is not parked. It returns -1 if there is
+// none.
 func firstActive(n *ringNode, from int) int {
 	if n == nil || n.active == 0 || from >= int(n.size) {
 		return -1
@@ -242,7 +244,7 @@
 	return -1
 }
 
-// walk calls call for the members at positions from (included) to end (not included), in order.
+// walk calls call for the members at positions from (inclusive) to end (exclusive), in order.
 func walk(n *ringNode, from, end int, call func(*Destination)) {
 	if n == nil || from >= end {
 		return
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -1,39 +1,39 @@
-// Package scheduler decides which message is sent when, to which endpoint, and which is given up. It does no I/O, reads
-// no clock and starts no goroutine.
+// Package scheduler decides when and to which endpoint each message is sent, and which messages are rejected or failed.
+// It does no I/O, reads no clock and starts no goroutine.
 //
-// Events go in, one Reconcile follows, and calls to the Host come out. The adapter is the program around a Scheduler:
-// it reports the events and implements Host. For all that happens at one moment it calls SetTime, then one method for
-// each event in the order of arrival (PauseKeys, ContinueWatch, UpdateEndpoints, PollTimedOut, WatchBroken,
-// WatchSilent, Accept, Recover, LoadStored, AnswerWithoutCall, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and
-// then Reconcile once. The event methods only update the state; Reconcile decides what follows from it and calls the
-// Host for what differs. Admit says before Accept whether a message may be accepted. A Scheduler, and everything it was
-// given, belongs to one goroutine.
+// The adapter is the program around a Scheduler: it reports events to the scheduler and implements Host. To process
+// everything that happened up to one moment, it calls SetTime, then one method for each event in the order of arrival
+// (PauseKeys, ContinueWatch, UpdateEndpoints, PollTimedOut, WatchBroken, WatchSilent, Accept, Recover, LoadStored,
+// AnswerWithoutCall, AttemptEnded, NoticeAcknowledged, Withdraw, TimerFired, Stop), and finally Reconcile once. The
+// event methods only update the state. Reconcile makes the decisions and calls the Host to carry them out. Before
+// Accept, the adapter calls Admit to learn whether a message may be accepted. A Scheduler, and everything that was
+// passed to it, must be used by one goroutine only.
 //
-// Times are seconds on the caller's clock, rates are calls a second unless messages are named. The request path is
-// described in docs/design.md. Each concern has a file:
+// Times are seconds on the caller's clock. Rates are calls per second unless they are said to be of messages. The
+// request path is described in docs/design.md. Each concern has a file:
 //
 //   - host.go, settings.go, message.go, destination.go: the interface to the adapter, and the state of each message
 //     and destination
 //   - admission.go: quotas, admission, recovery after a restart
-//   - scheduling.go, lane.go, ring.go: tenants and destinations take turns; a round has a quantum
+//   - scheduling.go, lane.go, ring.go: round-robin over destinations (with a quantum) and over tenants
 //   - keyqueue.go: messages with the same ordering key
 //   - endpoints.go: endpoint list, choice of an endpoint, concurrency
-//   - attempts.go: begin and end of a call
-//   - outlier.go, slowstart.go: failing endpoints are ejected, probed and brought back slowly
+//   - attempts.go: start and end of a call
+//   - outlier.go, slowstart.go: ejection, probing and slow start of failing endpoints
 //   - ratelimit.go: learned rates, Retry-After and backoff for each route
 //   - connections.go: whether idle connections are kept
-//   - latency.go, timeout.go: measured call times and the timeouts that follow from them
-//   - retry.go: retries, and those that go before fresh messages as little time is left for them
-//   - deadline.go, due.go: messages that cannot arrive any more are answered early
+//   - latency.go, timeout.go: measured call times and the timeouts derived from them
+//   - retry.go: retries, and the urgent ones that go before fresh messages
+//   - deadline.go, due.go: early answers to messages that can no longer be delivered
 //   - shedding.go: load shedding while the queue is nearly full
 //   - discovery.go: when to poll for the endpoint list
-//   - reconcile.go: the difference between desired and present state
-//   - heap.go, random.go: heaps whose members can be removed, and the source of random decisions
+//   - reconcile.go: the decisions that follow from the events, and the calls to the Host
+//   - heap.go, random.go: heaps from which any member can be removed, and the random number generator
 package scheduler
 
 import "math"
 
-// Scheduler is one instance of the scheduler. It is not safe for use by several goroutines.
+// Scheduler makes the decisions of one forwarder. It is not safe for concurrent use.
 type Scheduler struct {
 	settings     Settings
 	host         Host
@@ -42,37 +42,37 @@
 	startedAt    float64
 	destinations []*Destination
 
-	ring                ring // destinations with waiting messages
+	ring                ring // destinations with queued messages
 	keyQueues           map[uint64]*keyQueue
-	keysPausedUntil     float64        // no first attempt of a message in order before
+	keysPausedUntil     float64        // before this time no message of an ordering key gets its first attempt
 	held                heldList       // messages without a final answer, in the order of admission
-	lastRank            uint64         // latest number in the order of admission and of coming back as a retry
-	updatedDestinations []*Destination // with events since the last Reconcile
-	due                 dueMessages    // what the next check of deadlines has to look at
-	changed             []*Message     // whose desired action may not have been carried out
-	quotaUsedUntil      []float64      // per tenant: time up to which its quota is used
-	cancelUnsent        []*Endpoint    // whose calls are to be cancelled unless they have begun to be sent
-	closeIdle           []*Endpoint    // whose idle connections are to be closed
+	lastRank            uint64         // the latest Message.rank
+	updatedDestinations []*Destination // destinations with events since the last Reconcile
+	due                 dueMessages    // messages for the next deadline check
+	changed             []*Message     // messages with an action that the host has not carried out yet
+	quotaUsedUntil      []float64      // per tenant: time until which the quota is used up
+	cancelUnsent        []*Endpoint    // endpoints whose unsent calls are to be cancelled
+	closeIdle           []*Endpoint    // endpoints whose idle connections are to be closed
 	callsInFlight       int
-	storedBytes         int     // of messages of which something can still happen
-	stopAt              float64 // when a stopping process ends; 0: it does not stop
+	storedBytes         int     // size of all unfinished messages
+	stopAt              float64 // when a stopping process ends; 0 while it is not stopping
 	wakeAt              float64 // when the host is to call TimerFired; infinite while no wake-up is set
 
-	idleReuse       successRate     // how calls on reused idle connections end
-	noIdleUntil     float64         // until then no idle connection is kept
+	idleReuse       successRate     // results of calls on reused idle connections
+	noIdleUntil     float64         // no idle connection is kept until then
 	noIdleKindUntil map[int]float64 // the same for each kind of destination
 
-	shortestObjective  float64 // least LatencyObjective of all message types
+	shortestObjective  float64 // shortest LatencyObjective of all message types
 	shortestTimeToLive float64
 
-	maxFirstPoll  float64 // seconds over which the first poll is spread at most
-	nextPoll      float64 // when to ask for the endpoint list; infinite while it is watched
-	listStale     bool    // the present list counts as known to the forwarder but has not arrived
-	failedPolls   int     // in a row
-	failedWatches int     // the same for failures that are not due to discovery's load
+	maxFirstPoll  float64 // longest random delay of the first poll, in seconds
+	nextPoll      float64 // when to request the endpoint list; infinite while it is being watched
+	listStale     bool    // the current list counts as known to the forwarder, but has not arrived yet
+	failedPolls   int     // consecutive failed polls
+	failedWatches int     // the same for failures that are not due to the load of discovery
 }
 
-// New returns a scheduler without destinations. The seed determines all its random decisions; now is the present time
+// New returns a scheduler without destinations. The seed determines all its random decisions. The current time, now, is
 // on the clock of SetTime.
 func New(settings Settings, seed uint64, now float64, host Host) *Scheduler {
 	s := &Scheduler{settings: settings, host: host, random: newRandomSource(seed), now: now, startedAt: now,
@@ -96,26 +96,26 @@
 	return s
 }
 
-// SetTime sets the present time in seconds, for the events that follow and Reconcile.
+// SetTime sets the current time in seconds, for the events that follow and for Reconcile.
 func (s *Scheduler) SetTime(now float64) { s.now = now }
 
-// TimerFired reports that the wake-up the host was asked for has come.
+// TimerFired reports that the time requested with Host.Wake has passed.
 func (s *Scheduler) TimerFired() { s.wakeAt = math.Inf(1) }
 
-// Stop reports that the process ends in so many seconds. No call begins that is likely to be in flight then; held
-// messages are left to the next process.
+// Stop reports that the process ends after that many seconds. From now on, no call begins that is likely to be in
+// flight by then. Held messages are left to the next process.
 //
-// Trade-off: calls are not cut off, but if no process follows, held messages are lost.
+// Trade-off: calls are not cut off, but held messages are lost if there is no next process.
 func (s *Scheduler) Stop(in float64) { s.stopAt = s.now + in }
 
-// Done reports whether a stopping process has nothing left to wait for.
+// Done reports whether the process is stopping, no call is in flight and no message is held.
 func (s *Scheduler) Done() bool { return s.stopAt > 0 && s.callsInFlight == 0 && s.held.count == 0 }
 
-// CallsInFlight returns the number of calls that have begun and not ended.
+// CallsInFlight returns the number of calls in flight to all destinations.
 func (s *Scheduler) CallsInFlight() int { return s.callsInFlight }
 
-// without removes the first element equal to x from list, in place.
-func without[T comparable](list []T, x T) []T {
+// removeFirst removes the first element equal to x from list, in place.
+func removeFirst[T comparable](list []T, x T) []T {
 	for i, y := range list {
 		if y == x {
 			return append(list[:i], list[i+1:]...)
--- a/scheduler/scheduling.go
+++ b/scheduler/scheduling.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	quantum              = 2    // messages in a round, more only where one call carries more
-	knownKeyMargin       = 0.01 // seconds before a receiver forgets an idempotency key: no repeat begins after
-	probeAttemptsDivisor = 2    // probes use up MaxAttempts divided by this of a message that surely never ran
+	quantum              = 2    // messages per round; more only if a single call carries more
+	knownKeyMargin       = 0.01 // seconds before the end of a deduplication window after which no repeat begins
+	probeAttemptsDivisor = 2    // probes may use MaxAttempts divided by this of a message of which no attempt ran
 )
 
-// serveRounds gives each destination with waiting messages its round in turn, until none can send any more. It sends
-// either fresh messages, with the retries that go along, or only retries.
+// serveRounds gives each destination with queued messages its round in turn, until none can send any more messages. It
+// sends either fresh messages, together with the retries that fit into their calls, or only retries.
 func (s *Scheduler) serveRounds(retries bool) {
 	s.ring.wake(s.now)
 	for idle := 0; idle < s.ring.size(); {
@@ -32,7 +32,7 @@
 	}
 }
 
-// serveRound begins calls for a destination until the quantum is used up, and returns how many messages they carry.
+// serveRound begins calls to a destination until the quantum is used up, and returns the number of messages sent.
 func (s *Scheduler) serveRound(destination *Destination, retries bool) (sent int) {
 	for sent < quantum {
 		endpoint := s.selectEndpoint(destination)
@@ -50,7 +50,8 @@
 	return sent
 }
 
-// park lets rounds pass over a destination while none of its endpoints may take a call. Any event of it ends that.
+// park makes rounds skip a destination while none of its endpoints may take a call. Any event of the destination ends
+// the parking.
 func (s *Scheduler) park(destination *Destination) {
 	until := math.Inf(1)
 	for _, endpoint := range destination.endpoints {
@@ -67,7 +68,7 @@
 	}
 }
 
-// eligible reports whether a message may be sent to an endpoint now by the rules of order and repetition.
+// eligible reports whether the rules for ordering keys and for repeats allow a message to be sent to an endpoint now.
 func (s *Scheduler) eligible(message *Message, endpoint *Endpoint) bool {
 	if queue := message.keyQueue; queue != nil {
 		if queue.first != message || queue.cooldownUntil > s.now && message.attempts == 0 {
@@ -87,14 +88,16 @@
 	scheduler  *Scheduler
 	endpoint   *Endpoint
 	messages   []*Message
-	size       int  // most messages
-	allRetries bool // retries that are not urgent may go too
+	size       int  // maximum number of messages
+	allRetries bool // retries that are not urgent may be sent too
 }
 
-// selectMessages returns the messages of a call to an endpoint: fresh ones from the tenants' lanes, or only retries.
+// selectMessages returns the messages of a call to an endpoint: fresh messages from the tenants' lanes, with retries
+// where they go first or fill the call, or only retries.
 //
-// Trade-off: to an endpoint that is ejected or recovering retries go first, which have least to lose, and elsewhere
-// those that soon cannot be sent any more. What may have run is not lost, at the price of delay for fresh messages.
+// An endpoint that is ejected or recovering gets all retries first, because they have the least to lose. Any other
+// endpoint gets only urgent retries first, those that soon cannot be sent any more. Trade-off: messages that may have
+// run are not lost, but fresh messages are delayed.
 func (s *Scheduler) selectMessages(destination *Destination, endpoint *Endpoint, retries bool) []*Message {
 	batch := selection{scheduler: s, endpoint: endpoint, size: destination.batchSize,
 		allRetries: retries || endpoint.health != healthy}
@@ -106,8 +109,8 @@
 	}
 	batch.addFresh(destination)
 	batch.addFrom(&destination.overQuotaLane)
-	// A call that is made anyway takes along the retries that wait. Trade-off: retries do not starve while calls leave
-	// half empty, at a limit that counts calls; each call has a little more work.
+	// Retries fill a call that is made anyway. Trade-off: where a limit counts calls, retries do not starve while calls
+	// are sent half empty, but each call carries a little more work.
 	if len(batch.messages) > 0 && !batch.full() {
 		batch.allRetries = true
 		batch.addRetries(&destination.retries)
@@ -122,7 +125,8 @@
 	return b.scheduler.eligible(message, b.endpoint) && !slices.Contains(b.messages, message)
 }
 
-// acceptsRetry is accepts for retries. Probes of an ejected endpoint do not use up one message's attempts.
+// acceptsRetry reports whether a retry may be part of the call. Probes of an ejected endpoint do not use up all
+// attempts of one message.
 func (b *selection) acceptsRetry(message *Message) bool {
 	s := b.scheduler
 	maxProbes := s.settings.MaxAttempts / probeAttemptsDivisor
@@ -146,8 +150,8 @@
 	}
 }
 
-// addFresh takes one message from each tenant's lane in turn. Every other time it is the most valuable one, else the
-// first, so that a valuable message does not wait behind a burst.
+// addFresh takes one message from each tenant's lane in turn. It alternates between the most valuable and the first
+// message of a lane, so that a valuable message does not wait behind a burst.
 func (b *selection) addFresh(destination *Destination) {
 	accepts := b.accepts
 	for idle := 0; idle < len(destination.lanes) && !b.full(); {
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -2,12 +2,12 @@
 
 import "math"
 
-const sheddingThreshold = 0.97 // of the queue's capacity: from here on the longest backlog is cut
+const sheddingThreshold = 0.97 // share of the queue's capacity above which the longest backlog is reduced
 
-// shedLoad answers the least valuable messages of the longest backlog while the queue is nearly full.
+// shedLoad rejects the least valuable messages of the longest backlog while the queue is nearly full.
 //
-// Trade-off: an ejected or flooded destination does not cause the messages of all others to be rejected, but the flood
-// might have passed in time.
+// Trade-off: an ejected or flooded destination does not cause the messages of all other destinations to be rejected,
+// but the messages that are shed might have been delivered in time.
 func (s *Scheduler) shedLoad() {
 	for float64(s.held.count) > sheddingThreshold*float64(s.settings.QueueCapacity) {
 		message := s.shedCandidate(s.longestBacklog())
@@ -18,8 +18,8 @@
 	}
 }
 
-// longestBacklog returns the destination whose waiting messages take the most time, of several the one whose round is
-// next; nil if none waits.
+// longestBacklog returns the destination whose queued messages take the most time, on a tie the one whose round is
+// first. It returns nil if no message is queued.
 func (s *Scheduler) longestBacklog() *Destination {
 	var longest *Destination
 	s.ring.each(func(destination *Destination) {
@@ -30,13 +30,14 @@
 	return longest
 }
 
-// backlogTime returns the seconds of a slot that a destination's waiting messages take: a few calls may clear a long
-// queue.
+// backlogTime returns for how many seconds a destination's queued messages would occupy one slot. It is not the queue's
+// length that counts, because calls with many messages each clear a long queue quickly.
 func backlogTime(destination *Destination) float64 {
 	return float64(destination.queued) * destination.latency.p90 / float64(max(1, destination.batchSize))
 }
 
-// currentValue returns what a message is worth now. Where value falls evenly, a late message loses no less by waiting.
+// currentValue returns the current value of a message. It changes with age only if values halve: if value falls
+// linearly, a late message loses as much by waiting as any other.
 func (s *Scheduler) currentValue(message *Message) float64 {
 	messageType := message.messageType
 	late := s.now - message.deadline + messageType.TimeToLive - messageType.LatencyObjective
@@ -47,7 +48,8 @@
 	return messageType.Value
 }
 
-// moreValuable reports whether a is worth more than b; messages beyond their tenant's quota come last.
+// moreValuable reports whether a has a higher value than b. Messages beyond their tenant's quota count less than all
+// others.
 func (s *Scheduler) moreValuable(a, b *Message) bool {
 	if a.overQuota != b.overQuota {
 		return b.overQuota
@@ -55,15 +57,15 @@
 	return s.currentValue(a) > s.currentValue(b)
 }
 
-// shedClass is a destination's held messages of one type that are all within their tenants' quotas, or all beyond, in
-// the order of admission. Messages that an earlier process had not tried are in none: they are not shed.
+// shedClass holds a destination's messages of one type, either those within their tenants' quotas or those beyond, in
+// the order of admission. Recovered messages that were not attempted yet are in no class, because they are never shed.
 type shedClass struct {
 	messageType *MessageType
 	overQuota   bool
 	first, last *Message
 }
 
-// addToShedClass enters a message that was just accepted.
+// addToShedClass appends a message that was just accepted to its class.
 func (d *Destination) addToShedClass(message *Message) {
 	class := d.findShedClass(message)
 	message.shedClass, message.shedPrevious = class, class.last
@@ -86,7 +88,7 @@
 	return class
 }
 
-// leaveShedClass takes a message out of its class, if it is in one.
+// leaveShedClass removes a message from its class, if it is in one.
 func (m *Message) leaveShedClass() {
 	class := m.shedClass
 	if class == nil {
@@ -105,7 +107,7 @@
 	m.shedClass, m.shedPrevious, m.shedNext = nil, nil, nil
 }
 
-// oldest returns the first message of a class that waits for a call, nil if none does.
+// oldest returns the first message of a class that is queued, nil if there is none.
 func (c *shedClass) oldest() *Message {
 	message := c.first
 	for message != nil && !message.queued {
@@ -114,8 +116,8 @@
 	return message
 }
 
-// leastValuable returns the message of a class that waits, surely has not run and is worth least now; of several the
-// latest. While value does not change with age the search ends at the first one from the end of the class.
+// leastValuable returns the queued message of a class with the lowest current value of those that have not run, on a
+// tie the latest one. If value does not change with age, that is the last such message of the class.
 func (s *Scheduler) leastValuable(class *shedClass) *Message {
 	var least *Message
 	for message := class.last; message != nil; message = message.shedPrevious {
@@ -132,9 +134,9 @@
 	return least
 }
 
-// shedCandidate returns the waiting message of a destination that makes room for others: of those that surely have not
-// run the one worth least, of several the latest; the oldest one if only it is worth less or nothing else waits. It
-// returns nil if none waits.
+// shedCandidate returns the queued message of a destination that is to be shed. Normally that is, of the messages that
+// have not run, the one with the lowest value, on a tie the latest. It is the oldest queued message instead if that one
+// has a lower value or if all queued messages may have run. It returns nil if no message is queued.
 func (s *Scheduler) shedCandidate(destination *Destination) *Message {
 	if destination == nil {
 		return nil
@@ -158,7 +160,7 @@
 	return least
 }
 
-// shedBefore reports whether a is shed before b: it is worth less, or as much and accepted later.
+// shedBefore reports whether a is shed before b: it has a lower value, or the same value and was accepted later.
 func (s *Scheduler) shedBefore(a, b *Message) bool {
 	return s.moreValuable(b, a) || !s.moreValuable(a, b) && a.sequence > b.sequence
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -3,31 +3,32 @@
 import "math"
 
 const (
-	recoveryMargin        = 1.2  // on the usual rate, as a base of the ramp
-	minRecoveryFraction   = 0.05 // of the usual rate, even where the settings allow less
+	recoveryMargin        = 1.2  // factor on the usual rate; the result is the base of the ramp
+	minRecoveryFraction   = 0.05 // minimum share of the base, even if the settings allow less
 	minSlowStartDuration  = 0.1  // seconds
-	minProbeSpread        = 0.7  // of the mean time between probes
-	probeSpread           = 0.6  // random part of it
-	cooldownCalls         = 2    // length of a cooldown, in usual intervals between calls
-	minGuaranteedRate     = 1    // calls a second that a route is assumed to take, of all forwarders together
-	healthyCallsAssumed   = 1    // added to the calls of a destination's healthy time
-	healthySecondsAssumed = 2    // added to that time, so that the first calls give no extreme rate
-	inheritedWindow       = 30   // seconds of its own that an earlier process's usual rate counts like
+	minProbeSpread        = 0.7  // shortest time between probes as a share of the mean time
+	probeSpread           = 0.6  // random part of that time as a share of the mean time
+	cooldownCalls         = 2    // length of a cooldown in usual intervals between calls
+	minGuaranteedRate     = 1    // calls per second, from all forwarders together, that a route is assumed to accept
+	healthyCallsAssumed   = 1    // added to the messages that were delivered while a destination was healthy
+	healthySecondsAssumed = 2    // added to the healthy time, so that the first calls do not result in an extreme rate
+	inheritedWindow       = 30   // seconds of measuring in this process that an inherited usual rate counts as
 )
 
-// beginSlowStart has an endpoint recover since a time, with one call at first.
+// beginSlowStart makes an endpoint recover as if it had done so since the given time. At first, it gets one call at a
+// time.
 func (s *Scheduler) beginSlowStart(endpoint *Endpoint, since float64) {
 	endpoint.health, endpoint.recoveringSince, endpoint.concurrencyLimit = recovering, since, 1
 	endpoint.notBefore = math.Max(endpoint.notBefore, s.now+s.probeInterval(endpoint)*s.random.uniform())
 }
 
-// probeInterval returns a random time between two calls to an endpoint that is ejected or recovering, in seconds.
+// probeInterval returns a random time in seconds between two calls to an endpoint that is ejected or recovering.
 func (s *Scheduler) probeInterval(endpoint *Endpoint) float64 {
 	return (minProbeSpread + probeSpread*s.random.uniform()) / s.recoveryRate(endpoint)
 }
 
-// recoveryRate returns the calls a second that an endpoint may get while it is ejected or recovering, so that all
-// forwarders together, each judging by its own part, stay within what a cold destination can take.
+// recoveryRate returns the calls per second that an endpoint may get while it is ejected or recovering. Each forwarder
+// derives it from its own calls, so that all forwarders together stay within the capacity of a cold destination.
 func (s *Scheduler) recoveryRate(endpoint *Endpoint) float64 {
 	peers := 0
 	for _, other := range endpoint.destination.endpoints {
@@ -37,7 +38,7 @@
 	}
 	settings := &s.settings
 	ceiling := recoveryMargin * settings.OverloadMultiple * s.usualRate(endpoint)
-	if endpoint.health == ejected { // all ejected endpoints of a route share its probes
+	if endpoint.health == ejected { // no division by peers: the probes are for all ejected endpoints of a route together
 		return math.Max(ceiling*settings.SlowStartShare, 1/float64(settings.Forwarders))
 	}
 	duration := math.Max(minSlowStartDuration, settings.SlowStartDuration)
@@ -45,11 +46,11 @@
 	return ceiling * math.Max(minRecoveryFraction, share) / float64(max(1, peers))
 }
 
-// usualRate returns the calls a second that this forwarder makes or may make to an endpoint's destination as a rule:
-// its demand, but no more than the destination completed while it was healthy.
+// usualRate returns the calls per second that this forwarder usually makes to an endpoint's destination. That is its
+// demand, but not more than the destination completed while it was healthy, and at least the guaranteed rate.
 //
-// Trade-off: a ramp does not overload a destination that was offered more than it can handle, but is too slow where the
-// destination's capacity is not known yet.
+// Trade-off: the slow start does not overload a destination that was offered more than it can handle, but it is too
+// slow if the capacity of the destination is not known yet.
 func (s *Scheduler) usualRate(endpoint *Endpoint) float64 {
 	destination := endpoint.destination
 	rate := s.acceptedRate(destination)
@@ -61,8 +62,8 @@
 	return math.Max(rate*(destination.calls+1)/(destination.attempts+1), s.guaranteedRate(endpoint))
 }
 
-// acceptedRate returns the messages a second that were accepted for a destination since the start. What an earlier
-// process handed over as its usual rate counts as so many seconds more of it.
+// acceptedRate returns the messages per second that were accepted for a destination since the start. A usual rate that
+// an earlier process handed over counts as if it had been measured for inheritedWindow further seconds.
 func (s *Scheduler) acceptedRate(destination *Destination) float64 {
 	window := s.now - s.startedAt + startWindow
 	if destination.inheritedRate == 0 {
@@ -71,13 +72,13 @@
 	return (destination.accepted + destination.inheritedRate*inheritedWindow) / (window + inheritedWindow)
 }
 
-// cooldown returns how long a route is blocked after repeated failures or rejections, in seconds: the usual time of two
-// calls, at most half of a message's time to live.
+// cooldown returns for how many seconds a route is blocked after repeated failures or rejections: the time in which
+// this forwarder usually makes two calls, but at most half of the shortest time to live.
 func (s *Scheduler) cooldown(endpoint *Endpoint) float64 {
 	return math.Min(cooldownCalls/s.usualRate(endpoint), s.shortestTimeToLive/2)
 }
 
-// guaranteedRate returns this forwarder's even part of the rate that a route is assumed to take.
+// guaranteedRate returns this forwarder's equal share of the calls per second that a route is assumed to accept.
 func (s *Scheduler) guaranteedRate(endpoint *Endpoint) float64 {
 	rate := math.Max(minGuaranteedRate, endpoint.route.reportedLimit)
 	if s.settings.ListedRateTolerance > 0 {
--- a/scheduler/timeout.go
+++ b/scheduler/timeout.go
@@ -4,18 +4,19 @@
 
 const (
 	minTimeout          = 0.6 // seconds
-	timeoutMultiple     = 3   // times the high latency: the timeout once many calls were measured
-	fewCallsMultiple    = 3   // added to it while none were measured
-	fewCalls            = 5   // measured calls at which half of that is left
-	lastSlotsMultiple   = 2   // times the high latency while the last slots are in use
-	maxTimeoutDoublings = 3   // by consecutive timeouts
+	timeoutMultiple     = 3   // timeout as a multiple of the 90th percentile latency, once many calls were measured
+	fewCallsMultiple    = 3   // added to timeoutMultiple while no calls were measured
+	fewCalls            = 5   // measured calls after which half of fewCallsMultiple is added
+	lastSlotsMultiple   = 2   // replaces timeoutMultiple for the last slots
+	maxTimeoutDoublings = 3   // maximum number of doublings by consecutive timeouts
 )
 
-// timeout returns how long a call to an endpoint is waited for, in seconds: well beyond its slow calls of late, less so
-// for the last slots, and longer while the endpoint answers nothing or few calls were measured.
+// timeout returns the timeout in seconds of a call to an endpoint. It is well above the latency of the slow calls to
+// the destination. It is shorter for the last slots, and longer while calls to the endpoint time out or few calls were
+// measured.
 //
-// Trade-off: lost answers do not hold all slots, and calls are not cut off that a few fast answers made look late, each
-// of which may have run.
+// Trade-off: calls whose answer is lost do not occupy all slots for long; and a few fast answers do not make normal
+// calls time out, each of which may have run.
 func (s *Scheduler) timeout(endpoint *Endpoint) float64 {
 	latency := &endpoint.destination.latency
 	multiple := timeoutMultiple + fewCallsMultiple*fewCalls/(fewCalls+latency.total)
--- a/transport/discovery.go
+++ b/transport/discovery.go
@@ -1,13 +1,13 @@
 package transport
 
-// EndpointList is what a source reports: all endpoints, or those that changed.
+// EndpointList is the list that a source reports, or a change of it.
 type EndpointList struct {
 	Revision  int64      `json:"rev"`
-	Complete  bool       `json:"all"` // all endpoints; else only those that changed
+	Complete  bool       `json:"all"` // whether Endpoints has all endpoints; otherwise it has only those that changed
 	Endpoints []Endpoint `json:"targets"`
 }
 
-// Endpoint is one entry of the list, in the form that discovery gives it.
+// Endpoint is one entry of the list in the format of the discovery service.
 type Endpoint struct {
 	UID         string  `json:"uid"`
 	Address     string  `json:"endpoint"`
@@ -22,30 +22,30 @@
 type EndpointListener interface {
 	// EndpointsUpdated reports the list or changes of it.
 	EndpointsUpdated(*EndpointList)
-	// WatchEnded reports the end of a watch, with the reason for the log.
-	WatchEnded(why string, how WatchEnd)
+	// WatchEnded reports the end of a watch; reason is for the log.
+	WatchEnded(reason string, end WatchEnd)
 }
 
-// WatchEnd is how a watch on the list ended.
+// WatchEnd says how a watch on the list ended.
 type WatchEnd int
 
 // The ends of a watch.
 const (
-	WatchTimeout WatchEnd = iota // no answer in time: the source has more requests than it can answer
-	WatchSilent                  // it had sent something, and fell silent
-	WatchBroken                  // any other end: the source is down, unreachable, or what it sent is malformed
+	WatchTimeout WatchEnd = iota // no answer in time, because the source has more requests than it can answer
+	WatchSilent                  // the source had sent something, but nothing more arrived
+	WatchBroken                  // any other end: the source is down or unreachable, or its data is malformed
 )
 
-// EndpointSource brings the list of endpoints.
+// EndpointSource provides the list of endpoints.
 type EndpointSource interface {
-	// Watch asks for the changes since a revision, and from then on for each change.
+	// Watch requests the changes since a revision and all later changes.
 	Watch(rev int64)
 	// Stop ends the watch and the source.
 	Stop()
 }
 
-// Reconfigurable is a source or notifier that can change the address that it uses.
+// Reconfigurable is an endpoint source or notifier whose address can be changed.
 type Reconfigurable interface {
-	// Reconfigure uses the address from now on; rev is the revision of the list held.
+	// Reconfigure changes the address; rev is the revision of the current endpoint list.
 	Reconfigure(addr string, rev int64)
 }
--- a/transport/frontend.go
+++ b/transport/frontend.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Submission is a message as a client submits it. It owns its data: nothing in it is a slice of the frontend's buffer.
+// Submission is a message as submitted by a client. It owns its data and does not refer to the frontend's buffers.
 type Submission struct {
 	Key            uint64 // ordering key
 	ID             string
 	Type           string
 	IdempotencyKey string
 	Destination    uint64
-	SecondsLeft    float64 // until the message expires, at ReceivedAt
+	SecondsLeft    float64 // from ReceivedAt until the message expires
 	ReceivedAt     time.Time
 	Body           []byte
 	Tenant         string // empty if not given
-	UnknownOption  string // name of an option that is not known here, for the log; empty if there is none
+	UnknownOption  string // name of an option that this version does not know, for the log; empty if there is none
 }
 
-// Request is one thing that a caller asks for: that a message be accepted, a sign of life, or, with Malformed, an
-// answer to what could not be parsed. Every request gets one Reply.
+// Request is one request of a caller: a submission, a ping, or input that could not be parsed (Malformed). Every
+// request gets one Reply.
 type Request struct {
 	From       Caller
 	Submission *Submission
-	Ping       bool   // asks for a sign of life from the event loop
-	Malformed  string // what was wrong with what was received
-	Close      bool   // the caller's connection ends after the reply
+	Ping       bool   // the request only checks that the event loop runs
+	Malformed  string // why the input could not be parsed; empty if it could
+	Close      bool   // the caller's connection is closed after the reply
 }
 
 // Status is the kind of a Reply.
@@ -32,9 +32,9 @@
 // The statuses of replies.
 const (
 	StatusAccepted   Status = iota // the forwarder is responsible for the message from now on
-	StatusOverloaded               // not accepted; submitting it again is harmless
-	StatusInvalid                  // not accepted, with the reason
-	StatusAlive                    // the event loop runs
+	StatusOverloaded               // the message was not accepted; submitting it again is harmless
+	StatusInvalid                  // the message was not accepted; Reply.Reason says why
+	StatusAlive                    // answer to a ping: the event loop runs
 	StatusMalformed                // the request could not be parsed
 )
 
@@ -43,11 +43,11 @@
 	Status     Status
 	RetryAfter int    // with StatusOverloaded: milliseconds until the caller may submit again; 0 if not given
 	Reason     string // with StatusInvalid and StatusMalformed
-	Close      bool   // the connection ends after it
+	Close      bool   // the connection is closed after the reply
 }
 
-// Caller is a client's connection as the event loop sees it. Its methods must not block: a caller that does not read is
-// the frontend's to limit.
+// Caller is the event loop's view of a client's connection. Its methods must not block. The frontend has to limit
+// callers that do not read their replies.
 type Caller interface {
 	// Disconnected reports whether the caller can no longer receive an answer.
 	Disconnected() bool
@@ -55,17 +55,17 @@
 	Answer(Reply) bool
 }
 
-// WaitingCaller is a caller that receives the final answer itself, as its call stays open until then. If it
-// disconnects, nobody receives the final answer of its message, which is withdrawn: a frontend reports it with
-// Submitter.Withdraw, and a process that starts after another withdraws all messages of such callers.
+// WaitingCaller is a caller that receives the final answer itself, because its request stays open until then. If the
+// caller disconnects, nobody can receive the final answer of its message, so that the message is withdrawn: the
+// frontend calls Submitter.Withdraw, and the next process withdraws all messages of such callers at its start.
 type WaitingCaller interface {
 	Caller
-	// Complete gives the caller the final answer.
+	// Complete sends the final answer to the caller.
 	Complete(FinalAnswer)
 }
 
-// Submitter takes the requests of a frontend's callers, in each caller's order. Submit may block while too many
-// requests of that frontend are pending.
+// Submitter receives the requests of a frontend's callers. The requests of one caller must be submitted in their order.
+// Submit may block while too many requests of that frontend are pending.
 type Submitter interface {
 	// Submit passes a request to the event loop.
 	Submit(Request)
@@ -73,15 +73,16 @@
 	Withdraw(id string)
 }
 
-// ConnectionStats counts a frontend's connections since the start.
+// ConnectionStats counts a frontend's connections since the start. Open is the current and Peak the highest number of
+// open connections.
 type ConnectionStats struct {
 	Open, Peak, Accepted        int
-	Refused                     int    // closed unread, as there were too many
-	Evicted                     [3]int // closed for new ones: after the last answer, between requests, before the first
-	NeverSent, Idle, Incomplete int    // closed after a timeout: without a request, between two, within one
+	Refused                     int    // closed unread because there were too many connections
+	Evicted                     [3]int // closed to admit others: after the last answer, between requests, before the first
+	NeverSent, Idle, Incomplete int    // closed after a timeout: without any request, between requests, within a request
 }
 
-// Frontend accepts callers.
+// Frontend accepts the connections of callers and reads their requests.
 type Frontend interface {
 	// Addr returns the address on which the frontend listens.
 	Addr() string
@@ -89,14 +90,15 @@
 	Stats() ConnectionStats
 	// Clients returns the number of open connections.
 	Clients() int
-	// Drain closes each connection once it waits for no answer, so that callers go elsewhere.
+	// Drain closes each connection as soon as no answer is outstanding on it, so that callers connect to another
+	// forwarder.
 	Drain()
-	// Undrain keeps connections again after Drain.
+	// Undrain ends the effect of Drain: connections are kept again.
 	Undrain()
 	// StopAccepting stops accepting new connections.
 	StopAccepting()
-	// StopReading reads nothing more. When it returns, whatever was read has been submitted; the last answers follow,
-	// then Stop.
+	// StopReading stops reading from all connections. When it returns, everything that was read has been submitted. The
+	// remaining answers can still be sent until Stop is called.
 	StopReading()
 	// Stop closes all connections and frees the address.
 	Stop()
--- a/transport/notices.go
+++ b/transport/notices.go
@@ -1,40 +1,40 @@
 package transport
 
-// Outcome is what became of a message.
+// Outcome says how a message ended.
 type Outcome uint8
 
 // The outcomes of messages.
 const (
 	Delivered Outcome = iota
-	Rejected          // may be submitted again
-	Failed            // may have run, or can no longer be delivered
+	Rejected          // the message may be submitted again
+	Failed            // the message may have run, or can no longer be delivered
 )
 
-// outcomeNames are also values of metric labels and parts of logs, which keep their wording.
+// outcomeNames are also values of metric labels and parts of log lines, where these older names must not change.
 var outcomeNames = [...]string{"delivered", "returned", "abandoned"}
 
 // String returns the outcome's name in metrics and logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// FinalAnswer tells a client what became of its message.
+// FinalAnswer notifies a client how its message ended.
 type FinalAnswer struct {
-	MessageID    uint64 // the event loop's number
-	ID           string // the client's
+	MessageID    uint64 // number of the message in the event loop
+	ID           string // the client's identifier of the message
 	Outcome      Outcome
-	RetryAfterMs int // with Rejected: until it may be submitted again; 0 if not given
+	RetryAfterMs int // with Rejected: milliseconds until the message may be submitted again; 0 if not given
 }
 
-// Notifier delivers the final answers of messages that were not delivered and for which no caller waits. It repeats
-// each until it is acknowledged.
+// Notifier sends clients notices: the final answers of messages that were not delivered and for which no caller waits.
+// It repeats each notice until it is acknowledged.
 type Notifier interface {
-	// Notify takes a final answer to deliver.
+	// Notify queues a final answer to be sent as a notice.
 	Notify(FinalAnswer)
 }
 
-// NoticeListener receives what became of notices. It must not block.
+// NoticeListener is informed about the results of notices. It must not block.
 type NoticeListener interface {
-	// NoticesUnanswered reports that notices could not be delivered, with the reason for the log.
-	NoticesUnanswered(why string)
-	// NoticesAcknowledged reports the messages whose final answers were received.
+	// NoticesUnanswered reports that notices could not be delivered; reason is for the log.
+	NoticesUnanswered(reason string)
+	// NoticesAcknowledged reports the messages whose notices were acknowledged.
 	NoticesAcknowledged(messageIDs []uint64)
 }
--- a/transport/result.go
+++ b/transport/result.go
@@ -2,32 +2,32 @@
 
 import "spanflow/scheduler"
 
-// ResultCode is how a call ended for one of its messages: by an answer, or by what happened to the connection.
+// ResultCode says how a call ended for one of its messages: by an answer of the endpoint, or by a connection error, a
+// timeout or a cancellation.
 type ResultCode uint8
 
 // The result codes.
 const (
 	ResultOK                ResultCode = iota // 200, or "ok"
-	ResultServerError                         // 500, "error", or another answer after which it may have run
-	ResultRetryAfter                          // 429, or "later" with a time to wait
+	ResultServerError                         // 500, "error", or another answer after which the message may have run
+	ResultRetryAfter                          // 429, or "later" with a Retry-After
 	ResultOverloaded                          // 503, or "later"
-	ResultNoSlot                              // 503 with X-Line-Busy: this forwarder's slots are all in use
-	ResultAttemptsExhausted                   // 504, or "exhausted": no attempt is left, no final answer yet
-	ResultGone                                // 410, or "gone": the message is withdrawn or out of time
-	ResultBadRequest                          // 400 or 413: the call could not be parsed, nothing of it ran
-	ResultConnectRefused                      // no connection: refused, unreachable, no descriptor
-	ResultConnectTimeout                      // no connection in time
+	ResultNoSlot                              // 503 with X-Line-Busy: all of this forwarder's slots are in use
+	ResultAttemptsExhausted                   // 504, or "exhausted": no attempt is left, but there is no final answer yet
+	ResultGone                                // 410, or "gone": the message was withdrawn or has expired
+	ResultBadRequest                          // 400 or 413: the endpoint could not parse the call; no message of it ran
+	ResultConnectRefused                      // no connection: refused, unreachable, or no file descriptor
+	ResultConnectTimeout                      // the connection was not established in time
 	ResultClosedBeforeSent                    // the connection ended before the call's last byte was written
-	ResultClosed                              // the connection ended after that
+	ResultClosed                              // the connection ended after the call was written completely
 	ResultMalformed                           // the answer cannot be parsed
-	ResultTimeout                             // no answer in time, the call written completely
-	ResultTimeoutBeforeSent                   // no answer in time, the call not written completely
+	ResultTimeout                             // no answer in time; the call was written completely
+	ResultTimeoutBeforeSent                   // no answer in time; the call was not written completely
 	ResultNotStarted                          // the forwarder itself could not begin the call
-	ResultCancelled                           // cancelled by the scheduler before its first byte
+	ResultCancelled                           // cancelled by the scheduler before the first byte was written
 )
 
-// resultNames are values of metric labels and parts of logs: they keep their wording, which is older than the names of
-// the codes.
+// resultNames are also values of metric labels and parts of log lines, where these older names must not change.
 var resultNames = [...]string{
 	ResultOK:                "took",
 	ResultServerError:       "failed",
@@ -51,7 +51,8 @@
 // String returns the code's name in metrics and logs.
 func (c ResultCode) String() string { return resultNames[c] }
 
-// MayHaveRun reports whether the endpoint may have run the message.
+// MayHaveRun reports whether the endpoint may have run the message, so that only a repeatable message may be sent
+// again.
 func (c ResultCode) MayHaveRun() bool {
 	return c <= ResultServerError || c == ResultClosed || c == ResultMalformed || c == ResultTimeout
 }
@@ -66,8 +67,8 @@
 	return true
 }
 
-// Outcome returns what the code means to the scheduler; it is the one table for that. final says that nothing more
-// follows for the message.
+// Outcome returns the scheduler's outcome for the code; no other code defines that mapping. If final is true, the
+// message has its final answer and needs no further attempt.
 func (c ResultCode) Outcome() (o scheduler.Outcome, final bool) {
 	switch c {
 	case ResultOK:
--- a/transport/upstream.go
+++ b/transport/upstream.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Message is a message as an upstream sends it. Its data is not copied; it must not change until the call has ended.
+// Message is a message in a call. Its data is not copied and must not change until the call has ended.
 type Message struct {
-	MessageID      uint64 // the event loop's number
-	ID             string // the client's
-	IdempotencyKey string // by which the endpoint recognises a repeat; empty if there is none
+	MessageID      uint64 // number of the message in the event loop
+	ID             string // the client's identifier of the message
+	IdempotencyKey string // by which the endpoint recognizes a repeat; empty if there is none
 	Body           []byte
 }
 
-// Call is one call to an endpoint with one message or several.
+// Call is one call to an endpoint with one or more messages.
 type Call struct {
-	EndpointID uint64 // the event loop's number: connections belong to it, even if another endpoint had its address before
+	EndpointID uint64 // number of the endpoint in the event loop; connections belong to it, not to the reusable address
 	Address    string
 	Messages   []Message
-	Timeout    time.Duration // until the call is given up
+	Timeout    time.Duration // after which the call is aborted
 }
 
 // CallResult is the end of a call.
@@ -24,14 +24,14 @@
 	Codes         []ResultCode // one for each message
 	Latency       time.Duration
 	RetryAfter    float64 // seconds; 0 if not given
-	ReportedLimit float64 // the reported limit in calls a second; 0 if not reported, below 0 if there is none
-	ReportedShare float64 // the reported share of the limit that is left; 0 if not reported, below 0 if nothing is left
+	ReportedLimit float64 // the reported limit in calls per second; 0 if not reported, below 0 if there is no limit
+	ReportedShare float64 // the reported unused share of that limit; 0 if not reported, below 0 if nothing is left
 	Reason        string  // for the log: what was malformed, or why a connection failed
 }
 
 // ResultListener receives the results of calls. It must not block.
 type ResultListener interface {
-	// CallEnded reports the end of a call, once for each.
+	// CallEnded reports the end of a call. It is called once for each call.
 	CallEnded(CallResult)
 }
 
@@ -39,7 +39,7 @@
 type Upstream interface {
 	// Send begins a call.
 	Send(*Call)
-	// CancelUnsent ends the calls to an endpoint of which nothing has been sent, as ResultCancelled.
+	// CancelUnsent ends those calls to an endpoint of which nothing has been sent yet, with ResultCancelled.
 	CancelUnsent(endpointID uint64)
 	// CloseIdle closes the connections to an endpoint that carry no call.
 	CloseIdle(endpointID uint64)
