--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -5,35 +5,36 @@
 	"testing"
 )
 
-// recordingHost is a host that keeps only what is to be answered.
+// recordingHost is a host that records only the messages that are sent.
 type recordingHost struct{ sent []*Message }
 
-func (b *recordingHost) Send(message *Message, _ *Endpoint, _ float64) {
-	b.sent = append(b.sent, message)
+func (h *recordingHost) Send(message *Message, _ *Endpoint, _ float64) {
+	h.sent = append(h.sent, message)
 }
-func (b *recordingHost) Reject(*Message, float64)  {}
-func (b *recordingHost) Fail(*Message)             {}
-func (b *recordingHost) CancelUnsent(*Endpoint)    {}
-func (b *recordingHost) CloseIdle(*Endpoint)       {}
-func (b *recordingHost) ReleaseEndpoint(*Endpoint) {}
-func (b *recordingHost) Wake(float64)              {}
-func (b *recordingHost) WatchEndpoints()           {}
-func (b *recordingHost) Log(string)                {}
+func (h *recordingHost) Reject(*Message, float64)  {}
+func (h *recordingHost) Fail(*Message)             {}
+func (h *recordingHost) CancelUnsent(*Endpoint)    {}
+func (h *recordingHost) CloseIdle(*Endpoint)       {}
+func (h *recordingHost) ReleaseEndpoint(*Endpoint) {}
+func (h *recordingHost) Wake(float64)              {}
+func (h *recordingHost) WatchEndpoints()           {}
+func (h *recordingHost) Log(string)                {}
 
-const benchLife = 1e6 // seconds
+const benchTimeToLive = 1e6 // seconds
 
-func benchSettings(room int) Settings {
-	t := testSettings
-	t.Types = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchLife}}
-	t.ConcurrencyLimit, t.QueueCapacity = 256, room
-	return t
+func benchSettings(queueCapacity int) Settings {
+	settings := testSettings
+	settings.Types = []MessageType{{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: benchTimeToLive}}
+	settings.ConcurrencyLimit, settings.QueueCapacity = 256, queueCapacity
+	return settings
 }
 
-// deliverOne accepts a message, reconciles, ends the call and reconciles again: one message's decisions.
-func deliverOne(s *Scheduler, h *recordingHost, now *float64, to *Destination) {
+// deliverOne makes the scheduler take all decisions for the delivery of one message: it accepts the message, reconciles,
+// ends the call and reconciles again.
+func deliverOne(s *Scheduler, h *recordingHost, now *float64, destination *Destination) {
 	*now += 0.001
 	s.SetTime(*now)
-	s.Accept(&Message{Dest: to, Tenant: 9}, 0, benchLife)
+	s.Accept(&Message{Dest: destination, Tenant: 9}, 0, benchTimeToLive)
 	s.Reconcile()
 	for _, message := range h.sent {
 		s.AttemptEnded(message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
@@ -42,7 +43,8 @@
 	s.Reconcile()
 }
 
-// BenchmarkDestinations is the cost of a message's decisions with so many destinations known, 100 of them in use.
+// BenchmarkDestinations measures the cost of the decisions for one message, by the number of known destinations. At most
+// 100 of them are in use.
 func BenchmarkDestinations(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -65,8 +67,8 @@
 	}
 }
 
-// BenchmarkHeld is the same with so many messages held for a destination that sent a Retry-After. It is shorter than
-// their life, so that they stay held while the benchmark runs.
+// BenchmarkHeld measures the cost of the decisions for one message, by the number of messages held for another
+// destination that sent a Retry-After. The held messages do not expire during the benchmark.
 func BenchmarkHeld(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -75,8 +77,8 @@
 				deliverOne(s, h, &now, other)
 			}
 			b.StopTimer()
-			if s.held.count != n+1 { // the one that got the Retry-After waits as well
-				b.Fatalf("%d messages are held in place of %d", s.held.count, n+1)
+			if s.held.count != n+1 { // the message that got the Retry-After is held as well
+				b.Fatalf("%d messages are held instead of %d", s.held.count, n+1)
 			}
 		})
 	}
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -8,9 +8,9 @@
 
 func TestClosesIdleConnectionsAfterLosses(t *testing.T) {
 	h := newHarness(testSettings)
-	var receivers []*Destination
+	var destinations []*Destination
 	for range 3 {
-		receivers = append(receivers, h.addDestination(0, 0))
+		destinations = append(destinations, h.addDestination(0, 0))
 	}
 	call := func(d *Destination, o Outcome) {
 		h.accept(d, status, 0)
@@ -18,35 +18,35 @@
 		h.endAttempts(d, o)
 	}
 	for _, o := range []Outcome{Delivered, Delivered, TimedOut, Delivered} {
-		for _, d := range receivers {
+		for _, d := range destinations {
 			call(d, o)
 		}
 	}
 	h.log = nil
-	call(receivers[0], Delivered)
+	call(destinations[0], Delivered)
 	h.reconcile()
 	require.Contains(t, h.log, "close 0")
 }
 
 func TestFailedConnectClosesIdleConnections(t *testing.T) {
 	h := newHarness(testSettings)
-	d, quiet := h.addDestination(0, 0, 0), h.addDestination(0, 0)
+	d, other := h.addDestination(0, 0, 0), h.addDestination(0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
 	h.endAttempt(message, NoConnection, 0)
 	h.reconcile()
 	require.Contains(t, h.log, "close 0")
-	require.Contains(t, h.log, "close 1") // the idle one may be at the sibling
+	require.Contains(t, h.log, "close 1") // the other endpoint may have the idle connection
 	h.advance(3)
 	h.log = nil
 	h.endAttempts(d, Delivered)
-	h.accept(quiet, status, 0)
+	h.accept(other, status, 0)
 	h.reconcile()
 	require.Contains(t, h.log, "close "+string('0'+byte(message.endpoint.ID)))
 	h.log = nil
-	h.endAttempts(quiet, Delivered)
+	h.endAttempts(other, Delivered)
 	h.reconcile()
-	require.Equal(t, []string{"close 0"}, h.log) // its only call: an idle connection would not be used again
+	require.Equal(t, []string{"close 0"}, h.log) // after a single call, an idle connection would hardly be used again
 }
 
 func TestForwardersSpreadOverEndpointsAndReuseConnections(t *testing.T) {
@@ -56,36 +56,36 @@
 		d := h.addDestination(0, 0, 0)
 		for range 3 {
 			h.accept(d, status, 0)
-			h.advance(6) // the connection of the call before is still there
+			h.advance(6) // the connection of the previous call is still open
 			h.endAttempts(d, Delivered)
 		}
 		first[h.sent[0].endpoint.ID]++
 		require.Equal(t, h.sent[0].endpoint, h.sent[1].endpoint)
 		require.Equal(t, h.sent[0].endpoint, h.sent[2].endpoint)
 	}
-	require.Greater(t, min(first[0], first[1]), 10, "all began with the first of the list")
+	require.Greater(t, min(first[0], first[1]), 10, "the first endpoints are spread over the list")
 }
 
 func TestClosesConnectionsOfRareCalls(t *testing.T) {
 	h := newHarness(testSettings)
-	seldom, often := h.addDestination(0, 0), h.addDestination(0, 0)
-	often.endpoints[0].ID = 9
+	rare, frequent := h.addDestination(0, 0), h.addDestination(0, 0)
+	frequent.endpoints[0].ID = 9
 	for range 4 {
-		h.accept(seldom, status, 0)
+		h.accept(rare, status, 0)
 		for range 4 {
-			h.accept(often, status, 0)
+			h.accept(frequent, status, 0)
 			h.advance(1)
-			h.endAttempts(often, Delivered)
-			h.endAttempts(seldom, Delivered)
+			h.endAttempts(frequent, Delivered)
+			h.endAttempts(rare, Delivered)
 			h.advance(2)
 		}
 	}
-	n := map[string]int{}
+	closed := map[string]int{}
 	for _, l := range h.log {
-		n[l]++
+		closed[l]++
 	}
-	require.Equal(t, 4, n["close 0"])
-	require.Equal(t, 1, n["close 9"], "but for the first")
+	require.Equal(t, 4, closed["close 0"])
+	require.Equal(t, 1, closed["close 9"], "only after the first call")
 }
 
 func TestFailedConnectClosesIdleConnectionsOfTheSameKind(t *testing.T) {
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -8,8 +8,8 @@
 
 func TestUndeliverableMessageIsRejectedBeforeDeadline(t *testing.T) {
 	h := newHarness(testSettings)
-	nowhere := h.NewDestination(1)
-	message := h.accept(nowhere, ticket, 5)
+	unlisted := h.NewDestination(1)
+	message := h.accept(unlisted, ticket, 5)
 	h.advance(22)
 	require.Empty(t, h.answers)
 	h.advance(4)
@@ -27,7 +27,7 @@
 	require.True(t, message.Finished())
 }
 
-// A long queue in which each message is sent just too late would make a good endpoint look unhealthy.
+// If each message of a long queue were sent just too late, a healthy endpoint would look unhealthy.
 func TestRejectsMessageWithLessTimeThanCallsTake(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
@@ -45,7 +45,7 @@
 	fresh := &Message{Dest: d}
 	h.Accept(fresh, status, 0.5)
 	h.reconcile()
-	require.Equal(t, fresh, h.sent[sent].message, "handed in with little time, it is tried at once")
+	require.Equal(t, fresh, h.sent[sent].message, "a message that is accepted with little time left is sent at once")
 }
 
 func TestRejectsMessageBlockedBeyondItsDeadline(t *testing.T) {
@@ -60,6 +60,6 @@
 	h.endAttempt(long, Overloaded, 0)
 	h.endAttempt(short, Overloaded, 0)
 	h.reconcile()
-	require.Equal(t, "rejected", h.answers[short], "there is no way left before its end")
+	require.Equal(t, "rejected", h.answers[short], "all endpoints are blocked beyond its deadline")
 	require.Empty(t, h.answers[long])
 }
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// missedDue returns the first message that a check of deadlines should have
-// answered and did not, found by a walk over all held messages.
-func missedDue(s *Scheduler) (message *Message, why string) {
+// missedDue walks over all held messages and returns the first one that the latest deadline check should have answered
+// but did not.
+func missedDue(s *Scheduler) (message *Message, reason string) {
 	for message := range s.held.all() {
 		mayRun := message.firstRanAt > 0 && message.messageType.Idempotency != Idempotent
 		switch {
@@ -20,16 +20,16 @@
 		case message.call != nil:
 			return message, "its call is overdue"
 		case mayRun && message.messageType.Idempotency == AtMostOnce:
-			return message, "it may have run and must not run twice"
+			return message, "it may have run and must not be repeated"
 		case mayRun && s.now > message.keyExpiredAt():
 			return message, "its key is forgotten"
 		case mayRun && !message.messageType.DeduplicatedPerZone && s.now > message.keyExpiringAt() &&
 			s.allEjected(message.Dest):
-			return message, "its key is soon forgotten and nothing answers"
+			return message, "its key is soon forgotten and no endpoint answers"
 		case s.tooLate(message):
-			return message, "its time is too short"
+			return message, "too little time is left"
 		case s.settings.MaxAttempts > 0 && message.attempts >= s.settings.MaxAttempts:
-			return message, "it has no call left"
+			return message, "it has no attempt left"
 		}
 	}
 	return nil, ""
@@ -37,49 +37,50 @@
 
 // inconsistent returns the first held message or destination that is not in exactly the structures that its state
 // requires.
-func inconsistent(s *Scheduler) (what any, why string) {
-	waiting := map[*Destination]int{}
+func inconsistent(s *Scheduler) (where any, reason string) {
+	queued := map[*Destination]int{}
 	for message := range s.held.all() {
 		first := message.keyQueue == nil || message.keyQueue.first == message
 		switch {
 		case message.queued != (message.call == nil):
-			return message, "it waits if no call carries it"
+			return message, "a message must be queued if and only if it is not in a call"
 		case message.call != nil != (message.stage == stageInFlight):
-			return message, "its stage is that of a call"
+			return message, "a message must be in stageInFlight if and only if it is in a call"
 		case message.queued && first != (message.queuePosition > 0):
-			return message, "rounds find it if none of its key is before it"
+			return message, "a queued message must be in a heap if and only if it is the first of its key"
 		}
 		if message.queued {
-			waiting[message.Dest]++
+			queued[message.Dest]++
 		}
 	}
 	for _, d := range s.destinations {
 		switch {
-		case waiting[d] != d.queued:
-			return d, "its waiting messages are counted"
+		case queued[d] != d.queued:
+			return d, "the number of queued messages is wrong"
 		case d.inRing != (d.ringNode != nil) || d.queued > 0 && !d.inRing:
-			return d, "it is in the ring while messages wait"
+			return d, "a destination with queued messages must be in the ring"
 		}
 	}
 	return nil, ""
 }
 
-// randomRun plays random messages, answers, lists and Retry-Afters and calls check after each check of deadlines.
+// randomRun runs a scheduler with random messages, results, endpoint states and Retry-Afters, and calls check after each
+// deadline check.
 func randomRun(seed uint64, check func(*Scheduler)) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	day := testSettings
-	day.Forwarders, day.ConcurrencyLimit, day.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
-	day.HalvingValue, day.AwaitAcknowledgement = random.IntN(2) == 0, random.IntN(2) == 0
-	day.TenantRate = []float64{5, 20}
-	h := newHarness(day)
+	settings := testSettings
+	settings.Forwarders, settings.ConcurrencyLimit, settings.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
+	settings.HalvingValue, settings.AwaitAcknowledgement = random.IntN(2) == 0, random.IntN(2) == 0
+	settings.TenantRate = []float64{5, 20}
+	h := newHarness(settings)
 	var destinations []*Destination
 	for kind := range 3 {
 		destinations = append(destinations, h.addDestination(kind, 0, 1))
 	}
 	for range 30 {
 		message := &Message{Dest: destinations[random.IntN(3)], Key: uint64(random.IntN(4))}
-		messageType := random.IntN(len(day.Types))
-		left := random.Float64() * day.Types[messageType].TimeToLive
+		messageType := random.IntN(len(settings.Types))
+		left := random.Float64() * settings.Types[messageType].TimeToLive
 		recovered := RecoveredState{Attempts: random.IntN(3), FirstRanAt: h.now - 20*random.Float64()}
 		h.Recover(message, messageType, left, recovered)
 	}
@@ -89,9 +90,9 @@
 		h.SetTime(h.now)
 		message := &Message{Dest: destinations[random.IntN(3)], Tenant: random.IntN(3), Key: uint64(random.IntN(6))}
 		if random.IntN(3) > 0 {
-			messageType := random.IntN(len(day.Types))
-			if taken, _ := h.Admit(0, day.Types[messageType].TimeToLive); taken {
-				h.Accept(message, messageType, day.Types[messageType].TimeToLive*random.Float64())
+			messageType := random.IntN(len(settings.Types))
+			if accepted, _ := h.Admit(0, settings.Types[messageType].TimeToLive); accepted {
+				h.Accept(message, messageType, settings.Types[messageType].TimeToLive*random.Float64())
 			}
 		}
 		for _, s := range h.sent {
@@ -109,9 +110,9 @@
 			}
 		}
 		if random.IntN(40) == 0 {
-			target := destinations[random.IntN(3)].endpoints
-			if len(target) > 0 {
-				h.updateState(target[0], EndpointState(random.IntN(2)))
+			endpoints := destinations[random.IntN(3)].endpoints
+			if len(endpoints) > 0 {
+				h.updateState(endpoints[0], EndpointState(random.IntN(2)))
 			}
 		}
 		h.endExpired()
@@ -123,11 +124,11 @@
 func TestDeadlineCheckFindsAllDueMessages(t *testing.T) {
 	for seed := range uint64(40) {
 		randomRun(seed, func(s *Scheduler) {
-			if message, why := missedDue(s); message != nil {
-				require.Fail(t, why, "seed %d: %+v", seed, message)
+			if message, reason := missedDue(s); message != nil {
+				require.Fail(t, reason, "seed %d: %+v", seed, message)
 			}
-			if what, why := inconsistent(s); what != nil {
-				require.Fail(t, why, "seed %d: %+v", seed, what)
+			if where, reason := inconsistent(s); where != nil {
+				require.Fail(t, reason, "seed %d: %+v", seed, where)
 			}
 		})
 	}
@@ -136,28 +137,28 @@
 func TestRejectsMessageOnceOnlyBlockedEndpointsRemain(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
-	out := h.accept(d, status, 0)
+	inFlight := h.accept(d, status, 0)
 	h.reconcile()
-	leaving := h.sent[0].endpoint
-	closed := d.endpoints[0]
-	if closed == leaving {
-		closed = d.endpoints[1]
+	removed := h.sent[0].endpoint
+	blocked := d.endpoints[0]
+	if blocked == removed {
+		blocked = d.endpoints[1]
 	}
-	h.updateState(leaving, Removed) // its call is in flight, so that it is not released yet
+	h.updateState(removed, Removed) // a call is in flight, so that the endpoint is not released yet
 	h.reconcile()
-	h.BlockUntil(closed, h.now+100)
-	waits := h.accept(d, status, 0)
+	h.BlockUntil(blocked, h.now+100)
+	queued := h.accept(d, status, 0)
 	h.reconcile()
 	require.Empty(t, h.answers)
-	h.endAttempt(out, Delivered, 0)
+	h.endAttempt(inFlight, Delivered, 0)
 	h.reconcile()
-	require.Equal(t, []*Endpoint{leaving}, h.released)
+	require.Equal(t, []*Endpoint{removed}, h.released)
 	h.reconcile()
-	require.Equal(t, "rejected", h.answers[waits])
+	require.Equal(t, "rejected", h.answers[queued])
 }
 
-// newHeld returns a forwarder that holds n messages for a destination that sent a Retry-After shorter than their time
-// to live, and has another destination that answers.
+// newHeld returns a scheduler that holds n messages for a destination that sent a Retry-After, which ends before the
+// messages expire. It also returns another destination, which answers.
 func newHeld(n int) (s *Scheduler, h *recordingHost, now float64, other *Destination) {
 	h, now = &recordingHost{}, 100.0
 	s = New(benchSettings(10*n), 7, now, h)
@@ -168,12 +169,12 @@
 		destinations = append(destinations, d)
 	}
 	s.SetTime(now)
-	s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchLife)
+	s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchTimeToLive)
 	s.Reconcile()
-	s.AttemptEnded(h.sent[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchLife / 10})
+	s.AttemptEnded(h.sent[0], AttemptResult{Outcome: Overloaded, Latency: 0.05, RetryAfter: benchTimeToLive / 10})
 	h.sent = h.sent[:0]
 	for range n {
-		s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchLife)
+		s.Accept(&Message{Dest: destinations[1], Tenant: 9}, 0, benchTimeToLive)
 	}
 	s.Reconcile()
 	return s, h, now, destinations[0]
@@ -185,8 +186,8 @@
 		now += 0.02
 		s.SetTime(now)
 		s.TimerFired()
-		s.Accept(&Message{Dest: other, Tenant: 9}, 0, benchLife)
-		require.LessOrEqual(t, len(s.collectDue()), 3, "the fresh message alone, not those that wait")
+		s.Accept(&Message{Dest: other, Tenant: 9}, 0, benchTimeToLive)
+		require.LessOrEqual(t, len(s.collectDue()), 3, "only the fresh message is checked, not the held ones")
 		s.Reconcile()
 		require.Len(t, h.sent, 1)
 		s.AttemptEnded(h.sent[0], AttemptResult{Outcome: Delivered, Final: true, Latency: 0.05})
@@ -195,8 +196,9 @@
 	require.Equal(t, 20_001, s.held.count)
 }
 
-// requireLinear checks that the cost of a message does not grow with their number: a hundred times as many may cost at
-// most eight times as much each, the best of some tries. Quadratic growth would cost a hundred times as much.
+// requireLinear checks that the cost per message does not grow with the number of messages. With a hundred times as many
+// messages, the cost of each, in the best of several tries, may be at most eight times as high. With quadratic growth,
+// it would be a hundred times as high.
 func requireLinear(t *testing.T, work func(n int)) {
 	const few, many, tries = 1000, 100_000, 4
 	best := func(n int) time.Duration {
@@ -208,14 +210,15 @@
 		}
 		return least / time.Duration(n)
 	}
-	one, each := best(few), best(many)
-	require.Less(t, each, 8*one, fmt.Sprintf("%v each of %d, %v each of %d", one, few, each, many))
+	withFew, withMany := best(few), best(many)
+	require.Less(t, withMany, 8*withFew,
+		fmt.Sprintf("%v per message with %d messages, %v with %d", withFew, few, withMany, many))
 }
 
 func TestAcceptingAndExpiringManyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
 		s, _, now, _ := newHeld(n)
-		s.SetTime(now + 2*benchLife)
+		s.SetTime(now + 2*benchTimeToLive)
 		s.Reconcile()
 		require.Zero(t, s.held.count)
 	})
@@ -223,15 +226,15 @@
 
 func TestExpiringManyOfOneKeyIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		day := benchSettings(10 * n)
-		day.Types[0].InOrder = true
-		s := New(day, 7, 100, &recordingHost{})
+		settings := benchSettings(10 * n)
+		settings.Types[0].InOrder = true
+		s := New(settings, 7, 100, &recordingHost{})
 		d := s.NewDestination(1)
 		for range n {
-			s.Accept(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9, Key: 5}, 0, benchTimeToLive)
 		}
 		s.Reconcile()
-		s.SetTime(100 + 2*benchLife)
+		s.SetTime(100 + 2*benchTimeToLive)
 		s.Reconcile()
 		require.Zero(t, s.held.count)
 	})
@@ -242,7 +245,7 @@
 		s := New(benchSettings(10*n), 7, 100, &recordingHost{})
 		d := s.NewDestination(1)
 		for i := range n {
-			s.Recover(&Message{Dest: d, Tenant: 9}, 0, benchLife, RecoveredState{Attempts: i % 2})
+			s.Recover(&Message{Dest: d, Tenant: 9}, 0, benchTimeToLive, RecoveredState{Attempts: i % 2})
 		}
 		s.Reconcile()
 		require.Equal(t, n, s.held.count)
@@ -255,7 +258,7 @@
 		s := New(benchSettings(10*n), 7, now, h)
 		d := s.NewDestination(1)
 		for range n {
-			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchTimeToLive)
 		}
 		s.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{}, Destination: d, State: Ready}})
 		for s.held.count > 0 {
@@ -272,14 +275,14 @@
 
 func TestSheddingLoadIsLinear(t *testing.T) {
 	requireLinear(t, func(n int) {
-		day := benchSettings(n)
-		s := New(day, 7, 100, &recordingHost{})
+		settings := benchSettings(n)
+		s := New(settings, 7, 100, &recordingHost{})
 		d := s.NewDestination(1)
 		for range n / 2 {
-			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchTimeToLive)
 		}
 		for range n {
-			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchLife)
+			s.Accept(&Message{Dest: d, Tenant: 9}, 0, benchTimeToLive)
 			s.Reconcile()
 		}
 		require.LessOrEqual(t, float64(s.held.count), sheddingThreshold*float64(n))
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -11,7 +11,7 @@
 	impairedTotalFraction = 0.85 // share of all slots in use above which an impaired destination gets no further ones
 	restoringStreak       = 3    // consecutive timely answers after which healthyFraction applies again
 	initialConcurrency    = 2    // concurrency limit of a new endpoint
-	newEndpointSpread     = 0.3  // maximum random delay in seconds of the first call, as all forwarders learn of a new endpoint at once
+	newEndpointSpread     = 0.3  // seconds by which first calls are spread, as all forwarders learn of an endpoint at once
 	failureDecayTime      = 8.0  // seconds in which the weight of a failure in Scheduler.cost decays to 1/e
 	otherZoneCost         = 0.5  // cost of an endpoint in another zone; an endpoint at its concurrency limit costs 1
 	newConnectionCost     = 0.01 // cost of a new connection, so that a few calls do not open one to each endpoint
--- a/scheduler/endpoints_test.go
+++ b/scheduler/endpoints_test.go
@@ -31,10 +31,10 @@
 	}
 	h.advance(0.3)
 	require.Equal(t, 6, h.callsInFlight)
-	good := h.addDestination(0, 0)
-	h.accept(good, status, 0)
-	h.advance(0.4) // an endpoint just listed gets its first call after a random wait
-	require.Same(t, good, h.sent[len(h.sent)-1].message.Dest)
+	healthyDestination := h.addDestination(0, 0)
+	h.accept(healthyDestination, status, 0)
+	h.advance(0.4) // a newly listed endpoint gets its first call after a random delay
+	require.Same(t, healthyDestination, h.sent[len(h.sent)-1].message.Dest)
 }
 
 func TestImpairedDestinationGetsOneCallAtFullConcurrency(t *testing.T) {
--- a/scheduler/harness_test.go
+++ b/scheduler/harness_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// harness is a scheduler with a host that records what it is asked to do, and simulates the endpoints as a test says.
+// harness is a scheduler with a host that records all calls of its methods. The test ends the attempts in place of the
+// endpoints.
 type harness struct {
 	*Scheduler
 	now         float64
@@ -61,17 +62,17 @@
 	return h
 }
 
-// addDestination lists a destination with endpoints of a kind, one in each of the zones given.
+// addDestination lists a destination of the given kind with one endpoint for each zone in zones.
 func (h *harness) addDestination(kind int, zones ...int) *Destination {
 	d := h.NewDestination(uint64(len(h.destinations)))
-	for i, z := range zones {
-		t := &Endpoint{ID: uint64(i)}
-		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: t, Destination: d, Kind: kind, Zone: z, State: Ready}})
+	for i, zone := range zones {
+		endpoint := &Endpoint{ID: uint64(i)}
+		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, Kind: kind, Zone: zone, State: Ready}})
 	}
 	return d
 }
 
-// updateState lists an endpoint with a state.
+// updateState lists an endpoint again with another state.
 func (h *harness) updateState(endpoint *Endpoint, state EndpointState) {
 	destination := endpoint.destination
 	h.UpdateEndpoints(false, []EndpointUpdate{
@@ -91,7 +92,7 @@
 	}
 }
 
-// keepBusy has a destination answer some calls in quick succession.
+// keepBusy makes a destination answer some calls in quick succession.
 func (h *harness) keepBusy(d *Destination) {
 	for range 12 {
 		h.accept(d, status, 0)
@@ -100,7 +101,7 @@
 	}
 }
 
-// advance lets time go by in small steps.
+// advance lets time pass in small steps and calls Reconcile in each step.
 func (h *harness) advance(seconds float64) {
 	for end := h.now + seconds; h.now < end; {
 		h.now += 0.02
@@ -112,12 +113,12 @@
 
 func (h *harness) reconcile() { h.SetTime(h.now); h.Reconcile() }
 
-// endAttempt ends the attempt in flight of a message.
-func (h *harness) endAttempt(message *Message, o Outcome, wait float64) {
-	h.AttemptEnded(message, AttemptResult{Outcome: o, Final: o == Delivered, Latency: 0.1, RetryAfter: wait})
+// endAttempt ends the attempt in flight of a message; retryAfter is in seconds, 0 means none.
+func (h *harness) endAttempt(message *Message, o Outcome, retryAfter float64) {
+	h.AttemptEnded(message, AttemptResult{Outcome: o, Final: o == Delivered, Latency: 0.1, RetryAfter: retryAfter})
 }
 
-// endAttempts ends all calls in flight to a destination in one way.
+// endAttempts ends all attempts in flight to a destination with the same outcome.
 func (h *harness) endAttempts(d *Destination, o Outcome) {
 	for _, s := range h.sent {
 		if s.message.Dest == d && s.message.call != nil {
@@ -126,24 +127,24 @@
 	}
 }
 
-// sendOne accepts a message and has it sent.
+// sendOne accepts a message and advances the time so that it is sent.
 func (h *harness) sendOne(d *Destination) *Message {
 	message := h.accept(d, status, 0)
 	h.advance(0.1)
 	return message
 }
 
-func (h *harness) Send(message *Message, t *Endpoint, timeout float64) {
-	h.sent = append(h.sent, sentCall{message, t, h.now, timeout})
+func (h *harness) Send(message *Message, endpoint *Endpoint, timeout float64) {
+	h.sent = append(h.sent, sentCall{message, endpoint, h.now, timeout})
 }
 func (h *harness) Reject(message *Message, retryAfter float64) {
 	h.answers[message] += "rejected"
 	h.retryAfters[message] = retryAfter
 }
 func (h *harness) Fail(message *Message)       { h.answers[message] += "abandoned" }
-func (h *harness) CancelUnsent(t *Endpoint)    { h.cancelled = append(h.cancelled, t) }
-func (h *harness) CloseIdle(t *Endpoint)       { h.log = append(h.log, fmt.Sprint("close ", t.ID)) }
-func (h *harness) ReleaseEndpoint(t *Endpoint) { h.released = append(h.released, t) }
+func (h *harness) CancelUnsent(e *Endpoint)    { h.cancelled = append(h.cancelled, e) }
+func (h *harness) CloseIdle(e *Endpoint)       { h.log = append(h.log, fmt.Sprint("close ", e.ID)) }
+func (h *harness) ReleaseEndpoint(e *Endpoint) { h.released = append(h.released, e) }
 func (h *harness) Wake(float64)                {}
 func (h *harness) WatchEndpoints()             { h.polls++ }
 func (h *harness) Log(line string)             { h.log = append(h.log, line) }
--- a/scheduler/heap_test.go
+++ b/scheduler/heap_test.go
@@ -18,7 +18,7 @@
 	position: func(m *member) *int32 { return &m.at },
 }
 
-// requireHeap checks the order and that each member knows its position.
+// requireHeap checks the heap order and the position that each member stores.
 func requireHeap(t *testing.T, heap []*member) {
 	for i, m := range heap {
 		require.Equal(t, int32(i+1), m.at)
@@ -47,19 +47,19 @@
 	}
 	for _, m := range members {
 		byKey.remove(&heap, m)
-		byKey.remove(&heap, m) // a member of no heap is left alone
+		byKey.remove(&heap, m) // no effect, because m is no longer in the heap
 		requireHeap(t, heap)
 	}
 	require.Empty(t, heap)
-	require.LessOrEqual(t, cap(heap), 2*minShrinkCapacity, "a heap that was large gives its memory back")
+	require.LessOrEqual(t, cap(heap), 2*minShrinkCapacity, "a heap that was large frees its memory")
 }
 
-func TestFirstAndVisitFindWhatAWalkWouldFind(t *testing.T) {
+func TestFirstAndVisitMatchLinearSearch(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 1))
 	for range 200 {
 		var heap, all []*member
 		for i := range random.IntN(60) {
-			m := &member{key: 100*random.IntN(20) + i} // keys differ, so that there is one first
+			m := &member{key: 100*random.IntN(20) + i} // the keys differ, so that the first one is unique
 			all = append(all, m)
 			byKey.push(&heap, m)
 		}
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -9,14 +9,14 @@
 func TestAtMostOnceThatMayHaveRunFailsAtOnce(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
-	ran, never := h.accept(d, payment, 0), h.accept(d, payment, 0)
+	mayHaveRun, notRun := h.accept(d, payment, 0), h.accept(d, payment, 0)
 	h.reconcile()
-	h.endAttempt(ran, TimedOut, 0)
-	h.endAttempt(never, NoConnection, 0)
+	h.endAttempt(mayHaveRun, TimedOut, 0)
+	h.endAttempt(notRun, NoConnection, 0)
 	h.reconcile()
-	require.Equal(t, map[*Message]string{ran: "abandoned"}, h.answers)
+	require.Equal(t, map[*Message]string{mayHaveRun: "abandoned"}, h.answers)
 	h.advance(4)
-	require.Equal(t, never, h.sent[len(h.sent)-1].message)
+	require.Equal(t, notRun, h.sent[len(h.sent)-1].message)
 }
 
 func TestDoesNotRepeatAfterDeduplicationWindow(t *testing.T) {
@@ -30,7 +30,7 @@
 	h.advance(3.9)
 	require.Empty(t, h.answers)
 	h.advance(0.3)
-	require.Equal(t, "abandoned", h.answers[message]) // known only to a zone: a rejection would not be harmless
+	require.Equal(t, "abandoned", h.answers[message]) // the key is known in one zone only, so that a rejection would not be harmless
 	require.Len(t, h.sent, 1)
 }
 
@@ -49,62 +49,62 @@
 	require.Len(t, h.sent, 2)
 }
 
-// A message with an idempotency key that may have run is sent again only while its key is known, and its call times out
-// by then: a connection that is slow to open would carry a repeat outside the deduplication window.
+// A message with an idempotency key that may have run is sent again only while its key is known, and the call must time
+// out by then. Otherwise, a connection that is established slowly would carry a repeat after the deduplication window.
 func TestRepeatEndsWithinDeduplicationWindow(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
-	tgt := d.endpoints[0]
+	endpoint := d.endpoints[0]
 	message := h.accept(d, zoned, 0)
 	h.reconcile()
 	first := h.sent[0]
 	h.endAttempt(message, Reset, 0)
-	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Draining}})
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, State: Draining}})
 	h.advance(4.6)
-	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Ready}})
+	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, State: Ready}})
 	h.advance(0.3)
 	require.Len(t, h.sent, 2)
-	again := h.sent[1]
+	repeat := h.sent[1]
 	window := h.settings.Types[zoned].DeduplicationWindow
-	require.LessOrEqual(t, again.at+again.timeout, first.at+window+1e-9, "sent at %.2f for %.2f",
-		again.at-first.at, again.timeout)
+	require.LessOrEqual(t, repeat.at+repeat.timeout, first.at+window+1e-9, "sent at %.2f for %.2f",
+		repeat.at-first.at, repeat.timeout)
 }
 
 func TestAtMostOnceOverEveryOutcomeAndRestart(t *testing.T) {
-	mayRun := map[Outcome]bool{ServerError: true, TimedOut: true, Reset: true, Cancelled: true, Malformed: true,
+	mayRunAfter := map[Outcome]bool{ServerError: true, TimedOut: true, Reset: true, Cancelled: true, Malformed: true,
 		Overloaded: false, NoConnection: false, NotSent: false}
-	for o, may := range mayRun {
+	for o, mayRun := range mayRunAfter {
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		message := h.accept(d, payment, 0)
 		h.reconcile()
 		h.endAttempt(message, o, 0)
 		h.advance(15)
-		if may {
+		if mayRun {
 			require.Equal(t, "abandoned", h.answers[message], "%d", o)
 			require.Len(t, h.sent, 1)
 		} else {
 			require.Empty(t, h.answers[message], "%d", o)
-			require.Greater(t, len(h.sent), 1, "it surely never ran")
+			require.Greater(t, len(h.sent), 1, "the message never ran")
 		}
-		next, again := newHarness(testSettings), &Message{Tenant: 9} // the process ended, and the next one recovers it
-		again.Dest = next.addDestination(0, 0)
-		past := RecoveredState{Attempts: 1}
-		if may {
-			past.FirstRanAt = 100
+		next, recoveredMessage := newHarness(testSettings), &Message{Tenant: 9} // the next process recovers the message
+		recoveredMessage.Dest = next.addDestination(0, 0)
+		recovered := RecoveredState{Attempts: 1}
+		if mayRun {
+			recovered.FirstRanAt = 100
 		}
-		next.Recover(again, payment, 15, past)
+		next.Recover(recoveredMessage, payment, 15, recovered)
 		next.advance(2)
-		require.Equal(t, may, next.answers[again] == "abandoned")
-		require.Equal(t, !may, len(next.sent) == 1)
+		require.Equal(t, mayRun, next.answers[recoveredMessage] == "abandoned")
+		require.Equal(t, !mayRun, len(next.sent) == 1)
 	}
 }
 
 func TestOneAttemptAtATimeAndOneFinalAnswer(t *testing.T) {
 	h := newHarness(testSettings)
-	message := h.accept(h.addDestination(0, 0, 0), status, 0) // may be repeated, and two endpoints are idle
+	message := h.accept(h.addDestination(0, 0, 0), status, 0) // repeatable, and two endpoints are idle
 	h.advance(19)
-	require.Len(t, h.sent, 1, "while one is out there is no second")
+	require.Len(t, h.sent, 1, "no second attempt begins while one is in flight")
 	h.endAttempt(message, Reset, 0)
 	h.advance(0.9)
 	require.LessOrEqual(t, len(h.sent), 2)
--- a/scheduler/outlier_test.go
+++ b/scheduler/outlier_test.go
@@ -15,7 +15,7 @@
 	for _, s := range h.sent {
 		require.Equal(t, d.endpoints[1], s.endpoint)
 	}
-	h.UpdateEndpoints(true, nil) // a whole list without an endpoint: it was removed
+	h.UpdateEndpoints(true, nil) // a complete list without endpoints removes them all
 	h.flood(d, status, 1)
 	n := len(h.sent)
 	h.endAttempts(d, Delivered)
@@ -64,7 +64,7 @@
 func TestThreeConsecutiveFailuresEject(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
-	d.accepted = 1e4 // it gets many messages
+	d.accepted = 1e4 // not at low volume
 	requireEjectedAfter(t, h, d, ServerError, Overloaded, Overloaded)
 }
 
@@ -73,14 +73,15 @@
 	requireEjectedAfter(t, h, h.addDestination(0, 0, 0), ServerError, Overloaded)
 }
 
-// requireEjectedAfter ends a message's calls one after the other: only the last result ejects the endpoints.
-func requireEjectedAfter(t *testing.T, h *harness, d *Destination, ends ...Outcome) {
+// requireEjectedAfter ends the attempts of a message with the given outcomes. It requires that only the last one ejects
+// the endpoints.
+func requireEjectedAfter(t *testing.T, h *harness, d *Destination, outcomes ...Outcome) {
 	message := h.accept(d, status, 0)
 	h.reconcile()
-	for _, o := range ends {
+	for _, o := range outcomes {
 		require.NotEqual(t, ejected, d.endpoints[0].health)
 		h.endAttempt(message, o, 0)
-		for range 300 { // until it goes out again
+		for range 300 { // until the message is sent again
 			if h.advance(0.02); message.call != nil {
 				break
 			}
@@ -95,7 +96,7 @@
 	d := h.addDestination(0, 0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
-	bad := h.sent[0].endpoint
+	failing := h.sent[0].endpoint
 	h.endAttempt(message, ServerError, 0)
 	for range 6 {
 		h.advance(0.4)
@@ -103,7 +104,7 @@
 		h.accept(d, status, 0)
 	}
 	for _, s := range h.sent[1:] {
-		require.NotEqual(t, bad, s.endpoint)
+		require.NotEqual(t, failing, s.endpoint)
 	}
 }
 
@@ -137,7 +138,7 @@
 		message := h.accept(d, status, 0)
 		h.advance(0.9)
 		if i%3 == 2 {
-			h.AttemptEnded(message, AttemptResult{Outcome: NoConnection, Latency: 0.8}) // not up in time
+			h.AttemptEnded(message, AttemptResult{Outcome: NoConnection, Latency: 0.8}) // not established in time
 			require.False(t, d.endpoints[0].Ejected())
 			h.advance(1.5)
 		}
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -8,11 +8,11 @@
 )
 
 func TestLearnsLoweredLimitFromRejections(t *testing.T) {
-	listed := testSettings
-	listed.ListedRateTolerance = 1.5
-	h := newHarness(listed)
+	settings := testSettings
+	settings.ListedRateTolerance = 1.5
+	h := newHarness(settings)
 	d := h.addDestination(0, 0)
-	d.listedRate = 30 // it takes far less by now
+	d.listedRate = 30 // the actual limit is far lower by now
 	h.keepBusy(d)
 	h.flood(d, status, 12)
 	for range 60 {
@@ -23,7 +23,7 @@
 	require.Positive(t, d.sharedRoute.learnedRate)
 }
 
-// While an endpoint hangs, its full queue rejects; that must not be taken for a limit when it is back.
+// An endpoint that hangs rejects calls because its queue is full. No limit must be learned from that for its return.
 func TestRejectionsOfEjectedEndpointTeachNoLimit(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
@@ -51,26 +51,27 @@
 	require.Greater(t, len(h.sent), sent+15)
 }
 
-// A burst above a limit is rejected all at once; that counts as one rejection, not as a dozen in a row.
+// A burst above a limit is rejected all at once. That must count as one rejection, not as a dozen consecutive ones.
 func TestSimultaneousRejectionsCutTheRateOnce(t *testing.T) {
-	pace := func(n int) float64 {
+	rateAfter := func(messages int) float64 {
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		for range 100 {
 			h.endAttempt(h.sendOne(d), Delivered, 0)
 		}
 		d.endpoints[0].concurrencyLimit = 8
-		h.flood(d, status, n)
+		h.flood(d, status, messages)
 		h.reconcile()
 		h.now += 0.1
 		h.SetTime(h.now)
 		h.endAttempts(d, Overloaded)
 		return d.sharedRoute.learnedRate
 	}
-	require.GreaterOrEqual(t, pace(6), pace(1))
+	require.GreaterOrEqual(t, rateAfter(6), rateAfter(1))
 }
 
-// A burst that a full queue rejects teaches a rate far below what the destination takes. Its effect must not last long.
+// If a full queue rejects a burst, the rate learned from it is far below the destination's capacity. Its effect must not
+// last long.
 func TestLearnedRateGrowthAcceleratesWithoutRejections(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
@@ -83,7 +84,7 @@
 	h.endAttempts(d, Overloaded)
 	h.reconcile()
 	require.Positive(t, d.sharedRoute.learnedRate)
-	grown := func(seconds float64) float64 {
+	growth := func(seconds float64) float64 {
 		before := d.sharedRoute.learnedRate
 		for range int(seconds * 5) {
 			h.advance(0.2)
@@ -92,22 +93,23 @@
 		}
 		return d.sharedRoute.learnedRate / before
 	}
-	first := grown(2)
-	grown(6)
-	late := grown(2)
-	require.Greater(t, late, first*1.3)
+	first := growth(2)
+	growth(6)
+	later := growth(2)
+	require.Greater(t, later, first*1.3)
 	for d.callsInFlight == 0 {
 		h.flood(d, status, 1)
 		h.advance(0.2)
 	}
 	h.endAttempts(d, Overloaded)
 	h.reconcile()
-	require.Less(t, grown(2), late, "a refusal begins it anew")
+	require.Less(t, growth(2), later, "a rejection resets the acceleration")
 }
 
-// A burst of calls of which one meets a full queue while the others are worked on: the rate is what these come to.
+// One call of a burst is rejected by a full queue while the others are being processed. The learned rate must match the
+// throughput of the others.
 func TestFirstRejectionKeepsObservedThroughput(t *testing.T) {
-	pace := func(out int) float64 {
+	rateAfter := func(inFlight int) float64 {
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		for range 200 {
@@ -115,43 +117,43 @@
 			h.now += 0.5
 		}
 		d.endpoints[0].concurrencyLimit = 8
-		h.flood(d, status, out)
+		h.flood(d, status, inFlight)
 		h.reconcile()
-		require.Equal(t, out, d.callsInFlight)
+		require.Equal(t, inFlight, d.callsInFlight)
 		h.now += 0.05
 		h.SetTime(h.now)
 		h.endAttempt(h.sent[len(h.sent)-1].message, Overloaded, 0)
 		return d.sharedRoute.learnedRate
 	}
-	require.Greater(t, pace(6), 10.0, "six calls of a tenth of a second or so")
-	require.Less(t, pace(1), 10.0)
+	require.Greater(t, rateAfter(6), 10.0, "six calls in flight of about a tenth of a second each")
+	require.Less(t, rateAfter(1), 10.0)
 }
 
 func TestLearnedRateFollowsRemainingLimit(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	r := d.endpoints[0].route
-	report := func(left float64) {
+	report := func(share float64) {
 		h.accept(d, status, 0)
 		h.advance(1)
 		for _, s := range h.sent {
 			if s.message.call != nil {
 				h.AttemptEnded(s.message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1,
-					ReportedLimit: 8, ReportedShare: left})
+					ReportedLimit: 8, ReportedShare: share})
 			}
 		}
 	}
 	report(0.9)
-	require.Zero(t, r.learnedRate, "no limit met: none is kept to")
+	require.Zero(t, r.learnedRate, "no limit was met, so that no rate is learned")
 	report(-1)
-	require.InDelta(t, 4, r.learnedRate, 0.1, "its even part, before a call is turned away")
+	require.InDelta(t, 4, r.learnedRate, 0.1, "the equal share of this forwarder, although no call was rejected")
 	for range 4 {
-		report(-1) // others use the limit up
+		report(-1) // other forwarders use up the limit
 	}
 	low := r.learnedRate
 	require.Less(t, low, 2.0)
 	for range 4 {
-		report(1) // and others leave theirs: more than a rate that grows by time would have
+		report(1) // other forwarders do not use their shares, so that the rate grows faster than by time alone
 	}
 	require.Greater(t, r.learnedRate, 2.5*low)
 }
@@ -159,22 +161,22 @@
 func TestIgnoresAbsurdReports(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
-	for _, left := range []float64{-1, math.NaN(), 1e300, math.Inf(1), -1e300, math.NaN()} {
-		for _, most := range []float64{8, 1e300, math.NaN(), -8} {
+	for _, share := range []float64{-1, math.NaN(), 1e300, math.Inf(1), -1e300, math.NaN()} {
+		for _, limit := range []float64{8, 1e300, math.NaN(), -8} {
 			h.accept(d, status, 0)
 			h.advance(5)
 			for _, s := range h.sent {
 				if s.message.call != nil {
 					h.AttemptEnded(s.message, AttemptResult{Outcome: Delivered, Final: true, Latency: 0.1,
-						ReportedLimit: most, ReportedShare: left})
+						ReportedLimit: limit, ReportedShare: share})
 				}
 			}
 		}
 	}
 	require.False(t, math.IsNaN(d.sharedRoute.learnedRate) || math.IsInf(d.sharedRoute.learnedRate, 0))
-	n := len(h.sent)
-	require.Equal(t, 24, n, "each document went out")
+	sent := len(h.sent)
+	require.Equal(t, 24, sent, "each message was sent")
 	h.accept(d, status, 0)
 	h.advance(5)
-	require.Len(t, h.sent, n+1)
+	require.Len(t, h.sent, sent+1)
 }
--- a/scheduler/retry_test.go
+++ b/scheduler/retry_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestHeedsEachRetryAfterOfACall(t *testing.T) {
+func TestHonorsEachRetryAfterOfACall(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(1, 0, 0)
 	a, b := h.accept(d, status, 0), h.accept(d, status, 0)
@@ -51,9 +51,9 @@
 }
 
 func TestPersistentRejectionsCauseCooldown(t *testing.T) {
-	many := testSettings
-	many.Forwarders = 100
-	h := newHarness(many)
+	settings := testSettings
+	settings.Forwarders = 100
+	h := newHarness(settings)
 	d := h.addDestination(0, 0)
 	message := h.accept(d, status, 0)
 	h.reconcile()
@@ -84,28 +84,28 @@
 func TestTwoRejectionsWithoutLimitCauseCooldown(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
-	for range 30 { // few calls: one a second
+	for range 30 { // one call per second
 		h.accept(d, status, 0)
 		h.advance(1)
 		h.endAttempts(d, Delivered)
 	}
-	n := len(h.sent)
+	before := len(h.sent)
 	h.flood(d, status, 2)
-	for range 100 { // its queue is full while it hangs
+	for range 100 { // the destination hangs and its queue is full
 		h.advance(0.02)
-		for _, s := range h.sent[n:] {
+		for _, s := range h.sent[before:] {
 			if s.message.call != nil {
 				h.AttemptEnded(s.message, AttemptResult{Outcome: Overloaded, Latency: 0.02,
 					ReportedLimit: -1, ReportedShare: -1})
 			}
 		}
 	}
-	require.LessOrEqual(t, len(h.sent)-n, 4, "not at 0.1, 0.3, 0.7 and 1.5 s too")
+	require.LessOrEqual(t, len(h.sent)-before, 4, "no further retries at 0.1, 0.3, 0.7 and 1.5 s")
 }
 
 func TestLowVolumeBacksOffLonger(t *testing.T) {
-	asked := 0
-	for seed := range uint64(60) { // each has one message more than the destination takes just then
+	retries := 0
+	for seed := range uint64(60) { // each forwarder has one message beyond the current limit of the destination
 		h := newSeededHarness(testSettings, seed)
 		d := h.addDestination(0, 0)
 		h.accept(d, status, 0)
@@ -115,8 +115,8 @@
 			h.advance(0.2)
 			h.endAttempts(d, Overloaded)
 		}
-		asked += len(h.sent) - 1
+		retries += len(h.sent) - 1
 	}
-	require.Less(t, asked, 60, "five seconds in which a limit could have served others")
-	require.Positive(t, asked)
+	require.Less(t, retries, 60, "in five seconds, retries must not use up a limit that others need")
+	require.Positive(t, retries)
 }
--- a/scheduler/ring_test.go
+++ b/scheduler/ring_test.go
@@ -8,10 +8,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plainRing does the same as ring by a slice whose first member's round is next.
+// plainRing is a simple implementation of ring by a slice. The round of its first member is next.
 type plainRing []*Destination
 
-// next visits members until one is not parked, at most limit.
+// next skips members, at most limit, until one is not parked.
 func (p *plainRing) next(limit int) (*Destination, int) {
 	for passed := range limit {
 		first := (*p)[0]
@@ -29,7 +29,7 @@
 	return all
 }
 
-func TestRingKeepsOrderOfPlainQueue(t *testing.T) {
+func TestRingKeepsOrderOfPlainRing(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	var r ring
 	var plain plainRing
--- a/scheduler/scheduling_test.go
+++ b/scheduler/scheduling_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestKeepsOrderOfKeysAndTheirCooldown(t *testing.T) {
+func TestKeepsOrderAndCooldownOfKeys(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	first, second := h.accept(d, ticket, 5), h.accept(d, ticket, 5)
 	h.advance(0.1)
 	require.Len(t, h.sent, 1)
-	h.Withdraw(first) // its call is still in flight
+	h.Withdraw(first) // the call is still in flight
 	h.advance(0.1)
 	require.Len(t, h.sent, 1)
 	h.endAttempt(first, TimedOut, 0)
@@ -39,9 +39,9 @@
 }
 
 func TestTenantsTakeTurns(t *testing.T) {
-	with := testSettings
-	with.TenantRate = []float64{9, 9}
-	h := newHarness(with)
+	settings := testSettings
+	settings.TenantRate = []float64{9, 9}
+	h := newHarness(settings)
 	d := h.addDestination(0, 0)
 	for i := range 6 {
 		message := &Message{Dest: d, Tenant: i / 5}
@@ -64,27 +64,27 @@
 	}
 }
 
-func TestMessagesOverQuotaWaitAndAreShedFirst(t *testing.T) {
-	with := testSettings
-	with.TenantRate = []float64{4, 4} // two a second at each of two forwarders
-	h := newHarness(with)
+func TestMessagesOverQuotaAreSentLastAndShedFirst(t *testing.T) {
+	settings := testSettings
+	settings.TenantRate = []float64{4, 4} // two messages per second at each of two forwarders
+	h := newHarness(settings)
 	d := h.addDestination(0)
-	take := func(tenant int) *Message {
+	accept := func(tenant int) *Message {
 		message := &Message{Dest: d, Tenant: tenant}
 		h.Accept(message, status, 20)
 		return message
 	}
 	for range 30 {
-		take(0)
+		accept(0)
 	}
-	late := take(1)
+	late := accept(1)
 	h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: &Endpoint{}, Destination: d, State: Ready}})
 	h.reconcile()
 	require.Contains(t, []*Message{h.sent[0].message, h.sent[1].message}, late)
 	for range 7 {
-		take(1)
+		accept(1)
 	}
-	require.False(t, take(0).overQuota && !slices.Collect(h.held.all())[20].overQuota)
+	require.False(t, accept(0).overQuota && !slices.Collect(h.held.all())[20].overQuota)
 	h.reconcile()
 	for message := range h.answers {
 		require.True(t, message.overQuota)
@@ -101,21 +101,21 @@
 	h.advance(9)
 	n := 0
 	for _, s := range h.sent[6:] {
-		require.Equal(t, h.sent[6].at, s.at, "one call carries what is fresh and what was rejected")
+		require.Equal(t, h.sent[6].at, s.at, "one call carries the fresh message and the retries")
 		n++
 	}
 	require.Equal(t, 7, n)
 }
 
-// newTwoValues returns a forwarder with two slots and two types, the second worth twice as much.
-func newTwoValues(room int) (*harness, *Destination) {
-	two := testSettings
-	two.Types = []MessageType{
+// newTwoValues returns a forwarder with two slots and two message types. The second type has twice the value.
+func newTwoValues(queueCapacity int) (*harness, *Destination) {
+	settings := testSettings
+	settings.Types = []MessageType{
 		{Idempotency: AtMostOnce, LatencyObjective: 3, TimeToLive: 16, Value: 1},
 		{Idempotency: IdempotentWithKey, LatencyObjective: 2, TimeToLive: 28, DeduplicationWindow: 7, Value: 2},
 	}
-	two.ConcurrencyLimit, two.QueueCapacity = 2, room
-	h := newHarness(two)
+	settings.ConcurrencyLimit, settings.QueueCapacity = 2, queueCapacity
+	h := newHarness(settings)
 	return h, h.addDestination(0, 0)
 }
 
@@ -123,20 +123,20 @@
 	h, d := newTwoValues(20)
 	h.flood(d, 0, 12)
 	h.flood(d, 1, 6)
-	var order []int
+	var values []int
 	for range 12 {
 		h.advance(0.1)
 		h.endAttempts(d, Delivered)
 	}
 	for _, s := range h.sent {
-		order = append(order, int(s.message.messageType.Value))
+		values = append(values, int(s.message.messageType.Value))
 	}
-	dear := 0
-	for _, v := range order[:8] {
-		dear += v - 1
+	moreValuable := 0
+	for _, v := range values[:8] {
+		moreValuable += v - 1
 	}
-	require.GreaterOrEqual(t, dear, 4, "a burst of twelve was accepted before")
-	require.LessOrEqual(t, dear, 5, "the others have their rounds")
+	require.GreaterOrEqual(t, moreValuable, 4, "although a burst of twelve messages of the other type was accepted before")
+	require.LessOrEqual(t, moreValuable, 5, "messages of the other type are sent, too")
 }
 
 func TestShedsLessValuableTypeFirst(t *testing.T) {
@@ -152,26 +152,26 @@
 }
 
 func TestShedsBacklogByTimeNotByLength(t *testing.T) {
-	h := newHarness(testSettings) // capacity for forty; kind 1 takes ten messages in a call
-	together, apart := h.addDestination(1, 0), h.addDestination(0, 0)
-	h.flood(together, status, 26)
-	h.flood(apart, status, 14)
+	h := newHarness(testSettings) // queue capacity 40; a call to kind 1 carries up to ten messages
+	batched, unbatched := h.addDestination(1, 0), h.addDestination(0, 0)
+	h.flood(batched, status, 26)
+	h.flood(unbatched, status, 14)
 	h.reconcile()
 	require.NotEmpty(t, h.answers)
 	for message := range h.answers {
-		require.Equal(t, apart, message.Dest)
+		require.Equal(t, unbatched, message.Dest)
 	}
 }
 
-func TestMessageInTimeGoesFirstWhereValueHalves(t *testing.T) {
-	halves := testSettings
-	halves.HalvingValue, halves.ConcurrencyLimit = true, 2
-	halves.Types = []MessageType{{},
+func TestMessageInTimeGoesFirstIfValueHalves(t *testing.T) {
+	settings := testSettings
+	settings.HalvingValue, settings.ConcurrencyLimit = true, 2
+	settings.Types = []MessageType{{},
 		{Idempotency: Idempotent, LatencyObjective: 3, TimeToLive: 20, Value: 1, LateValueShare: 0.5}}
-	h := newHarness(halves)
+	h := newHarness(settings)
 	d := h.addDestination(0, 0)
 	late := &Message{Dest: d, Tenant: 9}
-	h.Accept(late, status, 12) // of twenty seconds: five late
+	h.Accept(late, status, 12) // 8 s old, 5 s beyond the latency objective
 	fresh := h.accept(d, status, 0)
 	h.advance(0.1)
 	h.endAttempts(d, Delivered)
@@ -179,15 +179,15 @@
 	require.Equal(t, []*Message{fresh, late}, []*Message{h.sent[0].message, h.sent[1].message})
 }
 
-// Guards against a key that goes on while one of its messages may still run, by any outcome.
-func TestKeyPausesAfterEachOutcomeAfterWhichAMessageMayStillRun(t *testing.T) {
+// Guards against sending the next message of a key while the previous one may still run, for each outcome.
+func TestKeyPausesWhileMessageMayStillRun(t *testing.T) {
 	for outcome, pauses := range map[Outcome]bool{TimedOut: true, Reset: true, Cancelled: true, Malformed: true,
 		ServerError: false, Overloaded: false, NoConnection: false, NotSent: false, Delivered: false} {
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		first, second := h.accept(d, ticket, 5), h.accept(d, ticket, 5)
 		h.reconcile()
-		h.Withdraw(first) // so that the next one's turn comes with the end of the call
+		h.Withdraw(first) // so that the next message may be sent once the call has ended
 		h.endAttempt(first, outcome, 0)
 		require.Equal(t, pauses, h.keyQueues[5].cooldownUntil >= h.now+h.settings.KeyCooldown, "outcome %d", outcome)
 		h.advance(9)
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -9,7 +9,7 @@
 func TestEjectedEndpointIsProbedThenRampedUp(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
-	for range 40 { // two a second for twenty seconds
+	for range 40 { // two messages per second for twenty seconds
 		h.accept(d, status, 0)
 		h.reconcile()
 		h.endAttempts(d, Delivered)
@@ -27,7 +27,7 @@
 		h.advance(0.1)
 		h.endAttempts(d, TimedOut)
 	}
-	require.InDelta(t, 7, len(h.sent)-n, 4) // a probe every two seconds or so, not fifteen messages at once
+	require.InDelta(t, 7, len(h.sent)-n, 4) // about one probe every two seconds, not fifteen messages at once
 	h.advance(3)
 	n = len(h.sent)
 	h.endAttempts(d, Delivered)
@@ -36,19 +36,19 @@
 	require.LessOrEqual(t, len(h.sent)-n, 2)
 }
 
-// An endpoint that operators restarted while it was drained returns cold: it gets a slow start as after an outage, not
-// all that waited for it at once.
+// An endpoint that operators restarted while it was drained returns cold. It must get a slow start, as after an outage,
+// and not all queued messages at once.
 func TestWarmingEndpointGetsSlowStart(t *testing.T) {
 	sentIn := func(cold bool) int {
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
-		tgt := d.endpoints[0]
-		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Draining}})
+		endpoint := d.endpoints[0]
+		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, State: Draining}})
 		h.flood(d, status, 30)
 		h.advance(0.5)
 		require.Empty(t, h.sent)
-		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: tgt, Destination: d, State: Ready, WarmingUp: cold}})
-		for range 25 { // a second, each call answered at once
+		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, State: Ready, WarmingUp: cold}})
+		for range 25 { // one second in which each call is answered quickly
 			h.advance(0.04)
 			h.endAttempts(d, Delivered)
 		}
@@ -61,10 +61,10 @@
 	require.Positive(t, cold)
 }
 
-// A destination that was offered four times its capacity (the rest is rejected) goes down and returns cold: the ramp
-// follows what it completed, not what it was offered.
+// A destination that was offered four times its capacity and rejected the rest goes down and returns cold. Its slow
+// start must follow the calls that it completed, not those that it was offered.
 func TestSlowStartFollowsHealthyThroughput(t *testing.T) {
-	met := func(done int) int { // calls in the first four seconds of its return, of twelve a second offered
+	callsAfterReturn := func(done int) int { // in the first four seconds, if done of 12 calls per second were completed
 		h := newHarness(testSettings)
 		d := h.addDestination(0, 0)
 		h.keepBusy(d)
@@ -84,7 +84,7 @@
 			h.advance(0.08)
 			h.endAttempts(d, NoConnection)
 		}
-		for d.endpoints[0].Ejected() { // it is back: a probe succeeds
+		for d.endpoints[0].Ejected() { // the destination has returned; the next probe succeeds
 			h.accept(d, payment, 0)
 			h.advance(0.08)
 			h.endAttempts(d, Delivered)
@@ -97,8 +97,8 @@
 		}
 		return len(h.sent) - before
 	}
-	whole, quarter := met(12), met(3)
-	t.Logf("all done: %d, a quarter: %d", whole, quarter)
+	all, quarter := callsAfterReturn(12), callsAfterReturn(3)
+	t.Logf("calls after the return: %d if all were completed, %d if a quarter", all, quarter)
 	require.Positive(t, quarter)
-	require.Less(t, quarter, whole/2)
+	require.Less(t, quarter, all/2)
 }
--- a/transport/result_test.go
+++ b/transport/result_test.go
@@ -38,8 +38,8 @@
 	require.Len(t, resultNames, int(ResultCancelled)+1)
 }
 
-// Dashboards use these words as values of labels.
-func TestNamesInMetricsStayAsTheyAre(t *testing.T) {
+// Dashboards use these names as label values, so that they must not change.
+func TestOutcomeNamesInMetricsAreStable(t *testing.T) {
 	var names []string
 	for code := ResultOK; code <= ResultCancelled; code++ {
 		names = append(names, code.String())
