--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -19,8 +19,8 @@
 	endpoint   *Endpoint
 	began      float64
 	pending    int  // number of messages whose attempt has not ended
-	recorded   bool // recordResult has been called for it
-	reusesIdle bool // probably uses a connection that had been idle
+	recorded   bool // recordResult has been called for the call
+	reusesIdle bool // the call probably uses a connection that had been idle
 }
 
 // startCall begins a call with messages to an endpoint. Scheduler.apply passes the messages to the host.
--- a/scheduler/bench_test.go
+++ b/scheduler/bench_test.go
@@ -29,8 +29,8 @@
 	return settings
 }
 
-// deliverOne makes the scheduler take all decisions for the delivery of one message: it accepts the message, reconciles,
-// ends the call and reconciles again.
+// deliverOne makes the scheduler take all decisions for the delivery of one message: it accepts the message,
+// reconciles, ends the call and reconciles again.
 func deliverOne(s *Scheduler, h *recordingHost, now *float64, destination *Destination) {
 	*now += 0.001
 	s.SetTime(*now)
@@ -43,8 +43,8 @@
 	s.Reconcile()
 }
 
-// BenchmarkDestinations measures the cost of the decisions for one message, by the number of known destinations. At most
-// 100 of them are in use.
+// BenchmarkDestinations measures the cost of the decisions for one message, by the number of known destinations. At
+// most 100 of them are in use.
 func BenchmarkDestinations(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/scheduler/coldreturn_test.go
+++ b/scheduler/coldreturn_test.go
@@ -87,8 +87,8 @@
 }
 
 // excess returns by how many calls the worst window before the destination is warm exceeds the calls that the settings
-// allow plus a tolerance for chance. If it is negative, no window exceeds them. Windows do not count if a third of their
-// calls or more came from forwarders that had seen no failure.
+// allow plus a tolerance for chance. If it is negative, no window exceeds them. Windows do not count if a third of
+// their calls or more came from forwarders that had seen no failure.
 func (r *coldRun) excess() float64 {
 	returnedAt := coldStart + healthyFor + downFor
 	worst := math.Inf(-1)
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -5,14 +5,18 @@
 const (
 	// Idle connections are no longer kept if the calls lost on reused ones are more than idleLossLimit and more than
 	// the successful ones divided by idleLossDivisor.
-	idleLossLimit          = 2.0
-	idleLossDivisor        = 4
-	idleReuseDecayTime     = 8    // seconds in which the counts of these calls decay to 1/e
-	noIdleDuration         = 20   // seconds for which no idle connection is kept after such losses
-	failedConnectPause     = 30   // seconds for which destinations of a kind keep none after a failed connect
-	minReusedIdle          = 0.5  // seconds without a call after which a connection counts as idle
-	maxIdleCloseMargin     = 0.5  // maximum number of seconds before the idle timeout at which a connection is closed
-	idleCloseMarginDivisor = 10.0 // the same maximum as a part of the idle timeout; the smaller one applies
+	idleLossLimit      = 2.0
+	idleLossDivisor    = 4
+
+	idleReuseDecayTime = 8   // seconds in which the counts of these calls decay to 1/e
+	noIdleDuration     = 20  // seconds for which no idle connection is kept after such losses
+	failedConnectPause = 30  // seconds for which destinations of a kind keep none after a failed connect
+	minReusedIdle      = 0.5 // seconds without a call after which a connection counts as idle
+
+	// An idle connection is closed maxIdleCloseMargin seconds before the other side's timeout, or the timeout divided
+	// by idleCloseMarginDivisor before it if that is less.
+	maxIdleCloseMargin     = 0.5
+	idleCloseMarginDivisor = 10.0
 )
 
 // KeepIdle returns for how many seconds an idle connection is kept. That is shorter than the idle timeout, so that the
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -18,7 +18,7 @@
 	require.Empty(t, h.sent)
 }
 
-func TestAnswersAtDeadlineThoughCallNeverEnds(t *testing.T) {
+func TestAnswersAtDeadlineIfCallNeverEnds(t *testing.T) {
 	h := newHarness(testSettings)
 	message := h.accept(h.addDestination(0, 0), payment, 0)
 	h.advance(20.5)
--- a/scheduler/destination.go
+++ b/scheduler/destination.go
@@ -56,8 +56,8 @@
 	return destination
 }
 
-// Forget removes a destination if it has no endpoints and no held messages, and reports whether it did. Otherwise, the
-// number of destinations would grow with every name that clients use.
+// Forget removes a destination if it has no endpoints and no held messages, and reports whether it did. Without Forget,
+// the number of destinations would grow with every name that clients use.
 func (s *Scheduler) Forget(destination *Destination) bool {
 	if len(destination.endpoints) > 0 || destination.held > 0 || destination.inRing || destination.updated {
 		return false
@@ -86,7 +86,7 @@
 // messages which that process accepted.
 func (d *Destination) InheritsDemand() bool { return d.inheritedRate > 0 }
 
-// markUpdated notes an event of a destination for the next Reconcile.
+// markUpdated records an event of a destination, so that the next Reconcile updates its mode and examines its messages.
 func (s *Scheduler) markUpdated(destination *Destination) {
 	s.due.touch(destination)
 	s.ring.unpark(destination.ringNode)
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -17,10 +17,10 @@
 	require.Equal(t, 2, h.polls)
 }
 
-// Guards against an overload of discovery by the polls of a fleet. Thirty-six forwarders start at once. Discovery serves
-// six polls per second in the order of arrival, but each poll times out after two seconds, so that the work on it is
-// wasted. If forwarders poll again within a second, most are never served. As they wait longer after each failure, each
-// is served within half a minute.
+// Guards against an overload of discovery by the polls of a fleet. Thirty-six forwarders start at once. Discovery
+// serves six polls per second in the order of arrival, but each poll times out after two seconds, so that the work on
+// it is wasted. If forwarders poll again within a second, most are never served. As they wait longer after each
+// failure, each is served within half a minute.
 func TestFleetOfPollingForwardersIsServed(t *testing.T) {
 	settings := testSettings
 	settings.PollEndpoints, settings.PollWithin, settings.Forwarders = true, 10, 36
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -15,6 +15,7 @@
 	timerSlack       = 1e-6 // seconds by which a message is checked early, because sums of times are rounded
 	maxScratch       = 4096 // largest capacity of the candidates' array that is reused by later checks
 	keyExpiredMargin = 0.05 // seconds before the end of a message's deduplication window when its repeats end
+
 	// While no endpoint answers, a message's repeats already end after this fraction of its deduplication window.
 	keyExpiringFactor  = 2
 	keyExpiringDivisor = 3
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -64,12 +64,13 @@
 	return nil, ""
 }
 
-// randomRun runs a scheduler with random messages, results, endpoint states and Retry-Afters, and calls check after each
-// deadline check.
+// randomRun runs a scheduler with random messages, results, endpoint states and Retry-Afters, and calls check after
+// each deadline check.
 func randomRun(seed uint64, check func(*Scheduler)) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	settings := testSettings
-	settings.Forwarders, settings.ConcurrencyLimit, settings.QueueCapacity = 1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
+	settings.Forwarders, settings.ConcurrencyLimit, settings.QueueCapacity =
+		1+random.IntN(4), 2+random.IntN(10), 20+random.IntN(100)
 	settings.HalvingValue, settings.AwaitAcknowledgement = random.IntN(2) == 0, random.IntN(2) == 0
 	settings.TenantRate = []float64{5, 20}
 	h := newHarness(settings)
@@ -134,7 +135,7 @@
 	}
 }
 
-func TestRejectsMessageOnceOnlyBlockedEndpointsRemain(t *testing.T) {
+func TestRejectsMessageIfOnlyBlockedEndpointsRemain(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0, 0)
 	inFlight := h.accept(d, status, 0)
@@ -196,9 +197,9 @@
 	require.Equal(t, 20_001, s.held.count)
 }
 
-// requireLinear checks that the cost per message does not grow with the number of messages. With a hundred times as many
-// messages, the cost of each, in the best of several tries, may be at most eight times as high. With quadratic growth,
-// it would be a hundred times as high.
+// requireLinear checks that the cost per message does not grow with the number of messages. With a hundred times as
+// many messages, the cost of each, in the best of several tries, may be at most eight times as high. With quadratic
+// growth, it would be a hundred times as high.
 func requireLinear(t *testing.T, work func(n int)) {
 	const few, many, tries = 1000, 100_000, 4
 	best := func(n int) time.Duration {
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -15,8 +15,8 @@
 	failureDecayTime      = 8.0  // seconds in which the weight of a failure in Scheduler.cost decays to 1/e
 	otherZoneCost         = 0.5  // cost of an endpoint in another zone; an endpoint at its concurrency limit costs 1
 	newConnectionCost     = 0.01 // cost of a new connection, so that a few calls do not open one to each endpoint
-	silenceMin            = 0.4  // an endpoint is silent if a call has no answer for more than this many seconds, and
-	silenceMultiple       = 3    // for more than the destination's 90th percentile latency multiplied by this
+	silenceMin            = 0.4  // seconds that a call must have no answer, at least, for its endpoint to count as silent
+	silenceMultiple       = 3    // the same as a multiple of the 90th percentile latency; the longer time applies
 	unknownRate           = 1e9  // a listed or reported rate of this or more is ignored
 	slowObjectiveDivisor  = 2    // a destination is slow if its latency exceeds the shortest objective divided by this
 )
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -89,7 +89,8 @@
 }
 
 // The forwarders of this fleet have few messages each, apart from some with far more. The listed limit is exact, and
-// rejected calls use it up. After a burst, all calls together must fall below the limit, so that later ones are accepted.
+// rejected calls use it up. After a burst, all calls together must fall below the limit, so that later ones are
+// accepted.
 func TestUnevenFleetStaysBelowExactLimitAfterBurst(t *testing.T) {
 	f := newFleet(100, 10)
 	f.silentReports, f.debt = true, 5
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -30,7 +30,8 @@
 	h.advance(3.9)
 	require.Empty(t, h.answers)
 	h.advance(0.3)
-	require.Equal(t, "abandoned", h.answers[message]) // the key is known in one zone only, so that a rejection would not be harmless
+	// The key is known in one zone only, so that a rejection would not be harmless.
+	require.Equal(t, "abandoned", h.answers[message])
 	require.Len(t, h.sent, 1)
 }
 
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -16,7 +16,7 @@
 
 	messageType   *MessageType
 	deadline      float64
-	lifetime      float64 // time to the deadline when it was accepted
+	lifetime      float64 // time to the deadline when the message was accepted
 	keyQueue      *keyQueue
 	lane          *lane   // nil after the first call with the message began
 	call          *call   // the call in flight that carries the message
@@ -43,7 +43,7 @@
 	timerPosition            int32    // in the heap of timers
 	timer                    float64  // time of the next deadline check of the message
 	stage                    stage
-	keyExpiring, isCandidate bool // listed in deadlineHeaps.keyExpiring, in dueMessages.candidates
+	keyExpiring, isCandidate bool // whether listed in deadlineHeaps.keyExpiring, and in dueMessages.candidates
 
 	action     action // what the host has to do with the message
 	reason     AnswerReason
@@ -58,8 +58,7 @@
 // Finished reports whether nothing more can happen to the message.
 func (m *Message) Finished() bool { return m.answered && m.call == nil && !m.awaitingAcknowledgement }
 
-// Queued reports whether the message is queued for a call. Such a message is in no call, so that Withdraw removes it
-// completely.
+// Queued reports whether the message is queued for a call. As it is not in a call then, Withdraw removes it completely.
 func (m *Message) Queued() bool { return m.queued }
 
 // AnswerReason returns why the message got a final answer without a delivery that is certain to be in time.
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -12,7 +12,7 @@
 	lowVolumeStreak    = 2   // the same at low volume
 	shortOutage        = 3.0 // seconds since the last delivery that do not count as an outage yet
 	timelyMultiple     = 4   // an answer is not timely if it took longer than the 90th percentile latency times this
-	connectRetryMin    = 0.2 // seconds before the next call after a failed connect, as a full connection table stays full
+	connectRetryMin    = 0.2 // seconds before the call after a failed connect; a full connection table is not free at once
 	connectRetrySpread = 0.8 // maximum random delay in seconds, which is added to that
 )
 
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -6,7 +6,7 @@
 	learnedRateCut      = 0.7  // factor by which a rejection lowers the learned rate
 	learnedRateGrowth   = 0.08 // growth of the learned rate per second while nothing is rejected
 	growthDoubling      = 2    // seconds without a rejection after which that growth has doubled
-	reportedGrowth      = 0.6  // per second; how strongly the reported share changes the learned rate (in an exponent)
+	reportedGrowth      = 0.6  // per second; factor of the reported share in the exponential growth of the learned rate
 	balancedFraction    = 0.5  // reported share of a limit at which the learned rate does not change
 	scarceFraction      = 0.25 // reported share below which a rate is learned
 	reportSilence       = 2    // seconds without a report after which the learned rate depends on rejections alone
@@ -15,15 +15,18 @@
 	burstDuration       = 0.3  // calls of this many seconds at the learned rate may be made at once
 	firstBackoff        = 0.1  // seconds; doubled by each consecutive rejection
 	maxBackoffDoublings = 4
-	slowBackoff         = 6    // seconds; firstBackoff at low volume
-	maxSlowBackoff      = 24   // seconds; maximum at low volume
-	minBackoffSpread    = 0.5  // a backoff is multiplied by a random factor from 0.5 to 1.5
-	longRetryAfter      = 2.5  // seconds; a limit has capacity again within this time, a closed destination does not
-	closedRejections    = 5    // consecutive rejections after which a destination may be closed
-	persistentAfter     = 1    // seconds after the first consecutive rejection at which rejections count as persistent
-	tokenDebt           = 2    // calls; largest debt of tokens after a first rejection, less if calls are frequent
-	tokenSpread         = 2.75 // calls; random part of these tokens, so that forwarders do not return together
-	fullDebtRate        = 0.5  // recent calls per second up to which both apply in full; they shrink at higher rates
+	slowBackoff         = 6   // seconds; firstBackoff at low volume
+	maxSlowBackoff      = 24  // seconds; maximum at low volume
+	minBackoffSpread    = 0.5 // a backoff is multiplied by a random factor from 0.5 to 1.5
+	longRetryAfter      = 2.5 // seconds; a limit has capacity again within this time, a closed destination does not
+	closedRejections    = 5   // consecutive rejections after which a destination may be closed
+	persistentAfter     = 1   // seconds after the first consecutive rejection at which rejections count as persistent
+
+	// After a first rejection, a route gets a random number of tokens from -tokenDebt to tokenSpread-tokenDebt, so that
+	// forwarders do not return together. If its recent rate is above fullDebtRate, the range is reduced in proportion.
+	tokenDebt    = 2    // calls
+	tokenSpread  = 2.75 // calls
+	fullDebtRate = 0.5  // calls per second
 )
 
 // Route is the unit to which a rate limit and a Retry-After apply: all endpoints of a destination, or a single endpoint
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -24,7 +24,7 @@
 }
 
 // An endpoint that hangs rejects calls because its queue is full. No limit must be learned from that for its return.
-func TestRejectionsOfEjectedEndpointTeachNoLimit(t *testing.T) {
+func TestLearnsNoRateFromEjectedEndpoint(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for range 100 {
@@ -70,8 +70,8 @@
 	require.GreaterOrEqual(t, rateAfter(6), rateAfter(1))
 }
 
-// If a full queue rejects a burst, the rate learned from it is far below the destination's capacity. Its effect must not
-// last long.
+// If a full queue rejects a burst, the rate learned from it is far below the destination's capacity. Its effect must
+// not last long.
 func TestLearnedRateGrowthAcceleratesWithoutRejections(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
@@ -158,7 +158,7 @@
 	require.Greater(t, r.learnedRate, 2.5*low)
 }
 
-func TestIgnoresAbsurdReports(t *testing.T) {
+func TestIgnoresInvalidReports(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
 	for _, share := range []float64{-1, math.NaN(), 1e300, math.Inf(1), -1e300, math.NaN()} {
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTriesRecoveredMessageThoughLittleTimeIsLeft(t *testing.T) {
+func TestSendsRecoveredMessageWithLittleTimeLeft(t *testing.T) {
 	h := newHarness(durableSettings())
 	d := h.addDestination(0, 0)
 	slow := make([]float64, len(d.latency.counts))
@@ -136,7 +136,8 @@
 	require.Equal(t, "abandoned", h.answers[first])
 	next := h.accept(d, ticket, 5)
 	h.advance(0.2)
-	require.NotEqual(t, next, h.sent[len(h.sent)-1].message, "the previous message may count as unfinished until its notice is acknowledged")
+	require.NotEqual(t, next, h.sent[len(h.sent)-1].message,
+		"the previous message may count as unfinished until its notice is acknowledged")
 	h.NoticeAcknowledged(first)
 	h.advance(0.04)
 	require.Equal(t, next, h.sent[len(h.sent)-1].message)
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	urgentLifetimeDivisor = 2 // a retry is urgent once its time to live divided by this is left before the deadline,
-	urgentWindowDivisor   = 3 // or once its deduplication window divided by this has passed
+	urgentLifetimeDivisor = 2 // a retry is urgent when only its time to live divided by this is left
+	urgentWindowDivisor   = 3 // a retry is also urgent when its deduplication window divided by this has passed
 )
 
 // retryLane holds those messages of a destination that are queued for a retry and are the first of their ordering key.
--- a/scheduler/ring_test.go
+++ b/scheduler/ring_test.go
@@ -29,7 +29,7 @@
 	return all
 }
 
-func TestRingKeepsOrderOfPlainRing(t *testing.T) {
+func TestRingMatchesPlainRing(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 1))
 	var r ring
 	var plain plainRing
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -9,7 +9,7 @@
 // Accept, the adapter calls Admit to learn whether a message may be accepted. A Scheduler, and everything that was
 // passed to it, must be used by one goroutine only.
 //
-// Times are seconds on the caller's clock. Rates are calls per second unless they are said to be of messages. The
+// Times are seconds on the adapter's clock. Rates are calls per second unless they are said to be of messages. The
 // request path is described in docs/design.md. Each concern has a file:
 //
 //   - host.go, settings.go, message.go, destination.go: the interface to the adapter, and the state of each message
--- a/scheduler/timeout_test.go
+++ b/scheduler/timeout_test.go
@@ -34,7 +34,8 @@
 	for range 30 {
 		predecessor.accept(slow, status, 0)
 		predecessor.advance(0.1)
-		predecessor.AttemptEnded(predecessor.sent[len(predecessor.sent)-1].message, AttemptResult{Outcome: Delivered, Final: true, Latency: 3})
+		predecessor.AttemptEnded(predecessor.sent[len(predecessor.sent)-1].message,
+			AttemptResult{Outcome: Delivered, Final: true, Latency: 3})
 	}
 	h := newHarness(testSettings)
 	fresh, known := h.addDestination(0, 0), h.addDestination(0, 0)
--- a/transport/discovery.go
+++ b/transport/discovery.go
@@ -40,7 +40,7 @@
 type EndpointSource interface {
 	// Watch requests the changes since a revision and all later changes.
 	Watch(rev int64)
-	// Stop ends the watch and the source.
+	// Stop ends the watch and stops the source.
 	Stop()
 }
 
--- a/transport/result.go
+++ b/transport/result.go
@@ -51,8 +51,8 @@
 // String returns the code's name in metrics and logs.
 func (c ResultCode) String() string { return resultNames[c] }
 
-// MayHaveRun reports whether the endpoint may have run the message, so that only a repeatable message may be sent
-// again.
+// MayHaveRun reports whether the endpoint may have run the message. If so, the message must not be sent again unless a
+// repeat is safe.
 func (c ResultCode) MayHaveRun() bool {
 	return c <= ResultServerError || c == ResultClosed || c == ResultMalformed || c == ResultTimeout
 }
--- a/transport/upstream.go
+++ b/transport/upstream.go
@@ -12,7 +12,7 @@
 
 // Call is one call to an endpoint with one or more messages.
 type Call struct {
-	EndpointID uint64 // number of the endpoint in the event loop; connections belong to it, not to the reusable address
+	EndpointID uint64 // number of the endpoint in the event loop; connections belong to it, as an address may be reused
 	Address    string
 	Messages   []Message
 	Timeout    time.Duration // after which the call is aborted
