--- a/scheduler/coldreturn_test.go
+++ b/scheduler/coldreturn_test.go
@@ -26,7 +26,7 @@
 	load       float64 // messages per second as a multiple of the capacity
 	forwarders []*harness
 	credit     []float64 // per forwarder: messages that are due but not accepted yet
-	noted      []int     // per forwarder: attempts whose result is scheduled
+	scheduled  []int     // per forwarder: attempts whose result is scheduled
 	failed     []bool    // per forwarder: whether it has seen a failure
 	pending    []scheduledResult
 	calls      []coldCall // calls after the return
@@ -42,7 +42,7 @@
 	settings := durableSettings()
 	settings.Forwarders, settings.QueueCapacity, settings.ConcurrencyLimit = forwarders, 4000, 40
 	r := &coldRun{settings: settings, capacity: capacity, load: load, credit: make([]float64, forwarders),
-		noted: make([]int, forwarders), failed: make([]bool, forwarders)}
+		scheduled: make([]int, forwarders), failed: make([]bool, forwarders)}
 	for i := range forwarders {
 		h := newSeededHarness(settings, uint64(1000*forwarders+i))
 		h.addDestination(0, 0)
@@ -67,8 +67,8 @@
 		}
 		h.TimerFired()
 		h.Reconcile()
-		for ; r.noted[i] < len(h.sent); r.noted[i]++ {
-			r.answer(i, h.sent[r.noted[i]].message, now)
+		for ; r.scheduled[i] < len(h.sent); r.scheduled[i]++ {
+			r.answer(i, h.sent[r.scheduled[i]].message, now)
 		}
 	}
 }
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -5,8 +5,8 @@
 const (
 	// Idle connections are no longer kept if the calls lost on reused ones are more than idleLossLimit and more than
 	// the successful ones divided by idleLossDivisor.
-	idleLossLimit      = 2.0
-	idleLossDivisor    = 4
+	idleLossLimit   = 2.0
+	idleLossDivisor = 4
 
 	idleReuseDecayTime = 8   // seconds in which the counts of these calls decay to 1/e
 	noIdleDuration     = 20  // seconds for which no idle connection is kept after such losses
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -16,7 +16,7 @@
 	hung            bool    // the destination's queue is full, so that it rejects all calls
 	silentReports   bool    // the destination reports nothing
 	debt            float64 // maximum number of rejected calls that are counted beyond the limit
-	noted           []int   // per forwarder: attempts whose result is scheduled
+	scheduled       []int   // per forwarder: attempts whose result is scheduled
 	pending         []scheduledResult
 	calls, rejected int
 	delivered       map[*Message]int
@@ -33,7 +33,7 @@
 	settings := testSettings
 	settings.Forwarders = n
 	f := &fleet{now: 100, limit: limit, capacity: limit / 2, debt: 1,
-		noted: make([]int, n), delivered: map[*Message]int{}}
+		scheduled: make([]int, n), delivered: map[*Message]int{}}
 	for i := range n {
 		h := newSeededHarness(settings, uint64(i+1))
 		h.addDestination(0, 0)
@@ -63,8 +63,8 @@
 		for i, h := range f.forwarders {
 			h.TimerFired()
 			h.Reconcile()
-			for ; f.noted[i] < len(h.sent); f.noted[i]++ {
-				f.call(h, h.sent[f.noted[i]].message)
+			for ; f.scheduled[i] < len(h.sent); f.scheduled[i]++ {
+				f.call(h, h.sent[f.scheduled[i]].message)
 			}
 		}
 	}
