--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -11,30 +11,30 @@
 	"spanflow/transport"
 )
 
-// Client is one connection. It is a transport.Caller.
+// Client is one client connection. It implements transport.Caller.
 type Client struct {
 	server         *Server
 	conn           *nbio.Conn
-	reading        sync.Mutex // held while the socket is read: else what was read might never be answered
+	reading        sync.Mutex // held while the socket is read, so that no command that was read goes unanswered
 	reader         resp.Reader
-	unanswered     atomic.Int32 // commands without an answer
-	partial        atomic.Bool  // a command is read in part
+	unanswered     atomic.Int32 // commands not answered yet
+	partial        atomic.Bool  // a command has been received in part
 	disconnected   atomic.Bool
-	refused        atomic.Bool // what arrived could not be parsed or did not continue: the rest is discarded
-	discardedBytes int         // bytes that arrived after that
+	refused        atomic.Bool // malformed or incomplete input; everything after it is discarded
+	discardedBytes int         // bytes received after refused was set
 
-	// Guarded by the server's lock:
-	hadCommand   bool      // a complete command has arrived
-	openedAt     time.Time // when the connection was accepted
-	lastReadAt   time.Time // when something arrived last, or the connection
-	commandBegan time.Time // when the command that is read in part began
-	closeAt      time.Time // when it closes after its last answer; zero before that
+	// The fields below are guarded by Server.mu.
+	hadCommand       bool      // a complete command has arrived
+	openedAt         time.Time // when the connection was accepted
+	lastReadAt       time.Time // time of the last read; initially openedAt
+	commandStartedAt time.Time // when the first bytes of the partial command arrived
+	closeAt          time.Time // when to close the connection after its last answer; zero until then
 }
 
 // Disconnected reports whether the client can no longer receive an answer.
 func (c *Client) Disconnected() bool { return c.disconnected.Load() }
 
-// Answer writes the answer to the oldest unanswered command. It reports whether the connection took it.
+// Answer writes the answer to the oldest unanswered command. It reports whether the connection accepted the write.
 func (c *Client) Answer(r transport.Reply) bool {
 	_, err := c.conn.Write(encodeReply(r))
 	c.unanswered.Add(-1)
@@ -50,12 +50,13 @@
 	return err == nil
 }
 
-// idle reports whether closing the connection loses nobody an answer, as long as nothing is read meanwhile.
+// idle reports whether the connection has no unanswered and no partial command. The result is reliable only while
+// nothing is being read.
 func (c *Client) idle() bool { return c.unanswered.Load() == 0 && !c.partial.Load() }
 
-// closeIfIdle closes the connection if it is still idle and nothing is being read from it. It guards against a command
-// that is read between the check and the close, whose caller would never be answered; one that waits unread in the
-// socket the client has to send again. A connection that is being read from is checked again by its reader.
+// closeIfIdle closes the connection if it is idle and not being read, and reports whether it did. Holding the read lock
+// ensures that no command is read between the check and the close, as it would never be answered. The client has to
+// resend a command that is still unread in the socket. A connection that is being read is checked again by its reader.
 func (c *Client) closeIfIdle() bool {
 	if !c.reading.TryLock() {
 		return false
@@ -68,13 +69,13 @@
 	return true
 }
 
-// awaitReader returns once nothing is being read from the connection.
+// awaitReader waits until a read in progress has finished.
 func (c *Client) awaitReader() {
 	c.reading.Lock()
 	defer c.reading.Unlock()
 }
 
-// refuse submits a connection's last answer; from then on what arrives is discarded.
+// refuse submits a malformed request that gives the connection its last answer. Input received after it is discarded.
 func (c *Client) refuse(reason string) {
 	if c.refused.CompareAndSwap(false, true) {
 		c.unanswered.Add(1)
--- a/internal/respserver/close_test.go
+++ b/internal/respserver/close_test.go
@@ -15,16 +15,16 @@
 	"spanflow/transport"
 )
 
-// Races of a command with the close of its connection. A test holds the reader at its lock, between the read of the
-// socket and the count of the unanswered commands.
+// These tests cover races between a command and the close of its connection. A test takes Client.reading to block the
+// reader before it counts the unanswered commands.
 
-// requestQueue is a submitter whose requests a test answers.
+// requestQueue is a transport.Submitter that passes requests to the test, which answers them.
 type requestQueue chan transport.Request
 
 func (q requestQueue) Submit(request transport.Request) { q <- request }
 func (q requestQueue) Withdraw(string)                  {}
 
-// fixture is a server and the requests that its clients make.
+// fixture is a server and the requests submitted by its clients.
 type fixture struct {
 	t        *testing.T
 	server   *Server
@@ -40,7 +40,7 @@
 	return f
 }
 
-// connect connects a client whose first command has been answered.
+// connect opens a client connection and returns it after its first command has been answered.
 func (f *fixture) connect() (*emulator.Client, *Client) {
 	c, err := emulator.NewClient(f.server.Addr())
 	require.NoError(f.t, err)
@@ -55,7 +55,7 @@
 	return c, from
 }
 
-// answerPing answers the next request, a PING, and reads the answer as the client.
+// answerPing answers the next request, which must be a PING, and checks that the client receives the answer.
 func (f *fixture) answerPing(c *emulator.Client) {
 	f.t.Helper()
 	request := <-f.requests
@@ -67,14 +67,14 @@
 }
 
 func TestCommandBeingReadDuringCloseIsAnswered(t *testing.T) {
-	for name, closeIt := range map[string]func(*fixture, *Client){
+	for name, closeConnections := range map[string]func(*fixture, *Client){
 		"drain": func(f *fixture, _ *Client) { f.server.Drain() },
 		"sweep": func(f *fixture, _ *Client) { f.server.sweep(time.Now().Add(time.Hour)) },
 		"eviction": func(f *fixture, _ *Client) {
 			other, err := net.Dial("tcp", f.server.Addr())
 			require.NoError(f.t, err)
 			f.t.Cleanup(func() { other.Close() })
-			// The new connection is counted once the other one has been tried, and the one that stays is no eviction.
+			// The server counts the new connection after the attempt to evict the other one, which failed.
 			opened := func() bool { return f.server.Clients() == 2 }
 			require.Eventually(f.t, opened, 5*time.Second, time.Millisecond)
 			require.Zero(f.t, f.server.Stats().Evicted)
@@ -83,11 +83,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1, 1800)
 			c, from := f.connect()
-			from.reading.Lock() // read, and not counted yet
+			from.reading.Lock() // blocks the reader before it counts the command
 			_, err := io.WriteString(c, emulator.Command("PING"))
 			require.NoError(t, err)
 			emulator.AwaitAtLock(t, "respserver.(*Server).read(")
-			closeIt(f, from)
+			closeConnections(f, from)
 			require.False(t, from.disconnected.Load())
 			from.reading.Unlock()
 			f.answerPing(c)
@@ -102,7 +102,7 @@
 	_, err := io.WriteString(c, ping[:5])
 	require.NoError(t, err)
 	require.Eventually(t, from.partial.Load, 5*time.Second, time.Millisecond)
-	from.reading.Lock() // the remainder is read, and not counted yet
+	from.reading.Lock() // blocks the reader before it completes the command
 	_, err = io.WriteString(c, ping[5:])
 	require.NoError(t, err)
 	f.server.sweep(time.Now().Add(time.Hour))
@@ -112,21 +112,21 @@
 	require.Zero(t, f.server.Stats().Incomplete)
 }
 
-func TestConnectionBeingReadDuringDrainClosesAfterItsAnswer(t *testing.T) {
+func TestConnectionBeingReadDuringDrainClosesAfterAnswer(t *testing.T) {
 	f := newFixture(t, 9, 1800)
 	c, from := f.connect()
 	from.reading.Lock()
 	f.server.Drain()
 	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
-	emulator.AwaitAtLock(t, "respserver.(*Server).read(") // else the sweep may close it before it has anything to read
+	emulator.AwaitAtLock(t, "respserver.(*Server).read(") // otherwise the sweep may close the connection first
 	from.reading.Unlock()
 	f.answerPing(c)
 	_, err = c.ReadReply()
 	require.ErrorIs(t, err, io.EOF)
 }
 
-func TestCommandUnreadAtStopReadingResetsItsConnection(t *testing.T) {
+func TestUnreadCommandAfterStopReadingResetsConnection(t *testing.T) {
 	f := newFixture(t, 9, 1800)
 	c, from := f.connect()
 	f.server.StopReading()
@@ -134,7 +134,7 @@
 	require.NoError(t, err)
 	from.conn.Close()
 	_, err = c.ReadReply()
-	// A socket that is closed with something unread resets its connection.
+	// Closing a socket that has unread data resets the connection.
 	require.True(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 	require.Empty(t, f.requests)
 }
@@ -149,16 +149,16 @@
 	}
 	select {
 	case <-stopped:
-		t.Fatal("stopped, while a command may have been read that nobody has counted")
+		t.Fatal("StopReading returned during a read whose commands were not counted yet")
 	default:
 	}
-	f.server.feed(from, []byte(emulator.Command("PING"))) // what had been read
+	f.server.feed(from, []byte(emulator.Command("PING"))) // the bytes of the read in progress
 	from.reading.Unlock()
 	<-stopped
 	f.answerPing(c)
 }
 
-func TestPartialCommandKeepsItsConnectionDuringDrain(t *testing.T) {
+func TestPartialCommandKeepsConnectionDuringDrain(t *testing.T) {
 	f := newFixture(t, 9, 1800)
 	c, from := f.connect()
 	ping := emulator.Command("PING")
@@ -171,7 +171,7 @@
 	f.answerPing(c)
 }
 
-func TestClientsThatResetOrSendTooMuchLeaveNothingBehind(t *testing.T) {
+func TestResetAndOversizedClientsAreCleanedUp(t *testing.T) {
 	f := newFixture(t, 9, 1800)
 	for range 5 {
 		raw, err := net.Dial("tcp", f.server.Addr())
--- a/internal/respserver/command.go
+++ b/internal/respserver/command.go
@@ -18,16 +18,16 @@
 	msPerSecond            = 1000
 )
 
-// Arguments of MSG.PUT by their place.
+// Positions of the arguments of MSG.PUT.
 const (
-	argKey = iota + 1 // after the command's name
+	argKey = iota + 1 // index 0 is the command's name
 	argID
 	argOptions
 	argBody
-	putArgs // how many, with the name
+	putArgs // number of arguments, including the name
 )
 
-// Errors of a MSG.PUT that cannot be accepted; their texts are part of the protocol.
+// Errors for an invalid MSG.PUT. Their texts are part of the protocol.
 var (
 	errPutArgs        = errors.New("MSG.PUT takes a key, an id, names with values, and a body")
 	errKey            = errors.New("the key is not a hexadecimal number")
@@ -39,7 +39,7 @@
 	errTimeLeft       = errors.New("d is not a time in milliseconds")
 )
 
-// parseCommand returns the request that a command makes. It copies what it keeps of the arguments.
+// parseCommand converts a command to a request. It copies the parts of the arguments that it keeps.
 func parseCommand(c *Client, args [][]byte) transport.Request {
 	request := transport.Request{From: c}
 	switch name := strings.ToUpper(string(args[0])); name {
@@ -85,7 +85,8 @@
 	return submission, nil
 }
 
-// parseOptions parses names with values, "c=notice,d=8000,dest=7". Of the unknown ones one is kept, for the log.
+// parseOptions parses comma-separated options such as "c=notice,d=8000,dest=7". If several are unknown, only the last
+// one is recorded for the log.
 func parseOptions(submission *transport.Submission, text string) error {
 	hasTimeLeft, hasDestination := false, false
 	for pair := range strings.SplitSeq(text, ",") {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// parseTimeLeft returns a time in milliseconds, digits and a point alone, in seconds.
+// parseTimeLeft converts milliseconds, a plain decimal without sign or exponent, to seconds.
 func parseTimeLeft(value string) (float64, error) {
 	ms, err := strconv.ParseFloat(value, 64)
 	if err != nil || !(ms >= 0 && ms < maxTimeLeftMs) || strings.Trim(value, "0123456789.") != "" {
@@ -142,7 +143,7 @@
 	return value, nil
 }
 
-// isPrintable reports whether text can be sent as a field of an HTTP head: printable ASCII without spaces.
+// isPrintable reports whether text can be sent as an HTTP field value: printable ASCII without spaces.
 func isPrintable(text string) bool {
 	for i := range len(text) {
 		if text[i] <= ' ' || text[i] >= 0x7f {
--- a/internal/respserver/command_test.go
+++ b/internal/respserver/command_test.go
@@ -9,7 +9,7 @@
 	"spanflow/transport"
 )
 
-// parse parses a command that no client sent.
+// parse parses a command without a client connection.
 func parse(args ...string) transport.Request {
 	var b [][]byte
 	for _, a := range args {
@@ -18,7 +18,7 @@
 	return parseCommand(nil, b)
 }
 
-func TestSubmissionIsParsedFromItsCommand(t *testing.T) {
+func TestSubmissionIsParsedFromCommand(t *testing.T) {
 	const options = "c=notice,d=8000.5,k=5c0f,dest=7,t=x,r=1,again=1,q=1"
 	submission := parse("msg.put", "7f3a9c21e0b4d655", "9b1f", options, "\x00body").Submission
 	require.NotNil(t, submission)
--- a/internal/respserver/eviction.go
+++ b/internal/respserver/eviction.go
@@ -6,19 +6,19 @@
 	"github.com/lesismal/nbio"
 )
 
-// evictionRank says which connections are closed first to make room; it indexes transport.ConnectionStats.Evicted. One
-// that was served comes before one that was not yet: its client expects that an idle connection may end, while the
-// first command of the other, which may be slow to arrive, would be lost.
+// evictionRank is the order in which connections are closed to make room, lowest first. It is also an index into
+// transport.ConnectionStats.Evicted. A connection that has sent a command is closed before one that has not: its client
+// expects that an idle connection may be closed, whereas the other's first command may be on its way and would be lost.
 type evictionRank int
 
 const (
-	rankClosing evictionRank = iota // it has had its last answer
+	rankClosing evictionRank = iota // the last answer has been sent
 	rankIdle                        // between commands
-	rankUnused                      // no complete command since it was accepted
+	rankUnused                      // no complete command received yet
 	rankBusy                        // never closed to make room
 )
 
-// rank returns the connection's rank. The server's lock is held.
+// rank must be called with the server's lock held.
 func (c *Client) rank() evictionRank {
 	switch {
 	case !c.closeAt.IsZero():
@@ -31,7 +31,7 @@
 	return rankUnused
 }
 
-// opened registers a new connection. Over the soft limit it makes room by closing another.
+// opened registers a new connection. If the soft limit is reached, it closes another connection to make room.
 func (s *Server) opened(conn *nbio.Conn) {
 	now := time.Now()
 	c := &Client{server: s, conn: conn, openedAt: now, lastReadAt: now}
@@ -39,21 +39,21 @@
 	evicted, rank := s.evictionCandidate()
 	if evicted != nil && evicted.refused.Load() {
 		evicted.conn.Close()
-	} else if evicted != nil && !evicted.closeIfIdle() { // a command arrived just now: it stays, over the limit
+	} else if evicted != nil && !evicted.closeIfIdle() { // a command has just arrived: it stays open over the limit
 		evicted = nil
 	}
 	s.mu.Lock()
 	if evicted != nil {
-		s.stats.Evicted[rank]++ // not before: the connection may have stayed
+		s.stats.Evicted[rank]++ // only now is it known that the connection was closed
 	}
-	delete(s.clients, evicted) // only now: StopReading waits for all that may still be read from
+	delete(s.clients, evicted) // only after the close, as StopReading waits for every connection that may still be read
 	s.clients[c] = struct{}{}
 	s.stats.Peak = max(s.stats.Peak, len(s.clients))
 	s.mu.Unlock()
 }
 
-// evictionCandidate returns the connection to close if one more is opened: the first by rank, then the one that has
-// been silent longest. It is nil below the soft limit and if all are busy.
+// evictionCandidate returns the connection to close when a new one is opened: the one with the lowest rank and, within
+// a rank, the one silent for longest. It returns nil below the soft limit or if all connections are busy.
 func (s *Server) evictionCandidate() (*Client, evictionRank) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +73,7 @@
 	return first, rank
 }
 
-// closed forgets a connection that has ended.
+// closed removes a connection that has ended from the server.
 func (s *Server) closed(c *Client) {
 	c.disconnected.Store(true)
 	s.mu.Lock()
--- a/internal/respserver/listener.go
+++ b/internal/respserver/listener.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// boundedListener closes connections over the hard limit before nbio knows of them.
+// boundedListener closes connections over the hard limit before nbio sees them.
 type boundedListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept returns the next connection for which there is room. After the listener was closed it blocks until the server
-// is stopped, so that open connections go on.
+// Accept returns the next connection within the hard limit. Once the listener is closed, Accept blocks until the server
+// is stopped, so that the engine keeps serving open connections.
 func (l boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -31,7 +31,7 @@
 	}
 }
 
-// admit counts a new connection and reports whether there is room for it.
+// admit counts a new connection and reports whether it is within the hard limit.
 func (s *Server) admit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -9,15 +9,16 @@
 	"github.com/lesismal/nbio"
 )
 
-// read handles what a connection has received; until it returns, nobody else closes the connection.
+// read reads and handles the data that a connection has received. It holds Client.reading, so that no other goroutine
+// closes the connection between the read and the count of its commands.
 func (s *Server) read(c *Client, buffer []byte) {
 	_, stopped := s.readingState()
-	if stopped { // the process ends within moments
+	if stopped { // the process is about to exit
 		time.Sleep(stoppedReadPause)
 		return
 	}
 	c.reading.Lock()
-	_, stopped = s.readingState() // checked again: StopReading may have passed between the two lines
+	_, stopped = s.readingState() // checked again, as StopReading may have been called before the lock was taken
 	var err error
 	for n, i := len(buffer), 0; i < maxReadsInARow && n == len(buffer) && !stopped; i++ {
 		n, err = readSocket(c.conn, buffer)
@@ -35,7 +36,7 @@
 	}
 }
 
-// readSocket reads once, with io.EOF at the end of the connection.
+// readSocket reads once and returns io.EOF if the client has closed the connection.
 func readSocket(conn *nbio.Conn, buffer []byte) (n int, err error) {
 	for n, err = conn.Read(buffer); errors.Is(err, syscall.EINTR); {
 		n, err = conn.Read(buffer)
@@ -46,14 +47,14 @@
 	return n, err
 }
 
-// readingState returns what decides on reading and on closing after it.
+// readingState returns whether Drain or StopReading is in effect.
 func (s *Server) readingState() (draining, stopped bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.draining, s.readingStopped
 }
 
-// feed parses bytes from a connection and submits the commands that are complete. Client.reading is held.
+// feed parses received bytes and submits the complete commands. Client.reading is held.
 func (s *Server) feed(c *Client, b []byte) {
 	if c.refused.Load() {
 		if c.discardedBytes += len(b); c.discardedBytes > maxDiscardedBytes {
@@ -71,7 +72,7 @@
 	s.mu.Lock()
 	c.lastReadAt, c.hadCommand = now, c.hadCommand || complete
 	if complete || !c.partial.Load() {
-		c.commandBegan = now
+		c.commandStartedAt = now
 	}
 	s.mu.Unlock()
 	c.partial.Store(c.reader.Buffered() > 0)
--- a/internal/respserver/reply.go
+++ b/internal/respserver/reply.go
@@ -10,7 +10,7 @@
 	replyPong = resp.SimpleString("PONG")
 )
 
-// encodeReply returns a reply as it is sent to the client.
+// encodeReply returns the RESP encoding of a reply.
 func encodeReply(r transport.Reply) []byte {
 	switch r.Status {
 	case transport.StatusAccepted:
--- a/internal/respserver/server.go
+++ b/internal/respserver/server.go
@@ -1,9 +1,10 @@
-// Package respserver serves clients that submit messages by RESP2 commands: it reads the commands, hands them to a
+// Package respserver serves clients that submit messages with RESP2 commands. It reads the commands, passes them to a
 // transport.Submitter and writes the answers. It makes no decisions about messages.
 //
-// A Server owns its connections, one Client each. The engine's one goroutine reads; the event loop answers; the sweep,
-// Drain and the arrival of new connections close idle ones. Client.reading keeps any of these from closing a connection
-// whose command was read and not counted yet. Client.reading is taken before Server.mu, never after.
+// A Server owns its connections; each is represented by a Client. The engine's single goroutine reads, and the event
+// loop answers. Idle connections are closed by the sweep, by Drain and to make room for new ones. Client.reading
+// prevents closing a connection whose command has been read but not counted yet. Client.reading must be taken before
+// Server.mu.
 package respserver
 
 import (
@@ -19,9 +20,9 @@
 	"spanflow/transport"
 )
 
-// Timeouts limit how long connections without an open command are kept, in seconds.
+// Timeouts limit how long connections without an unanswered command stay open, in seconds.
 type Timeouts struct {
-	FirstCommand float64 // without a complete command, or with one that does not continue
+	FirstCommand float64 // until the first complete command, or for the rest of an incomplete one
 	Idle         float64 // between commands
 }
 
@@ -30,8 +31,8 @@
 	engine    *nbio.Engine
 	submitter transport.Submitter
 	timeouts  Timeouts
-	softLimit int // from here on an idle connection is closed for each new one
-	hardLimit int // from here on new connections are closed unread, so that descriptors do not run out
+	softLimit int // at this number of connections, each new one evicts an idle one
+	hardLimit int // at this number, new connections are closed unread to save file descriptors
 	listener  net.Listener
 	stop      chan struct{} // closed by Stop
 
@@ -43,26 +44,26 @@
 }
 
 const (
-	acceptPause         = 20 * time.Millisecond // after a failed accept, for want of descriptors for example
-	stopTimeout         = 200 * time.Millisecond
-	closeListenerWithin = 20 * time.Millisecond
-	sweepInterval       = 100 * time.Millisecond
-	closeDelay          = 200 * time.Millisecond // after the last answer, so that it is read before the connection ends
-	maxDiscardedBytes   = 1 << 20                // read and discarded during closeDelay
-	readBufferBytes     = 72 << 10
-	maxWriteQueueBytes  = 256 << 10 // of one connection
-	maxReadsInARow      = 8         // of one connection, while others wait
-	stoppedReadPause    = 5 * time.Millisecond
+	acceptPause          = 20 * time.Millisecond // after a failed accept, for example for lack of file descriptors
+	stopTimeout          = 200 * time.Millisecond
+	closeListenerTimeout = 20 * time.Millisecond
+	sweepInterval        = 100 * time.Millisecond
+	closeDelay           = 200 * time.Millisecond // after the last answer, to let the client read it before the close
+	maxDiscardedBytes    = 1 << 20                // limit of the input discarded after a connection's last answer
+	readBufferBytes      = 72 << 10
+	maxWriteQueueBytes   = 256 << 10 // of one connection
+	maxReadsInARow       = 8         // of one connection, before others get their turn
+	stoppedReadPause     = 5 * time.Millisecond
 )
 
-// Open listens at a TCP address. For each connection over softLimit an idle one is closed, if there is one; over
-// hardLimit new ones are closed. Stop ends the server.
+// Open listens at a TCP address. Each connection over softLimit evicts an idle one, if there is one. Connections over
+// hardLimit are closed at once. The caller ends the server with Stop.
 func Open(addr string, softLimit, hardLimit int, timeouts Timeouts, submitter transport.Submitter) (*Server, error) {
 	return open(addr, net.Listen, softLimit, hardLimit, timeouts, submitter)
 }
 
-// OpenOn serves on a listener, such as one inherited from the platform, which other processes may share: connections
-// are accepted from the time of the call on. The server closes the listener.
+// OpenOn serves on an existing listener, such as one inherited from the platform and shared with other processes. It
+// starts to accept connections at once. The server owns the listener and closes it.
 func OpenOn(l net.Listener, softLimit, hardLimit int, timeouts Timeouts, submitter transport.Submitter) (*Server, error) {
 	listen := func(string, string) (net.Listener, error) { return l, nil }
 	return open(l.Addr().String(), listen, softLimit, hardLimit, timeouts, submitter)
@@ -99,7 +100,6 @@
 	return s, nil
 }
 
-// handleEngineEvents registers the server's handlers with the engine.
 func (s *Server) handleEngineEvents() {
 	s.engine.OnOpen(s.opened)
 	s.engine.OnClose(func(conn *nbio.Conn, _ error) {
@@ -107,7 +107,7 @@
 			s.closed(c)
 		}
 	})
-	buffer := make([]byte, readBufferBytes) // there is one poller
+	buffer := make([]byte, readBufferBytes) // shared by all connections, as there is only one poller
 	s.engine.OnRead(func(conn *nbio.Conn) {
 		if c, ok := conn.Session().(*Client); ok {
 			s.read(c, buffer)
@@ -115,12 +115,11 @@
 	})
 }
 
-// Addr returns the address on which the server listens.
+// Addr returns the address on which the server listens, with the actual port.
 func (s *Server) Addr() string { return s.engine.Addrs[0] }
 
-// StopAccepting closes the listener; open connections go on. It does not wait for long: of a listener that other
-// processes share any of them may turn off the nonblocking mode, and then closing waits until the next connection
-// comes.
+// StopAccepting closes the listener and leaves open connections alone. The wait for the close is limited: a process
+// that shares the listener may have put it in blocking mode, and then the close blocks until the next connection.
 func (s *Server) StopAccepting() {
 	closed := make(chan struct{})
 	go func() {
@@ -129,7 +128,7 @@
 	}()
 	select {
 	case <-closed:
-	case <-time.After(closeListenerWithin):
+	case <-time.After(closeListenerTimeout):
 	}
 }
 
@@ -141,7 +140,7 @@
 	s.engine.Shutdown(ctx)
 }
 
-// Drain closes each connection as soon as it has no unanswered command, so that clients go elsewhere.
+// Drain closes each connection as soon as it has no unanswered command, so that clients move to other forwarders.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
@@ -152,15 +151,15 @@
 	}
 }
 
-// Undrain keeps connections again after Drain.
+// Undrain ends the effect of Drain: connections stay open again.
 func (s *Server) Undrain() {
 	s.mu.Lock()
 	s.draining = false
 	s.mu.Unlock()
 }
 
-// StopReading ends reading from all connections. When it returns, whatever was read has been submitted; what was not
-// read, the client has to send again.
+// StopReading stops reading from all connections. When it returns, every complete command that was read has been
+// submitted. Clients have to resend commands that were not read.
 func (s *Server) StopReading() {
 	s.mu.Lock()
 	s.readingStopped = true
@@ -178,7 +177,7 @@
 	return len(s.clients)
 }
 
-// Stats returns the connection counts since the start.
+// Stats returns the connection counts since the server was started.
 func (s *Server) Stats() transport.ConnectionStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/respserver/sweep.go
+++ b/internal/respserver/sweep.go
@@ -2,7 +2,6 @@
 
 import "time"
 
-// sweepPeriodically sweeps until Stop.
 func (s *Server) sweepPeriodically() {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -16,12 +15,12 @@
 	}
 }
 
-// sweep closes connections that have had their last answer or have been without an open command for too long, and gives
-// those that stopped within a command their last answer.
+// sweep closes connections whose last answer has been sent or that have been idle for too long, and refuses those whose
+// command did not arrive completely in time.
 func (s *Server) sweep(now time.Time) {
 	overdue, incomplete := s.overdue(now)
 	for _, c := range overdue {
-		if c.refused.Load() { // it has had its last answer
+		if c.refused.Load() { // its last answer has been sent
 			c.conn.Close()
 		} else {
 			c.closeIfIdle()
@@ -32,7 +31,7 @@
 	}
 }
 
-// overdue returns the connections that are to be closed, and those that stopped within a command.
+// overdue returns the connections to close and those whose command did not arrive completely in time.
 func (s *Server) overdue(now time.Time) (overdue, incomplete []*Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,7 +42,7 @@
 				overdue = append(overdue, c)
 			}
 		case c.refused.Load() || c.unanswered.Load() > 0:
-		case s.draining && c.hadCommand && !c.partial.Load(): // its answer and its reader each left the close to the other
+		case s.draining && c.hadCommand && !c.partial.Load(): // neither its answer nor its reader closed it
 			overdue = append(overdue, c)
 		case c.partial.Load():
 			if s.incomplete(c, now) {
@@ -60,17 +59,17 @@
 	return overdue, incomplete
 }
 
-// incomplete reports whether a connection stopped within a command. The server's lock is held.
+// incomplete reports whether the rest of a partial command is overdue. The server's lock is held.
 func (s *Server) incomplete(c *Client, now time.Time) bool {
 	if !c.partial.Load() {
 		return false
 	}
 	limit := s.timeouts.FirstCommand
-	return olderThan(c.commandBegan, limit, now) || !c.hadCommand && olderThan(c.openedAt, limit, now)
+	return olderThan(c.commandStartedAt, limit, now) || !c.hadCommand && olderThan(c.openedAt, limit, now)
 }
 
-// refuseIncomplete gives a connection that stopped within a command its last answer, if it has not continued meanwhile.
-// It guards against a command whose last bytes are being read just now: it would be refused and then submitted as well.
+// refuseIncomplete refuses a connection whose command is still incomplete. It skips a connection that is being read:
+// its command may be about to be completed, and would be refused and also submitted.
 func (s *Server) refuseIncomplete(c *Client, now time.Time) {
 	if !c.reading.TryLock() {
 		return
@@ -87,7 +86,6 @@
 	}
 }
 
-// olderThan reports whether t is more than the given number of seconds before now.
 func olderThan(t time.Time, seconds float64, now time.Time) bool {
 	return now.Sub(t).Seconds() > seconds
 }
--- a/internal/respserver/transcript_test.go
+++ b/internal/respserver/transcript_test.go
@@ -14,7 +14,7 @@
 	"spanflow/transport"
 )
 
-// submitter gives each request the next answer of the test, and malformed ones their reason.
+// submitter answers each request with the next reply that the test provides, and malformed ones with their reason.
 type submitter chan transport.Reply
 
 func (s submitter) Withdraw(string) {}
@@ -30,7 +30,7 @@
 
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// clients is the transcript of what clients send and are answered.
+// clients sends requests to a server and records them with the answers in a transcript.
 type clients struct {
 	t         *testing.T
 	submitter submitter
@@ -47,8 +47,8 @@
 	return c
 }
 
-// sends opens a connection and sends bytes on it.
-func (c *clients) sends(raw string) net.Conn {
+// send opens a connection and sends raw on it.
+func (c *clients) send(raw string) net.Conn {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.addr)
 	require.NoError(c.t, err)
@@ -59,11 +59,11 @@
 	return conn
 }
 
-const maxShownBytes = 400 // bytes of a request that stand in the transcript
+const maxShownBytes = 400 // longer requests are truncated in the transcript
 
-// note adds what a client has sent to the transcript.
-func (c *clients) note(what, raw string) {
-	c.script.Note("%s", what)
+// note adds a request to the transcript.
+func (c *clients) note(description, raw string) {
+	c.script.Note("%s", description)
 	if len(raw) > maxShownBytes {
 		c.script.Note("%d bytes, of which the first %d", len(raw), maxShownBytes)
 		raw = raw[:maxShownBytes]
@@ -71,11 +71,11 @@
 	c.script.Bytes("client", []byte(raw))
 }
 
-// asks sends bytes on a connection of their own and adds the answer.
-func (c *clients) asks(what, raw string) {
+// ask sends raw on a new connection and adds it and the answer to the transcript.
+func (c *clients) ask(description, raw string) {
 	c.t.Helper()
-	conn := c.sends(raw)
-	c.note(what, raw)
+	conn := c.send(raw)
+	c.note(description, raw)
 	answer := make([]byte, 4096)
 	n, err := conn.Read(answer)
 	require.NoError(c.t, err)
@@ -83,10 +83,10 @@
 	conn.Close()
 }
 
-// isClosed adds all that comes on a connection until the forwarder closes it.
-func (c *clients) isClosed(conn net.Conn, what, raw string) {
+// readUntilClose adds the request and everything received until the forwarder closes the connection.
+func (c *clients) readUntilClose(conn net.Conn, description, raw string) {
 	c.t.Helper()
-	c.note(what, raw)
+	c.note(description, raw)
 	answer, err := io.ReadAll(conn)
 	require.NoError(c.t, err)
 	c.script.Bytes("forwarder", answer)
@@ -96,8 +96,8 @@
 func TestAnswersToClients(t *testing.T) {
 	c := newClients(t, respserver.Timeouts{FirstCommand: 60, Idle: 60})
 	for _, reply := range []struct {
-		what  string
-		reply transport.Reply
+		description string
+		reply       transport.Reply
 	}{
 		{"taken on", transport.Reply{Status: transport.StatusAccepted}},
 		{"alive", transport.Reply{Status: transport.StatusAlive}},
@@ -108,16 +108,16 @@
 		{"malformed", transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason"}},
 	} {
 		c.submitter <- reply.reply
-		c.asks(reply.what, ping)
+		c.ask(reply.description, ping)
 	}
 	c.submitter <- transport.Reply{Status: transport.StatusMalformed, Reason: "ERR the reason", Close: true}
-	c.isClosed(c.sends(ping), "malformed, and the connection ends", ping)
+	c.readUntilClose(c.send(ping), "malformed, and the connection ends", ping)
 	c.script.Compare(t, "answers.txt")
 }
 
-func TestAnswersToWhatCannotBeUnderstood(t *testing.T) {
+func TestAnswersToMalformedInput(t *testing.T) {
 	c := newClients(t, respserver.Timeouts{FirstCommand: 60, Idle: 60})
-	cases := []struct{ what, raw string }{
+	cases := []struct{ description, raw string }{
 		{"an inline command", "PING\r\n"},
 		{"an array of nothing", "*0\r\n"},
 		{"a string that is null", "*1\r\n$-1\r\n"},
@@ -127,22 +127,22 @@
 		{"too many words", "*17\r\n"},
 		{"a word over the limit", "*2\r\n$4\r\nPING\r\n$69633\r\n"},
 	}
-	var conns []net.Conn // all at once: each is kept open for a while after its answer
+	var conns []net.Conn // opened together, as each stays open for a while after its answer
 	for _, sent := range cases {
-		conns = append(conns, c.sends(sent.raw))
+		conns = append(conns, c.send(sent.raw))
 	}
 	for i, sent := range cases {
-		c.isClosed(conns[i], sent.what, sent.raw)
+		c.readUntilClose(conns[i], sent.description, sent.raw)
 	}
 	c.script.Compare(t, "framing.txt")
 }
 
-func TestAnswersToCommandsThatAreNotCarriedOut(t *testing.T) {
+func TestAnswersToInvalidCommands(t *testing.T) {
 	c := newClients(t, respserver.Timeouts{FirstCommand: 60, Idle: 60})
 	const options = "c=notice,d=8000,dest=7"
 	for _, command := range []struct {
-		what string
-		args []string
+		description string
+		args        []string
 	}{
 		{"an unknown command", []string{"GET", "x"}},
 		{"too few words", []string{"MSG.PUT", "0", "a", options}},
@@ -162,13 +162,13 @@
 		{"an idempotency key over the limit", []string{"MSG.PUT", "0", "a", options + ",k=" + strings.Repeat("k", 129), ""}},
 		{"a body over the limit", []string{"MSG.PUT", "0", "a", options, strings.Repeat("x", 64<<10+1)}},
 	} {
-		c.asks(command.what, transcript.Command(command.args...))
+		c.ask(command.description, transcript.Command(command.args...))
 	}
 	c.script.Compare(t, "commands.txt")
 }
 
-func TestAnswerToACommandThatDoesNotGoOn(t *testing.T) {
+func TestAnswerToIncompleteCommand(t *testing.T) {
 	c := newClients(t, respserver.Timeouts{FirstCommand: 0.3, Idle: 60})
-	c.isClosed(c.sends(ping[:9]), "half a command", ping[:9])
+	c.readUntilClose(c.send(ping[:9]), "half a command", ping[:9])
 	c.script.Compare(t, "unfinished.txt")
 }
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -10,7 +10,7 @@
 	"spanflow/transport"
 )
 
-// HTTP statuses with a meaning of their own; any other is a server error.
+// HTTP statuses that are handled individually. Any other status is a server error.
 const (
 	statusOK                 = 200
 	statusBadRequest         = 400
@@ -21,26 +21,26 @@
 	statusGatewayTimeout     = 504
 )
 
-// Limits of numbers in answers; a number over its limit is ignored as implausible.
+// Limits of numbers in answers. Larger numbers are ignored as implausible.
 const (
 	maxRetryAfter    = 1e6 // seconds
 	maxReportedValue = 1e9
 )
 
-// answer is what is kept of an answer while it is received. It is an http1.Handler.
+// answer collects the relevant parts of an answer while it is received. It implements http1.Handler.
 type answer struct {
 	status     int
 	retryAfter float64 // seconds, 0 if not given
-	noSlot     bool    // the 503 concerns only this forwarder's slots
+	noSlot     bool    // the 503 means only that this forwarder's slots are in use
 	loadReport string
-	keepBody   bool // the body has results of its own, as for a batch
+	keepBody   bool // the body has a result for each message, as for a batch
 	body       []byte
 }
 
-// Status keeps the status.
+// Status implements http1.Handler.
 func (a *answer) Status(code int) { a.status = code }
 
-// Field keeps the fields that are used.
+// Field implements http1.Handler. It keeps Retry-After, X-Line-Busy and X-Pressure.
 func (a *answer) Field(name, value []byte) {
 	switch {
 	case http1.EqualFold(name, "retry-after"):
@@ -54,7 +54,7 @@
 	}
 }
 
-// Body keeps the body if it is used.
+// Body implements http1.Handler. It keeps the body only for a batch.
 func (a *answer) Body(piece []byte) error {
 	if a.keepBody {
 		a.body = append(a.body, piece...)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// resultCodes returns the meaning of a complete answer for each message of a call.
+// resultCodes returns the result code of each message of a call whose answer is complete.
 func (a *answer) resultCodes(call *transport.Call) []transport.ResultCode {
 	codes := make([]transport.ResultCode, len(call.Messages))
 	for i := range codes {
@@ -78,7 +78,7 @@
 	return codes
 }
 
-// batchStates returns the states of the body by message ID; none if the body cannot be read.
+// batchStates returns the states in the body by message ID, or an empty map if the body is not valid JSON.
 func (a *answer) batchStates() map[string]string {
 	var entries []struct{ ID, State string }
 	if json.Unmarshal(a.body, &entries) != nil {
@@ -91,7 +91,7 @@
 	return states
 }
 
-// batchResultCode returns the meaning of a message's state in the body of a batch's answer.
+// batchResultCode returns the result code for a message's state in the answer to a batch.
 func (a *answer) batchResultCode(state string) transport.ResultCode {
 	switch state {
 	case "ok":
@@ -105,12 +105,12 @@
 		return transport.ResultGone
 	case "exhausted":
 		return transport.ResultAttemptsExhausted
-	default: // "error", missing or unknown: it may have run
+	default: // "error", missing or unknown: the message may have run
 		return transport.ResultServerError
 	}
 }
 
-// resultCode returns the meaning of the status alone.
+// resultCode returns the result code for the status, without regard to the body.
 func (a *answer) resultCode() transport.ResultCode {
 	switch a.status {
 	case statusOK:
@@ -133,8 +133,8 @@
 	}
 }
 
-// reportedValue finds a field of a load report ("x0=0.4,x1=25"). It is 0 if the report lacks the field or has no valid
-// value for it, and below 0 if the report says 0.
+// reportedValue returns the value of a field in a load report such as "x0=0.4,x1=25". It returns 0 if the field is
+// missing or invalid, and a negative value if the report says 0.
 func reportedValue(report, field string) float64 {
 	for pair := range strings.SplitSeq(report, ",") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(pair), "="); name == field {
--- a/internal/upstream/answer_test.go
+++ b/internal/upstream/answer_test.go
@@ -30,7 +30,7 @@
 	for body, want := range map[string][]transport.ResultCode{
 		`[{"id":"b","state":"ok"},{"id":"a","state":"error"}]`:   {transport.ResultServerError, transport.ResultOK},
 		`[{"id":"a","state":"gone"},{"id":"b","state":"later"}]`: {transport.ResultGone, transport.ResultOverloaded},
-		// b is missing: it may have run
+		// b is missing, so it may have run
 		`[{"id":"a","state":"exhausted"}]`: {transport.ResultAttemptsExhausted, transport.ResultServerError},
 		`[{"id":`:                          {transport.ResultServerError, transport.ResultServerError},
 	} {
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestAbsurdRetryAfterIsIgnored(t *testing.T) {
+func TestImplausibleRetryAfterIsIgnored(t *testing.T) {
 	for value, want := range map[string]float64{"0.25": 0.25, "-3": 0, "NaN": 0, "Inf": 0, "soon": 0, "1e9": 0, "": 0,
 		"Wed, 21 Oct 2026 07:28:00 GMT": 0} {
 		a := answer{}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -1,10 +1,10 @@
 // Package upstream sends calls to endpoints over reused HTTP/1.1 connections and reports how each call ended. It makes
-// no decisions: which call goes where, and what follows from its result, is the scheduler's.
+// no decisions: the scheduler chooses the endpoint of each call and acts on its result.
 //
-// A Client owns its connections. Each carries one call at a time and is either idle, listed under its endpoint, or has
-// a call; see connectionState. The package alone closes them: an idle one when its idle time is over, when room is
-// needed or when CloseIdle asks for it, one with a call when the call fails or its answer forbids reuse. One lock,
-// Client.mu, guards the client and all its connections; it is taken before the lock of a dial.Conn, never after.
+// A Client owns its connections. A connection carries at most one call at a time; otherwise it is idle and listed under
+// its endpoint; see connectionState. An idle connection is closed when its idle time is over, when room is needed or by
+// CloseIdle. A connection with a call is closed when the call fails or its answer forbids reuse. One lock, Client.mu,
+// guards the client and all its connections. It must be taken before the lock of a dial.Conn.
 package upstream
 
 import (
@@ -17,42 +17,42 @@
 )
 
 const (
-	maxAnswerBytes    = 64 << 10         // of an answer's body
-	unreadBufferBytes = 4 << 10          // read at once from a connection whose call is about to time out
-	dataHandoverTime  = time.Millisecond // within which bytes that were read reach connection.Data
-
-	// defaultReuseProof is the silence after an answer that lets a connection be reused: without it a second copy of the
-	// answer, or stray bytes after it, could be taken for the answer to the next call. It delays calls that follow each
-	// other closely on a connection.
-	defaultReuseProof = 3 * time.Millisecond
+	maxAnswerBytes    = 64 << 10         // limit of an answer's body
+	unreadBufferBytes = 4 << 10          // size of a read from a connection whose call is about to time out
+	dataDeliveryTime  = time.Millisecond // time allowed for bytes already read to reach connection.Data
+
+	// defaultReuseDelay is how long a connection must be silent after an answer before it is reused. Without it, a
+	// second copy of the answer or stray bytes after it could be taken for the answer to the next call. It delays calls
+	// that follow each other closely on a connection.
+	defaultReuseDelay = 3 * time.Millisecond
 )
 
-// Settings are the client's timeouts and the fields of load reports that it reads.
+// Settings are the client's timeouts and the names of the load report fields that it reads.
 type Settings struct {
 	ConnectTimeout time.Duration // limit for establishing a connection
 	IdleTimeout    time.Duration // idle connections are closed after this time
-	LimitField     string        // field of a load report that has the limit in calls a second
-	ShareField     string        // field of a load report that has the remaining share of the limit
-	ReuseDelay     time.Duration // how long a connection must be silent after an answer before its reuse; 0: 3 ms
+	LimitField     string        // load report field with the limit in calls per second
+	ShareField     string        // load report field with the remaining share of the limit
+	ReuseDelay     time.Duration // silence required after an answer before reuse; 0 means 3 ms
 }
 
-// Client holds the connections to all endpoints and the calls on them. It is safe for concurrent use.
+// Client manages the connections to all endpoints and the calls on them. It is safe for concurrent use.
 type Client struct {
 	dialer   *dial.Dialer
 	results  transport.ResultListener
 	settings Settings
 
 	mu   sync.Mutex
-	idle map[uint64][]*connection // by endpoint ID, the most recently used last
-	// maybeUnsent has the connections with a call of which perhaps nothing has been written.
+	idle map[uint64][]*connection // by endpoint ID, most recently used last
+	// maybeUnsent is the set of connections with a call of which possibly no byte has been written.
 	maybeUnsent map[*connection]struct{}
 }
 
-// New returns a client without connections. It dials through d, which stays the caller's to stop, and reports the end
-// of each call to results.
+// New returns a client without connections. It reports the end of each call to results. It dials through d, which the
+// caller has to stop.
 func New(d *dial.Dialer, results transport.ResultListener, settings Settings) *Client {
 	if settings.ReuseDelay == 0 {
-		settings.ReuseDelay = defaultReuseProof
+		settings.ReuseDelay = defaultReuseDelay
 	}
 	return &Client{
 		dialer:      d,
@@ -63,8 +63,8 @@
 	}
 }
 
-// Send begins a call, on the most recently used idle connection to its endpoint or else on a new one. The result is
-// reported to the listener; the call must not be changed until then.
+// Send starts a call on the most recently used idle connection to its endpoint, or on a new one if there is none. The
+// call must not be changed until its result has been reported to the listener.
 func (cl *Client) Send(call *transport.Call) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -75,8 +75,8 @@
 	conn.begin(call)
 }
 
-// CancelUnsent ends the calls to an endpoint of which nothing has been written, with ResultCancelled: their connection
-// is not established, or not proven silent.
+// CancelUnsent ends with ResultCancelled the calls to an endpoint of which no byte has been written, because their
+// connection is not established yet or still has to stay silent for ReuseDelay.
 func (cl *Client) CancelUnsent(endpointID uint64) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -93,7 +93,7 @@
 	}
 }
 
-// CloseIdle closes the connections to an endpoint that carry no call.
+// CloseIdle closes the idle connections to an endpoint.
 func (cl *Client) CloseIdle(endpointID uint64) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -104,7 +104,7 @@
 	delete(cl.idle, endpointID)
 }
 
-// IdleConnections returns the number of connections that carry no call.
+// IdleConnections returns the number of idle connections to all endpoints.
 func (cl *Client) IdleConnections() int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -115,8 +115,8 @@
 	return n
 }
 
-// takeIdle removes the most recently used idle connection to an endpoint from the list and returns it, nil if there is
-// none that can be reused. The lock is held.
+// takeIdle removes the most recently used idle connection to an endpoint from the list and returns it, or nil if none
+// can be reused. Connections on which unexpected bytes have arrived are closed. The lock is held.
 func (cl *Client) takeIdle(endpointID uint64) *connection {
 	for {
 		conns := cl.idle[endpointID]
@@ -132,7 +132,7 @@
 	}
 }
 
-// connect dials a new connection for a call, which the caller puts on it. The lock is held.
+// connect dials a new connection for a call. The caller assigns the call to it. The lock is held.
 func (cl *Client) connect(call *transport.Call) *connection {
 	if cl.dialer.Full() {
 		cl.closeLongestIdle()
@@ -143,8 +143,7 @@
 	return conn
 }
 
-// closeLongestIdle closes the connection that has been idle longest, so that a call finds a descriptor. The lock is
-// held.
+// closeLongestIdle closes the connection that has been idle longest, to make room for a new one. The lock is held.
 func (cl *Client) closeLongestIdle() {
 	var longest *connection
 	for _, conns := range cl.idle {
@@ -158,7 +157,7 @@
 	}
 }
 
-// removeIdle takes a connection off the idle ones, if it is one, and invalidates its timer. The lock is held.
+// removeIdle removes a connection from the idle list, if it is listed, and invalidates its timer. The lock is held.
 func (cl *Client) removeIdle(conn *connection) {
 	if conn.timer != nil {
 		conn.timer.Stop()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -32,7 +32,7 @@
 func TestLongestIdleConnectionIsClosedForNewCall(t *testing.T) {
 	f := newFixture(t)
 	var conns []net.Conn
-	for range 8 { // as many as the dialer allows
+	for range 8 { // the dialer's limit
 		f.send(time.Minute, "b")
 		conns = append(conns, f.acceptCall())
 	}
@@ -52,7 +52,7 @@
 	require.Equal(t, 8, f.IdleConnections())
 }
 
-func TestEndpointDoesNotInheritConnectionsOfFormerAddress(t *testing.T) {
+func TestConnectionIsNotReusedByOtherEndpointAtSameAddress(t *testing.T) {
 	f := newFixture(t)
 	f.send(time.Minute, "b")
 	f.acceptCall().Write([]byte(emptyOK))
@@ -71,19 +71,19 @@
 	c.Write([]byte(emptyOK))
 	f.requireResult(transport.ResultOK)
 	f.mu.Lock()
-	c.Write([]byte(emptyOK)) // once more: read from the socket, and not delivered yet
+	c.Write([]byte(emptyOK)) // a second answer: read from the socket, but not delivered yet
 	emulator.AwaitAtLock(t, "upstream.(*connection).Data(")
 	used := f.takeIdle(f.endpointID)
 	f.mu.Unlock()
-	require.Nil(t, used, "a call on it would be taken for answered")
+	require.Nil(t, used, "the second answer would be taken for that of the next call")
 	f.send(time.Minute, "b")
 	f.acceptCall().Write([]byte("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"))
 	f.requireResult(transport.ResultServerError)
 }
 
-// A second copy of an answer comes while the next call waits for the connection to be proven silent: the call moves to
-// a new one. The wait has no end here, so that the copy comes within it on any machine.
-func TestBytesAfterAnswerAreNotTheNextAnswer(t *testing.T) {
+// A second copy of an answer arrives while the next call waits for ReuseDelay to pass. The call must move to a new
+// connection. ReuseDelay is an hour here, so that the copy arrives within it on any machine.
+func TestBytesAfterAnswerMoveNextCallToNewConnection(t *testing.T) {
 	f := newFixtureWith(t, Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, ReuseDelay: time.Hour}, nil)
 	for range 20 {
 		f.send(time.Hour, "b")
@@ -99,21 +99,22 @@
 	}
 }
 
-// Until its connection is proven silent a call can be cancelled: nothing of it was written.
-func TestCallWaitsForConnectionToBeProvenSilent(t *testing.T) {
+// A call can be cancelled until ReuseDelay has passed, as no byte of it has been written.
+func TestCallIsCancelledWhileAwaitingSilence(t *testing.T) {
 	f := newFixtureWith(t, Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, ReuseDelay: time.Hour}, nil)
 	f.send(time.Hour, "b")
 	f.acceptCall().Write([]byte(emptyOK))
 	f.requireResult(transport.ResultOK)
 	require.Equal(t, 1, f.IdleConnections())
 	f.send(time.Hour, "b")
-	require.Zero(t, f.IdleConnections(), "it has taken the connection")
+	require.Zero(t, f.IdleConnections(), "the call has taken the connection")
 	f.CancelUnsent(1)
 	f.requireResult(transport.ResultCancelled)
 }
 
-// Nothing answers the connection: what ends the call first is its result, however late the machine runs.
-func TestConnectionThatIsNeverEstablished(t *testing.T) {
+// The connection is never established. Of the connect timeout, the call's timeout and a cancellation, the first one
+// determines the result. Each case sets the other timeouts far off, so that a slow machine does not change the result.
+func TestUnestablishedConnectionEndsCall(t *testing.T) {
 	never := func(ctx context.Context, _ string) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,19 +9,19 @@
 	"spanflow/transport"
 )
 
-// connectionState says what a connection is doing. While the socket is being established the state is awaitingAnswer:
-// dial.Conn keeps what is written until then.
+// connectionState is the state of a connection. A connection that is still being established is awaitingAnswer, because
+// dial.Conn buffers what is written until then.
 type connectionState uint8
 
 const (
 	idle            connectionState = iota // no call; listed in Client.idle
-	awaitingSilence                        // has a call, not a byte of it written until the connection is proven silent
-	awaitingAnswer                         // its call has been handed to the dial.Conn
-	closed                                 // no call, not to be used again
+	awaitingSilence                        // has a call, to be written after a silence of ReuseDelay
+	awaitingAnswer                         // its call has been written to the dial.Conn
+	closed                                 // has no call and must not be used again
 )
 
-// connection is one connection to an endpoint with at most one call on it. It is a dial.Handler: dial calls Data and
-// Closed. All fields are guarded by the client's lock.
+// connection is a connection to an endpoint with at most one call on it. It implements dial.Handler. All fields are
+// guarded by the client's lock.
 type connection struct {
 	client     *Client
 	endpointID uint64
@@ -30,13 +30,13 @@
 	reader     http1.Reader
 	answer     answer
 	call       *transport.Call // nil while idle or closed
-	startedAt  time.Time       // when the call began
+	startedAt  time.Time       // when the call was started
 	idleSince  time.Time
-	timer      *time.Timer // ends the call, or while idle the connection
-	generation int         // counts calls and idle times: a timer that fires late is recognised by its older one
+	timer      *time.Timer // ends the call, or closes an idle connection
+	generation int         // incremented for each call and idle period, so that a timer that fires late is ignored
 }
 
-// begin puts a call on a connection that is new or was idle. The client's lock is held.
+// begin starts a call on a connection that is new or was idle. The client's lock is held.
 func (c *connection) begin(call *transport.Call) {
 	c.call, c.startedAt = call, time.Now()
 	c.answer = answer{body: c.answer.body[:0], keepBody: len(call.Messages) > 1}
@@ -54,7 +54,7 @@
 	c.conn.Write(encodeRequest(call))
 }
 
-// sendDelayed writes the call that waited for silence; if something came meanwhile the call moves to a new connection.
+// sendDelayed writes a delayed call, or moves it to a new connection if bytes have arrived on this one.
 func (c *connection) sendDelayed(generation int) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
@@ -70,7 +70,7 @@
 	c.conn.Write(encodeRequest(c.call))
 }
 
-// redial moves the call that waits for silence to a new connection and closes this one. The client's lock is held.
+// redial closes the connection and moves its unwritten call to a new one. The client's lock is held.
 func (c *connection) redial() {
 	call := c.call
 	c.close()
@@ -86,14 +86,14 @@
 	next.conn.Write(encodeRequest(call))
 }
 
-// timerFired ends a call whose time is over, or a connection that was idle too long.
+// timerFired ends a call that has timed out, or closes a connection that was idle for too long.
 func (c *connection) timerFired(generation int) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
 	c.timerFiredLocked(generation)
 }
 
-// timerFiredLocked is timerFired with the client's lock held.
+// timerFiredLocked does the work of timerFired. The client's lock is held.
 func (c *connection) timerFiredLocked(generation int) {
 	if c.generation != generation {
 		return
@@ -111,22 +111,22 @@
 	case c.state == awaitingSilence || !sent:
 		code = transport.ResultTimeoutBeforeSent
 	case c.reader.Started():
-		code, reason = transport.ResultMalformed, "the answer never ended"
+		code, reason = transport.ResultMalformed, "incomplete answer at the timeout"
 	}
 	c.finish(c.incompleteCodes(code), reason)
 }
 
-// takeUnreadAnswer feeds the answer that has arrived but was not read yet, and reports whether the call has ended by it
-// or is about to. It guards against a call timing out with its answer in the socket: after the process has been
-// suspended its timers and its sockets are due at the same moment. It costs a read of the socket for each call that
-// times out. The client's lock is held.
+// takeUnreadAnswer handles an answer that is still unread in the socket, and reports whether the call has ended by it
+// or is about to. It prevents a call from timing out although its answer has arrived, as can happen after the process
+// was suspended, when its timers and sockets are due at the same moment. It costs one read of the socket for each call
+// that times out. The client's lock is held.
 func (c *connection) takeUnreadAnswer(generation int) bool {
 	buffer := make([]byte, unreadBufferBytes)
 	for {
 		n, pending := c.conn.ReadPending(buffer)
 		switch {
 		case pending:
-			c.timer = time.AfterFunc(dataHandoverTime, func() { c.timerFired(generation) })
+			c.timer = time.AfterFunc(dataDeliveryTime, func() { c.timerFired(generation) })
 			return true
 		case n == 0:
 			return false
@@ -137,24 +137,24 @@
 	}
 }
 
-// Data handles bytes from the endpoint; dial calls it.
+// Data implements dial.Handler: it handles bytes from the endpoint.
 func (c *connection) Data(b []byte) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
 	c.conn.MarkDelivered()
 	switch c.state {
-	case idle, closed: // nothing is expected
+	case idle, closed: // no answer is expected
 		c.client.removeIdle(c)
 		c.close()
-	case awaitingSilence: // nothing has been asked yet
+	case awaitingSilence: // the call has not been written yet
 		c.redial()
 	case awaitingAnswer:
 		c.feed(b)
 	}
 }
 
-// feed parses a piece of the answer to the call and ends the call if it is complete or malformed. The client's lock is
-// held.
+// feed parses a piece of the answer to the call and ends the call if the answer is complete or malformed. The client's
+// lock is held.
 func (c *connection) feed(b []byte) {
 	used, complete, err := c.reader.Feed(b, &c.answer)
 	switch {
@@ -166,15 +166,15 @@
 	}
 }
 
-// answerComplete ends the call by its answer and keeps the connection if it can be reused; exact says that nothing
-// followed the answer. The client's lock is held.
-func (c *connection) answerComplete(exact bool) {
-	reusable := !c.reader.Close && exact && c.conn.Sent()
+// answerComplete ends the call with its answer and keeps the connection if it can be reused. nothingFollows says that
+// no bytes followed the answer. The client's lock is held.
+func (c *connection) answerComplete(nothingFollows bool) {
+	reusable := !c.reader.Close && nothingFollows && c.conn.Sent()
 	if !reusable {
 		c.close()
 	}
-	if c.answer.status == statusOK && !reusable && !c.conn.Sent() { // an endpoint without the complete call has not run it
-		c.finish(c.sameCodes(transport.ResultClosedBeforeSent), "an answer before the call was written")
+	if c.answer.status == statusOK && !reusable && !c.conn.Sent() { // the endpoint cannot have run an incomplete call
+		c.finish(c.sameCodes(transport.ResultClosedBeforeSent), "answer received before the call was written")
 		return
 	}
 	c.finish(c.answer.resultCodes(c.call), "")
@@ -183,7 +183,7 @@
 	}
 }
 
-// Closed handles the end of the connection by the endpoint or the network; dial calls it.
+// Closed implements dial.Handler: it handles the end of the connection by the endpoint or the network.
 func (c *connection) Closed(cause error) {
 	c.client.mu.Lock()
 	defer c.client.mu.Unlock()
@@ -198,7 +198,7 @@
 	}
 }
 
-// closedWithCall ends the call of a connection that has ended. The client's lock is held.
+// closedWithCall ends the call on a connection that has ended. The client's lock is held.
 func (c *connection) closedWithCall(cause error) {
 	switch {
 	case c.reader.EndsAtClose():
@@ -219,7 +219,8 @@
 	return err.Error()
 }
 
-// brokenCodes returns code for each message if the call was written completely, else ResultClosedBeforeSent.
+// brokenCodes returns the result codes of a call whose connection broke or whose answer was malformed: those of
+// incompleteCodes, with ResultClosedBeforeSent in place of code if the call was not written completely.
 func (c *connection) brokenCodes(code transport.ResultCode) []transport.ResultCode {
 	if !c.conn.Sent() {
 		code = transport.ResultClosedBeforeSent
@@ -227,9 +228,9 @@
 	return c.incompleteCodes(code)
 }
 
-// incompleteCodes returns code for each message, except for a single one whose answer began with 200: that status holds
-// from its line on, if the call was written completely. Any other status counts only with a complete answer, as a
-// malformed or truncated one may stand for a message that has run. The connection is closed.
+// incompleteCodes returns the result codes of a call without a complete answer: code for each message, or ResultOK if a
+// call with a single message was written completely and answered with status 200. Any other status counts only in a
+// complete answer, as the message may have run if the answer is malformed or truncated. The connection is closed.
 func (c *connection) incompleteCodes(code transport.ResultCode) []transport.ResultCode {
 	if c.answer.status == statusOK && len(c.call.Messages) == 1 && c.conn.Sent() {
 		code = transport.ResultOK
@@ -237,7 +238,7 @@
 	return c.sameCodes(code)
 }
 
-// sameCodes returns code once for each message of the call.
+// sameCodes returns a slice with code for each message of the call.
 func (c *connection) sameCodes(code transport.ResultCode) []transport.ResultCode {
 	codes := make([]transport.ResultCode, len(c.call.Messages))
 	for i := range codes {
@@ -250,7 +251,7 @@
 func (c *connection) finish(codes []transport.ResultCode, reason string) {
 	c.timer.Stop()
 	result := transport.CallResult{Call: c.call, Codes: codes, Latency: time.Since(c.startedAt), Reason: reason}
-	if codes[0] != transport.ResultMalformed { // a head that came before the connection broke holds
+	if codes[0] != transport.ResultMalformed { // a head received before the connection broke is valid
 		settings := &c.client.settings
 		result.RetryAfter = c.answer.retryAfter
 		result.ReportedLimit = reportedValue(c.answer.loadReport, settings.LimitField)
@@ -262,7 +263,7 @@
 	c.client.results.CallEnded(result)
 }
 
-// keepIdle keeps the connection, whose call has finished, for a later call. The client's lock is held.
+// keepIdle adds the connection to the idle list after its call has ended. The client's lock is held.
 func (c *connection) keepIdle() {
 	cl := c.client
 	cl.idle[c.endpointID] = append(cl.idle[c.endpointID], c)
@@ -271,8 +272,8 @@
 	c.timer = time.AfterFunc(cl.settings.IdleTimeout, func() { c.timerFired(generation) })
 }
 
-// close closes the socket; dial does not call Closed for it. A call on the connection is the caller's to finish or
-// move.
+// close closes the socket, after which dial does not call Closed. The caller has to finish or move a call on the
+// connection.
 func (c *connection) close() {
 	c.state = closed
 	c.conn.Close()
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -12,8 +12,8 @@
 	"spanflow/transport"
 )
 
-// The network's one goroutine waits at the lock with another call's answer, so that this one's stays in the socket
-// until its timeout, as after the process was suspended.
+// The only reading goroutine is blocked at the lock with the answer to another call, so that this call's answer stays
+// in the socket until the call times out, as after the process was suspended.
 func TestUnreadAnswerEndsCallAtTimeout(t *testing.T) {
 	f := newFixture(t)
 	f.send(time.Minute, "other")
@@ -40,17 +40,17 @@
 	late.Write([]byte(emptyOK))
 	emulator.AwaitAtLock(t, "upstream.(*connection).Data(")
 	conn.timerFiredLocked(generation)
-	require.NotNil(t, conn.call, "its answer is delivered by Data")
+	require.NotNil(t, conn.call, "the call ends when Data delivers the answer")
 	f.mu.Unlock()
 	f.requireResult(transport.ResultOK)
 }
 
-func TestResultOfBrokenConnectionDependsOnWhatWasWritten(t *testing.T) {
+func TestResultOfBrokenConnectionDependsOnBytesWritten(t *testing.T) {
 	f := newFixture(t)
 	f.send(time.Minute, "b")
 	f.acceptCall().Close()
 	f.requireResult(transport.ResultClosed)
-	huge := strings.Repeat("x", 32<<20) // more than the sockets take
+	huge := strings.Repeat("x", 32<<20) // more than the socket buffers hold
 	f.send(time.Minute, huge)
 	f.acceptCall().Close()
 	f.requireResult(transport.ResultClosedBeforeSent)
@@ -62,7 +62,7 @@
 	c = f.acceptCall()
 	f.requireResult(transport.ResultTimeout)
 	_, err := c.Read(make([]byte, 1))
-	require.Error(t, err, "a call given up closes its connection")
+	require.Error(t, err, "a call that times out closes its connection")
 	f.send(time.Minute, "b")
 	f.acceptCall().Write([]byte("what is this\r\n"))
 	require.NotEmpty(t, f.requireResult(transport.ResultMalformed).Reason)
@@ -71,7 +71,7 @@
 	f.requireResult(transport.ResultConnectRefused)
 }
 
-func TestStatusHoldsFromItsLineOn(t *testing.T) {
+func TestStatusOKCountsFromStatusLine(t *testing.T) {
 	f := newFixture(t)
 	f.send(time.Minute, "b")
 	c := f.acceptCall()
@@ -79,33 +79,33 @@
 	c.Close()
 	f.requireResult(transport.ResultOK)
 	f.send(time.Minute, strings.Repeat("x", 32<<20))
-	f.acceptCall().Write([]byte("HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n")) // before the call was written
+	f.acceptCall().Write([]byte("HTTP/1.1 413 Large\r\nContent-Length: 0\r\n\r\n")) // before the call was sent
 	f.requireResult(transport.ResultBadRequest)
 	require.Zero(t, f.IdleConnections())
 }
 
-// An endpoint runs a call when its last byte has arrived: a 200 before that is noise, or the answer to another.
-func Test200BeforeCallIsWrittenDeliversNothing(t *testing.T) {
+// An endpoint runs a call only after its last byte has arrived. A 200 before that is noise, or answers another call.
+func Test200BeforeCallIsWrittenIsIgnored(t *testing.T) {
 	f := newFixture(t)
 	for _, text := range []string{emptyOK, "HTTP/1.1 200 OK\r\nContent-Le"} {
 		f.send(time.Minute, strings.Repeat("x", 32<<20))
 		c := f.acceptCall()
 		c.Write([]byte(text))
-		c.(*net.TCPConn).CloseWrite() // it reads no more of the call
+		c.(*net.TCPConn).CloseWrite() // no more answer bytes follow
 		f.requireResult(transport.ResultClosedBeforeSent)
 		c.Close()
 	}
 }
 
-// A message whose answer is malformed may have run, whatever a piece of the answer says; but a 200 holds.
-func TestMalformedAnswerMayStandForMessageThatRan(t *testing.T) {
+// A message whose answer is malformed may have run, even if the status says otherwise. Only a status of 200 counts.
+func TestMessageWithMalformedAnswerMayHaveRun(t *testing.T) {
 	f := newFixture(t)
 	for text, want := range map[string]transport.ResultCode{
 		"HTTP/1.1 503 Full\r\nno colon\r\n":                                                transport.ResultMalformed,
 		"HTTP/1.1 429 Full\r\nRetry-After: 9\r\nContent-Length: -1\r\n\r\n":                transport.ResultMalformed,
 		"HTTP/1.1 410 Gone\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.ResultMalformed,
 		"HTTP/1.1 504 Spent\r\nA: " + strings.Repeat("x", 9000):                            transport.ResultMalformed,
-		"\x00\xff noise": transport.ResultMalformed, // and nothing after
+		"\x00\xff noise": transport.ResultMalformed, // nothing follows
 		headOK + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 9): transport.ResultOK,
 		headOK + "Content-Length: 90\r\n\r\nshort":                             transport.ResultOK,
 		headOK + "no colon\r\n":                                                transport.ResultOK} {
@@ -114,7 +114,7 @@
 		c.Write([]byte(text))
 		require.Zero(t, f.requireResult(want).RetryAfter, text)
 		_, err := c.Read(make([]byte, 1))
-		require.Error(t, err, "the connection is not used again")
+		require.Error(t, err, "the connection stays open")
 	}
 	require.Zero(t, f.IdleConnections())
 	f.Send(&transport.Call{
@@ -126,7 +126,7 @@
 	f.acceptCall().Write([]byte(headOK + "Content-Length: 9\r\n\r\n[{\"id\":\"a\""))
 	f.send(time.Minute, "b")
 	c := f.acceptCall()
-	c.Write([]byte("HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort")) // and its connection breaks
+	c.Write([]byte("HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nshort")) // the connection breaks within the body
 	c.Close()
 	want := [][]transport.ResultCode{{transport.ResultServerError, transport.ResultServerError}, {transport.ResultClosed}}
 	require.ElementsMatch(t, want, [][]transport.ResultCode{(<-f.results).Codes, (<-f.results).Codes})
--- a/internal/upstream/fixture_test.go
+++ b/internal/upstream/fixture_test.go
@@ -13,12 +13,12 @@
 	"spanflow/transport"
 )
 
-// resultQueue passes the results of calls to a test.
+// resultQueue is a transport.ResultListener that passes the results of calls to the test.
 type resultQueue chan transport.CallResult
 
 func (q resultQueue) CallEnded(result transport.CallResult) { q <- result }
 
-// fixture is a client and the listener of its endpoint.
+// fixture is a client with the listener of its endpoint.
 type fixture struct {
 	*Client
 	t          *testing.T
@@ -31,7 +31,7 @@
 	return newFixtureWith(t, Settings{ConnectTimeout: time.Minute, IdleTimeout: time.Minute, LimitField: "x1", ShareField: "x0"}, nil)
 }
 
-// newFixtureWith has settings of its own, and connects by connect unless that is nil.
+// newFixtureWith returns a fixture with the given settings. It connects with connect, or by TCP if that is nil.
 func newFixtureWith(t *testing.T, settings Settings, connect func(context.Context, string) (net.Conn, error)) *fixture {
 	ln, err := net.Listen("tcp", "127.4.0.1:0")
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	return f
 }
 
-// send begins a call with one message.
+// send starts a call with one message.
 func (f *fixture) send(timeout time.Duration, body string) {
 	f.Send(&transport.Call{
 		EndpointID: f.endpointID,
@@ -54,7 +54,7 @@
 	})
 }
 
-// acceptCall accepts a new connection and reads the head of its call.
+// acceptCall accepts a new connection and reads its request.
 func (f *fixture) acceptCall() net.Conn {
 	c, err := f.listener.Accept()
 	require.NoError(f.t, err)
@@ -62,7 +62,7 @@
 	return c
 }
 
-// readCall reads the head of a call.
+// readCall reads the request of a call, or its first part if it is large.
 func (f *fixture) readCall(c net.Conn) {
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	b := make([]byte, 1000)
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -9,7 +9,7 @@
 	"spanflow/transport"
 )
 
-// Paths and fields of requests.
+// Paths and field names of requests, and buffer sizes.
 const (
 	singlePath          = "/hook"
 	batchPath           = "/hook/batch"
@@ -17,12 +17,13 @@
 	idempotencyKeyField = "Idempotency-Key"
 	timeLeftField       = "X-Remaining-Ms"
 
-	headBytes        = 256 // room for a request's head
-	batchEntryBytes  = 64  // room for the framing of a message in a batch
+	headBytes        = 256 // capacity for a request's head
+	batchEntryBytes  = 64  // capacity for the JSON around a message in a batch
 	batchFramingSize = 16
 )
 
-// encodeRequest returns a call as an HTTP request: a single message with its body as it is, several as a JSON array.
+// encodeRequest returns the HTTP request of a call. A single message is sent with its body unchanged, several as a JSON
+// array.
 func encodeRequest(call *transport.Call) []byte {
 	timeLeft := strconv.FormatInt(call.Timeout.Milliseconds(), 10)
 	if len(call.Messages) == 1 {
@@ -68,8 +69,8 @@
 	return append(body, ']')
 }
 
-// appendQuoted appends s as a JSON string.
+// appendQuoted appends s as a JSON string literal.
 func appendQuoted(b []byte, s string) []byte {
-	quoted, _ := json.Marshal(s) // a string always has a JSON form
+	quoted, _ := json.Marshal(s) // encoding a string cannot fail
 	return append(b, quoted...)
 }
--- a/internal/upstream/transcript_test.go
+++ b/internal/upstream/transcript_test.go
@@ -15,7 +15,7 @@
 	"spanflow/transport"
 )
 
-// results takes the ends of calls.
+// results receives the results of calls.
 type results chan transport.CallResult
 
 func (r results) CallEnded(e transport.CallResult) { r <- e }
@@ -27,7 +27,8 @@
 	answerPartial  = "HTTP/1.1 503 Full\r\nContent-Length: 9\r\n\r\nx"
 )
 
-// endpoint is an upstream client with one endpoint and the transcript of what it sends there.
+// endpoint is an emulated endpoint with an upstream client that calls it. It records the client's requests in a
+// transcript.
 type endpoint struct {
 	t       *testing.T
 	script  transcript.Transcript
@@ -46,47 +47,47 @@
 	return e
 }
 
-// call sends one call and returns the request that came of it.
-func (e *endpoint) call(what string, allow time.Duration, messages ...transport.Message) *transcript.Request {
+// call sends one call and returns the request that the endpoint receives.
+func (e *endpoint) call(description string, timeout time.Duration, messages ...transport.Message) *transcript.Request {
 	e.t.Helper()
-	e.script.Note("%s", what)
-	e.client.Send(&transport.Call{EndpointID: 1, Address: e.server.Addr, Messages: messages, Timeout: allow})
+	e.script.Note("%s", description)
+	e.client.Send(&transport.Call{EndpointID: 1, Address: e.server.Addr, Messages: messages, Timeout: timeout})
 	request := e.server.Next()
 	e.script.Note("on connection %d", request.Connection)
 	return request
 }
 
-// answered answers a request and waits for the end of its call.
-func (e *endpoint) answered(request *transcript.Request, raw string) {
+// answer answers a request and waits until its call has ended.
+func (e *endpoint) answer(request *transcript.Request, raw string) {
 	e.t.Helper()
 	e.script.Bytes("upstream", request.Raw)
 	request.Answer(raw)
 	<-e.results
 }
 
-// closed waits for the client to end a connection.
-func (e *endpoint) closed(request *transcript.Request) {
+// awaitClose waits until the client closes the request's connection.
+func (e *endpoint) awaitClose(request *transcript.Request) {
 	e.t.Helper()
 	ended := e.server.Ended()
 	require.Equal(e.t, request.Connection, ended)
 	e.script.Note("connection %d is closed", ended)
 }
 
-func TestRequestsToAnEndpoint(t *testing.T) {
+func TestRequestsToEndpoint(t *testing.T) {
 	e := newEndpoint(t)
 	body := []byte("a body\r\nof any bytes \x00\xff\n")
-	e.answered(e.call("one message with an idempotency key", 1500*time.Millisecond,
+	e.answer(e.call("one message with an idempotency key", 1500*time.Millisecond,
 		transport.Message{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59", Body: body}), answer200)
-	e.answered(e.call("without a key, on the same connection; the time left in whole milliseconds", 1234567*time.Microsecond,
+	e.answer(e.call("without a key, on the same connection; the time left in whole milliseconds", 1234567*time.Microsecond,
 		transport.Message{ID: "9b1f03aa5c7e2d42", Body: body}), answer200)
-	e.answered(e.call("without a body", time.Hour, transport.Message{ID: "9b1f03aa5c7e2d43"}), answer200)
-	e.answered(e.call("a batch: with a key, without, without a body", 2*time.Second,
+	e.answer(e.call("without a body", time.Hour, transport.Message{ID: "9b1f03aa5c7e2d43"}), answer200)
+	e.answer(e.call("a batch: with a key, without, without a body", 2*time.Second,
 		transport.Message{ID: "9b1f03aa5c7e2d44", IdempotencyKey: "5c0f", Body: body},
 		transport.Message{ID: "9b1f03aa5c7e2d45", Body: []byte("hello")},
 		transport.Message{ID: "9b1f03aa5c7e2d46"}), answer200)
-	e.answered(e.call("a batch whose ids and keys hold marks of JSON", 2*time.Second,
+	e.answer(e.call("a batch whose ids and keys hold marks of JSON", 2*time.Second,
 		transport.Message{ID: `a"b\c<d>&e`, IdempotencyKey: `"\<>&`}, transport.Message{ID: "f"}), answer200)
-	e.answered(e.call("the same message once more, in a call of its own: id and key again", 1500*time.Millisecond,
+	e.answer(e.call("the same message once more, in a call of its own: id and key again", 1500*time.Millisecond,
 		transport.Message{ID: "9b1f03aa5c7e2d41", IdempotencyKey: "5c0f6e1a2b3d4c59", Body: body}), answer200)
 	largest := bytes.Repeat([]byte("0123456789abcdef"), 4096)
 	large := e.call("the largest body, after its head", time.Minute, transport.Message{ID: "large", Body: largest})
@@ -94,34 +95,34 @@
 	require.Len(t, rest, 64<<10)
 	e.script.Note("%x is the body's SHA-256", sha256.Sum256(rest))
 	large.Raw = append(head, "\r\n\r\n"...)
-	e.answered(large, answer200)
+	e.answer(large, answer200)
 	e.script.Compare(t, "requests.txt")
 }
 
-func TestConnectionsToAnEndpointAreReusedAndClosed(t *testing.T) {
+func TestConnectionsAreReusedAndClosed(t *testing.T) {
 	e := newEndpoint(t)
 	message := transport.Message{ID: "a", Body: []byte("b")}
-	e.answered(e.call("a first call", time.Minute, message), answer200)
+	e.answer(e.call("a first call", time.Minute, message), answer200)
 	last := e.call("a second on the same connection; the answer says that it closes", time.Minute, message)
-	e.answered(last, answer200Close)
-	e.closed(last)
+	e.answer(last, answer200Close)
+	e.awaitClose(last)
 	last = e.call("a new connection; the answer is of HTTP/1.0", time.Minute, message)
-	e.answered(last, answer200Old)
-	e.closed(last)
+	e.answer(last, answer200Old)
+	e.awaitClose(last)
 	idle := e.call("a new connection, which stays idle", time.Minute, message)
-	e.answered(idle, answer200)
+	e.answer(idle, answer200)
 	e.script.Note("idle connections are to be closed")
 	e.client.CloseIdle(1)
-	e.closed(idle)
+	e.awaitClose(idle)
 	last = e.call("an answer that cannot be read", time.Minute, message)
-	e.answered(last, "what is this\r\n")
-	e.closed(last)
+	e.answer(last, "what is this\r\n")
+	e.awaitClose(last)
 	last = e.call("an answer that stops within its body: the time is over", 300*time.Millisecond, message)
-	e.answered(last, answerPartial)
-	e.closed(last)
+	e.answer(last, answerPartial)
+	e.awaitClose(last)
 	last = e.call("no answer: the time is over", 300*time.Millisecond, message)
-	e.answered(last, "")
-	e.closed(last)
-	e.answered(e.call("a new connection", time.Minute, message), answer200)
+	e.answer(last, "")
+	e.awaitClose(last)
+	e.answer(e.call("a new connection", time.Minute, message), answer200)
 	e.script.Compare(t, "connections.txt")
 }
