--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery watches the discovery service's list of endpoints: one HTTP request whose answer stays open, with
-// one JSON object for the list and for each change of it.
+// Package discovery watches the discovery service's list of endpoints. A watch is one HTTP request whose answer stays
+// open and carries a JSON object for the list and for each later change of it.
 package discovery
 
 import (
@@ -13,19 +13,20 @@
 )
 
 const (
-	maxLineBytes      = 4 << 20                   // of one object of a watch, unless Client.MaxLineBytes says otherwise
-	heartbeatInterval = 2 * time.Second           // between two empty lines that the service sends without a change
-	answerTimeout     = 2 * time.Second           // to the first line, once the connection is up
-	silenceTimeout    = heartbeatInterval * 3 / 2 // between two lines
-	promptAnswer      = 500 * time.Millisecond    // an answer within this did not wait behind other requests
+	maxObjectBytes    = 4 << 20                   // limit of one object, unless Client.MaxObjectBytes is set
+	heartbeatInterval = 2 * time.Second           // interval of the empty lines that the service sends without changes
+	answerTimeout     = 2 * time.Second           // from establishing the connection to the first line
+	silenceTimeout    = heartbeatInterval * 3 / 2 // limit of the time between two lines
+	promptAnswer      = 500 * time.Millisecond    // a faster answer did not queue behind other requests
 )
 
-// DefaultMaxObjectBytes is the bound of one object of a watch, in bytes, where Client.MaxLineBytes is not set.
-const DefaultMaxObjectBytes = maxLineBytes
+// DefaultMaxObjectBytes is the limit of one JSON object, in bytes, if Client.MaxObjectBytes is 0.
+const DefaultMaxObjectBytes = maxObjectBytes
 
 // Client watches the list at one address, on one connection at a time. It is safe for concurrent use.
 type Client struct {
-	// MaxObjectBytes bounds one object of a watch, in bytes; 0: DefaultMaxLineBytes. It is set before the first Watch.
+	// MaxObjectBytes limits one JSON object of a watch, in bytes. 0 means DefaultMaxObjectBytes. It must be set before
+	// the first call of Watch.
 	MaxObjectBytes int
 
 	dialer         *dial.Dialer
@@ -34,17 +35,17 @@
 
 	mu      sync.Mutex // held also while the listener is called
 	addr    string
-	watch   *watch // nil: none is open
+	watch   *watch // nil if none is open
 	watched bool   // Watch has been called
 	stopped bool
 
-	// The clock, and what starts every timer; tests replace them.
+	// The clock and the function that starts timers, replaced by tests.
 	now       func() time.Time
 	afterFunc func(time.Duration, func()) *time.Timer
 }
 
-// New returns a client that has no connection yet. The dialer stays the caller's; a connection that takes longer than
-// connectTimeout has failed.
+// New returns a client without a connection. A connection that is not established within connectTimeout has failed. The
+// caller has to stop the dialer.
 func New(d *dial.Dialer, addr string, connectTimeout time.Duration, listener transport.EndpointListener) *Client {
 	return &Client{
 		dialer:         d,
@@ -56,8 +57,8 @@
 	}
 }
 
-// Watch asks for the changes since a revision, on a new connection. An earlier watch is closed and reports nothing
-// more. The listener receives each list, and once the end of the watch.
+// Watch requests the changes since a revision on a new connection. An earlier watch is closed and reports nothing more.
+// The listener receives each list or change, and the end of the watch once.
 func (c *Client) Watch(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +68,7 @@
 	if c.watch != nil {
 		c.watch.close()
 	}
-	w := &watch{client: c, revision: revision, started: c.now(), objects: objectReader{maxBytes: c.lineLimit()}}
+	w := &watch{client: c, revision: revision, started: c.now(), objects: objectReader{maxBytes: c.objectLimit()}}
 	c.watch, c.watched = w, true
 	w.conn = c.dialer.Dial(c.addr, c.connectTimeout, w)
 	path := "/v1/endpoints?stream=1&index=" + strconv.FormatInt(revision, 10)
@@ -75,7 +76,8 @@
 	w.expectLine(c.connectTimeout + answerTimeout)
 }
 
-// Reconfigure changes the service's address. A list that was watched is watched at the new one from a revision on.
+// Reconfigure changes the service's address. If the client has been watching, it requests the changes since revision
+// at the new address.
 func (c *Client) Reconfigure(addr string, revision int64) {
 	c.mu.Lock()
 	c.addr = addr
@@ -86,7 +88,7 @@
 	}
 }
 
-// Stop closes the connection and opens no other. It is not reported to the listener.
+// Stop closes the connection for good, without a report to the listener.
 func (c *Client) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,9 +98,9 @@
 	}
 }
 
-func (c *Client) lineLimit() int {
+func (c *Client) objectLimit() int {
 	if c.MaxObjectBytes > 0 {
 		return c.MaxObjectBytes
 	}
-	return maxLineBytes
+	return maxObjectBytes
 }
--- a/internal/discovery/harness_test.go
+++ b/internal/discovery/harness_test.go
@@ -11,13 +11,13 @@
 	"spanflow/transport"
 )
 
-// watchEnd is a reported end of a watch.
+// watchEnd holds the arguments of EndpointListener.WatchEnded.
 type watchEnd struct {
 	reason string
 	how    transport.WatchEnd
 }
 
-// recordingListener holds what a client reported.
+// recordingListener passes the reports of a client to the test.
 type recordingListener struct {
 	lists chan *transport.EndpointList
 	ends  chan watchEnd
@@ -29,8 +29,8 @@
 	l.ends <- watchEnd{reason, how}
 }
 
-// harness is a client of a discovery service that the test emulates. The timers fire when the test says so: a pause
-// of the machine changes nothing.
+// harness is a client with an emulated discovery service. The test fires the timers, so that a pause of the machine has
+// no effect.
 type harness struct {
 	*Client
 	*recordingListener
@@ -54,19 +54,19 @@
 	return h
 }
 
-// nextRevision waits for the next list.
+// nextRevision waits for the next list and returns its revision.
 func (h *harness) nextRevision(t *testing.T) int64 {
 	t.Helper()
 	return peertest.Next(t, h.lists).Revision
 }
 
-// nextReason waits for the end of a watch.
+// nextReason waits for the end of a watch and returns its reason.
 func (h *harness) nextReason(t *testing.T) string {
 	t.Helper()
 	return peertest.Next(t, h.ends).reason
 }
 
-// Heads of an answer that stays open.
+// Answers of the service. The first two stay open; the body follows.
 const (
 	answerChunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	answerUnsized = "HTTP/1.1 200 OK\r\n\r\n"
--- a/internal/discovery/objects.go
+++ b/internal/discovery/objects.go
@@ -8,31 +8,31 @@
 	"io"
 )
 
-// lineTooLongError is the error for an object of the list that is longer than the client allows.
-type lineTooLongError struct{ maxBytes int }
+// objectTooLongError reports that an object of the list exceeds the client's limit.
+type objectTooLongError struct{ maxBytes int }
 
-// Error names the bound, and what follows from it.
-func (e *lineTooLongError) Error() string {
+// Error returns a text with the limit.
+func (e *objectTooLongError) Error() string {
 	return fmt.Sprintf("a line of the list is over %d bytes: nothing of it is applied", e.maxBytes)
 }
 
-// objectReader cuts the body of a watch into JSON objects. Each ends with its line; it may be indented over several. An
-// empty line counts as an empty object.
+// objectReader splits the body of a watch into JSON objects. Each object ends at the end of a line and may span several
+// lines. An empty line is returned as an empty object.
 type objectReader struct {
-	maxBytes int // of one object
+	maxBytes int // limit of one object
 
-	buffer   []byte // the present object as far as it has come
-	complete bool   // the present object has arrived whole; the next byte begins another
-	depth    int    // of open brackets
+	buffer   []byte // the part of the current object received so far
+	complete bool   // the current object is complete; the next byte starts another
+	depth    int    // number of open brackets and braces
 	inString bool
 	escaped  bool // the next byte follows a backslash in a string
 
 	firstLineChecked bool
-	searched         int // bytes of the first line that were searched for its end
+	searched         int // number of bytes of the first line already searched for its end
 }
 
-// next takes bytes up to the end of the present object. It returns the object, valid until the next call, and the bytes
-// behind it, or complete as false if the object goes on in a later piece.
+// next consumes piece up to the end of the current object. It returns the object, which is valid until the next call,
+// and the rest of piece. complete is false if the object continues in a later piece.
 func (r *objectReader) next(piece []byte) (object, rest []byte, complete bool, err error) {
 	if r.complete {
 		*r = objectReader{maxBytes: r.maxBytes, buffer: r.buffer[:0]}
@@ -40,7 +40,7 @@
 	n, complete := r.scan(piece)
 	r.buffer = append(r.buffer, piece[:n]...)
 	if len(r.buffer) > r.maxBytes {
-		return nil, nil, false, &lineTooLongError{r.maxBytes}
+		return nil, nil, false, &objectTooLongError{r.maxBytes}
 	}
 	if !complete {
 		return nil, nil, false, r.checkFirstLine()
@@ -49,7 +49,7 @@
 	return bytes.TrimSpace(r.buffer), piece[n:], true, nil
 }
 
-// scan finds the end of the present object in b.
+// scan returns the number of bytes of b that belong to the current object, and whether it ends within b.
 func (r *objectReader) scan(b []byte) (n int, complete bool) {
 	for i, c := range b {
 		switch {
@@ -57,7 +57,7 @@
 			r.escaped = false
 		case r.inString:
 			r.escaped = c == '\\'
-			r.inString = c != '"' && c != '\n' // a string holds no line's end: a malformed one ends there
+			r.inString = c != '"' && c != '\n' // a string cannot contain a newline; an unterminated one ends there
 		case c == '"':
 			r.inString = true
 		case c == '{' || c == '[':
@@ -72,7 +72,8 @@
 	return len(b), false
 }
 
-// checkFirstLine returns an error, once the first line of an unfinished object is whole, if no JSON begins with it.
+// checkFirstLine returns an error if the first line of an incomplete object has been received and is not the start of
+// valid JSON.
 func (r *objectReader) checkFirstLine() error {
 	if r.firstLineChecked {
 		return nil
@@ -86,7 +87,7 @@
 	var value json.RawMessage
 	err := json.NewDecoder(bytes.NewReader(r.buffer[:r.searched+end])).Decode(&value)
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
-		return &malformedLineError{err}
+		return &malformedObjectError{err}
 	}
 	return nil
 }
--- a/internal/discovery/objects_test.go
+++ b/internal/discovery/objects_test.go
@@ -12,13 +12,13 @@
 	"spanflow/transport"
 )
 
-func TestObjectMayBeIndentedOverSeveralLines(t *testing.T) {
+func TestObjectMaySpanSeveralLines(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(1)
 	conn, _ := h.peer.Accept(t)
 	list := "{\n  \"rev\": 7,\n  \"all\": true,\n  \"targets\": [\n    {\n      \"uid\": \"a}\\\"{\",\n      \"state\": \"active\"\n    }\n  ]\n}\n\n"
 	conn.Write([]byte(answerUnsized))
-	for i := range list { // cut anywhere
+	for i := range list { // one byte per write
 		conn.Write([]byte(list[i : i+1]))
 	}
 	require.Equal(t, transport.EndpointList{Revision: 7, Complete: true, Endpoints: []transport.Endpoint{{UID: `a}"{`, State: "active"}}},
@@ -27,18 +27,18 @@
 	require.Equal(t, []int64{8, 9}, []int64{h.nextRevision(t), h.nextRevision(t)})
 }
 
-func TestMaxLineBytesBoundsAnObject(t *testing.T) {
-	const bound = 1000
-	for _, bytes := range []int{bound, bound + 1} {
+func TestMaxObjectBytesLimitsObjectSize(t *testing.T) {
+	const limit = 1000
+	for _, bytes := range []int{limit, limit + 1} {
 		h := newHarness(t)
-		h.MaxObjectBytes = bound
+		h.MaxObjectBytes = limit
 		h.Watch(0)
 		conn, _ := h.peer.Accept(t)
 		line := `{"rev":1,"all":true,"targets":[]}`
 		line += strings.Repeat(" ", bytes-len(line)-1) + "\n"
 		_, err := fmt.Fprintf(conn, "%s%x\r\n%s\r\n", answerChunked, len(line), line)
 		require.NoError(t, err)
-		if bytes == bound {
+		if bytes == limit {
 			require.EqualValues(t, 1, h.nextRevision(t))
 		} else {
 			require.Equal(t, "a line of the list is over 1000 bytes: nothing of it is applied", h.nextReason(t))
@@ -48,8 +48,8 @@
 	}
 }
 
-// What has come of an object is not searched again with each piece.
-func TestTimeToReadAnObjectIsLinearInItsSize(t *testing.T) {
+// Guards against searching the received part of an object again with each new piece.
+func TestReadTimeIsLinearInObjectSize(t *testing.T) {
 	const (
 		small, factor = 512 << 10, 16
 		pieceBytes    = 512
--- a/internal/discovery/transcript_test.go
+++ b/internal/discovery/transcript_test.go
@@ -15,7 +15,7 @@
 	"spanflow/transport"
 )
 
-// listener records what a client reports.
+// listener passes the reports of a client to the test, as text.
 type listener struct{ reports chan string }
 
 func (l listener) EndpointsUpdated(list *transport.EndpointList) {
@@ -24,7 +24,7 @@
 
 func (l listener) WatchEnded(string, transport.WatchEnd) { l.reports <- "watch ended" }
 
-// expect waits for reports in their order.
+// expect waits for the given reports, in this order.
 func (l listener) expect(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
@@ -32,7 +32,7 @@
 	}
 }
 
-// recordedClient is a client of a discovery service, with the transcript of what it sends.
+// recordedClient is a client with an emulated discovery service and a transcript of its requests.
 type recordedClient struct {
 	*discovery.Client
 	listener
@@ -47,14 +47,15 @@
 	t.Cleanup(dialer.Stop)
 	c := &recordedClient{listener: listener{make(chan string, 9)}, server: transcript.NewServer(t, "127.5.0.2")}
 	c.Client = discovery.New(dialer, c.server.Addr, time.Minute, c.listener)
-	c.SetAfterFunc(startShortPauses)
+	c.SetAfterFunc(startOnlyShortTimers)
 	t.Cleanup(c.Stop)
 	c.script.Mask(regexp.QuoteMeta(c.server.Addr), "DISCOVERY")
 	return c
 }
 
-// startShortPauses starts timers of short pauses alone: no answer counts as late, however slow the machine is.
-func startShortPauses(wait time.Duration, fire func()) *time.Timer {
+// startOnlyShortTimers replaces time.AfterFunc. Timers longer than 60 ms never fire, so that no answer times out on a
+// slow machine.
+func startOnlyShortTimers(wait time.Duration, fire func()) *time.Timer {
 	timer := time.AfterFunc(wait, fire)
 	if wait > 60*time.Millisecond {
 		timer.Stop()
@@ -62,7 +63,7 @@
 	return timer
 }
 
-// next adds the next request to the transcript.
+// next returns the next request and adds it to the transcript.
 func (c *recordedClient) next(comment string) *transcript.Request {
 	request := c.server.Next()
 	c.script.Note("%s, on connection %d", comment, request.Connection)
@@ -70,8 +71,8 @@
 	return request
 }
 
-// ended adds the end of a connection to the transcript.
-func (c *recordedClient) ended(reason string) {
+// awaitClose waits for the end of a connection and adds it to the transcript.
+func (c *recordedClient) awaitClose(reason string) {
 	c.script.Note("%s: connection %d is closed", reason, c.server.Ended())
 }
 
@@ -80,7 +81,7 @@
 	answerBusy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 )
 
-func TestRequestsForTheEndpointList(t *testing.T) {
+func TestRequestsForEndpointList(t *testing.T) {
 	c := newRecordedClient(t)
 	c.Watch(0)
 	first := c.next("nothing is known yet")
@@ -88,21 +89,21 @@
 	c.expect(t, "list 41", "list 43")
 	first.Close()
 	c.expect(t, "watch ended")
-	c.ended("the first watch ends")
+	c.awaitClose("the first watch ends")
 	c.Watch(43)
-	turnedAway := c.next("asked again after an index")
-	turnedAway.Answer(answerBusy)
+	rejected := c.next("asked again after an index")
+	rejected.Answer(answerBusy)
 	c.expect(t, "watch ended")
-	c.ended("the question was turned away")
+	c.awaitClose("the question was turned away")
 	c.Watch(9007199254740993)
 	c.next("a large index")
 	c.Watch(-1)
-	c.ended("a new question takes the place of the old one")
+	c.awaitClose("a new question takes the place of the old one")
 	c.next("an index below zero")
 	c.Reconfigure(c.server.Addr, 44)
-	c.ended("moved to another address")
+	c.awaitClose("moved to another address")
 	c.next("asked again there")
 	c.Stop()
-	c.ended("stopped")
+	c.awaitClose("stopped")
 	c.script.Compare(t, "list.txt")
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -12,55 +12,57 @@
 	"spanflow/transport"
 )
 
-// outdatedRevisionError says that a change is older than the list that is held.
-type outdatedRevisionError struct{ revision, held int64 }
+// outdatedRevisionError reports that the revision of a list or change is lower than the current one.
+type outdatedRevisionError struct{ revision, current int64 }
 
-// Error names both revisions.
+// Error returns a text with both revisions.
 func (e *outdatedRevisionError) Error() string {
-	return fmt.Sprintf("version %d of the list came after version %d", e.revision, e.held)
+	return fmt.Sprintf("revision %d of the list is older than revision %d", e.revision, e.current)
 }
 
-// malformedLineError says that an object of the watch is not JSON, or not a list.
-type malformedLineError struct{ cause error }
+// malformedObjectError reports that an object of the watch cannot be decoded as an endpoint list.
+type malformedObjectError struct{ cause error }
 
-// Error returns a text with the cause.
-func (e *malformedLineError) Error() string {
+// Error returns a text with the decoding error.
+func (e *malformedObjectError) Error() string {
 	return fmt.Sprintf("a line of the list cannot be read: %v", e.cause)
 }
 
-// Unwrap returns the error of decoding the object.
-func (e *malformedLineError) Unwrap() error { return e.cause }
+// Unwrap returns the decoding error.
+func (e *malformedObjectError) Unwrap() error { return e.cause }
 
-// watch is one connection with an open answer. All of it is guarded by the client's lock.
+// watch is one connection with an open answer. It implements dial.Handler and http1.Handler. All fields are guarded by
+// the client's lock.
 type watch struct {
 	client   *Client
 	conn     *dial.Conn
 	reader   http1.Reader
-	status   int // of the answer; 0: not known yet
+	status   int // of the answer; 0 until received
 	objects  objectReader
-	revision int64 // the latest that is held
+	revision int64 // the current revision
 	started  time.Time
 	received bool // a line has arrived
 	closed   bool
 
-	timer *time.Timer
-	waits int // how often the timer was started, so that one that fires late is known as such
+	timer           *time.Timer
+	timerGeneration int // incremented at each start of the timer, so that one that fires late is ignored
 }
 
-// expectLine ends the watch if no line comes in time, as happens on a connection that has died unnoticed.
+// expectLine restarts the timer that ends the watch if no line arrives in time. This detects a connection that was lost
+// without a close.
 func (w *watch) expectLine(within time.Duration) {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	w.waits++
-	wait := w.waits
-	w.timer = w.client.afterFunc(within, func() { w.timedOut(wait) })
+	w.timerGeneration++
+	generation := w.timerGeneration
+	w.timer = w.client.afterFunc(within, func() { w.timedOut(generation) })
 }
 
-func (w *watch) timedOut(wait int) {
+func (w *watch) timedOut(generation int) {
 	w.client.mu.Lock()
 	defer w.client.mu.Unlock()
-	if w.waits != wait { // a line came while this waited for the lock
+	if w.timerGeneration != generation { // a line arrived while this goroutine waited for the lock
 		return
 	}
 	if w.received {
@@ -76,7 +78,7 @@
 	w.conn.Close()
 }
 
-// end closes the watch and reports it, once.
+// end closes the watch and reports its end. Further calls have no effect.
 func (w *watch) end(reason string, how transport.WatchEnd) {
 	if w.closed {
 		return
@@ -88,7 +90,8 @@
 	w.client.listener.WatchEnded(reason, how)
 }
 
-// failure returns how a watch ended that did not fall silent: as timed out if its request got no answer in time.
+// failure returns the kind of end for a watch that ended for another reason than silence: WatchTimeout if its request
+// was not answered promptly, else WatchBroken.
 func (w *watch) failure(cause error) transport.WatchEnd {
 	if w.received || w.status == http.StatusOK || errors.Is(cause, dial.ErrConnectTimeout) ||
 		w.client.now().Sub(w.started) < promptAnswer {
@@ -126,7 +129,7 @@
 // Field implements http1.Handler.
 func (w *watch) Field(_, _ []byte) {}
 
-// Body implements http1.Handler: it takes the next piece of the list's objects.
+// Body implements http1.Handler: it handles the objects in the next piece of the body.
 func (w *watch) Body(piece []byte) error {
 	if w.status != http.StatusOK {
 		return nil
@@ -145,20 +148,20 @@
 			}
 		}
 		w.received = true
-		w.expectLine(silenceTimeout) // only now: bytes that trickle in without completing a line do not count
+		w.expectLine(silenceTimeout) // only a complete line restarts the timer, not bytes that trickle in
 		piece = rest
 	}
 	return nil
 }
 
-// update reports one object: the whole list, or changes of it.
+// update reports one object, which is a complete list or a change, to the listener.
 func (w *watch) update(object []byte) error {
 	list := &transport.EndpointList{}
 	if err := json.Unmarshal(object, list); err != nil {
-		return &malformedLineError{err}
+		return &malformedObjectError{err}
 	}
-	// A change that is older than what is held could have a draining endpoint serve again: it is refused. A complete
-	// list in answer to the request may be older: the service then counts its revisions anew.
+	// A change that is older than the current list is rejected, as it could make a draining endpoint serve again. A
+	// complete list in answer to the request may have a lower revision: the service has restarted its count.
 	if list.Revision < w.revision && (w.received || !list.Complete) {
 		return &outdatedRevisionError{list.Revision, w.revision}
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,7 +15,7 @@
 	"spanflow/transport"
 )
 
-func TestWatchReportsChangesAndItsEnd(t *testing.T) {
+func TestWatchReportsChangesAndEnd(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(41)
 	conn, request := h.peer.Accept(t)
@@ -28,7 +28,7 @@
 	h.nextReason(t)
 }
 
-func TestMalformedLineEndsWatchWithoutAnUpdate(t *testing.T) {
+func TestMalformedObjectEndsWatchWithoutUpdate(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(1)
 	conn, _ := h.peer.Accept(t)
@@ -41,7 +41,7 @@
 	require.Empty(t, h.lists)
 }
 
-func TestWatchEndsWhenSilentAfterALine(t *testing.T) {
+func TestWatchEndsWhenSilentAfterFirstLine(t *testing.T) {
 	h := newHarness(t)
 	h.afterFunc = time.AfterFunc
 	h.Watch(1)
@@ -58,7 +58,7 @@
 	require.Equal(t, watchEnd{"silent", transport.WatchTimeout}, peertest.Next(t, h.ends))
 }
 
-func TestWatchEndsWhenBytesTrickleButNoLineComes(t *testing.T) {
+func TestWatchEndsWithoutCompleteLines(t *testing.T) {
 	h := newHarness(t)
 	h.afterFunc = time.AfterFunc
 	h.Watch(1)
@@ -88,21 +88,21 @@
 	conn, _ := h.peer.Accept(t)
 	h.mu.Lock()
 	w := h.watch
-	late := w.waits
+	late := w.timerGeneration
 	h.mu.Unlock()
 	conn.Write([]byte(answerUnsized + "{\"rev\":1,\"all\":true,\"targets\":[]}\n"))
 	peertest.Next(t, h.lists)
-	h.mu.Lock() // the reader has started to wait again
-	waits := w.waits
+	h.mu.Lock() // waits until the reader has restarted the timer
+	current := w.timerGeneration
 	h.mu.Unlock()
-	require.Greater(t, waits, late)
+	require.Greater(t, current, late)
 	w.timedOut(late)
 	require.Empty(t, h.ends)
 	conn.Write([]byte("{\"rev\":2,\"all\":false,\"targets\":[]}\n"))
 	require.Equal(t, int64(2), h.nextRevision(t))
 }
 
-func TestStaleRevisionEndsWatchWithoutAnUpdate(t *testing.T) {
+func TestStaleRevisionEndsWatchWithoutUpdate(t *testing.T) {
 	for name, lines := range map[string][]string{
 		"in answer to the request": {`{"rev":6,"all":false,"targets":[]}`},
 		"later":                    {`{"rev":8,"all":false,"targets":[]}`, `{"rev":7,"all":true,"targets":[]}`},
@@ -112,21 +112,22 @@
 			h.Watch(7)
 			conn, _ := h.peer.Accept(t)
 			conn.Write([]byte(answerUnsized + strings.Join(lines, "\n") + "\n"))
-			require.Contains(t, h.nextReason(t), "of the list came after version")
+			require.Contains(t, h.nextReason(t), "of the list is older than revision")
 			require.Len(t, h.lists, len(lines)-1)
 		})
 	}
 }
 
-func TestCompleteListMayCountRevisionsAnew(t *testing.T) {
+func TestCompleteListMayResetRevision(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(7)
 	conn, _ := h.peer.Accept(t)
 	conn.Write([]byte(answerUnsized + `{"rev":2,"all":true,"targets":[]}` + "\n" + `{"rev":2,"all":false,"targets":[]}` + "\n"))
-	require.Equal(t, []int64{2, 2}, []int64{h.nextRevision(t), h.nextRevision(t)}, "a revision that comes twice is not stale")
+	require.Equal(t, []int64{2, 2}, []int64{h.nextRevision(t), h.nextRevision(t)}, "a repeated revision is not stale")
 }
 
-// What an old watch's reader held when the list was requested again is not reported: the new watch brings it.
+// A list that the reader of a replaced watch has read but not delivered must not be reported, as the new watch receives
+// it again.
 func TestReplacedWatchReportsNothingMore(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(1)
@@ -134,7 +135,7 @@
 	h.mu.Lock()
 	conn.Write([]byte(answerUnsized + "{\"rev\":2,\"all\":true,\"targets\":[]}\n"))
 	emulator.AwaitAtLock(t, "discovery.(*watch).Data(")
-	h.watch.close() // what Watch and Reconfigure do first, with the lock held
+	h.watch.close() // as Watch does, with the lock held
 	h.mu.Unlock()
 	h.Watch(1)
 	conn, _ = h.peer.Accept(t)
@@ -144,7 +145,7 @@
 	require.Empty(t, h.ends)
 }
 
-func TestReconfigureWatchesNothingThatWasNotWatched(t *testing.T) {
+func TestReconfigureStartsNoWatch(t *testing.T) {
 	h := newHarness(t)
 	h.Reconfigure(h.peer.Addr, 7)
 	h.mu.Lock()
@@ -152,13 +153,13 @@
 	require.Nil(t, h.watch)
 }
 
-// How a request failed decides when the next one follows: one that waited in vain shows that discovery has more of them
-// than it can answer; no other end does.
-func TestWatchEndTellsOverloadFromBreakage(t *testing.T) {
+// How a watch ends determines the delay until the next request. Only a request that waited without an answer shows that
+// the discovery service is overloaded.
+func TestWatchEndDistinguishesOverloadFromBrokenConnection(t *testing.T) {
 	const list = answerUnsized + "{\"rev\":2,\"all\":true,\"targets\":[]}\n"
 	for name, c := range map[string]struct {
-		waited time.Duration // for the answer
-		answer string        // then the connection ends
+		waited time.Duration // time until the answer
+		answer string        // sent before the connection is closed
 		want   transport.WatchEnd
 	}{
 		"rejected at once":       {0, answerBusy, transport.WatchBroken},
@@ -197,7 +198,7 @@
 	require.Equal(t, transport.WatchBroken, peertest.Next(t, h.ends).how)
 }
 
-func TestWatchWithoutAnAnswerTimesOut(t *testing.T) {
+func TestWatchWithoutAnswerTimesOut(t *testing.T) {
 	h := newHarness(t)
 	h.Watch(1)
 	h.peer.Accept(t)
--- a/internal/notify/client.go
+++ b/internal/notify/client.go
@@ -1,6 +1,6 @@
-// Package notify sends notices: the final answers of messages that were not delivered and whose callers do not wait for
-// them. It posts them to /v1/notices at the configured address, each repeatedly until it is acknowledged. A notice may
-// therefore arrive more than once, which does no harm.
+// Package notify sends notices, which are the final answers of messages that were not delivered and whose callers are
+// not waiting. It posts each notice to /v1/notices at the configured address until it is acknowledged. A notice may
+// therefore arrive more than once, which is harmless.
 package notify
 
 import (
@@ -14,12 +14,12 @@
 const (
 	maxNoticesPerCall = 512
 	maxAnswerBytes    = 64 << 10
-	answerTimeout     = 120 * time.Millisecond // notices are answered at once: after so long they go on a new connection
-	maxDoublings      = 4                      // of that time while no call is answered: the round trip may be long
-	retryDelay        = 50 * time.Millisecond  // after a call that failed
+	answerTimeout     = 120 * time.Millisecond // notices are answered at once; then resend on a new connection
+	maxDoublings      = 4                      // of answerTimeout while calls time out: the round trip may be long
+	retryDelay        = 50 * time.Millisecond  // after a failed call
 )
 
-// Client sends notices to one address, a call at a time. It is safe for concurrent use.
+// Client sends notices to one address, with one call at a time. It is safe for concurrent use.
 type Client struct {
 	dialer         *dial.Dialer
 	connectTimeout time.Duration
@@ -27,16 +27,16 @@
 
 	mu         sync.Mutex // held also while the listener is called
 	addr       string
-	conn       *connection             // nil: none is open
-	waiting    []transport.FinalAnswer // not in a call
-	unanswered int                     // calls in a row that were not answered in time
+	conn       *connection             // nil if none is open
+	queued     []transport.FinalAnswer // notices that are not in a call
+	unanswered int                     // number of consecutive calls that were not answered in time
 	stopped    bool
 
-	afterFunc func(time.Duration, func()) *time.Timer // starts every timer; tests replace it
+	afterFunc func(time.Duration, func()) *time.Timer // starts timers; replaced by tests
 }
 
-// New returns a client that has no connection yet. The dialer stays the caller's; a connection that takes longer than
-// connectTimeout has failed.
+// New returns a client without a connection. A connection that is not established within connectTimeout has failed. The
+// caller has to stop the dialer.
 func New(d *dial.Dialer, addr string, connectTimeout time.Duration, listener transport.NoticeListener) *Client {
 	return &Client{
 		dialer:         d,
@@ -47,16 +47,16 @@
 	}
 }
 
-// Notify sends a notice until it is acknowledged, which is reported to the listener.
+// Notify sends a notice repeatedly until it is acknowledged. The listener is notified of the acknowledgement.
 func (c *Client) Notify(notice transport.FinalAnswer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting = append(c.waiting, notice)
+	c.queued = append(c.queued, notice)
 	c.send()
 }
 
-// Reconfigure changes the address; notices that were not acknowledged go to the new one. Notices have no
-// revision; the parameter makes the client a transport.Reconfigurable.
+// Reconfigure changes the address. Unacknowledged notices are sent to the new one. The revision parameter is unused; it
+// is part of transport.Reconfigurable.
 func (c *Client) Reconfigure(addr string, _ int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	c.send()
 }
 
-// Stop closes the connection; nothing is sent after it.
+// Stop closes the connection. Nothing is sent afterwards.
 func (c *Client) Stop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -79,20 +79,20 @@
 	}
 }
 
-// send begins a call with the notices that wait, unless one is in progress. The lock is held.
+// send starts a call with the queued notices, unless a call is in progress. The lock is held.
 func (c *Client) send() {
-	if c.stopped || len(c.waiting) == 0 || c.conn != nil && len(c.conn.notices) > 0 {
+	if c.stopped || len(c.queued) == 0 || c.conn != nil && len(c.conn.notices) > 0 {
 		return
 	}
 	if c.conn == nil {
 		c.connect()
 	}
-	n := min(len(c.waiting), maxNoticesPerCall)
-	c.conn.post(c.waiting[:n])
-	c.waiting = append(c.waiting[:0], c.waiting[n:]...)
+	n := min(len(c.queued), maxNoticesPerCall)
+	c.conn.post(c.queued[:n])
+	c.queued = append(c.queued[:0], c.queued[n:]...)
 }
 
-// sendLater begins a call after a pause.
+// sendLater starts a call after retryDelay.
 func (c *Client) sendLater() {
 	c.afterFunc(retryDelay, func() {
 		c.mu.Lock()
--- a/internal/notify/client_test.go
+++ b/internal/notify/client_test.go
@@ -11,7 +11,7 @@
 	"spanflow/transport"
 )
 
-// recordingListener holds what a client reported.
+// recordingListener passes the reports of a client to the test.
 type recordingListener struct {
 	lost         chan string
 	acknowledged chan []uint64
@@ -20,8 +20,8 @@
 func (l *recordingListener) NoticesUnanswered(reason string)  { l.lost <- reason }
 func (l *recordingListener) NoticesAcknowledged(ids []uint64) { l.acknowledged <- ids }
 
-// harness is a client of a receiver of notices that the test emulates. The timers fire when the test says so: a pause
-// of the machine changes nothing.
+// harness is a client with an emulated receiver of notices. The test fires the timers, so that a pause of the machine
+// has no effect.
 type harness struct {
 	*Client
 	*recordingListener
@@ -47,7 +47,7 @@
 
 const answerNoContent = "HTTP/1.1 204 None\r\n\r\n"
 
-func TestNoticesAreSentAgainUntilAcknowledged(t *testing.T) {
+func TestNoticesAreRepeatedUntilAcknowledged(t *testing.T) {
 	h := newHarness(t)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Rejected, RetryAfterMs: 500})
 	conn, request := h.peer.Accept(t)
@@ -65,10 +65,10 @@
 	require.Equal(t, []uint64{1, 2}, peertest.Next(t, h.acknowledged))
 }
 
-func TestUnansweredCallIsMadeAgainOnANewConnection(t *testing.T) {
+func TestUnansweredCallIsRepeatedOnNewConnection(t *testing.T) {
 	h := newHarness(t)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
-	h.peer.Accept(t) // and no answer
+	h.peer.Accept(t) // no answer follows
 	h.timers.Next(t).Fire()
 	require.Equal(t, "no answer", peertest.Next(t, h.lost))
 	conn, _ := h.peer.Accept(t)
@@ -76,16 +76,16 @@
 	require.Equal(t, []uint64{1}, peertest.Next(t, h.acknowledged))
 }
 
-func TestAnswerTimeoutGoesByTheClock(t *testing.T) {
-	h := newHarness(t) // nobody accepts, and so nobody answers
+func TestAnswerTimeoutInRealTime(t *testing.T) {
+	h := newHarness(t) // the connection is not accepted, so nothing answers
 	h.afterFunc = time.AfterFunc
-	begun := time.Now()
+	start := time.Now()
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	require.Equal(t, "no answer", peertest.Next(t, h.lost))
-	require.GreaterOrEqual(t, time.Since(begun), answerTimeout)
+	require.GreaterOrEqual(t, time.Since(start), answerTimeout)
 }
 
-func TestReconfiguredClientSendsToTheNewAddress(t *testing.T) {
+func TestReconfiguredClientSendsToNewAddress(t *testing.T) {
 	h := newHarness(t)
 	h.Reconfigure(h.addr, 7)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
@@ -95,7 +95,7 @@
 	require.Equal(t, []uint64{1}, peertest.Next(t, h.acknowledged))
 }
 
-func TestLateTimerSendsNothingAgain(t *testing.T) {
+func TestLateTimerDoesNotRepeatCall(t *testing.T) {
 	h := newHarness(t)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	conn, _ := h.peer.Accept(t)
@@ -111,11 +111,11 @@
 	require.Contains(t, peertest.Read(t, conn), `"b"`)
 }
 
-func TestNoticeAtExpiryOnADeadConnectionIsInTime(t *testing.T) {
-	require.Less(t, 2*answerTimeout, 300*time.Millisecond, "so long after its expiry a message is lost")
+func TestNoticeIsRepeatedOnDeadConnectionInTime(t *testing.T) {
+	require.Less(t, 2*answerTimeout, 300*time.Millisecond, "a message counts as lost 300 ms after its expiry")
 	h := newHarness(t)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
-	for i := range 3 { // each is waited for longer: the round trip may be long
+	for i := range 3 { // each timeout is longer, as the round trip may be long
 		h.peer.Accept(t)
 		timer := h.timers.Next(t)
 		require.Equal(t, answerTimeout<<i, timer.Wait)
@@ -126,16 +126,16 @@
 		h.mu.Unlock()
 		require.Equal(t, i+1, unanswered)
 	}
-	conn, request := h.peer.Accept(t) // begun by the last timer itself: no other has fired
+	conn, request := h.peer.Accept(t) // opened when the last timer fired; no other timer has fired since
 	require.Contains(t, request, `"a"`)
 	conn.Write([]byte(answerNoContent))
 	require.Equal(t, []uint64{1}, peertest.Next(t, h.acknowledged))
 	require.Empty(t, h.lost)
 }
 
-// A notice that is answered on the old connection after it was sent again is sent once more than need be, and each time
-// under its own number: nothing else counts as acknowledged.
-func TestAnswerOnAnOldConnectionAcknowledgesNothing(t *testing.T) {
+// An answer on the old connection arrives after the notice was sent again on a new one. It must not acknowledge
+// anything, in particular no notice queued meanwhile. The repeated notice keeps its message ID.
+func TestAnswerOnOldConnectionAcknowledgesNothing(t *testing.T) {
 	h := newHarness(t)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Rejected})
 	old, _ := h.peer.Accept(t)
--- a/internal/notify/connection.go
+++ b/internal/notify/connection.go
@@ -11,16 +11,17 @@
 	"spanflow/transport"
 )
 
-// connection carries notices, a call at a time. All of it is guarded by the client's lock.
+// connection sends notices, with one call at a time. It implements dial.Handler and http1.Handler. All fields are
+// guarded by the client's lock.
 type connection struct {
 	client  *Client
 	conn    *dial.Conn
 	reader  http1.Reader
 	status  int                     // of the answer
-	notices []transport.FinalAnswer // of the call in progress; empty: there is none
+	notices []transport.FinalAnswer // of the call in progress; empty if there is none
 
 	timer *time.Timer
-	calls int // so far, so that a timer that fires late is known as such
+	calls int // number of calls so far, so that a timer that fires late is ignored
 }
 
 func (c *Client) connect() {
@@ -28,7 +29,7 @@
 	c.conn.conn = c.dialer.Dial(c.addr, c.connectTimeout, c.conn)
 }
 
-// post begins a call with notices, which are copied.
+// post starts a call with the notices, which it copies.
 func (n *connection) post(notices []transport.FinalAnswer) {
 	c := n.client
 	n.notices = append(n.notices, notices...)
@@ -40,10 +41,10 @@
 	n.timer = c.afterFunc(answerTimeout<<min(c.unanswered, maxDoublings), func() { n.timedOut(call) })
 }
 
-// appendNotices appends notices as they go over the wire, a line of JSON each.
+// appendNotices appends the body of a call, which has one line of JSON for each notice.
 func appendNotices(b []byte, notices []transport.FinalAnswer) []byte {
 	for _, notice := range notices {
-		id, _ := json.Marshal(notice.ID) // a string cannot fail
+		id, _ := json.Marshal(notice.ID) // encoding a string cannot fail
 		b = append(append(b, `{"id":`...), id...)
 		switch {
 		case notice.Outcome != transport.Rejected:
@@ -59,13 +60,14 @@
 	return b
 }
 
-// timedOut repeats a call that was not answered in time at once, on a new connection: the old one may have died
-// unnoticed, and a message counts as lost if its notice has not arrived 300 ms after its expiry.
+// timedOut immediately repeats a call that was not answered in time. It uses a new connection, as the old one may have
+// been lost without a close. There is no delay, because a message counts as lost if its notice has not arrived 300 ms
+// after its expiry.
 func (n *connection) timedOut(call int) {
 	c := n.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.conn != n || n.calls != call || len(n.notices) == 0 { // the answer came while this waited for the lock
+	if c.conn != n || n.calls != call || len(n.notices) == 0 { // the answer arrived while this waited for the lock
 		return
 	}
 	c.unanswered++
@@ -74,7 +76,7 @@
 	c.send()
 }
 
-// fail drops the connection and has its notices sent again a little later. The lock is held.
+// fail closes the connection and resends its notices after retryDelay. The lock is held.
 func (n *connection) fail(reason string) {
 	c := n.client
 	if c.conn != n {
@@ -87,13 +89,13 @@
 	c.sendLater()
 }
 
-// drop closes the connection and puts its notices back before those that wait.
+// drop closes the connection and puts its notices back at the head of the queue.
 func (n *connection) drop() {
 	if n.timer != nil {
 		n.timer.Stop()
 	}
 	n.conn.Close()
-	n.client.waiting = append(n.notices, n.client.waiting...)
+	n.client.queued = append(n.notices, n.client.queued...)
 	n.client.conn = nil
 }
 
@@ -103,7 +105,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.conn != n || len(n.notices) == 0 {
-		n.fail("unasked answer")
+		n.fail("unexpected answer")
 		return
 	}
 	_, complete, err := n.reader.Feed(b, n)
@@ -116,7 +118,7 @@
 	}
 }
 
-// acknowledged reports the notices of the call and begins the next one.
+// acknowledged reports the notices of the call as acknowledged and starts the next call.
 func (n *connection) acknowledged() {
 	c := n.client
 	n.timer.Stop()
@@ -146,5 +148,5 @@
 // Field implements http1.Handler.
 func (n *connection) Field(_, _ []byte) {}
 
-// Body implements http1.Handler: what an answer says beside its status does not matter.
+// Body implements http1.Handler. The body of an answer is ignored.
 func (n *connection) Body([]byte) error { return nil }
--- a/internal/notify/transcript_test.go
+++ b/internal/notify/transcript_test.go
@@ -15,7 +15,7 @@
 	"spanflow/transport"
 )
 
-// listener records what a client reports.
+// listener passes the reports of a client to the test, as text.
 type listener struct{ reports chan string }
 
 func (l listener) NoticesUnanswered(string) { l.reports <- "notices unanswered" }
@@ -24,7 +24,7 @@
 	l.reports <- fmt.Sprint("notices acknowledged ", ids)
 }
 
-// expect waits for reports in their order.
+// expect waits for the given reports, in this order.
 func (l listener) expect(t *testing.T, want ...string) {
 	t.Helper()
 	for _, w := range want {
@@ -32,7 +32,7 @@
 	}
 }
 
-// recordedClient is a client of a receiver of notices and the transcript of what it sends.
+// recordedClient is a client with an emulated receiver of notices and a transcript of its requests.
 type recordedClient struct {
 	*notify.Client
 	listener
@@ -47,14 +47,15 @@
 	t.Cleanup(dialer.Stop)
 	c := &recordedClient{listener: listener{make(chan string, 9)}, server: transcript.NewServer(t, "127.5.0.4")}
 	c.Client = notify.New(dialer, c.server.Addr, time.Minute, c.listener)
-	c.SetAfterFunc(startShortPauses)
+	c.SetAfterFunc(startOnlyShortTimers)
 	t.Cleanup(c.Stop)
 	c.script.Mask(regexp.QuoteMeta(c.server.Addr), "DISCOVERY")
 	return c
 }
 
-// startShortPauses starts timers of short pauses alone: no answer counts as late, however slow the machine is.
-func startShortPauses(wait time.Duration, fire func()) *time.Timer {
+// startOnlyShortTimers replaces time.AfterFunc. Timers longer than 60 ms never fire, so that no answer times out on a
+// slow machine.
+func startOnlyShortTimers(wait time.Duration, fire func()) *time.Timer {
 	timer := time.AfterFunc(wait, fire)
 	if wait > 60*time.Millisecond {
 		timer.Stop()
@@ -62,7 +63,7 @@
 	return timer
 }
 
-// next adds the next request to the transcript.
+// next returns the next request and adds it to the transcript.
 func (c *recordedClient) next(comment string) *transcript.Request {
 	request := c.server.Next()
 	c.script.Note("%s, on connection %d", comment, request.Connection)
@@ -70,8 +71,8 @@
 	return request
 }
 
-// ended adds the end of a connection to the transcript.
-func (c *recordedClient) ended(reason string) {
+// awaitClose waits for the end of a connection and adds it to the transcript.
+func (c *recordedClient) awaitClose(reason string) {
 	c.script.Note("%s: connection %d is closed", reason, c.server.Ended())
 }
 
@@ -99,18 +100,18 @@
 	several := c.next("what came meanwhile, on the same connection: returned with and without a time, failed, delivered")
 	several.Answer(answerCloses)
 	c.expect(t, "notices acknowledged [2 3 4 5]")
-	c.ended("the answer says that it closes")
+	c.awaitClose("the answer says that it closes")
 	c.Notify(transport.FinalAnswer{MessageID: 6, ID: "f", Outcome: transport.Rejected, RetryAfterMs: 1})
 	c.next("a new connection").Answer(answerBusy)
 	c.expect(t, "notices unanswered")
-	c.ended("the notice was turned away")
+	c.awaitClose("the notice was turned away")
 	again := c.next("sent again on a new connection")
 	again.Close()
 	c.expect(t, "notices unanswered")
-	c.ended("that one broke")
+	c.awaitClose("that one broke")
 	c.next("sent again on a new connection").Answer(answerNoContent)
 	c.expect(t, "notices acknowledged [6]")
 	c.Stop()
-	c.ended("stopped")
+	c.awaitClose("stopped")
 	c.script.Compare(t, "notices.txt")
 }
