--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -12,33 +12,32 @@
 	"github.com/lesismal/nbio"
 )
 
-// state says how far a connection has come.
 type state uint8
 
 const (
 	connecting state = iota
-	open             // established, with a socket at the engine
+	open             // established, its socket added to the engine
 	ended            // closed by either side, or never established
 )
 
-// Conn is one connection. It is safe for concurrent use. Where a method takes both locks, mu comes before reading.
+// Conn is an outgoing connection. It is safe for concurrent use. The lock mu must be taken before the lock reading.
 type Conn struct {
 	dialer  *Dialer
 	handler Handler
-	cancel  context.CancelFunc // ends connecting
-	written atomic.Int64       // bytes that the socket took
+	cancel  context.CancelFunc // cancels establishing the connection
+	written atomic.Int64       // bytes accepted by the socket
 
 	mu     sync.Mutex
 	state  state
-	socket *nbio.Conn // nil unless the connection was established; kept once ended
+	socket *nbio.Conn // nil until the connection is established; kept after its end
 	unsent []byte     // written while connecting
-	queued int64      // bytes given to Write
+	queued int64      // bytes passed to Write
 
 	reading     sync.Mutex // held while the socket is read
-	undelivered bool       // what was read is on its way to the handler; guarded by reading
+	undelivered bool       // bytes read are not delivered to the handler yet; guarded by reading
 }
 
-// establish connects to addr, unless there is no room for the connection.
+// establish connects to addr. If room is false, the connection limit is reached and the connection fails.
 func (c *Conn) establish(ctx context.Context, addr string, room bool) {
 	defer c.cancel()
 	if !room {
@@ -56,7 +55,7 @@
 	}
 }
 
-// connected hands the established connection to nbio and writes what was queued before.
+// connected passes the established connection to nbio and writes the bytes buffered by Write until now.
 func (c *Conn) connected(std net.Conn) error {
 	socket, err := nbio.NBConn(std)
 	if err != nil {
@@ -85,7 +84,7 @@
 	return nil
 }
 
-// read reads what the socket has and delivers it to the handler.
+// read reads from the socket and delivers the bytes to the handler.
 func (c *Conn) read(socket *nbio.Conn, buffer []byte) {
 	for i, n := 0, len(buffer); i < maxReadsInARow && n == len(buffer) && !c.hasEnded(); i++ {
 		var err error
@@ -93,7 +92,7 @@
 		if n > 0 && !c.hasEnded() {
 			c.handler.Data(buffer[:n])
 		}
-		c.MarkDelivered() // also for a handler that never says so itself
+		c.MarkDelivered() // for handlers that do not call it themselves
 		if err != nil && !errors.Is(err, syscall.EAGAIN) {
 			socket.CloseWithError(err)
 			return
@@ -101,7 +100,7 @@
 	}
 }
 
-// readSocket reads once. What it returns counts as undelivered until MarkDelivered.
+// readSocket reads once. The bytes that it returns count as undelivered until MarkDelivered is called.
 func (c *Conn) readSocket(socket *nbio.Conn, buffer []byte) (n int, err error) {
 	c.reading.Lock()
 	defer c.reading.Unlock()
@@ -116,8 +115,8 @@
 	return n, err
 }
 
-// MarkDelivered records that the handler has what was read. A handler that calls IsQuiet or ReadPending under a lock of
-// its own calls MarkDelivered under that lock.
+// MarkDelivered records that the handler has received the bytes read. A handler that calls IsQuiet or ReadPending while
+// holding its own lock must call MarkDelivered in Data while holding that lock.
 func (c *Conn) MarkDelivered() {
 	c.reading.Lock()
 	c.undelivered = false
@@ -130,7 +129,7 @@
 	return c.state == ended
 }
 
-// Write sends b, at once or when the connection is established. It copies what it must keep of b.
+// Write sends b, or buffers it until the connection is established. It copies the bytes that it keeps.
 func (c *Conn) Write(b []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -144,9 +143,9 @@
 	}
 }
 
-// IsQuiet reports whether the connection is open and nothing has arrived that was not delivered yet. It may be called
-// only while nothing is expected: what has arrived is lost. It guards against bytes that were read and wait for the
-// handler's lock being taken for the answer to a call that is written before the handler has them.
+// IsQuiet reports whether the connection is open and has no undelivered bytes, neither in the socket nor on their way
+// to the handler. It prevents such bytes from being taken for the answer to a call written after them. IsQuiet may
+// discard a byte from the socket, so it must be called only while no data is expected.
 func (c *Conn) IsQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,9 +161,9 @@
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// ReadPending reads what has arrived and was not delivered yet, for a handler that is about to close the connection. It
-// returns 0 if nothing has arrived. If pending, bytes read before are on their way to the handler by Data, and nothing
-// is read.
+// ReadPending reads bytes that have arrived but are not delivered yet, for a handler that is about to close the
+// connection. It returns 0 if there are none. If pending is true, bytes that were read earlier are about to be passed
+// to Data, and ReadPending reads nothing.
 func (c *Conn) ReadPending(buffer []byte) (n int, pending bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,26 +182,27 @@
 	return n, false
 }
 
-// Sent reports whether the socket took the last byte of all that was written. On an open connection this may become
-// true a moment later; to act on its being false, Abort the connection.
+// Sent reports whether the socket has accepted all bytes passed to Write. On an open connection, false may become true
+// at any time. A caller that acts on false must call Abort instead.
 func (c *Conn) Sent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written.Load() >= c.queued
 }
 
-// Abort closes the connection and reports whether the last byte of all that was written may have been sent. It guards
-// against asking first: a connection that is established, or takes what was queued, between the answer and the close
-// would carry a call that counts as never sent.
+// Abort closes the connection and reports whether all bytes passed to Write may have been sent. Calling Sent and then
+// Close is not equivalent: if the connection was established or accepted buffered bytes in between, it would carry a
+// call that counts as never sent.
 func (c *Conn) Abort() (sent bool) {
 	c.end(false)
 	return c.Sent()
 }
 
-// Close closes the connection. The handler's Closed is not called for it.
+// Close closes the connection without calling the handler's Closed.
 func (c *Conn) Close() { c.end(false) }
 
-// CloseUnlessConnected closes the connection if nothing can have been sent on it yet, and reports whether it did.
+// CloseUnlessConnected closes the connection if it is not established yet, and reports whether it did. Nothing was sent
+// on it then.
 func (c *Conn) CloseUnlessConnected() bool { return c.end(true) }
 
 // Connected reports whether the connection was ever established.
@@ -212,14 +212,15 @@
 	return c.socket != nil
 }
 
-// closed reports the end of the connection to the handler, unless it had ended before.
+// closed ends the connection and reports it to the handler, unless the connection had ended before.
 func (c *Conn) closed(cause error) {
 	if c.end(false) {
 		c.handler.Closed(cause)
 	}
 }
 
-// end closes the connection, with unlessOpen only while it is connecting. It reports whether this call did it.
+// end closes the connection and reports whether this call did it. With unlessOpen it closes only a connection that is
+// still connecting.
 func (c *Conn) end(unlessOpen bool) bool {
 	c.mu.Lock()
 	if c.state == ended || unlessOpen && c.state == open {
--- a/internal/dial/conn_test.go
+++ b/internal/dial/conn_test.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/emulator"
 )
 
-// eventRecorder passes the calls of a Handler to a test.
+// eventRecorder is a Handler that passes its calls to the test.
 type eventRecorder struct {
 	data   chan string
 	closed chan error
@@ -25,7 +25,7 @@
 	return eventRecorder{data: make(chan string, 9), closed: make(chan error, 9)}
 }
 
-func TestConnectionCarriesBytesBothWaysAndReportsItsEnd(t *testing.T) {
+func TestConnectionExchangesDataAndReportsClose(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.3.2.1:0")
 	require.NoError(t, err)
 	d, err := New("test", 4)
@@ -49,14 +49,14 @@
 }
 
 const (
-	// starvedAfter is longer than a goroutine waits for a sync.Mutex (1 ms) until the lock is handed to who has waited
-	// longest.
-	starvedAfter = 2 * time.Millisecond
-	closeTimeout = 30 * time.Second // only a connection that is never closed takes so long
+	// mutexStarvationTime is longer than the 1 ms after which sync.Mutex hands the lock to the goroutine that has
+	// waited longest.
+	mutexStarvationTime = 2 * time.Millisecond
+	closeTimeout        = 30 * time.Second // exceeded only if the connection is never closed
 )
 
-// A connection that is established between two steps of Abort must not carry what Abort reports as never sent. The
-// order is brought about by the connection's lock: Abort waits for it first, and the establishing goroutine is next.
+// Guards against a connection that is established between two steps of Abort and then carries bytes that Abort reports
+// as never sent. The connection's lock enforces the order: Abort waits for it first, then the establishing goroutine.
 func TestConnectionEstablishedDuringAbortCarriesNothing(t *testing.T) {
 	const tries = 100
 	ln, err := net.Listen("tcp", "127.3.2.2:0")
@@ -73,9 +73,9 @@
 	require.Fail(t, "the connection was never established during Abort", "%d tries", tries)
 }
 
-// connectsDuringAbort aborts a connection that is being established and requires that Abort reports truly whether it
-// carried anything. inOrder says that the connection was established right after Abort's first hold of the lock; else
-// Abort overtook the test.
+// connectsDuringAbort aborts a connection that is being established and requires that Abort reports correctly whether
+// the connection carried anything. It returns true if the connection was established right after Abort first released
+// the lock, and false if Abort finished before that.
 func connectsDuringAbort(t *testing.T, d *Dialer, ln net.Listener) (inOrder bool) {
 	t.Helper()
 	establish := make(chan struct{})
@@ -95,9 +95,9 @@
 	emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
 	close(establish)
 	emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
-	time.Sleep(starvedAfter)
+	time.Sleep(mutexStarvationTime)
 	conn.mu.Unlock()
-	conn.mu.Lock() // mostly Abort, which was woken, finds it taken again: from then on the lock is handed on in turn
+	conn.mu.Lock() // Abort usually finds it taken again; after that the lock is passed in turn
 	if inOrder = conn.state == connecting; inOrder {
 		emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
 		emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
@@ -106,7 +106,7 @@
 	sent := <-aborted
 	require.NoError(t, peer.SetReadDeadline(time.Now().Add(closeTimeout)))
 	got, err := io.ReadAll(peer)
-	require.NoError(t, err, "the connection stays open")
-	require.Equal(t, sent, string(got) == "call", "what counts as never sent was sent: %q", got)
+	require.NoError(t, err, "the connection is not closed")
+	require.Equal(t, sent, string(got) == "call", "the result of Abort does not match what the peer received: %q", got)
 	return inOrder
 }
--- a/internal/dial/dialer.go
+++ b/internal/dial/dialer.go
@@ -1,7 +1,7 @@
-// Package dial opens outgoing connections on an nbio engine and reports what becomes of them.
+// Package dial opens outgoing connections on an nbio engine and reports their data and their end.
 //
-// A Conn belongs to the caller of Dial. It ends once: by the caller (Close, Abort, CloseUnlessConnected), which is
-// not reported, or by the peer or the network, which Handler.Closed reports.
+// A Conn belongs to the caller of Dial. It is closed either by the caller (Close, Abort, CloseUnlessConnected), which
+// is not reported, or by the peer or the network, which is reported by Handler.Closed.
 package dial
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/lesismal/nbio"
 )
 
-// ErrConnectTimeout is the cause of a connection that was not established in time.
-var ErrConnectTimeout = errors.New("connection did not come up in time")
+// ErrConnectTimeout is passed to Handler.Closed if the connection was not established in time.
+var ErrConnectTimeout = errors.New("connection was not established in time")
 
-// ErrStopped is the cause of a connection that was established after the dialer had stopped.
+// ErrStopped is passed to Handler.Closed if the connection was established after the dialer had stopped.
 var ErrStopped = errors.New("the dialer has stopped")
 
-// ErrTooManyConnections is the cause of a connection beyond the dialer's limit.
-var ErrTooManyConnections = errors.New("all descriptors for connections are taken")
+// ErrTooManyConnections is passed to Handler.Closed if the connection exceeds the dialer's limit.
+var ErrTooManyConnections = errors.New("connection limit reached")
 
 const (
 	stopTimeout     = 200 * time.Millisecond
 	readBufferBytes = 32 << 10
-	maxReadsInARow  = 64 // of one connection, while others wait
+	maxReadsInARow  = 64 // of one connection, before others get their turn
 )
 
-// Handler receives what happens on a connection. Its methods are called by the engine's goroutines, or by the one that
-// dials. The bytes given to Data are valid until it returns. Closed is called at most once, as the last, and not if the
-// caller of Dial closed the connection.
+// Handler receives the events of a connection. Its methods are called by the engine's goroutines or the dialing one.
+// The bytes passed to Data are valid until it returns. Closed is called at most once, after all calls of Data, and not
+// if the caller of Dial closed the connection.
 type Handler interface {
 	Data(b []byte)
 	Closed(cause error)
@@ -41,12 +41,12 @@
 
 // Dialer opens connections, a limited number at once. It is safe for concurrent use.
 type Dialer struct {
-	// Connect establishes a connection; nil: TCP by the standard library. Set before the first Dial, by tests of what a
-	// network does not do on demand.
+	// Connect establishes a connection; nil means net.Dialer with TCP. Tests set it before the first Dial to produce
+	// network conditions that are hard to cause otherwise.
 	Connect func(ctx context.Context, addr string) (net.Conn, error)
 
-	stopping sync.RWMutex // held for reading while a connection is handed to the engine
-	stopped  bool         // no further one is; guarded by stopping
+	stopping sync.RWMutex // read-locked while a connection is added to the engine
+	stopped  bool         // no connection is added any more; guarded by stopping
 
 	engine  *nbio.Engine
 	maxOpen int64
@@ -57,13 +57,13 @@
 	Received, Sent atomic.Int64 // bytes read from and written to the sockets of all connections
 }
 
-// New starts an engine with the given name for at most maxOpen connections at once. Stop ends it.
+// New starts an engine with the given name for at most maxOpen connections at once. The caller has to call Stop.
 func New(name string, maxOpen int) (*Dialer, error) {
 	d := &Dialer{maxOpen: int64(maxOpen)}
 	d.engine = nbio.NewEngine(nbio.Config{Name: name, NPoller: 1, ReadBufferSize: 1})
-	buffer := make([]byte, readBufferBytes) // there is one poller
+	buffer := make([]byte, readBufferBytes) // shared by all connections, as there is only one poller
 	d.engine.OnRead(func(socket *nbio.Conn) {
-		d.open.Load() // the race detector does not see nbio's locks: this orders what follows after Dial
+		d.open.Load() // the race detector does not see nbio's locks; this load orders the reads after Dial
 		if c, ok := socket.Session().(*Conn); ok {
 			c.read(socket, buffer)
 		}
@@ -82,7 +82,8 @@
 	return d, d.engine.Start()
 }
 
-// Stop closes all connections and the engine. What is established later is closed and carries nothing.
+// Stop closes all connections and stops the engine. A connection that is established later is closed at once and
+// carries no data.
 func (d *Dialer) Stop() {
 	d.stopping.Lock()
 	d.stopped = true
@@ -98,10 +99,10 @@
 // Full reports whether a further connection would exceed the limit.
 func (d *Dialer) Full() bool { return d.open.Load() >= d.maxOpen }
 
-// Dial begins to open a connection, which fails with ErrConnectTimeout after the timeout. Any failure, even an
-// immediate one, is reported by h.Closed, never from within this call. The connection is made by the standard library
-// and handed to nbio once it is established: nbio's own dialer takes an IPv4 address for 0.0.0.0, and does not check
-// whether connecting failed.
+// Dial starts to open a connection, which fails with ErrConnectTimeout after the timeout. Every failure, even an
+// immediate one, is reported by h.Closed from another goroutine. The connection is established by the standard library
+// and then passed to nbio, because nbio's own dialer mistakes an IPv4 address for 0.0.0.0 and does not check whether
+// connecting failed.
 func (d *Dialer) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	c := &Conn{dialer: d, handler: h, cancel: cancel}
@@ -112,7 +113,7 @@
 	return c
 }
 
-// connect establishes a connection by Connect or the standard library.
+// connect establishes a connection with Connect or, if that is nil, the standard library.
 func (d *Dialer) connect(ctx context.Context, addr string) (net.Conn, error) {
 	if d.Connect != nil {
 		return d.Connect(ctx, addr)
@@ -120,7 +121,7 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 }
 
-// isTimeout reports whether connecting failed for lack of time, the caller's or the kernel's.
+// isTimeout reports whether connecting failed because of the caller's or the kernel's timeout.
 func isTimeout(ctx context.Context, err error) bool {
 	return ctx.Err() != nil || errors.Is(err, syscall.ETIMEDOUT)
 }
--- a/internal/dial/dialer_test.go
+++ b/internal/dial/dialer_test.go
@@ -36,7 +36,7 @@
 	require.EqualValues(t, 2*len("answer"), d.Received.Load())
 }
 
-// Guards against a call that reaches its endpoint after its process has given the folder to the next one.
+// Guards against a call that reaches its endpoint after its process has handed over to the successor.
 func TestConnectionEstablishedAfterStopCarriesNothing(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -58,11 +58,11 @@
 	require.NoError(t, peer.SetReadDeadline(time.Now().Add(time.Second)))
 	text, err := io.ReadAll(peer)
 	require.Empty(t, text)
-	require.NoError(t, err, "the connection is closed")
+	require.NoError(t, err, "the connection is not closed")
 }
 
-// Guards against calls that are still out when the next process has the folder.
-func TestStopClosesEstablishedConnectionsBeforeItReturns(t *testing.T) {
+// Guards against calls that are still in progress when the successor takes over.
+func TestStopClosesConnectionsBeforeReturning(t *testing.T) {
 	const connections = 200
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,4 +1,4 @@
-// Package http1 parses HTTP/1.1 answers piece by piece and formats requests. It does no I/O.
+// Package http1 parses HTTP/1.1 answers incrementally and formats requests. It does no I/O.
 package http1
 
 import (
@@ -9,11 +9,11 @@
 
 const (
 	maxLineBytes    = 8 << 10
-	maxFields       = 100 // of a head, and of a head with its trailer
+	maxFields       = 100 // of the head and the trailer together
 	maxNumberDigits = 16
 )
 
-// firstFinalStatus is the lowest status of a final answer; those below are interim.
+// firstFinalStatus is the lowest status of a final answer. Lower ones are interim (1xx).
 const firstFinalStatus = 200
 
 // Statuses without a body.
@@ -24,20 +24,20 @@
 
 // Errors of an answer that cannot be parsed.
 var (
-	// ErrMalformed says that what was received is not an HTTP/1.1 answer.
+	// ErrMalformed means that the received bytes are not a valid HTTP/1.1 answer.
 	ErrMalformed = errors.New("not an HTTP/1.1 answer")
-	// ErrSize says that a line, the number of fields or the body is over its limit.
+	// ErrSize means that a line, the number of fields or the body exceeds its limit.
 	ErrSize = errors.New("answer over the limit")
 )
 
-// state says what part of an answer comes next.
+// state is the part of an answer that is parsed next.
 type state uint8
 
 const (
 	readingStatusLine state = iota
 	readingFields
 	readingSizedBody
-	readingUntilClose // the body goes on until the connection ends
+	readingUntilClose // the body ends with the connection
 	readingChunkSize
 	readingChunk
 	readingChunkEnd // the empty line after a chunk
@@ -45,37 +45,37 @@
 	complete
 )
 
-// Handler receives the parts of an answer as they are parsed. The slices are valid until the call returns. Fields of a
-// trailer are not passed on.
+// Handler receives the parts of an answer as they are parsed. The slices passed to it are valid until the call returns.
+// The fields of a trailer are not passed.
 type Handler interface {
 	Status(code int)
 	Field(name, value []byte)
-	Body(piece []byte) error // an error ends the parsing
+	Body(piece []byte) error // an error stops parsing and is returned by Feed
 }
 
-// Reader parses one answer after another; Reset comes between them. Interim answers (1xx) are skipped. After an error a
-// reader is of no use until Reset.
+// Reader parses one answer at a time. Reset must be called before the next answer and after an error. Interim answers
+// (1xx) are skipped.
 type Reader struct {
-	MaxBody int  // limit of a body in bytes; 0: none
-	Close   bool // the answer says that the connection closes after it; valid once the head is parsed
+	MaxBody int  // limit of a body in bytes; 0 means unlimited
+	Close   bool // the connection closes after the answer; valid once the head is parsed
 
 	state     state
 	code      int
-	line      []byte // an unfinished line
-	fields    int    // parsed so far
-	hasLength bool   // there is a Content-Length
+	line      []byte // an incomplete line
+	fields    int    // number of fields parsed so far
+	hasLength bool   // the head has a Content-Length
 	chunked   bool
-	bodyLeft  int // bytes left of the body or chunk
-	bodyBytes int // bytes of the body so far
+	bodyLeft  int // remaining bytes of the body or chunk
+	bodyBytes int // bytes of the body parsed so far
 }
 
-// Reset makes the reader ready for the next answer.
+// Reset prepares the reader for the next answer and keeps MaxBody.
 func (r *Reader) Reset() {
 	*r = Reader{MaxBody: r.MaxBody, line: r.line[:0]}
 }
 
-// Feed parses what has been received. It returns how many bytes of data belong to this answer, and whether it is
-// complete.
+// Feed parses the next bytes received. It returns how many of them belong to the current answer, and whether the answer
+// is complete.
 func (r *Reader) Feed(data []byte, h Handler) (used int, done bool, err error) {
 	b := data
 	for r.state != complete {
@@ -108,7 +108,7 @@
 	return len(data) - len(b), true, nil
 }
 
-// feedBody passes on what of b belongs to the body or chunk and returns its length.
+// feedBody passes the part of b that belongs to the body or chunk to h and returns its length.
 func (r *Reader) feedBody(b []byte, h Handler) (int, error) {
 	piece := b
 	if r.state != readingUntilClose {
@@ -129,13 +129,14 @@
 	return len(piece), nil
 }
 
-// EndsAtClose reports whether the end of the connection completes the answer.
+// EndsAtClose reports whether the answer's body ends with the connection, so that a close completes the answer.
 func (r *Reader) EndsAtClose() bool { return r.state == readingUntilClose }
 
-// Started reports whether anything of an answer has been received, interim ones aside.
+// Started reports whether any byte of a final answer has been received.
 func (r *Reader) Started() bool { return r.state != readingStatusLine || len(r.line) > 0 }
 
-// takeLine returns the next line without its end, nil while it is not complete, and how many bytes of b it used.
+// takeLine returns the next line without its line ending, or nil if it is incomplete, and the number of bytes used of
+// b.
 func (r *Reader) takeLine(b []byte) ([]byte, int, error) {
 	end := bytes.IndexByte(b, '\n')
 	part := b
@@ -160,7 +161,7 @@
 	return part, end + 1, nil
 }
 
-// handleLine parses one line of the head, of the framing of chunks or of the trailer.
+// handleLine parses one line of the head, the chunk framing or the trailer.
 func (r *Reader) handleLine(line []byte, h Handler) error {
 	switch r.state {
 	case readingStatusLine:
@@ -189,7 +190,7 @@
 	return nil
 }
 
-// handleChunkSize parses the line before a chunk; extensions after a semicolon are ignored.
+// handleChunkSize parses the line before a chunk. Extensions after a semicolon are ignored.
 func (r *Reader) handleChunkSize(line []byte) error {
 	if semicolon := bytes.IndexByte(line, ';'); semicolon >= 0 {
 		line = line[:semicolon]
@@ -205,7 +206,7 @@
 	return nil
 }
 
-// handleStatusLine parses "HTTP/1.1 200 OK".
+// handleStatusLine parses a status line such as "HTTP/1.1 200 OK".
 func (r *Reader) handleStatusLine(line []byte, h Handler) error {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return ErrMalformed
@@ -221,7 +222,7 @@
 	return nil
 }
 
-// handleField parses a field of the head.
+// handleField parses a field of the head, and passes it to h unless the answer is interim.
 func (r *Reader) handleField(line []byte, h Handler) error {
 	if r.fields++; r.fields > maxFields {
 		return ErrSize
@@ -255,7 +256,7 @@
 	return nil
 }
 
-// startBody decides by the head how the body ends.
+// startBody sets the state after the head, according to how the body ends.
 func (r *Reader) startBody() {
 	switch {
 	case r.code < firstFinalStatus:
@@ -273,7 +274,8 @@
 	}
 }
 
-// EqualFold reports whether b, the name or value of a field, equals word without regard to case. word is in lower case.
+// EqualFold reports whether b, the name or value of a field, equals word regardless of ASCII case. word must be in
+// lower case.
 func EqualFold(b []byte, word string) bool {
 	if len(b) != len(word) {
 		return false
--- a/internal/http1/reader_test.go
+++ b/internal/http1/reader_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recorder keeps what a Handler is given as one text.
+// recorder is a Handler that writes its calls as one text.
 type recorder struct{ text strings.Builder }
 
 func (s *recorder) Status(code int)      { fmt.Fprintf(&s.text, "%d ", code) }
 func (s *recorder) Field(name, v []byte) { fmt.Fprintf(&s.text, "%s=%s ", name, v) }
 func (s *recorder) Body(b []byte) error  { s.text.Write(b); return nil }
 
-// read feeds text in pieces of a size until an answer is complete.
+// read feeds text in pieces of size bytes until an answer is complete.
 func read(text string, size int) (got, unused string, done bool, err error) {
 	r, s := Reader{MaxBody: 1000}, &recorder{}
 	for len(text) > 0 && !done && err == nil {
@@ -29,7 +29,7 @@
 	return s.text.String(), text, done || r.EndsAtClose(), err
 }
 
-func TestAnswersAreParsedAlikeInPiecesOfAnySize(t *testing.T) {
+func TestAnswersAreParsedInPiecesOfAnySize(t *testing.T) {
 	for text, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nA: b\r\nContent-Length: 5\r\n\r\nhello":                                        "200 A=b Content-Length=5 hello",
 		"HTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\nT: u\r\n\r\n":   "200 Transfer-Encoding=chunked hello",
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestBytesAfterAnswerAreNotUsed(t *testing.T) {
+func TestBytesAfterAnswerAreLeftUnread(t *testing.T) {
 	got, unused, done, err := read("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP", 100)
 	require.NoError(t, err)
 	require.True(t, done)
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// AppendRequestLine starts a request with its first line and the Host field. AppendField adds further fields,
-// AppendBody ends the head.
+// AppendRequestLine appends the request line and the Host field. Further fields are added by AppendField; AppendBody
+// ends the head.
 func AppendRequestLine(b []byte, method, path, host string) []byte {
 	b = append(b, method...)
 	b = append(b, ' ')
@@ -12,7 +12,7 @@
 	return AppendField(b, "Host", host)
 }
 
-// AppendField adds a field to a head. Neither name nor value may contain a line's end.
+// AppendField appends a header field. Neither name nor value may contain a line break.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(b, name...)
 	b = append(b, ": "...)
@@ -20,7 +20,7 @@
 	return append(b, "\r\n"...)
 }
 
-// AppendBody ends the head with the Content-Length field and adds the body.
+// AppendBody appends the Content-Length field, the end of the head and the body.
 func AppendBody(b, body []byte) []byte {
 	b = append(b, "Content-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -1,4 +1,4 @@
-// Package resp parses RESP2 commands, arrays of bulk strings, piece by piece, and formats replies. It does no I/O.
+// Package resp parses RESP2 commands (arrays of bulk strings) incrementally and formats replies. It does no I/O.
 package resp
 
 import (
@@ -8,27 +8,27 @@
 )
 
 const (
-	// MaxArgs limits the number of a command's arguments, its name included.
+	// MaxArgs limits the number of a command's arguments, including its name.
 	MaxArgs = 16
-	// MaxBytes limits a command with all its framing.
+	// MaxBytes limits the size of a command, including its framing.
 	MaxBytes = 64<<10 + 4096
 
-	maxLengthLine = 20 // bytes of a line with a length, its type byte included
+	maxLengthLine = 20 // bytes of a line with a length, including its type byte
 	crlfBytes     = 2
 )
 
-// ErrFraming says that what was received is not a command: what follows on the connection cannot be parsed.
+// ErrFraming means that the received bytes are not a command. The rest of the connection's data cannot be parsed.
 var ErrFraming = errors.New("not an array of bulk strings")
 
-// ErrSize says that an array or a bulk string is over the limit.
+// ErrSize means that a command has more than MaxArgs arguments or exceeds MaxBytes.
 var ErrSize = errors.New("command over the limit")
 
-// Reader parses commands; it keeps what is unfinished between two calls of Feed. The zero value is ready for use.
+// Reader parses commands. It keeps an incomplete command between two calls of Feed. The zero value is ready for use.
 type Reader struct{ unfinished []byte }
 
 // Feed calls each for every complete command. The arguments are slices of data, or of what was kept of an earlier call;
 // they are valid until each returns. After an error, ErrFraming, ErrSize or that of each, the reader is of no more use.
-func (r *Reader) Feed(data []byte, each func(args [][]byte) error) error {
+func (r *Reader) Feed(data []byte, handle func(args [][]byte) error) error {
 	kept := len(r.unfinished) > 0
 	if kept {
 		r.unfinished = append(r.unfinished, data...)
@@ -43,7 +43,7 @@
 		if n == 0 {
 			break
 		}
-		if err := each(args); err != nil {
+		if err := handle(args); err != nil {
 			return err
 		}
 		data = data[n:]
--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// read feeds text in pieces of a size and returns the commands.
+// read feeds text in pieces of size bytes and returns the commands.
 func read(text string, size int) ([]string, error) {
 	var r Reader
 	var got []string
@@ -26,7 +26,7 @@
 	return got, nil
 }
 
-func TestCommandsAreParsedAlikeInPiecesOfAnySize(t *testing.T) {
+func TestCommandsAreParsedInPiecesOfAnySize(t *testing.T) {
 	text := "*1\r\n$4\r\nPING\r\n*3\r\n$1\r\na\r\n$0\r\n\r\n$5\r\n\x00\r\n\r\n\r\n*1\r\n$4\r\nPING\r\n"
 	want := []string{`["PING"]`, `["a" "" "\x00\r\n\r\n"]`, `["PING"]`}
 	for size := 1; size <= len(text); size++ {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestOnlyAnUnfinishedCommandIsKept(t *testing.T) {
+func TestOnlyUnfinishedCommandIsBuffered(t *testing.T) {
 	var r Reader
 	none := func([][]byte) error { return nil }
 	require.NoError(t, r.Feed([]byte("*1\r\n$4\r\nPI"), none))
