--- a/internal/admin/bounded_listener.go
+++ b/internal/admin/bounded_listener.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// boundedListener keeps a bounded number of connections open. For a new one over the bound it closes the oldest on
-// which no request has arrived yet or, if there is none, the new one.
+// boundedListener limits the number of open connections. For a new connection over the limit it closes the oldest one
+// on which no request has arrived yet or, if there is none, the new one.
 type boundedListener struct {
 	net.Listener
-	max int
+	maxConns int
 
 	mu    sync.Mutex
 	conns map[net.Conn]*connState
 }
 
-// connState is what is known of an open connection.
+// connState is the state of an open connection.
 type connState struct {
 	since  time.Time
 	active bool // a request has arrived on it
 }
 
 func newBoundedListener(l net.Listener, maxConns int) *boundedListener {
-	return &boundedListener{Listener: l, max: maxConns, conns: map[net.Conn]*connState{}}
+	return &boundedListener{Listener: l, maxConns: maxConns, conns: map[net.Conn]*connState{}}
 }
 
-// Accept waits for a connection that may stay open.
+// Accept returns the next connection within the limit and closes those over it.
 func (b *boundedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := b.Listener.Accept()
@@ -41,11 +41,11 @@
 	}
 }
 
-// admit makes room for a connection, if it can, and counts it.
+// admit registers a connection, closing an older one if necessary. It returns false if there is no room for it.
 func (b *boundedListener) admit(conn net.Conn) bool {
 	b.mu.Lock()
 	var oldest net.Conn
-	if len(b.conns) >= b.max {
+	if len(b.conns) >= b.maxConns {
 		if oldest = b.oldestIdle(); oldest == nil {
 			b.mu.Unlock()
 			return false
@@ -55,12 +55,12 @@
 	b.conns[conn] = &connState{since: time.Now()}
 	b.mu.Unlock()
 	if oldest != nil {
-		oldest.Close() // without the lock: the server reports it to track
+		oldest.Close() // without the lock, as the server calls track for it
 	}
 	return true
 }
 
-// oldestIdle returns the connection that has been open longest without a request, nil if there is none. The lock is
+// oldestIdle returns the connection that has been open longest without a request, or nil if there is none. The lock is
 // held.
 func (b *boundedListener) oldestIdle() net.Conn {
 	var oldest net.Conn
@@ -72,7 +72,7 @@
 	return oldest
 }
 
-// track follows the server's view of each connection; see http.Server.ConnState.
+// track records the state changes of connections; it is the http.Server's ConnState hook.
 func (b *boundedListener) track(conn net.Conn, state http.ConnState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Timeouts of a request. Those for reading, for the event loop and for writing are together less than RequestTimeout,
-// so that callers that send nothing, or part of a request, are cut off in time.
+// Timeouts of a request. The sum of those for reading, the event loop and writing is less than RequestTimeout, so that
+// callers that send nothing or an incomplete request are disconnected in time.
 const (
-	// RequestTimeout bounds a request, from its connection to the end of its response.
+	// RequestTimeout limits the time from the start of the connection to the end of the response.
 	RequestTimeout   = time.Second
 	readTimeout      = 600 * time.Millisecond
 	eventLoopTimeout = 300 * time.Millisecond
@@ -19,15 +19,16 @@
 
 const maxHeaderBytes = 4 << 10
 
-// MaxRequests limits the connections open at once, so that silent callers do not take the descriptors that clients and
-// endpoints need. A connection lives for less than a second; more callers than this within one second may be cut off.
+// MaxRequests limits the connections open at once, so that silent callers do not use up the file descriptors needed for
+// clients and endpoints. A connection lasts less than a second; more callers than this within a second may be
+// disconnected.
 const MaxRequests = 12
 
-// routes are the paths that the event loop answers.
+// routes are the paths whose requests are passed to the event loop.
 var routes = []struct {
 	method, path string
 	operation    Operation
-	named        bool // of one endpoint
+	needsName    bool // requires the ID of an endpoint in the query parameter "name"
 }{
 	{http.MethodGet, "/_vars", Vars, false},
 	{http.MethodPost, "/_targets/detach", Detach, true},
@@ -38,14 +39,14 @@
 
 const readyPath = "/_ready"
 
-// Server serves the operators' address.
+// Server is the HTTP server of the operators' address.
 type Server struct {
 	server   *http.Server
 	listener *boundedListener
 	done     chan struct{}
 }
 
-// Open serves at addr until Stop.
+// Open listens at addr, an IPv4 TCP address, and serves until Stop.
 func Open(addr string, handler Handler) (*Server, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -54,7 +55,7 @@
 	return Serve(l, handler), nil
 }
 
-// Serve answers requests that arrive on l until Stop. The server owns l and closes it.
+// Serve answers requests on l until Stop. The server owns l and closes it.
 func Serve(l net.Listener, handler Handler) *Server {
 	bounded := newBoundedListener(l, MaxRequests)
 	s := &Server{
@@ -77,10 +78,10 @@
 	return s
 }
 
-// Addr returns the address on which the server listens.
+// Addr returns the address on which the server listens, with the actual port.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Stop closes the address and every connection to it.
+// Stop closes the listener and all connections, and waits until the server has stopped accepting.
 func (s *Server) Stop() {
 	s.server.Close()
 	<-s.done
@@ -100,7 +101,7 @@
 		methods[route.path] = route.method
 		mux.HandleFunc(route.method+" "+route.path, func(w http.ResponseWriter, r *http.Request) {
 			request := Request{Operation: route.operation}
-			if route.named {
+			if route.needsName {
 				if request.Name = r.URL.Query().Get("name"); request.Name == "" {
 					write(w, Response{Status: http.StatusBadRequest, Text: "name: missing; say which target, ?name=ID"})
 					return
@@ -121,7 +122,7 @@
 	return mux
 }
 
-// handle passes a request to the event loop and waits for its response, for eventLoopTimeout at most.
+// handle passes a request to the event loop and waits at most eventLoopTimeout for the response.
 func handle(handler Handler, request Request) Response {
 	responses := make(chan Response, 1)
 	handler.Handle(request, func(r Response) {
--- a/internal/admin/transcript_test.go
+++ b/internal/admin/transcript_test.go
@@ -13,10 +13,10 @@
 	"spanflow/internal/transcript"
 )
 
-// scriptedHandler answers requests as the test says.
+// scriptedHandler answers requests with the response set by the test.
 type scriptedHandler struct {
 	ready    atomic.Bool
-	response atomic.Pointer[admin.Response] // nil: none comes
+	response atomic.Pointer[admin.Response] // nil means that no response is sent
 }
 
 func (h *scriptedHandler) Ready() bool { return h.ready.Load() }
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestResponsesOfTheAdminAddress(t *testing.T) {
+func TestResponsesOfAdminServer(t *testing.T) {
 	const vars = "GET /_vars HTTP/1.1\r\nHost: x\r\n\r\n"
 	h := &scriptedHandler{}
 	server, err := admin.Open("127.7.0.2:0", h)
@@ -35,7 +35,7 @@
 	t.Cleanup(server.Stop)
 	var script transcript.Transcript
 	script.Mask(`Date: [^\r]*`, "Date: DATE")
-	ask := func(what, request string) {
+	ask := func(description, request string) {
 		conn, err := net.Dial("tcp", server.Addr())
 		require.NoError(t, err)
 		defer conn.Close()
@@ -44,15 +44,15 @@
 		require.NoError(t, err)
 		answer, err := io.ReadAll(conn)
 		require.NoError(t, err)
-		script.Note("%s", what)
+		script.Note("%s", description)
 		script.Bytes("operator", []byte(request))
 		script.Bytes("forwarder", answer)
 	}
 	ask("not ready", "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
 	ask("the owner does not answer in time", vars)
 	for _, c := range []struct {
-		what   string
-		answer admin.Response
+		description string
+		answer      admin.Response
 	}{
 		{"yes", admin.Response{OK: true, Text: "a line"}},
 		{"yes, with several lines", admin.Response{OK: true, Text: "a:1|c\nb:2|g\n"}},
@@ -61,7 +61,7 @@
 		{"no, without a status", admin.Response{Text: "why"}},
 	} {
 		h.response.Store(&c.answer)
-		ask(c.what, vars)
+		ask(c.description, vars)
 	}
 	h.ready.Store(true)
 	ask("ready", "GET /_ready HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,5 +1,5 @@
-// Package signals catches the signals by which a forwarder's process is stopped and reloaded, from the first line of a
-// program on, and makes sure that the process ends in time.
+// Package signals handles the signals that stop a forwarder's process or reload its configuration, from the start of
+// the program, and ensures that the process exits in time after a stop signal.
 package signals
 
 import (
@@ -13,62 +13,64 @@
 )
 
 const (
-	exitWithin      = 3600 * time.Millisecond // after SIGTERM; a process that has not ended after 3.7 s may be killed
-	startExitWithin = time.Second             // the same while nobody was served yet
-	interruptWithin = 200 * time.Millisecond  // for a step of the start to end by itself
-	logWithin       = 10 * time.Millisecond   // for the log line of an exit, as nobody may read the log
+	exitTimeout        = 3600 * time.Millisecond // after a stop signal; the process may be killed after 3.7 s
+	startupExitTimeout = time.Second             // the same for a process that is not serving yet
+	interruptTimeout   = 200 * time.Millisecond  // time for a cancelled startup step to return
+	logTimeout         = 10 * time.Millisecond   // time to log a forced exit, as the log may not be read
 
 	forcedExitLine = `{"level":"error","message":"end forced: the process did not end in time after SIGTERM"}`
 )
 
-// Signals are the signals of a process that serves.
+// Signals receives the signals of a forwarder's process.
 type Signals struct {
 	stop    context.Context
 	reloads chan os.Signal
 	serving atomic.Bool
 }
 
-// Catch catches signals from now on. A process that is still there shortly before it may be killed, or a second after
-// SIGTERM if it does not serve yet, ends then with status 0, whatever it is doing: like a kill at that moment, which
-// the write-ahead log is made for.
+// Catch starts to handle signals. After SIGTERM or SIGINT it forces an exit with status 0 if the process is still
+// running shortly before it may be killed, or after one second if it is not serving yet. A forced exit is like a kill
+// at that moment, for which the write-ahead log is designed.
 func Catch() *Signals {
 	s := &Signals{reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.reloads, syscall.SIGHUP)
 	s.stop, _ = signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	context.AfterFunc(s.stop, func() {
-		time.AfterFunc(startExitWithin, func() {
+		time.AfterFunc(startupExitTimeout, func() {
 			if !s.serving.Load() {
 				forceExit()
 			}
 		})
-		time.AfterFunc(exitWithin, forceExit)
+		time.AfterFunc(exitTimeout, forceExit)
 	})
 	return s
 }
 
-// Stop ends at the first SIGTERM or SIGINT.
+// Stop returns a context that is cancelled by the first SIGTERM or SIGINT.
 func (s *Signals) Stop() context.Context { return s.stop }
 
-// Reloads gets SIGHUP. One waits in it, so that any number that come while nobody receives lead to one reload.
+// Reloads returns a channel that receives SIGHUP. It buffers one signal, so that several signals while nobody receives
+// cause one reload.
 func (s *Signals) Reloads() <-chan os.Signal { return s.reloads }
 
-// SetServing notes that clients are served from now on.
+// SetServing records that the process has started to serve clients.
 func (s *Signals) SetServing() { s.serving.Store(true) }
 
-// forceExit ends the process.
+// forceExit logs a line and exits with status 0, without waiting long for the log.
 func forceExit() {
 	go fmt.Fprintln(os.Stderr, forcedExitLine)
-	time.Sleep(logWithin)
+	time.Sleep(logTimeout)
 	os.Exit(0)
 }
 
-// IgnoreReloads ignores SIGHUP also in a program that replaces this one, until that catches signals: the configuration
-// is not read yet, so that nothing is missed.
+// IgnoreReloads ignores SIGHUP. A program that replaces this one by exec inherits this until it calls Catch. No reload
+// is lost, as the configuration has not been read yet.
 func IgnoreReloads() { signal.Ignore(syscall.SIGHUP) }
 
 // Interruptible runs a step that may take long, such as reading a large file, and returns its result. If the context
-// ends first it returns the context's error; a step that does not end soon by itself goes on alone then, and what it
-// returns without an error is given to discard, if that is not nil.
+// ends first, Interruptible returns the context's error after a short wait for the step, which may continue in the
+// background. The value of a step that succeeds after the context has ended is passed to discard, unless discard is
+// nil.
 func Interruptible[T any](ctx context.Context, step func() (T, error), discard func(T)) (T, error) {
 	type result struct {
 		value T
@@ -97,7 +99,7 @@
 	}()
 	select {
 	case <-discarded:
-	case <-time.After(interruptWithin):
+	case <-time.After(interruptTimeout):
 	}
 	return none, ctx.Err()
 }
--- a/internal/signals/signals_test.go
+++ b/internal/signals/signals_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestInterruptibleReturnsTheResultOfItsStep(t *testing.T) {
+func TestInterruptibleReturnsResult(t *testing.T) {
 	value, err := Interruptible(context.Background(), func() (int, error) { return 7, nil }, nil)
 	require.NoError(t, err)
 	require.Equal(t, 7, value)
 }
 
-func TestInterruptibleLeavesAStepThatDoesNotEnd(t *testing.T) {
+func TestInterruptibleDiscardsLateResult(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	began, finish, discarded := make(chan struct{}), make(chan struct{}), make(chan int, 1)
 	go func() {
@@ -33,11 +33,11 @@
 	case value := <-discarded:
 		require.Equal(t, 7, value)
 	case <-time.After(10 * time.Second):
-		t.Fatal("what the step returned is not given back")
+		t.Fatal("the result of the step was not discarded")
 	}
 }
 
-func TestInterruptibleBeginsNoStepAfterTheEnd(t *testing.T) {
+func TestInterruptibleSkipsStepAfterCancellation(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	_, err := Interruptible(ctx, func() (int, error) { panic("began") }, nil)
