--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -15,7 +15,7 @@
 // Operation is the action that a request asks for.
 type Operation uint8
 
-// The operations.
+// The operations, one for each path except /_ready.
 const (
 	Vars Operation = iota
 	Detach
--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -182,8 +182,8 @@
 	return n, false
 }
 
-// Sent reports whether the socket has accepted all bytes passed to Write. On an open connection, false may become true
-// at any time. A caller that acts on false must call Abort instead.
+// Sent reports whether the socket has accepted all bytes passed to Write. While the connection is open, the result may
+// change from false to true at any time. A caller that relies on false must use Abort instead.
 func (c *Conn) Sent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,8 +201,8 @@
 // Close closes the connection without calling the handler's Closed.
 func (c *Conn) Close() { c.end(false) }
 
-// CloseUnlessConnected closes the connection if it is not established yet, and reports whether it did. Nothing was sent
-// on it then.
+// CloseUnlessConnected closes the connection if it is not established yet, and reports whether it did. If it did,
+// nothing was sent on the connection.
 func (c *Conn) CloseUnlessConnected() bool { return c.end(true) }
 
 // Connected reports whether the connection was ever established.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -14,10 +14,10 @@
 
 const (
 	maxObjectBytes    = 4 << 20                   // limit of one object, unless Client.MaxObjectBytes is set
-	heartbeatInterval = 2 * time.Second           // interval of the empty lines that the service sends without changes
+	heartbeatInterval = 2 * time.Second           // the service sends an empty line at this interval if nothing changes
 	answerTimeout     = 2 * time.Second           // from establishing the connection to the first line
 	silenceTimeout    = heartbeatInterval * 3 / 2 // limit of the time between two lines
-	promptAnswer      = 500 * time.Millisecond    // a faster answer did not queue behind other requests
+	promptAnswer      = 500 * time.Millisecond    // a request answered faster did not queue at the service
 )
 
 // DefaultMaxObjectBytes is the limit of one JSON object, in bytes, if Client.MaxObjectBytes is 0.
--- a/internal/discovery/objects_test.go
+++ b/internal/discovery/objects_test.go
@@ -68,5 +68,5 @@
 		return least
 	}
 	one, many := took(small), took(factor*small)
-	require.Less(t, many, factor*4*one, "%d times the size took %s against %s; squared it would be %d times", factor, many, one, factor*factor)
+	require.Less(t, many, factor*4*one, "%d times the size took %s instead of %s; quadratic time would be %d times as long", factor, many, one, factor*factor)
 }
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -132,11 +132,11 @@
 // EndsAtClose reports whether the answer's body ends with the connection, so that a close completes the answer.
 func (r *Reader) EndsAtClose() bool { return r.state == readingUntilClose }
 
-// Started reports whether any byte of a final answer has been received.
+// Started reports whether part of an answer has been received. Complete interim answers do not count.
 func (r *Reader) Started() bool { return r.state != readingStatusLine || len(r.line) > 0 }
 
-// takeLine returns the next line without its line ending, or nil if it is incomplete, and the number of bytes used of
-// b.
+// takeLine returns the next line without its line ending, or nil if it is incomplete, and the number of bytes of b that
+// it consumed.
 func (r *Reader) takeLine(b []byte) ([]byte, int, error) {
 	end := bytes.IndexByte(b, '\n')
 	part := b
--- a/internal/notify/client.go
+++ b/internal/notify/client.go
@@ -14,7 +14,7 @@
 const (
 	maxNoticesPerCall = 512
 	maxAnswerBytes    = 64 << 10
-	answerTimeout     = 120 * time.Millisecond // notices are answered at once; then resend on a new connection
+	answerTimeout     = 120 * time.Millisecond // normally answered at once; on timeout resent on a new connection
 	maxDoublings      = 4                      // of answerTimeout while calls time out: the round trip may be long
 	retryDelay        = 50 * time.Millisecond  // after a failed call
 )
--- a/internal/notify/client_test.go
+++ b/internal/notify/client_test.go
@@ -13,11 +13,11 @@
 
 // recordingListener passes the reports of a client to the test.
 type recordingListener struct {
-	lost         chan string
+	failures     chan string
 	acknowledged chan []uint64
 }
 
-func (l *recordingListener) NoticesUnanswered(reason string)  { l.lost <- reason }
+func (l *recordingListener) NoticesUnanswered(reason string)  { l.failures <- reason }
 func (l *recordingListener) NoticesAcknowledged(ids []uint64) { l.acknowledged <- ids }
 
 // harness is a client with an emulated receiver of notices. The test fires the timers, so that a pause of the machine
@@ -55,7 +55,7 @@
 	require.Equal(t, answerTimeout, h.timers.Next(t).Wait)
 	h.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Failed}) // while a call is in progress
 	conn.Close()
-	peertest.Next(t, h.lost)
+	peertest.Next(t, h.failures)
 	retry := h.timers.Next(t)
 	require.Equal(t, retryDelay, retry.Wait)
 	retry.Fire()
@@ -70,7 +70,7 @@
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
 	h.peer.Accept(t) // no answer follows
 	h.timers.Next(t).Fire()
-	require.Equal(t, "no answer", peertest.Next(t, h.lost))
+	require.Equal(t, "no answer", peertest.Next(t, h.failures))
 	conn, _ := h.peer.Accept(t)
 	conn.Write([]byte(answerNoContent))
 	require.Equal(t, []uint64{1}, peertest.Next(t, h.acknowledged))
@@ -81,7 +81,7 @@
 	h.afterFunc = time.AfterFunc
 	start := time.Now()
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
-	require.Equal(t, "no answer", peertest.Next(t, h.lost))
+	require.Equal(t, "no answer", peertest.Next(t, h.failures))
 	require.GreaterOrEqual(t, time.Since(start), answerTimeout)
 }
 
@@ -107,11 +107,11 @@
 	peertest.Next(t, h.acknowledged)
 	h.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Failed})
 	c.timedOut(late)
-	require.Empty(t, h.lost)
+	require.Empty(t, h.failures)
 	require.Contains(t, peertest.Read(t, conn), `"b"`)
 }
 
-func TestNoticeIsRepeatedOnDeadConnectionInTime(t *testing.T) {
+func TestNoticeOnDeadConnectionIsRepeatedInTime(t *testing.T) {
 	require.Less(t, 2*answerTimeout, 300*time.Millisecond, "a message counts as lost 300 ms after its expiry")
 	h := newHarness(t)
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Failed})
@@ -120,7 +120,7 @@
 		timer := h.timers.Next(t)
 		require.Equal(t, answerTimeout<<i, timer.Wait)
 		timer.Fire()
-		require.Equal(t, "no answer", peertest.Next(t, h.lost))
+		require.Equal(t, "no answer", peertest.Next(t, h.failures))
 		h.mu.Lock()
 		unanswered := h.unanswered
 		h.mu.Unlock()
@@ -130,7 +130,7 @@
 	require.Contains(t, request, `"a"`)
 	conn.Write([]byte(answerNoContent))
 	require.Equal(t, []uint64{1}, peertest.Next(t, h.acknowledged))
-	require.Empty(t, h.lost)
+	require.Empty(t, h.failures)
 }
 
 // An answer on the old connection arrives after the notice was sent again on a new one. It must not acknowledge
@@ -140,7 +140,7 @@
 	h.Notify(transport.FinalAnswer{MessageID: 1, ID: "a", Outcome: transport.Rejected})
 	old, _ := h.peer.Accept(t)
 	h.timers.Next(t).Fire()
-	require.Equal(t, "no answer", peertest.Next(t, h.lost))
+	require.Equal(t, "no answer", peertest.Next(t, h.failures))
 	conn, request := h.peer.Accept(t)
 	require.Contains(t, request, `{"id":"a","state":"returned"}`)
 	h.Notify(transport.FinalAnswer{MessageID: 2, ID: "b", Outcome: transport.Rejected})
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -26,8 +26,9 @@
 // Reader parses commands. It keeps an incomplete command between two calls of Feed. The zero value is ready for use.
 type Reader struct{ unfinished []byte }
 
-// Feed calls each for every complete command. The arguments are slices of data, or of what was kept of an earlier call;
-// they are valid until each returns. After an error, ErrFraming, ErrSize or that of each, the reader is of no more use.
+// Feed calls handle for each complete command. The arguments are slices of data or of the reader's buffer and are valid
+// until handle returns. Feed returns ErrFraming, ErrSize or the error of handle. After an error the reader must not be
+// used again.
 func (r *Reader) Feed(data []byte, handle func(args [][]byte) error) error {
 	kept := len(r.unfinished) > 0
 	if kept {
@@ -59,10 +60,11 @@
 	return nil
 }
 
-// Buffered returns how many bytes of an unfinished command are kept.
+// Buffered returns the number of bytes kept of an incomplete command.
 func (r *Reader) Buffered() int { return len(r.unfinished) }
 
-// parseCommand parses one command into args and returns its length, 0 while it is not complete.
+// parseCommand appends the arguments of one command to args. It also returns the command's length in bytes, or 0 if the
+// command is incomplete.
 func parseCommand(b []byte, args [][]byte) ([][]byte, int, error) {
 	count, at, err := parseLength(b, 0, '*')
 	if err != nil || at == 0 {
@@ -97,8 +99,8 @@
 	return args, at, nil
 }
 
-// parseLength parses a type byte, a number and a line's end, starting at b[at]. next is where they end, 0 while they
-// are not complete.
+// parseLength parses a type byte, a number and a line ending, starting at b[at]. next is the index after them, or 0 if
+// they are incomplete.
 func parseLength(b []byte, at int, typeByte byte) (n, next int, err error) {
 	if at >= len(b) {
 		return 0, 0, nil
--- a/internal/respserver/eviction.go
+++ b/internal/respserver/eviction.go
@@ -73,7 +73,7 @@
 	return first, rank
 }
 
-// closed removes a connection that has ended from the server.
+// closed handles the end of a connection and removes it from the server.
 func (s *Server) closed(c *Client) {
 	c.disconnected.Store(true)
 	s.mu.Lock()
--- a/internal/respserver/read.go
+++ b/internal/respserver/read.go
@@ -47,7 +47,7 @@
 	return n, err
 }
 
-// readingState returns whether Drain or StopReading is in effect.
+// readingState reports whether Drain and StopReading are in effect.
 func (s *Server) readingState() (draining, stopped bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/respserver/server.go
+++ b/internal/respserver/server.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// Undrain ends the effect of Drain: connections stay open again.
+// Undrain reverses Drain: connections stay open between commands again.
 func (s *Server) Undrain() {
 	s.mu.Lock()
 	s.draining = false
--- a/internal/respserver/sweep.go
+++ b/internal/respserver/sweep.go
@@ -42,7 +42,8 @@
 				overdue = append(overdue, c)
 			}
 		case c.refused.Load() || c.unanswered.Load() > 0:
-		case s.draining && c.hadCommand && !c.partial.Load(): // neither its answer nor its reader closed it
+		case s.draining && c.hadCommand && !c.partial.Load():
+			// Answer and the reader may each have left the close to the other.
 			overdue = append(overdue, c)
 		case c.partial.Load():
 			if s.incomplete(c, now) {
--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -1,5 +1,5 @@
-// Package signals handles the signals that stop a forwarder's process or reload its configuration, from the start of
-// the program, and ensures that the process exits in time after a stop signal.
+// Package signals handles the signals that stop a forwarder's process or reload its configuration. Programs call it at
+// their start. It ensures that the process exits in time after a stop signal.
 package signals
 
 import (
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -116,7 +116,7 @@
 }
 
 // takeIdle removes the most recently used idle connection to an endpoint from the list and returns it, or nil if none
-// can be reused. Connections on which unexpected bytes have arrived are closed. The lock is held.
+// can be reused. It discards connections that have ended or received unexpected bytes. The lock is held.
 func (cl *Client) takeIdle(endpointID uint64) *connection {
 	for {
 		conns := cl.idle[endpointID]
