--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	maxRetryAfterMs   = 9_999_999   // the longest retry-after in a reply, in milliseconds
-	firstListWithin   = time.Second // after a start, until the first list from discovery has most likely come
-	maxUnknownOptions = 16          // unknown names that are logged
+	maxRetryAfterMs   = 9_999_999   // upper limit of the retry-after in a reply, in milliseconds
+	firstListDelay    = time.Second // expected time from a start until the first list from discovery
+	maxUnknownOptions = 16          // limit on the unknown option names that are logged
 )
 
 // handleRequest answers a caller's request.
 func (loop *eventLoop) handleRequest(r *request) {
 	switch {
-	case r.Ping && loop.operators.lameDuck: // clients are sent elsewhere: a health check by PING fails
+	case r.Ping && loop.operators.lameDuck: // a health check by PING fails, so that clients go elsewhere
 		r.From.Answer(invalid("lameduck: this forwarder is being emptied"))
 	case r.Ping:
 		r.From.Answer(transport.Reply{Status: transport.StatusAlive})
@@ -25,7 +25,7 @@
 		loop.handleSubmission(r)
 	default:
 		if loop.telemetry.mayLog("bad command") {
-			loop.telemetry.log.Warn().Str("answer", r.Malformed).Msg("bad command")
+			loop.telemetry.log.Warn().Str("answer", r.Malformed).Msg("malformed command rejected")
 		}
 		r.From.Answer(transport.Reply{Status: transport.StatusMalformed, Reason: r.Malformed, Close: r.Close})
 	}
@@ -49,7 +49,8 @@
 	}
 }
 
-// logRefusal logs the answer to a submission that is not accepted, with what a refusal for lack of space rests on.
+// logRefusal logs the answer to a submission that was not accepted, with the figures behind a refusal for lack of
+// space.
 func (loop *eventLoop) logRefusal(s *transport.Submission, reply transport.Reply) {
 	line := loop.telemetry.log.Info().Str("id", s.ID).Uint64("destination", s.Destination).
 		Float64("left_s", s.SecondsLeft).Int("refused", loop.telemetry.counts.refused).
@@ -60,8 +61,8 @@
 	line.Int("retry_after_ms", reply.RetryAfter).Msg("submission refused")
 }
 
-// admit accepts a message if the scheduler has capacity for it, and answers its caller then. If the reply is not
-// StatusAccepted the caller has not been answered yet.
+// admit accepts a message and answers its caller if the scheduler has capacity for it. If the returned reply is not
+// StatusAccepted, the caller has not been answered yet.
 func (loop *eventLoop) admit(r *request) transport.Reply {
 	submission := r.Submission
 	typ, known := loop.messages.types[submission.Type]
@@ -102,23 +103,23 @@
 		return invalid("k is missing, by which a repeat is known"), false
 	case !listed && loop.discovery.listReceived:
 		return invalid("unknown destination"), false
-	case !listed: // the list may be old
-		return overloaded(min(firstListWithin.Seconds(), loop.config.Scheduler.MaxRetryAfter)), false
+	case !listed: // the last known list may be outdated
+		return overloaded(min(firstListDelay.Seconds(), loop.config.Scheduler.MaxRetryAfter)), false
 	}
 	return transport.Reply{}, true
 }
 
-// invalid is the answer to what can never be accepted.
+// invalid returns the reply to a request that can never be accepted.
 func invalid(why string) transport.Reply {
 	return transport.Reply{Status: transport.StatusInvalid, Reason: why}
 }
 
-// overloaded is the answer to a message that may be submitted again after so many seconds.
+// overloaded returns the reply to a message that may be submitted again after retryAfter seconds.
 func overloaded(retryAfter float64) transport.Reply {
 	return transport.Reply{Status: transport.StatusOverloaded, RetryAfter: min(int(retryAfter*1000), maxRetryAfterMs)}
 }
 
-// newEntry is what the write-ahead log keeps of a message.
+// newEntry returns the write-ahead log entry for a submission.
 func (loop *eventLoop) newEntry(r *request) *wal.Entry {
 	submission := r.Submission
 	_, callerWaits := r.From.(transport.WaitingCaller)
@@ -136,16 +137,16 @@
 	}
 }
 
-// logUnknownOption logs the name of an option that came with a message and is not known, each name once.
+// logUnknownOption logs the name of an unknown option of a submission, once for each name.
 func (loop *eventLoop) logUnknownOption(name string) {
 	logged := loop.messages.unknownOptions
 	if name != "" && !logged[name] && len(logged) < maxUnknownOptions {
 		logged[name] = true
-		loop.telemetry.log.Warn().Str("name", name).Msg("unknown option with a message")
+		loop.telemetry.log.Warn().Str("name", name).Msg("unknown submission option ignored")
 	}
 }
 
-// accept gives the scheduler a message that is in the write-ahead log, and answers its caller.
+// accept passes a message that is in the write-ahead log to the scheduler, and answers its caller.
 func (loop *eventLoop) accept(r *request, entry *wal.Entry, typ int, secondsLeft float64) {
 	submission := r.Submission
 	m := loop.track(entry, typ)
@@ -153,9 +154,9 @@
 	m.receivedAt = submission.ReceivedAt
 	m.scheduled.AnsweredByNotice = m.scheduled.AnsweredByNotice && m.waitingCaller == nil
 	loop.scheduler.Accept(m.scheduled, typ, secondsLeft)
-	loop.noteInMemory(m)
+	loop.addToLane(m)
 	if !r.From.Answer(transport.Reply{Status: transport.StatusAccepted}) {
-		// The caller is gone and will submit it again under another id.
+		// The caller has disconnected and will submit the message again under another id.
 		loop.scheduler.Withdraw(m.scheduled)
 		loop.recordDone(m)
 		loop.removeIfFinished(m)
--- a/forwarder/admission_queue.go
+++ b/forwarder/admission_queue.go
@@ -7,37 +7,37 @@
 	"spanflow/transport"
 )
 
-// Requests of a frontend wait up to these bounds, unless the configuration has others; then reading from its callers
-// pauses until some are taken.
+// Default limits of a frontend's queued requests. At a limit, reading from the frontend's callers pauses until some
+// requests are taken.
 const (
-	defaultWaiting      = 4096
-	defaultWaitingBytes = 4 << 20 // of message bodies
+	defaultMaxWaitingRequests = 4096
+	defaultMaxWaitingBytes    = 4 << 20 // of message bodies
 )
 
-// admissionQueue is one frontend's part of the event queue, with bounds of its own, and its transport.Submitter. It
-// guards against a frontend that floods the event loop: that one waits until its own queue is no longer full, and the
-// requests of the others do not wait behind its own.
+// admissionQueue is the part of the event queue that belongs to one frontend, with its own limits. It implements
+// transport.Submitter. A frontend that floods the event loop blocks on its own full queue and does not delay the
+// requests of other frontends.
 type admissionQueue struct {
 	queue        *eventQueue
-	frontend     string // its name
-	walName      string // the same as the write-ahead log has it
-	maxWaiting   int
+	frontend     string // name of the frontend
+	walName      string // name of the frontend in the write-ahead log
+	maxRequests  int
 	maxBytes     int
-	notFull      sync.Cond // on the event queue's lock, which guards what follows
+	notFull      sync.Cond // uses the event queue's lock, which guards the fields below
 	waiting      []request
-	spare        []request // what the event loop is working on
+	spare        []request // requests that the event loop is handling
 	waitingBytes int
-	closed       bool // the frontend has ended
+	closed       bool // the frontend was closed
 }
 
-// newAdmissionQueue adds a frontend's queue; a bound that is 0 is the default.
-func (q *eventQueue) newAdmissionQueue(frontend, walName string, maxWaiting, maxBytes int) *admissionQueue {
-	a := &admissionQueue{queue: q, frontend: frontend, walName: walName, maxWaiting: maxWaiting, maxBytes: maxBytes}
-	if a.maxWaiting <= 0 {
-		a.maxWaiting = defaultWaiting
+// newAdmissionQueue adds the queue of a frontend. A limit of 0 means the default.
+func (q *eventQueue) newAdmissionQueue(frontend, walName string, maxRequests, maxBytes int) *admissionQueue {
+	a := &admissionQueue{queue: q, frontend: frontend, walName: walName, maxRequests: maxRequests, maxBytes: maxBytes}
+	if a.maxRequests <= 0 {
+		a.maxRequests = defaultMaxWaitingRequests
 	}
 	if a.maxBytes <= 0 {
-		a.maxBytes = defaultWaitingBytes
+		a.maxBytes = defaultMaxWaitingBytes
 	}
 	a.notFull.L = &q.mu
 	q.mu.Lock()
@@ -46,7 +46,7 @@
 	return a
 }
 
-// close takes the queue of a frontend that has ended out of the event queue. What still waits in it is dropped.
+// close removes the queue of a closed frontend from the event queue. Requests still in it are dropped.
 func (a *admissionQueue) close() {
 	q := a.queue
 	q.mu.Lock()
@@ -63,7 +63,7 @@
 	q := a.queue
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for !q.closed && !a.closed && (len(a.waiting) >= a.maxWaiting || a.waitingBytes >= a.maxBytes) {
+	for !q.closed && !a.closed && (len(a.waiting) >= a.maxRequests || a.waitingBytes >= a.maxBytes) {
 		a.notFull.Wait()
 	}
 	if a.closed {
@@ -77,13 +77,14 @@
 // Withdraw reports that the caller that waited for a message has disconnected.
 func (a *admissionQueue) Withdraw(id string) { a.queue.push(callerDisconnected(id)) }
 
-// take moves the n oldest requests to events, as pointers into the slice in which they waited; the lock is held.
+// take appends the n oldest requests to events, as pointers into the queue's slice, and removes them from the queue.
+// The caller holds the lock.
 func (a *admissionQueue) take(events []event, n int) []event {
 	taken := a.waiting[:n]
 	for i := range taken {
 		events = append(events, &taken[i])
 	}
-	if n == len(a.waiting) { // events points into the one slice, the other is filled anew
+	if n == len(a.waiting) { // events points into this slice, so new requests go into the other one
 		clear(a.spare)
 		a.waiting, a.spare, a.waitingBytes = a.spare[:0], a.waiting, 0
 	} else {
@@ -98,7 +99,7 @@
 	return events
 }
 
-// bodySize is the size of the body of a submitted message, in bytes; 0 for any other request.
+// bodySize returns the size of a submitted message's body in bytes, or 0 for any other request.
 func bodySize(r *transport.Request) int {
 	if r.Submission == nil {
 		return 0
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -9,7 +9,7 @@
 
 // handleCallResult handles the result of a call, which has one code for each of its messages.
 func (loop *eventLoop) handleCallResult(result *transport.CallResult) {
-	// Delivered ones first: the scheduler judges a call by its first result.
+	// Delivered messages come first because the scheduler judges a call by its first result.
 	for _, delivered := range [...]bool{true, false} {
 		for i := range result.Call.Messages {
 			if (result.Codes[i] == transport.ResultOK) == delivered {
@@ -23,7 +23,7 @@
 	}
 }
 
-// logFailedCall logs a call that did not deliver all its messages, by the first result that is no delivery.
+// logFailedCall logs a call that did not deliver all its messages, with the result code of the first one not delivered.
 func (loop *eventLoop) logFailedCall(result *transport.CallResult) {
 	var failed []string
 	code := transport.ResultOK
@@ -75,7 +75,7 @@
 		ReportedShare: result.ReportedShare,
 	})
 	switch {
-	case final && m.scheduled.AwaitingAcknowledgement(): // pending until its notice is acknowledged: stays recorded
+	case final && m.scheduled.AwaitingAcknowledgement(): // stays recorded as pending until its notice is acknowledged
 	case final:
 		loop.completeMessage(m, outcome)
 	default:
@@ -83,11 +83,11 @@
 			loop.logWALError(err)
 		}
 	}
-	loop.noteReachability(m.scheduled.Dest)
+	loop.updateReachability(m.scheduled.Dest)
 	loop.removeIfFinished(m)
 }
 
-// completeMessage records the final answer that a message's last attempt gave, and sends it to a waiting caller.
+// completeMessage records the final answer given by a message's last attempt, and sends it to a waiting caller.
 func (loop *eventLoop) completeMessage(m *trackedMessage, outcome scheduler.Outcome) {
 	loop.recordDone(m)
 	final := transport.Failed
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -14,20 +14,20 @@
 	"spanflow/internal/wal"
 )
 
-// Backlog configures the store in which messages wait for destinations that are unreachable or far behind.
+// Backlog configures the store on disk for messages whose destinations are unreachable or far behind.
 type Backlog struct {
 	Folder           string
-	Bytes            int64 // on disk, all files counted
-	DestinationBytes int64 // of stored messages of one destination; 0: no bound of their own
-	TenantBytes      int64 // of stored messages of one tenant; 0: no bound of their own
-	Window           int   // messages of a lane (destination and tenant) that stay in memory before stored ones
-	Behind           int   // messages of a lane beyond which its destination counts as far behind
+	Bytes            int64 // limit of all files on disk
+	DestinationBytes int64 // limit of stored messages of one destination; 0 means no separate limit
+	TenantBytes      int64 // limit of stored messages of one tenant; 0 means no separate limit
+	Window           int   // messages of a lane (destination and tenant) that stay in memory, ahead of stored ones
+	Behind           int   // number of messages of a lane above which its destination counts as far behind
 }
 
-// storeBounds are the bounds of the files.
+// storeBounds returns the limits of the store's files.
 func (b *Backlog) storeBounds() backlog.Bounds { return backlog.Bounds{Bytes: b.Bytes} }
 
-// policyBounds are the bounds of the decisions; capacity is how many messages the scheduler holds at once.
+// policyBounds returns the limits for the policy's decisions. capacity is the scheduler's queue capacity in messages.
 func (b *Backlog) policyBounds(capacity int) policy.Bounds {
 	bounds := policy.Bounds{
 		Bytes:            b.Bytes,
@@ -45,21 +45,21 @@
 	return bounds
 }
 
-// backlogState is the backlog store with what the event loop keeps of the messages that could go there.
+// backlogState holds the backlog store and the event loop's records of messages that may be moved to it.
 type backlogState struct {
 	store      *backlog.Store
 	mover      *backlog.Mover
 	policy     *policy.Policy
-	lanes      map[backlog.Lane]*list.List // of *trackedMessage in memory, in the order of accepting
-	firstSeq   uint64                      // numbers below it are of earlier processes
-	inBoth     int                         // messages found in the write-ahead log and in the store at the start
-	overtaking []backlog.Ref               // found in the write-ahead log though older ones of their lane are stored
-	wakeAt     time.Time                   // when to look for moves again; zero: with the next event
+	lanes      map[backlog.Lane]*list.List // of *trackedMessage in memory, in the order of admission
+	firstSeq   uint64                      // lower numbers were assigned by earlier processes
+	inBoth     int                         // messages both in the write-ahead log and in the store at the start
+	overtaking []backlog.Ref               // in the write-ahead log though older ones of their lane are stored
+	wakeAt     time.Time                   // when to check for moves again; zero means with the next event
 	counts     backlogCounts
 	gauges     backlogGauges
 }
 
-// openBacklog opens the store, if the configuration asks for one. A ctx that ends interrupts it.
+// openBacklog opens the store if one is configured. Cancelling ctx interrupts it.
 func (loop *eventLoop) openBacklog(ctx context.Context) error {
 	config := loop.config.Backlog
 	if config == nil {
@@ -94,12 +94,12 @@
 	return nil
 }
 
-// resolveMoves completes the moves that a kill interrupted. With an error a message may be in the write-ahead log and
-// in the store: served then, it would be delivered twice.
+// resolveMoves completes the moves that a kill interrupted. After an error a message may be both in the write-ahead log
+// and in the store. The forwarder must not serve then, because it would deliver the message twice.
 func (loop *eventLoop) resolveMoves() error {
-	owed := loop.wal.Pending()
-	refs := make([]backlog.Ref, len(owed))
-	for i, e := range owed {
+	pending := loop.wal.Pending()
+	refs := make([]backlog.Ref, len(pending))
+	for i, e := range pending {
 		refs[i] = backlog.NewRef(laneOf(e), e.Seq, e.ID, e.Key)
 	}
 	before := loop.backlog.store.Messages()
@@ -109,7 +109,7 @@
 	return err
 }
 
-// setBacklogBounds applies other bounds while the forwarder runs. What is stored beyond lower ones stays.
+// setBacklogBounds applies new limits while the forwarder runs. Messages already stored beyond lower limits stay.
 func (loop *eventLoop) setBacklogBounds(config *Backlog) error {
 	bounds := config.policyBounds(loop.config.Scheduler.QueueCapacity)
 	if err := bounds.Check(); err != nil {
@@ -121,7 +121,7 @@
 	return loop.backlog.policy.SetBounds(bounds)
 }
 
-// closeBacklog closes the store, before the write-ahead log's folder is free for another process.
+// closeBacklog closes the store. It runs before the folder of the write-ahead log is released to another process.
 func (loop *eventLoop) closeBacklog() {
 	if loop.backlog == nil {
 		return
@@ -131,15 +131,17 @@
 	}
 }
 
-// restoreBacklog informs the policy of what is stored. It returns the numbers of those messages in the write-ahead
-// log that are answered without a call, as older ones of their lane are stored.
+// restoreBacklog informs the policy of the stored messages. It returns the numbers of the messages in the write-ahead
+// log that are answered without a call because older messages of their lane are stored.
 //
-// Of an ordering key that has messages both in the write-ahead log and stored in another lane, those in the write-ahead
-// log are the older ones, so that nothing more is to be resolved: while one is stored, admitToBacklog accepts no newer
-// one of another lane, and spillable stores none while a newer one of another lane is in memory. Nothing comes back to
-// the write-ahead log that is newer, as all stored ones of a key are in one lane and come back in its order (those that
-// expire are answered without a call); until the store has released it, also after a kill, a message counts as stored.
-// It does not hold across a start with a changed setting, if messages were stored while their type did not keep the
+// If an ordering key has messages in the write-ahead log and stored messages in another lane, those in the write-ahead
+// log are the older ones, so nothing else needs to be resolved. While a message is stored, admitToBacklog accepts no
+// newer one of its key for another lane, and spillable stores no message while a newer one of its key and another lane
+// is in memory. All stored messages of a key are in one lane and are loaded in that lane's order (expired ones are
+// answered without a call), so that no newer message is loaded into the write-ahead log before an older one. A message
+// counts as stored until the store has released it, also after a kill.
+//
+// This does not hold across a start with changed settings if messages were stored while their type did not keep the
 // order of keys.
 func (loop *eventLoop) restoreBacklog() (overtaking map[uint64]bool) {
 	b := loop.backlog
@@ -158,7 +160,7 @@
 		b.policy.Stored(policyLane(lane), usage.Messages, usage.Bytes)
 	}
 	loop.telemetry.log.Info().Int("messages", b.store.Messages()).Int("in_both", b.inBoth).
-		Int("answered_without_call", len(overtaking)).Msg("backlog resolved")
+		Int("answered_without_call", len(overtaking)).Msg("interrupted backlog moves resolved")
 	return overtaking
 }
 
@@ -175,14 +177,14 @@
 		loop.telemetry.log.Error().Err(err).Msg("backlog damaged")
 		return
 	}
-	loop.telemetry.log.Error().Err(err).Msg("backlog cannot be written")
+	loop.telemetry.log.Error().Err(err).Msg("backlog cannot be read or written")
 }
 
-// walMover adapts the write-ahead log to backlog.Mover, which moves messages from it and to it.
+// walMover adapts the write-ahead log to backlog.Mover, which moves messages between it and the store.
 type walMover struct{ wal *wal.Log }
 
-// Restore records a message whole under its number.
+// Restore writes a complete message to the write-ahead log under its number.
 func (l walMover) Restore(m *backlog.Message) error { return l.wal.Restore(entryOf(m)) }
 
-// Forget records that the message with a number is done.
+// Forget records that the message with number seq is done.
 func (l walMover) Forget(seq uint64) error { return l.wal.RecordDone(seq) }
--- a/forwarder/backlog_admission.go
+++ b/forwarder/backlog_admission.go
@@ -10,8 +10,8 @@
 	"spanflow/transport"
 )
 
-// admitToBacklog decides whether a submitted message waits in the store, and stores it. done is false for one that goes
-// to memory.
+// admitToBacklog stores or refuses a submitted message as the backlog policy decides. done is false if the message is
+// to be queued in memory instead.
 func (loop *eventLoop) admitToBacklog(
 	r *request, e *wal.Entry, secondsLeft float64,
 ) (reply transport.Reply, done bool) {
@@ -30,17 +30,17 @@
 	loop.telemetry.counts.accepted++
 	loop.backlog.counts.stored++
 	if !r.From.Answer(transport.Reply{Status: transport.StatusAccepted}) {
-		loop.discardStored(m) // the caller is gone and will submit it again under another id
+		loop.discardStored(m) // the caller has disconnected and will submit it again under another id
 	}
 	return transport.Reply{Status: transport.StatusAccepted}, true
 }
 
-// placeSubmission decides where a new message goes, and stores it if that is the store.
+// placeSubmission decides whether a new message is queued in memory, stored or refused, and stores it if so decided.
 func (loop *eventLoop) placeSubmission(
 	e *wal.Entry, m *backlog.Message, secondsLeft float64, now time.Time,
 ) policy.Decision {
 	decisions, size := loop.backlog.policy, int64(m.Size())
-	if loop.keyElsewhere(e) { // in memory, or in the store of its own lane, it could go first
+	if loop.keyInOtherLane(e) { // in memory or in its own lane it could be sent first
 		return decisions.Refuse(policy.KeyBound, size, now)
 	}
 	fits, _ := loop.scheduler.Admit(e.Size(), secondsLeft)
@@ -49,7 +49,7 @@
 	if decision.Place != policy.Store {
 		return decision
 	}
-	if e.CallerWaits { // its caller does not wait for hours
+	if e.CallerWaits { // a waiting caller does not wait for hours
 		return decisions.Refuse(policy.NoBound, size, now)
 	}
 	return loop.storeSubmission(m, now)
@@ -72,20 +72,20 @@
 // discardStored removes a stored message whose caller does not know that it was accepted.
 func (loop *eventLoop) discardStored(m *backlog.Message) {
 	if err := loop.backlog.store.Release([]backlog.Ref{m.Ref()}); err != nil {
-		loop.logBacklogError(err) // it is sent although its caller submits it again under another id
+		loop.logBacklogError(err) // it will be sent although its caller submits it again under another id
 		return
 	}
 	loop.backlog.policy.Discarded(policyLane(m.Lane), int64(m.Size()))
 }
 
-// backlogRefusal is the answer to a message that the policy refuses.
+// backlogRefusal counts and logs a refusal by the policy, and returns the reply to the caller.
 func (loop *eventLoop) backlogRefusal(decision policy.Decision) transport.Reply {
 	loop.telemetry.counts.refused++
 	loop.backlog.counts.refused++
 	if loop.telemetry.mayLog("backlog refused") {
 		messages, bytes := loop.backlog.policy.Amount()
 		loop.telemetry.log.Warn().Stringer("bound", decision.Bound).Int("messages", messages).Int64("bytes", bytes).
-			Msg("backlog refused")
+			Msg("submission refused by the backlog")
 	}
 	return overloaded(min(decision.RetryAfter.Seconds(), loop.config.Scheduler.MaxRetryAfter))
 }
--- a/forwarder/backlog_faults_test.go
+++ b/forwarder/backlog_faults_test.go
@@ -15,12 +15,12 @@
 	"spanflow/internal/wal"
 )
 
-// A message is in the log and in the store, as its process was killed while it came back, and the store cannot be
-// written: served all the same, it would be delivered twice.
-func TestDoesNotStartWhileInterruptedMoveCannotBeResolved(t *testing.T) {
+// The process was killed while a message was being loaded: the message is both in the write-ahead log and in the store,
+// and the store cannot be written. A forwarder that served now would deliver the message twice.
+func TestStartFailsIfInterruptedMoveCannotBeResolved(t *testing.T) {
 	const count = 100
 	f := newBacklogFixture(t)
-	f.endpoints[0].Do(failing)
+	f.endpoints[0].Do(answer500)
 	f.start()
 	f.fill(0, 0, count)
 	f.stop()
@@ -57,12 +57,13 @@
 	f.requireEachOnceInOrder(count)
 }
 
-// Messages that are answered and whose notices nobody acknowledges must not keep others out of memory.
-func TestUnheardNoticesOfManyThatExpiredDoNotHoldUpFreshOnes(t *testing.T) {
+// Messages that were answered on expiry, and whose notices are not acknowledged, must not keep new messages out of
+// memory.
+func TestUnacknowledgedNoticesDoNotBlockNewMessages(t *testing.T) {
 	const count = 2500 // more than are held in memory
 	f := newBacklogFixture(t)
 	f.timeToLive = 8 * time.Second
-	f.endpoints[0].Do(failing)
+	f.endpoints[0].Do(answer500)
 	f.discovery.SetUnresponsive(true)
 	f.start()
 	begun := time.Now()
@@ -86,13 +87,13 @@
 	}
 }
 
-// The same where the messages expire in memory, none of them stored.
-func TestUnheardNoticesOfManyThatExpiredInMemoryDoNotHoldUpFreshOnes(t *testing.T) {
+// The same with messages that expire in memory, none of them stored.
+func TestUnacknowledgedNoticesInMemoryDoNotBlockNewMessages(t *testing.T) {
 	const count = 1900
 	f := newBacklogFixture(t)
 	f.timeToLive = 6 * time.Second
-	f.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 1800, 1800 }
-	f.endpoints[0].Do(failing)
+	f.adjust = func(b *forwarder.Backlog) { b.Window, b.Behind = 1800, 1800 }
+	f.endpoints[0].Do(answer500)
 	f.discovery.SetUnresponsive(true)
 	f.start()
 	f.fill(0, 0, count)
--- a/forwarder/backlog_fixture_test.go
+++ b/forwarder/backlog_fixture_test.go
@@ -16,8 +16,8 @@
 	"spanflow/internal/emulator"
 )
 
-// backlogConfig is a configuration with places for discovery, the folder, the last known list and the time to live of
-// the only message type in milliseconds.
+// backlogConfig is a configuration with placeholders for the address of discovery, the folder, the last known list, and
+// the time to live of the only message type in milliseconds.
 const backlogConfig = `{"name":"n1","listen":"127.0.0.1:0","discovery":"%s","seed":"8c1f30d27a5be964","state":%q,
 "limits":{"cores":4,"memory_mb":192,"sockets":1024,"disk_mb":64},"known":%s,
 "settings":{"Azs":["a"],"Kinds":["k"],"Classes":[{"Name":"event","Idempotency":"retryable","Slo":3000,"HardLimit":%d,"Sequential":true}],
@@ -27,20 +27,20 @@
 
 // backlogFixture is a forwarder with a backlog store, two destinations with an endpoint each, and a client.
 type backlogFixture struct {
-	t          *testing.T
-	discovery  *emulator.Discovery
-	endpoints  [2]*emulator.Endpoint
-	folder     string
-	store      string
-	timeToLive time.Duration
-	change     func(*forwarder.Backlog)
-	addr       string
-	client     *emulator.Client
-	end        func()
+	t           *testing.T
+	discovery   *emulator.Discovery
+	endpoints   [2]*emulator.Endpoint
+	folder      string
+	store       string
+	timeToLive  time.Duration
+	adjust      func(*forwarder.Backlog)
+	addr        string
+	client      *emulator.Client
+	stopRunning func()
 
 	mu         sync.Mutex
 	calls      map[string]int // by message id
-	deliveries []string       // ids, in the order of their first call that was answered
+	deliveries []string       // ids, in the order of their first answered calls
 }
 
 func newBacklogFixture(t *testing.T) *backlogFixture {
@@ -81,7 +81,7 @@
 	return emulator.Reply{}
 }
 
-func failing(emulator.Call) emulator.Reply { return emulator.Reply{Status: 500} }
+func answer500(emulator.Call) emulator.Reply { return emulator.Reply{Status: 500} }
 
 func (f *backlogFixture) delivered() int {
 	f.mu.Lock()
@@ -89,13 +89,12 @@
 	return len(f.deliveries)
 }
 
-// config is the configuration of the forwarder.
 func (f *backlogFixture) config() *forwarder.Config {
 	text := fmt.Appendf(nil, backlogConfig, f.discovery.Addr, f.folder, f.discovery.Known(), f.timeToLive.Milliseconds())
 	config := readConfig(f.t, text)
 	config.Backlog = &forwarder.Backlog{Folder: f.store, Bytes: 64 << 20, Window: 10, Behind: 20}
-	if f.change != nil {
-		f.change(config.Backlog)
+	if f.adjust != nil {
+		f.adjust(config.Backlog)
 	}
 	return config
 }
@@ -103,7 +102,7 @@
 func (f *backlogFixture) start() {
 	addr, stop := startForwarder(f.t, f.config(), nil, io.Discard)
 	f.addr = addr
-	f.end = func() {
+	f.stopRunning = func() {
 		f.disconnect()
 		stop()
 	}
@@ -117,13 +116,13 @@
 }
 
 func (f *backlogFixture) stop() {
-	if f.end != nil {
-		f.end()
-		f.end = nil
+	if f.stopRunning != nil {
+		f.stopRunning()
+		f.stopRunning = nil
 	}
 }
 
-// put submits a message and returns the answer. A connection that was closed as idle is opened anew.
+// put submits a message and returns the answer. It reconnects if the connection was closed as idle.
 func (f *backlogFixture) put(destination, key, number int) string {
 	for range 3 {
 		if f.client == nil {
@@ -151,7 +150,7 @@
 	}
 }
 
-// stored is what the store holds.
+// stored returns the statistics of the store.
 func (f *backlogFixture) stored() *backlog.Stats {
 	view, err := backlog.Inspect(backlog.OS{}, f.store)
 	require.NoError(f.t, err)
@@ -177,14 +176,14 @@
 	require.Len(f.t, f.deliveries, count)
 }
 
-// deliveredIDs are the ids of messages that were delivered, in order.
+// deliveredIDs returns the ids of the delivered messages, in the order of delivery.
 func (f *backlogFixture) deliveredIDs() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.deliveries)
 }
 
-// storedIDs are the ids of stored messages for a destination, in the order of admission.
+// storedIDs returns the ids of the stored messages for a destination, in the order of admission.
 func (f *backlogFixture) storedIDs(destination uint64) (ids []string) {
 	view, err := backlog.Inspect(backlog.OS{}, f.store)
 	require.NoError(f.t, err)
--- a/forwarder/backlog_gauges.go
+++ b/forwarder/backlog_gauges.go
@@ -10,26 +10,26 @@
 	"spanflow/transport"
 )
 
-// backlogCounts are what has happened since the start, for the log.
+// backlogCounts counts events of the backlog since the start, for the log.
 type backlogCounts struct {
-	stored      int // at admission, behind others of their lane
-	spilled     int // from memory to the store
-	broughtBack int // from the store to memory
-	expired     int // brought back to be answered without a call
-	refused     int
+	stored  int // at admission, behind other messages of their lane
+	spilled int // from memory to the store
+	loaded  int // from the store to memory
+	expired int // loaded to be answered without a call
+	refused int
 }
 
 // write adds the counts to a log line.
 func (c *backlogCounts) write(e *zerolog.Event) *zerolog.Event {
 	return e.Int("backlog_stored", c.stored).Int("backlog_spilled", c.spilled).
-		Int("backlog_brought_back", c.broughtBack).Int("backlog_expired", c.expired).
+		Int("backlog_brought_back", c.loaded).Int("backlog_expired", c.expired).
 		Int("backlog_refused", c.refused)
 }
 
-// backlogGauges are what the store holds, for the metrics, which are read by other goroutines.
+// backlogGauges holds the figures of the store for the metrics, which other goroutines read.
 type backlogGauges struct {
 	messages, bytes, onDisk atomic.Int64
-	oldest                  atomic.Int64 // when the longest stored was accepted, in microseconds; 0: nothing is stored
+	oldest                  atomic.Int64 // when the oldest stored message was accepted, in microseconds; 0 if none
 	states                  [len(backlogStates)]atomic.Int64
 }
 
@@ -39,7 +39,7 @@
 	backlog.MayHaveRun: backlog.MayHaveRun,
 }
 
-// oldestSeconds is how long the longest stored message has waited.
+// oldestSeconds returns the age of the oldest stored message.
 func (g *backlogGauges) oldestSeconds() float64 {
 	at := g.oldest.Load()
 	if at == 0 {
@@ -48,7 +48,7 @@
 	return time.Since(time.UnixMicro(at)).Seconds()
 }
 
-// setBacklogGauges sets the gauges that are cheap to read, each turn.
+// setBacklogGauges updates the gauges that are cheap to compute. It runs every turn.
 func (loop *eventLoop) setBacklogGauges() {
 	if !loop.telemetry.recording {
 		return
@@ -58,7 +58,7 @@
 	b.gauges.bytes.Store(b.store.Bytes())
 }
 
-// setBacklogAges sets the gauges that take a walk over the lanes, every countsEvery.
+// setBacklogAges updates the gauges that need a pass over all lanes. It runs every countsInterval.
 func (loop *eventLoop) setBacklogAges() {
 	b := loop.backlog
 	if b == nil || !loop.telemetry.recording {
@@ -76,7 +76,7 @@
 	b.gauges.oldest.Store(oldest)
 }
 
-// backlogGauges are the store's metrics that are read when they are scraped.
+// backlogGauges returns the store's metrics that are read when they are scraped.
 func (loop *eventLoop) backlogGauges() []transport.Gauge {
 	if loop.backlog == nil {
 		return nil
--- a/forwarder/backlog_keys_test.go
+++ b/forwarder/backlog_keys_test.go
@@ -10,8 +10,8 @@
 	"spanflow/internal/emulator"
 )
 
-// A key may be used with several destinations: its messages still go one after another.
-func TestAKeyOfSeveralDestinationsKeepsItsOrderWhileOneIsStored(t *testing.T) {
+// Messages of a key are sent one after another, even if they are for different destinations.
+func TestKeyKeepsOrderAcrossDestinationsWhileOneIsStored(t *testing.T) {
 	f := newBacklogFixture(t)
 	f.endpoints[0].Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Status: 503} })
 	f.start()
@@ -19,14 +19,14 @@
 	const key = 50
 	require.Equal(t, "+OK", f.put(0, key, 100))
 	require.Positive(t, f.stored().Messages)
-	require.Regexp(t, `^-BUSY.*[1-9]`, f.put(1, key, 101), "message 101 waits for message 100: with a time to retry")
+	require.Regexp(t, `^-BUSY.*[1-9]`, f.put(1, key, 101), "message 101 must follow message 100, so it is refused with a retry-after")
 	require.Equal(t, "+OK", f.put(1, 51, 102))
 	require.Eventually(t, func() bool { return f.delivered() > 0 }, 5*time.Second, time.Millisecond)
-	require.Equal(t, []string{messageID(102)}, f.deliveredIDs(), "others are served meanwhile")
+	require.Equal(t, []string{messageID(102)}, f.deliveredIDs(), "messages of other keys are served meanwhile")
 
 	f.stop()
 	f.start()
-	require.Contains(t, f.put(1, key, 101), "-BUSY", "nor does a restart let it pass")
+	require.Contains(t, f.put(1, key, 101), "-BUSY", "it is still refused after a restart")
 	f.endpoints[0].Do(f.serve)
 	require.Eventually(t, func() bool { return slices.Contains(f.deliveredIDs(), messageID(100)) }, time.Minute, time.Millisecond)
 	require.Equal(t, "+OK", f.put(1, key, 101))
@@ -36,14 +36,15 @@
 	require.Zero(t, f.stored().Messages)
 }
 
-// A message is not stored while a later one of its key, for another destination, is in memory: that would go first.
-func TestAMessageIsNotStoredBeforeALaterOneOfItsKey(t *testing.T) {
+// A message is not stored while a later one of its key for another destination is in memory, as the later one would be
+// sent first.
+func TestSpillKeepsKeyOrderAcrossDestinations(t *testing.T) {
 	const key, first, second, count = 50, 12, 13, 18
 	f := newBacklogFixture(t)
 	release := make(chan struct{})
 	f.endpoints[0].Do(func(c emulator.Call) emulator.Reply {
 		<-release
-		return failing(c)
+		return answer500(c)
 	})
 	f.start()
 	for number := range count {
@@ -59,26 +60,27 @@
 	require.Zero(t, f.stored().Messages)
 	close(release)
 	require.Eventually(t, func() bool { return f.stored().Messages > 0 }, 20*time.Second, time.Millisecond)
-	time.Sleep(200 * time.Millisecond) // what is not stored then is held back
+	time.Sleep(200 * time.Millisecond) // messages that are not stored by then are kept in memory
 	require.Equal(t, []string{messageID(14), messageID(15), messageID(16), messageID(17)}, f.storedIDs(0))
 	require.Equal(t, "+OK", f.put(1, 51, count))
 	require.Eventually(t, func() bool { return f.delivered() > 0 }, 5*time.Second, time.Millisecond)
-	require.Equal(t, []string{messageID(count)}, f.deliveredIDs(), "others are served meanwhile")
+	require.Equal(t, []string{messageID(count)}, f.deliveredIDs(), "messages of other keys are served meanwhile")
 	f.endpoints[0].Do(f.serve)
 	require.Eventually(t, func() bool { return f.delivered() == count+1 }, time.Minute, time.Millisecond)
 	order := f.deliveredIDs()
 	require.Less(t, slices.Index(order, messageID(first)), slices.Index(order, messageID(second)))
 }
 
-// The same where one between them, of the earlier one's lane, has been answered and its notice is not acknowledged.
-func TestAMessageIsNotStoredBeforeALaterOneOfItsKeyBehindAnAnsweredOne(t *testing.T) {
+// The same with a message between the two, in the lane of the earlier one, that has been answered and whose notice is
+// not acknowledged.
+func TestSpillKeepsKeyOrderPastAnsweredMessage(t *testing.T) {
 	const key, first, expiring, second, count = 50, 12, 13, 14, 19
 	f := newBacklogFixture(t)
 	f.discovery.SetUnresponsive(true)
 	release := make(chan struct{})
 	f.endpoints[0].Do(func(c emulator.Call) emulator.Reply {
 		<-release
-		return failing(c)
+		return answer500(c)
 	})
 	f.start()
 	for number := range count {
@@ -96,10 +98,10 @@
 			require.Equal(t, "+OK", f.put(0, 100+number, number))
 		}
 	}
-	time.Sleep(3 * time.Second) // one message expires
+	time.Sleep(3 * time.Second) // the message with the short time to live expires
 	close(release)
 	require.Eventually(t, func() bool { return len(f.storedIDs(0)) > 0 }, 20*time.Second, time.Millisecond)
-	time.Sleep(200 * time.Millisecond) // what is not stored then is held back
+	time.Sleep(200 * time.Millisecond) // messages that are not stored by then are kept in memory
 	require.Equal(t, []string{messageID(15), messageID(16), messageID(17), messageID(18)}, f.storedIDs(0))
 	f.discovery.SetUnresponsive(false)
 	f.endpoints[0].Do(f.serve)
@@ -109,15 +111,15 @@
 	require.Less(t, slices.Index(order, messageID(first)), slices.Index(order, messageID(second)))
 }
 
-// The same where the later one is stored, for a destination that comes back first.
-func TestAMessageIsNotStoredWhileALaterOneOfItsKeyIsStoredElsewhere(t *testing.T) {
+// The same with the later message stored, for a destination that becomes reachable first.
+func TestSpillKeepsKeyOrderWithLaterMessageStored(t *testing.T) {
 	const key, first, second, count, others = 50, 12, 13, 18, 40
 	f := newBacklogFixture(t)
-	f.endpoints[1].Do(failing)
+	f.endpoints[1].Do(answer500)
 	release := make(chan struct{})
 	f.endpoints[0].Do(func(c emulator.Call) emulator.Reply {
 		<-release
-		return failing(c)
+		return answer500(c)
 	})
 	f.start()
 	for number := count; number < count+others; number++ {
@@ -137,7 +139,7 @@
 	require.Empty(t, f.storedIDs(0))
 	close(release)
 	require.Eventually(t, func() bool { return len(f.storedIDs(0)) > 0 }, 20*time.Second, time.Millisecond)
-	time.Sleep(200 * time.Millisecond) // what is not stored then is held back
+	time.Sleep(200 * time.Millisecond) // messages that are not stored by then are kept in memory
 	require.Equal(t, []string{messageID(14), messageID(15), messageID(16), messageID(17)}, f.storedIDs(0))
 	f.endpoints[1].Do(f.serve)
 	require.Eventually(t, func() bool { return f.delivered() == others }, time.Minute, time.Millisecond)
--- a/forwarder/backlog_lanes.go
+++ b/forwarder/backlog_lanes.go
@@ -10,38 +10,38 @@
 	"spanflow/scheduler"
 )
 
-// laneOf is the lane of a message of the write-ahead log.
+// laneOf returns the lane of an entry of the write-ahead log.
 func laneOf(e *wal.Entry) backlog.Lane {
 	return backlog.Lane{Destination: e.Destination, Tenant: uint32(e.Tenant)}
 }
 
-// scheduledLane is the lane of a message that the scheduler has.
+// scheduledLane returns the lane of a message in the scheduler.
 func scheduledLane(m *scheduler.Message) backlog.Lane {
 	return backlog.Lane{Destination: m.Dest.ID, Tenant: uint32(m.Tenant)}
 }
 
-// policyLane is a lane as the policy has it.
+// policyLane converts a lane of the store to the policy's type.
 func policyLane(l backlog.Lane) policy.Lane {
 	return policy.Lane{Destination: l.Destination, Tenant: l.Tenant}
 }
 
-// storeLane is a lane of the policy as the store has it.
+// storeLane converts a lane of the policy to the store's type.
 func storeLane(l policy.Lane) backlog.Lane {
 	return backlog.Lane{Destination: l.Destination, Tenant: l.Tenant}
 }
 
-// keepsOrder reports whether a message's type keeps the order of its key. An unknown type counts as the first one, as
-// for the scheduler.
+// keepsOrder reports whether messages of the entry's type are sent in the order of their key. An unknown type counts as
+// the first one, as in the scheduler.
 func (loop *eventLoop) keepsOrder(e *wal.Entry) bool {
 	return loop.config.Scheduler.Types[loop.messages.types[e.Type]].InOrder
 }
 
-// keyElsewhere reports whether a message has to go after one of its ordering key that is stored in another lane.
-func (loop *eventLoop) keyElsewhere(e *wal.Entry) bool {
+// keyInOtherLane reports whether a message must be sent after one of its ordering key that is stored in another lane.
+func (loop *eventLoop) keyInOtherLane(e *wal.Entry) bool {
 	return loop.keepsOrder(e) && loop.backlog.store.KeyElsewhere(e.Key, laneOf(e))
 }
 
-// storedMessage is what the store keeps of a message.
+// storedMessage converts an entry of the write-ahead log to a message for the store.
 func (loop *eventLoop) storedMessage(e *wal.Entry, accepted time.Time) *backlog.Message {
 	return &backlog.Message{
 		Seq:              e.Seq,
@@ -61,7 +61,7 @@
 	}
 }
 
-// entryOf is what the write-ahead log keeps of a stored message.
+// entryOf converts a stored message to an entry of the write-ahead log.
 func entryOf(m *backlog.Message) *wal.Entry {
 	return &wal.Entry{
 		Seq:            m.Seq,
@@ -80,9 +80,9 @@
 	}
 }
 
-// enter puts a message among those of its lane in memory, in the order of admission: one that is to be answered may be
-// newer than what is brought back later.
-func (b *backlogState) enter(m *trackedMessage) {
+// insert adds a message to its lane in memory, in the order of admission. The message need not be the newest: one
+// loaded early to be answered may be newer than messages loaded later.
+func (b *backlogState) insert(m *trackedMessage) {
 	lane := b.lanes[m.lane]
 	if lane == nil {
 		lane = list.New()
@@ -99,7 +99,7 @@
 	}
 }
 
-// remove takes a message out of its lane, and reports whether it was there.
+// remove removes a message from its lane in memory, and reports whether it was there.
 func (b *backlogState) remove(m *trackedMessage) bool {
 	if m.laneElement == nil {
 		return false
@@ -113,25 +113,25 @@
 	return true
 }
 
-// noteInMemory enters a message in its lane, if a backlog store is used.
-func (loop *eventLoop) noteInMemory(m *trackedMessage) {
+// addToLane adds a message to its lane in memory and informs the policy, if a backlog store is used.
+func (loop *eventLoop) addToLane(m *trackedMessage) {
 	if loop.backlog == nil {
 		return
 	}
-	loop.backlog.enter(m)
+	loop.backlog.insert(m)
 	loop.backlog.policy.Held(policyLane(m.lane))
-	loop.noteReachability(m.scheduled.Dest)
+	loop.updateReachability(m.scheduled.Dest)
 }
 
-// noteLeftMemory takes an answered message out of its lane, if it is in one.
-func (loop *eventLoop) noteLeftMemory(m *trackedMessage) {
+// removeFromLane removes an answered message from its lane in memory, if it is in one, and informs the policy.
+func (loop *eventLoop) removeFromLane(m *trackedMessage) {
 	if loop.backlog.remove(m) {
 		loop.backlog.policy.Ended(policyLane(m.lane))
 	}
 }
 
-// noteReachability informs the policy whether a destination answers.
-func (loop *eventLoop) noteReachability(d *scheduler.Destination) {
+// updateReachability informs the policy whether a destination answers.
+func (loop *eventLoop) updateReachability(d *scheduler.Destination) {
 	if loop.backlog != nil {
 		loop.backlog.policy.Out(d.ID, loop.scheduler.Dark(d))
 	}
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	nextMoves  = time.Millisecond      // until the next batch of moves while more are due
-	retryMoves = 50 * time.Millisecond // until a move is tried again that could not be made
+	nextMoveDelay  = time.Millisecond      // between batches of moves while more are due
+	moveRetryDelay = 50 * time.Millisecond // before a failed move is retried
 )
 
-// moveBacklog carries out the moves between memory and the store that are due, a batch a turn, so that fresh messages
-// are served meanwhile.
+// moveBacklog carries out the due moves between memory and the store, one batch per turn so that new messages are
+// served in between.
 func (loop *eventLoop) moveBacklog(now time.Time) {
 	b := loop.backlog
 	if b == nil {
 		return
 	}
 	b.wakeAt = time.Time{}
-	if loop.shutdown.begun { // what is stored stays for the next process
+	if loop.shutdown.begun { // stored messages stay for the next process
 		return
 	}
 	loop.answerExpired(now)
@@ -32,23 +32,23 @@
 	for _, move := range moves {
 		if moved := loop.moveLane(move, now); moved < move.Count {
 			b.policy.Unmoved(move.Lane)
-			b.wakeWithin(now, retryMoves)
+			b.wakeWithin(now, moveRetryDelay)
 		}
 	}
 	if b.policy.MoreDue() {
 		if len(moves) > 0 {
-			b.wakeWithin(now, nextMoves)
+			b.wakeWithin(now, nextMoveDelay)
 		} else { // memory is full
-			b.wakeWithin(now, retryMoves)
+			b.wakeWithin(now, moveRetryDelay)
 		}
 	}
 	if expiry, ok := b.store.NextExpiry(); ok {
-		b.wakeWithin(now, max(nextMoves, time.UnixMicro(expiry).Sub(b.policy.ExpiryDue(now))))
+		b.wakeWithin(now, max(nextMoveDelay, time.UnixMicro(expiry).Sub(b.policy.ExpiryDue(now))))
 	}
 	loop.setBacklogGauges()
 }
 
-// wakeWithin has the event loop look for moves again within a time.
+// wakeWithin makes the event loop check for moves again after wait at the latest.
 func (b *backlogState) wakeWithin(now time.Time, wait time.Duration) {
 	if at := now.Add(wait); b.wakeAt.IsZero() || at.Before(b.wakeAt) {
 		b.wakeAt = at
@@ -60,10 +60,11 @@
 	if move.Kind == policy.SpillTail {
 		return loop.spill(storeLane(move.Lane), move.Count)
 	}
-	return loop.bringBack(storeLane(move.Lane), move.Count, now)
+	return loop.loadStored(storeLane(move.Lane), move.Count, now)
 }
 
-// spill moves up to limit of the newest messages of a lane that wait in memory to the store, and returns how many.
+// spill moves up to limit of the newest queued messages of a lane from memory to the store, and returns how many were
+// moved.
 func (loop *eventLoop) spill(lane backlog.Lane, limit int) (moved int) {
 	newest := loop.spillable(lane, limit)
 	if len(newest) == 0 {
@@ -83,8 +84,8 @@
 	return moved
 }
 
-// spillable are up to limit of the newest messages of a lane, in the order of admission, as far as they wait for a
-// call.
+// spillable returns up to limit of the newest messages of a lane, in the order of admission. Only messages newer than
+// all that may not be moved to the store are included.
 func (loop *eventLoop) spillable(lane backlog.Lane, limit int) []*trackedMessage {
 	inMemory := loop.backlog.lanes[lane]
 	if inMemory == nil {
@@ -102,19 +103,19 @@
 	return newest
 }
 
-// maySpill reports whether a message in memory may go to the store.
+// maySpill reports whether a message in memory may be moved to the store.
 func (loop *eventLoop) maySpill(m *trackedMessage) bool {
 	if !m.scheduled.Waiting() || m.waitingCaller != nil {
 		return false
 	}
 	entry := loop.wal.Entry(m.MessageID)
-	return entry != nil && !overtakenIfStored(m) && !loop.keyElsewhere(entry)
+	return entry != nil && !overtakenIfStored(m) && !loop.keyInOtherLane(entry)
 }
 
-// overtakenIfStored reports whether a later message of its key, in memory, is of another lane and would go first. To
-// look at the next one of the key that waits is enough: if it is of the same lane it was checked before, as the
-// newest go first. Those of the same lane that do not wait are answered (their notices may stay unacknowledged
-// for long) and were not checked.
+// overtakenIfStored reports whether a later message of the same key but another lane is in memory and would be sent
+// before m if m were stored. Checking the next queued message of the key is enough: if it is in the same lane it was
+// checked before, because the newest messages are checked first. Messages of the same lane that are not queued have
+// been answered (their notices may stay unacknowledged for long) and were not checked, so they are skipped.
 func overtakenIfStored(m *trackedMessage) bool {
 	next := m.scheduled.NextOfKey()
 	for next != nil && !next.Waiting() && scheduledLane(next) == m.lane {
@@ -123,25 +124,25 @@
 	return next != nil && scheduledLane(next) != m.lane
 }
 
-// releaseSpilled removes a message from memory that the store has now.
+// releaseSpilled removes a message from memory after it was stored.
 func (loop *eventLoop) releaseSpilled(m *trackedMessage, size int64) {
 	loop.backlog.counts.spilled++
 	loop.backlog.policy.Spilled(policyLane(m.lane), size)
 	loop.backlog.remove(m)
-	loop.noteTried(m, false)
+	loop.clearUntried(m, false)
 	loop.scheduler.Withdraw(m.scheduled)
 	loop.messages.remove(m)
 }
 
-// bringBack moves up to limit of the oldest stored messages of a lane back to memory, and returns how many.
-func (loop *eventLoop) bringBack(lane backlog.Lane, limit int, now time.Time) (moved int) {
+// loadStored loads up to limit of the oldest stored messages of a lane into memory, and returns how many were loaded.
+func (loop *eventLoop) loadStored(lane backlog.Lane, limit int, now time.Time) (moved int) {
 	batch, err := loop.backlog.mover.BringBack(lane, limit)
 	loop.logMoveError(err)
 	loop.acceptBatch(batch, now)
 	return len(batch.Messages)
 }
 
-// answerExpired moves stored messages whose time is nearly over back to memory, a batch a turn, and answers them.
+// answerExpired loads the stored messages that are about to expire, one batch per turn, and answers them.
 func (loop *eventLoop) answerExpired(now time.Time) {
 	b := loop.backlog
 	expiry, ok := b.store.NextExpiry()
@@ -152,20 +153,19 @@
 	batch, err := b.mover.BringBackExpired(due.UnixMicro(), b.policy.ExpiryBatch())
 	loop.logMoveError(err)
 	if err != nil {
-		b.wakeWithin(now, retryMoves)
+		b.wakeWithin(now, moveRetryDelay)
 	}
 	loop.acceptBatch(batch, now)
 }
 
-// logMoveError logs why messages could not be brought back, unless it is that the write-ahead log has no space for them
-// now.
+// logMoveError logs why messages could not be loaded, unless the write-ahead log only has no space for them at present.
 func (loop *eventLoop) logMoveError(err error) {
 	if err != nil && !errors.Is(err, wal.ErrFull) {
 		loop.logBacklogError(err)
 	}
 }
 
-// acceptBatch gives the scheduler the messages that have come back.
+// acceptBatch passes the loaded messages to the scheduler.
 func (loop *eventLoop) acceptBatch(batch backlog.Batch, now time.Time) {
 	for _, stored := range batch.Messages {
 		loop.backlog.policy.Back(policyLane(stored.Lane), int64(stored.Size()), now)
@@ -173,7 +173,7 @@
 	}
 }
 
-// acceptStored gives the scheduler a message that has come back. One that is expired is answered without a call.
+// acceptStored passes a loaded message to the scheduler. An expired one is answered without a call.
 func (loop *eventLoop) acceptStored(stored *backlog.Message, expired bool, now time.Time) {
 	e := loop.wal.Entry(stored.Seq)
 	typ, known := loop.messages.types[e.Type]
@@ -188,18 +188,18 @@
 		FirstRanAt: float64(e.FirstRanAt) / 1e6,
 		Zone:       e.FirstRanZone,
 	}
-	loop.backlog.enter(m)
+	loop.backlog.insert(m)
 	if expired {
 		loop.backlog.counts.expired++
 		loop.scheduler.GiveUp(m.scheduled, typ, secondsLeft, recovered)
-		loop.noteLeftMemory(m) // its notice may stay unacknowledged for long
+		loop.removeFromLane(m) // its notice may stay unacknowledged for long
 	} else {
-		loop.backlog.counts.broughtBack++
+		loop.backlog.counts.loaded++
 		loop.scheduler.TakeBack(m.scheduled, typ, secondsLeft, recovered)
 		if stored.Seq >= loop.backlog.firstSeq || !loop.scheduler.Answered(m.scheduled.Dest) {
-			// Its demand was counted when it was stored, or hours ago.
+			// Its demand was already counted when it was stored, or dates from hours ago.
 			loop.scheduler.Uncount(m.scheduled.Dest)
 		}
 	}
-	loop.noteReachability(m.scheduled.Dest)
+	loop.updateReachability(m.scheduled.Dest)
 }
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -11,16 +11,16 @@
 	"spanflow/internal/emulator"
 )
 
-func TestMessagesForUnreachableDestinationWaitInStoreAndReturnInOrder(t *testing.T) {
+func TestStoredMessagesAreDeliveredInOrder(t *testing.T) {
 	const count = 600
 	f := newBacklogFixture(t)
-	f.endpoints[0].Do(failing)
+	f.endpoints[0].Do(answer500)
 	f.start()
 	f.fill(0, 0, count)
-	require.Greater(t, f.stored().Messages, count-100, "all beyond the head window are on disk")
-	require.Equal(t, "+OK", f.put(1, 101, count), "others are served meanwhile")
+	require.Greater(t, f.stored().Messages, count-100, "all but those in the window are on disk")
+	require.Equal(t, "+OK", f.put(1, 101, count), "other destinations are served meanwhile")
 	require.Eventually(t, func() bool { return f.delivered() == 1 }, 5*time.Second, time.Millisecond)
-	require.Equal(t, "-ERR", f.put(0, 1, 3)[:4], "an id that is stored is known")
+	require.Equal(t, "-ERR", f.put(0, 1, 3)[:4], "the id of a stored message is rejected")
 	f.mu.Lock()
 	f.deliveries = nil
 	f.mu.Unlock()
@@ -29,10 +29,10 @@
 	require.Zero(t, f.stored().Messages)
 }
 
-func TestRestartWhileBacklogEmptiesLosesNothing(t *testing.T) {
+func TestRestartWhileLoadingStoredMessagesLosesNone(t *testing.T) {
 	const count = 2000
 	f := newBacklogFixture(t)
-	f.endpoints[0].Do(failing)
+	f.endpoints[0].Do(answer500)
 	f.start()
 	f.fill(0, 0, count/2)
 	f.stop()
@@ -47,9 +47,9 @@
 
 func TestFullStoreRefusesWithRetryAfter(t *testing.T) {
 	f := newBacklogFixture(t)
-	f.change = func(b *forwarder.Backlog) { b.DestinationBytes = 20_000 }
-	f.endpoints[0].Do(failing)
-	f.endpoints[1].Do(failing)
+	f.adjust = func(b *forwarder.Backlog) { b.DestinationBytes = 20_000 }
+	f.endpoints[0].Do(answer500)
+	f.endpoints[1].Do(answer500)
 	f.start()
 	number := 0
 	answer := "+OK"
@@ -59,17 +59,17 @@
 	require.Contains(t, answer, "-BUSY")
 	require.Less(t, number, 500)
 	accepted := number - 1
-	f.fill(1, 1000, 1050) // the other destination's part is free
+	f.fill(1, 1000, 1050) // the other destination has not reached its limit
 	f.endpoints[0].Do(f.serve)
 	require.Eventually(t, func() bool { return f.delivered() == accepted }, time.Minute, 10*time.Millisecond)
-	require.Equal(t, "+OK", f.put(0, 1, 2000), "it is no longer full")
+	require.Equal(t, "+OK", f.put(0, 1, 2000), "the destination is below its limit again")
 }
 
-func TestStoredMessagesAreAnsweredBeforeTheirTimeIsOver(t *testing.T) {
+func TestStoredMessagesAreAnsweredBeforeExpiry(t *testing.T) {
 	const count = 400
 	f := newBacklogFixture(t)
 	f.timeToLive = 12 * time.Second
-	f.endpoints[0].Do(failing)
+	f.endpoints[0].Do(answer500)
 	f.start()
 	begun := time.Now()
 	f.fill(0, 0, count)
@@ -92,12 +92,12 @@
 	require.Zero(t, f.stored().Messages)
 }
 
-// A start finds the windows of unreachable destinations: they do not count as demand of its first seconds, or these
-// destinations would be tried many times a second.
-func TestWindowsThatAStartFindsAreNoReasonToTryOften(t *testing.T) {
+// Messages for unreachable destinations that a start recovers into memory must not count as demand of its first
+// seconds. Otherwise it would try these destinations many times a second.
+func TestRecoveredWindowsDoNotCountAsDemand(t *testing.T) {
 	const count = 400
 	f := newBacklogFixture(t)
-	f.change = func(b *forwarder.Backlog) { b.Window, b.Behind = 200, 200 }
+	f.adjust = func(b *forwarder.Backlog) { b.Window, b.Behind = 200, 200 }
 	var tries atomic.Int64
 	f.endpoints[0].Do(func(emulator.Call) emulator.Reply {
 		tries.Add(1)
--- a/forwarder/bench_test.go
+++ b/forwarder/bench_test.go
@@ -24,10 +24,11 @@
 "Limits":{"AttemptsCap":6,"MaxOpen":4000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,"ConnectTimeout":1500},
 "Report":{"Fields":[]},"Discovery":"ask","WeightKind":"silent","NInstances":1,"Tenants":[]}}`
 
-// BenchmarkMessage drives the whole path over loopback: RESP frontend, event queue, event loop, scheduler, write-ahead
-// log, HTTP upstream, eight endpoints that answer at once. An op is a message from its submission to its delivery;
-// sixteen clients submit, each its next one when the one before has its answer, up to 128 under way. A rejected message
-// fails the run. cpu-ns/op is of the whole process, clients and endpoints included.
+// BenchmarkMessage measures the whole path over loopback: RESP frontend, event queue, event loop, scheduler,
+// write-ahead log, HTTP upstream, and eight endpoints that answer at once. An op is one message from its submission to
+// its delivery. Sixteen clients submit messages, each one its next message when the previous one is answered, with up
+// to 128 messages in flight. A rejected message fails the run. cpu-ns/op is the CPU time of the whole process,
+// including clients and endpoints.
 func BenchmarkMessage(b *testing.B) {
 	delivered := make(chan struct{}, 4096)
 	discovery := benchDiscovery(b, delivered)
@@ -39,7 +40,7 @@
 		require.NoError(b, err)
 		clients = append(clients, c)
 	}
-	underWay := make(chan struct{}, 128)
+	inFlight := make(chan struct{}, 128)
 	b.ReportAllocs()
 	b.ResetTimer()
 	cpu := processCPU()
@@ -47,7 +48,7 @@
 	for n, c := range clients {
 		wg.Go(func() {
 			for i := n; i < b.N; i += len(clients) {
-				underWay <- struct{}{}
+				inFlight <- struct{}{}
 				benchSubmit(c, i)
 			}
 		})
@@ -55,7 +56,7 @@
 	for range b.N {
 		select {
 		case <-delivered:
-			<-underWay
+			<-inFlight
 		case notice := <-discovery.Notices:
 			b.Fatal("not delivered: ", notice)
 		case <-time.After(10 * time.Second):
@@ -71,7 +72,7 @@
 	stop()
 }
 
-// benchDiscovery is a discovery service with eight endpoints, each of a destination of its own.
+// benchDiscovery returns a discovery service with eight endpoints, each of a different destination.
 func benchDiscovery(b *testing.B, delivered chan<- struct{}) *emulator.Discovery {
 	var list []emulator.Entry
 	for destination := range 8 {
@@ -91,7 +92,7 @@
 
 var benchBody = strings.Repeat("x", 400)
 
-// benchSubmit submits a message again and again until it is accepted.
+// benchSubmit submits a message repeatedly until it is accepted.
 func benchSubmit(c *emulator.Client, i int) {
 	for {
 		options := fmt.Sprintf("c=status,d=20000,dest=%d", i%8)
@@ -106,14 +107,14 @@
 	}
 }
 
-// processCPU is the time that this process has spent on processors.
+// processCPU returns the CPU time that this process has used.
 func processCPU() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// startEndpoint starts an endpoint that answers each call with 200 as soon as its body has come, and returns its
+// startEndpoint starts an endpoint that answers each call with 200 as soon as it has received the body, and returns its
 // address.
 func startEndpoint(tb testing.TB, delivered chan<- struct{}) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -131,7 +132,7 @@
 	return listener.Addr().String()
 }
 
-// serveCalls answers the calls on a connection until it ends.
+// serveCalls answers the calls on a connection until it is closed.
 func serveCalls(c net.Conn, delivered chan<- struct{}) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -150,7 +151,7 @@
 	}
 }
 
-// readHeader reads a request up to its body, and returns the length of that.
+// readHeader reads a request up to its body, and returns the length of the body.
 func readHeader(in *bufio.Reader) (length int, err error) {
 	for {
 		line, err := in.ReadSlice('\n')
--- a/forwarder/callers_test.go
+++ b/forwarder/callers_test.go
@@ -49,7 +49,7 @@
 		frontend.submitter.Withdraw(id)
 	}
 	frontend.submitter.Withdraw("nobody")
-	f.upstream.finish(call, transport.ResultOverloaded) // not sent again: its caller has gone
+	f.upstream.finish(call, transport.ResultOverloaded) // not sent again, as its caller has disconnected
 	require.Equal(t, "c", (<-f.upstream.calls).Messages[0].ID)
 	f.log.Await(t, "ready")
 	v, err := wal.Inspect(f.config.Folder)
@@ -57,9 +57,9 @@
 	require.Len(t, v.Pending, 1)
 }
 
-// The old process's callers are gone with it: the messages for which they waited are withdrawn, and a key cools down
-// where one may still run.
-func TestWhatCallersOfAnEarlierProcessWaitedForIsWithdrawn(t *testing.T) {
+// The callers of an earlier process are disconnected. The messages whose answers they waited for are withdrawn, and a
+// key cools down if one of its messages may still be running.
+func TestRecoveredMessagesOfWaitingCallersAreWithdrawn(t *testing.T) {
 	f := newFixture(t)
 	walLog, err := wal.Open(f.config.Folder, 3_000_000)
 	require.NoError(t, err)
@@ -86,8 +86,9 @@
 	require.Empty(t, v.Pending)
 }
 
-// Callers of one frontend flood without reading their answers; those of the others go on being served.
-func TestFloodedFrontendStarvesNoOther(t *testing.T) {
+// Callers of one frontend flood the forwarder without reading their answers. Callers of other frontends are still
+// served.
+func TestFloodedFrontendDoesNotStarveOthers(t *testing.T) {
 	f := newFixture(t, forwarder.Frontend{Name: "flood", Protocol: "memory", MaxWaitingRequests: 1000}).start()
 	end, flooded := make(chan struct{}), make(chan struct{})
 	var submitted atomic.Int64
@@ -105,11 +106,11 @@
 			}
 		}
 	}()
-	mute := f.client() // sends and never reads
+	nonReadingClient := f.client() // sends and never reads
 	go func() {
 		ping := []byte(strings.Repeat(emulator.Command("PING"), 1000))
 		for {
-			if _, err := mute.Write(ping); err != nil {
+			if _, err := nonReadingClient.Write(ping); err != nil {
 				return
 			}
 		}
--- a/forwarder/calls.go
+++ b/forwarder/calls.go
@@ -15,7 +15,7 @@
 	pending   []pendingCall
 }
 
-// pendingCall is a call that messages are still added to.
+// pendingCall is a call that has not been sent yet, so that messages can still be added to it.
 type pendingCall struct {
 	upstream transport.Upstream
 	call     *transport.Call
@@ -23,10 +23,10 @@
 
 const (
 	maxConnectTimeout = 30 * time.Second
-	defaultUpstream   = "http" // name and protocol
+	defaultUpstream   = "http" // both its name and its protocol
 )
 
-// add puts a message into a pending call to the endpoint that has room for it, or into a new one.
+// add adds a message to a pending call to the endpoint whose batch is not full, or else to a new call.
 func (b *callBatch) add(m *trackedMessage, to *trackedEndpoint, timeout time.Duration) {
 	for i := range b.pending {
 		if call := b.pending[i].call; call.EndpointID == to.scheduled.ID && len(call.Messages) < to.batchSize {
@@ -40,12 +40,11 @@
 	b.pending = append(b.pending, pendingCall{to.upstream, call})
 }
 
-// newCall is a call to an endpoint with one message.
+// newCall returns a call to an endpoint with one message.
 func newCall(m *trackedMessage, to *trackedEndpoint) *transport.Call {
 	return &transport.Call{EndpointID: to.scheduled.ID, Address: to.address, Messages: []transport.Message{m.Message}}
 }
 
-// send sends the pending calls.
 func (b *callBatch) send() {
 	for i := range b.pending {
 		b.pending[i].upstream.Send(b.pending[i].call)
@@ -62,7 +61,7 @@
 	return idle
 }
 
-// upstreamOf is the upstream by which endpoints of a kind are reached.
+// upstreamOf returns the upstream for endpoints of a kind.
 func (loop *eventLoop) upstreamOf(kind string) transport.Upstream {
 	if upstream := loop.calls.upstreams[loop.config.KindUpstream[kind]]; upstream != nil {
 		return upstream
@@ -70,7 +69,7 @@
 	return loop.calls.upstreams[defaultUpstream]
 }
 
-// connect opens the upstreams, the source of the endpoint list and the notifier that the configuration asks for.
+// connect opens the configured upstreams, the source of the endpoint list and the notifier.
 func (loop *eventLoop) connect(dialer *dial.Dialer) error {
 	timeout := time.Duration(loop.config.Names.Connect * float64(time.Second))
 	if timeout <= 0 {
@@ -83,14 +82,13 @@
 	return nil
 }
 
-// openUpstreams opens the upstreams of the configuration, and the default one unless the configuration has its own by
-// that name.
+// openUpstreams opens the configured upstreams, and the default upstream unless one of its name is configured.
 func (loop *eventLoop) openUpstreams(dialer *dial.Dialer, connectTimeout time.Duration) error {
 	config := loop.config
 	loop.calls.upstreams = map[string]transport.Upstream{}
 	fallback := Upstream{Name: defaultUpstream, Protocol: defaultUpstream}
 	for _, u := range append(slices.Clone(config.Upstreams), fallback) {
-		if loop.calls.upstreams[u.Name] != nil { // the configuration's own in place of the default
+		if loop.calls.upstreams[u.Name] != nil { // a configured upstream replaces the default one
 			continue
 		}
 		open := config.upstreamProtocol(u.Protocol)
@@ -107,7 +105,6 @@
 	return nil
 }
 
-// upstreamSettings are the settings of an upstream.
 func (c *Config) upstreamSettings(u Upstream, connectTimeout time.Duration) UpstreamSettings {
 	if u.ConnectTimeout > 0 {
 		connectTimeout = time.Duration(u.ConnectTimeout * float64(time.Second))
--- a/forwarder/command_spool.go
+++ b/forwarder/command_spool.go
@@ -7,15 +7,15 @@
 	"spanflow/internal/statefile"
 )
 
-// spoolPollInterval is how often the process that holds the folder looks for commands: a drain has to be in
-// effect a second after the request.
+// spoolPollInterval is the time between checks for spooled commands by the process that holds the folder. A drain must
+// take effect within a second of the request.
 const spoolPollInterval = 250 * time.Millisecond
 
-// spoolLogKey is the kind of the rate-limited log lines on the spool, for mayLog.
+// spoolLogKey identifies the log lines about the spool for the rate limit of mayLog.
 const spoolLogKey = "command spool"
 
-// runSpooledCommands carries out the commands in the spool, the oldest first, and reports whether there were any. One
-// that cannot be carried out stays for the next look, with those behind it.
+// runSpooledCommands carries out the commands in the spool, oldest first, and reports whether there were any. A command
+// that cannot be carried out stays in the spool until the next check, and so do those after it.
 func (loop *eventLoop) runSpooledCommands() bool {
 	spool := statefile.NewSpool(loop.config.Folder)
 	names := spool.Names()
@@ -37,7 +37,7 @@
 	return len(names) > 0
 }
 
-// requestOf is the request that an operator's command stands for.
+// requestOf converts a spooled command to the operator's request.
 func requestOf(c statefile.Command) admin.Request {
 	if c.Undrain {
 		return admin.Request{Operation: admin.Attach, Name: c.Endpoint}
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -11,56 +11,56 @@
 
 // Config is the whole configuration of a forwarder. Run works on a copy, so a Config can be used again.
 type Config struct {
-	Name       string // of the forwarder, as its log lines, metrics and calls have it
+	Name       string // of the forwarder in its log lines, metrics and calls
 	Folder     string // holds the write-ahead log and other state that outlives the process
 	Seed       uint64 // of the scheduler's random source
 	RandomSeed bool   // Seed was drawn at random, not configured
 
 	Frontends         []Frontend
-	FrontendProtocols map[string]FrontendProtocol // of an embedding program, beside those that come with this package
-	InheritedListener int                         // descriptor that takes the place of Frontends[0].Listen; 0: none
-
-	Upstreams         []Upstream                  // beside the default one, named "http"
-	UpstreamProtocols map[string]UpstreamProtocol // of an embedding program, beside those that come with this package
-	KindUpstream      map[string]string           // name of the upstream for endpoints of a kind, if not the default
-
-	Discovery       string                  // address of the discovery service; empty: the list is StaticEndpoints
-	StaticEndpoints *transport.EndpointList // the configuration's own list
-	LastEndpoints   transport.EndpointList  // the list as last known
-	ListBytes       int                     // bound of one object of the watch, in bytes; 0: by MemoryMB
-	FullReload      bool                    // frontends, endpoints, backlog bounds and logs may change on reload
-
-	MemoryMB    int     // for the whole process
-	Descriptors int     // descriptors for the whole process
-	DiskMB      int     // for the write-ahead log
+	FrontendProtocols map[string]FrontendProtocol // added by an embedding program to those of this package
+	InheritedListener int                         // descriptor used instead of Frontends[0].Listen; 0 means none
+
+	Upstreams         []Upstream                  // in addition to the default one, named "http"
+	UpstreamProtocols map[string]UpstreamProtocol // added by an embedding program to those of this package
+	KindUpstream      map[string]string           // names of upstreams by kind of endpoint; other kinds use the default
+
+	Discovery       string                  // address of the discovery service; if empty, StaticEndpoints is used
+	StaticEndpoints *transport.EndpointList // the endpoint list in the configuration
+	LastEndpoints   transport.EndpointList  // the last known list
+	ListBytes       int                     // limit of one object of the watch, in bytes; 0 means derived from MemoryMB
+	FullReload      bool                    // a reload may change more than discovery, see ConfigParts
+
+	MemoryMB    int     // limit of the whole process
+	Descriptors int     // limit of the whole process
+	DiskMB      int     // limit of the write-ahead log
 	Cores       float64 // processors that the process may keep busy
 
 	Scheduler scheduler.Settings
 	Names     settings.Names // of the types, tenants, kinds and zones in Scheduler
-	Backlog   *Backlog       // where messages wait on disk; nil: in memory alone
+	Backlog   *Backlog       // store for messages on disk; nil means they are queued in memory only
 
 	Log       Log
-	Admin     string // address for operators; empty: none
-	Metrics   string // address where metrics are served; empty: none
-	TokenFile string // holds the token that readers of metrics have to show; empty: none is asked for
+	Admin     string // address for operators; empty means none
+	Metrics   string // address where metrics are served; empty means none
+	TokenFile string // file with the token required to read metrics; empty means none is required
 
-	// Recorder serves the named forwarder's metrics at an address; nil: the program has none.
+	// Recorder serves the named forwarder's metrics at an address. Nil means that the program does not provide metrics.
 	Recorder func(addr, forwarder string, frontends []string, gauges []transport.Gauge) (transport.Recorder, error)
 
-	// Reload reads the configuration again; nil: it never changes.
+	// Reload reads the configuration again. Nil means that it never changes.
 	Reload func() (*Config, error)
 
-	configuredDiscovery string // Discovery as the configuration has it, without PROXY_DISCOVERY
-	noticeAddress       string // where notices go; empty: to Discovery
+	configuredDiscovery string // Discovery as configured, without PROXY_DISCOVERY
+	noticeAddress       string // address for notices; empty means Discovery
 }
 
-// SetConfiguredAddresses notes the addresses of discovery and of notices as the configuration's text has them, whatever
-// the variables say. An empty notices address sends notices to discovery.
+// SetConfiguredAddresses sets the addresses of discovery and of notices as written in the configuration file, without
+// the environment variables that take precedence. With an empty notices address, notices are sent to discovery.
 func (c *Config) SetConfiguredAddresses(discovery, notices string) {
 	c.configuredDiscovery, c.noticeAddress = discovery, notices
 }
 
-// Notices is the address to which final answers go that no caller waits for; empty: they are only logged.
+// Notices returns the address for final answers that no caller waits for. If it is empty, they are only logged.
 func (c *Config) Notices() string {
 	if c.noticeAddress != "" {
 		return c.noticeAddress
@@ -68,7 +68,7 @@
 	return c.Discovery
 }
 
-// enableEndpointPolling has the scheduler ask for each watch of the list, whatever the kind of discovery.
+// enableEndpointPolling makes the scheduler request each watch of the list, for every kind of discovery.
 func (c *Config) enableEndpointPolling() {
 	c.Scheduler.LocalAgent = !c.Scheduler.PollEndpoints && c.Discovery != ""
 	c.Scheduler.PollEndpoints = true
--- a/forwarder/config_platform.go
+++ b/forwarder/config_platform.go
@@ -13,16 +13,16 @@
 	"spanflow/transport"
 )
 
-// The smallest limits with which a forwarder runs.
+// Minimum limits with which a forwarder runs.
 const (
 	minMemoryMB = 16
 	minSockets  = 64
 	minDiskMB   = 1
 )
 
-const firstPassedDescriptor = 3 // those below are the standard streams
+const firstPassedDescriptor = 3 // lower numbers are the standard streams
 
-// platformConfig is the platform's configuration file. Keys match whatever their case.
+// platformConfig is the platform's configuration file. Its keys are case-insensitive.
 type platformConfig struct {
 	Name, Listen, Discovery, Seed, State, Admin string
 	Limits                                      struct {
@@ -35,8 +35,9 @@
 	Settings json.RawMessage
 }
 
-// ConfigFromEnvironment reads the platform's configuration file, named by PROXY_CONFIG. Other variables take precedence
-// over its fields, but for PROXY_DISCOVERY on a reload: the variable cannot have changed, so the file counts then.
+// ConfigFromEnvironment reads the platform's configuration file, whose path is in PROXY_CONFIG. Other environment
+// variables take precedence over its fields, except for PROXY_DISCOVERY on a reload: the variable cannot have changed
+// since the start, so the file's value is used.
 func ConfigFromEnvironment(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -65,8 +66,8 @@
 	return ReadConfig(text, getenv)
 }
 
-// ReadConfig reads the platform's configuration. Variables that are set take precedence over the text's fields. An
-// error begins with the field or variable at fault.
+// ReadConfig reads the platform's configuration from text. Environment variables that are set take precedence over its
+// fields. An error begins with the name of the invalid field or variable.
 func ReadConfig(text []byte, getenv func(string) string) (*Config, error) {
 	var p platformConfig
 	if err := json.Unmarshal(text, &p); err != nil {
@@ -98,20 +99,20 @@
 	return config, nil
 }
 
-// config takes over what needs no check beyond its type.
+// config returns a Config with the fields that need no check beyond their type.
 func (p *platformConfig) config(getenv func(string) string) *Config {
-	variableOr := func(name, field string) string {
+	variableOrField := func(name, field string) string {
 		if value := getenv(name); value != "" {
 			return value
 		}
 		return field
 	}
 	return &Config{
-		Name:      variableOr("PROXY_NAME", p.Name),
-		Folder:    variableOr("PROXY_STATE", p.State),
-		Frontends: []Frontend{{Name: "resp", Protocol: "resp", Listen: variableOr("PROXY_LISTEN", p.Listen)}},
+		Name:      variableOrField("PROXY_NAME", p.Name),
+		Folder:    variableOrField("PROXY_STATE", p.State),
+		Frontends: []Frontend{{Name: "resp", Protocol: "resp", Listen: variableOrField("PROXY_LISTEN", p.Listen)}},
 
-		Discovery:           variableOr("PROXY_DISCOVERY", p.Discovery),
+		Discovery:           variableOrField("PROXY_DISCOVERY", p.Discovery),
 		configuredDiscovery: p.Discovery,
 		LastEndpoints:       p.Known,
 
@@ -121,7 +122,7 @@
 		Cores:       p.Limits.Cores,
 
 		Log:   Log{Level: zerolog.TraceLevel},
-		Admin: variableOr("PROXY_ADMIN", p.Admin),
+		Admin: variableOrField("PROXY_ADMIN", p.Admin),
 	}
 }
 
@@ -150,20 +151,20 @@
 		{"limits.disk_mb", c.DiskMB, minDiskMB},
 	} {
 		if limit.value < limit.min {
-			return fmt.Errorf("%s: %d is under the least, %d", limit.name, limit.value, limit.min)
+			return fmt.Errorf("%s: %d is below the minimum, %d", limit.name, limit.value, limit.min)
 		}
 	}
 	return nil
 }
 
-// inheritedDescriptor is the number of the listening socket that the platform hands down; 0: none.
+// inheritedDescriptor returns the descriptor of the listening socket passed by the platform, or 0 if there is none.
 func inheritedDescriptor(variable string) (int, error) {
 	if variable == "" {
 		return 0, nil
 	}
 	number, err := strconv.ParseUint(variable, 10, 16)
 	if err != nil || number < firstPassedDescriptor {
-		return 0, fmt.Errorf("PROXY_INHERITED_FD: %q is not the number of a descriptor beyond 2", variable)
+		return 0, fmt.Errorf("PROXY_INHERITED_FD: %q is not a descriptor number above 2", variable)
 	}
 	return int(number), nil
 }
--- a/forwarder/control_plane.go
+++ b/forwarder/control_plane.go
@@ -9,8 +9,8 @@
 	"spanflow/transport"
 )
 
-// controlPlane is a discovery service that takes the notices too, at the same address: a transport.EndpointSource,
-// transport.Notifier and transport.Reconfigurable.
+// controlPlane is a discovery service that also receives the notices, at the same address. It implements
+// transport.EndpointSource, transport.Notifier and transport.Reconfigurable.
 type controlPlane struct {
 	endpoints *discovery.Client
 	notices   *notify.Client
@@ -29,8 +29,8 @@
 // Notify implements transport.Notifier.
 func (c *controlPlane) Notify(notice transport.FinalAnswer) { c.notices.Notify(notice) }
 
-// Reconfigure leaves the address for another: notices without an acknowledgement go there, and the list is watched there
-// from a revision on.
+// Reconfigure switches to another address. Unacknowledged notices are sent there, and the list is watched there from
+// the given revision.
 func (c *controlPlane) Reconfigure(addr string, revision int64) {
 	c.notices.Reconfigure(addr, revision)
 	c.endpoints.Reconfigure(addr, revision)
--- a/forwarder/counts.go
+++ b/forwarder/counts.go
@@ -10,13 +10,13 @@
 	"spanflow/transport"
 )
 
-// counts are what has happened since the start, for the log. Its fields there keep the names that they had first.
+// counts holds counters of events since the start, for the log. Some of its log fields keep older names.
 type counts struct {
 	accepted, refused, delivered, rejected, failed, recovered, withdrawn int
 	ends                                                                 [transport.ResultCancelled + 1]int
 }
 
-// write adds the counts to a log line.
+// write adds the counters to a log line.
 func (c *counts) write(e *zerolog.Event) *zerolog.Event {
 	e = e.Int("taken", c.accepted).Int("recovered", c.recovered).Int("refused", c.refused).
 		Int("delivered", c.delivered).Int("returned", c.rejected).Int("abandoned", c.failed)
@@ -31,7 +31,7 @@
 	return e
 }
 
-// logCounts writes the counts to the log, the first frontend's with the forwarder's own.
+// logCounts logs the counters. The line of the forwarder's own counters includes those of the first frontend.
 func (loop *eventLoop) logCounts(dialer *dial.Dialer) {
 	log := &loop.telemetry.log
 	e := loop.telemetry.counts.write(log.Info()).Int("held", len(loop.messages.byNumber))
@@ -40,13 +40,13 @@
 		e = loop.backlog.counts.write(e).Int("backlog", loop.backlog.store.Messages())
 	}
 	e.Int("lines", dialer.Open()).Int64("most_lines", dialer.Peak.Load()).
-		Int("idle_lines", loop.calls.idleConnections()).Int64("disk", loop.wal.Used()).Msg("counts")
+		Int("idle_lines", loop.calls.idleConnections()).Int64("disk", loop.wal.Used()).Msg("counters since the start")
 	for _, l := range loop.frontends.open[1:] {
-		writeConnectionStats(log.Info().Str("frontend", l.config.Name), l.Stats()).Msg("counts of a frontend")
+		writeConnectionStats(log.Info().Str("frontend", l.config.Name), l.Stats()).Msg("connection counters of a frontend")
 	}
 }
 
-// writeConnectionStats adds what became of a frontend's connections to a log line.
+// writeConnectionStats adds a frontend's connection counters to a log line.
 func writeConnectionStats(e *zerolog.Event, c transport.ConnectionStats) *zerolog.Event {
 	return e.Int("clients", c.Open).Int("most_clients", c.Peak).
 		Int("clients_came", c.Accepted).Int("clients_turned_away", c.Refused).
--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -9,20 +9,20 @@
 	"spanflow/transport"
 )
 
-// discoveryState is the source of the endpoint list, and how much of the list has been received.
+// discoveryState holds the source of the endpoint list and the state of the list received from it.
 type discoveryState struct {
-	source       transport.EndpointSource
-	movable      transport.Reconfigurable // the source, if it is a discovery service
-	static       *staticEndpoints         // the source, if it is a list of the configuration
-	revision     int64                    // of the present list
-	listReceived bool                     // a list has come from the source since the start
+	source         transport.EndpointSource
+	reconfigurable transport.Reconfigurable // the source, if it is a discovery service
+	static         *staticEndpoints         // the source, if it is a list in the configuration
+	revision       int64                    // of the current list
+	listReceived   bool                     // the source has sent a list since the start
 }
 
-// listMemoryFraction is the fraction of the memory that one object of the list may take as text: what an endpoint takes
-// in memory is some eight times its text, so that a longer list would not fit.
+// listMemoryFraction is the divisor that gives the share of the memory that the text of one object of the list may
+// take. An endpoint takes about eight times as much memory as its text, so a longer list would not fit.
 const listMemoryFraction = 16
 
-// maxListBytes is the bound of one object of the watch, in bytes.
+// maxListBytes returns the limit of one object of the watch, in bytes.
 func (c *Config) maxListBytes() int {
 	if c.ListBytes > 0 {
 		return c.ListBytes
@@ -30,13 +30,14 @@
 	return max(discovery.DefaultMaxLineBytes, c.MemoryMB<<20/listMemoryFraction)
 }
 
-// openDiscovery opens the source of the list, discovery or a list of the configuration, and the notifier.
+// openDiscovery opens the notifier and the source of the endpoint list, which is discovery or a list in the
+// configuration.
 func (loop *eventLoop) openDiscovery(dialer *dial.Dialer, connectTimeout time.Duration) {
 	config := loop.config
 	if config.Discovery != "" {
 		client := newControlPlane(dialer, config.Discovery, connectTimeout, loop.queue)
 		client.endpoints.MaxLineBytes = config.maxListBytes()
-		loop.discovery.source, loop.discovery.movable = client, client
+		loop.discovery.source, loop.discovery.reconfigurable = client, client
 		if config.noticeAddress == "" {
 			loop.notices.notifier = client
 		}
@@ -50,11 +51,11 @@
 	}
 	if config.noticeAddress != "" {
 		client := notify.New(dialer, config.noticeAddress, connectTimeout, loop.queue)
-		loop.notices.notifier, loop.notices.movable = client, client
+		loop.notices.notifier, loop.notices.reconfigurable = client, client
 	}
 }
 
-// handleWatchEnd informs the scheduler that changes of the list no longer arrive.
+// handleWatchEnd informs the scheduler that changes to the list no longer arrive.
 func (loop *eventLoop) handleWatchEnd(end watchEnded) {
 	loop.telemetry.log.Warn().Str("reason", end.reason).Msg("watch ended")
 	switch end.how {
--- a/forwarder/discovery_test.go
+++ b/forwarder/discovery_test.go
@@ -11,7 +11,7 @@
 )
 
 // The time until the list is polled again depends on how the watch ended.
-func TestEndOfWatchDecidesTimeOfNextPoll(t *testing.T) {
+func TestNextPollTimeDependsOnHowWatchEnded(t *testing.T) {
 	const pollWithin, failures, seeds = 100, 8, 20
 	config := &Config{Scheduler: scheduler.Settings{
 		Types:            []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}},
@@ -42,7 +42,7 @@
 		}
 		return wait
 	}
-	require.Less(t, longest(transport.WatchSilent), 1.0, "a list that fell silent counts as stale after six seconds")
-	require.Less(t, longest(transport.WatchBroken), 3.6, "six seconds after discovery could be reached")
-	require.Greater(t, longest(transport.WatchTimeout), 8.0, "discovery gets more polls than it can answer")
+	require.Less(t, longest(transport.WatchSilent), 1.0, "a list without updates counts as stale after six seconds")
+	require.Less(t, longest(transport.WatchBroken), 3.6, "the list counts as stale six seconds after discovery was last reachable")
+	require.Greater(t, longest(transport.WatchTimeout), 8.0, "otherwise discovery gets more polls than it can answer")
 }
--- a/forwarder/endpoint_follower.go
+++ b/forwarder/endpoint_follower.go
@@ -10,20 +10,21 @@
 	"spanflow/scheduler"
 )
 
-// EndpointFollower is what FollowEndpoints works with beside a configuration.
+// EndpointFollower holds what FollowEndpoints needs in addition to a Config.
 type EndpointFollower struct {
 	Dialer       *dial.Dialer // opens the connection to discovery; the caller stops it
 	LogTo        io.Writer
-	OnReconciled func(revision int64) // called on the event loop once the scheduler has reconciled with a revision
+	OnReconciled func(revision int64) // called by the event loop once the scheduler has reconciled with a revision
 }
 
-// FollowEndpoints applies discovery's list as Run does, with the same client, event queue and scheduler, until
-// ctx ends. It has no frontends, no write-ahead log and no calls to endpoints: the laboratory runs many in one
-// process. Of the configuration it needs the discovery address, the seed, the settings and the last known list.
+// FollowEndpoints applies the list from discovery as Run does, with the same client, event queue and scheduler, until
+// ctx is cancelled. It has no frontends, no write-ahead log and no calls to endpoints, so that the laboratory can run
+// many in one process. Of the configuration it uses the discovery address, the seed, the settings and the last known
+// list.
 func FollowEndpoints(ctx context.Context, config *Config, follower EndpointFollower) error {
 	own := *config
 	own.enableEndpointPolling()
-	loop := newEventLoop(&own, own.Log.to(follower.LogTo, own.Name), newEventQueue())
+	loop := newEventLoop(&own, own.Log.logger(follower.LogTo, own.Name), newEventQueue())
 	loop.operators.drains = drains.New(nil)
 	if err := loop.connect(follower.Dialer); err != nil {
 		return err
@@ -36,8 +37,9 @@
 	return nil
 }
 
-// followEndpoints runs the event loop until ctx ends and reports each revision of the list that comes into force.
-func (loop *eventLoop) followEndpoints(ctx context.Context, inForce func(revision int64)) {
+// followEndpoints runs the event loop until ctx is cancelled, and reports each revision of the list with which the
+// scheduler has reconciled.
+func (loop *eventLoop) followEndpoints(ctx context.Context, onReconciled func(revision int64)) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -52,10 +54,10 @@
 		case <-ctx.Done():
 			return
 		}
-		heard, revision := loop.discovery.listReceived, loop.discovery.revision
+		received, revision := loop.discovery.listReceived, loop.discovery.revision
 		loop.turn()
-		if loop.discovery.revision != revision || loop.discovery.listReceived != heard {
-			inForce(loop.discovery.revision)
+		if loop.discovery.revision != revision || loop.discovery.listReceived != received {
+			onReconciled(loop.discovery.revision)
 		}
 	}
 }
--- a/forwarder/endpoint_states.go
+++ b/forwarder/endpoint_states.go
@@ -9,25 +9,25 @@
 	"spanflow/transport"
 )
 
-// The processes of an upgrade are one forwarder to discovery and to endpoints: what one was told binds the next, whose
-// configuration has an older list, from its first call on. The next process learns it from a file in the folder.
+// Discovery and endpoints treat the processes of an upgrade as one forwarder. The successor's configuration has an
+// older list, yet from its first call on it must observe the endpoint states that its predecessor received. It reads
+// them from a file in the state folder.
 
-// maxDepartedEndpoints bounds the removed endpoints that a process hands over; the latest are kept. An older one is
-// handed over as if it had never been listed: it gets calls again if the successor's configuration still has it, until
-// the watch answers.
-const maxDepartedEndpoints = 1024
+// maxRemovedEndpoints limits the removed endpoints that a process hands over; those removed last are kept. An older one
+// is not handed over: if the successor's configuration still lists it, it gets calls again until the watch answers.
+const maxRemovedEndpoints = 1024
 
-// handsOverEndpoints reports whether the processes before and after this one share what they know of endpoints. A list
-// of the configuration's own is read anew by each.
-func (loop *eventLoop) handsOverEndpoints() bool {
+// handsOverEndpointStates reports whether this process exchanges endpoint states with its predecessor and successor. It
+// does not with a list in the configuration, which each process reads for itself.
+func (loop *eventLoop) handsOverEndpointStates() bool {
 	return loop.config.upgradesInPlace() && loop.discovery.static == nil
 }
 
-// endpointStates are the states that a successor has to observe.
+// endpointStates returns the states that a successor must observe.
 func (loop *eventLoop) endpointStates() *statefile.EndpointStates {
 	states := statefile.NewEndpointStates()
 	states.Revision = loop.discovery.revision
-	for _, uid := range loop.endpoints.departed {
+	for _, uid := range loop.endpoints.removedUIDs {
 		states.Listed[uid] = stateLeft
 	}
 	for _, t := range loop.endpoints.byNumber {
@@ -42,20 +42,20 @@
 	return states
 }
 
-// writeEndpointStates has the state writer write the states of endpoints, if another process may take over.
+// writeEndpointStates passes the endpoint states to the state writer if another process may take over.
 func (loop *eventLoop) writeEndpointStates() {
-	if !loop.handsOverEndpoints() {
+	if !loop.handsOverEndpointStates() {
 		return
 	}
 	states, folder := loop.endpointStates(), loop.config.Folder
 	loop.stateWriter.put(statefile.EndpointStatesFile, func() error { return states.Write(folder) })
 }
 
-// takeEndpointStates reads what the process before this one has left, if this one takes over from it, and puts it into
-// the last known list, unless that is newer.
-func (loop *eventLoop) takeEndpointStates() {
+// loadEndpointStates reads the states that a predecessor left, if there may be one, and applies them to the last known
+// list unless that list is newer.
+func (loop *eventLoop) loadEndpointStates() {
 	config := loop.config
-	if !loop.handsOverEndpoints() {
+	if !loop.handsOverEndpointStates() {
 		return
 	}
 	loop.scheduler.ContinueWatch()
@@ -66,12 +66,12 @@
 	loop.endpoints.restoredHealth = states.Health
 	if len(states.Listed)+len(states.Health) > 0 {
 		loop.telemetry.log.Info().Int64("revision", states.Revision).Int("without_calls", len(states.Listed)).
-			Int("ejected_or_recovering", len(states.Health)).Msg("endpoint states taken over")
+			Int("ejected_or_recovering", len(states.Health)).Msg("endpoint states of the predecessor loaded")
 	}
 }
 
-// restoreHealth gives the scheduler the health that the process before this one has left of the endpoints that are
-// listed by now.
+// restoreHealth passes the predecessor's record of endpoint health to the scheduler, for those endpoints that are
+// listed now.
 func (loop *eventLoop) restoreHealth() {
 	for uid, health := range loop.endpoints.restoredHealth {
 		if t := loop.endpoints.byUID[uid]; t != nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// withStates returns a list with other states of the endpoints that are named by their uids.
+// withStates returns a copy of the list in which the endpoints in states, by uid, have those states.
 func withStates(list transport.EndpointList, states map[string]string) transport.EndpointList {
 	list.Endpoints = slices.Clone(list.Endpoints)
 	for i := range list.Endpoints {
@@ -92,22 +92,22 @@
 	return list
 }
 
-// noteListed records that an endpoint has come to the list, or was removed from it.
-func (table *endpointTable) noteListed(t *trackedEndpoint) {
+// recordListing records that an endpoint was added to the list or removed from it.
+func (table *endpointTable) recordListing(t *trackedEndpoint) {
 	if !t.isListed() {
-		table.noteDeparture(t.uid)
-	} else if i := slices.Index(table.departed, t.uid); i >= 0 {
-		table.departed = slices.Delete(table.departed, i, i+1)
+		table.recordRemoval(t.uid)
+	} else if i := slices.Index(table.removedUIDs, t.uid); i >= 0 {
+		table.removedUIDs = slices.Delete(table.removedUIDs, i, i+1)
 	}
 }
 
-// noteDeparture records that an endpoint is not on the list any more.
-func (table *endpointTable) noteDeparture(uid string) {
-	if slices.Contains(table.departed, uid) {
+// recordRemoval records that an endpoint is no longer on the list.
+func (table *endpointTable) recordRemoval(uid string) {
+	if slices.Contains(table.removedUIDs, uid) {
 		return
 	}
-	if len(table.departed) == maxDepartedEndpoints {
-		table.departed = slices.Delete(table.departed, 0, 1)
+	if len(table.removedUIDs) == maxRemovedEndpoints {
+		table.removedUIDs = slices.Delete(table.removedUIDs, 0, 1)
 	}
-	table.departed = append(table.departed, uid)
+	table.removedUIDs = append(table.removedUIDs, uid)
 }
--- a/forwarder/endpoint_states_test.go
+++ b/forwarder/endpoint_states_test.go
@@ -12,7 +12,7 @@
 	"spanflow/transport"
 )
 
-// endpointList is a list at a revision, of pairs of a uid and a state.
+// endpointList returns an endpoint list at a revision. pairs are alternating uids and states.
 func endpointList(revision int64, complete bool, pairs ...string) *transport.EndpointList {
 	list := &transport.EndpointList{Revision: revision, Complete: complete}
 	for i := 0; i < len(pairs); i += 2 {
@@ -21,7 +21,8 @@
 	return list
 }
 
-// newListLoop is an event loop of an upgrade. It has written its state files when the test ends, before the folder goes.
+// newListLoop returns an event loop with an inherited listener, as in an upgrade. Its state files are written before
+// the test's folder is removed.
 func newListLoop(t *testing.T, folder string) *eventLoop {
 	config := &Config{Folder: folder, InheritedListener: 3}
 	loop := newTestLoop(config, 7, &recordingHost{}, zerolog.New(zerolog.NewTestWriter(t)))
@@ -29,8 +30,9 @@
 	return loop
 }
 
-// Guards against a successor that calls an endpoint which this process was told has left or drains.
-func TestEndpointStatesAreThoseOfTheLatestList(t *testing.T) {
+// Guards against a successor that calls an endpoint although this process received an update that it has left or is
+// draining.
+func TestEndpointStatesFollowLatestList(t *testing.T) {
 	loop := newListLoop(t, t.TempDir())
 	apply := func(list *transport.EndpointList) map[string]string {
 		loop.updateEndpoints(list, list.Complete)
@@ -40,26 +42,26 @@
 	require.Empty(t, apply(endpointList(1, true, "a", "active", "b", "active", "c", "active")))
 	require.Equal(t, map[string]string{"a": "leaving"}, apply(endpointList(2, false, "a", "leaving")))
 	require.Equal(t, map[string]string{"a": "left", "x": "left"},
-		apply(endpointList(3, false, "a", "left", "x", "left")), "also one that was never listed here")
+		apply(endpointList(3, false, "a", "left", "x", "left")), "also one that was never on this process's list")
 	require.Equal(t, map[string]string{"a": "left", "x": "left", "b": "left"},
-		apply(endpointList(4, true, "c", "active")), "a complete list does not name b")
+		apply(endpointList(4, true, "c", "active")), "the complete list does not contain b")
 	require.Equal(t, map[string]string{"x": "left", "b": "left"},
-		apply(endpointList(5, false, "a", "active")), "a is back")
+		apply(endpointList(5, false, "a", "active")), "a is listed again")
 	require.Equal(t, int64(5), loop.endpointStates().Revision)
 }
 
-func TestDepartedEndpointsAreBounded(t *testing.T) {
+func TestRemovedEndpointsAreBounded(t *testing.T) {
 	loop := newListLoop(t, t.TempDir())
-	for i := range maxDepartedEndpoints + 10 {
-		loop.endpoints.noteDeparture(fmt.Sprint(i))
-		loop.endpoints.noteDeparture(fmt.Sprint(i))
+	for i := range maxRemovedEndpoints + 10 {
+		loop.endpoints.recordRemoval(fmt.Sprint(i))
+		loop.endpoints.recordRemoval(fmt.Sprint(i))
 	}
-	require.Len(t, loop.endpoints.departed, maxDepartedEndpoints)
-	require.Equal(t, "10", loop.endpoints.departed[0])
+	require.Len(t, loop.endpoints.removedUIDs, maxRemovedEndpoints)
+	require.Equal(t, "10", loop.endpoints.removedUIDs[0])
 }
 
-// Guards against a state of an earlier list that is laid over a newer one, or read by a process after the next.
-func TestEndpointStatesAreTakenOnceAndNotOverANewerList(t *testing.T) {
+// Guards against states of an earlier list that are applied to a newer one, or that are read by a second successor.
+func TestEndpointStatesAreLoadedOnceAndNotOverNewerList(t *testing.T) {
 	states := statefile.NewEndpointStates()
 	states.Revision, states.Listed["a"] = 5, "leaving"
 	for _, c := range []struct {
@@ -70,14 +72,14 @@
 		require.NoError(t, states.Write(loop.config.Folder))
 		for _, want := range []string{c.want, "active"} {
 			loop.config.LastEndpoints = *endpointList(c.revision, true, "a", "active")
-			loop.takeEndpointStates()
+			loop.loadEndpointStates()
 			require.Equal(t, want, loop.config.LastEndpoints.Endpoints[0].State, "revision %d", c.revision)
 		}
 	}
 }
 
-// Guards against a successor that takes an ejected or recovering endpoint for a healthy one.
-func TestHealthOfEndpointsIsHandedOn(t *testing.T) {
+// Guards against a successor that treats an ejected or recovering endpoint as healthy.
+func TestEndpointHealthIsHandedOver(t *testing.T) {
 	loop := newListLoop(t, t.TempDir())
 	handedOver := statefile.NewEndpointStates()
 	handedOver.Health["a"] = statefile.Health{Ejected: true, UsualRate: 3}
@@ -85,7 +87,7 @@
 	handedOver.Health["later"] = statefile.Health{RecoveringFor: 1, UsualRate: 2}
 	require.NoError(t, handedOver.Write(loop.config.Folder))
 	loop.config.LastEndpoints = *endpointList(1, true, "a", "active", "b", "active", "c", "active")
-	loop.takeEndpointStates()
+	loop.loadEndpointStates()
 	loop.updateEndpoints(&loop.config.LastEndpoints, true)
 	require.True(t, loop.endpoints.byUID["a"].scheduled.Ejected())
 	got := loop.endpointStates().Health
--- a/forwarder/endpoints.go
+++ b/forwarder/endpoints.go
@@ -6,15 +6,15 @@
 	"spanflow/transport"
 )
 
-// endpointTable holds the known endpoints and destinations, and what an earlier process has learned of those that are
-// not known yet.
+// endpointTable holds the known endpoints and destinations, and the state left by an earlier process for those not
+// known yet.
 type endpointTable struct {
-	byNumber     map[uint64]*trackedEndpoint
-	byUID        map[string]*trackedEndpoint
-	lastNumber   uint64                            // of the latest endpoint
-	destinations map[uint64]*scheduler.Destination // by the numbers that clients use
-	sweepAt      int                               // how many destinations there are when unused ones are looked for
-	departed     []string                          // uids of the endpoints that were removed last
+	byNumber         map[uint64]*trackedEndpoint
+	byUID            map[string]*trackedEndpoint
+	lastNumber       uint64                            // of the endpoint added last
+	destinations     map[uint64]*scheduler.Destination // by the numbers that clients use
+	cleanupThreshold int                               // number of destinations at which unused ones are removed
+	removedUIDs      []string                          // of the endpoints removed most recently, oldest first
 
 	restoredRetryAfter map[string]float64          // until when endpoints that are not listed yet are blocked, by uid
 	restoredHealth     map[string]statefile.Health // of endpoints that are not listed yet, by uid
@@ -29,17 +29,17 @@
 	}
 }
 
-// trackedEndpoint is an endpoint of the list, as far as calls to it need it.
+// trackedEndpoint is an endpoint of the list with the data needed for calls to it.
 type trackedEndpoint struct {
 	uid, address    string
 	destination     uint64
 	zone, batchSize int
 	upstream        transport.Upstream
 	scheduled       *scheduler.Endpoint
-	update          scheduler.EndpointUpdate // as the list has it last, drains left out
+	update          scheduler.EndpointUpdate // latest from the list, without operators' drains
 }
 
-// Endpoint states of the list.
+// Endpoint states in the list.
 const (
 	stateActive  = "active"
 	stateLeaving = "leaving"
@@ -49,7 +49,7 @@
 // isListed reports whether the endpoint is on the list.
 func (t *trackedEndpoint) isListed() bool { return t.update.State != scheduler.Removed }
 
-// add enters an endpoint under the next number.
+// add adds an endpoint under the next number.
 func (table *endpointTable) add(e *transport.Endpoint, upstream transport.Upstream) *trackedEndpoint {
 	table.lastNumber++
 	t := &trackedEndpoint{
@@ -59,11 +59,11 @@
 		scheduled:   &scheduler.Endpoint{ID: table.lastNumber},
 	}
 	table.byNumber[table.lastNumber], table.byUID[e.UID] = t, t
-	table.noteListed(t)
+	table.recordListing(t)
 	return t
 }
 
-// remove takes out the endpoint with a number, if there is one.
+// remove removes the endpoint with a number, if there is one.
 func (table *endpointTable) remove(number uint64) {
 	if t := table.byNumber[number]; t != nil {
 		delete(table.byNumber, number)
@@ -71,7 +71,7 @@
 	}
 }
 
-// updateEndpoints passes a list of endpoints to the scheduler: all of them if it is complete, changes otherwise.
+// updateEndpoints passes an endpoint list to the scheduler, which is either complete or contains only changes.
 func (loop *eventLoop) updateEndpoints(list *transport.EndpointList, complete bool) {
 	loop.discovery.revision = list.Revision
 	updates := make([]scheduler.EndpointUpdate, 0, len(list.Endpoints))
@@ -81,19 +81,19 @@
 		}
 	}
 	if complete {
-		loop.removeUnnamed(list)
+		loop.markUnlistedRemoved(list)
 	}
 	loop.scheduler.UpdateEndpoints(complete, updates)
 	loop.restoreHealth()
 	loop.writeEndpointStates()
-	loop.forgetUnusedDestinations()
+	loop.removeUnusedDestinations()
 	if len(loop.endpoints.restoredRetryAfter) > 0 {
 		loop.restoreRetryAfter()
 	}
 }
 
-// removeUnnamed notes that the endpoints are removed that a complete list does not name.
-func (loop *eventLoop) removeUnnamed(list *transport.EndpointList) {
+// markUnlistedRemoved marks the endpoints that a complete list does not contain as removed.
+func (loop *eventLoop) markUnlistedRemoved(list *transport.EndpointList) {
 	named := make(map[string]bool, len(list.Endpoints))
 	for i := range list.Endpoints {
 		named[list.Endpoints[i].UID] = true
@@ -101,18 +101,18 @@
 	for uid, t := range loop.endpoints.byUID {
 		if !named[uid] && t.isListed() {
 			t.update.State = scheduler.Removed
-			loop.endpoints.noteListed(t)
+			loop.endpoints.recordListing(t)
 		}
 	}
 }
 
-// endpointUpdate is the scheduler's form of a line of the list. known is false for an endpoint whose first line says
-// that it has left.
+// endpointUpdate converts an entry of the list to an update for the scheduler. known is false for an endpoint that has
+// left and was not known before.
 func (loop *eventLoop) endpointUpdate(e *transport.Endpoint) (update scheduler.EndpointUpdate, known bool) {
 	kind := index(loop.config.Names.Kinds, e.Kind)
 	t := loop.trackEndpoint(e, kind)
 	if t == nil {
-		loop.endpoints.noteDeparture(e.UID)
+		loop.endpoints.recordRemoval(e.UID)
 		return scheduler.EndpointUpdate{}, false
 	}
 	wasListed := t.isListed()
@@ -125,15 +125,15 @@
 		State:       loop.endpointState(e),
 	}
 	if t.isListed() != wasListed {
-		loop.endpoints.noteListed(t)
+		loop.endpoints.recordListing(t)
 	}
 	update = t.update
 	update.State = loop.operators.drains.State(t.uid, update.State)
 	return update, true
 }
 
-// trackEndpoint updates or adds the endpoint of a line of the list. It returns nil for an endpoint that is not known
-// and has left. kind is the number of the line's kind.
+// trackEndpoint updates or adds the endpoint of an entry of the list. It returns nil for an endpoint that has left and
+// was not known before. kind is the number of the entry's kind.
 func (loop *eventLoop) trackEndpoint(e *transport.Endpoint, kind int) *trackedEndpoint {
 	t := loop.endpoints.byUID[e.UID]
 	if t == nil {
@@ -152,7 +152,8 @@
 	return t
 }
 
-// endpointState is an endpoint's state in the list. An unknown state counts as draining: calls may end, none begins.
+// endpointState converts an endpoint's state in the list. An unknown state counts as draining: calls in flight may end,
+// but none begins.
 func (loop *eventLoop) endpointState(e *transport.Endpoint) scheduler.EndpointState {
 	switch e.State {
 	case stateActive:
@@ -162,14 +163,14 @@
 	case stateLeft:
 		return scheduler.Removed
 	default:
-		loop.telemetry.log.Warn().Str("endpoint", e.UID).Str("state", e.State).Msg("unknown state in the list")
+		loop.telemetry.log.Warn().Str("endpoint", e.UID).Str("state", e.State).Msg("unknown endpoint state in the list")
 		return scheduler.Draining
 	}
 }
 
-const minSweep = 64 // destinations
+const minCleanupThreshold = 64 // destinations
 
-// destination is the scheduler's destination with a number, added if there is none.
+// destination returns the scheduler's destination with a number, and adds it if there is none.
 func (loop *eventLoop) destination(number uint64) *scheduler.Destination {
 	if d := loop.endpoints.destinations[number]; d != nil {
 		return d
@@ -183,11 +184,12 @@
 	return d
 }
 
-// forgetUnusedDestinations removes destinations without listed endpoints and messages, once there are many. It may run
-// only after a whole list was read: while one is being read its destinations have no endpoints yet.
-func (loop *eventLoop) forgetUnusedDestinations() {
+// removeUnusedDestinations removes destinations that have neither listed endpoints nor messages, once there are many.
+// It may run only after a whole list was applied: while a list is being applied its new destinations have no endpoints
+// yet.
+func (loop *eventLoop) removeUnusedDestinations() {
 	table := &loop.endpoints
-	if len(table.destinations) < table.sweepAt {
+	if len(table.destinations) < table.cleanupThreshold {
 		return
 	}
 	for number, d := range table.destinations {
@@ -195,10 +197,10 @@
 			delete(table.destinations, number)
 		}
 	}
-	table.sweepAt = 2*len(table.destinations) + minSweep
+	table.cleanupThreshold = 2*len(table.destinations) + minCleanupThreshold
 }
 
-// index is a name's number; one that the settings do not have gets a number beyond them.
+// index returns the index of a name, or len(names) if the settings do not have it.
 func index(names []string, name string) int {
 	for i, n := range names {
 		if n == name {
--- a/forwarder/endpoints_test.go
+++ b/forwarder/endpoints_test.go
@@ -11,7 +11,7 @@
 	"spanflow/transport"
 )
 
-// newEndpointLoop is an event loop that only handles endpoint lists.
+// newEndpointLoop returns an event loop for tests that only apply endpoint lists.
 func newEndpointLoop() *eventLoop {
 	config := &Config{Scheduler: scheduler.Settings{
 		Types:            []scheduler.MessageType{{TimeToLive: 20, LatencyObjective: 3}},
@@ -22,7 +22,7 @@
 	return newTestLoop(config, 1, &recordingHost{}, zerolog.Nop())
 }
 
-// activeEndpoints are endpoints with numbers in a range, each of a destination of its own.
+// activeEndpoints returns active endpoints with the numbers in [from, to), each of a different destination.
 func activeEndpoints(from, to int) (endpoints []transport.Endpoint) {
 	for n := from; n < to; n++ {
 		endpoints = append(endpoints, transport.Endpoint{
@@ -35,9 +35,9 @@
 	return endpoints
 }
 
-// While a first list is read its destinations have no endpoints yet: none of them counts as unused.
+// While the first list is being applied its destinations have no endpoints yet. None of them may count as unused.
 func TestKeepsAllDestinationsOfFirstList(t *testing.T) {
-	const count = 10 * minSweep
+	const count = 10 * minCleanupThreshold
 	loop := newEndpointLoop()
 	loop.updateEndpoints(&transport.EndpointList{
 		Revision: 1, Complete: true, Endpoints: activeEndpoints(0, count)}, true)
@@ -49,8 +49,8 @@
 	require.Same(t, kept, loop.endpoints.destinations[0])
 }
 
-func TestForgetsDestinationsNoLongerListed(t *testing.T) {
-	const count = 10 * minSweep
+func TestRemovesUnlistedDestinations(t *testing.T) {
+	const count = 10 * minCleanupThreshold
 	loop := newEndpointLoop()
 	for round := range 20 {
 		endpoints := activeEndpoints(round*count, (round+1)*count)
@@ -58,7 +58,7 @@
 			Revision: int64(round + 1), Complete: true, Endpoints: endpoints}, true)
 		loop.scheduler.Reconcile()
 	}
-	// Each list leaves the destinations of the lists before it until their endpoints are released, and a sweep waits
-	// until there are twice as many.
+	// The destinations of earlier lists stay until their endpoints are released, and unused ones are removed only once
+	// the number of destinations has doubled.
 	require.Less(t, len(loop.endpoints.destinations), 6*count)
 }
--- a/forwarder/event_loop.go
+++ b/forwarder/event_loop.go
@@ -9,21 +9,21 @@
 	"spanflow/scheduler"
 )
 
-// eventLoop is what the one goroutine that runs the scheduler works with. Each part holds the state of one concern, in
-// the file that is named for it; what concerns several parts at once is a method here.
+// eventLoop is the state of the goroutine that runs the scheduler. Each part holds the state of one concern and is
+// defined in the file named after it. Code that involves several parts is a method of eventLoop.
 type eventLoop struct {
 	config              *Config
-	configuredScheduler scheduler.Settings // as the configuration has them, without what the event loop adds
+	configuredScheduler scheduler.Settings // as configured, without the settings added at the start
 	queue               *eventQueue
 	wal                 *wal.Log
 	scheduler           *scheduler.Scheduler
-	epoch               time.Time // the scheduler's clock is the wall clock's at this time, and monotonic from there on
-	wakeAt              time.Time // when the scheduler's timer fires; zero: not set
+	epoch               time.Time // start of the scheduler's clock: set to the wall clock here, monotonic afterwards
+	wakeAt              time.Time // when the scheduler's timer fires; zero if not set
 
 	messages  messageTable
 	endpoints endpointTable
 	calls     callBatch
-	backlog   *backlogState // nil: messages wait in memory alone
+	backlog   *backlogState // nil if messages are queued in memory only
 	discovery discoveryState
 	notices   noticeState
 	frontends frontendState
@@ -35,8 +35,8 @@
 	reloading   reloadState
 }
 
-// newEventLoop returns an event loop that knows of no message and no endpoint. Its write-ahead log, admin requests and
-// drains are the caller's to set.
+// newEventLoop returns an event loop without messages and endpoints. The caller sets its write-ahead log, admin
+// requests and drains.
 func newEventLoop(config *Config, log zerolog.Logger, queue *eventQueue) *eventLoop {
 	stateWriter := newStateWriter(func(file string, err error) { queue.push(stateNotWritten{file, err}) })
 	return &eventLoop{
@@ -51,16 +51,16 @@
 	}
 }
 
-// schedulerTime is a time on the scheduler's clock, in seconds.
+// schedulerTime converts a time to seconds on the scheduler's clock.
 func (loop *eventLoop) schedulerTime(t time.Time) float64 {
 	return float64(loop.epoch.UnixMicro())/1e6 + t.Sub(loop.epoch).Seconds()
 }
 
-// micros is so many seconds in whole microseconds.
+// micros converts seconds to whole microseconds.
 func micros(seconds float64) int64 { return int64(seconds * 1e6) }
 
-// turn handles all waiting events, lets the scheduler reconcile once, and carries out what it decides. It reports
-// whether the process may end.
+// turn handles all queued events, lets the scheduler reconcile once, and carries out its decisions. It reports whether
+// the process may end.
 func (loop *eventLoop) turn() bool {
 	events, since := loop.queue.take()
 	start := time.Now()
--- a/forwarder/event_queue.go
+++ b/forwarder/event_queue.go
@@ -9,23 +9,22 @@
 )
 
 // eventQueue passes events from frontends, upstreams, discovery and operators to the goroutine of the event loop. Its
-// methods are safe to call from any goroutine, but for take, which only the event loop may call.
+// methods are safe for concurrent use, except for take, which only the event loop may call.
 type eventQueue struct {
 	mu         sync.Mutex
-	events     []event // all but the requests of frontends' callers
-	spare      []event // the slice that take returned last
+	events     []event // all events except the requests of frontends' callers
+	spare      []event // the slice returned by the last take, for reuse
 	admissions []*admissionQueue
-	oldest     time.Time     // when the first of the waiting events came
-	closed     bool          // the last events are being taken: Submit does not block
-	wakeups    chan struct{} // holds a token while something waits
+	oldest     time.Time     // when the oldest queued event arrived
+	closed     bool          // the last events are being taken, so Submit no longer blocks
+	wakeups    chan struct{} // holds a token while events are queued
 }
 
-// requestsPerTurn is how many requests each frontend gets into a turn while several have some waiting.
+// requestsPerTurn limits the requests taken from each frontend in a turn while several frontends have queued requests.
 const requestsPerTurn = 256
 
 func newEventQueue() *eventQueue { return &eventQueue{wakeups: make(chan struct{}, 1)} }
 
-// push adds an event.
 func (q *eventQueue) push(ev event) {
 	q.mu.Lock()
 	q.wake(q.empty())
@@ -33,7 +32,7 @@
 	q.mu.Unlock()
 }
 
-// wake wakes the event loop; the lock is held. wasEmpty is true if no event has waited before.
+// wake wakes the event loop. wasEmpty is true if no event was queued before. The caller holds the lock.
 func (q *eventQueue) wake(wasEmpty bool) {
 	if wasEmpty {
 		q.oldest = time.Now()
@@ -44,12 +43,12 @@
 	}
 }
 
-// empty reports whether nothing waits; the lock is held.
+// empty reports whether no event is queued. The caller holds the lock.
 func (q *eventQueue) empty() bool {
 	return len(q.events) == 0 && q.waitingFrontends() == 0
 }
 
-// waitingFrontends is the number of frontends with requests that wait; the lock is held.
+// waitingFrontends returns the number of frontends with queued requests. The caller holds the lock.
 func (q *eventQueue) waitingFrontends() (waiting int) {
 	for _, a := range q.admissions {
 		if len(a.waiting) > 0 {
@@ -59,40 +58,40 @@
 	return waiting
 }
 
-// take returns the waiting events, and since when the first has waited: events that were pushed in their order, then
-// the requests of each frontend in their order. While several frontends have requests waiting, each gets at most
-// requestsPerTurn and the others stay for the next call. The slice, and the requests that it points to, are valid
+// take returns the queued events and the arrival time of the oldest one. Pushed events come first, in their order, then
+// the requests of each frontend, in their order. While several frontends have queued requests, at most requestsPerTurn
+// are taken from each and the rest stays for the next call. The slice, and the requests that it points to, are valid
 // until the next call.
 func (q *eventQueue) take() ([]event, time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	clear(q.spare)
 	events, oldest := q.events, q.oldest
-	shared := q.waitingFrontends() > 1
-	left := false
+	severalWaiting := q.waitingFrontends() > 1
+	remaining := false
 	for _, a := range q.admissions {
 		n := len(a.waiting)
-		if shared {
+		if severalWaiting {
 			n = min(n, requestsPerTurn)
 		}
 		events = a.take(events, n)
-		left = left || len(a.waiting) > 0
+		remaining = remaining || len(a.waiting) > 0
 	}
 	q.events, q.spare = q.spare[:0], events
-	if left {
+	if remaining {
 		q.wake(true)
 	}
 	return events, oldest
 }
 
-// requestsWaiting reports whether requests of callers wait to be taken.
+// requestsWaiting reports whether requests of callers are queued.
 func (q *eventQueue) requestsWaiting() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.ContainsFunc(q.admissions, func(a *admissionQueue) bool { return len(a.waiting) > 0 })
 }
 
-// close unblocks frontends that wait in Submit, now and later: the event loop is about to take the last events.
+// close unblocks all current and later calls of Submit, as the event loop is about to take the last events.
 func (q *eventQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -113,7 +112,7 @@
 	q.push(watchEnded{reason, how})
 }
 
-// NoticesUnanswered pushes the reason why notices will be sent once more.
+// NoticesUnanswered pushes the reason why notices were not acknowledged and will be sent again.
 func (q *eventQueue) NoticesUnanswered(reason string) { q.push(noticesUnanswered(reason)) }
 
 // NoticesAcknowledged pushes the numbers of messages whose notices were acknowledged.
--- a/forwarder/event_queue_test.go
+++ b/forwarder/event_queue_test.go
@@ -24,9 +24,9 @@
 	other.Submit(transport.Request{Submission: fillsBytes})
 	queue.CallEnded(transport.CallResult{})
 	events, _ := queue.take()
-	require.Len(t, events, 1+requestsPerTurn+1, "the result, some of the flood, all of the other")
+	require.Len(t, events, 1+requestsPerTurn+1, "the call result, some requests of the flood, all of the other frontend")
 	require.Same(t, other, events[len(events)-1].(*request).from)
-	<-submitted // it is no longer full
+	<-submitted // the queue is no longer full
 	other.Submit(transport.Request{Ping: true})
 	other.Withdraw("x")
 	n := 0
@@ -34,7 +34,7 @@
 		<-queue.wakeups // requests that were left over wake the loop again
 		events, _ = queue.take()
 		for _, ev := range events {
-			if r, is := ev.(*request); is && r.from == flood {
+			if r, ok := ev.(*request); ok && r.from == flood {
 				n++
 			}
 		}
@@ -57,14 +57,14 @@
 	events, _ := queue.take()
 	require.Empty(t, events)
 	admission = queue.newAdmissionQueue("b", "b", 0, 0)
-	require.Equal(t, []int{defaultWaiting, defaultWaitingBytes}, []int{admission.maxWaiting, admission.maxBytes})
+	require.Equal(t, []int{defaultMaxWaitingRequests, defaultMaxWaitingBytes}, []int{admission.maxRequests, admission.maxBytes})
 	queue.close()
-	for range defaultWaiting + 1 { // nobody takes events any more
+	for range defaultMaxWaitingRequests + 1 { // nobody takes events any more
 		admission.Submit(transport.Request{Ping: true})
 	}
 }
 
-func TestAdmissionQueueHoldsNoMoreThanItsBounds(t *testing.T) {
+func TestAdmissionQueueLimits(t *testing.T) {
 	queue := newEventQueue()
 	few, small := queue.newAdmissionQueue("few", "few", 3, 0), queue.newAdmissionQueue("small", "small", 0, 100)
 	const each = 5000
@@ -83,7 +83,7 @@
 			n[ev.(*request).from]++
 		}
 		require.LessOrEqual(t, n[few], 3)
-		require.LessOrEqual(t, n[small], 2, "the second goes over its bytes, a third waits")
+		require.LessOrEqual(t, n[small], 2, "the second exceeds the limit of bytes, so a third has to wait")
 		left -= len(events)
 	}
 }
--- a/forwarder/events.go
+++ b/forwarder/events.go
@@ -7,12 +7,12 @@
 	"spanflow/transport"
 )
 
-// event is something that happened outside the event loop and that it has to handle. The types in this file are all
-// the events that there are.
+// event is something that happened outside the event loop and that it has to handle. This file defines all types of
+// events.
 type event interface{ isEvent() }
 
 type (
-	// request is a caller's request, with the queue of the frontend by which it came.
+	// request is a caller's request and the queue of the frontend that received it.
 	request struct {
 		transport.Request
 		from *admissionQueue
@@ -24,7 +24,7 @@
 	// callEnded is the result of a call to an endpoint.
 	callEnded struct{ transport.CallResult }
 
-	// endpointsUpdated is a list of endpoints, complete or changes alone.
+	// endpointsUpdated is an endpoint list: either complete or only its changes.
 	endpointsUpdated struct{ *transport.EndpointList }
 
 	// watchEnded is the end of the watch on the endpoint list.
@@ -39,22 +39,22 @@
 	// noticesAcknowledged are the numbers of messages whose notices were acknowledged.
 	noticesAcknowledged []uint64
 
-	// stopRequested is the time that is left for the scheduler to finish calls before the process ends.
+	// stopRequested tells the scheduler to stop. Its value is the time left to finish calls before the process ends.
 	stopRequested time.Duration
 
-	// configRead is the configuration as it was read again, or why it could not be.
+	// configRead is the result of reading the configuration again.
 	configRead struct {
 		next *Config
 		err  error
 	}
 
-	// stateNotWritten is a file of the state folder that could not be written.
+	// stateNotWritten reports that a file of the state folder could not be written.
 	stateNotWritten struct {
 		file string
 		err  error
 	}
 
-	// operatorRequest is a request to the admin address, with the function that takes its response.
+	// operatorRequest is a request to the admin address, with the function that sends its response.
 	operatorRequest struct {
 		admin.Request
 		reply func(admin.Response)
--- a/forwarder/fixture_test.go
+++ b/forwarder/fixture_test.go
@@ -43,7 +43,7 @@
 	return addr, stop
 }
 
-// readConfig reads a configuration of the platform's form without any variable.
+// readConfig reads a configuration in the platform's format, without environment variables.
 func readConfig(tb testing.TB, text []byte) *forwarder.Config {
 	tb.Helper()
 	config, err := forwarder.ReadConfig(text, func(string) string { return "" })
@@ -51,8 +51,8 @@
 	return config
 }
 
-// fixture is a forwarder in this process with a RESP frontend, a frontend without sockets and an upstream whose calls
-// the test carries out. Its one endpoint is of destination 7.
+// fixture is a forwarder in this process with a RESP frontend, a frontend without sockets, and an upstream whose calls
+// the test ends. Its only endpoint belongs to destination 7.
 type fixture struct {
 	t         *testing.T
 	config    *forwarder.Config
@@ -102,8 +102,8 @@
 	return f
 }
 
-// fixtureScheduler are settings with a type that is idempotent, "status", and one that is not and keeps the order of its
-// keys, "payment".
+// fixtureScheduler returns settings with two message types: "status" is idempotent, and "payment" is sent at most once
+// and keeps the order of its keys.
 func fixtureScheduler() scheduler.Settings {
 	return scheduler.Settings{
 		Types: []scheduler.MessageType{
@@ -146,7 +146,7 @@
 	return f
 }
 
-// client is a client of the RESP frontend.
+// client connects a client to the RESP frontend.
 func (f *fixture) client() *emulator.Client {
 	c, err := emulator.NewClient(f.addr)
 	require.NoError(f.t, err)
@@ -159,7 +159,7 @@
 	return f.frontends[innerFrontend].submit(s)
 }
 
-// finishNext carries out the next call.
+// finishNext ends the next call with a result code.
 func (f *fixture) finishNext(code transport.ResultCode) { f.upstream.finish(<-f.upstream.calls, code) }
 
 // memoryFrontend is a frontend without sockets.
@@ -181,7 +181,7 @@
 	return c
 }
 
-// testCaller waits for its final answer.
+// testCaller is a caller that waits for its final answer.
 type testCaller struct {
 	reply        chan transport.Reply
 	final        chan transport.FinalAnswer
@@ -198,7 +198,7 @@
 func (*ignoringCaller) Disconnected() bool          { return false }
 func (*ignoringCaller) Answer(transport.Reply) bool { return true }
 
-// manualUpstream is an upstream whose calls the test carries out.
+// manualUpstream is an upstream whose calls the test ends.
 type manualUpstream struct {
 	listener transport.ResultListener
 	calls    chan *transport.Call
@@ -218,7 +218,7 @@
 	u.listener.CallEnded(transport.CallResult{Call: c, Codes: codes, Latency: time.Millisecond})
 }
 
-// freeAddress is an address at which nobody listens.
+// freeAddress returns an address at which nobody listens.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -1,8 +1,10 @@
-// Package forwarder is the forwarder as a library: read a Config, then Run serves by it until its context ends.
+// Package forwarder provides the forwarder as a library. Read a Config and pass it to Run, which serves until its
+// context is cancelled.
 //
-// One goroutine, the event loop, is the only one that uses the scheduler (package scheduler). Frontends, upstreams and
-// the source of the endpoint list (package transport defines each) push events to its queue; the event loop handles
-// them in batches, lets the scheduler reconcile once, and carries out what it decides. It knows no wire protocol.
+// The event loop is the only goroutine that uses the scheduler (package scheduler). Frontends, upstreams and the source
+// of the endpoint list (package transport defines the interfaces) push events to its queue. The event loop handles them
+// in batches, lets the scheduler reconcile once per batch, and carries out its decisions. It does not depend on any
+// wire protocol.
 package forwarder
 
 import (
@@ -27,26 +29,26 @@
 	"spanflow/internal/wal"
 )
 
-// ApplyProcessLimits applies the configuration's limits on cores and memory to the whole process, and a readable time
-// format to all its log lines. A program with other work to do sets its own.
+// ApplyProcessLimits applies the configured limits on cores and memory to the whole process, and sets a readable time
+// format for all its log lines. A program that also does other work should set its own limits instead.
 func (c *Config) ApplyProcessLimits() {
 	zerolog.TimeFieldFormat = "2006-01-02T15:04:05.000Z07:00"
 	runtime.GOMAXPROCS(max(1, int(c.Cores)))
 	debug.SetMemoryLimit(int64(c.MemoryMB) << 20 * 6 / 10)
 }
 
-// Run serves by a configuration until ctx ends, then finishes what it can in the time there is. At each signal on
-// reload the configuration is read again. ready, if not nil, is called with the address of the first frontend once
-// clients are served. The configuration stays the caller's and is not changed.
+// Run serves with a configuration until ctx is cancelled, then finishes as much work as the shutdown time allows. Each
+// signal on reload makes it read the configuration again. If ready is not nil, it is called with the address of the
+// first frontend once clients are served. Run does not modify config.
 func Run(
 	ctx context.Context, config *Config, reload <-chan os.Signal, logTo io.Writer, ready func(addr string),
 ) error {
 	stop := newStopSignal(ctx)
-	own := *config
-	config = &own
-	log := config.Log.to(logTo, config.Name)
+	configCopy := *config
+	config = &configCopy
+	log := config.Log.logger(logTo, config.Name)
 	logging.SetLogger(networkLog{log})
-	nbio.MaxOpenFiles = config.Descriptors + 1024 // nbio keeps a table of that size for each engine
+	nbio.MaxOpenFiles = config.Descriptors + 1024 // size of a table that nbio allocates for each engine
 
 	queue := newEventQueue()
 	requests := newAdminRequests(config, queue)
@@ -63,8 +65,8 @@
 			return err
 		}
 		defer func() { go listener.Close() }() // see respserver.Server.StopAccepting
-		// This process can serve once the one that it replaces has gone, and the platform stops that one only when this
-		// one is ready.
+		// This process cannot serve until its predecessor has ended, but the platform stops the predecessor only once
+		// this process is ready.
 		requests.ready.Store(true)
 	}
 	walLog, err := openWAL(ctx, config, log)
@@ -87,7 +89,8 @@
 	return loop.serve(ctx, stop, reload, dialer, ready)
 }
 
-// serve opens everything but the folder and the operators' address, serves until the process ends, and closes it again.
+// serve opens everything except the state folder and the operators' address, serves until the process ends, and closes
+// it again.
 func (loop *eventLoop) serve(
 	ctx context.Context, stop *stopSignal, reload <-chan os.Signal, dialer *dial.Dialer, ready func(addr string),
 ) error {
@@ -106,7 +109,7 @@
 	defer loop.telemetry.recorder.Stop()
 	lameDuck := loop.operators.requests.takeOver()
 	loop.recoverState(loop.epoch)
-	if ctx.Err() != nil { // before anybody is served
+	if ctx.Err() != nil { // cancelled before any client was served
 		return unlessStopped(ctx, log, nil)
 	}
 	if err := loop.openConfiguredFrontends(); err != nil {
@@ -128,8 +131,8 @@
 	return nil
 }
 
-// unlessStopped returns the error of a step of the start, or nil, with a log line, if the process was stopped
-// meanwhile.
+// unlessStopped returns the error of a startup step. If the process was stopped during that step it logs this and
+// returns nil instead.
 func unlessStopped(ctx context.Context, log zerolog.Logger, err error) error {
 	if ctx.Err() == nil {
 		return err
@@ -138,7 +141,7 @@
 	return nil
 }
 
-// openWAL opens the write-ahead log in the folder. A process that replaces another waits until that one releases it.
+// openWAL opens the write-ahead log in the folder. In an upgrade it waits until the predecessor releases the folder.
 func openWAL(ctx context.Context, config *Config, log zerolog.Logger) (*wal.Log, error) {
 	wait := time.Duration(0)
 	if config.upgradesInPlace() {
@@ -157,14 +160,14 @@
 	return walLog, nil
 }
 
-// openRecorder starts to serve the metrics, if the configuration asks for them.
+// openRecorder starts serving metrics if the configuration has an address for them.
 func (loop *eventLoop) openRecorder(dialer *dial.Dialer) error {
 	config := loop.config
 	if config.Metrics == "" {
 		return nil
 	}
 	if config.Recorder == nil {
-		return errors.New("metrics: this program has none")
+		return errors.New("metrics: this program does not provide metrics")
 	}
 	var frontends []string
 	for _, f := range config.Frontends {
@@ -178,7 +181,7 @@
 	return nil
 }
 
-// logReady logs where clients are served from now on.
+// logReady logs the addresses at which clients and metrics are served.
 func (loop *eventLoop) logReady() {
 	e := loop.telemetry.log.Info()
 	for i, l := range loop.frontends.open {
--- a/forwarder/frontends.go
+++ b/forwarder/frontends.go
@@ -11,27 +11,28 @@
 
 // Frontend configures one frontend: an address where clients are served.
 type Frontend struct {
-	Name               string // as the write-ahead log and log lines have it; "resp" and "" are the platform's own
+	Name               string // in the write-ahead log and log lines; "resp" and "" are the platform's own frontend
 	Protocol           string // see Config.FrontendProtocols
 	Listen             string
-	Listener           net.Listener // taken in place of Listen; nil: Listen is opened
-	Connections        int          // at most; 0: an even part of what the descriptors leave
-	MaxWaitingRequests int          // requests that may wait for the event loop; 0: the default
-	MaxWaitingBytes    int          // of messages among those requests; 0: the default
+	Listener           net.Listener // used instead of Listen; if nil, Listen is opened
+	Connections        int          // limit; 0 means an equal share of what the descriptors leave
+	MaxWaitingRequests int          // limit of requests queued for the event loop; 0 means the default
+	MaxWaitingBytes    int          // limit of message bodies in those requests; 0 means the default
 }
 
-// FrontendProtocol opens a frontend that passes its clients' requests to the submitter. connections is the most that it
-// may hold.
+// FrontendProtocol opens a frontend that passes its clients' requests to the submitter. connections is the limit on its
+// connections.
 type FrontendProtocol func(f Frontend, connections int, submitter transport.Submitter) (transport.Frontend, error)
 
-// frontendProtocols come with the program. One more is a package of its own and a line here, or, for a program that
-// embeds this one, an entry in its Config.
+// frontendProtocols are the protocols built into this package. To add one, write a package for it and add a line here
+// or, in a program that embeds this package, an entry in its Config.
 var frontendProtocols = map[string]FrontendProtocol{"resp": openRESP}
 
-// HasFrontendProtocol reports whether the package itself has a frontend protocol.
+// HasFrontendProtocol reports whether a frontend protocol is built into this package.
 func HasFrontendProtocol(name string) bool { return frontendProtocols[name] != nil }
 
-// frontendProtocol is the protocol of a name, an embedding program's own first; nil: unknown.
+// frontendProtocol returns the protocol with a name, or nil if it is unknown. Protocols of an embedding program take
+// precedence.
 func (c *Config) frontendProtocol(name string) FrontendProtocol {
 	if p := c.FrontendProtocols[name]; p != nil {
 		return p
@@ -49,36 +50,36 @@
 
 const (
 	reservedDescriptors = 32 // for files, pollers and the like
-	spareConnections    = 4  // of a frontend: left for new ones, for which old ones are closed
+	spareConnections    = 4  // of a frontend, kept free for new clients by closing old connections
 )
 
-// MaxClients is how many client connections a number of descriptors allows, for all frontends together: two thirds of
-// those that are not reserved. Upstreams have the others.
+// MaxClients returns the limit on client connections of all frontends together for a number of descriptors: two thirds
+// of those that are not reserved. The others are left to upstreams.
 func MaxClients(descriptors int) int {
 	available := descriptors - reservedDescriptors
 	return available - available/3
 }
 
-// divideConnections divides total connections among the frontends. Those without a number of their own get even parts
+// divideConnections divides total connections among the frontends. Those without a configured number get equal shares
 // of what the others leave.
 func divideConnections(frontends []Frontend, total int) ([]int, error) {
-	unset, left := 0, total
+	unset, remaining := 0, total
 	for _, f := range frontends {
-		left -= f.Connections
+		remaining -= f.Connections
 		if f.Connections == 0 {
 			unset++
 		}
 	}
-	if left < unset*2*spareConnections {
-		return nil, fmt.Errorf("fronts: their connections are more than the %d that the descriptors allow", total)
+	if remaining < unset*2*spareConnections {
+		return nil, fmt.Errorf("fronts: their connections add up to more than the %d that the descriptors allow", total)
 	}
 	connections := make([]int, len(frontends))
 	for i, f := range frontends {
 		switch {
 		case f.Connections == 0:
-			connections[i] = left / unset
+			connections[i] = remaining / unset
 		case f.Connections <= spareConnections:
-			return nil, fmt.Errorf("fronts: %s: %d connections are under the least, %d",
+			return nil, fmt.Errorf("fronts: %s: %d connections are below the minimum, %d",
 				f.Name, f.Connections, spareConnections+1)
 		default:
 			connections[i] = f.Connections
@@ -87,7 +88,8 @@
 	return connections, nil
 }
 
-// FrontendConnections is how many connections each frontend gets; nil if their numbers do not fit the descriptors.
+// FrontendConnections returns the limit on connections of each frontend, or nil if the configured numbers are invalid
+// or exceed what the descriptors allow.
 func (c *Config) FrontendConnections() []int {
 	connections, err := divideConnections(c.Frontends, MaxClients(c.Descriptors))
 	if err != nil {
@@ -98,19 +100,19 @@
 
 // frontendState holds the frontends of the event loop.
 type frontendState struct {
-	open    []*openFrontend // of the configuration
-	leaving []*openFrontend // removed by a reload, closed once their clients have gone
+	open     []*openFrontend // those that are configured
+	draining []*openFrontend // removed by a reload, closed once their clients have disconnected
 }
 
-// openFrontend is a frontend that listens, with the queue by which its requests reach the event loop.
+// openFrontend is a listening frontend with the queue that passes its requests to the event loop.
 type openFrontend struct {
 	config Frontend
 	transport.Frontend
 	queue *admissionQueue
 }
 
-// walName is the frontend's name in the write-ahead log. The platform's own has none there, as in folders of earlier
-// versions.
+// walName returns the frontend's name in the write-ahead log. The name of the platform's own frontend is empty there,
+// as in folders of earlier versions.
 func (f Frontend) walName() string {
 	if f.Name == "resp" {
 		return ""
@@ -118,11 +120,12 @@
 	return f.Name
 }
 
-// openFrontends opens frontends with so many connections each, all or none.
+// openFrontends opens frontends with the given limits on connections, either all or none.
 func (loop *eventLoop) openFrontends(frontends []Frontend, connections []int) ([]*openFrontend, error) {
 	var opened []*openFrontend
 	for i, config := range frontends {
-		queue := loop.queue.newAdmissionQueue(config.Name, config.walName(), config.MaxWaitingRequests, config.MaxWaitingBytes)
+		queue := loop.queue.newAdmissionQueue(
+			config.Name, config.walName(), config.MaxWaitingRequests, config.MaxWaitingBytes)
 		f, err := loop.config.frontendProtocol(config.Protocol)(config, connections[i], queue)
 		if err != nil {
 			queue.close()
@@ -136,7 +139,6 @@
 	return opened, nil
 }
 
-// openConfiguredFrontends opens the frontends that the configuration names.
 func (loop *eventLoop) openConfiguredFrontends() error {
 	connections, err := divideConnections(loop.config.Frontends, MaxClients(loop.config.Descriptors))
 	if err != nil {
@@ -146,9 +148,9 @@
 	return err
 }
 
-// closeFrontends closes all frontends, also those that a reload has removed.
+// closeFrontends closes all frontends, including those that a reload has removed.
 func (loop *eventLoop) closeFrontends() {
-	for _, f := range append(loop.frontends.open, loop.frontends.leaving...) {
+	for _, f := range append(loop.frontends.open, loop.frontends.draining...) {
 		loop.closeFrontend(f)
 	}
 }
@@ -158,20 +160,20 @@
 	f.queue.close()
 }
 
-// closeDrainedFrontends closes the frontends that a reload has removed, once their clients have gone.
+// closeDrainedFrontends closes the frontends that a reload has removed and that have no more clients.
 func (loop *eventLoop) closeDrainedFrontends() {
-	kept := loop.frontends.leaving[:0]
-	for _, f := range loop.frontends.leaving {
+	kept := loop.frontends.draining[:0]
+	for _, f := range loop.frontends.draining {
 		if f.Clients() > 0 {
 			kept = append(kept, f)
 			continue
 		}
 		loop.closeFrontend(f)
 	}
-	loop.frontends.leaving = kept
+	loop.frontends.draining = kept
 }
 
-// frontendAddresses are the addresses at which the configured frontends listen.
+// frontendAddresses returns the addresses on which the configured frontends listen.
 func (loop *eventLoop) frontendAddresses() []string {
 	var addresses []string
 	for _, f := range loop.frontends.open {
--- a/forwarder/frontends_test.go
+++ b/forwarder/frontends_test.go
@@ -13,5 +13,5 @@
 	_, err = divideConnections([]Frontend{{Connections: 100}, {}}, 100)
 	require.ErrorContains(t, err, "more than the 100")
 	_, err = divideConnections([]Frontend{{Name: "a", Connections: 4}}, 100)
-	require.ErrorContains(t, err, "a: 4 connections are under the least, 5")
+	require.ErrorContains(t, err, "a: 4 connections are below the minimum, 5")
 }
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -19,32 +19,32 @@
 	"spanflow/transport"
 )
 
-// The folders in testdata were written by version 1 of the formats. Files that an earlier process left must be read,
-// and written, with the same bytes.
+// The folders in testdata were written by version 1 of the file formats. Files left by an earlier process must be read
+// correctly, and new files must be written with the same bytes.
 const (
-	goldenLatencies  = "latencies"           // learned at one destination
-	goldenLatencies3 = "latencies-3"         // of three destinations, made by hand as they are written in any order
-	goldenRetryAfter = "retry-after"         // of one endpoint
-	goldenRetries    = "retry-after-several" // made by hand likewise
-	goldenDrains     = "drains"
-	goldenNoDrains   = "drains-none"
-	goldenSpool      = "command-spool"
-	goldenStored     = "stored" // a message of the write-ahead log as it goes to the backlog store
+	goldenLatencies         = "latencies"           // learned at one destination
+	goldenLatenciesSeveral  = "latencies-3"         // of three destinations; written by hand, as their order in the file varies
+	goldenRetryAfter        = "retry-after"         // of one endpoint
+	goldenRetryAfterSeveral = "retry-after-several" // of several endpoints; written by hand for the same reason
+	goldenDrains            = "drains"
+	goldenNoDrains          = "drains-none"
+	goldenSpool             = "command-spool"
+	goldenStored            = "stored" // messages of the write-ahead log as written to the backlog store
 
 	goldenNow         = 1_700_000_000 // seconds of the wall clock
-	goldenDestination = 3             // by which the checksum of the latencies begins with a zero
+	goldenDestination = 3             // chosen so that the checksum of the latencies begins with a zero
 	logLock           = "owner"       // holds the id of a process
 	storeLock         = "backlog.lock"
 )
 
-// goldenTimes are counts of calls by how long they took.
-func goldenTimes() []float64 {
+// goldenLatencyCounts returns counts of calls by latency.
+func goldenLatencyCounts() []float64 {
 	times := make([]float64, 16)
 	times[0], times[3], times[9], times[15] = 0.25, 12345.678, 40, 1e-7
 	return times
 }
 
-// goldenLatencyLoop is an event loop with a folder and the shape of the golden latencies.
+// goldenLatencyLoop returns an event loop with a folder and the same deployment as the golden latencies.
 func goldenLatencyLoop(t *testing.T, folder string) *eventLoop {
 	t.Helper()
 	loop, logged := newLatencyLoop(folder)
@@ -55,7 +55,7 @@
 func TestWritesSameLatenciesAsVersion1(t *testing.T) {
 	folder := t.TempDir()
 	loop := goldenLatencyLoop(t, folder)
-	require.True(t, loop.scheduler.RestoreLatencies(loop.destination(goldenDestination), goldenTimes()))
+	require.True(t, loop.scheduler.RestoreLatencies(loop.destination(goldenDestination), goldenLatencyCounts()))
 	loop.writeLatencies()
 	awaitStateFiles(t, loop)
 	golden.Compare(t, folder, goldenLatencies)
@@ -63,18 +63,18 @@
 
 func TestReadsLatenciesWrittenByVersion1(t *testing.T) {
 	loop := goldenLatencyLoop(t, golden.Copy(t, goldenLatencies))
-	want := make([]float64, 16) // weighed by the scheduler, four digits each
+	want := make([]float64, 16) // weighted by the scheduler, with four significant digits
 	want[0], want[3], want[9], want[15] = 0.0001009, 4.984, 0.01615, 4.037e-11
 	require.Equal(t, map[uint64][]float64{goldenDestination: want}, loop.endpoints.restoredLatencies)
 
-	several := goldenLatencyLoop(t, golden.Copy(t, goldenLatencies3)).endpoints.restoredLatencies
+	several := goldenLatencyLoop(t, golden.Copy(t, goldenLatenciesSeveral)).endpoints.restoredLatencies
 	require.Len(t, several, 3)
 	require.Equal(t, 1.5, several[1][0])
 	require.Equal(t, 1e-7, several[1<<63][15])
 	require.Equal(t, 250.0, several[12][8])
 }
 
-func TestKeepsLatenciesOfUnheardDestinationAsVersion1(t *testing.T) {
+func TestKeepsLatenciesOfUnknownDestinationAsVersion1(t *testing.T) {
 	folder := golden.Copy(t, goldenLatencies)
 	loop := goldenLatencyLoop(t, folder)
 	loop.writeLatencies()
@@ -82,8 +82,8 @@
 	golden.Compare(t, folder, goldenLatencies)
 }
 
-// goldenEndpoints is an event loop with a folder and two listed endpoints.
-func goldenEndpoints(folder string) *eventLoop {
+// goldenEndpointLoop returns an event loop with a folder and two listed endpoints.
+func goldenEndpointLoop(folder string) *eventLoop {
 	loop := newEndpointLoop()
 	loop.config.Folder = folder
 	loop.epoch = time.Unix(goldenNow, 0)
@@ -95,9 +95,9 @@
 
 func TestWritesSameRetryAfterStateAsVersion1(t *testing.T) {
 	folder := t.TempDir()
-	loop := goldenEndpoints(folder)
+	loop := goldenEndpointLoop(folder)
 	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-1"].scheduled, goldenNow+12.3456)
-	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-2"].scheduled, goldenNow-1) // over
+	loop.scheduler.BlockUntil(loop.endpoints.byUID["endpoint-2"].scheduled, goldenNow-1) // already over
 	loop.writeRetryAfter(goldenNow)
 	awaitStateFiles(t, loop)
 	golden.Compare(t, folder, goldenRetryAfter)
@@ -107,7 +107,7 @@
 	require.Equal(t, map[string]float64{"endpoint-1": goldenNow + 12.346},
 		statefile.ReadRetryAfter(golden.Copy(t, goldenRetryAfter), goldenNow))
 	require.Equal(t, map[string]float64{"endpoint-2": goldenNow + 0.001, "unlisted": goldenNow + 3600},
-		statefile.ReadRetryAfter(golden.Copy(t, goldenRetries), goldenNow))
+		statefile.ReadRetryAfter(golden.Copy(t, goldenRetryAfterSeveral), goldenNow))
 	require.Empty(t, statefile.ReadRetryAfter(t.TempDir(), goldenNow))
 }
 
@@ -154,13 +154,14 @@
 	}
 	require.Equal(t, goldenCommands, commands)
 
-	loop := goldenEndpoints(folder)
+	loop := goldenEndpointLoop(folder)
 	require.True(t, loop.runSpooledCommands())
 	require.Equal(t, []string{"an id with spaces"}, loop.operators.drains.IDs())
 	require.Empty(t, spool.Names())
 }
 
-// goldenStoreLoop is an event loop that knows a type of each idempotency; the last keeps the order of its keys.
+// goldenStoreLoop returns an event loop with one message type of each idempotency. The last one keeps the order of its
+// keys.
 func goldenStoreLoop() *eventLoop {
 	config := &Config{Names: settings.Names{Types: []string{"idempotent", "idempotent-with-key", "at-most-once"}},
 		Scheduler: scheduler.Settings{Types: []scheduler.MessageType{
@@ -171,7 +172,8 @@
 	return newEventLoop(config, zerolog.Nop(), newEventQueue())
 }
 
-// goldenEntries are messages of each idempotency: untried, tried, and with an attempt that may have run.
+// goldenEntries returns one message of each idempotency: one untried, one tried, and one with an attempt that may have
+// run.
 func goldenEntries() []*wal.Entry {
 	return []*wal.Entry{
 		{Seq: 1, Key: 5, Destination: 7, Tenant: 2, Type: "idempotent", ID: "id-1", Expiry: 1_700_000_016_000_000,
@@ -197,7 +199,7 @@
 	golden.Compare(t, folder, goldenStored, storeLock)
 }
 
-func TestBringsBackMessagesStoredByVersion1(t *testing.T) {
+func TestReadsMessagesStoredByVersion1(t *testing.T) {
 	store, err := backlog.Open(backlog.OS{}, golden.Copy(t, goldenStored), goldenStoreBounds)
 	require.NoError(t, err)
 	messages, err := store.Head(backlog.Lane{Destination: 7, Tenant: 2}, 10)
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -8,11 +8,11 @@
 	"spanflow/transport"
 )
 
-// The methods in this file carry out what the scheduler decides: they make an eventLoop its Host.
+// The methods in this file implement scheduler.Host: they carry out the scheduler's decisions.
 var _ scheduler.Host = (*eventLoop)(nil)
 
-// Send adds a message to the pending call to an endpoint, or begins another if that one is full. The calls are sent at
-// the end of the turn at the latest. timeout is in seconds.
+// Send adds a message to the pending call to an endpoint, or to a new call if that one is full. Pending calls are sent
+// at the end of the turn at the latest. timeout is in seconds.
 func (loop *eventLoop) Send(message *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
 	m, endpoint := loop.messages.byNumber[message.ID], loop.endpoints.byNumber[to.ID]
 	if err := loop.wal.RecordAttempt(message.ID, micros(loop.schedulerTime(time.Now())), endpoint.zone); err != nil {
@@ -23,7 +23,7 @@
 		})
 		return
 	}
-	loop.noteTried(m, true)
+	loop.clearUntried(m, true)
 	if m.traced {
 		loop.telemetry.log.Info().Str("id", m.ID).Uint64("destination", endpoint.destination).
 			Str("endpoint", endpoint.uid).Float64("timeout_s", timeout).Msg("trace: attempt")
@@ -37,13 +37,13 @@
 	loop.giveFinalAnswer(loop.messages.byNumber[message.ID], wal.Rejected, int(retryAfter*1000))
 }
 
-// Fail ends a message that may have run, or can no longer be delivered.
+// Fail gives the final answer for a message that may have run or can no longer be delivered.
 func (loop *eventLoop) Fail(message *scheduler.Message) {
 	loop.telemetry.counts.failed++
 	loop.giveFinalAnswer(loop.messages.byNumber[message.ID], wal.Failed, 0)
 }
 
-// CancelUnsent ends the calls to an endpoint of which nothing has been sent.
+// CancelUnsent cancels the calls to an endpoint of which nothing has been sent yet.
 func (loop *eventLoop) CancelUnsent(e *scheduler.Endpoint) {
 	if known := loop.endpoints.byNumber[e.ID]; known != nil {
 		known.upstream.CancelUnsent(e.ID)
@@ -52,13 +52,13 @@
 
 // CloseIdle closes an endpoint's connections that carry no call.
 func (loop *eventLoop) CloseIdle(e *scheduler.Endpoint) {
-	loop.calls.send() // calls decided on before have the connections first
+	loop.calls.send() // pending calls may still use the connections
 	if known := loop.endpoints.byNumber[e.ID]; known != nil {
 		known.upstream.CloseIdle(e.ID)
 	}
 }
 
-// ReleaseEndpoint removes an endpoint that is gone, and closes its connections.
+// ReleaseEndpoint removes an endpoint that the scheduler no longer uses, and closes its connections.
 func (loop *eventLoop) ReleaseEndpoint(e *scheduler.Endpoint) {
 	loop.CloseIdle(e)
 	loop.endpoints.remove(e.ID)
@@ -69,8 +69,10 @@
 	loop.wakeAt = time.Now().Add(time.Duration(in * float64(time.Second)))
 }
 
-// WatchEndpoints asks for the changes of the endpoint list after the present revision.
+// WatchEndpoints requests the changes to the endpoint list since the current revision.
 func (loop *eventLoop) WatchEndpoints() { loop.discovery.source.Watch(loop.discovery.revision) }
 
-// Log writes a line of the scheduler to the log.
-func (loop *eventLoop) Log(line string) { loop.telemetry.log.Info().Str("mode", line).Msg("scheduler") }
+// Log logs a line from the scheduler, which reports changes of a destination's mode.
+func (loop *eventLoop) Log(line string) {
+	loop.telemetry.log.Info().Str("mode", line).Msg("mode of a destination changed")
+}
--- a/forwarder/inherited_listener.go
+++ b/forwarder/inherited_listener.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// handOverTimeout is how long a process with an inherited listener waits for the folder of the process that it
-// replaces: the platform's 6 s until the new one is ready, 3.7 s from SIGTERM to SIGKILL, and a moment for the kernel.
+// handOverTimeout is how long a process with an inherited listener waits for its predecessor to release the folder: the
+// 6 s that the platform allows until the new process is ready, 3.7 s from SIGTERM to SIGKILL, and some time for the
+// kernel.
 const handOverTimeout = 15 * time.Second
 
-// upgradesInPlace reports whether a process on the same socket and folder replaces this one while it runs, and this one
-// may have replaced another: to endpoints, discovery and operators they are one forwarder.
+// upgradesInPlace reports whether processes replace each other on the same socket and folder while they run, so that
+// this process may have a predecessor and a successor. Endpoints, discovery and operators see them as one forwarder.
 func (c *Config) upgradesInPlace() bool { return c.InheritedListener > 0 }
 
-// listenInherited opens the socket that the platform hands down and has the first frontend use it. The caller closes
+// listenInherited opens the listening socket passed by the platform for use by the first frontend. The caller closes
 // it.
 func (c *Config) listenInherited() (net.Listener, error) {
 	l, err := inheritedListener(c.InheritedListener)
@@ -29,7 +30,7 @@
 	return l, nil
 }
 
-// inheritedListener makes a TCP listener of a descriptor, which is closed: the listener has a copy.
+// inheritedListener creates a TCP listener from a descriptor. It closes the descriptor, as the listener has a copy.
 func inheritedListener(descriptor int) (net.Listener, error) {
 	accepts, err := syscall.GetsockoptInt(descriptor, syscall.SOL_SOCKET, syscall.SO_ACCEPTCONN)
 	if err != nil {
--- a/forwarder/learned_latencies.go
+++ b/forwarder/learned_latencies.go
@@ -9,18 +9,18 @@
 	"spanflow/internal/statefile"
 )
 
-// Learned latencies are written while a process runs and at its end, so that the process that follows on the folder,
-// perhaps in a fleet of another size, need not guess them. They are never needed: a file that is truncated, corrupt, or
-// from other message types and kinds of endpoints is ignored with a log line.
+// Learned latencies are written regularly and at the end of a process, so that the next process on the folder, possibly
+// in a fleet of another size, need not estimate them. They are optional: a file that is truncated, corrupt, or from a
+// deployment with other message types or kinds of endpoints is logged and ignored.
 
-// latencyDeployment names what learned latencies depend on: those at endpoints of other kinds, for other message types,
-// mean something else.
+// latencyDeployment identifies the kinds of endpoints and the message types that learned latencies depend on. Latencies
+// learned with others are not comparable.
 func (c *Config) latencyDeployment() string {
 	return strconv.Quote(fmt.Sprint(c.Names.Kinds, c.Names.Types))
 }
 
-// writeLatencies has the state writer write the latencies measured at each destination, and those that an earlier
-// process left for destinations that are not known yet.
+// writeLatencies passes the latencies to the state writer: those measured at each destination, and those that an
+// earlier process left for destinations that are not known yet.
 func (loop *eventLoop) writeLatencies() {
 	var table statefile.LatencyTable
 	for number, d := range loop.endpoints.destinations {
@@ -33,7 +33,8 @@
 	loop.stateWriter.put(statefile.LatenciesFile, func() error { return table.Write(folder, deployment) })
 }
 
-// readLatencies reads the latencies that an earlier process of this deployment left, by destination.
+// readLatencies returns the latencies that an earlier process of this deployment left, by destination. A file that
+// cannot be used is logged and ignored.
 func readLatencies(folder, deployment string, log *zerolog.Logger) map[uint64][]float64 {
 	latencies, err := statefile.ReadLatencies(folder, deployment)
 	if err != nil {
--- a/forwarder/learned_latencies_test.go
+++ b/forwarder/learned_latencies_test.go
@@ -15,7 +15,7 @@
 	"spanflow/scheduler"
 )
 
-// newLatencyLoop is an event loop with the latencies learned in a folder, and its log.
+// newLatencyLoop returns an event loop with the learned latencies of a folder, and its log output.
 func newLatencyLoop(folder string) (*eventLoop, *bytes.Buffer) {
 	var logged bytes.Buffer
 	config := &Config{
@@ -33,7 +33,7 @@
 	return loop, &logged
 }
 
-func TestLatenciesOutlastRestartAndUnusableFileIsIgnored(t *testing.T) {
+func TestLatenciesSurviveRestartAndInvalidFileIsIgnored(t *testing.T) {
 	folder := t.TempDir()
 	old, _ := newLatencyLoop(folder)
 	times := make([]float64, 16)
@@ -46,10 +46,10 @@
 	fresh, _ := newLatencyLoop(folder)
 	require.Len(t, fresh.endpoints.restoredLatencies, 1)
 	require.Equal(t, old.endpoints.destinations[7].Latencies(), fresh.destination(7).Latencies())
-	require.Empty(t, fresh.endpoints.restoredLatencies, "given once")
+	require.Empty(t, fresh.endpoints.restoredLatencies, "moved to the destination")
 	require.Nil(t, fresh.destination(8).Latencies())
 
-	unknown, _ := newLatencyLoop(folder) // a process that knows no destination keeps what it has read
+	unknown, _ := newLatencyLoop(folder) // a process that knows no destination keeps the latencies that it has read
 	unknown.writeLatencies()
 	awaitStateFiles(t, unknown)
 	again, _ := newLatencyLoop(folder)
--- a/forwarder/log.go
+++ b/forwarder/log.go
@@ -12,65 +12,64 @@
 	"github.com/rs/zerolog"
 )
 
-// networkLog is the logger of nbio, the network library. Only errors are passed on: its other lines are of no
+// networkLog is the logger of nbio, the network library. It passes on only errors, because nbio's other lines are of no
 // use to operators.
 type networkLog struct{ log zerolog.Logger }
 
-// SetLevel is ignored: the level is always that of errors.
+// SetLevel does nothing, as only errors are logged.
 func (n networkLog) SetLevel(int) {}
 
-// Debug drops a line.
+// Debug discards the line.
 func (n networkLog) Debug(string, ...any) {}
 
-// Info drops a line.
+// Info discards the line.
 func (n networkLog) Info(string, ...any) {}
 
-// Warn drops a line.
+// Warn discards the line.
 func (n networkLog) Warn(string, ...any) {}
 
-// Error logs a line.
+// Error logs the line.
 func (n networkLog) Error(format string, v ...any) {
-	n.log.Error().Str("reason", fmt.Sprintf(format, v...)).Msg("network")
+	n.log.Error().Str("reason", fmt.Sprintf(format, v...)).Msg("network library error")
 }
 
-// Log configures the log. The course of messages that are traced is logged.
+// Log configures logging and message tracing. Each step of a traced message is logged.
 type Log struct {
 	Level   zerolog.Level
-	Console bool     // for people, not as JSON
-	Sample  float64  // part of the messages that is traced, from 0 to 1
-	Keys    []uint64 // all messages with one of these ordering keys are traced
-	IDs     []string // and those with one of these ids
+	Console bool     // human-readable lines instead of JSON
+	Sample  float64  // fraction of the messages to trace, from 0 to 1
+	Keys    []uint64 // ordering keys whose messages are all traced
+	IDs     []string // ids of messages to trace
 }
 
-// to is a logger of the named forwarder that writes to w.
-func (l Log) to(w io.Writer, forwarder string) zerolog.Logger {
+// logger returns a logger of the named forwarder that writes to w.
+func (l Log) logger(w io.Writer, forwarder string) zerolog.Logger {
 	if l.Console {
-		w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: !terminal(w)}
+		w = zerolog.ConsoleWriter{Out: w, TimeFormat: time.TimeOnly, NoColor: !isTerminal(w)}
 	}
 	return zerolog.New(w).Level(l.Level).With().Timestamp().Str("forwarder", forwarder).Logger()
 }
 
-// terminal reports whether w is a terminal.
-func terminal(w io.Writer) bool {
-	f, is := w.(*os.File)
-	if !is {
+func isTerminal(w io.Writer) bool {
+	f, ok := w.(*os.File)
+	if !ok {
 		return false
 	}
 	info, err := f.Stat()
 	return err == nil && info.Mode()&os.ModeCharDevice != 0
 }
 
-// trace picks the messages that are traced. Within a process it decides the same for an id each time.
+// trace selects the messages to trace. Within a process its decision on an id is always the same.
 type trace struct {
-	seed  maphash.Seed
-	limit uint64 // ids whose hashes are not over it are sampled; 0: none
-	keys  []uint64
-	ids   []string
-	on    bool
+	seed    maphash.Seed
+	limit   uint64 // ids whose hashes do not exceed it are sampled; 0 means none
+	keys    []uint64
+	ids     []string
+	enabled bool
 }
 
 func newTrace(l Log) trace {
-	t := trace{seed: maphash.MakeSeed(), keys: l.Keys, ids: l.IDs, on: l.Sample > 0 || len(l.Keys)+len(l.IDs) > 0}
+	t := trace{seed: maphash.MakeSeed(), keys: l.Keys, ids: l.IDs, enabled: l.Sample > 0 || len(l.Keys)+len(l.IDs) > 0}
 	switch {
 	case l.Sample >= 1:
 		t.limit = math.MaxUint64
@@ -80,8 +79,8 @@
 	return t
 }
 
-// picks reports whether the message with an id and an ordering key is traced.
-func (t *trace) picks(id string, key uint64) bool {
-	return t.on && (slices.Contains(t.ids, id) || slices.Contains(t.keys, key) ||
+// matches reports whether a message with this id and ordering key is traced.
+func (t *trace) matches(id string, key uint64) bool {
+	return t.enabled && (slices.Contains(t.ids, id) || slices.Contains(t.keys, key) ||
 		t.limit > 0 && maphash.String(t.seed, id) <= t.limit)
 }
--- a/forwarder/log_test.go
+++ b/forwarder/log_test.go
@@ -11,7 +11,7 @@
 	traced := func(l Log) (n int) {
 		tr := newTrace(l)
 		for i := range 10_000 {
-			if tr.picks(time.Duration(i).String(), uint64(i)) {
+			if tr.matches(time.Duration(i).String(), uint64(i)) {
 				n++
 			}
 		}
--- a/forwarder/loop_fixture_test.go
+++ b/forwarder/loop_fixture_test.go
@@ -10,8 +10,8 @@
 	"spanflow/scheduler"
 )
 
-// newTestLoop is an event loop without sockets and files, at 100 s on the scheduler's clock. What the scheduler decides
-// goes to host.
+// newTestLoop returns an event loop without sockets and files, at 100 s on the scheduler's clock. The scheduler passes
+// its decisions to host.
 func newTestLoop(config *Config, seed uint64, host scheduler.Host, log zerolog.Logger) *eventLoop {
 	loop := newEventLoop(config, log, newEventQueue())
 	loop.operators.drains = drains.New(nil)
@@ -19,8 +19,8 @@
 	return loop
 }
 
-// recordingHost records for when the scheduler last set its timer, in seconds, and how often it asked for the list. It
-// panics if the scheduler decides on a message.
+// recordingHost records the delay in seconds with which the scheduler last set its timer, and how often it requested
+// the list. It panics if the scheduler makes a decision on a message.
 type recordingHost struct {
 	scheduler.Host
 	wakeIn  float64
@@ -33,7 +33,7 @@
 func (*recordingHost) ReleaseEndpoint(*scheduler.Endpoint) {}
 func (*recordingHost) Log(string)                          {}
 
-// discardHost ignores whatever the scheduler decides.
+// discardHost ignores all decisions of the scheduler.
 type discardHost struct{}
 
 func (discardHost) Send(*scheduler.Message, *scheduler.Endpoint, float64) {}
@@ -46,7 +46,7 @@
 func (discardHost) WatchEndpoints()                                       {}
 func (discardHost) Log(string)                                            {}
 
-// awaitStateFiles waits until the state files that the event loop has given its writer are written.
+// awaitStateFiles waits until the state files that the event loop has passed to its state writer are written.
 func awaitStateFiles(t *testing.T, loop *eventLoop) {
 	t.Helper()
 	w := loop.stateWriter
@@ -59,6 +59,6 @@
 	select {
 	case <-idle:
 	case <-time.After(time.Minute):
-		t.Fatal("the state files are not written")
+		t.Fatal("the state files were not written")
 	}
 }
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -14,9 +14,9 @@
 type messageTable struct {
 	byNumber       map[uint64]*trackedMessage // by their numbers in the write-ahead log
 	byID           map[string]*trackedMessage // the same, by the clients' ids
-	recentIDs      recentIDs                  // ids of messages that were removed
+	recentIDs      recentIDs                  // ids of removed messages
 	types          map[string]int             // numbers of the message types, by name
-	unknownOptions map[string]bool            // names that came with messages and were logged
+	unknownOptions map[string]bool            // names of unknown submission options that were logged already
 	untried        int                        // recovered messages for which no call has begun yet
 }
 
@@ -41,19 +41,18 @@
 	typ           int // number of its type
 	lane          backlog.Lane
 	laneElement   *list.Element           // in the list of its lane; nil without a backlog store
-	waitingCaller transport.WaitingCaller // gets the final answer; nil: the notifier does
+	waitingCaller transport.WaitingCaller // gets the final answer; if nil, the notifier gets it
 	receivedAt    time.Time
 	traced        bool
-	untried       bool // an earlier process accepted it, and no call has begun yet
-	withdrawn     bool // its waiting caller has gone: it gets no final answer, though an attempt may be outstanding
+	untried       bool // accepted by an earlier process, and no call has begun yet
+	withdrawn     bool // its waiting caller has disconnected: it gets no final answer, even if an attempt is outstanding
 }
 
-// add enters a message.
 func (table *messageTable) add(m *trackedMessage) {
 	table.byNumber[m.MessageID], table.byID[m.ID] = m, m
 }
 
-// remove removes a message. It reports whether the message's id was still its own.
+// remove removes a message. It reports whether the message's id still referred to it.
 func (table *messageTable) remove(m *trackedMessage) bool {
 	delete(table.byNumber, m.MessageID)
 	if table.byID[m.ID] != m {
@@ -64,23 +63,23 @@
 }
 
 // unfinished counts the messages that have no final answer yet.
-func (table *messageTable) unfinished() (open int) {
+func (table *messageTable) unfinished() (count int) {
 	for _, m := range table.byNumber {
 		if !m.scheduled.Finished() {
-			open++
+			count++
 		}
 	}
-	return open
+	return count
 }
 
-// track makes and enters the message of an entry of the write-ahead log.
+// track creates the message for an entry of the write-ahead log and adds it to the table.
 func (loop *eventLoop) track(e *wal.Entry, typ int) *trackedMessage {
 	m := &trackedMessage{
 		Message:    transport.Message{MessageID: e.Seq, ID: e.ID, IdempotencyKey: e.IdempotencyKey, Body: e.Body},
 		typ:        typ,
 		lane:       laneOf(e),
 		receivedAt: time.Now(),
-		traced:     loop.telemetry.trace.picks(e.ID, e.Key),
+		traced:     loop.telemetry.trace.matches(e.ID, e.Key),
 	}
 	m.scheduled = &scheduler.Message{
 		ID:               e.Seq,
@@ -106,14 +105,14 @@
 	loop.removeIfFinished(m)
 }
 
-// recordDone records that a message is done.
+// recordDone records in the write-ahead log that a message is done.
 func (loop *eventLoop) recordDone(m *trackedMessage) {
 	if err := loop.wal.RecordDone(m.MessageID); err != nil {
 		loop.logWALError(err)
 	}
 }
 
-// retryDone records the ends of messages that could not be recorded before, as on a full disk.
+// retryDone tries again to record the ends of messages that could not be recorded before, for example on a full disk.
 func (loop *eventLoop) retryDone() {
 	if err := loop.wal.RetryDone(); err != nil {
 		loop.logWALError(err)
@@ -125,11 +124,11 @@
 	if !m.scheduled.Finished() {
 		return
 	}
-	loop.noteTried(m, false)
+	loop.clearUntried(m, false)
 	if m.withdrawn {
 		loop.recordDone(m)
 	}
-	loop.noteLeftMemory(m)
+	loop.removeFromLane(m)
 	if loop.messages.remove(m) {
 		loop.messages.recentIDs.add(m.ID)
 	}
--- a/forwarder/notices.go
+++ b/forwarder/notices.go
@@ -5,10 +5,10 @@
 	"spanflow/transport"
 )
 
-// noticeState is where final answers go for which no caller waits.
+// noticeState holds the receiver of final answers that no caller waits for.
 type noticeState struct {
-	notifier transport.Notifier       // nil: the log alone
-	movable  transport.Reconfigurable // the notifier, if it has an address of its own
+	notifier       transport.Notifier       // if nil, final answers are only logged
+	reconfigurable transport.Reconfigurable // the notifier, if its address is configured separately
 }
 
 // giveFinalAnswer records the final answer of a message that was not delivered, and sends it. retryAfter is in
@@ -24,19 +24,19 @@
 	loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).
 		Stringer("reason", m.scheduled.AnswerReason()).Msg("not delivered")
 	loop.countFinalAnswer(m, outcome)
-	loop.noteLeftMemory(m) // its notice may stay unacknowledged for long
+	loop.removeFromLane(m) // its notice may stay unacknowledged for long
 	loop.sendFinalAnswer(m, outcome, retryAfter)
 }
 
-// sendFinalAnswer sends a final answer to the caller that waits for it, or else to the notifier. Where there is neither
-// it is written to the log.
+// sendFinalAnswer sends a final answer to the waiting caller or, if there is none, to the notifier. Without either it
+// is only logged.
 func (loop *eventLoop) sendFinalAnswer(m *trackedMessage, outcome transport.Outcome, retryAfter int) {
 	answer := transport.FinalAnswer{MessageID: m.MessageID, ID: m.ID, Outcome: outcome, RetryAfterMs: retryAfter}
 	if m.traced {
 		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("retry_after_ms", retryAfter).
 			Msg("trace: final answer")
 	}
-	loop.noteTried(m, false)
+	loop.clearUntried(m, false)
 	switch {
 	case m.waitingCaller != nil:
 		m.waitingCaller.Complete(answer)
@@ -45,7 +45,7 @@
 		loop.notices.notifier.Notify(answer)
 	default:
 		loop.telemetry.log.Info().Str("id", m.ID).Stringer("outcome", outcome).Int("retry_after_ms", retryAfter).
-			Msg("final answer without a receiver")
+			Msg("final answer has no receiver and is only logged")
 		loop.queue.NoticesAcknowledged([]uint64{m.MessageID})
 	}
 }
--- a/forwarder/operator_figures.go
+++ b/forwarder/operator_figures.go
@@ -9,16 +9,16 @@
 	"spanflow/transport"
 )
 
-// figures are the counts that the operators read at /_vars, each process from 0, kept by the event loop as things
-// happen.
+// figures holds the counters that operators read at /_vars. They start from 0 in each process, and the event loop
+// updates them as events occur.
 type figures struct {
 	fulfilled, throttled, faulted []int // by number of the message type
-	relayed                       int   // messages written completely to endpoints
-	accepted, invalid             int   // configurations that were reloaded, or could not be
-	untried, called, expired      int   // recovered before any call: all, called since, expired at the start
+	relayed                       int   // messages completely written to endpoints
+	accepted, invalid             int   // configuration reloads that succeeded, and that failed
+	untried, called, expired      int   // messages recovered without any call: all, called since, expired at the start
 }
 
-// count adds one to a count of a message type.
+// count increments the counter of a message type.
 func (f *figures) count(counts *[]int, typ int) {
 	if typ >= len(*counts) {
 		*counts = append(*counts, make([]int, typ+1-len(*counts))...)
@@ -26,15 +26,15 @@
 	(*counts)[typ]++
 }
 
-// gaugeFigures are the figures that are read from the event loop's state.
+// gaugeFigures holds the figures derived from the event loop's current state.
 type gaugeFigures struct {
-	open    int // messages without a final answer
-	listed  int // endpoints
-	avoided int // of them, those that are drained by operators or ejected
+	unfinished    int // messages without a final answer
+	listed        int // endpoints
+	outOfRotation int // listed endpoints that are drained by operators or ejected
 }
 
-// countFinalAnswer counts a message's final answer, once, where it is decided: the one source of the operators' figures
-// and of the metrics.
+// countFinalAnswer counts a message's final answer for both the operators' figures and the metrics. It is called once
+// for each message, where the answer is decided.
 func (loop *eventLoop) countFinalAnswer(m *trackedMessage, outcome transport.Outcome) {
 	f := &loop.telemetry.figures
 	switch outcome {
@@ -48,9 +48,9 @@
 	loop.telemetry.recorder.FinalAnswered(outcome, time.Since(m.receivedAt))
 }
 
-// operatorFigures are the figures in the form of /_vars.
+// operatorFigures returns the figures in the format of /_vars.
 func (loop *eventLoop) operatorFigures() string {
-	gauges := gaugeFigures{open: loop.messages.unfinished()}
+	gauges := gaugeFigures{unfinished: loop.messages.unfinished()}
 	for _, t := range loop.endpoints.byNumber {
 		if !t.isListed() {
 			continue
@@ -58,14 +58,14 @@
 		gauges.listed++
 		drained := loop.operators.drains.Drained(t.uid)
 		if t.update.State == scheduler.Ready && (drained || t.scheduled.Ejected()) {
-			gauges.avoided++
+			gauges.outOfRotation++
 		}
 	}
 	return loop.telemetry.figures.write(loop.config.Names.Types, gauges)
 }
 
-// write writes the figures in statsd's form, one a line: counters, then gauges. types are the names of the message
-// types.
+// write formats the figures in statsd's format, one per line, counters before gauges. types are the names of the
+// message types.
 func (f *figures) write(types []string, gauges gaugeFigures) string {
 	var b strings.Builder
 	counter := func(name string, n int) { fmt.Fprintf(&b, "proxy.%s:%d|c\n", name, n) }
@@ -89,8 +89,8 @@
 	counter("relayed", f.relayed)
 	counter("cfg_accepted", f.accepted)
 	counter("cfg_invalid", f.invalid)
-	gauge("open_requests", gauges.open)
+	gauge("open_requests", gauges.unfinished)
 	gauge("registry_entries", gauges.listed)
-	gauge("out_of_rotation", gauges.avoided)
+	gauge("out_of_rotation", gauges.outOfRotation)
 	return b.String()
 }
--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -10,7 +10,7 @@
 	"spanflow/scheduler"
 )
 
-// operatorState is what operators have asked for, and where their requests come from.
+// operatorState holds the state that operators have set and the source of their requests.
 type operatorState struct {
 	requests *adminRequests
 	drains   *drains.Set // endpoints that operators have drained
@@ -32,7 +32,7 @@
 	return a
 }
 
-// takeOver has requests go to the event loop from here on. It reports whether clients are to be sent away.
+// takeOver routes requests to the event loop from now on. It reports whether lame duck mode was switched on before.
 func (a *adminRequests) takeOver() (lameDuck bool) {
 	if s := a.standby.Load(); s != nil {
 		return s.takeOver()
@@ -43,7 +43,7 @@
 // Ready reports whether clients may be sent to this process.
 func (a *adminRequests) Ready() bool { return a.ready.Load() }
 
-// Handle answers a request, at once or from the event loop.
+// Handle answers a request directly or passes it to the event loop.
 func (a *adminRequests) Handle(r admin.Request, reply func(admin.Response)) {
 	if s := a.standby.Load(); s != nil {
 		if response, answered := s.answer(r); answered {
@@ -54,13 +54,14 @@
 	a.queue.push(operatorRequest{r, reply})
 }
 
-// handleOperatorRequest answers a request of the operators.
+// handleOperatorRequest answers an operator's request.
 func (loop *eventLoop) handleOperatorRequest(r operatorRequest) {
 	switch r.Operation {
 	case admin.Figures:
 		r.reply(admin.Response{OK: true, Text: loop.operatorFigures()})
 	case admin.LameDuckOn, admin.LameDuckOff:
-		// A stopping process goes on draining: its clients are to go elsewhere whatever the operators say.
+		// A process that is shutting down keeps draining: its clients must go elsewhere even if operators switch lame
+		// duck mode off.
 		on := r.Operation == admin.LameDuckOn
 		if on != loop.operators.lameDuck && (on || !loop.shutdown.begun) {
 			loop.setLameDuck(on)
@@ -72,7 +73,7 @@
 	}
 }
 
-// setLameDuck sends clients away, or accepts them again.
+// setLameDuck switches lame duck mode, in which clients are sent elsewhere, on or off.
 func (loop *eventLoop) setLameDuck(on bool) {
 	loop.operators.lameDuck = on
 	clients := 0
@@ -85,7 +86,7 @@
 		}
 	}
 	loop.telemetry.log.Info().Bool("lameduck", on).Int("clients", clients).Int("held", len(loop.messages.byNumber)).
-		Msg("lameduck")
+		Msg("lame duck mode switched")
 }
 
 // drainOrRestore drains an endpoint, or restores it. listed is true if the endpoint is known to exist.
@@ -104,13 +105,13 @@
 		update := t.update
 		update.State = loop.operators.drains.State(t.uid, update.State)
 		update.WarmingUp = change == drains.Restored
-		// Before this turn's Reconcile: nothing new goes to the endpoint from here on.
+		// This takes effect before this turn's Reconcile, so no new call is sent to a drained endpoint.
 		loop.scheduler.UpdateEndpoints(false, []scheduler.EndpointUpdate{update})
 	}
 	return drainResponse(r, result)
 }
 
-// applyDrainRequest drains or restores an endpoint in a set of drained ones.
+// applyDrainRequest drains or restores an endpoint in a set of drained endpoints.
 func applyDrainRequest(set *drains.Set, r admin.Request, listed bool) (drains.Result, drains.Change) {
 	if r.Operation == admin.Attach {
 		return set.Restore(r.Name, listed)
@@ -118,12 +119,12 @@
 	return set.Drain(r.Name, listed)
 }
 
-// notSaved is the response to a request whose effect could not be saved in the folder.
+// notSaved returns the response to a request whose effect could not be saved in the folder.
 func notSaved(err error) admin.Response {
 	return admin.Response{Status: http.StatusInternalServerError, Text: "not kept in the folder: " + err.Error()}
 }
 
-// drainResponse is the response to a request to drain or restore an endpoint.
+// drainResponse returns the response to a request to drain or restore an endpoint.
 func drainResponse(r admin.Request, result drains.Result) admin.Response {
 	switch result {
 	case drains.Accepted:
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -9,28 +9,29 @@
 	"spanflow/transport"
 )
 
-// recoverState gives the scheduler the last known list of endpoints and the messages that an earlier process left
-// unfinished.
+// recoverState loads the last known endpoint list and the messages that an earlier process left unfinished into the
+// scheduler.
 func (loop *eventLoop) recoverState(now time.Time) {
 	loop.scheduler = scheduler.New(loop.config.Scheduler, loop.config.Seed, loop.schedulerTime(now), loop)
 	loop.scheduler.PauseKeys()
 	loop.readLearnedState(now)
-	loop.takeEndpointStates()
+	loop.loadEndpointStates()
 	loop.updateEndpoints(&loop.config.LastEndpoints, true)
 	loop.runSpooledCommands()
-	owed := loop.wal.Pending()
+	pending := loop.wal.Pending()
 	overtaking := loop.restoreBacklog()
-	for _, e := range owed {
+	for _, e := range pending {
 		loop.recoverMessage(e, now, overtaking[e.Seq])
 	}
 	loop.scheduler.Reconcile()
 	loop.calls.send()
 }
 
-// readLearnedState reads what an earlier process has learned of endpoints and destinations, for when these are known.
+// readLearnedState reads what an earlier process learned about endpoints and destinations. It is applied once these are
+// known.
 func (loop *eventLoop) readLearnedState(now time.Time) {
 	config, log := loop.config, &loop.telemetry.log
-	if config.upgradesInPlace() { // a restart ends a Retry-After
+	if config.upgradesInPlace() { // a restart that is not an upgrade ends a Retry-After
 		loop.endpoints.restoredRetryAfter = statefile.ReadRetryAfter(config.Folder, loop.schedulerTime(now))
 	}
 	loop.endpoints.restoredLatencies = readLatencies(config.Folder, config.latencyDeployment(), log)
@@ -39,8 +40,8 @@
 	}
 }
 
-// recoverMessage gives the scheduler a message that an earlier process left unfinished. One that would overtake stored
-// ones is answered without a call.
+// recoverMessage passes a message that an earlier process left unfinished to the scheduler. A message that would
+// overtake stored ones is answered without a call.
 func (loop *eventLoop) recoverMessage(e *wal.Entry, now time.Time, overtaking bool) {
 	typ, known := loop.messages.types[e.Type]
 	if !known {
@@ -50,7 +51,7 @@
 	recovered := loop.recoveredAttempts(e)
 	m := loop.track(e, typ)
 	switch {
-	case e.CallerWaits: // its caller's connection died with that process: nobody gets an answer
+	case e.CallerWaits: // its caller's connection ended with that process, so there is nobody to answer
 		loop.telemetry.counts.withdrawn++
 	case e.Answer == wal.Rejected:
 		loop.sendFinalAnswer(m, transport.Rejected, e.RetryAfter)
@@ -62,31 +63,31 @@
 		loop.scheduler.GiveUp(m.scheduled, typ, secondsLeft, recovered)
 	} else {
 		loop.scheduler.Recover(m.scheduled, typ, secondsLeft, recovered)
-		loop.discountWindow(m)
+		loop.excludeFromDemand(m)
 	}
 	if !recovered.Answered {
-		loop.noteInMemory(m)
+		loop.addToLane(m)
 	}
 	loop.telemetry.counts.recovered++
 	if recovered.Attempts == 0 && !recovered.Answered && !recovered.CallerGone {
-		loop.noteUntried(m, secondsLeft)
+		loop.countUntried(m, secondsLeft)
 	}
 	if m.withdrawn = e.CallerWaits; m.withdrawn {
 		loop.removeIfFinished(m)
 	}
 }
 
-// discountWindow takes a recovered message off its destination's demand where a backlog store is used, or where that
-// demand was handed over. Otherwise a start that finds the windows of many unreachable destinations would take them for
-// demand and try each often.
-func (loop *eventLoop) discountWindow(m *trackedMessage) {
+// excludeFromDemand excludes a recovered message from its destination's demand if a backlog store is used or if that
+// demand was handed over. Otherwise a start that recovers the messages in memory for many unreachable destinations
+// would count them as demand and try each of these destinations often.
+func (loop *eventLoop) excludeFromDemand(m *trackedMessage) {
 	if loop.backlog != nil || m.scheduled.Dest.InheritsDemand() {
 		loop.scheduler.Uncount(m.scheduled.Dest)
 	}
 }
 
-// recoveredAttempts are a message's earlier attempts. One that was outstanding when that process ended counts as ended
-// with it, and may have run.
+// recoveredAttempts returns a message's earlier attempts. An attempt that was outstanding when that process ended
+// counts as ended at that time, and may have run.
 func (loop *eventLoop) recoveredAttempts(e *wal.Entry) scheduler.RecoveredState {
 	if e.AttemptBegan > 0 {
 		if err := loop.wal.RecordAttemptEnd(e.Seq, true); err != nil {
@@ -102,8 +103,8 @@
 	}
 }
 
-// noteUntried counts a recovered message for which no call has begun.
-func (loop *eventLoop) noteUntried(m *trackedMessage, secondsLeft float64) {
+// countUntried counts a recovered message for which no call has begun.
+func (loop *eventLoop) countUntried(m *trackedMessage, secondsLeft float64) {
 	m.untried = true
 	loop.messages.untried++
 	loop.telemetry.figures.untried++
@@ -112,9 +113,9 @@
 	}
 }
 
-// noteTried takes a message off the count of the untried recovered ones, if it is among them: it is sent (called), or
-// has ended without a call. With the last of them it logs how many there were.
-func (loop *eventLoop) noteTried(m *trackedMessage, called bool) {
+// clearUntried removes a message from the count of untried recovered messages, if it is one of them. called is true if
+// it is being sent, and false if it ended without a call. After the last of them the totals are logged.
+func (loop *eventLoop) clearUntried(m *trackedMessage, called bool) {
 	if !m.untried {
 		return
 	}
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// A configuration change is applied in steps: reload has the configuration read again, applyConfig compares it with the
-// present one part by part (ConfigParts), and what may change in a running forwarder is applied, all of it or nothing.
-// What else differs waits for the next start and is only logged.
+// A configuration change is applied in steps: reload reads the configuration again, and applyConfig compares it with
+// the current one part by part (ConfigParts). Of the changes that a running forwarder supports, either all are applied
+// or none. Other changes take effect at the next start and are only logged.
 
 // ReloadBehavior is when a changed part of the configuration takes effect.
 type ReloadBehavior uint8
 
-// The moments at which a change can take effect.
+// Times at which a change can take effect.
 const (
 	OnReload  ReloadBehavior = iota // in the running forwarder, when it reloads
 	OnRestart                       // at the next start
 )
 
-// String is the moment as commands print it.
+// String returns the name that commands print.
 func (b ReloadBehavior) String() string { return [...]string{"reload", "restart"}[b] }
 
 // Names of the parts that a running forwarder can change.
@@ -33,8 +33,8 @@
 	partBacklog   = "backlog"
 )
 
-// ConfigPart is a part of the configuration that changes as a whole. Reloads and the commands that describe a change
-// both use ConfigParts.
+// ConfigPart is a part of the configuration that changes as a whole. Both reloads and the commands that describe a
+// change use ConfigParts.
 type ConfigPart struct {
 	Name   string
 	Keys   []string // of the configuration file: whole sections or single keys
@@ -42,8 +42,8 @@
 	values func(c *Config) any
 }
 
-// ConfigParts are all parts of the configuration. All but discovery take effect on reload only where the
-// configuration's form has them so (FullReload): the platform's form changes nothing but discovery.
+// ConfigParts lists all parts of the configuration. All but discovery take effect on reload only if the configuration
+// has FullReload set. The platform's configuration does not, so only its discovery can change.
 var ConfigParts = []ConfigPart{
 	{"name", []string{"name"}, OnRestart, func(c *Config) any { return c.Name }},
 	{partListen, []string{"fronts"}, OnReload, func(c *Config) any { return c.Frontends }},
@@ -54,7 +54,7 @@
 	{"admin", []string{"admin"}, OnRestart, func(c *Config) any { return c.Admin }},
 	{"metrics", []string{"metrics"}, OnRestart, func(c *Config) any { return [2]string{c.Metrics, c.TokenFile} }},
 	{"seed", []string{"seed"}, OnRestart, func(c *Config) any {
-		if c.FullReload && !c.RandomSeed { // the platform's is another at each start
+		if c.FullReload && !c.RandomSeed { // the platform sets another seed at each start
 			return c.Seed
 		}
 		return c.RandomSeed
@@ -75,7 +75,7 @@
 	},
 }
 
-// folder is where the backlog store is; empty: there is none.
+// folder returns the folder of the backlog store, or "" if there is none.
 func (b *Backlog) folder() string {
 	if b == nil {
 		return ""
@@ -83,8 +83,8 @@
 	return b.Folder
 }
 
-// bounds is the store's configuration but for its folder: what a running forwarder can change. Without a store all are
-// zero.
+// bounds returns what a running forwarder can change of the store's configuration: all but the folder. Without a store
+// it returns the zero value.
 func (b *Backlog) bounds() Backlog {
 	if b == nil {
 		return Backlog{}
@@ -94,7 +94,7 @@
 	return bounds
 }
 
-// takesEffect is when a change of the part in this configuration takes effect.
+// takesEffect returns when a change of the part takes effect, given the current configuration.
 func (p *ConfigPart) takesEffect(c *Config) ReloadBehavior {
 	if p.Name != partDiscovery && !c.FullReload {
 		return OnRestart
@@ -102,21 +102,21 @@
 	return p.When
 }
 
-// reloadState says whether the configuration is being read again.
+// reloadState is the progress of a reload.
 type reloadState struct {
-	reading bool // by a goroutine of its own
-	again   bool // once more after that, as it may have changed meanwhile
+	reading   bool // a goroutine is reading the configuration
+	readAgain bool // read once more afterwards, as the file may have changed meanwhile
 }
 
-// reload has the configuration read again, by a goroutine of its own: a file may be large, or on a file system that
-// does not answer, and the event loop would serve nobody meanwhile. The configRead event brings it back. While it is
-// being read any number of further calls lead to one more reading.
+// reload starts a goroutine that reads the configuration again and pushes it as a configRead event. The event loop does
+// not read it itself: the file may be large, or on a file system that does not respond, and no client would be served
+// meanwhile. Any number of calls during a read lead to one more read.
 func (loop *eventLoop) reload() {
 	if loop.config.Reload == nil {
 		return
 	}
 	if loop.reloading.reading {
-		loop.reloading.again = true
+		loop.reloading.readAgain = true
 		return
 	}
 	loop.reloading.reading = true
@@ -127,12 +127,12 @@
 	}()
 }
 
-// handleConfigRead applies what has changed in a configuration that was read again. One that cannot be read or applied
-// changes nothing.
+// handleConfigRead applies the changes in a configuration that was read again. If it cannot be read or applied, nothing
+// changes.
 func (loop *eventLoop) handleConfigRead(ev configRead) {
 	loop.reloading.reading = false
-	if loop.reloading.again {
-		loop.reloading.again = false
+	if loop.reloading.readAgain {
+		loop.reloading.readAgain = false
 		loop.reload()
 	}
 	err := ev.err
@@ -147,11 +147,11 @@
 	loop.telemetry.figures.accepted++
 }
 
-// applyConfig makes the running forwarder follow the next configuration as far as it can without a restart. After an
-// error nothing has changed.
+// applyConfig applies the next configuration as far as that is possible without a restart. After an error nothing has
+// changed.
 func (loop *eventLoop) applyConfig(next *Config) error {
 	changed, onRestart := loop.changedParts(next)
-	if changed[partListen] && loop.shutdown.begun { // a process that ends opens no frontends
+	if changed[partListen] && loop.shutdown.begun { // a process that is shutting down opens no frontends
 		delete(changed, partListen)
 		onRestart = append(onRestart, partListen)
 	}
@@ -167,7 +167,7 @@
 	}
 	if changed[partLog] {
 		loop.config.Log = next.Log
-		loop.telemetry.log = next.Log.to(loop.telemetry.output, loop.config.Name)
+		loop.telemetry.log = next.Log.logger(loop.telemetry.output, loop.config.Name)
 		loop.telemetry.trace = newTrace(next.Log)
 	}
 	event := loop.telemetry.log.Info().Str("discovery", loop.config.Discovery).Strs("at_next_start", onRestart)
@@ -178,11 +178,11 @@
 	return nil
 }
 
-// changedParts compares the present configuration with the next: the parts that change now, and the names of those that
-// change with a restart.
+// changedParts compares the current configuration with the next one. It returns the parts that change now, and the
+// names of those that change with a restart.
 func (loop *eventLoop) changedParts(next *Config) (now map[string]bool, onRestart []string) {
 	present := *loop.config
-	present.Scheduler = loop.configuredScheduler // as read: what was added at the start is no change
+	present.Scheduler = loop.configuredScheduler // as configured, since settings added at the start are not a change
 	now = map[string]bool{}
 	for _, part := range ConfigParts {
 		if reflect.DeepEqual(part.values(&present), part.values(next)) {
@@ -197,60 +197,60 @@
 	return now, onRestart
 }
 
-// checkSources refuses changes of the sources of the endpoint list and of the notices' receiver that need other
-// connections than there are.
+// checkSources returns an error if the source of the endpoint list or the receiver of the notices would change in a way
+// that the open connections do not allow.
 func (loop *eventLoop) checkSources(next *Config, changed map[string]bool) error {
 	if changed[partDiscovery] && (loop.config.configuredDiscovery == "") != (next.configuredDiscovery == "") {
 		return errors.New(
-			"discovery: a list in the configuration and one from discovery replace each other only at a start")
+			"discovery: switching between a list in the configuration and one from discovery needs a restart")
 	}
 	if changed[partNotices] && (loop.config.noticeAddress == "") != (next.noticeAddress == "") {
-		return errors.New("discovery.notices: an address of its own is added or removed only at a start")
+		return errors.New("discovery.notices: adding or removing a separate address needs a restart")
 	}
 	return nil
 }
 
-// applyBacklogAndFrontends changes the backlog's bounds and the frontends, both or neither.
+// applyBacklogAndFrontends changes the backlog limits and the frontends, either both or neither.
 func (loop *eventLoop) applyBacklogAndFrontends(next *Config, changed map[string]bool) error {
 	present := loop.config
-	resize := changed[partBacklog] && loop.backlog != nil && next.Backlog != nil
-	if resize {
+	changeBounds := changed[partBacklog] && loop.backlog != nil && next.Backlog != nil
+	if changeBounds {
 		if err := loop.setBacklogBounds(next.Backlog); err != nil {
 			return err
 		}
 	}
 	if changed[partListen] {
 		if err := loop.replaceFrontends(next.Frontends); err != nil {
-			if resize {
+			if changeBounds {
 				err = errors.Join(err, loop.setBacklogBounds(present.Backlog))
 			}
 			return err
 		}
 		present.Frontends = next.Frontends
 	}
-	if resize {
+	if changeBounds {
 		present.Backlog = next.Backlog
 	}
 	return nil
 }
 
-// applyAddresses moves to other addresses of discovery and of the notices' receiver. Without a change of the file a
-// variable that took precedence at the start still does.
+// applyAddresses switches to changed addresses of discovery and of the notices' receiver. If the file's address has not
+// changed, a variable that took precedence at the start still does.
 func (loop *eventLoop) applyAddresses(next *Config, changed map[string]bool) {
 	present := loop.config
 	if changed[partDiscovery] {
 		present.configuredDiscovery, present.Discovery = next.configuredDiscovery, next.configuredDiscovery
-		if loop.discovery.movable != nil {
-			loop.discovery.movable.Reconfigure(present.Discovery, loop.discovery.revision)
+		if loop.discovery.reconfigurable != nil {
+			loop.discovery.reconfigurable.Reconfigure(present.Discovery, loop.discovery.revision)
 		}
 	}
 	if changed[partNotices] {
 		present.noticeAddress = next.noticeAddress
-		loop.notices.movable.Reconfigure(present.noticeAddress, 0)
+		loop.notices.reconfigurable.Reconfigure(present.noticeAddress, 0)
 	}
 }
 
-// applyStaticEndpoints puts the next configuration's own list in the place of the present one.
+// applyStaticEndpoints replaces the configured endpoint list with that of the next configuration.
 func (loop *eventLoop) applyStaticEndpoints(next *Config) {
 	loop.config.StaticEndpoints = next.StaticEndpoints
 	loop.discovery.static.list = *next.StaticEndpoints
@@ -258,9 +258,9 @@
 	loop.discovery.static.Watch(0)
 }
 
-// replaceFrontends puts other frontends in the place of the present ones. A frontend whose configuration stays is
-// left alone; one that goes takes no new connections, and each of its callers is answered before its connection ends.
-// The new ones open first: if one cannot, nothing has changed.
+// replaceFrontends replaces the open frontends with those of the next configuration. Frontends with an unchanged
+// configuration are kept. Removed ones accept no new connections, and each of their callers is answered before its
+// connection is closed. New frontends are opened first: if one cannot be opened, nothing has changed.
 func (loop *eventLoop) replaceFrontends(next []Frontend) error {
 	limits, err := divideConnections(next, MaxClients(loop.config.Descriptors))
 	if err != nil {
@@ -283,7 +283,7 @@
 		for _, f := range removed {
 			if f.config.Listen == config.Listen && f.Addr() == config.Listen {
 				return fmt.Errorf(
-					"fronts: %s: the other keys of a front change only together with its address, or at a start", config.Name)
+					"fronts: %s: the other keys of a front can change only together with its address, or with a restart", config.Name)
 			}
 		}
 		added, connections = append(added, config), append(connections, limits[i])
@@ -296,6 +296,6 @@
 		f.StopAccepting()
 		f.Drain()
 	}
-	loop.frontends.open, loop.frontends.leaving = append(kept, opened...), append(loop.frontends.leaving, removed...)
+	loop.frontends.open, loop.frontends.draining = append(kept, opened...), append(loop.frontends.draining, removed...)
 	return nil
 }
--- a/forwarder/reload_frontends_test.go
+++ b/forwarder/reload_frontends_test.go
@@ -34,7 +34,7 @@
 		f.reload <- os.Interrupt
 		f.log.Await(t, logged)
 	}
-	reload(taken.Addr().String(), "configuration not reloaded") // an address that cannot be had changes nothing
+	reload(taken.Addr().String(), "configuration not reloaded") // an address that is in use changes nothing
 	answer, err := c.Send(emulator.Command("PING"))
 	require.True(t, err == nil && answer == "+PONG", answer)
 	addr := freeAddress(t)
@@ -47,7 +47,7 @@
 	answer, err = f.client().Send(emulator.Command("PING"))
 	require.True(t, err == nil && answer == "+PONG", answer)
 	_, err = c.ReadReply()
-	require.Error(t, err, "a caller of the old address goes elsewhere once it is answered")
+	require.Error(t, err, "a connection to the old address is closed once its requests are answered")
 	f.finishNext(transport.ResultOK)
 	f.finishNext(transport.ResultOK)
 	fail = fmt.Errorf("limits.memory: c.toml:5: wrong")
--- a/forwarder/reload_test.go
+++ b/forwarder/reload_test.go
@@ -7,12 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reconfigured records the addresses that it was moved to.
-type reconfigured struct{ to []string }
+// recordingReconfigurable records the addresses that it was switched to.
+type recordingReconfigurable struct{ addresses []string }
 
-func (r *reconfigured) Reconfigure(addr string, _ int64) { r.to = append(r.to, addr) }
+func (r *recordingReconfigurable) Reconfigure(addr string, _ int64) {
+	r.addresses = append(r.addresses, addr)
+}
 
-// PROXY_DISCOVERY takes precedence over the file at the start. A reload with the file as it was changes nothing.
+// PROXY_DISCOVERY takes precedence over the file at the start. A reload of the unchanged file does not change the
+// address.
 func TestReloadKeepsVariableUntilFileChanges(t *testing.T) {
 	read := func(text string, variable string) *Config {
 		o, err := ReadConfig([]byte(text), func(name string) string {
@@ -21,19 +24,19 @@
 		require.NoError(t, err)
 		return o
 	}
-	discovery, notices := &reconfigured{}, &reconfigured{}
+	discovery, notices := &recordingReconfigurable{}, &recordingReconfigurable{}
 	loop := &eventLoop{
-		config:    read(config, "127.0.0.9:1"),
-		discovery: discoveryState{movable: discovery},
-		notices:   noticeState{movable: notices},
+		config:    read(testConfig, "127.0.0.9:1"),
+		discovery: discoveryState{reconfigurable: discovery},
+		notices:   noticeState{reconfigurable: notices},
 	}
 	loop.configuredScheduler = loop.config.Scheduler
 	require.Equal(t, "127.0.0.9:1", loop.config.Notices())
-	require.NoError(t, loop.applyConfig(read(config, "")))
-	require.Empty(t, discovery.to)
-	other := strings.Replace(config, "127.0.0.5:8500", "127.0.0.6:8500", 1)
+	require.NoError(t, loop.applyConfig(read(testConfig, "")))
+	require.Empty(t, discovery.addresses)
+	other := strings.Replace(testConfig, "127.0.0.5:8500", "127.0.0.6:8500", 1)
 	require.NoError(t, loop.applyConfig(read(other, "")))
-	require.Equal(t, []string{"127.0.0.6:8500"}, discovery.to)
+	require.Equal(t, []string{"127.0.0.6:8500"}, discovery.addresses)
 	require.Equal(t, "127.0.0.6:8500", loop.config.Notices())
 	loop.config.FullReload = true
 	next := read(other, "")
@@ -41,6 +44,6 @@
 	require.ErrorContains(t, loop.applyConfig(next), "discovery.notices")
 	loop.config.noticeAddress = "127.0.0.8:1"
 	require.NoError(t, loop.applyConfig(next))
-	require.Equal(t, []string{"127.0.0.7:1"}, notices.to)
-	require.Len(t, discovery.to, 1)
+	require.Equal(t, []string{"127.0.0.7:1"}, notices.addresses)
+	require.Len(t, discovery.addresses, 1)
 }
