--- a/forwarder/retry_after.go
+++ b/forwarder/retry_after.go
@@ -6,13 +6,13 @@
 	"spanflow/internal/statefile"
 )
 
-// The retry-after state says until when each endpoint gets no calls: for a Retry-After of its own, or as a backoff
-// after rejections. It is written when a process hands over, and the process that takes over the folder observes it.
-// This guards against an upgrade that sends to an endpoint that has asked the old process to wait: to the endpoint the
-// two processes are one forwarder.
+// The retry-after state records until when each endpoint gets no calls, because of a Retry-After from it or as a
+// backoff after rejections. A process writes it when it hands over, and its successor observes it. Otherwise an upgrade
+// would send calls to an endpoint that has asked the predecessor to wait: to the endpoint the two processes are one
+// forwarder.
 
-// writeRetryAfter has the state writer write the state of the endpoints that are blocked beyond now, in seconds of the
-// wall clock.
+// writeRetryAfter has the state writer save which endpoints are blocked beyond now, a time in seconds of the wall
+// clock.
 func (loop *eventLoop) writeRetryAfter(now float64) {
 	var table statefile.RetryAfterTable
 	for _, t := range loop.endpoints.byNumber {
@@ -24,7 +24,7 @@
 	loop.stateWriter.put(statefile.RetryAfterFile, func() error { return table.Write(folder) })
 }
 
-// restoreRetryAfter gives the scheduler the state that an earlier process left for the endpoints that are listed by
+// restoreRetryAfter passes the predecessor's retry-after state to the scheduler, for those endpoints that are listed
 // now.
 func (loop *eventLoop) restoreRetryAfter() {
 	now := loop.schedulerTime(time.Now())
--- a/forwarder/run.go
+++ b/forwarder/run.go
@@ -8,64 +8,64 @@
 )
 
 const (
-	countsEvery    = 10 * time.Second // between two lines with the counts
-	latenciesEvery = 3 * time.Second  // between two writes of the learned latencies
+	countsInterval    = 10 * time.Second // between log lines with the counters
+	latenciesInterval = 3 * time.Second  // between two writes of the learned latencies
 )
 
-// run takes a turn whenever there is something to do, until the process may end. It has the configuration reloaded at
-// each signal on reload.
+// run executes turns of the event loop until the process may end. Each signal on reload starts a reload of the
+// configuration.
 func (loop *eventLoop) run(stop *stopSignal, reload <-chan os.Signal, dialer *dial.Dialer) {
 	timer := time.NewTimer(0)
-	counts := time.NewTicker(countsEvery)
-	defer counts.Stop()
-	latencies := time.NewTicker(latenciesEvery)
-	defer latencies.Stop()
+	countsTicker := time.NewTicker(countsInterval)
+	defer countsTicker.Stop()
+	latenciesTicker := time.NewTicker(latenciesInterval)
+	defer latenciesTicker.Stop()
 	var spool <-chan time.Time
-	if loop.config.upgradesInPlace() { // the next process may spool commands
+	if loop.config.upgradesInPlace() { // the successor may put commands into the spool
 		ticker := time.NewTicker(spoolPollInterval)
 		defer ticker.Stop()
 		spool = ticker.C
 	}
-	end := &loop.shutdown
-	end.requested = stop.done
+	shutdown := &loop.shutdown
+	shutdown.requested = stop.done
 	for {
 		loop.setTimer(timer)
 		select {
 		case <-loop.queue.wakeups:
 		case <-timer.C:
-		case <-counts.C:
+		case <-countsTicker.C:
 			loop.setBacklogAges()
 			loop.logCounts(dialer)
 			continue
-		case <-latencies.C:
-			if !end.begun {
+		case <-latenciesTicker.C:
+			if !shutdown.begun {
 				loop.writeLatencies()
 			}
 			loop.retryDone()
 			continue
 		case <-spool:
 			// Once this process hands over, its successor carries out the spooled commands.
-			if end.handingOver || !loop.runSpooledCommands() {
+			if shutdown.handingOver || !loop.runSpooledCommands() {
 				continue
 			}
 		case <-reload:
 			loop.reload()
 			continue
-		case <-end.requested:
+		case <-shutdown.requested:
 			loop.beginShutdown(stop.at)
-		case <-end.drain:
+		case <-shutdown.drain:
 			loop.drainFrontends()
-		case <-end.poll: // if the clients have gone
-		case <-end.deadlineReached:
+		case <-shutdown.poll: // checks whether all clients have disconnected
+		case <-shutdown.deadlineReached:
 			return
 		}
-		if loop.turnUntilDone() || end.isOverdue() {
+		if loop.takeTurn() || shutdown.isOverdue() {
 			return
 		}
 	}
 }
 
-// setTimer has the timer fire when the scheduler's does or the backlog store is to be looked at.
+// setTimer sets the timer to the scheduler's wake-up time or the next check of the backlog store, whichever is earlier.
 func (loop *eventLoop) setTimer(timer *time.Timer) {
 	at := loop.wakeAt
 	if loop.backlog != nil && !loop.backlog.wakeAt.IsZero() && (at.IsZero() || loop.backlog.wakeAt.Before(at)) {
--- a/forwarder/shutdown_test.go
+++ b/forwarder/shutdown_test.go
@@ -16,7 +16,7 @@
 	"spanflow/transport"
 )
 
-// lateFrontend is a frontend on which a command was read while the event loop took its last turn.
+// lateFrontend is a frontend that reads a command while the event loop runs its last turn.
 type lateFrontend struct {
 	*memoryFrontend
 	late *testCaller
@@ -47,7 +47,7 @@
 	walLog, err := wal.Open(f.config.Folder, 3_000_000)
 	require.NoError(t, err)
 	defer walLog.Close()
-	require.Len(t, walLog.Pending(), 1, "accepted: the next process owes it")
+	require.Len(t, walLog.Pending(), 1, "accepted, so it is pending for the next process")
 }
 
 func TestStopsWhileWaitingForFolder(t *testing.T) {
@@ -62,10 +62,10 @@
 	require.NoError(t, forwarder.Run(ctx, f.config, f.reload, emulator.NewLog(), nil))
 }
 
-func TestUnlistedDestinationGetsNoRetryAfterWhereNoneIsAllowed(t *testing.T) {
-	for most, want := range map[float64]int{0: 0, 2: 1000} {
+func TestRetryAfterForUnlistedDestinationIsCapped(t *testing.T) {
+	for maxRetryAfter, want := range map[float64]int{0: 0, 2: 1000} {
 		f := newFixture(t)
-		f.config.Scheduler.MaxRetryAfter = most
+		f.config.Scheduler.MaxRetryAfter = maxRetryAfter
 		silent, err := emulator.NewEndpoint("", func(emulator.Call) emulator.Reply {
 			return emulator.Reply{Hold: make(chan struct{})}
 		})
@@ -78,13 +78,13 @@
 	}
 }
 
-func TestLearnedLatenciesOutlastKill(t *testing.T) {
+func TestLearnedLatenciesSurviveKill(t *testing.T) {
 	f := newFixture(t).start()
 	c := f.submit(transport.Submission{ID: "a", Type: "status", Destination: 7})
 	require.Equal(t, transport.StatusAccepted, (<-c.reply).Status)
 	f.finishNext(transport.ResultOK)
 	require.Equal(t, transport.Delivered, (<-c.final).Outcome)
-	require.Eventually(t, func() bool { // the process goes on: a kill would leave the file so
+	require.Eventually(t, func() bool { // the process is still running: a kill would leave the file in this state
 		text, err := os.ReadFile(filepath.Join(f.config.Folder, "learnt"))
 		return err == nil && strings.Contains(string(text), "\n7 ")
 	}, 15*time.Second, 10*time.Millisecond)
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -8,16 +8,16 @@
 	"spanflow/internal/statefile"
 )
 
-// standby answers the operators while the new process of an upgrade waits for the folder. Drains that they ask of it go
-// into the command spool: the process that holds the folder carries them out. What is left when this process takes over
-// the folder it carries out before its first decision.
+// standby answers operators while the new process of an upgrade waits for the folder. It puts their requests to drain
+// or restore endpoints into the command spool, for the process that holds the folder to carry out. When this process
+// takes over the folder, it carries out the remaining commands before its first decision.
 type standby struct {
 	mu        sync.Mutex
 	folder    string
 	types     []string
-	active    map[string]bool // the endpoints of the configuration's list: if each may get calls
+	active    map[string]bool // whether each endpoint of the last known list may get calls, by uid
 	lameDuck  bool
-	takenOver bool // the event loop answers from here on
+	takenOver bool // the event loop answers from now on
 }
 
 func newStandby(c *Config) *standby {
@@ -30,8 +30,8 @@
 	return s
 }
 
-// takeOver ends the standby: requests go to the event loop from here on. It reports whether clients are to be sent
-// away.
+// takeOver ends the standby: requests are passed to the event loop from now on. It reports whether lame duck mode is
+// on.
 func (s *standby) takeOver() (lameDuck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,16 +57,16 @@
 }
 
 func (s *standby) figures() string {
-	drained, avoided := s.drains(), 0
+	drained, outOfRotation := s.drains(), 0
 	for uid, active := range s.active {
 		if active && drained.Drained(uid) {
-			avoided++
+			outOfRotation++
 		}
 	}
-	return (&figures{}).write(s.types, gaugeFigures{listed: len(s.active), avoided: avoided})
+	return (&figures{}).write(s.types, gaugeFigures{listed: len(s.active), outOfRotation: outOfRotation})
 }
 
-// drain puts a drain or its end into the command spool.
+// drain puts a command to drain or restore an endpoint into the command spool.
 func (s *standby) drain(c admin.Request) admin.Response {
 	_, listed := s.active[c.Name]
 	verdict, change := applyDrainRequest(s.drains(), c, listed)
@@ -79,7 +79,7 @@
 	return drainResponse(c, verdict)
 }
 
-// drains is the set of drained endpoints as it is once the commands in the spool are carried out.
+// drains returns the set of drained endpoints as it will be once the commands in the spool are carried out.
 func (s *standby) drains() *drains.Set {
 	set := drains.New(statefile.ReadDrains(s.folder))
 	spool := statefile.NewSpool(s.folder)
--- a/forwarder/state_writer.go
+++ b/forwarder/state_writer.go
@@ -7,23 +7,23 @@
 	"spanflow/internal/statefile"
 )
 
-// stateNotWrittenTexts are the log messages on files that could not be written.
+// stateNotWrittenTexts are the log messages for files that could not be written, by file name.
 var stateNotWrittenTexts = map[string]string{
 	statefile.LatenciesFile:      "learned latencies not written",
 	statefile.RetryAfterFile:     "retry-after state not written",
 	statefile.EndpointStatesFile: "endpoint states not written",
 }
 
-// stateWriter writes small files of the state folder from a goroutine of its own, each in its newest version. The event
-// loop does not wait for it: a file system that other programs keep busy holds back the creation and the renaming of a
-// file for up to a second each, in which no client would be answered and, after SIGTERM, the process would be killed.
-// What it writes may be missing at the next start. It is safe for concurrent use.
+// stateWriter writes small files of the state folder from its own goroutine, only the newest version of each. The event
+// loop does not wait for it: a file system that other programs keep busy can delay the creation and the renaming of a
+// file by up to a second each. Meanwhile no client would be answered and, after SIGTERM, the process would be killed. A
+// file may be missing at the next start. stateWriter is safe for concurrent use.
 type stateWriter struct {
 	onError func(file string, err error)
 
 	mu      sync.Mutex
-	pending map[string]func() error // how to write each file that is due, by its name
-	idle    chan struct{}           // closed when all is written; nil: nothing is being written
+	pending map[string]func() error // functions that write the queued files, by file name
+	idle    chan struct{}           // closed when all files are written; nil if no goroutine is writing
 	closed  bool
 }
 
@@ -31,7 +31,7 @@
 	return &stateWriter{onError: onError, pending: map[string]func() error{}}
 }
 
-// put has a file written soon. A version of it that is not being written yet is replaced.
+// put queues a file for writing. It replaces a queued version of the file.
 func (w *stateWriter) put(file string, write func() error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// run writes what is due until nothing is.
+// run writes the queued files until there are none.
 func (w *stateWriter) run(idle chan<- struct{}) {
 	for file, write := w.next(); write != nil; file, write = w.next() {
 		if err := write(); err != nil {
@@ -55,7 +55,7 @@
 	close(idle)
 }
 
-// next takes a file that is due; nil: none is, and the goroutine that asks has ended.
+// next removes and returns a queued file. If there is none, write is nil and the calling goroutine counts as ended.
 func (w *stateWriter) next() (file string, write func() error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -67,8 +67,8 @@
 	return "", nil
 }
 
-// close waits for what is being written, but not beyond the deadline: what is due then stays unwritten. Nothing is
-// written that is put later.
+// close waits until all queued files are written, but not beyond the deadline. Files still queued at the deadline, or
+// put later, are not written.
 func (w *stateWriter) close(deadline time.Time) {
 	w.mu.Lock()
 	w.closed = true
--- a/forwarder/static_endpoints.go
+++ b/forwarder/static_endpoints.go
@@ -2,7 +2,7 @@
 
 import "spanflow/transport"
 
-// staticEndpoints is the endpoint source for a list that the configuration has itself: nothing is watched.
+// staticEndpoints is the endpoint source for a list in the configuration. It watches nothing.
 type staticEndpoints struct {
 	listener transport.EndpointListener
 	list     transport.EndpointList
@@ -14,5 +14,5 @@
 	s.listener.EndpointsUpdated(&list)
 }
 
-// Stop has nothing to end.
+// Stop does nothing.
 func (s *staticEndpoints) Stop() {}
--- a/forwarder/telemetry.go
+++ b/forwarder/telemetry.go
@@ -11,11 +11,11 @@
 	"spanflow/transport"
 )
 
-// telemetry is what the event loop reports of itself: log lines, traced messages, counts and metrics.
+// telemetry holds what the event loop reports about itself: log lines, traced messages, counters and metrics.
 type telemetry struct {
 	log        zerolog.Logger
-	output     io.Writer            // where the log goes
-	lastLogged map[string]time.Time // when lines whose rate is limited were last written, by kind
+	output     io.Writer            // the log is written to it
+	lastLogged map[string]time.Time // when rate-limited lines were last logged, by kind
 	trace      trace
 	counts     counts
 	figures    figures
@@ -28,8 +28,8 @@
 }
 
 const (
-	slowTurn    = 100 * time.Millisecond // a turn of the event loop, or a wait for it, that is logged
-	logInterval = time.Second            // between two lines of a kind that is limited
+	slowTurn    = 100 * time.Millisecond // turns of the event loop, and waits for one, that take longer are logged
+	logInterval = time.Second            // minimum time between rate-limited lines of a kind
 )
 
 func newTelemetry(config Log, log zerolog.Logger) telemetry {
@@ -41,7 +41,7 @@
 	}
 }
 
-// mayLog reports whether a line of a kind is to be written: at most one each logInterval.
+// mayLog reports whether a line of a kind may be logged now: at most one per logInterval.
 func (t *telemetry) mayLog(kind string) bool {
 	now := time.Now()
 	if now.Before(t.lastLogged[kind].Add(logInterval)) {
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordTurn records a turn that handled so many events, the first of which has waited since a time.
+// recordTurn records a turn that began at start and handled a number of events, the oldest of them queued at since.
 func (loop *eventLoop) recordTurn(events int, since, start time.Time) {
 	t := &loop.telemetry
 	took, waited := time.Since(start), start.Sub(since)
@@ -72,7 +72,7 @@
 	}
 }
 
-// gauges are the metrics that are read when they are scraped.
+// gauges returns the metrics that are read when they are scraped.
 func (loop *eventLoop) gauges(dialer *dial.Dialer) []transport.Gauge {
 	t := &loop.telemetry
 	gauges := []transport.Gauge{
@@ -83,7 +83,7 @@
 	return append(gauges, loop.backlogGauges()...)
 }
 
-// noRecorder counts nothing.
+// noRecorder is the recorder if no metrics are served.
 type noRecorder struct{}
 
 // SubmissionAnswered does nothing.
@@ -98,7 +98,7 @@
 // LoopTurn does nothing.
 func (noRecorder) LoopTurn(int, time.Duration) {}
 
-// Addr is empty: no metrics are served.
+// Addr returns "", as no metrics are served.
 func (noRecorder) Addr() string { return "" }
 
 // Stop does nothing.
--- a/forwarder/telemetry_test.go
+++ b/forwarder/telemetry_test.go
@@ -13,7 +13,7 @@
 	"spanflow/transport"
 )
 
-func TestLogsCourseOfTracedMessages(t *testing.T) {
+func TestLogsTracedMessages(t *testing.T) {
 	f := newFixture(t)
 	f.config.Log.Keys = []uint64{5}
 	f.start()
@@ -52,7 +52,7 @@
 func (r *outcomeRecorder) Addr() string                { return "" }
 func (r *outcomeRecorder) Stop()                       {}
 
-// A message that an endpoint says is gone is failed: the metrics count it as the operators' figures do.
+// A message that an endpoint reports as gone ends as failed. The metrics count it as the operators' figures do.
 func TestMetricsCountEveryFinalAnswerOnce(t *testing.T) {
 	f := newFixture(t)
 	recorder := &outcomeRecorder{}
@@ -73,8 +73,8 @@
 	require.Equal(t, []transport.Outcome{transport.Delivered, transport.Failed}, recorder.seen)
 }
 
-// Guards against an incident whose log does not say who ended a call, and why a message was given up.
-func TestLogsFailedCallsAndUndeliveredMessagesWithIDsAndReasons(t *testing.T) {
+// Guards against a log that does not explain an incident: how a call ended, and why a message was not delivered.
+func TestLogsIDsAndReasonsOfFailures(t *testing.T) {
 	f := newFixture(t).start()
 	f.submit(transport.Submission{ID: "p1", Type: "payment", Destination: 7})
 	f.finishNext(transport.ResultTimeout)
--- a/forwarder/transcript_test.go
+++ b/forwarder/transcript_test.go
@@ -16,8 +16,8 @@
 	"spanflow/internal/transcript"
 )
 
-// transcriptConfig is a configuration file with places for the addresses of discovery and of the endpoint in the list
-// as last known.
+// transcriptConfig is a configuration file with placeholders for the addresses of discovery, of operators, and of the
+// endpoint in the last known list.
 const transcriptConfig = `{"name":"n1","listen":"127.8.0.2:0","discovery":%q,"seed":"8c1f30d27a5be964","admin":%q,
 "limits":{"cores":1,"memory_mb":192,"sockets":256,"disk_mb":3},
 "known":{"rev":41,"all":true,"targets":[{"uid":"s1","endpoint":%q,"az":"a","model":"m","pod_group":7,"state":"active"}]},
@@ -36,7 +36,7 @@
 	transcriptError = "HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
 )
 
-// wireFixture is a forwarder whose discovery and endpoint the test stands in for, with the transcript of all wires.
+// wireFixture is a forwarder with a transcript of its connections. The test acts as its discovery service and endpoint.
 type wireFixture struct {
 	t                   *testing.T
 	script              transcript.Transcript
@@ -81,25 +81,25 @@
 	w.client = client
 }
 
-// asks sends a command and adds it and its answer.
-func (w *wireFixture) asks(what string, args ...string) {
+// sendCommand sends a command and adds it and its answer to the transcript.
+func (w *wireFixture) sendCommand(note string, args ...string) {
 	w.t.Helper()
 	raw := transcript.Command(args...)
 	answer, err := w.client.Send(raw)
 	require.NoError(w.t, err)
-	w.script.Note("%s", what)
+	w.script.Note("%s", note)
 	w.script.Bytes("client", []byte(raw))
 	w.script.Bytes("forwarder", []byte(answer))
 }
 
-// puts submits a message for the endpoint's destination.
-func (w *wireFixture) puts(what, id, options string) {
+// submit submits a message for the endpoint's destination.
+func (w *wireFixture) submit(note, id, options string) {
 	w.t.Helper()
-	w.asks(what, "MSG.PUT", "0000000000000000", id, options, "a body")
+	w.sendCommand(note, "MSG.PUT", "0000000000000000", id, options, "a body")
 }
 
-// requested adds the next request that a server gets.
-func (w *wireFixture) requested(name string, server *transcript.Server) *transcript.Request {
+// nextRequest waits for the next request to a server and adds it to the transcript.
+func (w *wireFixture) nextRequest(name string, server *transcript.Server) *transcript.Request {
 	w.t.Helper()
 	request := server.Next()
 	w.script.Note("%s gets a request on connection %d", name, request.Connection)
@@ -107,7 +107,7 @@
 	return request
 }
 
-// adminAnswer makes a request to the admin address.
+// adminAnswer sends a request to the admin address and returns the answer.
 func (w *wireFixture) adminAnswer(request string) string {
 	w.t.Helper()
 	conn, err := net.Dial("tcp", w.admin)
@@ -121,17 +121,17 @@
 	return string(answer)
 }
 
-// operates makes a request to the admin address and adds it and its answer.
-func (w *wireFixture) operates(what, request string) {
+// sendOperatorRequest sends a request to the admin address and adds it and its answer to the transcript.
+func (w *wireFixture) sendOperatorRequest(note, request string) {
 	w.t.Helper()
 	answer := w.adminAnswer(request)
-	w.script.Note("%s", what)
+	w.script.Note("%s", note)
 	w.script.Line("operator", request)
 	w.script.Bytes("forwarder", []byte(answer))
 }
 
-// listHeard answers a request for the list and waits until the forwarder has applied it.
-func (w *wireFixture) listHeard(question *transcript.Request) {
+// answerList answers a request for the list and waits until the forwarder has applied it.
+func (w *wireFixture) answerList(question *transcript.Request) {
 	w.t.Helper()
 	question.Answer("HTTP/1.1 200 OK\r\n\r\n" + fmt.Sprintf(transcriptList, w.endpoint.Addr) + "\n")
 	require.Eventually(w.t, func() bool {
@@ -139,60 +139,60 @@
 	}, 15*time.Second, 5*time.Millisecond)
 }
 
-func TestAnswersToClientsOfAWholeForwarder(t *testing.T) {
+func TestClientTranscript(t *testing.T) {
 	w := newWireFixture(t)
-	question := w.requested("discovery", w.discovery)
-	w.asks("a sign of life", "PING")
-	w.puts("a destination that is not listed, before the list has come", "m1", "c=order,d=8000,dest=8")
-	w.listHeard(question)
-	w.puts("a destination that is not listed", "m1", "c=order,d=8000,dest=8")
-	w.puts("an unknown class", "m1", "c=other,d=8000,dest=7")
-	w.puts("a message without the idempotency key that its class needs", "m1", "c=update,d=8000,dest=7")
-	w.puts("no time left", "m1", "c=order,d=0,dest=7")
-	w.puts("taken on", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7,r=1,again=1")
-	first := w.requested("the endpoint", w.endpoint)
-	w.puts("the same id while the first is out", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
-	w.puts("a second", "m2", "c=status,d=8000,dest=7")
+	question := w.nextRequest("discovery", w.discovery)
+	w.sendCommand("a sign of life", "PING")
+	w.submit("a destination that is not listed, before the list has come", "m1", "c=order,d=8000,dest=8")
+	w.answerList(question)
+	w.submit("a destination that is not listed", "m1", "c=order,d=8000,dest=8")
+	w.submit("an unknown class", "m1", "c=other,d=8000,dest=7")
+	w.submit("a message without the idempotency key that its class needs", "m1", "c=update,d=8000,dest=7")
+	w.submit("no time left", "m1", "c=order,d=0,dest=7")
+	w.submit("taken on", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7,r=1,again=1")
+	first := w.nextRequest("the endpoint", w.endpoint)
+	w.submit("the same id while the first is out", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
+	w.submit("a second", "m2", "c=status,d=8000,dest=7")
 	w.script.Note("it is returned, as the backlog is full")
-	w.requested("discovery", w.discovery).Answer("HTTP/1.1 204 No Content\r\n\r\n")
+	w.nextRequest("discovery", w.discovery).Answer("HTTP/1.1 204 No Content\r\n\r\n")
 	first.Answer(transcriptOK)
-	w.puts("the same id once the first is delivered", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
-	w.asks("an unknown command", "GET", "x")
-	w.operates("clients are sent away", "POST /_lameduck/on")
+	w.submit("the same id once the first is delivered", "m1", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
+	w.sendCommand("an unknown command", "GET", "x")
+	w.sendOperatorRequest("clients are sent away", "POST /_lameduck/on")
 	w.connect()
-	w.asks("a sign of life while clients are sent away", "PING")
+	w.sendCommand("a sign of life while clients are sent away", "PING")
 	w.script.Compare(t, "clients.txt")
 }
 
-func TestNoticesAndRetriesOfAWholeForwarder(t *testing.T) {
+func TestNoticeAndRetryTranscript(t *testing.T) {
 	w := newWireFixture(t)
-	w.listHeard(w.requested("discovery", w.discovery))
-	w.puts("a message that may not run twice", "m1", "c=order,d=8000,dest=7")
-	broken := w.requested("the endpoint", w.endpoint)
+	w.answerList(w.nextRequest("discovery", w.discovery))
+	w.submit("a message that may not run twice", "m1", "c=order,d=8000,dest=7")
+	broken := w.nextRequest("the endpoint", w.endpoint)
 	w.script.Note("its connection breaks")
 	broken.Close()
-	w.requested("discovery", w.discovery).Answer("HTTP/1.1 204 No Content\r\n\r\n")
-	w.puts("a message that may run twice with its idempotency key", "m2", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
-	w.requested("the endpoint", w.endpoint).Answer(transcriptError)
+	w.nextRequest("discovery", w.discovery).Answer("HTTP/1.1 204 No Content\r\n\r\n")
+	w.submit("a message that may run twice with its idempotency key", "m2", "c=update,d=8000,k=5c0f6e1a2b3d4c59,dest=7")
+	w.nextRequest("the endpoint", w.endpoint).Answer(transcriptError)
 	w.script.Note("it has answered 500")
-	w.requested("the endpoint", w.endpoint).Answer(transcriptOK)
+	w.nextRequest("the endpoint", w.endpoint).Answer(transcriptOK)
 	w.script.Compare(t, "notices.txt")
 }
 
 func TestWatchContinuesAfterReceivedRevision(t *testing.T) {
 	w := newWireFixture(t)
-	question := w.requested("discovery", w.discovery)
-	w.listHeard(question)
+	question := w.nextRequest("discovery", w.discovery)
+	w.answerList(question)
 	w.script.Note("discovery has told version 43; the watch ends")
 	question.Close()
-	w.requested("discovery", w.discovery)
+	w.nextRequest("discovery", w.discovery)
 	w.script.Compare(t, "list.txt")
 }
 
-func TestAnswersToOperatorsOfAWholeForwarder(t *testing.T) {
+func TestOperatorTranscript(t *testing.T) {
 	w := newWireFixture(t)
-	w.listHeard(w.discovery.Next())
-	for _, call := range []struct{ what, request string }{
+	w.answerList(w.discovery.Next())
+	for _, call := range []struct{ note, request string }{
 		{"ready", "GET /_ready"},
 		{"figures", "GET /_vars"},
 		{"detach", "POST /_targets/detach?name=s1"},
@@ -218,7 +218,7 @@
 		{"another method: lameduck on", "GET /_lameduck/on"},
 		{"another method: lameduck off", "GET /_lameduck/off"},
 	} {
-		w.operates(call.what, call.request)
+		w.sendOperatorRequest(call.note, call.request)
 	}
 	w.script.Compare(t, "operators.txt")
 }
--- a/forwarder/upstreams.go
+++ b/forwarder/upstreams.go
@@ -12,28 +12,29 @@
 type Upstream struct {
 	Name           string
 	Protocol       string  // see Config.UpstreamProtocols
-	ConnectTimeout float64 // seconds after which a connection that has not come up is given up; 0: the default
+	ConnectTimeout float64 // in seconds; 0 means the default
 }
 
-// UpstreamProtocol makes an upstream that reports to the listener.
+// UpstreamProtocol creates an upstream that reports the results of calls to the listener.
 type UpstreamProtocol func(d *dial.Dialer, s UpstreamSettings, listener transport.ResultListener) transport.Upstream
 
-// UpstreamSettings are the settings that every upstream gets, whatever its protocol.
+// UpstreamSettings are the settings common to upstreams of all protocols.
 type UpstreamSettings struct {
-	ConnectTimeout     time.Duration // a connection that takes longer is given up
-	KeepIdle           time.Duration // an idle connection is closed after so long
+	ConnectTimeout     time.Duration // limit on the time to establish a connection
+	KeepIdle           time.Duration // idle connections are closed after this time
 	ReportedLimitField string        // the field of a load report with the endpoint's limit
-	ReportedShareField string        // the field with the part of that limit that is left
+	ReportedShareField string        // the field with the share of that limit that is left
 }
 
-// upstreamProtocols come with the program. One more is a package of its own and a line here, or, for a program that
-// embeds this one, an entry in its Config.
+// upstreamProtocols are the protocols built into this package. To add one, write a package for it and add a line here
+// or, in a program that embeds this package, an entry in its Config.
 var upstreamProtocols = map[string]UpstreamProtocol{"http": newHTTP}
 
-// HasUpstreamProtocol reports whether the package itself has an upstream protocol.
+// HasUpstreamProtocol reports whether an upstream protocol is built into this package.
 func HasUpstreamProtocol(name string) bool { return upstreamProtocols[name] != nil }
 
-// upstreamProtocol is the protocol of a name, an embedding program's own first; nil: unknown.
+// upstreamProtocol returns the protocol with a name, or nil if it is unknown. Protocols of an embedding program take
+// precedence.
 func (c *Config) upstreamProtocol(name string) UpstreamProtocol {
 	if p := c.UpstreamProtocols[name]; p != nil {
 		return p
