--- a/internal/backlog/policy/bounds.go
+++ b/internal/backlog/policy/bounds.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Bounds is the settings of a policy.
+// Bounds holds the limits and other settings of a policy.
 type Bounds struct {
-	Bytes            int64            // stored messages in all
-	DestinationBytes int64            // of one destination
-	TenantBytes      int64            // of one tenant
-	Tenants          map[uint32]int64 // bytes of tenants with a bound of their own
-	// Window is how many messages of a lane stay in memory before those that are stored.
+	Bytes            int64            // limit for all stored messages together
+	DestinationBytes int64            // limit for the stored messages of one destination
+	TenantBytes      int64            // limit for the stored messages of a tenant that is not in Tenants
+	Tenants          map[uint32]int64 // limits in bytes for individual tenants
+	// Window is how many messages of a lane are kept in memory while later ones are stored.
 	Window int
-	// Behind is how many messages of a lane stay in memory while its destination serves it and none is stored; more
-	// means that it is far behind.
+	// Behind is the maximum number of messages that a lane with no stored messages keeps in memory while its
+	// destination is available. Beyond it the lane counts as far behind, and its messages are stored.
 	Behind int
-	// Memory is how many messages of all lanes together stay in memory before new ones are stored; 0: no bound.
+	// Memory is the maximum number of messages of all lanes in memory; beyond it new messages are stored. 0 means
+	// unlimited.
 	Memory int
-	// Batch is how many messages come back in one turn of the event loop, over all lanes.
+	// Batch is the maximum number of messages of all lanes that are moved in one turn of the event loop.
 	Batch int
-	// ExpiryLead is how long before its expiry a stored message is brought back to be answered.
+	// ExpiryLead is how long before its expiry a stored message is loaded so that it can be answered in time.
 	ExpiryLead time.Duration
 }
 
-// Check returns an error that names the field that is wrong, as the configuration does.
+// Check validates the bounds. Its error begins with the name that the invalid field has in the configuration.
 func (b *Bounds) Check() error {
 	switch {
 	case b.Bytes <= 0:
@@ -50,22 +51,22 @@
 	return nil
 }
 
-// tenant returns how many bytes of a tenant may be stored.
-func (b *Bounds) tenant(tenant uint32) int64 {
-	if own, ok := b.Tenants[tenant]; ok {
-		return own
+// tenantLimit returns the maximum number of bytes that may be stored for a tenant.
+func (b *Bounds) tenantLimit(tenant uint32) int64 {
+	if limit, ok := b.Tenants[tenant]; ok {
+		return limit
 	}
 	return b.TenantBytes
 }
 
 const (
-	batch       = 256 // messages that come back in one turn of the event loop
-	expiryBatch = 512 // messages that are answered at the end of their time in one turn of the event loop
+	batch       = 256 // messages moved per turn of the event loop
+	expiryBatch = 512 // expired messages answered per turn of the event loop
 	expiryLead  = 3 * time.Second
 )
 
-// WithDefaults fills in the fields that operators do not set; capacity is how many messages the scheduler holds at
-// once.
+// WithDefaults sets the fields that operators cannot configure. capacity is the maximum number of messages that the
+// scheduler holds at once.
 func (b Bounds) WithDefaults(capacity int) Bounds {
 	b.Memory = max(1, int(memoryFraction*float64(capacity)))
 	b.Batch = batch
--- a/internal/backlog/policy/decide.go
+++ b/internal/backlog/policy/decide.go
@@ -4,96 +4,97 @@
 	"time"
 )
 
-// Place is where a new message goes.
+// Place says where a new message is kept, if it is accepted.
 type Place uint8
 
 // The places of a new message.
 const (
-	Memory  Place = iota // to the write-ahead log and the scheduler
-	Store                // to the backlog store, behind all of its lane
-	Refused              // it is not accepted
+	Memory  Place = iota // in the write-ahead log and the scheduler
+	Store                // in the backlog store, after all other messages of its lane
+	Refused              // nowhere: the message is not accepted
 )
 
-// Bound is the bound that prevents a message from being stored.
+// Bound is the reason why a message cannot be stored: the limit that it would exceed, or the order of its key.
 type Bound uint8
 
-// The bounds that may prevent a message from being stored.
+// The reasons why a message cannot be stored.
 const (
 	NoBound Bound = iota
 	TotalBound
 	DestinationBound
 	TenantBound
-	DiskBound // the store or the disk under it has no room
-	KeyBound  // an earlier message of its ordering key is stored for another lane
+	DiskBound // the store or its disk is full
+	KeyBound  // an earlier message with the same ordering key is stored in another lane
 )
 
-// String returns the name of the bound in log lines.
+// String returns the text that log lines use.
 func (b Bound) String() string {
 	return [...]string{"none", "bytes in all", "bytes of the destination", "bytes of the tenant", "disk",
 		"an earlier message of its key is stored"}[b]
 }
 
-// Decision is the decision on a new message.
+// Decision is what Policy.Decide returns for a new message.
 type Decision struct {
 	Place      Place
-	Bound      Bound         // with Refused: the bound that was reached
-	RetryAfter time.Duration // with Refused: when there may be room
+	Bound      Bound         // why the message cannot be stored, if Place is Refused
+	RetryAfter time.Duration // when there may be room for it, if Place is Refused
 }
 
-// Decide decides where a new message goes. The event loop then calls Held or Stored, as decided; a refused message is
-// not counted.
+// Decide decides where a new message is kept. After carrying out the decision, the event loop calls Held or Stored, so
+// that the message is counted. Refused messages are not counted.
 func (p *Policy) Decide(lane Lane, bytes int64, now time.Time) Decision {
 	l := p.lanes[lane]
-	fits := l == nil || l.stored.messages == 0 && l.held < p.maxHeld(lane)
-	if fits && p.freeMemoryFor(lane, p.freeMemory(), p.held) > 0 {
+	fits := l == nil || l.stored.messages == 0 && l.inMemory < p.maxInMemory(lane)
+	if fits && p.freeMemoryFor(lane, p.freeMemory(), p.inMemory) > 0 {
 		return Decision{Place: Memory}
 	}
 	return p.storeOrRefuse(lane, bytes, now)
 }
 
-// DecideWithDeadline is Decide for a message with left time to its deadline; fits says whether the scheduler and the
-// write-ahead log have room for it. A message that would have to be answered as soon as it is stored is refused.
-func (p *Policy) DecideWithDeadline(lane Lane, bytes int64, left time.Duration, fits bool, now time.Time) Decision {
+// DecideWithDeadline is Decide for a message whose deadline is timeLeft from now; fits reports whether the scheduler
+// and the write-ahead log have room for it. A message that would be stored with no more than Bounds.ExpiryLead left is
+// refused, since it would have to be loaded and answered at once.
+func (p *Policy) DecideWithDeadline(lane Lane, bytes int64, timeLeft time.Duration, fits bool, now time.Time) Decision {
 	d := p.Decide(lane, bytes, now)
 	if d.Place == Memory && !fits {
 		d = p.storeOrRefuse(lane, bytes, now)
 	}
-	if d.Place == Store && left <= p.bounds.ExpiryLead {
+	if d.Place == Store && timeLeft <= p.bounds.ExpiryLead {
 		return p.Refuse(NoBound, bytes, now)
 	}
 	return d
 }
 
-// storeOrRefuse decides on a message that memory has no room for.
+// storeOrRefuse decides on a message that cannot be kept in memory.
 func (p *Policy) storeOrRefuse(lane Lane, bytes int64, now time.Time) Decision {
-	if bound := p.bound(lane, bytes); bound != NoBound {
+	if bound := p.exceededBound(lane, bytes); bound != NoBound {
 		return p.Refuse(bound, bytes, now)
 	}
 	return Decision{Place: Store}
 }
 
-// Refuse returns the decision on a message that a bound keeps out, also one that the store itself has no room for
-// (DiskBound) or that must be sent after a stored one of another lane (KeyBound).
+// Refuse returns the decision to refuse a message for the given reason. The event loop calls it for reasons that Decide
+// cannot detect, such as DiskBound and KeyBound.
 func (p *Policy) Refuse(bound Bound, bytes int64, now time.Time) Decision {
 	return Decision{Place: Refused, Bound: bound, RetryAfter: p.drain.retryAfter(bytes, now)}
 }
 
-// maxHeld returns how many messages of a lane without stored ones may be in memory.
-func (p *Policy) maxHeld(lane Lane) int {
-	if d := p.destinations[lane.Destination]; d != nil && d.out {
+// maxInMemory returns how many messages a lane with no stored messages may have in memory.
+func (p *Policy) maxInMemory(lane Lane) int {
+	if d := p.destinations[lane.Destination]; d != nil && d.unavailable {
 		return p.bounds.Window
 	}
 	return p.bounds.Behind
 }
 
-// bound returns the bound that storing so many more bytes would exceed, NoBound if there is none.
-func (p *Policy) bound(lane Lane, bytes int64) Bound {
+// exceededBound returns the limit that storing the given number of bytes would exceed, or NoBound.
+func (p *Policy) exceededBound(lane Lane, bytes int64) Bound {
 	destination := int64(0)
 	if d := p.destinations[lane.Destination]; d != nil {
 		destination = d.bytes
 	}
 	switch {
-	case p.tenants[lane.Tenant]+bytes > p.bounds.tenant(lane.Tenant):
+	case p.tenants[lane.Tenant]+bytes > p.bounds.tenantLimit(lane.Tenant):
 		return TenantBound
 	case destination+bytes > p.bounds.DestinationBytes:
 		return DestinationBound
--- a/internal/backlog/policy/drain_rate.go
+++ b/internal/backlog/policy/drain_rate.go
@@ -7,23 +7,23 @@
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
-	rateWindow    = 10 * time.Second // over which the rate is measured
+	rateWindow    = 10 * time.Second // period over which the rate is measured
 )
 
-// drainRate measures how fast bytes leave the store.
+// drainRate measures the rate at which bytes are loaded from the store.
 type drainRate struct {
-	since    time.Time // start of the window that is measured
-	bytes    int64     // that left in it
-	previous float64   // bytes a second in the window before it
+	since        time.Time // start of the current window
+	bytes        int64     // loaded in the current window
+	previousRate float64   // bytes per second in the window before it
 }
 
-// add records that bytes have left the store.
+// add records that bytes were loaded from the store.
 func (d *drainRate) add(bytes int64, now time.Time) {
 	d.roll(now)
 	d.bytes += bytes
 }
 
-// roll begins a new window once the present one is over.
+// roll begins a new window if the current one is over.
 func (d *drainRate) roll(now time.Time) {
 	if d.since.IsZero() {
 		d.since = now
@@ -32,14 +32,15 @@
 	if passed < rateWindow {
 		return
 	}
-	d.previous = float64(d.bytes) / passed.Seconds()
+	d.previousRate = float64(d.bytes) / passed.Seconds()
 	d.since, d.bytes = now, 0
 }
 
-// retryAfter returns after how long there may be room for so many bytes, between minRetryAfter and maxRetryAfter.
+// retryAfter estimates when there will be room for the given number of bytes. The result is between minRetryAfter and
+// maxRetryAfter, which it is also if nothing is being loaded.
 func (d *drainRate) retryAfter(bytes int64, now time.Time) time.Duration {
 	d.roll(now)
-	rate := max(d.previous, float64(d.bytes)/rateWindow.Seconds())
+	rate := max(d.previousRate, float64(d.bytes)/rateWindow.Seconds())
 	if rate <= 0 {
 		return maxRetryAfter
 	}
--- a/internal/backlog/policy/memory.go
+++ b/internal/backlog/policy/memory.go
@@ -5,29 +5,29 @@
 )
 
 const (
-	memoryFraction  = 0.88 // of what the scheduler holds at once: with the reserve below where it sheds load
-	reservedPerLane = 4    // messages of a lane that find room in the reserve
-	reserveDivisor  = 12   // the reserve is this part of Bounds.Memory, beyond it
+	memoryFraction  = 0.88 // of the scheduler's capacity; together with the reserve it stays below load shedding
+	reservedPerLane = 4    // messages that a lane may have in memory thanks to the reserve
+	reserveDivisor  = 12   // the reserve is Bounds.Memory/reserveDivisor, on top of Bounds.Memory
 )
 
-// freeMemory returns how many more messages may be in memory.
+// freeMemory returns how many more messages may be kept in memory, not counting the reserve.
 func (p *Policy) freeMemory() int {
 	if p.bounds.Memory == 0 {
 		return math.MaxInt
 	}
-	return max(0, p.bounds.Memory-p.held)
+	return max(0, p.bounds.Memory-p.inMemory)
 }
 
-// freeMemoryFor returns how many more messages of a lane may be in memory, where left more of all lanes may be and held
-// are. A lane with few messages there, whose destination is not out, may use a reserve, so that lanes with many do not
-// keep it out.
-func (p *Policy) freeMemoryFor(lane Lane, left, held int) int {
-	if d := p.destinations[lane.Destination]; p.bounds.Memory == 0 || d != nil && d.out {
-		return left
+// freeMemoryFor returns how many more messages of a lane may be kept in memory. free and inMemory count the messages of
+// all lanes that may be added to memory and that are in it. A lane with few messages in memory may use a reserve,
+// unless its destination is unavailable, so that lanes with many messages do not crowd it out.
+func (p *Policy) freeMemoryFor(lane Lane, free, inMemory int) int {
+	if d := p.destinations[lane.Destination]; p.bounds.Memory == 0 || d != nil && d.unavailable {
+		return free
 	}
-	few := reservedPerLane
+	reserved := reservedPerLane
 	if l := p.lanes[lane]; l != nil {
-		few -= l.held
+		reserved -= l.inMemory
 	}
-	return max(left, min(few, p.bounds.Memory+p.bounds.Memory/reserveDivisor-held))
+	return max(free, min(reserved, p.bounds.Memory+p.bounds.Memory/reserveDivisor-inMemory))
 }
--- a/internal/backlog/policy/memory_test.go
+++ b/internal/backlog/policy/memory_test.go
@@ -7,29 +7,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-func boundedMemory(t *testing.T, memory int) *Policy {
+func newPolicyWithMemory(t *testing.T, memory int) *Policy {
 	b := testBounds()
 	b.Memory = memory
 	return newPolicy(t, b)
 }
 
 func TestNewMessagesAreStoredOnceMemoryIsFull(t *testing.T) {
-	p := boundedMemory(t, 12)
+	p := newPolicyWithMemory(t, 12)
 	for destination := range uint64(4) {
 		for range 3 {
-			require.Equal(t, Memory, arrive(p, Lane{Destination: destination}, 100).Place)
+			require.Equal(t, Memory, submit(p, Lane{Destination: destination}, 100).Place)
 		}
 	}
 	fresh := Lane{Destination: 9}
-	p.SetUnavailable(fresh.Destination, true) // else it finds room in the reserve
-	require.Equal(t, Store, arrive(p, fresh, 100).Place, "though its lane is empty")
+	p.SetUnavailable(fresh.Destination, true) // otherwise it could use the reserve
+	require.Equal(t, Store, submit(p, fresh, 100).Place, "memory is full although the lane is empty")
 	p.Ended(Lane{Destination: 1})
-	require.Equal(t, Store, arrive(p, fresh, 100).Place, "behind the one of its lane that is stored")
-	require.Equal(t, []Move{{Kind: LoadOldest, Lane: fresh, Count: 1}}, p.Due(), "as many as there is room for")
+	require.Equal(t, Store, submit(p, fresh, 100).Place, "an earlier message of the lane is stored")
+	require.Equal(t, []Move{{Kind: LoadOldest, Lane: fresh, Count: 1}}, p.Due(), "limited by the free memory")
 }
 
-func TestLanesWithoutRoomInMemoryComeBackLater(t *testing.T) {
-	p := boundedMemory(t, 4)
+func TestLanesAreLoadedInTurnAsMemoryFreesUp(t *testing.T) {
+	p := newPolicyWithMemory(t, 4)
 	held := Lane{Destination: 1}
 	for range 4 {
 		p.Held(held)
@@ -39,28 +39,28 @@
 	}
 	require.Empty(t, p.Due())
 	require.True(t, p.MoreDue())
-	back := map[Lane]bool{}
+	loaded := map[Lane]bool{}
 	for range 1000 {
 		p.Ended(held)
 		moves := p.Due()
 		require.Len(t, moves, 1)
-		require.False(t, back[moves[0].Lane], "lanes take turns")
-		back[moves[0].Lane] = true
+		require.False(t, loaded[moves[0].Lane], "lanes take turns")
+		loaded[moves[0].Lane] = true
 		p.Loaded(moves[0].Lane, 10, start)
 		held = moves[0].Lane
 	}
-	require.Len(t, back, 1000)
+	require.Len(t, loaded, 1000)
 }
 
-func TestMessageWithoutTimeOrRoomIsStoredOrRefused(t *testing.T) {
-	p, lane := boundedMemory(t, 4), Lane{Destination: 1}
+func TestDecideWithDeadlineStoresOrRefuses(t *testing.T) {
+	p, lane := newPolicyWithMemory(t, 4), Lane{Destination: 1}
 	lead := testBounds().ExpiryLead
 	require.Equal(t, Memory, p.DecideWithDeadline(lane, 100, time.Second, true, start).Place)
 	require.Equal(t, Store, p.DecideWithDeadline(lane, 100, lead+1, false, start).Place)
 	d := p.DecideWithDeadline(lane, 100, lead, false, start)
 	require.Equal(t, Refused, d.Place)
 	require.Positive(t, d.RetryAfter)
-	require.Equal(t, Refused, p.DecideWithDeadline(lane, 1_000_000, time.Hour, false, start).Place, "a bound stands against it")
+	require.Equal(t, Refused, p.DecideWithDeadline(lane, 1_000_000, time.Hour, false, start).Place, "too large to store")
 }
 
 func TestDiscardedMessageFreesItsBytes(t *testing.T) {
--- a/internal/backlog/policy/policy.go
+++ b/internal/backlog/policy/policy.go
@@ -1,22 +1,21 @@
-// Package policy decides which messages wait in memory and which in the backlog store: when messages are stored,
-// brought back or refused. It does no I/O and reads no clock: the event loop reports what happened and carries out what
-// the policy decides (package backlog does the moving).
+// Package policy decides which queued messages are kept in memory and which in the backlog store: when messages are
+// stored, loaded from the store or refused. It does no I/O and reads no clock. The event loop reports what happened and
+// carries out the policy's decisions, using package backlog to move messages.
 package policy
 
 import "time"
 
-// storedAmount is a number of stored messages.
+// storedAmount counts stored messages and their bytes.
 type storedAmount struct {
 	messages int
 	bytes    int64
 }
 
-// laneState is the state of a lane.
 type laneState struct {
-	id     Lane
-	held   int // messages in memory
-	stored storedAmount
-	queued bool // waits for a move
+	id       Lane
+	inMemory int // messages in memory
+	stored   storedAmount
+	queued   bool // is in Policy.queue
 }
 
 // Policy counts how many messages of each lane are in memory and in the store. It is not safe for concurrent use.
@@ -26,19 +25,18 @@
 	destinations map[uint64]*destinationState
 	tenants      map[uint32]int64 // bytes
 	stored       storedAmount
-	held         int          // messages in memory
+	inMemory     int          // messages in memory
 	queue        []*laneState // lanes for which a move may be due, each once, served in turn
 	drain        drainRate
 }
 
-// destinationState is the state of a destination.
 type destinationState struct {
-	bytes int64 // stored
-	out   bool  // it takes no messages for now
-	lanes map[Lane]*laneState
+	bytes       int64 // stored
+	unavailable bool  // accepts no messages at present
+	lanes       map[Lane]*laneState
 }
 
-// New returns a policy for an empty store. An error is that of Bounds.Check.
+// New returns a policy for an empty store. It fails if Bounds.Check does.
 func New(bounds Bounds) (*Policy, error) {
 	if err := bounds.Check(); err != nil {
 		return nil, err
@@ -47,8 +45,8 @@
 		tenants: map[uint32]int64{}}, nil
 }
 
-// SetBounds replaces the settings. Messages stored beyond lower bounds stay; new messages are refused until there is
-// room. An error is that of Bounds.Check.
+// SetBounds replaces the settings. If a limit is lowered below what is stored, the stored messages stay and new ones
+// are refused until there is room. It fails if Bounds.Check does.
 func (p *Policy) SetBounds(bounds Bounds) error {
 	if err := bounds.Check(); err != nil {
 		return err
@@ -60,24 +58,24 @@
 	return nil
 }
 
-// Held records that a new message of a lane, or one found in the write-ahead log at the start, is in memory.
+// Held records that a message was added to memory: a new one, or one found in the write-ahead log at the start.
 func (p *Policy) Held(lane Lane) {
 	l := p.lane(lane)
-	l.held++
-	p.held++
+	l.inMemory++
+	p.inMemory++
 	p.queueIfDue(l)
 }
 
-// Ended records that a message of a lane is finished and has left memory.
+// Ended records that a message is finished and was removed from memory.
 func (p *Policy) Ended(lane Lane) {
 	l := p.lane(lane)
-	l.held--
-	p.held--
+	l.inMemory--
+	p.inMemory--
 	p.queueIfDue(l)
 	p.forget(l)
 }
 
-// Stored records that a new message of a lane was stored, or that so many were found in the store at the start.
+// Stored records that new messages of a lane were stored, or that messages were found in the store at the start.
 func (p *Policy) Stored(lane Lane, messages int, bytes int64) {
 	l := p.lane(lane)
 	p.addStored(l, messages, bytes)
@@ -87,56 +85,56 @@
 // Spilled records that a message of a lane was moved from memory to the store.
 func (p *Policy) Spilled(lane Lane, bytes int64) {
 	l := p.lane(lane)
-	l.held--
-	p.held--
+	l.inMemory--
+	p.inMemory--
 	p.addStored(l, 1, bytes)
 }
 
-// Loaded records that a message of a lane was brought back from the store to memory.
+// Loaded records that a message of a lane was moved from the store to memory.
 func (p *Policy) Loaded(lane Lane, bytes int64, now time.Time) {
 	l := p.lane(lane)
-	l.held++
-	p.held++
+	l.inMemory++
+	p.inMemory++
 	p.addStored(l, -1, -bytes)
 	p.drain.add(bytes, now)
 }
 
-// Discarded records that a stored message of a lane was removed without being brought back.
+// Discarded records that a stored message of a lane was removed without being loaded.
 func (p *Policy) Discarded(lane Lane, bytes int64) {
 	l := p.lane(lane)
 	p.addStored(l, -1, -bytes)
 	p.forget(l)
 }
 
-// SetUnavailable records whether a destination takes no messages for now.
-func (p *Policy) SetUnavailable(destination uint64, out bool) {
+// SetUnavailable records whether a destination is unavailable, that is, accepts no messages at present.
+func (p *Policy) SetUnavailable(destination uint64, unavailable bool) {
 	d := p.destinations[destination]
 	if d == nil {
-		if !out {
+		if !unavailable {
 			return
 		}
 		d = p.destination(destination)
 	}
-	d.out = out
+	d.unavailable = unavailable
 	for _, l := range d.lanes {
 		p.queueIfDue(l)
 	}
 	p.forgetDestination(destination, d)
 }
 
-// ExpiryDue returns the time up to which stored messages expire that must be brought back now, to be answered in time.
+// ExpiryDue returns the latest expiry of stored messages that must be loaded now so that they are answered in time.
 func (p *Policy) ExpiryDue(now time.Time) time.Time { return now.Add(p.bounds.ExpiryLead) }
 
-// ExpiryBatch returns how many expiring messages are answered in one turn of the event loop.
+// ExpiryBatch returns how many expired messages the event loop answers per turn.
 func (p *Policy) ExpiryBatch() int { return expiryBatch }
 
 // StoredAmount returns how many messages and bytes are stored.
 func (p *Policy) StoredAmount() (messages int, bytes int64) { return p.stored.messages, p.stored.bytes }
 
-// TenantBytes returns how many bytes a tenant has stored.
+// TenantBytes returns how many bytes are stored for a tenant.
 func (p *Policy) TenantBytes(tenant uint32) int64 { return p.tenants[tenant] }
 
-// lane returns the state of a lane, a new one if there is none.
+// lane returns the state of a lane and creates it if necessary.
 func (p *Policy) lane(id Lane) *laneState {
 	l := p.lanes[id]
 	if l == nil {
@@ -147,7 +145,7 @@
 	return l
 }
 
-// destination returns the state of a destination, a new one if there is none.
+// destination returns the state of a destination and creates it if necessary.
 func (p *Policy) destination(number uint64) *destinationState {
 	d := p.destinations[number]
 	if d == nil {
@@ -157,7 +155,7 @@
 	return d
 }
 
-// addStored adds to the amounts stored of a lane, or with negative arguments subtracts from them.
+// addStored adds to the totals of stored messages and bytes; negative arguments subtract.
 func (p *Policy) addStored(l *laneState, messages int, bytes int64) {
 	l.stored.messages += messages
 	l.stored.bytes += bytes
@@ -170,9 +168,9 @@
 	}
 }
 
-// forget removes a lane with nothing in it.
+// forget removes the state of a lane that has no messages and no queued move.
 func (p *Policy) forget(l *laneState) {
-	if l.held > 0 || l.stored.messages > 0 || l.queued {
+	if l.inMemory > 0 || l.stored.messages > 0 || l.queued {
 		return
 	}
 	delete(p.lanes, l.id)
@@ -181,14 +179,14 @@
 	p.forgetDestination(l.id.Destination, d)
 }
 
-// forgetDestination removes a destination without lanes that is not out.
+// forgetDestination removes the state of a destination that has no lanes and is available.
 func (p *Policy) forgetDestination(number uint64, d *destinationState) {
-	if len(d.lanes) == 0 && !d.out {
+	if len(d.lanes) == 0 && !d.unavailable {
 		delete(p.destinations, number)
 	}
 }
 
-// Lane identifies a queue: the messages of one tenant for one destination, in the order of acceptance.
+// Lane identifies a queue: the messages of one tenant for one destination, in order of acceptance.
 type Lane struct {
 	Destination uint64
 	Tenant      uint32
--- a/internal/backlog/policy/policy_test.go
+++ b/internal/backlog/policy/policy_test.go
@@ -21,8 +21,8 @@
 	return p
 }
 
-// arrive decides on a message and does what is decided.
-func arrive(p *Policy, lane Lane, bytes int64) Decision {
+// submit decides where a message is kept and carries out the decision.
+func submit(p *Policy, lane Lane, bytes int64) Decision {
 	d := p.Decide(lane, bytes, start)
 	switch d.Place {
 	case Memory:
@@ -33,8 +33,8 @@
 	return d
 }
 
-func TestBoundsAreCheckedByField(t *testing.T) {
-	for field, spoil := range map[string]func(*Bounds){
+func TestCheckNamesInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*Bounds){
 		"bytes":             func(b *Bounds) { b.Bytes = 0 },
 		"destination_bytes": func(b *Bounds) { b.DestinationBytes = b.Bytes + 1 },
 		"tenant_bytes":      func(b *Bounds) { b.TenantBytes = 0 },
@@ -45,7 +45,7 @@
 		"tenants":           func(b *Bounds) { b.Tenants = map[uint32]int64{3: -1} },
 	} {
 		b := testBounds()
-		spoil(&b)
+		invalidate(&b)
 		_, err := New(b)
 		require.ErrorContains(t, err, field+":")
 		require.Error(t, newPolicy(t, testBounds()).SetBounds(b))
@@ -55,18 +55,18 @@
 func TestServedLaneStaysInMemoryUntilFarBehind(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{1, 1}
 	for range 20 {
-		require.Equal(t, Memory, arrive(p, lane, 100).Place)
+		require.Equal(t, Memory, submit(p, lane, 100).Place)
 	}
-	require.Equal(t, Store, arrive(p, lane, 100).Place)
+	require.Equal(t, Store, submit(p, lane, 100).Place)
 	p.Ended(lane)
-	require.Equal(t, Store, arrive(p, lane, 100).Place, "behind what is stored, though memory has room")
-	require.Equal(t, Memory, arrive(p, Lane{1, 2}, 100).Place, "another tenant's lane is another queue")
+	require.Equal(t, Store, submit(p, lane, 100).Place, "memory has room, but an earlier message is stored")
+	require.Equal(t, Memory, submit(p, Lane{1, 2}, 100).Place, "another tenant's lane is another queue")
 }
 
 func TestOutageSpillsAllButTheWindow(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{1, 1}
 	for range 15 {
-		arrive(p, lane, 100)
+		submit(p, lane, 100)
 	}
 	require.Empty(t, p.Due())
 	p.SetUnavailable(1, true)
@@ -75,19 +75,19 @@
 		p.Spilled(lane, 100)
 	}
 	require.Empty(t, p.Due())
-	require.Equal(t, Store, arrive(p, lane, 100).Place)
+	require.Equal(t, Store, submit(p, lane, 100).Place)
 
 	p.SetUnavailable(2, true)
 	for range 8 {
-		require.Equal(t, Memory, arrive(p, Lane{2, 1}, 100).Place)
+		require.Equal(t, Memory, submit(p, Lane{2, 1}, 100).Place)
 	}
-	require.Equal(t, Store, arrive(p, Lane{2, 1}, 100).Place, "a lane whose destination is out stores beyond the window")
+	require.Equal(t, Store, submit(p, Lane{2, 1}, 100).Place, "destination unavailable and window full")
 }
 
-func TestUnmovedSpillIsDueAgain(t *testing.T) {
+func TestIncompleteSpillBecomesDueAgain(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{1, 1}
 	for range 15 {
-		arrive(p, lane, 100)
+		submit(p, lane, 100)
 	}
 	p.SetUnavailable(1, true)
 	require.Len(t, p.Due(), 1)
@@ -100,13 +100,13 @@
 	p, lane := newPolicy(t, testBounds()), Lane{1, 1}
 	p.SetUnavailable(1, true)
 	for range 30 {
-		arrive(p, lane, 100)
+		submit(p, lane, 100)
 	}
 	require.Empty(t, p.Due(), "the window is full")
 	for range 3 {
 		p.Ended(lane)
 	}
-	require.Empty(t, p.Due(), "more than half of it is left")
+	require.Empty(t, p.Due(), "more than half of the window is left")
 	p.Ended(lane)
 	require.Equal(t, []Move{{LoadOldest, lane, 4}}, p.Due())
 	for range 4 {
@@ -115,52 +115,52 @@
 	require.Empty(t, p.Due())
 }
 
-// 200 destinations are back in the same second: lanes come back in turn, a batch in a turn, none waits for another to
-// be whole.
-func TestManyReturnsShareTheBatch(t *testing.T) {
+// 200 destinations become available in the same second. Their lanes are loaded in turn, one batch per call of Due, and
+// no lane has to wait until another is loaded completely.
+func TestLoadingLanesShareTheBatch(t *testing.T) {
 	bounds := testBounds()
 	bounds.Bytes, bounds.DestinationBytes, bounds.TenantBytes = 1<<30, 1<<30, 1<<30
 	p := newPolicy(t, bounds)
-	const destinations, each = 200, 30
+	const destinations, perDestination = 200, 30
 	for d := range uint64(destinations) {
-		p.Stored(Lane{d, 1}, each, each*100)
+		p.Stored(Lane{d, 1}, perDestination, perDestination*100)
 	}
-	served := map[Lane]int{}
+	loaded := map[Lane]int{}
 	for turn := 1; turn <= destinations*8/bounds.Batch; turn++ {
 		sum := 0
 		for _, m := range p.Due() {
 			require.Equal(t, LoadOldest, m.Kind)
 			sum += m.Count
-			served[m.Lane] += m.Count
+			loaded[m.Lane] += m.Count
 			for range m.Count {
 				p.Loaded(m.Lane, 100, start)
 			}
 		}
 		require.LessOrEqual(t, sum, bounds.Batch)
 	}
-	require.Len(t, served, destinations, "each had its first messages back before any has more than its window")
-	for lane, n := range served {
+	require.Len(t, loaded, destinations, "each lane is loaded before any lane exceeds its window")
+	for lane, n := range loaded {
 		require.Equal(t, bounds.Window, n, "%v", lane)
 	}
 	require.Empty(t, p.Due())
 }
 
-func TestBoundsRefuse(t *testing.T) {
+func TestMessagesBeyondBoundsAreRefused(t *testing.T) {
 	p := newPolicy(t, testBounds())
 	fill := func(lane Lane, bytes int64) { p.Stored(lane, 1, bytes) }
 	fill(Lane{1, 1}, 40_000)
-	d := arrive(p, Lane{1, 1}, 100)
+	d := submit(p, Lane{1, 1}, 100)
 	require.Equal(t, Decision{Refused, DestinationBound, 30 * time.Second}, d)
 	fill(Lane{2, 1}, 19_950)
-	require.Equal(t, TenantBound, arrive(p, Lane{2, 1}, 100).Bound)
-	require.Equal(t, Store, arrive(p, Lane{2, 1}, 50).Place)
+	require.Equal(t, TenantBound, submit(p, Lane{2, 1}, 100).Bound)
+	require.Equal(t, Store, submit(p, Lane{2, 1}, 50).Place)
 	fill(Lane{3, 2}, 20_000)
 	fill(Lane{4, 2}, 19_950)
-	require.Equal(t, TotalBound, arrive(p, Lane{3, 2}, 100).Bound)
-	require.Equal(t, Memory, arrive(p, Lane{9, 9}, 100).Place, "a lane with room in memory needs none in the store")
+	require.Equal(t, TotalBound, submit(p, Lane{3, 2}, 100).Bound)
+	require.Equal(t, Memory, submit(p, Lane{9, 9}, 100).Place, "a lane with room in memory needs none in the store")
 }
 
-// However much one tenant sends, the others' part of the store stays free.
+// One tenant cannot use up the room in the store that its own limit leaves to the others, however much it sends.
 func TestFloodOfOneTenantLeavesRoomForOthers(t *testing.T) {
 	bounds := testBounds()
 	bounds.DestinationBytes = 100_000
@@ -169,33 +169,33 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	refused := 0
 	for range 5000 {
-		if arrive(p, Lane{rng.Uint64N(5), 1}, 100).Place == Refused {
+		if submit(p, Lane{rng.Uint64N(5), 1}, 100).Place == Refused {
 			refused++
 		}
 	}
 	require.Greater(t, refused, 4000)
 	require.Equal(t, int64(60_000), p.TenantBytes(1))
 	for range 500 {
-		arrive(p, Lane{1, 7}, 100)
+		submit(p, Lane{1, 7}, 100)
 	}
-	require.Equal(t, int64(20_000), p.TenantBytes(7), "a tenant's own bound")
+	require.Equal(t, int64(20_000), p.TenantBytes(7), "the tenant's own limit")
 	for range 150 {
-		require.NotEqual(t, Refused, arrive(p, Lane{2, 2}, 100).Place, "there is room for another")
+		require.NotEqual(t, Refused, submit(p, Lane{2, 2}, 100).Place, "there is room for another tenant")
 	}
 }
 
-func TestRetryAfterFollowsTheDrain(t *testing.T) {
+func TestRetryAfterFollowsDrainRate(t *testing.T) {
 	p, lane := newPolicy(t, testBounds()), Lane{1, 1}
 	p.Stored(lane, 400, 40_000)
-	require.Equal(t, 30*time.Second, p.Decide(lane, 100, start).RetryAfter, "nothing drains")
-	for i := range 200 { // 1,000 bytes a second
+	require.Equal(t, 30*time.Second, p.Decide(lane, 100, start).RetryAfter, "nothing is loaded")
+	for i := range 200 { // 1,000 bytes per second
 		p.Loaded(lane, 100, start.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	p.Stored(lane, 200, 20_000)
 	now := start.Add(20 * time.Second)
 	require.Equal(t, time.Second, p.Decide(lane, 100, now).RetryAfter)
 	require.InDelta(t, 5, p.Decide(lane, 5000, now).RetryAfter.Seconds(), 0.5)
-	require.Equal(t, 30*time.Second, p.Decide(lane, 5000, now.Add(time.Hour)).RetryAfter, "it has stopped since")
+	require.Equal(t, 30*time.Second, p.Decide(lane, 5000, now.Add(time.Hour)).RetryAfter, "nothing was loaded lately")
 }
 
 func TestLoweredBoundsRefuseUntilThereIsRoom(t *testing.T) {
@@ -204,15 +204,15 @@
 	lower := testBounds()
 	lower.Bytes, lower.DestinationBytes, lower.TenantBytes, lower.Window, lower.Behind = 20_000, 20_000, 20_000, 30, 30
 	require.NoError(t, p.SetBounds(lower))
-	require.Equal(t, Refused, arrive(p, lane, 100).Place)
+	require.Equal(t, Refused, submit(p, lane, 100).Place)
 	messages, bytes := p.StoredAmount()
 	require.Equal(t, 300, messages)
 	require.Equal(t, int64(30_000), bytes)
-	require.Equal(t, []Move{{LoadOldest, lane, 30}}, p.Due(), "the wider window is filled")
+	require.Equal(t, []Move{{LoadOldest, lane, 30}}, p.Due(), "the larger window is filled")
 	for range 101 {
 		p.Loaded(lane, 100, start)
 	}
-	require.Equal(t, Store, arrive(p, lane, 100).Place)
+	require.Equal(t, Store, submit(p, lane, 100).Place)
 }
 
 func TestExpiryLead(t *testing.T) {
@@ -220,10 +220,10 @@
 	require.Equal(t, start.Add(10*time.Second), p.ExpiryDue(start))
 }
 
-// laneQueue is what a lane should have in memory and in the store.
+// laneQueue holds the numbers of the messages that a lane should have in memory and in the store, in order.
 type laneQueue struct{ memory, store []int }
 
-// simulation is a policy with the queues that result from its decisions.
+// simulation keeps the queues that result from a policy's decisions.
 type simulation struct {
 	policy *Policy
 	queues map[Lane]*laneQueue
@@ -257,7 +257,7 @@
 	}
 }
 
-// randomStep has a message of a random lane arrive or end, or its destination go out or come back.
+// randomStep submits or ends a message of a random lane, or makes its destination unavailable or available.
 func (s *simulation) randomStep(t *testing.T, rng *rand.Rand) *laneQueue {
 	lane := Lane{rng.Uint64N(6), uint32(rng.IntN(2))}
 	q := s.queue(lane)
@@ -271,7 +271,7 @@
 		}
 	default:
 		s.next++
-		switch arrive(s.policy, lane, 100).Place {
+		switch submit(s.policy, lane, 100).Place {
 		case Memory:
 			require.Empty(t, q.store)
 			q.memory = append(q.memory, s.next)
@@ -282,7 +282,7 @@
 	return q
 }
 
-// drain brings all messages back and ends them.
+// drain loads and ends all messages.
 func (s *simulation) drain(t *testing.T) {
 	for d := range uint64(6) {
 		s.policy.SetUnavailable(d, false)
@@ -298,9 +298,9 @@
 	}
 }
 
-// Nothing is remembered of lanes and destinations that have gone, and at each moment a lane's messages in memory are
-// within bounds and go before those that are stored.
-func TestRandomLoadKeepsTheRulesAndForgets(t *testing.T) {
+// At each step a lane's messages in memory are within bounds and older than its stored ones. Once all messages have
+// ended, no state of lanes and destinations is left.
+func TestRandomLoadKeepsOrderAndFreesState(t *testing.T) {
 	for seed := range uint64(8) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		p := newPolicy(t, testBounds())
@@ -323,8 +323,9 @@
 	}
 }
 
-// Lanes that fill memory do not keep out one with few messages, new or stored, unless its destination is out.
-func TestLaneWithFewInMemoryFindsRoomInTheReserve(t *testing.T) {
+// Lanes that fill memory do not crowd out the new or stored messages of a lane with few, unless its destination is
+// unavailable.
+func TestLaneWithFewMessagesUsesTheReserve(t *testing.T) {
 	const memory = 120
 	p, err := New(Bounds{Bytes: 1000, DestinationBytes: 1000, TenantBytes: 1000, Window: memory, Behind: memory,
 		Memory: memory, Batch: 50, ExpiryLead: time.Second})
