--- a/internal/backlog/append.go
+++ b/internal/backlog/append.go
@@ -4,9 +4,9 @@
 	"container/heap"
 )
 
-// Append stores a message: behind the newest of its lane or, if its number is lower than all of them, before the
-// oldest. With an error nothing is stored: ErrFull (until others are released), ErrStored, ErrOrder, ErrTooLarge,
-// ErrClosed, or one of the filesystem.
+// Append stores a message after the newest one of its lane or, if its number is lower than those of all stored messages
+// of the lane, before the oldest one. If it returns an error, nothing was stored. The error is ErrFull (until other
+// messages are released), ErrStored, ErrOrder, ErrTooLarge, ErrClosed or an error of the filesystem.
 func (s *Store) Append(m *Message) error {
 	if s.lock == nil {
 		return ErrClosed
@@ -27,7 +27,7 @@
 	if err := s.ensureSpace(int64(size)); err != nil {
 		return err
 	}
-	where, offset, err := s.write(s.buf)
+	seg, offset, err := s.write(s.buf)
 	if err != nil {
 		if isDiskFull(err) {
 			return &FullError{Bytes: s.bytes, Bound: s.bounds.capacity(), Err: err}
@@ -35,7 +35,7 @@
 		return err
 	}
 	packed := pack(size, m.State(), m.keepsOrder())
-	s.addToIndex(l, m, where, entry{seq: m.Seq, expiry: m.Expiry, segment: where.number, offset: offset, packed: packed})
+	s.addToIndex(l, m, seg, entry{seq: m.Seq, expiry: m.Expiry, segment: seg.number, offset: offset, packed: packed})
 	s.compact(int64(size))
 	return nil
 }
@@ -51,8 +51,8 @@
 	return ErrOrder
 }
 
-// addToIndex adds a stored message to the index.
-func (s *Store) addToIndex(l *lane, m *Message, where *segment, e entry) {
+// addToIndex adds the entry of a message that was written to seg; l is nil if its lane has no stored messages yet.
+func (s *Store) addToIndex(l *lane, m *Message, seg *segment, e entry) {
 	fresh := l == nil
 	if fresh {
 		l = s.newLane(m.Lane)
@@ -67,9 +67,9 @@
 	if fresh {
 		heap.Push(&s.expiries, l)
 	} else {
-		heap.Fix(&s.expiries, l.heapAt)
+		heap.Fix(&s.expiries, l.heapIndex)
 	}
-	where.live++
+	seg.live++
 	s.addToSums(l, &e, 1)
 	s.ids.add(hashID(m.ID))
 	if e.keepsOrder() {
@@ -78,20 +78,20 @@
 	s.lastSeq = max(s.lastSeq, m.Seq)
 }
 
-// newLane adds a lane with nothing stored.
+// newLane adds a lane that has no stored messages yet.
 func (s *Store) newLane(id Lane) *lane {
 	l := &lane{id: id, number: s.numbers.allocate()}
 	s.lanes[id] = l
 	return l
 }
 
-// removeLane removes a lane of which nothing is stored any more.
+// removeLane removes a lane that has no stored messages left.
 func (s *Store) removeLane(l *lane) {
 	s.numbers.release(l.number)
 	delete(s.lanes, l.id)
 }
 
-// addToSums adds an entry to the totals of the store and its lane with a sign of 1, and subtracts it with -1.
+// addToSums adds an entry to the totals of the store and its lane if sign is 1, and subtracts it if sign is -1.
 func (s *Store) addToSums(l *lane, e *entry, sign int) {
 	s.messages += sign
 	s.bytes += int64(sign) * e.size()
--- a/internal/backlog/ballast.go
+++ b/internal/backlog/ballast.go
@@ -7,11 +7,13 @@
 	"path/filepath"
 )
 
+// ballastFileName is the name of the ballast, a file that reserves the disk space of one segment. It is removed when
+// the disk is full, to make room for the records that free space.
 const ballastFileName = "backlog.reserve"
 
 func (s *Store) ballastFile() string { return filepath.Join(s.dir, ballastFileName) }
 
-// adoptBallast uses the ballast file of an earlier process, if it has the right size, and removes any other.
+// adoptBallast uses the ballast file of an earlier process if it has the right size, and removes it otherwise.
 func (s *Store) adoptBallast() {
 	f, err := s.fs.Open(s.ballastFile())
 	if err != nil {
@@ -25,8 +27,8 @@
 	}
 }
 
-// makeBallast reserves disk space that is given up once the disk is full, so that the store can be drained then. A
-// failed attempt is repeated when a segment is removed.
+// makeBallast reserves disk space that releaseBallast frees when the disk is full, so that the store can still be
+// drained. After a failure it is called again when a segment is removed.
 func (s *Store) makeBallast() {
 	if s.ballast || s.Used()+s.bounds.SegmentBytes > s.bounds.Bytes {
 		return
@@ -51,7 +53,7 @@
 	s.ballast = true
 }
 
-// releaseBallast frees the reserved space and reports whether it did: false if there was none or it could not be freed.
+// releaseBallast frees the reserved space. It returns false if there was none or if it could not be freed.
 func (s *Store) releaseBallast() bool {
 	if !s.ballast {
 		return false
--- a/internal/backlog/bounds.go
+++ b/internal/backlog/bounds.go
@@ -7,21 +7,21 @@
 const (
 	minSegmentBytes  = 256 << 10
 	maxSegmentBytes  = 16 << 20
-	segmentsPerStore = 64 // a segment is this part of the bound if no size is given
+	segmentsPerStore = 64 // the default segment size is Bounds.Bytes divided by this
 	segmentSizeLimit = 1 << 30
-	minSegments      = 8 // that the bound must have room for
-	reservedSegments = 2 // kept free so that segments can be freed
-	defaultOpenFiles = 8 // segments open for reading at once if no number is given
+	minSegments      = 8 // Bounds.Bytes must have room for at least this many segments
+	reservedSegments = 2 // kept free so that compaction can free other segments
+	defaultOpenFiles = 8
 )
 
 // Bounds limits the resources of a store.
 type Bounds struct {
-	Bytes        int64 // on disk, all files counted
-	SegmentBytes int64 // of one segment; 0: a 64th of Bytes, at least 256 KiB and at most 16 MiB
-	OpenFiles    int   // segments open for reading at once, beside the one written to and the lock; 0: 8
+	Bytes        int64 // maximum size of all files on disk
+	SegmentBytes int64 // size of a segment; 0 means 1/64 of Bytes, but at least 256 KiB and at most 16 MiB
+	OpenFiles    int   // maximum number of segments open for reading, besides the active one; 0 means 8
 }
 
-// withDefaults fills in the fields that are not given and checks the rest. An error names the field.
+// withDefaults sets fields that are 0 to their defaults and validates all fields. An error names the invalid field.
 func (b Bounds) withDefaults() (Bounds, error) {
 	if b.SegmentBytes == 0 {
 		b.SegmentBytes = min(max(b.Bytes/segmentsPerStore, minSegmentBytes), maxSegmentBytes)
@@ -41,9 +41,9 @@
 	return b, nil
 }
 
-// reserve returns the bytes that are kept free of messages: the ballast, and room to free a segment.
+// reserve returns the number of bytes that messages cannot use: the ballast and the space that compaction needs.
 func (b *Bounds) reserve() int64 { return (1 + reservedSegments) * b.SegmentBytes }
 
-// capacity returns how many bytes of live records are stored at most: with less than a quarter of garbage, compaction
-// would copy too much for what it frees.
+// capacity returns the maximum number of bytes of live records. A quarter of the space is left for dead records, since
+// with fewer of them compaction would copy too much for the space that it frees.
 func (b *Bounds) capacity() int64 { return (b.Bytes - b.reserve()) / 4 * 3 }
--- a/internal/backlog/compact.go
+++ b/internal/backlog/compact.go
@@ -5,34 +5,37 @@
 	"io/fs"
 )
 
-const scanBufferSize = 64 << 10 // bytes read at once while segments are compacted
+const scanBufferSize = 64 << 10 // bytes per read during compaction
 
-// compactionRate is how many bytes are scanned, to free segments, for each byte written or released.
+// compactionRate is the number of bytes that compaction scans for each byte written or released.
 const compactionRate = 8
 
-// compact frees segments after so many bytes were written or released, in proportion to them.
+// compact frees segments after the given number of bytes was written or released. The work that it does is proportional
+// to that number.
 func (s *Store) compact(bytes int64) {
 	s.compactionBudget = min(s.compactionBudget+compactionRate*bytes, s.bounds.SegmentBytes)
 	s.compactionBudget -= s.compactUpTo(s.compactionBudget)
 }
 
 // compactUpTo scans up to budget bytes of the oldest segments, copies their live records to the last segment, and
-// removes them. It returns how many bytes it scanned. A kill at any moment leaves at worst two equal copies of a
-// message. Any error ends it, also that a segment cannot be removed: the next write tries again.
-func (s *Store) compactUpTo(budget int64) (spent int64) {
+// removes the segments that it has copied completely. It returns the number of bytes scanned. If the process is killed
+// meanwhile, at worst two equal copies of a message are left. It stops at the first error, or if a segment cannot be
+// removed; the next write tries again.
+func (s *Store) compactUpTo(budget int64) (scanned int64) {
 	s.removeUnusedSegments()
-	for spent < budget && s.shouldCompact() && len(s.segments) > 1 {
+	for scanned < budget && s.shouldCompact() && len(s.segments) > 1 {
 		n, err := s.copyLiveRecords()
 		if err != nil || n == 0 {
-			return spent
+			return scanned
 		}
-		spent += n
+		scanned += n
 		s.removeUnusedSegments()
 	}
-	return spent
+	return scanned
 }
 
-// shouldCompact reports whether so much on disk is dead that the live rest of the oldest segment is worth copying.
+// shouldCompact reports whether the dead bytes on disk make it worthwhile to copy the live records of the oldest
+// segment.
 func (s *Store) shouldCompact() bool {
 	dead := s.Used() - s.bytes
 	if s.ballast {
@@ -44,8 +47,8 @@
 	return dead > s.bytes+reservedSegments*s.bounds.SegmentBytes
 }
 
-// removeUnusedSegments removes the oldest segments while nothing in them is live. Only the oldest may be removed: a
-// release must outlast the message's record.
+// removeUnusedSegments removes the oldest segments as long as they have no live records. Segments are removed in order
+// because a release record must not be removed before the record of its message.
 func (s *Store) removeUnusedSegments() {
 	if s.messages == 0 && len(s.segments) == 1 && s.segments[0].size > s.bounds.SegmentBytes/2 {
 		if s.rotate() != nil {
@@ -68,15 +71,15 @@
 	}
 }
 
-// copiedRecord is a live record that was copied.
+// copiedRecord is a live record that compaction copies.
 type copiedRecord struct {
 	entry  *entry
-	offset int // within the copies
+	offset int // in the buffer of copied records
 }
 
-// copyLiveRecords copies the live records in the next part of the oldest segment to the last one and returns how many
-// bytes it scanned.
-func (s *Store) copyLiveRecords() (looked int64, err error) {
+// copyLiveRecords copies the live records of the next part of the oldest segment to the last segment. It returns the
+// number of bytes scanned.
+func (s *Store) copyLiveRecords() (scanned int64, err error) {
 	oldest := s.segments[0]
 	from := max(s.compactedUpTo, segmentHeaderSize)
 	file, err := s.reader(oldest.number)
@@ -89,13 +92,13 @@
 	s.scanner.file, s.scanner.name, s.scanner.end = file, segmentName(s.dir, oldest.number), oldest.size
 	var copies []byte
 	var found []copiedRecord
-	most := from + int64(len(s.scanner.buf))
+	scanLimit := from + int64(len(s.scanner.buf))
 	upTo, err := s.scanner.scan(from, func(r scannedRecord) error {
 		if e := s.liveEntry(oldest.number, r); e != nil {
 			found = append(found, copiedRecord{e, len(copies)})
 			copies = append(copies, r.raw...)
 		}
-		if r.offset+int64(len(r.raw)) >= most {
+		if r.offset+int64(len(r.raw)) >= scanLimit {
 			return errStop
 		}
 		return nil
@@ -104,21 +107,22 @@
 		return 0, err
 	}
 	if len(copies) > 0 {
-		where, offset, err := s.writeEssential(copies)
+		seg, offset, err := s.writeEssential(copies)
 		if err != nil {
 			return 0, err
 		}
 		for _, m := range found {
-			m.entry.segment, m.entry.offset = where.number, offset+uint32(m.offset)
+			m.entry.segment, m.entry.offset = seg.number, offset+uint32(m.offset)
 		}
-		where.live += len(found)
+		seg.live += len(found)
 		oldest.live -= len(found)
 	}
 	s.compactedUpTo = upTo
 	return upTo - from, nil
 }
 
-// liveEntry returns the entry of a record if the record is the one that counts, else nil.
+// liveEntry returns the index entry of a record, or nil if the entry does not refer to this record (it was released or
+// copied).
 func (s *Store) liveEntry(number uint32, r scannedRecord) *entry {
 	if r.payload[0] != kindMessage {
 		return nil
--- a/internal/backlog/entry.go
+++ b/internal/backlog/entry.go
@@ -1,27 +1,27 @@
 package backlog
 
-// entry is the index entry of a stored message in memory.
+// entry is the in-memory index entry of a stored message.
 type entry struct {
 	seq     uint64
 	expiry  int64 // microseconds of the wall clock
 	segment uint32
 	offset  uint32
-	packed  uint32 // bytes of its record, and in the lowest bits its state and whether it keeps the order of its key
-	heapAt  uint32 // its place in the lane's heap of expiries, from 1; 0 once it is released
+	packed  uint32 // size of its record in bytes and, in the lowest bits, keepsOrder and its state
+	heapPos uint32 // position in the lane's heap of expiries, counted from 1; 0 once released
 }
 
 const (
 	stateBits = 2
 	orderBit  = 1 << stateBits
 	sizeShift = stateBits + 1
-	blockSize = 16 // entries
+	blockSize = 16 // entries per block of a lane
 )
 
 func (e *entry) size() int64 { return int64(e.packed >> sizeShift) }
 
 func (e *entry) state() State { return State(e.packed & (1<<stateBits - 1)) }
 
-func (e *entry) live() bool { return e.heapAt != 0 }
+func (e *entry) live() bool { return e.heapPos != 0 }
 
 func (e *entry) keepsOrder() bool { return e.packed&orderBit != 0 }
 
@@ -33,7 +33,7 @@
 	return packed
 }
 
-func earlier(a, b *entry) bool {
+func expiresBefore(a, b *entry) bool {
 	if a.expiry != b.expiry {
 		return a.expiry < b.expiry
 	}
--- a/internal/backlog/fs.go
+++ b/internal/backlog/fs.go
@@ -5,20 +5,20 @@
 	"os"
 )
 
-// FS is the filesystem as the store uses it. Tests inject faults at every call.
+// FS has the operations of a filesystem that the store uses. Tests inject faults into each of them.
 type FS interface {
-	// MakeDir makes a folder with its parents unless it exists.
+	// MakeDir creates a folder and its parents unless it exists.
 	MakeDir(dir string) error
 	// List returns the names of the regular files in a folder.
 	List(dir string) ([]string, error)
-	// Create makes a file for appending. It is an error if the name is in use.
+	// Create creates a file for appending. It fails if the file exists.
 	Create(name string) (File, error)
 	// Open opens a file for reading.
 	Open(name string) (File, error)
 	// Remove removes a file.
 	Remove(name string) error
-	// Lock locks a file for this process until the result is closed or the process ends in any way. If another process
-	// has the lock, the error is a LockedError.
+	// Lock locks a file until the result is closed or the process ends, even if it is killed. If another process holds
+	// the lock, the error is a LockedError.
 	Lock(name string) (io.Closer, error)
 }
 
@@ -27,9 +27,9 @@
 	io.Writer
 	io.ReaderAt
 	io.Closer
-	// Size returns the length in bytes.
+	// Size returns the length of the file in bytes.
 	Size() (int64, error)
-	// Truncate cuts the file to a length in bytes.
+	// Truncate shortens the file to the given number of bytes.
 	Truncate(size int64) error
 }
 
@@ -38,12 +38,12 @@
 	dirPerm  = 0o700
 )
 
-// OS is the machine's filesystem.
+// OS implements FS with the filesystem of the operating system.
 type OS struct{}
 
 type osFile struct{ *os.File }
 
-// Size returns the length of the file in bytes.
+// Size implements File.
 func (f osFile) Size() (int64, error) {
 	info, err := f.Stat()
 	if err != nil {
@@ -52,10 +52,10 @@
 	return info.Size(), nil
 }
 
-// MakeDir makes a folder with its parents unless it exists.
+// MakeDir implements FS. The folder is accessible only to the user of the process.
 func (OS) MakeDir(dir string) error { return os.MkdirAll(dir, dirPerm) }
 
-// List returns the names of the regular files in a folder.
+// List implements FS.
 func (OS) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return names, nil
 }
 
-// Create makes a file for appending.
+// Create implements FS. The file is accessible only to the user of the process.
 func (OS) Create(name string) (File, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_RDWR|os.O_APPEND, filePerm)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return osFile{f}, nil
 }
 
-// Open opens a file for reading.
+// Open implements FS.
 func (OS) Open(name string) (File, error) {
 	f, err := os.Open(name)
 	if err != nil {
@@ -88,5 +88,5 @@
 	return osFile{f}, nil
 }
 
-// Remove removes a file.
+// Remove implements FS.
 func (OS) Remove(name string) error { return os.Remove(name) }
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -300,7 +300,7 @@
 			if !e.live() {
 				continue
 			}
-			require.Equal(t, ordinal, l.heap[e.heapAt-1])
+			require.Equal(t, ordinal, l.heap[e.heapPos-1])
 			laneLive++
 			states[e.state()]++
 			bytes += e.size()
@@ -309,7 +309,7 @@
 		for i := 1; i < len(l.heap); i++ {
 			require.False(t, l.less(i, (i-1)/2), "the heap of a lane")
 		}
-		require.Equal(t, l, s.expiries[l.heapAt])
+		require.Equal(t, l, s.expiries[l.heapIndex])
 		require.Equal(t, laneLive, l.liveCount())
 		require.Equal(t, states, l.states)
 		messages += laneLive
--- a/internal/backlog/hashtable.go
+++ b/internal/backlog/hashtable.go
@@ -5,36 +5,36 @@
 )
 
 const (
-	idShards      = 256
+	shardCount    = 256
 	minSlots      = 8
-	fullNumerator = 4 // a shard is filled up to 4/5
+	fullNumerator = 4 // a shard grows when more than 4/5 of its slots are used
 	fullDivisor   = 5
 )
 
-// slot is what a hash table keeps of an element. The zero value marks a free slot.
+// slot is the type of a hash table's elements. The zero value marks a free slot.
 type slot[S any] interface {
 	comparable
 	hash() uint64
-	// same reports whether two slots are of the same element. Different elements may have the same hash.
+	// same reports whether two slots hold the same element. Different elements may have the same hash.
 	same(other S) bool
 }
 
-// hashTable is a hash table over hashes of 64 bits. Unlike a map it takes less than two slots an element while it grows
-// (four as it empties), and grows in small parts, so that no turn of the event loop waits for it.
+// hashTable is a hash table of elements with 64-bit hashes. Unlike a map, it uses less than two slots per element while
+// it grows (four while it shrinks). It grows shard by shard, so that growing does not delay a turn of the event loop.
 type hashTable[S slot[S]] struct {
-	shards [idShards]hashShard[S]
+	shards [shardCount]hashShard[S]
 	count  int // elements
 }
 
-// hashShard is a hash table with linear probing.
+// hashShard is an open-addressing hash table with linear probing.
 type hashShard[S slot[S]] struct {
 	slots []S
 	used  int
 }
 
-func (t *hashTable[S]) shard(hash uint64) *hashShard[S] { return &t.shards[hash%idShards] }
+func (t *hashTable[S]) shard(hash uint64) *hashShard[S] { return &t.shards[hash%shardCount] }
 
-// find returns the slot of an element, nil if it is not there. The slot is valid until the next change.
+// find returns the slot of an element, or nil if there is none. The slot is valid until the next change.
 func (t *hashTable[S]) find(element S) *S {
 	shard := t.shard(element.hash())
 	if i, has := shard.find(element); has {
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// insert adds an element that is not there.
+// insert adds an element that the table does not have yet.
 func (t *hashTable[S]) insert(element S) {
 	shard := t.shard(element.hash())
 	if (shard.used+1)*fullDivisor > len(shard.slots)*fullNumerator {
@@ -55,14 +55,14 @@
 	t.count++
 }
 
-// delete removes an element, if it is there.
+// delete removes an element if the table has it.
 func (t *hashTable[S]) delete(element S) {
 	shard := t.shard(element.hash())
 	i, has := shard.find(element)
 	if !has {
 		return
 	}
-	shard.clear(i)
+	shard.remove(i)
 	shard.used--
 	t.count--
 	if len(shard.slots) > minSlots && shard.used*4 < len(shard.slots) {
@@ -70,14 +70,14 @@
 	}
 }
 
-// home returns the slot at which the search for a hash begins.
+// home returns the index of the slot at which the search for a hash begins.
 func (t *hashShard[S]) home(hash uint64) int {
 	high, _ := bits.Mul64(bits.RotateLeft64(hash, -8)*0x9E3779B97F4A7C15, uint64(len(t.slots)))
 	return int(high)
 }
 
-// find returns the place of an element, or the free one where it belongs, and whether the element is there.
-func (t *hashShard[S]) find(element S) (place int, has bool) {
+// find returns the index of an element's slot and true, or the index of the free slot to insert it into and false.
+func (t *hashShard[S]) find(element S) (index int, found bool) {
 	if len(t.slots) == 0 {
 		return 0, false
 	}
@@ -99,8 +99,8 @@
 	return i
 }
 
-// clear frees a slot and moves up those behind it that would not be found any more.
-func (t *hashShard[S]) clear(place int) {
+// remove frees a slot and moves back the elements after it that could otherwise not be found any more.
+func (t *hashShard[S]) remove(place int) {
 	var free S
 	n := len(t.slots)
 	for i := t.after(place); t.slots[i] != free; i = t.after(i) {
--- a/internal/backlog/idset_test.go
+++ b/internal/backlog/idset_test.go
@@ -16,7 +16,7 @@
 		if hash != 0 && round%4 == 0 {
 			hash &= 0xFF << 56 // many in one place
 		}
-		hash = element(hash)
+		hash = nonZeroHash(hash)
 		switch grow := round/50_000%2 == 0; {
 		case rng.IntN(4) == 0 == grow:
 			s.remove(hash)
@@ -39,5 +39,5 @@
 	for i := range s.shards {
 		slots += len(s.shards[i].slots)
 	}
-	require.LessOrEqual(t, slots, idShards*minSlots, "memory is given back")
+	require.LessOrEqual(t, slots, shardCount*minSlots, "memory is given back")
 }
--- a/internal/backlog/inspect.go
+++ b/internal/backlog/inspect.go
@@ -6,16 +6,16 @@
 	"math"
 )
 
-// ErrChanged is the error for a store that was written to so fast that it could not be read meanwhile.
+// ErrChanged is returned if another process freed segments while they were being read.
 var ErrChanged = errors.New("the backlog store changes faster than it can be read")
 
-const maxInspections = 20 // segments may be freed while they are read
+const maxInspections = 20 // attempts to read a store; one fails if a segment is freed meanwhile
 
-// View is a store that was read without its lock, whether or not another process uses it.
+// View is a read-only view of a store. It holds no lock, so another process may have the store open.
 type View struct{ store *Store }
 
-// Inspect reads a store without altering it or disturbing the process that has it open. Errors are as of Open, and
-// ErrChanged.
+// Inspect reads a store without changing it and without disturbing a process that has it open. Its errors are those of
+// Open and ErrChanged.
 func Inspect(files FS, dir string) (*View, error) {
 	for range maxInspections {
 		s, err := load(files, dir, Bounds{Bytes: math.MaxInt64, SegmentBytes: maxSegmentBytes, OpenFiles: defaultOpenFiles})
@@ -32,20 +32,21 @@
 	return nil, ErrChanged
 }
 
-// Close closes the files that are open for reading.
+// Close closes the files that the view has open for reading.
 func (v *View) Close() error { return v.store.Close() }
 
-// Stats sums up what was stored when Inspect read it. ErrChanged says that segments were freed since.
+// Stats returns the totals as of the call of Inspect. It returns ErrChanged if segments were freed since then.
 func (v *View) Stats() (*Stats, error) {
 	stats, err := v.store.Stats()
 	return stats, asErrChanged(err)
 }
 
-// Each calls each for the messages of every lane for which pick returns true, in the order of lanes and within them of
-// numbers. It ends with the first error of each. ErrChanged says that segments were freed since Inspect: inspect again.
-func (v *View) Each(pick func(Lane) bool, each func(*Message) error) error {
+// Each calls visit for the messages of every lane for which include returns true, ordered by lane and, within a lane,
+// by number. It stops at the first error of visit and returns it. It returns ErrChanged if segments were freed since
+// the call of Inspect, which then has to be repeated.
+func (v *View) Each(include func(Lane) bool, visit func(*Message) error) error {
 	for _, id := range v.store.Lanes() {
-		if !pick(id) {
+		if !include(id) {
 			continue
 		}
 		l := v.store.lanes[id]
@@ -54,7 +55,7 @@
 			if err != nil {
 				return asErrChanged(err)
 			}
-			if err := each(m); err != nil {
+			if err := visit(m); err != nil {
 				return err
 			}
 		}
@@ -62,6 +63,7 @@
 	return nil
 }
 
+// asErrChanged returns ErrChanged for the error of a missing file, and other errors unchanged.
 func asErrChanged(err error) error {
 	if errors.Is(err, fs.ErrNotExist) {
 		return ErrChanged
--- a/internal/backlog/keytable.go
+++ b/internal/backlog/keytable.go
@@ -1,12 +1,12 @@
 package backlog
 
-// keyTable counts the stored ordered messages of each ordering key, by lane. A key and lane take 16 bytes a slot.
+// keyTable counts the stored messages that keep the order of their key, by ordering key and lane. A slot has 16 bytes.
 type keyTable struct{ hashTable[keySlot] }
 
-// keySlot is a key with stored messages in a lane.
+// keySlot counts the messages of one key in one lane.
 type keySlot struct {
 	key      uint64 // hashKey of the key, not 0
-	lane     uint32 // the lane's number
+	lane     uint32 // lane.number
 	messages uint32
 }
 
@@ -14,15 +14,15 @@
 
 func (s keySlot) same(other keySlot) bool { return s.key == other.key && s.lane == other.lane }
 
-// hashKey spreads keys over the table. It is the finalizer of SplitMix64, a bijection that leaves 0 as it is: no two
-// keys have the same hash. Release records hold it.
+// hashKey distributes keys evenly over the table. It is the finalizer of SplitMix64, a bijection that maps 0 to 0, so
+// that no two keys have the same hash. It must not change, since release records contain its results.
 func hashKey(key uint64) uint64 {
 	key = (key ^ key>>30) * 0xBF58476D1CE4E5B9
 	key = (key ^ key>>27) * 0x94D049BB133111EB
 	return key ^ key>>31
 }
 
-// add counts a message of a key that a lane has.
+// add counts one more message of a key in a lane.
 func (t *keyTable) add(key uint64, lane uint32) {
 	if s := t.find(keySlot{key: key, lane: lane}); s != nil {
 		s.messages++
@@ -31,7 +31,7 @@
 	t.insert(keySlot{key: key, lane: lane, messages: 1})
 }
 
-// remove takes a message of a key off a lane's count.
+// remove counts one message less of a key in a lane.
 func (t *keyTable) remove(key uint64, lane uint32) {
 	s := t.find(keySlot{key: key, lane: lane})
 	if s == nil {
@@ -42,9 +42,9 @@
 	}
 }
 
-// elsewhere reports whether another lane than this one has messages of a key. By the rules of the event loop all of a
-// key are in one lane, but the answer does not rely on that.
-func (t *keyTable) elsewhere(key uint64, lane uint32) bool {
+// inOtherLane reports whether a lane other than the given one has messages of a key. The event loop keeps all messages
+// of a key in one lane, but this method does not rely on it.
+func (t *keyTable) inOtherLane(key uint64, lane uint32) bool {
 	shard := t.shard(key)
 	if len(shard.slots) == 0 {
 		return false
@@ -57,10 +57,10 @@
 	return false
 }
 
-// laneNumbers allocates numbers above 0 to lanes with stored messages, each to one lane at a time.
+// laneNumbers allocates numbers to lanes with stored messages. Numbers are above 0, and released ones are reused.
 type laneNumbers struct {
 	last uint32
-	free []uint32 // at most as many as there were lanes at once
+	free []uint32 // released numbers; never more than the maximum number of lanes at one time
 }
 
 func (n *laneNumbers) allocate() uint32 {
--- a/internal/backlog/keytable_test.go
+++ b/internal/backlog/keytable_test.go
@@ -193,7 +193,7 @@
 	for i := range s.keys.shards {
 		slots += len(s.keys.shards[i].slots)
 	}
-	require.LessOrEqual(t, slots, idShards*minSlots, "memory is given back")
+	require.LessOrEqual(t, slots, shardCount*minSlots, "memory is given back")
 	require.LessOrEqual(t, s.numbers.last, uint32(50), "numbers of lanes are used again")
 }
 
--- a/internal/backlog/lane.go
+++ b/internal/backlog/lane.go
@@ -2,21 +2,23 @@
 
 import "sort"
 
-// lane holds the entries of one lane in the order of their numbers, in blocks, and a heap of their expiries. The first
-// and the last entry are live. Positions are ordinals that wrap around.
+// lane holds the entries of one lane in blocks, ordered by message number, and a heap of their expiries. The first and
+// the last entry are live; entries between them may have been released. Entries are addressed by ordinals, which may
+// wrap around.
 type lane struct {
-	id     Lane
-	number uint32 // in the table of keys
-	blocks []*[blockSize]entry
-	base   uint32   // ordinal of the first block's first place
-	begin  uint32   // ordinal of the first entry
-	end    uint32   // ordinal behind the last entry
-	heap   []uint32 // ordinals, the earliest expiry first
-	bytes  int64    // of live records
-	states [stateCount]int
-	heapAt int // its place in the store's heap of lanes
-	// late has entries that a replay found out of order: copies whose originals are gone.
-	late map[uint64]entry
+	id        Lane
+	number    uint32 // identifies the lane in Store.keys
+	blocks    []*[blockSize]entry
+	base      uint32   // ordinal of the first slot of the first block
+	begin     uint32   // ordinal of the first entry
+	end       uint32   // ordinal of the last entry, plus 1
+	heap      []uint32 // ordinals of the live entries as a heap, the earliest expiry first
+	bytes     int64    // of live records
+	states    [stateCount]int
+	heapIndex int // index in the store's heap of lanes
+	// outOfOrder has entries that replay found out of order, by number: copies of records in segments that were removed.
+	// It is nil after the replay.
+	outOfOrder map[uint64]entry
 }
 
 func (l *lane) liveCount() int { return len(l.heap) }
@@ -51,7 +53,8 @@
 	return l.begin
 }
 
-// trim removes released entries at both ends, and all that lie between once they clearly outnumber the live ones.
+// trim removes released entries at both ends. It also removes those between live entries once they clearly outnumber
+// the live ones.
 func (l *lane) trim() {
 	l.trimEnds()
 	if int(l.end-l.begin) > 2*l.liveCount()+4*blockSize {
@@ -77,8 +80,8 @@
 	}
 }
 
-// rebuild lays out the live entries afresh, with late ones where they belong.
-func (l *lane) rebuild(late []entry) {
+// rebuild lays out the live entries anew and merges extra entries, which are ordered by number, into them.
+func (l *lane) rebuild(extra []entry) {
 	old := *l
 	l.blocks, l.base, l.begin, l.end, l.heap = nil, 0, 0, 0, nil
 	for ordinal := old.begin; ordinal != old.end; ordinal++ {
@@ -86,31 +89,31 @@
 		if !e.live() {
 			continue
 		}
-		for len(late) > 0 && late[0].seq < e.seq {
-			l.pushBack(late[0])
-			late = late[1:]
+		for len(extra) > 0 && extra[0].seq < e.seq {
+			l.pushBack(extra[0])
+			extra = extra[1:]
 		}
 		l.pushBack(*e)
 	}
-	for _, e := range late {
+	for _, e := range extra {
 		l.pushBack(e)
 	}
 	l.buildHeap()
 }
 
-// buildHeap makes the heap of all entries.
+// buildHeap builds the heap anew. All entries must be live.
 func (l *lane) buildHeap() {
 	l.heap = make([]uint32, 0, l.end-l.begin)
 	for ordinal := l.begin; ordinal != l.end; ordinal++ {
 		l.heap = append(l.heap, ordinal)
-		l.at(ordinal).heapAt = uint32(len(l.heap))
+		l.at(ordinal).heapPos = uint32(len(l.heap))
 	}
 	for i := len(l.heap)/2 - 1; i >= 0; i-- {
-		l.down(i)
+		l.siftDown(i)
 	}
 }
 
-// find returns the live entry with a number, nil if there is none.
+// find returns the live entry with the given number, or nil if there is none.
 func (l *lane) find(seq uint64) *entry {
 	n := int(l.end - l.begin)
 	i := sort.Search(n, func(i int) bool { return l.at(l.begin+uint32(i)).seq >= seq })
@@ -123,22 +126,22 @@
 	return nil
 }
 
-func (l *lane) less(i, j int) bool { return earlier(l.at(l.heap[i]), l.at(l.heap[j])) }
+func (l *lane) less(i, j int) bool { return expiresBefore(l.at(l.heap[i]), l.at(l.heap[j])) }
 
 func (l *lane) swap(i, j int) {
 	l.heap[i], l.heap[j] = l.heap[j], l.heap[i]
-	l.at(l.heap[i]).heapAt = uint32(i + 1)
-	l.at(l.heap[j]).heapAt = uint32(j + 1)
+	l.at(l.heap[i]).heapPos = uint32(i + 1)
+	l.at(l.heap[j]).heapPos = uint32(j + 1)
 }
 
-func (l *lane) up(i int) {
+func (l *lane) siftUp(i int) {
 	for i > 0 && l.less(i, (i-1)/2) {
 		l.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
 }
 
-func (l *lane) down(i int) {
+func (l *lane) siftDown(i int) {
 	for {
 		least := i
 		for _, child := range [2]int{2*i + 1, 2*i + 2} {
@@ -156,52 +159,52 @@
 
 func (l *lane) heapPush(ordinal uint32) {
 	l.heap = append(l.heap, ordinal)
-	l.at(ordinal).heapAt = uint32(len(l.heap))
-	l.up(len(l.heap) - 1)
+	l.at(ordinal).heapPos = uint32(len(l.heap))
+	l.siftUp(len(l.heap) - 1)
 }
 
 func (l *lane) heapRemove(e *entry) {
-	i, last := int(e.heapAt-1), len(l.heap)-1
+	i, last := int(e.heapPos-1), len(l.heap)-1
 	if i != last {
 		l.swap(i, last)
 	}
 	l.heap = l.heap[:last]
-	e.heapAt = 0
+	e.heapPos = 0
 	if cap(l.heap) > 4*blockSize && cap(l.heap) > 4*last {
 		l.heap = append(make([]uint32, 0, 2*last), l.heap...)
 	}
 	if i != last {
-		l.down(i)
-		l.up(i)
+		l.siftDown(i)
+		l.siftUp(i)
 	}
 }
 
-// next returns the entry that expires first.
-func (l *lane) next() *entry { return l.at(l.heap[0]) }
+// earliest returns the entry that expires first.
+func (l *lane) earliest() *entry { return l.at(l.heap[0]) }
 
-// laneHeap is all lanes, that with the earliest expiry first. It implements heap.Interface.
+// laneHeap is a heap of all lanes, ordered by the earliest expiry of their messages. It implements heap.Interface.
 type laneHeap []*lane
 
-// Len is part of heap.Interface.
+// Len returns the number of lanes.
 func (h laneHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface: the lane whose first message expires earlier comes first.
-func (h laneHeap) Less(i, j int) bool { return earlier(h[i].next(), h[j].next()) }
+// Less orders lanes by the expiry of the message that expires first.
+func (h laneHeap) Less(i, j int) bool { return expiresBefore(h[i].earliest(), h[j].earliest()) }
 
-// Swap is part of heap.Interface. It keeps lane.heapAt up to date.
+// Swap is called by package heap. It keeps lane.heapIndex up to date.
 func (h laneHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-// Push is part of heap.Interface; x is a *lane.
+// Push is called by package heap; x is a *lane.
 func (h *laneHeap) Push(x any) {
 	l := x.(*lane)
-	l.heapAt = len(*h)
+	l.heapIndex = len(*h)
 	*h = append(*h, l)
 }
 
-// Pop is part of heap.Interface.
+// Pop is called by package heap.
 func (h *laneHeap) Pop() any {
 	old := *h
 	l := old[len(old)-1]
--- a/internal/backlog/lock.go
+++ b/internal/backlog/lock.go
@@ -14,14 +14,14 @@
 const lockFileName = "backlog.lock"
 
 const (
-	lockWait  = time.Second // a process that was killed may hold the lock for a moment longer
+	lockWait  = time.Second // a killed process may keep the lock for a moment after the kill
 	lockRetry = 20 * time.Millisecond
 
-	maxPIDLength = 32 // bytes read of a lock file
+	maxPIDLength = 32 // bytes read from a lock file
 )
 
-// Lock takes a lock by flock on a file that holds the process id. It waits a moment for another process that holds the
-// lock.
+// Lock implements FS with flock on a file to which it writes the id of this process. If another process holds the lock,
+// it retries for lockWait before it fails.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, filePerm)
 	if err != nil {
@@ -44,12 +44,12 @@
 		return nil, errors.Join(err, f.Close())
 	}
 	if f.Truncate(0) == nil {
-		_, _ = fmt.Fprintln(f, os.Getpid()) // for people; the lock holds without it
+		_, _ = fmt.Fprintln(f, os.Getpid()) // informational; locking does not depend on it
 	}
 	return f, nil
 }
 
-// readPID reads the process id in a lock file, 0 if there is none.
+// readPID returns the process id in a lock file, or 0 if it cannot be read.
 func readPID(f *os.File) int {
 	text, err := io.ReadAll(io.NewSectionReader(f, 0, maxPIDLength))
 	if err != nil {
--- a/internal/backlog/message_codec.go
+++ b/internal/backlog/message_codec.go
@@ -7,11 +7,12 @@
 
 const (
 	maxBodyLength = 128 << 10      // bytes
-	maxTextLength = math.MaxUint16 // bytes of a type, an id, a deduplication key or a frontend's name
+	maxTextLength = math.MaxUint16 // bytes, for each of Message.texts
 )
 
-// A message's record begins with numbers of fixed length, little-endian: 8 of 64 bits, the last of them unused, 3 of 32
-// bits, the flags, the lengths of the texts in 16 bits, and that of the body in 32. Texts and body follow.
+// A message is encoded as a part of fixed length, then its texts and its body. The part of fixed length has, in
+// little-endian order, 8 numbers of 64 bits (the last one unused), 3 numbers of 32 bits, a byte of flags, the lengths
+// of the texts in 16 bits each, and the length of the body in 32 bits.
 const (
 	messageTexts      = 4
 	uint32sOffset     = 8 * 8
@@ -26,7 +27,7 @@
 	flagOrdered
 )
 
-// messageFixed is the part of fixed length at the start of a message's record.
+// messageFixed is the part of fixed length of an encoded message.
 type messageFixed struct {
 	seq, key, destination                          uint64
 	accepted, expiry, mayHaveRun, deduplicationEnd int64
@@ -43,12 +44,12 @@
 
 func (f *messageFixed) keepsOrder() bool { return f.flags&flagOrdered != 0 && f.key != 0 }
 
-// texts returns the message's texts in the order of its record.
+// texts returns the strings of the message in the order in which they are encoded.
 func (m *Message) texts() [messageTexts]string {
 	return [messageTexts]string{m.ID, m.Type, m.DeduplicationKey, m.Frontend}
 }
 
-// fits reports whether the message's parts are within what a record can hold.
+// fits reports whether the texts and the body are short enough for a record.
 func (m *Message) fits() bool {
 	for _, text := range m.texts() {
 		if len(text) > maxTextLength {
@@ -58,7 +59,7 @@
 	return len(m.Body) <= maxBodyLength
 }
 
-// encode appends the message's record without its header to b.
+// encode appends the encoded message to b.
 func (m *Message) encode(b []byte) []byte {
 	little := binary.LittleEndian
 	for _, v := range []uint64{
@@ -88,7 +89,7 @@
 	return append(b, m.Body...)
 }
 
-// decodeMessageFixed reads the part of fixed length of a message's record; ok is false if it is malformed.
+// decodeMessageFixed decodes the part of fixed length of an encoded message. ok is false if b is malformed.
 func decodeMessageFixed(b []byte) (f messageFixed, ok bool) {
 	if len(b) < messageFixedSize {
 		return f, false
@@ -110,7 +111,7 @@
 	return f, total+f.bodyLength == len(b)-messageFixedSize
 }
 
-// decodeMessage reads a message's record; ok is false if it is malformed. The message shares no memory with b.
+// decodeMessage decodes a message, which shares no memory with b. ok is false if b is malformed.
 func decodeMessage(b []byte) (m *Message, ok bool) {
 	f, ok := decodeMessageFixed(b)
 	if !ok {
@@ -141,7 +142,7 @@
 	}, true
 }
 
-// recordID returns the client's id in a message's record.
+// recordID returns the client's id of an encoded message.
 func recordID(b []byte, f *messageFixed) string {
 	return string(b[messageFixedSize : messageFixedSize+f.textLengths[0]])
 }
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -4,58 +4,59 @@
 	"errors"
 )
 
-// Log is the write-ahead log as a Mover uses it.
+// Log has the operations of the write-ahead log that a Mover uses.
 type Log interface {
-	// Restore records a whole message, with its history, under the number that it has. It may be recorded already: the
-	// latest record counts.
+	// Restore records a whole message with its history, keeping its number. If the message is recorded already, the new
+	// record replaces the earlier one.
 	Restore(m *Message) error
-	// Forget records that nothing is pending in the log for a number. It is no error if nothing was pending.
+	// Forget records that the message with the given number is no longer pending in the log. It is not an error if it was
+	// not pending.
 	Forget(seq uint64) error
 }
 
-// Mover moves messages between the write-ahead log and the store, so that a kill at any moment leaves a message in one
-// of them, or in both under the same number. It is not safe for concurrent use.
+// Mover moves messages between the write-ahead log and the store. Whenever the process is killed, each message is in one
+// of them, or in both with the same number. It is not safe for concurrent use.
 //
-//   - Spill: 1. the store has the message; 2. the log forgets it.
-//   - BringBack: 1. the log has the message; 2. the store releases it; only then does the scheduler take it.
+//   - Spill appends a message to the store before the log forgets it.
+//   - Load records a message in the log before the store releases it. Only then may the scheduler get it.
 //
-// Where both have a message, the log's copy counts: nothing happens to a message while the store has it, so the log's
-// is as new or newer. Messages leave for the store newest first and come back oldest first: at each moment all of a
-// lane that the log has are older than all that the store has.
+// If both have a message, the log's copy is used. It is at least as new, because messages do not change while they are
+// in the store. Messages are spilled newest first and loaded oldest first, so that at any moment all messages of a lane
+// in the log are older than those in the store.
 type Mover struct {
 	log   Log
 	store *Store
-	// unforgotten are numbers of messages that the store has and that the log could not forget yet.
-	unforgotten map[uint64]struct{}
-	// unreleased are messages that the log has again and that the store could not release yet.
-	unreleased Batch
+	// toForget has the numbers of spilled messages for which Log.Forget has failed so far.
+	toForget map[uint64]struct{}
+	// toRelease has loaded messages that are in the log but that the store has not released yet.
+	toRelease Batch
 }
 
-// Batch is a group of messages that were brought back together.
+// Batch is a group of messages that were loaded together.
 type Batch struct {
 	Messages []*Message
-	// Expired says that the messages must be answered without an attempt, as their time is over. Otherwise the
-	// scheduler takes them, in this order, before anything newer of their lane.
+	// Expired means that the messages have expired and must be answered without an attempt. Otherwise the scheduler has
+	// to queue them, in this order, before newer messages of their lane.
 	Expired bool
 }
 
-// NewMover returns a mover between a write-ahead log and a store.
+// NewMover returns a mover. After a restart, Resolve must be called before any other method.
 func NewMover(log Log, store *Store) *Mover {
-	return &Mover{log: log, store: store, unforgotten: map[uint64]struct{}{}}
+	return &Mover{log: log, store: store, toForget: map[uint64]struct{}{}}
 }
 
-// Resolve completes the moves that a kill has cut short. It must be called after a start, before anything else is done.
-// Messages pending in the log that the store has too are released from the store. It returns those that the log has
-// though their lane has older ones stored: they had been brought back to be answered at the end of their time, and must
-// be answered without an attempt, since an attempt would overtake the older ones.
+// Resolve completes the moves that were interrupted when the previous process was killed. It must be called at startup
+// with the messages that are pending in the log. It releases those that are also in the store. It returns those whose
+// lane has older messages in the store: they had been loaded because they expired, and they must be answered without an
+// attempt, which would overtake the older messages.
 func (m *Mover) Resolve(pending []Ref) (overtaking []Ref, err error) {
-	var both []Ref
+	var duplicates []Ref
 	for _, ref := range pending {
 		if m.store.Contains(ref.Lane, ref.Seq) {
-			both = append(both, ref)
+			duplicates = append(duplicates, ref)
 		}
 	}
-	if err := m.store.Release(both); err != nil {
+	if err := m.store.Release(duplicates); err != nil {
 		return nil, err
 	}
 	for _, ref := range pending {
@@ -66,9 +67,9 @@
 	return overtaking, nil
 }
 
-// Spill moves messages of one lane, given in the order of their numbers, to the store, the newest first. None of them
-// may be in flight. It returns how many of them, from the end, are in the store now; an error says why not all. If only
-// the log returns an error, these are moved all the same, and Retry has the log forget them later.
+// Spill moves messages of one lane to the store, the newest first. The messages must be ordered by number and must not
+// be in flight. It returns how many of them, counted from the end, are in the store now, and an error if not all are.
+// If the log fails to forget a message, the message counts as moved, and RetryForget repeats the call.
 func (m *Mover) Spill(messages []*Message) (moved int, err error) {
 	if err := m.RetryForget(); err != nil {
 		return 0, err
@@ -86,17 +87,17 @@
 }
 
 func (m *Mover) forget(seq uint64) error {
-	m.unforgotten[seq] = struct{}{}
+	m.toForget[seq] = struct{}{}
 	if err := m.log.Forget(seq); err != nil {
 		return err
 	}
-	delete(m.unforgotten, seq)
+	delete(m.toForget, seq)
 	return nil
 }
 
-// RetryForget repeats the calls of Log.Forget that failed, for messages that the store has.
+// RetryForget repeats the calls of Log.Forget that failed for spilled messages.
 func (m *Mover) RetryForget() error {
-	for seq := range m.unforgotten {
+	for seq := range m.toForget {
 		if err := m.forget(seq); err != nil {
 			return err
 		}
@@ -104,51 +105,51 @@
 	return nil
 }
 
-// Load moves the first n messages of a lane back to the log and returns those that the scheduler now has to take,
-// in the order of their numbers. If an error interrupted an earlier call, it returns the rest of that batch instead,
-// whatever it was for. With an error the batch may be shorter or empty.
+// Load moves the first n messages of a lane to the log and returns those that the scheduler has to queue, ordered by
+// number. If an earlier call of Load or LoadExpired was interrupted by an error, it returns the rest of that batch
+// instead, even if it was for another lane. If it returns an error, the batch may be shorter or empty.
 func (m *Mover) Load(lane Lane, n int) (Batch, error) {
-	if len(m.unreleased.Messages) > 0 {
+	if len(m.toRelease.Messages) > 0 {
 		return m.release()
 	}
 	messages, err := m.store.Head(lane, n)
-	return m.restore(Batch{Messages: messages}, err)
+	return m.writeToLog(Batch{Messages: messages}, err)
 }
 
-// LoadExpired moves up to n messages whose time is over at a moment back to the log, in the order of expiry. It
-// returns the rest of an interrupted batch, and errors, as BringBack does.
+// LoadExpired moves up to n messages that expire at or before now to the log, in the order of expiry. Like Load, it
+// returns the rest of an interrupted batch instead, and its batch may be shorter or empty if it returns an error.
 func (m *Mover) LoadExpired(now int64, n int) (Batch, error) {
-	if len(m.unreleased.Messages) > 0 {
+	if len(m.toRelease.Messages) > 0 {
 		return m.release()
 	}
 	messages, err := m.store.Expired(now, n)
-	return m.restore(Batch{Messages: messages, Expired: true}, err)
+	return m.writeToLog(Batch{Messages: messages, Expired: true}, err)
 }
 
-func (m *Mover) restore(wanted Batch, err error) (Batch, error) {
-	m.unreleased = Batch{Expired: wanted.Expired}
-	for _, message := range wanted.Messages {
+func (m *Mover) writeToLog(batch Batch, err error) (Batch, error) {
+	m.toRelease = Batch{Expired: batch.Expired}
+	for _, message := range batch.Messages {
 		if logErr := m.log.Restore(message); logErr != nil {
 			err = errors.Join(err, logErr)
 			break
 		}
-		delete(m.unforgotten, message.Seq)
-		m.unreleased.Messages = append(m.unreleased.Messages, message)
+		delete(m.toForget, message.Seq)
+		m.toRelease.Messages = append(m.toRelease.Messages, message)
 	}
-	done, releaseErr := m.release()
-	return done, errors.Join(err, releaseErr)
+	released, releaseErr := m.release()
+	return released, errors.Join(err, releaseErr)
 }
 
-// release carries out the second step for the messages that are being brought back, and returns them.
+// release releases the messages in toRelease from the store and returns them.
 func (m *Mover) release() (Batch, error) {
-	refs := make([]Ref, len(m.unreleased.Messages))
-	for i, message := range m.unreleased.Messages {
+	refs := make([]Ref, len(m.toRelease.Messages))
+	for i, message := range m.toRelease.Messages {
 		refs[i] = message.Ref()
 	}
 	if err := m.store.Release(refs); err != nil {
 		return Batch{}, err
 	}
-	done := m.unreleased
-	m.unreleased = Batch{}
-	return done, nil
+	released := m.toRelease
+	m.toRelease = Batch{}
+	return released, nil
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// Head reads the first n messages of a lane, in the order of their numbers. They stay stored until Release.
+// Head reads the first n messages of a lane, ordered by number. They stay stored until they are released.
 func (s *Store) Head(id Lane, n int) ([]*Message, error) {
 	l := s.lanes[id]
 	if l == nil {
@@ -27,17 +27,17 @@
 	return ms, nil
 }
 
-// NextExpiry returns the earliest expiry of a stored message, in microseconds of the wall clock; ok is false if none is
-// stored.
+// NextExpiry returns the earliest expiry of a stored message, in microseconds of the wall clock. ok is false if the
+// store is empty.
 func (s *Store) NextExpiry() (at int64, ok bool) {
 	if len(s.expiries) == 0 {
 		return 0, false
 	}
-	return s.expiries[0].next().expiry, true
+	return s.expiries[0].earliest().expiry, true
 }
 
-// Expired reads up to n messages whose time is over at a moment, in the order of expiry. They stay stored
-// until Release.
+// Expired reads up to n messages that expire at or before now, in the order of expiry. They stay stored until they are
+// released.
 func (s *Store) Expired(now int64, n int) ([]*Message, error) {
 	var ms []*Message
 	walk := expiryWalk{}
@@ -53,7 +53,7 @@
 	return ms, nil
 }
 
-// read reads a message from its segment. It fails with a DamageError if the record is not the one that was stored.
+// read reads a message from its segment. It returns a DamageError if the record is not the one that was written.
 func (s *Store) read(id Lane, e *entry) (*Message, error) {
 	file, err := s.reader(e.segment)
 	if err != nil {
@@ -63,18 +63,18 @@
 	b := make([]byte, e.size())
 	if n, err := file.ReadAt(b, int64(e.offset)); n < len(b) {
 		if err == nil || errors.Is(err, io.EOF) {
-			return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "shorter than it was"}
+			return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "the file is shorter than it was"}
 		}
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	length, sound := payloadLength(b)
-	payload, whole := checkedPayload(b)
-	if !sound || !whole || length != len(payload) || payload[0] != kindMessage {
+	length, headerValid := payloadLength(b)
+	payload, payloadValid := checkedPayload(b)
+	if !headerValid || !payloadValid || length != len(payload) || payload[0] != kindMessage {
 		return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "a record fails its checksum"}
 	}
 	m, ok := decodeMessage(payload[1:])
 	if !ok || m.Lane != id || m.Seq != e.seq {
-		return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "not the message that was stored there"}
+		return nil, &DamageError{File: name, Offset: int64(e.offset), Reason: "the record is not the one that was stored"}
 	}
 	return m, nil
 }
--- a/internal/backlog/record.go
+++ b/internal/backlog/record.go
@@ -6,9 +6,9 @@
 	"hash/crc32"
 )
 
-// A segment is a header and records. A record is a header (length of the payload, checksum of the payload, checksum of
-// these eight bytes) and a payload, whose first byte is its kind. As the length has a checksum of its own, a record
-// that a kill has cut short can be told from one that is damaged.
+// A segment consists of a header and records. A record consists of a header (length of the payload, checksum of the
+// payload, checksum of these eight bytes) and a payload, whose first byte is the kind of the record. Because the length
+// is covered by its own checksum, a record torn by a kill can be distinguished from a damaged one.
 const (
 	recordHeaderSize      = 12 // bytes
 	payloadChecksumOffset = 4
@@ -22,12 +22,13 @@
 	kindRelease = 2
 )
 
-// A segment's header: magic, version, number, length of the segment before, last number used, checksum.
+// The header of a segment consists of magic, version, number of the segment, length of the previous segment, greatest
+// message number used so far, and checksum.
 const (
 	segmentSuffix        = ".backlog"
 	segmentMagic         = "spanbklg"
 	segmentVersion       = 1
-	headerVersionOffset  = 8 // behind the magic
+	headerVersionOffset  = 8 // after the magic
 	headerNumberOffset   = headerVersionOffset + 4
 	headerPreviousOffset = headerNumberOffset + 4
 	headerLastSeqOffset  = headerPreviousOffset + 4
@@ -35,22 +36,22 @@
 	segmentHeaderSize    = headerSumOffset + 4
 )
 
-// The payload of a release.
+// The payload of a release record has a part of fixed size and a reference to each released message.
 const (
 	releaseFixedSize = 1 + 8 + 4 // bytes: kind, destination, tenant
 	releaseRefSize   = 8 + 8 + 8 // bytes: number, hash of the id, hash of the ordering key
-	// singleReleaseSize is what the release of one message takes at most.
+	// singleReleaseSize is the size of a release record for one message, and so the most that a release takes per message.
 	singleReleaseSize = recordHeaderSize + releaseFixedSize + releaseRefSize
-	maxReleased       = 512 // messages in one release record
+	maxReleased       = 512 // maximum number of messages in one release record
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// header is the content of a segment's header.
+// header is the decoded header of a segment.
 type header struct {
 	number   uint32
-	previous uint32 // bytes of the segment before that count
-	lastSeq  uint64
+	previous uint32 // valid bytes of the previous segment
+	lastSeq  uint64 // greatest message number used when the segment was created
 }
 
 func (h *header) encode() []byte {
@@ -63,8 +64,8 @@
 	return little.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader reads a segment's header. The version is checked before the checksum: newer versions may have another
-// layout.
+// decodeHeader decodes the header of a segment. It checks the version before the checksum, as newer versions may have
+// another layout.
 func decodeHeader(file string, number uint32, b []byte) (*header, error) {
 	little := binary.LittleEndian
 	if len(b) < segmentHeaderSize || string(b[:headerVersionOffset]) != segmentMagic {
@@ -82,15 +83,15 @@
 		lastSeq:  little.Uint64(b[headerLastSeqOffset:]),
 	}
 	if h.number != number {
-		return nil, &DamageError{File: file, Reason: fmt.Sprintf("the header is that of segment %d", h.number)}
+		return nil, &DamageError{File: file, Reason: fmt.Sprintf("the header has the number of segment %d", h.number)}
 	}
 	return h, nil
 }
 
-// beginRecord appends room for a record's header, and its kind.
+// beginRecord appends space for a record's header, which endRecord fills in, and the kind of the record.
 func beginRecord(b []byte, kind byte) []byte {
-	var room [recordHeaderSize]byte
-	return append(append(b, room[:]...), kind)
+	var space [recordHeaderSize]byte
+	return append(append(b, space[:]...), kind)
 }
 
 // endRecord fills in the header of the record that began at start.
@@ -103,7 +104,7 @@
 	little.PutUint32(b[start+recordHeaderSumOffset:], headerSum)
 }
 
-// payloadLength reads a record's header; ok is false if it is damaged.
+// payloadLength returns the length of the payload from a record's header. ok is false if the header is damaged.
 func payloadLength(b []byte) (n int, ok bool) {
 	little := binary.LittleEndian
 	if little.Uint32(b[recordHeaderSumOffset:]) != crc32.Checksum(b[:recordHeaderSumOffset], castagnoli) {
@@ -113,14 +114,14 @@
 	return n, n > 0 && n <= maxPayload
 }
 
-// checkedPayload returns the payload of a whole record; ok is false if it fails its checksum.
+// checkedPayload returns the payload of a complete record. ok is false if the payload fails its checksum.
 func checkedPayload(b []byte) (payload []byte, ok bool) {
 	payload = b[recordHeaderSize:]
 	sum := binary.LittleEndian.Uint32(b[payloadChecksumOffset:])
 	return payload, sum == crc32.Checksum(payload, castagnoli)
 }
 
-// encodeRelease appends a record that releases messages of one lane.
+// encodeRelease appends a release record for messages of one lane to b.
 func encodeRelease(b []byte, lane Lane, refs []Ref) []byte {
 	little := binary.LittleEndian
 	start := len(b)
@@ -136,7 +137,7 @@
 	return b
 }
 
-// decodeRelease reads a release record's payload; ok is false if it is malformed.
+// decodeRelease decodes the payload of a release record. ok is false if the payload is malformed.
 func decodeRelease(payload []byte) (refs []Ref, ok bool) {
 	if len(payload) < releaseFixedSize || (len(payload)-releaseFixedSize)%releaseRefSize != 0 {
 		return nil, false
--- a/internal/backlog/release.go
+++ b/internal/backlog/release.go
@@ -4,37 +4,37 @@
 	"container/heap"
 )
 
-// Release removes messages that are back in the write-ahead log or finished. Those that are not stored are ignored.
-// With an error none is released: ErrClosed, or one of the filesystem.
+// Release removes messages that are finished or were recorded in the write-ahead log. Messages that are not stored are
+// ignored. If it returns an error, no message was released. The error is ErrClosed or an error of the filesystem.
 func (s *Store) Release(refs []Ref) error {
 	if s.lock == nil {
 		return ErrClosed
 	}
 	b := s.buf[:0]
-	var held []Ref
+	var stored []Ref
 	for i := 0; i < len(refs); {
-		lane, from := refs[i].Lane, len(held)
-		for ; i < len(refs) && refs[i].Lane == lane && len(held)-from < maxReleased; i++ {
+		lane, from := refs[i].Lane, len(stored)
+		for ; i < len(refs) && refs[i].Lane == lane && len(stored)-from < maxReleased; i++ {
 			if s.Contains(lane, refs[i].Seq) {
-				held = append(held, refs[i])
+				stored = append(stored, refs[i])
 			}
 		}
-		if len(held) > from {
-			b = encodeRelease(b, lane, held[from:])
+		if len(stored) > from {
+			b = encodeRelease(b, lane, stored[from:])
 		}
 	}
-	if len(held) == 0 {
+	if len(stored) == 0 {
 		return nil
 	}
 	s.buf = b
 	if _, _, err := s.writeEssential(b); err != nil {
 		return err
 	}
-	s.compact(s.removeReleased(held))
+	s.compact(s.removeReleased(stored))
 	return nil
 }
 
-// removeReleased removes released messages from the index and returns the bytes that they took.
+// removeReleased removes released messages from the index. It returns the total size of their records.
 func (s *Store) removeReleased(refs []Ref) (bytes int64) {
 	for _, r := range refs {
 		l := s.lanes[r.Lane]
@@ -54,12 +54,12 @@
 		}
 		l.heapRemove(e)
 		if l.liveCount() == 0 {
-			heap.Remove(&s.expiries, l.heapAt)
+			heap.Remove(&s.expiries, l.heapIndex)
 			s.removeLane(l)
 			continue
 		}
 		l.trim()
-		heap.Fix(&s.expiries, l.heapAt)
+		heap.Fix(&s.expiries, l.heapIndex)
 	}
 	return bytes
 }
--- a/internal/backlog/replay.go
+++ b/internal/backlog/replay.go
@@ -9,9 +9,9 @@
 	"slices"
 )
 
-const replayBufferSize = 1 << 20 // bytes read at once at the start
+const replayBufferSize = 1 << 20 // bytes per read while a store is opened
 
-// load reads the segments of a folder without altering anything.
+// load reads the segments of a folder and builds the index. It does not change the files.
 func load(fs FS, dir string, bounds Bounds) (*Store, error) {
 	s := &Store{fs: fs, dir: dir, bounds: bounds, lanes: map[Lane]*lane{}}
 	numbers, err := listSegments(fs, dir)
@@ -25,15 +25,15 @@
 	return s, nil
 }
 
-// openedSegment is a segment's file at the start.
+// openedSegment is a segment that is open for replay.
 type openedSegment struct {
 	file   File
 	name   string
 	size   int64
-	header *header // nil: cut short, as the process was killed while it created the segment
+	header *header // nil if it is torn, because the process was killed while it created the segment
 }
 
-// openSegment opens a segment and reads its header. A cut header is no damage in the last segment.
+// openSegment opens a segment and reads its header. A torn header is damage unless the segment is the last one.
 func openSegment(fs FS, dir string, number uint32, last bool) (*openedSegment, error) {
 	o := &openedSegment{name: segmentName(dir, number)}
 	var err error
@@ -54,7 +54,7 @@
 		if last {
 			return nil
 		}
-		return &DamageError{File: o.name, Reason: "the header is cut short"}
+		return &DamageError{File: o.name, Reason: "the header is incomplete"}
 	}
 	b := make([]byte, segmentHeaderSize)
 	if n, err := o.file.ReadAt(b, 0); n < len(b) {
@@ -64,7 +64,7 @@
 	return err
 }
 
-// replayAll applies all segments in order. The header of each says how many bytes of the one before count.
+// replayAll replays all segments in order. The header of each segment has the number of valid bytes of the one before.
 func (s *Store) replayAll(numbers []uint32) error {
 	var buf []byte
 	var current *openedSegment
@@ -92,13 +92,13 @@
 	return nil
 }
 
-// replaySegment applies a segment's records; next is the header of the one behind it, nil if there is none.
+// replaySegment replays the records of a segment. next is the header of the following segment, nil if there is none.
 func (s *Store) replaySegment(o *openedSegment, next *header, buf *[]byte) error {
 	s.lastSeq = max(s.lastSeq, o.header.lastSeq)
 	g := &segment{number: o.header.number, size: o.size}
 	if next != nil {
 		if g.size = int64(next.previous); g.size > o.size || g.size < segmentHeaderSize {
-			reason := fmt.Sprintf("%d bytes long, the next segment says %d", o.size, g.size)
+			reason := fmt.Sprintf("the file has %d bytes, but the next segment expects %d", o.size, g.size)
 			return &DamageError{File: o.name, Offset: o.size, Reason: reason}
 		}
 	}
@@ -107,8 +107,8 @@
 		*buf = make([]byte, want)
 	}
 	scan := scanner{file: o.file, name: o.name, end: g.size, mayBeTorn: next == nil, buf: *buf}
-	sound, err := scan.scan(segmentHeaderSize, func(r scannedRecord) error { return s.replayRecord(g, o.name, r) })
-	g.size, g.excess, *buf = sound, o.size-sound, scan.buf
+	validEnd, err := scan.scan(segmentHeaderSize, func(r scannedRecord) error { return s.replayRecord(g, o.name, r) })
+	g.size, g.excess, *buf = validEnd, o.size-validEnd, scan.buf
 	return err
 }
 
@@ -117,27 +117,28 @@
 	case kindMessage:
 		f, ok := decodeMessageFixed(r.payload[1:])
 		if !ok {
-			return &DamageError{File: name, Offset: r.offset, Reason: "a message of a wrong form"}
+			return &DamageError{File: name, Offset: r.offset, Reason: "a malformed message record"}
 		}
 		g.messages++
 		s.replayMessage(g, &f, r)
 	case kindRelease:
 		refs, ok := decodeRelease(r.payload)
 		if !ok {
-			return &DamageError{File: name, Offset: r.offset, Reason: "a release of a wrong form"}
+			return &DamageError{File: name, Offset: r.offset, Reason: "a malformed release record"}
 		}
 		g.releases++
 		for _, ref := range refs {
 			s.replayRelease(ref)
 		}
 	default:
-		reason := fmt.Sprintf("a record of the unknown kind %d", r.payload[0])
+		reason := fmt.Sprintf("a record of unknown kind %d", r.payload[0])
 		return &DamageError{File: name, Offset: r.offset, Reason: reason}
 	}
 	return nil
 }
 
-// replayMessage adds a message. If it is known, the record is a copy, which counts from then on.
+// replayMessage adds a message to the index. If the index has the message already, the record is a copy made by
+// compaction, and the entry is changed to refer to it.
 func (s *Store) replayMessage(g *segment, f *messageFixed, r scannedRecord) {
 	id := Lane{f.destination, f.tenant}
 	l := s.lanes[id]
@@ -152,7 +153,7 @@
 		segment: g.number,
 		offset:  uint32(r.offset),
 		packed:  pack(len(r.raw), f.state(), f.keepsOrder()),
-		heapAt:  1,
+		heapPos: 1,
 	}
 	newest := l.empty() || f.seq > l.last().seq
 	if !newest {
@@ -161,17 +162,17 @@
 			return
 		}
 	}
-	_, late := l.late[f.seq]
-	if !late && e.keepsOrder() {
+	_, known := l.outOfOrder[f.seq]
+	if !known && e.keepsOrder() {
 		s.keys.add(hashKey(f.key), l.number)
 	}
 	switch {
-	case newest && !late:
+	case newest && !known:
 		l.pushBack(e)
-	case l.late == nil:
-		l.late = map[uint64]entry{f.seq: e}
+	case l.outOfOrder == nil:
+		l.outOfOrder = map[uint64]entry{f.seq: e}
 	default:
-		l.late[f.seq] = e
+		l.outOfOrder[f.seq] = e
 	}
 }
 
@@ -181,43 +182,43 @@
 		return
 	}
 	e := l.find(ref.Seq)
-	lateEntry, late := l.late[ref.Seq]
-	if e == nil && !late {
+	outOfOrderEntry, isOutOfOrder := l.outOfOrder[ref.Seq]
+	if e == nil && !isOutOfOrder {
 		return
 	}
 	s.ids.remove(ref.idHash)
-	if e != nil && e.keepsOrder() || late && lateEntry.keepsOrder() {
+	if e != nil && e.keepsOrder() || isOutOfOrder && outOfOrderEntry.keepsOrder() {
 		s.keys.remove(ref.keyHash, l.number)
 	}
-	delete(l.late, ref.Seq)
+	delete(l.outOfOrder, ref.Seq)
 	if e != nil {
-		e.heapAt = 0
+		e.heapPos = 0
 		l.trimEnds()
 	}
-	if l.empty() && len(l.late) == 0 {
+	if l.empty() && len(l.outOfOrder) == 0 {
 		s.removeLane(l)
 	}
 }
 
-// finishReplay builds the heaps and the totals.
+// finishReplay builds the heaps and the totals after all records are replayed.
 func (s *Store) finishReplay() {
 	for _, l := range s.lanes {
-		late := slices.SortedFunc(maps.Values(l.late), func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
-		l.late = nil
-		l.rebuild(late)
+		extra := slices.SortedFunc(maps.Values(l.outOfOrder), func(a, b entry) int { return cmp.Compare(a.seq, b.seq) })
+		l.outOfOrder = nil
+		l.rebuild(extra)
 		for ordinal := l.begin; ordinal != l.end; ordinal++ {
 			e := l.at(ordinal)
 			s.segment(e.segment).live++
 			s.addToSums(l, e, 1)
 		}
-		l.heapAt = len(s.expiries)
+		l.heapIndex = len(s.expiries)
 		s.expiries = append(s.expiries, l)
 	}
 	heap.Init(&s.expiries)
 }
 
-// removeTornHead removes a segment whose header was cut short by a kill: it holds nothing.
-func (s *Store) removeTornHead() error {
+// removeTornSegment removes the last segment if its header is torn, as it has no records then.
+func (s *Store) removeTornSegment() error {
 	numbers, err := listSegments(s.fs, s.dir)
 	if err != nil || len(numbers) == len(s.segments) {
 		return err
--- a/internal/backlog/scan.go
+++ b/internal/backlog/scan.go
@@ -11,8 +11,8 @@
 
 // scannedRecord is one record within a segment.
 type scannedRecord struct {
-	offset  int64  // of its header
-	raw     []byte // the whole record; valid until the next one
+	offset  int64  // offset of its header in the segment
+	raw     []byte // header and payload; valid until the next record is read
 	payload []byte
 }
 
@@ -20,15 +20,16 @@
 type scanner struct {
 	file      File
 	name      string
-	end       int64  // bytes of the file that count
-	mayBeTorn bool   // a record cut short at the end is no damage: the segment is the last, or still written to
-	buf       []byte // reused
-	bufOffset int64  // offset of buf[0]
-	bufLength int    // bytes in buf
+	end       int64  // number of valid bytes in the file
+	mayBeTorn bool   // an incomplete last record is not damage, because the segment is the last one
+	buf       []byte // read buffer, reused
+	bufOffset int64  // offset of buf[0] in the file
+	bufLength int    // number of bytes read into buf
 }
 
-// scan calls each for every record from an offset on and returns the offset behind the last whole one.
-func (s *scanner) scan(from int64, each func(scannedRecord) error) (sound int64, err error) {
+// scan calls visit for every record, starting at offset from, and returns the offset after the last complete record. If
+// visit returns errStop, it returns after that record without an error.
+func (s *scanner) scan(from int64, visit func(scannedRecord) error) (validEnd int64, err error) {
 	s.bufOffset, s.bufLength = from, 0
 	for offset := from; offset < s.end; {
 		total, err := s.next(offset)
@@ -40,7 +41,7 @@
 		if !ok {
 			return offset, s.damage(offset, "a record fails its checksum")
 		}
-		err = each(scannedRecord{offset: offset, raw: raw, payload: payload})
+		err = visit(scannedRecord{offset: offset, raw: raw, payload: payload})
 		if err != nil && err != errStop {
 			return offset, err
 		}
@@ -52,8 +53,7 @@
 	return s.end, nil
 }
 
-// next reads the whole record at an offset into the buffer and returns its length, 0 if the segment's end is torn
-// there.
+// next reads the record at an offset into the buffer and returns its length, or 0 if the record is torn.
 func (s *scanner) next(offset int64) (total int, err error) {
 	left := s.end - offset
 	if left < recordHeaderSize {
@@ -73,18 +73,19 @@
 	return total, s.fill(offset, total)
 }
 
+// cutShort returns the error for an incomplete last record, nil if mayBeTorn.
 func (s *scanner) cutShort(offset int64) error {
 	if s.mayBeTorn {
 		return nil
 	}
-	return s.damage(offset, fmt.Sprintf("cut short: %d bytes are no whole record", s.end-offset))
+	return s.damage(offset, fmt.Sprintf("cut short: the last %d bytes are not a complete record", s.end-offset))
 }
 
-func (s *scanner) damage(offset int64, what string) error {
-	return &DamageError{File: s.name, Offset: offset, Reason: what}
+func (s *scanner) damage(offset int64, reason string) error {
+	return &DamageError{File: s.name, Offset: offset, Reason: reason}
 }
 
-// fill reads at least n bytes from an offset on into the buffer, and as many more as it has room for.
+// fill reads at least n bytes at an offset into the buffer, and more if the buffer has room.
 func (s *scanner) fill(offset int64, n int) error {
 	if offset >= s.bufOffset && offset+int64(n) <= s.bufOffset+int64(s.bufLength) {
 		return nil
@@ -96,7 +97,7 @@
 	got, err := s.file.ReadAt(s.buf[:want], offset)
 	if got < n {
 		if err == nil || errors.Is(err, io.EOF) {
-			return s.damage(offset, "shorter than it was")
+			return s.damage(offset, "the file is shorter than it was")
 		}
 		return fmt.Errorf("%s: %w", s.name, err)
 	}
--- a/internal/backlog/segments.go
+++ b/internal/backlog/segments.go
@@ -8,17 +8,17 @@
 	"strings"
 )
 
-// segment is one file of the store.
+// segment is one file of the store that holds records.
 type segment struct {
 	number uint32
-	size   int64 // bytes that count
-	excess int64 // bytes behind them that a failed write left
-	live   int   // records of stored messages
+	size   int64 // valid bytes
+	excess int64 // bytes after the valid ones, left by a failed write or a kill
+	live   int   // number of records of stored messages
 
-	messages, releases int // records that a replay found
+	messages, releases int // number of records found by replay
 }
 
-// segment returns the segment with a number.
+// segment returns the segment with the given number, which must exist.
 func (s *Store) segment(number uint32) *segment { return s.segments[number-s.segments[0].number] }
 
 // segmentName returns the path of a segment.
@@ -26,7 +26,7 @@
 	return filepath.Join(dir, fmt.Sprintf("%010d%s", number, segmentSuffix))
 }
 
-// segmentNumber reads a segment's number from its file name; ok is false for other files.
+// segmentNumber parses the file name of a segment. ok is false for other files.
 func segmentNumber(name string) (number uint32, ok bool) {
 	base, ok := strings.CutSuffix(name, segmentSuffix)
 	if !ok {
@@ -36,7 +36,8 @@
 	return uint32(n), err == nil
 }
 
-// listSegments returns the numbers of a folder's segments, in order. It is an error if one between them is missing.
+// listSegments returns the numbers of the segments in a folder, in order. It returns a DamageError if one between
+// others is missing.
 func listSegments(fs FS, dir string) ([]uint32, error) {
 	names, err := fs.List(dir)
 	if err != nil {
@@ -63,10 +64,10 @@
 	file   File
 }
 
-// reader returns a segment's file for reading and opens it if needed.
+// reader returns the file of a segment for reading and opens it if necessary.
 func (s *Store) reader(number uint32) (File, error) {
-	if s.head != nil && s.segments[len(s.segments)-1].number == number {
-		return s.head, nil
+	if s.active != nil && s.segments[len(s.segments)-1].number == number {
+		return s.active, nil
 	}
 	last := len(s.readers) - 1
 	for i := last; i >= 0; i-- {
@@ -85,7 +86,7 @@
 	return file, nil
 }
 
-// closeReaders closes the least recently used files until at most left are open.
+// closeReaders closes the least recently used readers until at most left are open.
 func (s *Store) closeReaders(left int) {
 	for len(s.readers) > left {
 		_ = s.readers[0].file.Close() // it was only read
@@ -93,7 +94,7 @@
 	}
 }
 
-// closeReader closes a segment that is open for reading, if it is.
+// closeReader closes the reader of a segment if there is one.
 func (s *Store) closeReader(number uint32) {
 	for i, r := range s.readers {
 		if r.number == number {
--- a/internal/backlog/stats.go
+++ b/internal/backlog/stats.go
@@ -4,12 +4,12 @@
 	"slices"
 )
 
-// Usage is how much a part of the store holds.
+// Usage has the number and size of the messages in the store or in a part of it.
 type Usage struct {
 	Messages int             `json:"messages"`
 	Bytes    int64           `json:"bytes"`
-	States   [stateCount]int `json:"-"`                // messages by state
-	Oldest   int64           `json:"oldest,omitempty"` // when the oldest was accepted, microseconds of the wall clock
+	States   [stateCount]int `json:"-"`                // number of messages by State
+	Oldest   int64           `json:"oldest,omitempty"` // acceptance of the oldest message, microseconds of the wall clock
 }
 
 func (u *Usage) add(l *lane, oldest int64) {
@@ -23,7 +23,7 @@
 	}
 }
 
-// Stats is how much the store holds, in total, by destination and by tenant.
+// Stats has the usage of the store in total, by destination and by tenant.
 type Stats struct {
 	Usage
 	Lanes        int
@@ -33,7 +33,7 @@
 	Segments     int
 }
 
-// Stats sums up what is stored. It reads one record a lane, to find out when the oldest was accepted.
+// Stats returns the usage of the store. It reads one record per lane to find out when its oldest message was accepted.
 func (s *Store) Stats() (*Stats, error) {
 	stats := &Stats{
 		Lanes:        len(s.lanes),
@@ -56,7 +56,7 @@
 	return stats, nil
 }
 
-// LaneUsage returns how much a lane holds, without the time of its oldest message.
+// LaneUsage returns the usage of a lane, without Usage.Oldest.
 func (s *Store) LaneUsage(id Lane) Usage {
 	l := s.lanes[id]
 	if l == nil {
@@ -97,8 +97,8 @@
 	return counts
 }
 
-// Oldest returns when the oldest stored message was accepted, in microseconds of the wall clock; 0 if none is stored.
-// It reads one record.
+// Oldest returns when the oldest stored message was accepted, in microseconds of the wall clock, or 0 if the store is
+// empty. It reads one record.
 func (s *Store) Oldest() (int64, error) {
 	var oldest *lane
 	for _, l := range s.lanes {
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -1,10 +1,10 @@
-// Package backlog keeps messages on disk that wait for a destination that is unavailable or far behind, so that they do
-// not take memory: a queue for each lane (destination and tenant) over shared segments that are only appended to.
-// Memory holds a fixed-size entry for each message, no text. Package backlog/policy decides when messages are stored
-// and brought back; Mover moves messages between the write-ahead log and the store.
+// Package backlog stores queued messages on disk while their destination is unavailable or far behind, so that they do
+// not use memory. It has a queue for each lane (destination and tenant), and all lanes share append-only segments. In
+// memory it keeps an index entry of fixed size for each message. Package backlog/policy decides when messages are
+// stored and loaded. Mover moves messages between the write-ahead log and the store.
 //
-// A store survives the end of its process by any signal. Like the write-ahead log (internal/wal) it leaves writing to
-// the disk to the kernel and does not sync: it does not survive a loss of power.
+// No stored message is lost if the process is killed by a signal. Like the write-ahead log (internal/wal), the store
+// does not sync its files but leaves it to the kernel to write them to disk, so a power failure may lose messages.
 package backlog
 
 import (
@@ -13,34 +13,34 @@
 	"path/filepath"
 )
 
-// Store is a backlog store that is open until Close. It is not safe for concurrent use.
+// Store is an open backlog store. It is not safe for concurrent use.
 type Store struct {
 	fs               FS
 	dir              string
 	bounds           Bounds
-	lock             io.Closer  // nil: read-only, or closed
+	lock             io.Closer  // nil if the store is read-only or closed
 	segments         []*segment // oldest first
-	head             File       // the last segment, for writing; nil: the next write begins one
-	readers          []reader   // the latest used last
+	active           File       // the last segment, open for writing; nil if the next write has to create one
+	readers          []reader   // least recently used first
 	lanes            map[Lane]*lane
 	expiries         laneHeap
 	ids              idSet // hashes of the clients' ids of stored messages
 	keys             keyTable
 	numbers          laneNumbers
 	messages         int
-	bytes            int64 // of live records
-	lastSeq          uint64
-	compactedUpTo    int64 // in the oldest segment: what lies before it is copied or dead
-	compactionBudget int64 // bytes that may be looked through to free segments
-	ballast          bool
-	written          int64 // bytes since the start
+	bytes            int64  // of live records
+	lastSeq          uint64 // greatest message number known to be used
+	compactedUpTo    int64  // offset in the oldest segment before which all records are copied or dead
+	compactionBudget int64  // number of bytes that compaction may scan now
+	ballast          bool   // the ballast file exists
+	written          int64  // bytes written since Open
 	scanner          scanner
-	buf              []byte
+	buf              []byte // for encoding records, reused
 }
 
-// Open opens the store in a folder, which is made if it does not exist, and builds the index of what is stored. A
-// DamageError or a VersionError names a file that cannot be read; nothing is altered then. A LockedError says that
-// another process has the store open.
+// Open opens the store in a folder and builds the index of the stored messages. It creates the folder if it does not
+// exist. If a file cannot be read, it returns a DamageError or a VersionError and changes nothing. If another process
+// has the store open, it returns a LockedError.
 func Open(fs FS, dir string, bounds Bounds) (*Store, error) {
 	bounds, err := bounds.withDefaults()
 	if err != nil {
@@ -58,7 +58,7 @@
 		return nil, errors.Join(err, lock.Close())
 	}
 	s.lock = lock
-	if err := s.removeTornHead(); err != nil {
+	if err := s.removeTornSegment(); err != nil {
 		return nil, errors.Join(err, s.Close())
 	}
 	s.adoptBallast()
@@ -66,16 +66,16 @@
 	return s, nil
 }
 
-// Close closes the store's files and releases its lock. What is stored stays on disk.
+// Close closes the files of the store and releases its lock. Stored messages stay on disk.
 func (s *Store) Close() error {
 	var errs []error
 	for _, r := range s.readers {
 		errs = append(errs, r.file.Close())
 	}
 	s.readers = nil
-	if s.head != nil {
-		errs = append(errs, s.head.Close())
-		s.head = nil
+	if s.active != nil {
+		errs = append(errs, s.active.Close())
+		s.active = nil
 	}
 	if s.lock != nil {
 		errs = append(errs, s.lock.Close())
@@ -84,21 +84,21 @@
 	return errors.Join(errs...)
 }
 
-// SetBounds replaces the bounds. Messages stored beyond lower bounds stay; new messages are refused until there is
-// room. An error names the field that is wrong.
+// SetBounds replaces the bounds. If a limit is lowered below what is stored, the stored messages stay and new ones are
+// refused until there is room. An error names the invalid field.
 func (s *Store) SetBounds(b Bounds) error {
 	b, err := b.withDefaults()
 	if err != nil {
 		return err
 	}
-	remake := b.SegmentBytes != s.bounds.SegmentBytes
-	if remake {
+	segmentSizeChanged := b.SegmentBytes != s.bounds.SegmentBytes
+	if segmentSizeChanged {
 		s.releaseBallast()
 		s.scanner.buf = nil
 	}
 	s.bounds = b
 	s.closeReaders(b.OpenFiles)
-	if remake {
+	if segmentSizeChanged {
 		s.makeBallast()
 	}
 	return nil
@@ -107,25 +107,26 @@
 // Messages returns how many messages are stored.
 func (s *Store) Messages() int { return s.messages }
 
-// Bytes returns what the live records of stored messages take on disk.
+// Bytes returns the size of the stored messages' records on disk, in bytes.
 func (s *Store) Bytes() int64 { return s.bytes }
 
-// LastSeq returns the greatest number that the store knows to be used. Numbers assigned from now on must be greater.
+// LastSeq returns the greatest message number that the store knows to be used. New messages must get greater numbers.
 func (s *Store) LastSeq() uint64 { return s.lastSeq }
 
-// HasID reports whether a message with this client's id is stored. It compares hashes of 64 bits.
+// HasID reports whether a message with this client's id is stored. It compares 64-bit hashes, so it may rarely return
+// true for an id that is not stored.
 func (s *Store) HasID(id string) bool { return s.ids.has(hashID(id)) }
 
-// KeyInOtherLane reports whether messages that keep the order of a key are stored in another lane than this one.
+// KeyInOtherLane reports whether messages that keep the order of the given key are stored in another lane.
 func (s *Store) KeyInOtherLane(key uint64, id Lane) bool {
 	if key == 0 {
 		return false
 	}
-	number := uint32(0) // of no lane
+	number := uint32(0) // no lane has this number
 	if l := s.lanes[id]; l != nil {
 		number = l.number
 	}
-	return s.keys.elsewhere(hashKey(key), number)
+	return s.keys.inOtherLane(hashKey(key), number)
 }
 
 // LaneMessages returns how many messages of a lane are stored.
--- a/internal/backlog/verify.go
+++ b/internal/backlog/verify.go
@@ -1,16 +1,16 @@
 package backlog
 
-// SegmentReport is what Verify found in a segment.
+// SegmentReport has the findings of Verify for one segment.
 type SegmentReport struct {
 	File     string `json:"file"`
 	Bytes    int64  `json:"bytes"`
-	Messages int    `json:"messages"` // records
-	Releases int    `json:"releases"` // records
-	Torn     int64  `json:"torn"`     // bytes at the end that a kill or a failed write left: no damage
-	Fault    error  `json:"-"`
+	Messages int    `json:"messages"` // number of message records
+	Releases int    `json:"releases"` // number of release records
+	Torn     int64  `json:"torn"`     // bytes at the end left by a kill or a failed write; these are not damage
+	Fault    error  `json:"-"`        // nil if the segment is not damaged
 }
 
-// Verify reads every segment on its own, without altering anything, and reports what is wrong in each. It is an error
+// Verify reads every segment separately, without changing anything, and reports the faults of each. It returns an error
 // if a segment between others is missing or the folder cannot be read.
 func Verify(files FS, dir string) ([]SegmentReport, error) {
 	numbers, err := listSegments(files, dir)
@@ -26,7 +26,8 @@
 	return reports, nil
 }
 
-// verify reads one segment and returns its header, nil if it has none.
+// verify reads one segment and returns its header, or nil if the header is missing or damaged. next is the header of
+// the following segment.
 func (r *SegmentReport) verify(files FS, dir string, number uint32, last bool, next *header) *header {
 	o, err := openSegment(files, dir, number, last)
 	if err != nil {
@@ -39,12 +40,12 @@
 		r.Torn = o.size
 		return nil
 	}
-	one := &Store{dir: dir, lanes: map[Lane]*lane{}}
+	scratch := &Store{dir: dir, lanes: map[Lane]*lane{}}
 	var buf []byte
-	r.Fault = one.replaySegment(o, next, &buf)
-	if len(one.segments) == 1 {
-		r.Torn = one.segments[0].excess
-		r.Messages, r.Releases = one.segments[0].messages, one.segments[0].releases
+	r.Fault = scratch.replaySegment(o, next, &buf)
+	if len(scratch.segments) == 1 {
+		r.Torn = scratch.segments[0].excess
+		r.Messages, r.Releases = scratch.segments[0].messages, scratch.segments[0].releases
 	}
 	return o.header
 }
--- a/internal/backlog/write.go
+++ b/internal/backlog/write.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Used returns what the store's files take on disk, in bytes.
+// Used returns the size of the store's files on disk, in bytes, including the ballast.
 func (s *Store) Used() int64 {
 	used := int64(0)
 	for _, g := range s.segments {
@@ -17,11 +17,11 @@
 	return used
 }
 
-// Written returns how many bytes this process has written to the store.
+// Written returns how many bytes were written to segments since Open.
 func (s *Store) Written() int64 { return s.written }
 
-// ensureSpace compacts at most a segment's bytes until a record has room, or returns a FullError. The room that the
-// releases of all stored messages will take is never given to messages.
+// ensureSpace returns a FullError if there is no room for a record. If necessary it first compacts, scanning at most
+// the bytes of one segment. The space for the release records of all stored messages is never used for messages.
 func (s *Store) ensureSpace(size int64) error {
 	full := &FullError{Bytes: s.bytes, Bound: s.bounds.capacity()}
 	if s.bytes+size > s.bounds.capacity() {
@@ -37,59 +37,59 @@
 	return full
 }
 
-// freeBytes returns how many bytes may still be written for new messages.
+// freeBytes returns how many bytes are left for new messages.
 func (s *Store) freeBytes() int64 {
-	kept := int64(s.messages)*singleReleaseSize + reservedSegments*s.bounds.SegmentBytes
+	reserved := int64(s.messages)*singleReleaseSize + reservedSegments*s.bounds.SegmentBytes
 	if !s.ballast {
-		kept += s.bounds.SegmentBytes
+		reserved += s.bounds.SegmentBytes
 	}
-	return s.bounds.Bytes - s.Used() - kept
+	return s.bounds.Bytes - s.Used() - reserved
 }
 
-// write appends records to the last segment in one call. With an error none of them counts.
-func (s *Store) write(b []byte) (where *segment, offset uint32, err error) {
-	if err := s.prepareHead(int64(len(b))); err != nil {
+// write appends records to the last segment in one call. If it returns an error, none of them is valid.
+func (s *Store) write(b []byte) (seg *segment, offset uint32, err error) {
+	if err := s.prepareActive(int64(len(b))); err != nil {
 		return nil, 0, err
 	}
-	where = s.segments[len(s.segments)-1]
-	n, err := s.head.Write(b)
+	seg = s.segments[len(s.segments)-1]
+	n, err := s.active.Write(b)
 	if err == nil && n < len(b) {
 		err = io.ErrShortWrite
 	}
 	if err != nil {
-		s.truncateHead(int64(len(b)))
+		s.truncateActive(int64(len(b)))
 		return nil, 0, err
 	}
-	offset = uint32(where.size)
-	where.size += int64(n)
+	offset = uint32(seg.size)
+	seg.size += int64(n)
 	s.written += int64(n)
-	return where, offset, nil
+	return seg, offset, nil
 }
 
-// truncateHead removes what a failed write has left at the end of the last segment. If that fails too, the next
-// segment's header says how much of this one counts.
-func (s *Store) truncateHead(most int64) {
+// truncateActive removes the bytes that a failed write may have left at the end of the last segment, at most maxExcess.
+// If that fails too, it closes the segment; the header of the next one will have the number of its valid bytes.
+func (s *Store) truncateActive(maxExcess int64) {
 	g := s.segments[len(s.segments)-1]
-	if s.head.Truncate(g.size) != nil {
-		g.excess = most
-		_ = s.head.Close() // what it holds counts no further than the next header says
-		s.head = nil
+	if s.active.Truncate(g.size) != nil {
+		g.excess = maxExcess
+		_ = s.active.Close() // errors do not matter: the valid bytes were written
+		s.active = nil
 	}
 }
 
-// writeEssential writes records that a full disk must not prevent, since they lead to free space: it releases the
-// ballast for them.
-func (s *Store) writeEssential(b []byte) (where *segment, offset uint32, err error) {
-	where, offset, err = s.write(b)
+// writeEssential writes records that help to free space. If the disk is full, it releases the ballast to make room for
+// them.
+func (s *Store) writeEssential(b []byte) (seg *segment, offset uint32, err error) {
+	seg, offset, err = s.write(b)
 	if err != nil && isDiskFull(err) && s.releaseBallast() {
 		return s.write(b)
 	}
-	return where, offset, err
+	return seg, offset, err
 }
 
-// prepareHead makes sure that the last segment can be written to and has room.
-func (s *Store) prepareHead(size int64) error {
-	if s.head != nil {
+// prepareActive ensures that the last segment is open for writing and has room for size bytes.
+func (s *Store) prepareActive(size int64) error {
+	if s.active != nil {
 		have := s.segments[len(s.segments)-1].size
 		if have == segmentHeaderSize || have+size <= s.bounds.SegmentBytes {
 			return nil
@@ -98,7 +98,7 @@
 	return s.rotate()
 }
 
-// rotate creates a new segment.
+// rotate creates a new segment and makes it the active one.
 func (s *Store) rotate() error {
 	h := header{number: 1, lastSeq: s.lastSeq}
 	if n := len(s.segments); n > 0 {
@@ -107,7 +107,7 @@
 	name := segmentName(s.dir, h.number)
 	f, err := s.fs.Create(name)
 	if err != nil {
-		_ = s.fs.Remove(name) // of an earlier attempt
+		_ = s.fs.Remove(name) // an earlier attempt may have left it
 		return err
 	}
 	n, err := f.Write(h.encode())
@@ -119,10 +119,10 @@
 		_ = s.fs.Remove(name)
 		return err
 	}
-	if s.head != nil {
-		_ = s.head.Close() // each of its writes has told its own error
+	if s.active != nil {
+		_ = s.active.Close() // errors were returned by its writes
 	}
-	s.head = f
+	s.active = f
 	s.written += segmentHeaderSize
 	s.segments = append(s.segments, &segment{number: h.number, size: segmentHeaderSize})
 	return nil
