--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -13,7 +13,7 @@
 const (
 	benchLanes = 6000
 	benchBody  = 300 // bytes
-	drainBatch = 32  // messages of a lane that come back together
+	drainBatch = 32  // messages of a lane that are loaded together
 )
 
 var benchBounds = Bounds{Bytes: 8 << 30}
@@ -24,7 +24,7 @@
 		Body: make([]byte, benchBody), AcceptedAt: int64(seq), Expiry: int64(seq) + 3_600_000_000}
 }
 
-// fillTo appends messages until so many are stored.
+// fillTo appends messages until the given number of them is stored.
 func fillTo(b *testing.B, s *Store, messages int) {
 	for s.Messages() < messages {
 		require.NoError(b, s.Append(benchMessage(s.LastSeq()+1)))
@@ -59,7 +59,7 @@
 	}
 }
 
-// fileLog appends what the write-ahead log would, without keeping track of it.
+// fileLog is a Log that appends the same records as a write-ahead log but does not keep track of them.
 type fileLog struct {
 	file *os.File
 	buf  []byte
@@ -74,7 +74,7 @@
 
 func (l *fileLog) Forget(uint64) error { return nil }
 
-// A message's way back: read, recorded in a log, released. b.N messages of a store with a million.
+// BenchmarkDrain measures loading: a message is read, recorded in a log and released from the store.
 func BenchmarkDrain(b *testing.B) {
 	for _, stored := range []int{100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("stored=%d", stored), func(b *testing.B) {
@@ -127,9 +127,9 @@
 	}
 }
 
-// Outages of all lengths: each step stores a message, and lanes come back at random, so that as many go as come. A
-// tenth of the lanes stays out and gets nothing new. Written bytes for each byte of record, in a store with much
-// room and in a nearly full one.
+// BenchmarkChurn measures the bytes written per byte of message records, in a store with much room and in a nearly full
+// one. Each step stores a message and then releases messages of random lanes, so that the number of stored messages
+// stays the same. A tenth of the lanes gets no new messages and is never drained.
 func BenchmarkChurn(b *testing.B) {
 	const live = 100_000
 	for name, bounds := range map[string]Bounds{"roomy": benchBounds, "nearly-full": {Bytes: 66 << 20}} {
@@ -172,7 +172,7 @@
 	b.ReportMetric(float64(s.Bytes())/float64(s.bounds.capacity()), "live/room")
 }
 
-// 100,000 are due: a batch of the first 512 of them in the order of expiry.
+// BenchmarkExpired reads the 512 messages that expired first of 100,000 expired ones.
 func BenchmarkExpired(b *testing.B) {
 	s := openBench(b, b.TempDir())
 	defer s.Close()
--- a/internal/backlog/bounds_test.go
+++ b/internal/backlog/bounds_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBoundsAreCheckedByField(t *testing.T) {
+func TestOpenNamesInvalidBound(t *testing.T) {
 	for field, b := range map[string]Bounds{
 		"bytes":         {Bytes: 1000, SegmentBytes: 1000},
 		"segment_bytes": {Bytes: 1 << 40, SegmentBytes: 1 << 31},
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestFullDiskRefusesAndDrains(t *testing.T) {
+func TestStoreOnFullDiskRefusesAndDrains(t *testing.T) {
 	for _, capacity := range []int{6 << 10, 9 << 10, 14 << 10, 20 << 10} {
 		files := newMemFS()
 		files.capacity = capacity
@@ -36,7 +36,7 @@
 				var full *FullError
 				require.ErrorAs(t, err, &full)
 				require.ErrorIs(t, err, ErrFull)
-				require.Error(t, full.Err, "it is the disk")
+				require.Error(t, full.Err, "the disk is full, not the store")
 				refused++
 			}
 			return refused
@@ -44,9 +44,9 @@
 		require.Positive(t, fill(1))
 		before := s.Messages()
 		for _, lane := range testLanes {
-			require.Equal(t, stored[lane], headSeqs(t, s, lane, 1000), "nothing accepted is lost")
+			require.Equal(t, stored[lane], headSeqs(t, s, lane, 1000), "accepted messages are not lost")
 		}
-		for s.Messages() > 0 { // drains in turn, one each
+		for s.Messages() > 0 { // drains one message of each lane in turn
 			for _, lane := range testLanes {
 				ms, err := s.Head(lane, 1)
 				require.NoError(t, err)
@@ -54,14 +54,14 @@
 					require.Equal(t, stored[lane][0], ms[0].Seq)
 					stored[lane] = stored[lane][1:]
 				}
-				require.NoError(t, s.Release(refsOf(ms)), "a full disk does not stop the drain")
+				require.NoError(t, s.Release(refsOf(ms)), "the store can be drained on a full disk")
 			}
 		}
-		require.Less(t, int64(files.used()), 3*smallBounds.SegmentBytes, "space comes back")
+		require.Less(t, int64(files.used()), 3*smallBounds.SegmentBytes, "disk space is freed")
 		require.True(t, s.ballast)
 		fill(1000)
 		messages := s.Messages()
-		require.Greater(t, messages, before*7/8, "as much has room as before, but for longer ids")
+		require.Greater(t, messages, before*7/8, "as much fits as before, except for longer ids")
 		require.NoError(t, s.Close())
 		s = openStore(t, files, smallBounds)
 		require.Equal(t, messages, s.Messages())
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestDrainGivesSpaceBack(t *testing.T) {
+func TestDrainFreesDiskSpace(t *testing.T) {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
 	next := uint64(1)
@@ -113,7 +113,7 @@
 	checkStore(t, s)
 }
 
-func TestUsedNeverPassesTheBound(t *testing.T) {
+func TestUsedStaysWithinBounds(t *testing.T) {
 	files := newMemFS()
 	s, err := Open(files, testDir, smallBounds)
 	require.NoError(t, err)
@@ -142,9 +142,9 @@
 	t.Logf("%d of %d refused, %d bytes written", refused, next, s.Written())
 }
 
-// Messages so small that their releases take a large part of the room, released in an order in which no segment is
-// dead for long: there is room for the releases all the same.
-func TestReleasesHaveRoomInAFullStore(t *testing.T) {
+// A full store must have room for the release records of all its messages. The messages are so small that their release
+// records are large in comparison, and the random order of releases keeps live records in every segment for long.
+func TestFullStoreHasRoomForReleases(t *testing.T) {
 	files := newMemFS()
 	s, err := Open(files, testDir, smallBounds)
 	require.NoError(t, err)
@@ -165,8 +165,8 @@
 	require.Zero(t, s.Messages())
 }
 
-// A few messages that stay for long among many that go do not keep the space of those that went.
-func TestDeadSpaceIsFreed(t *testing.T) {
+// A few messages that stay stored must not keep the space of the many released messages around them from being freed.
+func TestDeadRecordsAreCompacted(t *testing.T) {
 	files := newMemFS()
 	bounds := Bounds{Bytes: 64 << 20, SegmentBytes: 1 << 10}
 	s, err := Open(files, testDir, bounds)
@@ -174,12 +174,12 @@
 	for seq := uint64(1); seq <= 20_000; seq++ {
 		m := testMessage(Lane{1, 1}, seq)
 		require.NoError(t, s.Append(m))
-		if before := seq - 1; before%200 != 0 { // not the newest, so that it lies between others
+		if before := seq - 1; before%200 != 0 { // not the newest, so that the released message is between others
 			require.NoError(t, s.Release([]Ref{testMessage(Lane{1, 1}, before).Ref()}))
 		}
 		require.LessOrEqual(t, s.Used()-bounds.SegmentBytes, 2*s.Bytes()+4*bounds.SegmentBytes)
 		l := s.lanes[Lane{1, 1}]
-		require.LessOrEqual(t, int(l.end-l.begin), 2*l.liveCount()+4*blockSize+1, "nor memory")
+		require.LessOrEqual(t, int(l.end-l.begin), 2*l.liveCount()+4*blockSize+1, "memory is freed too")
 	}
 	require.Equal(t, 100, s.Messages())
 	require.Less(t, s.Written(), int64(20_000*250*2), "write amplification")
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -10,7 +10,8 @@
 
 var smallBounds = Bounds{Bytes: 32 << 10, SegmentBytes: 1 << 10, OpenFiles: 2}
 
-// runScript does the same operations each time, until an error that is a kill.
+// runScript starts a process and does the given number of operations, the same ones in each call. It ends early if the
+// process is killed.
 func runScript(h *harness, operations int) error {
 	if err := h.start(); err != nil {
 		return err
@@ -24,13 +25,14 @@
 	return nil
 }
 
-func TestKillAtEveryStepLosesAndRepeatsNothing(t *testing.T) {
+// After a kill at any call that changes files, no message is lost or delivered twice.
+func TestKillAtEveryStep(t *testing.T) {
 	const operations = 150
 	steps := 0
-	for _, leaving := range []leftover{leavesNothing, leavesHalf, leavesAll} {
+	for _, left := range []leftover{leavesNothing, leavesHalf, leavesAll} {
 		for step := 1; ; step++ {
 			files := newMemFS()
-			files.kill, files.failAt, files.leaves = true, step, leaving
+			files.kill, files.failAt, files.leftover = true, step, left
 			h := newHarness(files, smallBounds)
 			err := runScript(h, operations)
 			if err == nil {
@@ -38,7 +40,7 @@
 			}
 			require.ErrorIs(t, err, errKilled)
 			steps++
-			h.fs = files.reboot()
+			h.fs = files.afterKill()
 			require.NoError(t, h.start(), "step %d", step)
 			h.check(t)
 			require.NoError(t, h.drain())
@@ -50,24 +52,24 @@
 	t.Logf("%d kills", steps)
 }
 
-// A kill while the process that follows a kill resolves what it finds.
-func TestKillDuringRecoveryFromAKill(t *testing.T) {
+// The process is killed again while it recovers from a kill.
+func TestKillDuringRecovery(t *testing.T) {
 	kills := 0
 	for step := 40; step < 400; step += 7 {
-		for second := 1; ; second++ {
+		for secondStep := 1; ; secondStep++ {
 			files := newMemFS()
-			files.kill, files.failAt, files.leaves = true, step, leavesHalf
+			files.kill, files.failAt, files.leftover = true, step, leavesHalf
 			h := newHarness(files, smallBounds)
 			if runScript(h, 150) == nil {
 				break
 			}
-			h.fs = files.reboot()
-			h.fs.kill, h.fs.failAt, h.fs.leaves = true, second, leftover(second%3)
+			h.fs = files.afterKill()
+			h.fs.kill, h.fs.failAt, h.fs.leftover = true, secondStep, leftover(secondStep%3)
 			if h.start() == nil {
 				break
 			}
 			kills++
-			h.fs = h.fs.reboot()
+			h.fs = h.fs.afterKill()
 			require.NoError(t, h.start())
 			h.check(t)
 		}
@@ -81,14 +83,14 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		h := newHarness(newMemFS(), smallBounds)
 		for range 30 {
-			h.fs = h.fs.reboot()
-			h.fs.kill, h.fs.failAt, h.fs.leaves = true, 1+rng.IntN(400), leftover(rng.IntN(3))
+			h.fs = h.fs.afterKill()
+			h.fs.kill, h.fs.failAt, h.fs.leftover = true, 1+rng.IntN(400), leftover(rng.IntN(3))
 			err := h.start()
 			for err == nil || !errors.Is(err, errKilled) {
 				err = h.randomOperation(rng)
 			}
 			kills++
-			h.fs = h.fs.reboot()
+			h.fs = h.fs.afterKill()
 			require.NoError(t, h.start(), "seed %d", seed)
 			h.check(t)
 		}
@@ -99,12 +101,12 @@
 	require.GreaterOrEqual(t, kills, 100)
 }
 
-// After an error at any one call, or a write cut short, the store goes on, and the next process can read it. The move
-// that was interrupted is completed later.
+// After any one call to the filesystem fails or writes only a part, the store stays usable and the next process can
+// read it. An interrupted move is completed later.
 func TestFaultAtEveryCall(t *testing.T) {
 	faults := 0
-	for _, leaving := range []leftover{leavesNothing, leavesHalf, leavesAll, shortWrite} {
-		for call := 1; faultAt(t, &memFS{failAt: call, leaves: leaving}); call++ {
+	for _, left := range []leftover{leavesNothing, leavesHalf, leavesAll, shortWrite} {
+		for call := 1; runWithFault(t, &memFS{failAt: call, leftover: left}); call++ {
 			faults++
 		}
 	}
@@ -112,11 +114,11 @@
 	t.Logf("%d faults", faults)
 }
 
-// Two calls in a row fail: also the one that mends what the first has left.
-func TestTwoFaultsAtEveryCall(t *testing.T) {
+// Two consecutive calls fail, so that the call that cleans up after the first failure fails too.
+func TestTwoConsecutiveFaults(t *testing.T) {
 	faults := 0
-	for _, leaving := range []leftover{leavesNothing, leavesHalf, shortWrite} {
-		for call := 1; faultAt(t, &memFS{failAt: call, failFor: 1, leaves: leaving}); call += 3 {
+	for _, left := range []leftover{leavesNothing, leavesHalf, shortWrite} {
+		for call := 1; runWithFault(t, &memFS{failAt: call, extraFailures: 1, leftover: left}); call += 3 {
 			faults++
 		}
 	}
@@ -124,11 +126,12 @@
 	t.Logf("%d faults", faults)
 }
 
-// faultAt runs the script with faults; it reports whether the script was long enough for them to occur.
-func faultAt(t *testing.T, files *memFS) bool {
+// runWithFault runs the script with the fault configured in files. It returns false if the script ends before the fault
+// occurs.
+func runWithFault(t *testing.T, files *memFS) bool {
 	files.files = map[string][]byte{}
 	h := newHarness(files, smallBounds)
-	if err := runScript(h, 120); err != nil { // at the start: the next one finds all well
+	if err := runScript(h, 120); err != nil { // the fault hit the start; the next start succeeds
 		files.failAt, files.locked = 0, false
 		require.NoError(t, h.start())
 	}
@@ -137,9 +140,9 @@
 	}
 	files.failAt = 0
 	require.NoError(t, h.mover.RetryForget())
-	require.NoError(t, h.bringBack(testLanes[0], 0)) // what was being moved
+	require.NoError(t, h.load(testLanes[0], 0)) // completes an interrupted move
 	h.check(t)
-	h.fs = files.reboot()
+	h.fs = files.afterKill()
 	require.NoError(t, h.start(), "call %d", files.calls)
 	h.check(t)
 	require.NoError(t, h.drain())
@@ -147,17 +150,17 @@
 	return true
 }
 
-func TestOpenFilesAreBounded(t *testing.T) {
+func TestOpenFilesAreLimited(t *testing.T) {
 	files := newMemFS()
 	h := newHarness(files, smallBounds)
 	require.NoError(t, runScript(h, 2000))
-	require.LessOrEqual(t, files.maxOpen, smallBounds.OpenFiles+3, "readers, the last segment, a new one, the test's log")
+	require.LessOrEqual(t, files.maxOpen, smallBounds.OpenFiles+3, "readers, active segment, new segment, test log")
 	require.NoError(t, h.store.Close())
-	require.Equal(t, 1, files.open, "the log")
+	require.Equal(t, 1, files.open, "the test log")
 }
 
-// Also once nothing is stored any more the store knows which numbers were used.
-func TestLastNumberOutlastsItsMessage(t *testing.T) {
+// The store knows the greatest number used even if no messages are stored any more.
+func TestLastSeqSurvivesReleaseAndReopen(t *testing.T) {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
 	for seq := uint64(1); seq <= 40; seq++ {
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// filledStore makes a store of several segments and closes it.
+// filledStore creates a store with several segments and closes it.
 func filledStore(t *testing.T) *memFS {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
@@ -37,13 +37,13 @@
 	return names
 }
 
-// Whatever byte of a store is altered, it is refused by the name of the file, and nothing is changed in it.
-func TestDamageIsRefusedByName(t *testing.T) {
+// If any byte of a segment is changed, Open fails, names the file and changes nothing.
+func TestOpenRefusesDamagedSegment(t *testing.T) {
 	whole := filledStore(t)
 	names := segmentFiles(whole)
 	for i, name := range names {
 		for at := 0; at < len(whole.files[name]); at += 3 {
-			files := whole.reboot()
+			files := whole.afterKill()
 			files.files[name][at] ^= 0x10
 			_, err := Open(files, testDir, smallBounds)
 			var damage *DamageError
@@ -63,19 +63,19 @@
 	}
 }
 
-func TestCutOrMissingSegmentIsRefused(t *testing.T) {
+func TestOpenRefusesCutOrMissingSegment(t *testing.T) {
 	whole := filledStore(t)
 	names := segmentFiles(whole)
 	middle := names[len(names)/2]
 	for _, cut := range []int{0, 10, segmentHeaderSize, segmentHeaderSize + 5, len(whole.files[middle]) - 1} {
-		files := whole.reboot()
+		files := whole.afterKill()
 		files.files[middle] = files.files[middle][:cut]
 		_, err := Open(files, testDir, smallBounds)
 		var damage *DamageError
 		require.ErrorAs(t, err, &damage)
 		require.Equal(t, middle, damage.File)
 	}
-	files := whole.reboot()
+	files := whole.afterKill()
 	delete(files.files, middle)
 	_, err := Open(files, testDir, smallBounds)
 	require.ErrorContains(t, err, middle+": byte 0: missing")
@@ -85,7 +85,7 @@
 	require.ErrorContains(t, err, "missing")
 }
 
-func TestNewerVersionIsRefused(t *testing.T) {
+func TestOpenRefusesNewerVersion(t *testing.T) {
 	files := filledStore(t)
 	names := segmentFiles(files)
 	files.files[names[1]][8] = segmentVersion + 1
@@ -95,19 +95,19 @@
 	require.Equal(t, VersionError{File: names[1], Version: segmentVersion + 1}, *version)
 }
 
-// Wherever a kill cuts the last segment, what was whole before is there, and the store goes on.
-func TestTornEndIsNoDamage(t *testing.T) {
+// Wherever a kill cuts the last segment, the complete records before the cut are read and the store stays usable.
+func TestTornEndIsNotDamage(t *testing.T) {
 	whole := filledStore(t)
 	names := segmentFiles(whole)
 	last := names[len(names)-1]
-	most := -1
+	previous := -1
 	for cut := 0; cut <= len(whole.files[last]); cut++ {
-		files := whole.reboot()
+		files := whole.afterKill()
 		files.files[last] = files.files[last][:cut]
 		s := openStore(t, files, smallBounds)
 		checkStore(t, s)
-		require.GreaterOrEqual(t, s.Messages()+2, most, "a release may come back alive or not, a message in the cut is gone")
-		most = s.Messages()
+		require.GreaterOrEqual(t, s.Messages()+2, previous, "at most 2 more messages are released")
+		previous = s.Messages()
 		require.NoError(t, s.Append(testMessage(testLanes[0], 1000)))
 		want := headSeqs(t, s, testLanes[0], 1000)
 		require.NoError(t, s.Close())
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestReadOfDamagedRecordIsRefused(t *testing.T) {
+func TestReadRefusesDamagedRecord(t *testing.T) {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
 	require.NoError(t, s.Append(testMessage(testLanes[0], 1)))
--- a/internal/backlog/expiry_test.go
+++ b/internal/backlog/expiry_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// 100,000 that expire in one second over many lanes come out in the order of expiry, in batches.
-func TestManyExpireInOneSecond(t *testing.T) {
+// Expired returns 100,000 messages of many lanes that expire within one second in batches, in the order of expiry.
+func TestExpiredReturnsMessagesInOrderOfExpiry(t *testing.T) {
 	const n, lanes, batch = 100_000, 300, 512
 	s := openStore(t, newMemFS(), Bounds{Bytes: 256 << 20})
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -35,7 +35,7 @@
 		}
 		for _, m := range ms {
 			if m.Expiry < before {
-				require.Fail(t, "out of the order of expiry")
+				require.Fail(t, "not in the order of expiry")
 			}
 			before = m.Expiry
 		}
--- a/internal/backlog/golden_test.go
+++ b/internal/backlog/golden_test.go
@@ -11,17 +11,17 @@
 	"spanflow/internal/wal"
 )
 
-// The folders in testdata were written by version 1 of the format. A store written by an earlier release must be read,
-// and written, with the same bytes. Totals, expiries and states are not on disk: they are computed from the records, so
-// that the tests check them after reading.
+// The folders in testdata were written by version 1 of the format. The tests check that such stores can be read and
+// that the same operations still write the same bytes. Totals, expiries and states are not stored but computed from
+// the records, so the tests check them after reading.
 const (
-	goldenStore     = "version1" // each kind of record, in several segments
-	goldenFreed     = "freed"    // after old segments were freed
-	goldenMoved     = "moved"    // a write-ahead log and its store, after moves both ways
-	goldenStoreName = "backlog"  // folder of the store beside the write-ahead log
+	goldenStore     = "version1" // has each kind of record, in several segments
+	goldenFreed     = "freed"    // a store in which old segments were freed
+	goldenMoved     = "moved"    // a write-ahead log and its store, after messages were spilled and loaded
+	goldenStoreName = "backlog"  // the store's folder within the folder of the write-ahead log
 
-	pidFile    = "backlog.lock" // holds the id of a process
-	logPIDFile = "owner"        // of the write-ahead log
+	pidFile    = "backlog.lock" // has the process id, which differs between runs
+	logPIDFile = "owner"        // the same for the write-ahead log
 )
 
 var (
@@ -33,7 +33,7 @@
 	}
 )
 
-// goldenKind is a type of message with what its idempotency leaves in a record.
+// goldenKind is a message type with the fields of a record that depend on its idempotency.
 type goldenKind struct {
 	name    string
 	key     string
@@ -47,7 +47,7 @@
 	{name: "at-most-once", ordered: true},
 }
 
-// goldenMessage is a message with fixed content, of a kind and in a state that follow from its number.
+// goldenMessage returns a message with fixed content. Its number determines its kind and state.
 func goldenMessage(lane Lane, seq uint64) *Message {
 	kind := goldenKinds[seq%3]
 	m := &Message{Seq: seq, Lane: lane, Key: seq % 4 * 0x1122334455667788, Ordered: kind.ordered, Type: kind.name,
@@ -76,12 +76,13 @@
 	return s
 }
 
-// writeGoldenStore stores messages of each kind and state, some before the oldest of their lane, and releases some.
+// writeGoldenStore stores messages of each kind and state, one of them older than the rest of its lane, and releases
+// some.
 func writeGoldenStore(t *testing.T, s *Store) {
 	for seq := uint64(10); seq < 37; seq++ {
 		require.NoError(t, s.Append(goldenMessage(goldenLanes[seq%2], seq)))
 	}
-	require.NoError(t, s.Append(goldenMessage(goldenLanes[0], 5)), "older than all of its lane")
+	require.NoError(t, s.Append(goldenMessage(goldenLanes[0], 5)), "older than all others of its lane")
 	empty := &Message{Seq: 40, Lane: goldenLanes[2]}
 	require.NoError(t, s.Append(empty))
 	require.NoError(t, s.Release([]Ref{
@@ -89,7 +90,7 @@
 	require.NoError(t, s.Release([]Ref{goldenRef(goldenLanes[1], 35)}))
 }
 
-// requireGoldenStore requires what writeGoldenStore leaves.
+// requireGoldenStore checks that a store has the content that writeGoldenStore wrote.
 func requireGoldenStore(t *testing.T, s *Store) {
 	t.Helper()
 	released := map[uint64]bool{12: true, 13: true, 35: true}
@@ -122,10 +123,10 @@
 	key := goldenMessage(goldenLanes[1], 11).Key
 	require.NotZero(t, key)
 	require.True(t, s.KeyInOtherLane(key, goldenLanes[0]))
-	require.False(t, s.KeyInOtherLane(key, goldenLanes[1]), "odd numbers alone have this key, all of one lane")
+	require.False(t, s.KeyInOtherLane(key, goldenLanes[1]), "only odd numbers have this key, all in one lane")
 	next, ok := s.NextExpiry()
 	require.True(t, ok)
-	require.Zero(t, next, "of the empty message")
+	require.Zero(t, next, "expiry of the empty message")
 	expired, err := s.Expired(1_700_000_016_000_000-36*7, 2)
 	require.NoError(t, err)
 	require.Equal(t, []uint64{40, 36}, seqsOf(expired))
@@ -136,7 +137,7 @@
 	s := openGolden(t, dir)
 	requireGoldenStore(t, s)
 	require.NoError(t, s.Close())
-	golden.Compare(t, dir, goldenStore, pidFile) // reading alters nothing
+	golden.Compare(t, dir, goldenStore, pidFile) // reading changes nothing
 }
 
 func TestInspectsStoreWrittenByVersion1(t *testing.T) {
@@ -168,10 +169,10 @@
 
 const (
 	freedMessages = 200
-	freedKept     = 40 // one in so many is not released
+	freedKept     = 40 // one message in 40 is not released
 )
 
-func TestFreeingWritesSameBytesAsVersion1(t *testing.T) {
+func TestCompactionWritesSameBytesAsVersion1(t *testing.T) {
 	dir := t.TempDir()
 	s := openGolden(t, dir)
 	for seq := uint64(1); seq <= freedMessages; seq++ {
@@ -186,7 +187,7 @@
 	golden.Compare(t, dir, goldenFreed, pidFile)
 }
 
-func TestReadsFreedStoreWrittenByVersion1(t *testing.T) {
+func TestReadsCompactedStoreWrittenByVersion1(t *testing.T) {
 	s := openGolden(t, golden.Copy(t, goldenFreed))
 	got, err := s.Head(goldenLanes[0], freedMessages)
 	require.NoError(t, err)
@@ -200,7 +201,7 @@
 	require.NoError(t, s.Close())
 }
 
-// movedMessage is a golden message as the write-ahead log keeps it.
+// movedMessage is a golden message without the fields that the write-ahead log does not keep.
 func movedMessage(seq uint64) *Message {
 	m := goldenMessage(goldenLanes[0], seq)
 	m.AcceptedAt, m.DeduplicationEnd, m.Ordered = 0, 0, false
@@ -261,6 +262,6 @@
 	}
 	overtaking, err := NewMover(walLog{log}, s).Resolve(refs)
 	require.NoError(t, err)
-	require.Equal(t, refs[5:], overtaking, "brought back to be answered, as its time was over")
+	require.Equal(t, refs[5:], overtaking, "loaded because it had expired")
 	closeMoved(t, log, s)
 }
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -39,23 +39,23 @@
 	return refs
 }
 
-// harness is a minimal forwarder: it accepts messages, moves them, and delivers them lane by lane in order. What
-// clients and destinations know survives its process.
+// harness is a minimal forwarder that accepts messages, moves them, and delivers them in the order of their lane. It
+// also records what clients and destinations have observed, which is kept when the simulated process is killed.
 type harness struct {
-	fs     *memFS
-	bounds Bounds
-	log    *testLog
-	store  *Store
-	mover  *Mover
-	held   map[Lane][]*Message
-	next   uint64
+	fs       *memFS
+	bounds   Bounds
+	log      *testLog
+	store    *Store
+	mover    *Mover
+	inMemory map[Lane][]*Message
+	next     uint64
 
-	accepted         map[uint64]*Message // whose clients have had that answer
-	acceptUnanswered uint64              // the message whose client waits for that answer; 0: none
-	done             map[uint64]bool     // that have had their effect
-	doneUnrecorded   uint64              // the message whose effect is being recorded; 0: none
-	doneByLane       map[Lane][]uint64   // in the order of their effects
-	expired          map[uint64]bool     // answered at the end of their time, without an effect
+	accepted         map[uint64]*Message // messages whose clients were told that they are accepted
+	acceptUnanswered uint64              // number of the message whose client waits for that answer; 0 means none
+	done             map[uint64]bool     // delivered messages
+	doneUnrecorded   uint64              // number of the message whose delivery is being recorded; 0 means none
+	doneByLane       map[Lane][]uint64   // in the order of delivery
+	expired          map[uint64]bool     // answered as expired, without a delivery
 }
 
 var testLanes = []Lane{{1, 1}, {1, 2}, {2, 1}}
@@ -65,9 +65,9 @@
 		doneByLane: map[Lane][]uint64{}, expired: map[uint64]bool{}}
 }
 
-// start begins a process: it reads the log and the store and resolves interrupted moves.
+// start simulates the start of a process: it reads the log and the store and resolves interrupted moves.
 func (h *harness) start() (err error) {
-	h.held = map[Lane][]*Message{}
+	h.inMemory = map[Lane][]*Message{}
 	if h.log, err = openTestLog(h.fs); err != nil {
 		return err
 	}
@@ -85,16 +85,16 @@
 	if err != nil {
 		return err
 	}
-	answer := map[uint64]bool{}
+	expired := map[uint64]bool{}
 	for _, ref := range overtaking {
-		answer[ref.Seq] = true
+		expired[ref.Seq] = true
 	}
 	for _, m := range h.log.pending {
-		if !answer[m.Seq] {
-			h.held[m.Lane] = append(h.held[m.Lane], m)
+		if !expired[m.Seq] {
+			h.inMemory[m.Lane] = append(h.inMemory[m.Lane], m)
 		}
 	}
-	for _, ms := range h.held {
+	for _, ms := range h.inMemory {
 		slices.SortFunc(ms, func(a, b *Message) int { return cmp.Compare(a.Seq, b.Seq) })
 	}
 	for _, ref := range overtaking {
@@ -108,13 +108,14 @@
 func testMessage(lane Lane, seq uint64) *Message {
 	return &Message{Seq: seq, Lane: lane, Key: seq % 5, Type: "order", ID: fmt.Sprintf("id-%d", seq),
 		Body:       []byte(fmt.Sprint("body of ", seq)),
-		AcceptedAt: int64(seq), Expiry: int64(1000 + seq*7919%997), Attempts: uint32(seq % 3), MayHaveRun: int64(seq % 2 * 77),
-		MayHaveRunZone: uint32(seq % 4), DeduplicationKey: fmt.Sprint("k", seq), DeduplicationEnd: int64(seq * 3),
-		Frontend:    "web",
-		CallerWaits: seq%4 == 0}
+		AcceptedAt: int64(seq), Expiry: int64(1000 + seq*7919%997), Attempts: uint32(seq % 3),
+		MayHaveRun: int64(seq % 2 * 77), MayHaveRunZone: uint32(seq % 4), DeduplicationKey: fmt.Sprint("k", seq),
+		DeduplicationEnd: int64(seq * 3),
+		Frontend:         "web",
+		CallerWaits:      seq%4 == 0}
 }
 
-// accept takes a new message: into the store if its lane has messages there, else into the log.
+// accept accepts a new message. It is stored if its lane has stored messages, and recorded in the log otherwise.
 func (h *harness) accept(lane Lane) error {
 	m := testMessage(lane, h.next)
 	h.next++
@@ -123,7 +124,7 @@
 	if h.store.LaneMessages(lane) > 0 {
 		err = h.store.Append(m)
 	} else if err = h.log.Restore(m); err == nil {
-		h.held[lane] = append(h.held[lane], m)
+		h.inMemory[lane] = append(h.inMemory[lane], m)
 	}
 	if errors.Is(err, errKilled) {
 		return err
@@ -135,34 +136,34 @@
 	return err
 }
 
-// spill moves all but the first messages of a lane to the store.
+// spill moves the messages of a lane to the store, except the first ones up to window.
 func (h *harness) spill(lane Lane, window int) error {
-	ms := h.held[lane]
+	ms := h.inMemory[lane]
 	if len(ms) <= window {
 		return nil
 	}
 	moved, err := h.mover.Spill(ms[window:])
-	h.held[lane] = ms[:len(ms)-moved]
+	h.inMemory[lane] = ms[:len(ms)-moved]
 	return err
 }
 
-func (h *harness) bringBack(lane Lane, n int) error {
+func (h *harness) load(lane Lane, n int) error {
 	batch, err := h.mover.Load(lane, n)
-	return errors.Join(err, h.handOver(batch))
+	return errors.Join(err, h.takeBatch(batch))
 }
 
-// expire answers some whose time is over.
-func (h *harness) expire(now int64, n int) error {
+// loadExpired loads and answers up to n messages that have expired.
+func (h *harness) loadExpired(now int64, n int) error {
 	batch, err := h.mover.LoadExpired(now, n)
-	return errors.Join(err, h.handOver(batch))
+	return errors.Join(err, h.takeBatch(batch))
 }
 
-// handOver passes messages that were brought back to the scheduler, or answers them.
-func (h *harness) handOver(batch Batch) (err error) {
+// takeBatch adds loaded messages to those in memory or, if they have expired, answers them.
+func (h *harness) takeBatch(batch Batch) (err error) {
 	for _, m := range batch.Messages {
 		if !batch.Expired {
-			h.held[m.Lane] = append(h.held[m.Lane], m)
-		} else if answerErr := h.answerExpired(m); answerErr != nil { // as today, it is answered again after a restart
+			h.inMemory[m.Lane] = append(h.inMemory[m.Lane], m)
+		} else if answerErr := h.answerExpired(m); answerErr != nil { // it will be answered again after a restart
 			err = answerErr
 		}
 	}
@@ -174,13 +175,13 @@
 	return h.log.Forget(m.Seq)
 }
 
-// finish gives the first messages of a lane their effect.
+// finish delivers the first n messages of a lane that are in memory.
 func (h *harness) finish(lane Lane, n int) error {
 	for range n {
-		if len(h.held[lane]) == 0 {
+		if len(h.inMemory[lane]) == 0 {
 			return nil
 		}
-		m := h.held[lane][0]
+		m := h.inMemory[lane][0]
 		h.doneUnrecorded = m.Seq
 		if err := h.log.Forget(m.Seq); err != nil {
 			if !errors.Is(err, errKilled) {
@@ -188,24 +189,24 @@
 			}
 			return err
 		}
-		h.effect(m)
-		h.held[lane] = h.held[lane][1:]
+		h.recordDelivery(m)
+		h.inMemory[lane] = h.inMemory[lane][1:]
 	}
 	return nil
 }
 
-func (h *harness) effect(m *Message) {
+func (h *harness) recordDelivery(m *Message) {
 	h.doneUnrecorded = 0
 	h.done[m.Seq] = true
 	h.doneByLane[m.Lane] = append(h.doneByLane[m.Lane], m.Seq)
 }
 
-// locations returns in how many places messages are: in memory and in the store.
+// locations counts for each message in how many places it is: in memory and in the store.
 func (h *harness) locations(t *testing.T) map[uint64]int {
-	places := map[uint64]int{}
-	for lane, ms := range h.held {
+	locations := map[uint64]int{}
+	for lane, ms := range h.inMemory {
 		for _, m := range ms {
-			places[m.Seq]++
+			locations[m.Seq]++
 			require.Equal(t, lane, m.Lane)
 			if known := h.accepted[m.Seq]; known != nil {
 				require.Equal(t, known, m, "as it was accepted, with its history")
@@ -217,48 +218,48 @@
 		require.NoError(t, err)
 		require.Len(t, ms, h.store.LaneMessages(lane))
 		for i, m := range ms {
-			places[m.Seq]++
+			locations[m.Seq]++
 			if i > 0 {
-				require.Greater(t, m.Seq, ms[i-1].Seq, "the order of taking")
+				require.Greater(t, m.Seq, ms[i-1].Seq, "the order of acceptance")
 			}
 			if known := h.accepted[m.Seq]; known != nil {
 				require.Equal(t, known, m, "as it was accepted, with its history")
 			}
 		}
-		if held := h.held[lane]; len(held) > 0 && len(ms) > 0 {
-			require.Less(t, held[len(held)-1].Seq, ms[0].Seq, "memory goes before the store")
+		if inMemory := h.inMemory[lane]; len(inMemory) > 0 && len(ms) > 0 {
+			require.Less(t, inMemory[len(inMemory)-1].Seq, ms[0].Seq, "messages in memory are older than stored ones")
 		}
 	}
-	return places
+	return locations
 }
 
-// check requires that nothing is lost and nothing is there twice. Messages that are being brought back are in neither
-// place until the store has released them; then strict is false.
+// check requires that no message is lost, duplicated or delivered twice, and that the deliveries of each lane are in
+// order.
 func (h *harness) check(t *testing.T) {
-	places := h.locations(t)
-	if h.acceptUnanswered != 0 { // its client had no answer: either is right
-		if places[h.acceptUnanswered] > 0 {
+	locations := h.locations(t)
+	if h.acceptUnanswered != 0 { // its client had no answer, so it may be accepted or not
+		if locations[h.acceptUnanswered] > 0 {
 			h.accepted[h.acceptUnanswered] = testMessage(h.find(h.acceptUnanswered).Lane, h.acceptUnanswered)
 		}
 		h.acceptUnanswered = 0
 	}
-	if m := h.accepted[h.doneUnrecorded]; m != nil { // it had its effect, and the log may have recorded it
-		if places[h.doneUnrecorded] == 0 {
-			h.effect(m)
+	if m := h.accepted[h.doneUnrecorded]; m != nil { // it was delivered, and the log may have recorded that
+		if locations[h.doneUnrecorded] == 0 {
+			h.recordDelivery(m)
 		}
 		h.doneUnrecorded = 0
 	}
 	for seq := range h.accepted {
 		if h.done[seq] {
-			require.Zero(t, places[seq], "message %d would have its effect twice", seq)
-		} else if h.expired[seq] { // answered; pending again only if the log could not be written
-			require.LessOrEqual(t, places[seq], 1, "message %d", seq)
+			require.Zero(t, locations[seq], "message %d would be delivered twice", seq)
+		} else if h.expired[seq] { // answered; it is still pending if writing to the log failed
+			require.LessOrEqual(t, locations[seq], 1, "message %d", seq)
 		} else {
-			require.Equal(t, 1, places[seq], "message %d", seq)
+			require.Equal(t, 1, locations[seq], "message %d", seq)
 		}
 	}
-	for seq := range places {
-		require.NotNil(t, h.accepted[seq], "message %d was refused and is there", seq)
+	for seq := range locations {
+		require.NotNil(t, h.accepted[seq], "message %d is present although it was refused", seq)
 	}
 	for lane, seqs := range h.doneByLane {
 		require.True(t, slices.IsSorted(seqs), "order of %v: %v", lane, seqs)
@@ -267,7 +268,7 @@
 }
 
 func (h *harness) find(seq uint64) *Message {
-	for _, ms := range h.held {
+	for _, ms := range h.inMemory {
 		for _, m := range ms {
 			if m.Seq == seq {
 				return m
@@ -285,7 +286,7 @@
 	return nil
 }
 
-// checkStore checks what must always hold within a store.
+// checkStore checks the invariants of a store.
 func checkStore(t *testing.T, s *Store) {
 	messages, bytes, live := 0, int64(0), map[uint32]int{}
 	for _, l := range s.lanes {
@@ -326,7 +327,7 @@
 	}
 }
 
-// randomOperation does one operation drawn at random.
+// randomOperation does one operation chosen at random.
 func (h *harness) randomOperation(rng *rand.Rand) error {
 	lane := testLanes[rng.IntN(len(testLanes))]
 	switch rng.IntN(9) {
@@ -335,24 +336,24 @@
 	case 4:
 		return h.spill(lane, rng.IntN(4))
 	case 5, 6:
-		return h.bringBack(lane, 1+rng.IntN(5))
+		return h.load(lane, 1+rng.IntN(5))
 	case 7:
 		return h.finish(lane, 1+rng.IntN(6))
 	}
-	return h.expire(int64(1000+rng.IntN(200)), 1+rng.IntN(4))
+	return h.loadExpired(int64(1000+rng.IntN(200)), 1+rng.IntN(4))
 }
 
 // drain delivers all that is pending.
 func (h *harness) drain() error {
 	for _, lane := range testLanes {
 		for {
-			if err := h.finish(lane, len(h.held[lane])); err != nil {
+			if err := h.finish(lane, len(h.inMemory[lane])); err != nil {
 				return err
 			}
-			if h.store.LaneMessages(lane) == 0 && len(h.held[lane]) == 0 {
+			if h.store.LaneMessages(lane) == 0 && len(h.inMemory[lane]) == 0 {
 				break
 			}
-			if err := h.bringBack(lane, 5); err != nil {
+			if err := h.load(lane, 5); err != nil {
 				return err
 			}
 		}
--- a/internal/backlog/inspect_test.go
+++ b/internal/backlog/inspect_test.go
@@ -41,7 +41,7 @@
 	}))
 	require.Equal(t, headSeqs(t, s, testLanes[1], 100), seen)
 
-	for _, lane := range testLanes { // the segments go away under it
+	for _, lane := range testLanes { // frees segments that the view still refers to
 		ms, err := s.Head(lane, 100)
 		require.NoError(t, err)
 		require.NoError(t, s.Release(refsOf(ms)))
--- a/internal/backlog/keytable_test.go
+++ b/internal/backlog/keytable_test.go
@@ -8,13 +8,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keyInLane is what the store counts messages by.
+// keyInLane is a key of the counts in keyModel.check.
 type keyInLane struct {
 	key  uint64
 	lane Lane
 }
 
-// keyModel is what a store of ordered and other messages should hold.
+// keyModel has the messages that a store with ordered and unordered messages should hold.
 type keyModel struct {
 	messages map[uint64]*Message // by number
 	next     uint64
@@ -22,9 +22,9 @@
 
 var keyLanes = []Lane{{1, 1}, {1, 2}, {2, 1}, {3, 1}}
 
-const modelKeys = 12 // few, and with 0
+const modelKeys = 12 // few, so that messages share them; 0 is included
 
-// read sets the model to what a store holds, after a kill.
+// read replaces the messages of the model with those of a store that was opened after a kill.
 func (k *keyModel) read(t *testing.T, s *Store) {
 	k.messages = map[uint64]*Message{}
 	for _, lane := range s.Lanes() {
@@ -36,7 +36,7 @@
 	}
 }
 
-// check compares the store's counts and answers with the model's.
+// check compares the store's counts of keys and results of KeyInOtherLane with those of the model.
 func (k *keyModel) check(t *testing.T, s *Store) {
 	counts, lanesOf := map[keyInLane]uint32{}, map[uint64]map[Lane]bool{}
 	for _, m := range k.messages {
@@ -79,7 +79,7 @@
 	return err
 }
 
-// release releases some from the head of a lane, or one from anywhere in it.
+// release releases up to 30 messages from the head of a lane, or one of the first 30.
 func (k *keyModel) release(s *Store, rng *rand.Rand) (released []*Message, err error) {
 	lane := keyLanes[rng.IntN(len(keyLanes))]
 	messages, err := s.Head(lane, 1+rng.IntN(30))
@@ -98,7 +98,7 @@
 	return messages, nil
 }
 
-// spillAgain releases messages and stores them again, the newest first.
+// spillAgain releases messages and stores them again, the newest first, as if they were loaded and then spilled.
 func (k *keyModel) spillAgain(s *Store, rng *rand.Rand) error {
 	messages, err := k.release(s, rng)
 	for i := len(messages) - 1; i >= 0 && err == nil; i-- {
@@ -124,18 +124,18 @@
 	return err
 }
 
-// The counts of keys agree with a map over new messages, releases, spills back and forth, restarts, and kills that
-// leave copies of what is in segments that are being freed.
-func TestKeysAgreeWithAMap(t *testing.T) {
+// The counts of keys match the model after appends, releases, spills, restarts, and kills that leave two copies of
+// messages because they interrupt compaction.
+func TestKeyTableMatchesModel(t *testing.T) {
 	rng := rand.New(rand.NewPCG(31, 7))
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
 	k := &keyModel{messages: map[uint64]*Message{}, next: 1}
 	kills, reopens := 0, 0
 	for range 600 {
-		toKill := rng.IntN(2) == 0
-		if toKill {
-			files.kill, files.failAt, files.failFor, files.leaves = true, files.calls+1+rng.IntN(30), 1, leavesAll
+		willKill := rng.IntN(2) == 0
+		if willKill {
+			files.kill, files.failAt, files.extraFailures, files.leftover = true, files.calls+1+rng.IntN(30), 1, leavesAll
 		}
 		var err error
 		for range 20 {
@@ -146,9 +146,9 @@
 				k.check(t, s)
 			}
 		}
-		if err != nil || files.dead {
+		if err != nil || files.killed {
 			kills++
-			files = files.reboot()
+			files = files.afterKill()
 			s = openStore(t, files, smallBounds)
 			k.read(t, s)
 		} else {
@@ -161,11 +161,11 @@
 	}
 	require.Greater(t, kills, 100)
 	require.Greater(t, reopens, 100)
-	require.Greater(t, s.segments[0].number, uint32(50), "segments were freed meanwhile")
+	require.Greater(t, s.segments[0].number, uint32(50), "segments were freed during the test")
 }
 
-// Nothing is kept of a key whose last message is released.
-func TestKeysOfReleasedMessagesAreForgotten(t *testing.T) {
+// The table has no slot for a key whose last message was released.
+func TestReleaseRemovesKeys(t *testing.T) {
 	const keys = 20_000
 	s := openStore(t, newMemFS(), Bounds{Bytes: 64 << 20})
 	var refs []Ref
@@ -177,11 +177,11 @@
 	require.Equal(t, keys, s.keys.count)
 	require.True(t, s.KeyInOtherLane(7<<40, Lane{8, 1}))
 	require.False(t, s.KeyInOtherLane(7<<40, Lane{7, 1}))
-	require.True(t, s.KeyInOtherLane(7<<40, Lane{99, 1}), "a lane of which nothing is stored")
+	require.True(t, s.KeyInOtherLane(7<<40, Lane{99, 1}), "a lane without stored messages")
 	for _, ref := range refs {
 		require.NoError(t, s.Release([]Ref{ref}))
 	}
-	for lane := uint64(100); lane < 300; lane++ { // one at a time
+	for lane := uint64(100); lane < 300; lane++ { // one stored message at a time
 		m := &Message{Seq: keys + lane, Lane: Lane{lane, 1}, Key: 7 << 40, Ordered: true}
 		require.NoError(t, s.Append(m))
 		require.False(t, s.KeyInOtherLane(m.Key, m.Lane))
@@ -193,11 +193,11 @@
 	for i := range s.keys.shards {
 		slots += len(s.keys.shards[i].slots)
 	}
-	require.LessOrEqual(t, slots, shardCount*minSlots, "memory is given back")
-	require.LessOrEqual(t, s.numbers.last, uint32(50), "numbers of lanes are used again")
+	require.LessOrEqual(t, slots, shardCount*minSlots, "memory is freed")
+	require.LessOrEqual(t, s.numbers.last, uint32(50), "lane numbers are reused")
 }
 
-// A message of an unordered type, or without a key, keeps no other back.
+// Messages of an unordered type or without a key are not counted, so they cannot delay others.
 func TestUnorderedMessagesAreNotCounted(t *testing.T) {
 	s := openStore(t, newMemFS(), smallBounds)
 	require.NoError(t, s.Append(&Message{Seq: 1, Lane: keyLanes[0], ID: "a", Key: 5}))
@@ -208,9 +208,9 @@
 	require.True(t, s.KeyInOtherLane(5, keyLanes[1]))
 }
 
-// A message spilled before a newer one of its lane, which has left since, and copied by a kill while its segment was
-// freed, is found once.
-func TestCopyOfASpilledMessageIsFoundOnce(t *testing.T) {
+// A message that was spilled when its lane had a newer stored message, since released, and of which an interrupted
+// compaction left two copies is found once after a restart.
+func TestReplayOfCopiedMessageFindsItOnce(t *testing.T) {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
 	newer, older := testMessage(testLanes[0], 10), testMessage(testLanes[0], 5)
--- a/internal/backlog/memfs_test.go
+++ b/internal/backlog/memfs_test.go
@@ -14,36 +14,37 @@
 	errFault  = errors.New("injected fault")
 )
 
-// leftover is what a failing call leaves behind.
+// leftover is the effect that a failing call has nevertheless.
 type leftover int
 
 const (
 	leavesNothing leftover = iota
-	leavesHalf             // of a write; other calls do nothing
-	leavesAll              // the call does its work and fails all the same
-	shortWrite             // a write that writes half and gives no error
+	leavesHalf             // half of the bytes are written; calls other than writes have no effect
+	leavesAll              // the call has its full effect but returns an error
+	shortWrite             // half of the bytes are written, without an error
 )
 
-// memFS is a filesystem in memory that fails at a chosen call: the process is killed there, or it gets an error.
+// memFS is a filesystem in memory that fails at a chosen call: the call returns an error or simulates a kill of the
+// process.
 type memFS struct {
 	files    map[string][]byte
 	locked   bool
-	capacity int // bytes; 0: no bound
+	capacity int // bytes; 0 means unlimited
 
-	calls   int // so far; those that alter something alone if kill is set
-	failAt  int // the call that fails, from 1; 0: none
-	failFor int // so many calls behind it fail too
-	kill    bool
-	leaves  leftover
-	dead    bool
-	open    int // files
-	maxOpen int
+	calls         int // number of calls so far; if kill is set, only calls that change files count
+	failAt        int // number of the call that fails, counted from 1; 0 means none
+	extraFailures int // number of calls after failAt that fail too
+	kill          bool
+	leftover      leftover
+	killed        bool
+	open          int // files
+	maxOpen       int
 }
 
 func newMemFS() *memFS { return &memFS{files: map[string][]byte{}} }
 
-// reboot returns the files as a process that starts after a kill finds them.
-func (m *memFS) reboot() *memFS {
+// afterKill returns the filesystem for a process that starts after a kill: with the same files and without locks.
+func (m *memFS) afterKill() *memFS {
 	fresh := newMemFS()
 	fresh.capacity = m.capacity
 	for name, text := range m.files {
@@ -52,23 +53,23 @@
 	return fresh
 }
 
-// step counts a call. It returns the error of a call that fails, and what the call still does.
+// step counts a call. It returns the error of a call that has to fail, and the effect that the call still has.
 func (m *memFS) step(alters bool) (leftover, error) {
-	if m.dead {
+	if m.killed {
 		return leavesNothing, errKilled
 	}
 	if m.kill && !alters {
 		return leavesAll, nil
 	}
 	m.calls++
-	if m.failAt == 0 || m.calls < m.failAt || m.calls > m.failAt+m.failFor {
+	if m.failAt == 0 || m.calls < m.failAt || m.calls > m.failAt+m.extraFailures {
 		return leavesAll, nil
 	}
 	if m.kill {
-		m.dead = true
-		return m.leaves, errKilled
+		m.killed = true
+		return m.leftover, errKilled
 	}
-	return m.leaves, errFault
+	return m.leftover, errFault
 }
 
 func (m *memFS) MakeDir(string) error {
@@ -100,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return m.opened(name), nil
+	return m.openFile(name), nil
 }
 
 func (m *memFS) Open(name string) (File, error) {
@@ -110,10 +111,10 @@
 	if _, has := m.files[name]; !has {
 		return nil, fs.ErrNotExist
 	}
-	return m.opened(name), nil
+	return m.openFile(name), nil
 }
 
-func (m *memFS) opened(name string) File {
+func (m *memFS) openFile(name string) File {
 	m.open++
 	m.maxOpen = max(m.maxOpen, m.open)
 	return &memFile{fs: m, name: name}
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// used returns the bytes of all files.
+// used returns the size of all files in bytes.
 func (m *memFS) used() int {
 	n := 0
 	for _, text := range m.files {
@@ -167,26 +168,26 @@
 func (f *memFile) Write(b []byte) (int, error) {
 	left, err := f.fs.step(true)
 	if err == nil {
-		return f.add(b)
+		return f.append(b)
 	}
 	switch left {
 	case leavesHalf:
-		n, _ := f.add(b[:len(b)/2])
+		n, _ := f.append(b[:len(b)/2])
 		return n, err
 	case shortWrite:
-		n, _ := f.add(b[:len(b)/2])
+		n, _ := f.append(b[:len(b)/2])
 		if f.fs.kill {
 			return n, err
 		}
 		return n, nil
 	case leavesAll:
-		n, _ := f.add(b)
+		n, _ := f.append(b)
 		return n, err
 	}
 	return 0, err
 }
 
-func (f *memFile) add(b []byte) (int, error) {
+func (f *memFile) append(b []byte) (int, error) {
 	n := len(b)
 	if f.fs.capacity > 0 {
 		n = max(0, min(n, f.fs.capacity-f.fs.used()))
--- a/internal/backlog/memory_test.go
+++ b/internal/backlog/memory_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// liveBytes is what the heap holds.
+// liveBytes returns the size of the reachable objects on the heap.
 func liveBytes() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -19,10 +19,10 @@
 	return int64(m.HeapAlloc)
 }
 
-const maxMessageMemory = 64 // bytes a stored message, beyond a fixed part and that of lanes
+const maxMessageMemory = 64 // bytes per stored message, in addition to fixedMemory
 
-// A stored message takes at most 64 bytes of memory, also after a restart, whatever its size.
-func TestMemoryOfAStoredMessage(t *testing.T) {
+// A stored message uses at most 64 bytes of memory, independent of its size. This also holds after a restart.
+func TestMemoryPerStoredMessage(t *testing.T) {
 	dir := t.TempDir()
 	bounds := Bounds{Bytes: 256 << 20}
 	for _, n := range []int{60_000, 110_000, 130_000, 200_000} {
@@ -45,19 +45,19 @@
 		before = liveBytes()
 		s, err = Open(OS{}, filepath.Join(dir, fmt.Sprint(n)), bounds)
 		require.NoError(t, err)
-		again := float64(liveBytes()-before-fixedMemory) / float64(n)
-		require.Less(t, again, float64(maxMessageMemory), "%d read", n)
+		afterReopen := float64(liveBytes()-before-fixedMemory) / float64(n)
+		require.Less(t, afterReopen, float64(maxMessageMemory), "%d read", n)
 		require.Equal(t, n, s.Messages())
-		t.Logf("%d: %.1f bytes a message appended, %.1f read", n, each, again)
+		t.Logf("%d: %.1f bytes per message after appending, %.1f after reopening", n, each, afterReopen)
 		require.NoError(t, s.Close())
 		runtime.KeepAlive(s)
 	}
 }
 
-const fixedMemory = 600 << 10 // bytes: buffers and 100 lanes
+const fixedMemory = 600 << 10 // bytes for buffers and 100 lanes
 
-// Ten times as many messages take ten times the calls and the memory to read again, not more, also where older ones
-// were stored behind newer ones.
+// Opening a store with ten times as many messages takes at most ten times as many filesystem calls and as much memory,
+// even if older messages were stored after newer ones.
 func TestReopenIsLinear(t *testing.T) {
 	cost := func(n int) (calls, allocated float64) {
 		files := newMemFS()
@@ -87,10 +87,10 @@
 	require.LessOrEqual(t, moreAllocated, 10*allocated)
 }
 
-const maxKeyMemory = 32 // bytes that the distinct ordering key of a stored message adds to it
+const maxKeyMemory = 32 // bytes that a distinct ordering key adds per stored message
 
-// A stored message with an ordering key of its own takes at most 32 bytes more, also after a restart.
-func TestMemoryOfADistinctOrderingKey(t *testing.T) {
+// A stored message with a distinct ordering key uses at most 32 bytes more. This also holds after a restart.
+func TestMemoryPerDistinctOrderingKey(t *testing.T) {
 	dir := t.TempDir()
 	bounds := Bounds{Bytes: 256 << 20}
 	for _, n := range []int{60_000, 110_000, 130_000, 200_000} {
@@ -122,7 +122,7 @@
 		}
 		keys := float64(slots*int(unsafe.Sizeof(keySlot{}))) / float64(n)
 		require.Less(t, keys, float64(maxKeyMemory))
-		t.Logf("%d: %.1f bytes a message appended, %.1f read; %.1f of them for the key", n, each, again, keys)
+		t.Logf("%d: %.1f bytes per message after appending, %.1f after reopening; %.1f for the key", n, each, again, keys)
 		require.NoError(t, s.Close())
 		runtime.KeepAlive(s)
 	}
--- a/internal/backlog/move.go
+++ b/internal/backlog/move.go
@@ -14,8 +14,8 @@
 	Forget(seq uint64) error
 }
 
-// Mover moves messages between the write-ahead log and the store. Whenever the process is killed, each message is in one
-// of them, or in both with the same number. It is not safe for concurrent use.
+// Mover moves messages between the write-ahead log and the store. Whenever the process is killed, each message is in
+// one of them, or in both with the same number. It is not safe for concurrent use.
 //
 //   - Spill appends a message to the store before the log forgets it.
 //   - Load records a message in the log before the store releases it. Only then may the scheduler get it.
--- a/internal/backlog/move_wal_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	forwarderDir   = "SPANFLOW_BACKLOG_FORWARDER" // set for the process that the test kills
-	walBytes       = 1 << 20
-	forwarderKills = 100
+	forwarderDirEnv = "SPANFLOW_BACKLOG_FORWARDER" // set to the folder in processes that the test kills
+	walBytes        = 1 << 20
+	forwarderKills  = 100
 )
 
-// walLog is the write-ahead log as the mover needs it.
+// walLog adapts the write-ahead log to Log.
 type walLog struct{ *wal.Log }
 
 func (l walLog) Restore(m *Message) error { return l.Log.Restore(entryOf(m)) }
@@ -46,7 +46,7 @@
 		Frontend: e.Frontend, CallerWaits: e.CallerWaits}
 }
 
-// walMessage is a test message with what the log keeps.
+// walMessage is a test message with a random client's id and without the fields that the write-ahead log does not keep.
 func walMessage(lane Lane, seq uint64) *Message {
 	m := testMessage(lane, seq)
 	m.AcceptedAt, m.DeduplicationEnd, m.ID = 0, 0, fmt.Sprintf("client-%016x", rand.Uint64())
@@ -58,13 +58,13 @@
 	log        *wal.Log
 	store      *Store
 	mover      *Mover
-	held       map[Lane][]*Message
-	overtaking []uint64 // would overtake older ones that are stored
+	inMemory   map[Lane][]*Message
+	overtaking []uint64 // pending messages that would overtake older stored ones
 	out        io.Writer
 }
 
 func startForwarder(dir string, out io.Writer) (*forwarder, error) {
-	f := &forwarder{held: map[Lane][]*Message{}, out: out}
+	f := &forwarder{inMemory: map[Lane][]*Message{}, out: out}
 	var err error
 	if f.log, err = wal.Open(dir, walBytes); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	for _, e := range f.log.Pending() {
 		m := messageOf(e)
 		pending = append(pending, m.Ref())
-		f.held[m.Lane] = append(f.held[m.Lane], m)
+		f.inMemory[m.Lane] = append(f.inMemory[m.Lane], m)
 	}
 	overtaking, err := f.mover.Resolve(pending)
 	for _, ref := range overtaking {
@@ -89,24 +89,24 @@
 
 func (f *forwarder) close() error { return errors.Join(f.store.Close(), f.log.Close()) }
 
-// randomOperation does one operation drawn at random and prints what clients and destinations observe: "+" a message is
-// accepted, "?" it is about to have its effect, "!" that is recorded.
+// randomOperation does one operation chosen at random and prints what clients and destinations observe: "+" means that
+// a message was accepted, "?" that it is about to be delivered, and "!" that its delivery was recorded.
 func (f *forwarder) randomOperation(rng *rand.Rand) error {
 	lane := testLanes[rng.IntN(len(testLanes))]
 	switch rng.IntN(10) {
 	case 0, 1, 2, 3, 4:
 		return f.accept(lane)
 	case 5:
-		held := f.held[lane]
-		if window := rng.IntN(6); len(held) > window {
-			moved, err := f.mover.Spill(held[window:])
-			f.held[lane] = held[:len(held)-moved]
+		inMemory := f.inMemory[lane]
+		if window := rng.IntN(6); len(inMemory) > window {
+			moved, err := f.mover.Spill(inMemory[window:])
+			f.inMemory[lane] = inMemory[:len(inMemory)-moved]
 			return err
 		}
 	case 6, 7:
 		batch, err := f.mover.Load(lane, 1+rng.IntN(8))
 		for _, m := range batch.Messages {
-			f.held[m.Lane] = append(f.held[m.Lane], m)
+			f.inMemory[m.Lane] = append(f.inMemory[m.Lane], m)
 		}
 		return err
 	default:
@@ -129,26 +129,26 @@
 			return err
 		}
 		m.Seq = e.Seq
-		f.held[lane] = append(f.held[lane], m)
+		f.inMemory[lane] = append(f.inMemory[lane], m)
 	}
 	fmt.Fprintln(f.out, "+", m.Seq, lane.Destination, lane.Tenant)
 	return nil
 }
 
 func (f *forwarder) finish(lane Lane, n int) error {
-	for ; n > 0 && len(f.held[lane]) > 0; n-- {
-		m := f.held[lane][0]
+	for ; n > 0 && len(f.inMemory[lane]) > 0; n-- {
+		m := f.inMemory[lane][0]
 		fmt.Fprintln(f.out, "?", m.Seq, lane.Destination, lane.Tenant)
 		if err := f.log.RecordDone(m.Seq); err != nil {
 			return fmt.Errorf("done: %w", err)
 		}
 		fmt.Fprintln(f.out, "!", m.Seq, lane.Destination, lane.Tenant)
-		f.held[lane] = f.held[lane][1:]
+		f.inMemory[lane] = f.inMemory[lane][1:]
 	}
 	return nil
 }
 
-// forwardForever is the process that is killed.
+// forwardForever runs in the process that is killed.
 func forwardForever(dir string) error {
 	f, err := startForwarder(dir, os.Stdout)
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// observations are what clients and destinations of a forwarder have observed over all its processes.
+// observations has what clients and destinations have observed of all processes of a forwarder.
 type observations struct {
 	pending    map[uint64]Lane
 	done       map[Lane][]uint64
@@ -170,100 +170,101 @@
 }
 
 func (o *observations) add(line string) {
-	var word string
+	var event string
 	var seq, destination uint64
 	var tenant uint32
-	if n, _ := fmt.Sscan(line, &word, &seq, &destination, &tenant); n < 4 {
-		return // cut by the kill
+	if n, _ := fmt.Sscan(line, &event, &seq, &destination, &tenant); n < 4 {
+		return // the line was cut off by the kill
 	}
 	lane := Lane{destination, tenant}
-	switch word {
+	switch event {
 	case "+":
 		o.pending[seq] = lane
 	case "?":
 		o.unrecorded[seq] = lane
 	case "!":
-		o.effect(seq, lane)
+		o.recordDelivery(seq, lane)
 	}
 }
 
-func (o *observations) effect(seq uint64, lane Lane) {
+func (o *observations) recordDelivery(seq uint64, lane Lane) {
 	delete(o.pending, seq)
 	delete(o.unrecorded, seq)
 	o.done[lane] = append(o.done[lane], seq)
 }
 
-// compare checks what a new process finds against what was observed.
+// compare checks the messages that a new process has against the observations.
 func (o *observations) compare(t *testing.T, f *forwarder) {
 	require.Empty(t, f.overtaking)
-	places := map[uint64]int{}
+	locations := map[uint64]int{}
 	lanes := map[uint64]Lane{}
-	note := func(m *Message) {
-		places[m.Seq]++
+	record := func(m *Message) {
+		locations[m.Seq]++
 		lanes[m.Seq] = m.Lane
 		want := walMessage(m.Lane, m.Seq)
-		if m.DeduplicationKey == "k0" { // accepted into the log, before its number was known
+		if m.DeduplicationKey == "k0" { // it was created before the log assigned its number
 			want = walMessage(m.Lane, 0)
 			want.Seq = m.Seq
 		}
 		want.ID = m.ID
 		require.Equal(t, want, m)
 	}
-	for lane, held := range f.held {
-		slices.SortFunc(held, func(a, b *Message) int { return cmp.Compare(a.Seq, b.Seq) })
-		for _, m := range held {
-			note(m)
+	for lane, inMemory := range f.inMemory {
+		slices.SortFunc(inMemory, func(a, b *Message) int { return cmp.Compare(a.Seq, b.Seq) })
+		for _, m := range inMemory {
+			record(m)
 		}
 		first, err := f.store.Head(lane, 1)
 		require.NoError(t, err)
-		if len(first) > 0 && len(held) > 0 {
-			require.Less(t, held[len(held)-1].Seq, first[0].Seq, "memory goes before the store")
+		if len(first) > 0 && len(inMemory) > 0 {
+			require.Less(t, inMemory[len(inMemory)-1].Seq, first[0].Seq, "messages in memory are older than stored ones")
 		}
 	}
 	for _, lane := range f.store.Lanes() {
 		ms, err := f.store.Head(lane, f.store.LaneMessages(lane))
 		require.NoError(t, err)
 		for _, m := range ms {
-			note(m)
+			record(m)
 		}
 	}
-	for seq, lane := range o.unrecorded { // it was not observed if it is recorded
-		if places[seq] == 0 {
-			o.effect(seq, lane)
+	for seq, lane := range o.unrecorded { // a delivery may have been recorded but not reported before the kill
+		if locations[seq] == 0 {
+			o.recordDelivery(seq, lane)
 		}
 	}
 	clear(o.unrecorded)
 	for seq := range o.pending {
-		require.Equal(t, 1, places[seq], "message %d", seq)
+		require.Equal(t, 1, locations[seq], "message %d", seq)
 	}
-	for seq, n := range places {
+	for seq, n := range locations {
 		require.Equal(t, 1, n)
-		o.pending[seq] = lanes[seq] // also one whose client had no answer any more
+		o.pending[seq] = lanes[seq] // includes one whose client got no answer because of the kill
 	}
 	for lane, seqs := range o.done {
 		require.True(t, slices.IsSorted(seqs), "order of %v", lane)
 		for _, seq := range seqs {
-			held := slices.ContainsFunc(f.held[lane], func(m *Message) bool { return m.Seq == seq })
-			require.Zero(t, places[seq], "message %d would have its effect twice, held %v stored %v",
-				seq, held, f.store.Contains(lane, seq))
+			inMemory := slices.ContainsFunc(f.inMemory[lane], func(m *Message) bool { return m.Seq == seq })
+			require.Zero(t, locations[seq], "message %d would be delivered twice; in memory: %v, stored: %v",
+				seq, inMemory, f.store.Contains(lane, seq))
 		}
 	}
 }
 
-// Real processes with the real write-ahead log, killed by SIGKILL at random under load.
-func TestHundredKillsLoseAndRepeatNothing(t *testing.T) {
+// Processes that use the real write-ahead log are killed by SIGKILL at random points under load. No message may be lost
+// or delivered twice.
+func TestHundredKillsOfForwarder(t *testing.T) {
 	dir := t.TempDir()
 	o := observations{pending: map[uint64]Lane{}, done: map[Lane][]uint64{}, unrecorded: map[uint64]Lane{}}
 	for range forwarderKills {
 		child := exec.Command(os.Args[0])
-		child.Env = append(os.Environ(), forwarderDir+"="+dir)
-		var faults strings.Builder
-		child.Stderr = &faults
+		child.Env = append(os.Environ(), forwarderDirEnv+"="+dir)
+		var childErrors strings.Builder
+		child.Stderr = &childErrors
 		out, err := child.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, child.Start())
 		lines := bufio.NewScanner(out)
-		for most := 1 + rand.IntN(600); most > 0 && lines.Scan(); most-- { // by what it did, not by the clock
+		for steps := 1 + rand.IntN(600); steps > 0 && lines.Scan(); steps-- { // limited by steps, not by time
 			o.add(lines.Text())
 		}
 		require.NoError(t, child.Process.Kill())
@@ -271,7 +272,7 @@
 			o.add(lines.Text())
 		}
 		_ = child.Wait()
-		require.Empty(t, faults.String())
+		require.Empty(t, childErrors.String())
 
 		f, err := startForwarder(dir, io.Discard)
 		require.NoError(t, err)
--- a/internal/backlog/sigkill_test.go
+++ b/internal/backlog/sigkill_test.go
@@ -12,13 +12,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-const childDir = "SPANFLOW_BACKLOG_CHILD" // set for the process that the test kills
+const childDirEnv = "SPANFLOW_BACKLOG_CHILD" // set to the folder in processes that the test kills
 
 var killBounds = Bounds{Bytes: 4 << 20, SegmentBytes: 64 << 10}
 
-// TestMain runs as one of the processes that are killed if it is given a folder, else it runs the tests.
+// TestMain runs the process that a test kills if childDirEnv or forwarderDirEnv is set, and the tests otherwise.
 func TestMain(m *testing.M) {
-	for name, run := range map[string]func(dir string) error{childDir: storeForever, forwarderDir: forwardForever} {
+	for name, run := range map[string]func(dir string) error{childDirEnv: storeForever, forwarderDirEnv: forwardForever} {
 		if dir := os.Getenv(name); dir != "" {
 			fmt.Fprintln(os.Stderr, run(dir))
 			os.Exit(1)
@@ -27,7 +27,8 @@
 	os.Exit(m.Run())
 }
 
-// storeForever stores and releases messages and says each step on its output: "+" stored, "-" about to be released.
+// storeForever stores and releases messages and prints each step: "+" means that a message was stored, "-" that it is
+// about to be released.
 func storeForever(dir string) error {
 	s, err := Open(OS{}, dir, killBounds)
 	if err != nil {
@@ -56,28 +57,28 @@
 	}
 }
 
-// A real process on the machine's filesystem, killed by SIGKILL again and again.
+// A process that uses the real filesystem is killed repeatedly by SIGKILL.
 func TestSIGKILLLosesNothing(t *testing.T) {
 	dir := t.TempDir()
-	stored, leaving := map[uint64]bool{}, map[uint64]bool{}
+	stored, releasing := map[uint64]bool{}, map[uint64]bool{}
 	for round := range 8 {
 		child := exec.Command(os.Args[0])
-		child.Env = append(os.Environ(), childDir+"="+dir)
-		var faults strings.Builder
-		child.Stderr = &faults
+		child.Env = append(os.Environ(), childDirEnv+"="+dir)
+		var childErrors strings.Builder
+		child.Stderr = &childErrors
 		out, err := child.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, child.Start())
 		lines := bufio.NewScanner(out)
-		for most := 200 + rand.IntN(4000); most > 0 && lines.Scan(); most-- { // by what it did, not by the clock
-			readStep(lines.Text(), stored, leaving)
+		for steps := 200 + rand.IntN(4000); steps > 0 && lines.Scan(); steps-- { // limited by steps, not by time
+			readStep(lines.Text(), stored, releasing)
 		}
 		require.NoError(t, child.Process.Kill())
 		for lines.Scan() {
-			readStep(lines.Text(), stored, leaving)
+			readStep(lines.Text(), stored, releasing)
 		}
 		_ = child.Wait()
-		require.Empty(t, faults.String())
+		require.Empty(t, childErrors.String())
 
 		s, err := Open(OS{}, dir, killBounds)
 		require.NoError(t, err, "round %d", round)
@@ -88,43 +89,43 @@
 				found[seq] = true
 			}
 		}
-		unsaid := 0
+		unreported := 0
 		for seq := range found {
-			if !stored[seq] && !leaving[seq] {
-				unsaid++ // stored and killed before it could say so
+			if !stored[seq] && !releasing[seq] {
+				unreported++ // stored, but killed before it could report that
 			}
 			stored[seq] = true
 		}
-		require.LessOrEqual(t, unsaid, 1)
+		require.LessOrEqual(t, unreported, 1)
 		for seq := range stored {
-			require.True(t, found[seq] || leaving[seq], "message %d", seq)
+			require.True(t, found[seq] || releasing[seq], "message %d", seq)
 		}
-		for seq := range leaving { // a release that was under way has happened whole or not at all
+		for seq := range releasing { // an interrupted release took effect or did not
 			if !found[seq] {
 				delete(stored, seq)
 			}
 		}
-		clear(leaving)
+		clear(releasing)
 		require.NoError(t, s.Close())
 	}
 	require.NotEmpty(t, stored)
 }
 
-func readStep(line string, stored, leaving map[uint64]bool) {
-	var what string
+func readStep(line string, stored, releasing map[uint64]bool) {
+	var event string
 	var seq uint64
-	if n, _ := fmt.Sscan(line, &what, &seq); n < 2 {
+	if n, _ := fmt.Sscan(line, &event, &seq); n < 2 {
 		if line == "released" {
-			for seq := range leaving {
+			for seq := range releasing {
 				delete(stored, seq)
 			}
-			clear(leaving)
+			clear(releasing)
 		}
 		return
 	}
-	if what == "+" {
+	if event == "+" {
 		stored[seq] = true
 	} else {
-		leaving[seq] = true
+		releasing[seq] = true
 	}
 }
--- a/internal/backlog/stats_test.go
+++ b/internal/backlog/stats_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestSizeIsThatInTheStore(t *testing.T) {
+func TestSizeMatchesStoredBytes(t *testing.T) {
 	s, err := Open(OS{}, t.TempDir(), Bounds{Bytes: 64 << 20})
 	require.NoError(t, err)
 	defer s.Close()
@@ -16,7 +16,7 @@
 	require.Equal(t, int64(m.Size()), s.Bytes())
 }
 
-func TestSumsOverAllLanes(t *testing.T) {
+func TestStatesAndOldestCoverAllLanes(t *testing.T) {
 	s, err := Open(OS{}, t.TempDir(), Bounds{Bytes: 64 << 20})
 	require.NoError(t, err)
 	defer s.Close()
@@ -24,7 +24,8 @@
 	require.NoError(t, err)
 	require.Zero(t, oldest)
 	for seq := range uint64(10) {
-		m := &Message{Seq: 5 + seq, Lane: Lane{Destination: seq % 3}, ID: string(rune('a' + seq)), AcceptedAt: int64(100 + seq)}
+		m := &Message{Seq: 5 + seq, Lane: Lane{Destination: seq % 3}, ID: string(rune('a' + seq)),
+			AcceptedAt: int64(100 + seq)}
 		if seq%2 == 0 {
 			m.Attempts = 1
 		}
--- a/internal/backlog/store_test.go
+++ b/internal/backlog/store_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLanesKeepTheOrderOfNumbers(t *testing.T) {
+func TestLanesKeepOrderOfNumbers(t *testing.T) {
 	s := openStore(t, newMemFS(), smallBounds)
 	one, other := Lane{1, 1}, Lane{1, 2}
 	for seq := uint64(10); seq < 16; seq++ {
@@ -18,7 +18,7 @@
 	require.Equal(t, []uint64{10, 11, 12}, headSeqs(t, s, one, 3))
 	require.Equal(t, []uint64{110}, headSeqs(t, s, other, 1))
 
-	require.NoError(t, s.Append(testMessage(one, 9)), "one older than all that is stored goes before it")
+	require.NoError(t, s.Append(testMessage(one, 9)), "a message older than all stored ones goes before them")
 	require.NoError(t, s.Append(testMessage(one, 3)))
 	require.Equal(t, []uint64{3, 9, 10, 11, 12, 13, 14, 15}, headSeqs(t, s, one, 100))
 
@@ -61,7 +61,7 @@
 				continue
 			}
 			all := headSeqs(t, s, lane, 1000)
-			if len(all) > 0 { // also from the middle
+			if len(all) > 0 { // any of them, including one between others
 				seq := all[rng.IntN(len(all))]
 				require.NoError(t, s.Release([]Ref{NewRef(lane, seq, fmt.Sprintf("id-%d", seq), seq%5)}))
 			}
@@ -81,7 +81,7 @@
 		require.Equal(t, before, after)
 		checkStore(t, s)
 	}
-	require.Greater(t, s.segments[0].number, uint32(2), "segments were freed meanwhile")
+	require.Greater(t, s.segments[0].number, uint32(2), "segments were freed during the test")
 }
 
 func TestHistoryIsKept(t *testing.T) {
--- a/internal/backlog/testlog_test.go
+++ b/internal/backlog/testlog_test.go
@@ -17,7 +17,7 @@
 	fs      *memFS
 	file    File
 	size    int64
-	torn    bool // a failed write may have left something
+	torn    bool // a failed write may have left bytes at the end
 	pending map[uint64]*Message
 }
 
