--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxObjectBytes    = 4 << 20                   // limit of one object, unless Client.MaxObjectBytes is set
+	maxLineBytes    = 4 << 20                   // limit of one object, unless Client.MaxObjectBytes is set
 	heartbeatInterval = 2 * time.Second           // the service sends an empty line at this interval if nothing changes
 	answerTimeout     = 2 * time.Second           // from establishing the connection to the first line
 	silenceTimeout    = heartbeatInterval * 3 / 2 // limit of the time between two lines
@@ -21,7 +21,7 @@
 )
 
 // DefaultMaxObjectBytes is the limit of one JSON object, in bytes, if Client.MaxObjectBytes is 0.
-const DefaultMaxObjectBytes = maxObjectBytes
+const DefaultMaxObjectBytes = maxLineBytes
 
 // Client watches the list at one address, on one connection at a time. It is safe for concurrent use.
 type Client struct {
@@ -102,5 +102,5 @@
 	if c.MaxObjectBytes > 0 {
 		return c.MaxObjectBytes
 	}
-	return maxObjectBytes
+	return maxLineBytes
 }
