--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -58,7 +58,7 @@
 	Processes    int // that the forwarders are spread over
 	Destinations int
 	Changes      int           // of the scenario Change, one after another
-	Lasts        time.Duration // of the idle window of each trial; and how long discovery or a zone is away
+	Duration     time.Duration // of the idle window of each trial; and how long discovery or a zone is away
 	MemoryBytes  int64         // of all processes together; 0: a quarter of the machine's
 	ListBytes    int           // of one object of discovery's watch at most; 0: the forwarder's own limit
 	Seed         uint64
@@ -89,8 +89,8 @@
 	switch {
 	case c.Processes > c.Forwarders:
 		return fmt.Errorf("processes: %d are more than the %d forwarders", c.Processes, c.Forwarders)
-	case c.Lasts <= 0 || c.Lasts > trialWithin/4:
-		return fmt.Errorf("lasts: %s is not between 0 and %s", c.Lasts, trialWithin/4)
+	case c.Duration <= 0 || c.Duration > trialWithin/4:
+		return fmt.Errorf("lasts: %s is not between 0 and %s", c.Duration, trialWithin/4)
 	case c.ListBytes < 0:
 		return fmt.Errorf("list limit: %d is under 0", c.ListBytes)
 	case c.MemoryBytes <= 0 || c.MemoryBytes > all/memoryDivisor:
--- a/lab/capacity/hollow/hollow_test.go
+++ b/lab/capacity/hollow/hollow_test.go
@@ -35,7 +35,7 @@
 			os.Exit(0)
 		case coordinatorWord:
 			config := smallConfig(os.Args[2], Idle)
-			config.Lasts = time.Minute
+			config.Duration = time.Minute
 			Run(context.Background(), config)
 			os.Exit(0)
 		}
@@ -44,7 +44,7 @@
 }
 
 func smallConfig(marker string, scenarios ...Scenario) Config {
-	return Config{Scenarios: scenarios, Forwarders: 6, Processes: 2, Destinations: 50, Changes: 3, Lasts: 500 * time.Millisecond,
+	return Config{Scenarios: scenarios, Forwarders: 6, Processes: 2, Destinations: 50, Changes: 3, Duration: 500 * time.Millisecond,
 		Seed: 1, Program: []string{os.Args[0], processWord, marker}}
 }
 
@@ -156,7 +156,7 @@
 	t.Parallel()
 	word := marker(t)
 	config := smallConfig(word, Idle)
-	config.Lasts = 30 * time.Second
+	config.Duration = 30 * time.Second
 	ctx, cancel := context.WithCancel(t.Context())
 	config.Progress = func(line string) {
 		if strings.Contains(line, "idle for") {
@@ -222,7 +222,7 @@
 		"destinations": func(c *Config) { c.Destinations = maxDestinations + 1 },
 		"changes":      func(c *Config) { c.Changes = 0 },
 		"scenario":     func(c *Config) { c.Scenarios = []Scenario{"flood"} },
-		"lasts":        func(c *Config) { c.Lasts = 0 },
+		"lasts":        func(c *Config) { c.Duration = 0 },
 		"list limit":   func(c *Config) { c.ListBytes = -1 },
 		"memory":       func(c *Config) { c.MemoryBytes = machineMemory() },
 		"program":      func(c *Config) { c.Program = nil },
@@ -267,12 +267,12 @@
 	trial := func(scenario string, destinations int, last float64) capacity.FleetTrial {
 		return capacity.FleetTrial{Scenario: scenario, Forwarders: 6, Destinations: destinations, InForceLast: last}
 	}
-	require.NoError(t, Store(path, []capacity.FleetTrial{trial("change", 50, 1), trial("idle", 50, 0)}))
+	require.NoError(t, SaveTrials(path, []capacity.FleetTrial{trial("change", 50, 1), trial("idle", 50, 0)}))
 	before, err := readResults(path)
 	require.NoError(t, err)
 	before.Curves = []capacity.Curve{{Role: "held message"}}
 	require.NoError(t, writeResults(path, before))
-	require.NoError(t, Store(path, []capacity.FleetTrial{trial("change", 500, 3), trial("change", 50, 2)}))
+	require.NoError(t, SaveTrials(path, []capacity.FleetTrial{trial("change", 500, 3), trial("change", 50, 2)}))
 	after, err := readResults(path)
 	require.NoError(t, err)
 	require.Equal(t, []capacity.FleetTrial{trial("change", 50, 2), trial("idle", 50, 0), trial("change", 500, 3)}, after.Fleets)
@@ -280,5 +280,5 @@
 	require.NotEmpty(t, after.Machine)
 
 	require.NoError(t, os.WriteFile(path, []byte(`{"fleets":`), 0o644))
-	require.ErrorContains(t, Store(path, nil), "measured.json")
+	require.ErrorContains(t, SaveTrials(path, nil), "measured.json")
 }
--- a/lab/capacity/hollow/store.go
+++ b/lab/capacity/hollow/store.go
@@ -13,9 +13,10 @@
 	"spanflow/lab/capacity"
 )
 
-// Store writes trials into a file of results. A trial takes the place of one with the same scenario, forwarders and
-// destinations; all else in the file stays. The file is made if it is missing, and is never left half written.
-func Store(path string, trials []capacity.FleetTrial) error {
+// SaveTrials merges trials into a file of results. A trial replaces the one with the same scenario and the same numbers
+// of forwarders and destinations; everything else in the file stays. The file is created if it is missing, and is
+// replaced as a whole, so that it is never left half written.
+func SaveTrials(path string, trials []capacity.FleetTrial) error {
 	results, err := readResults(path)
 	if err != nil {
 		return err
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -58,7 +58,7 @@
 	if slices.Contains(started.inForce, 0) {
 		return fmt.Errorf("%d forwarders did not hear of discovery within %s", count(started.inForce, 0), inForceWithin)
 	}
-	if err := t.pause(t.config.Lasts / warmUpDivisor); err != nil {
+	if err := t.pause(t.config.Duration / warmUpDivisor); err != nil {
 		return err
 	}
 	if err := t.measureIdle(); err != nil {
@@ -91,7 +91,7 @@
 	}
 	t.result.Changes = 1
 	if t.missed == 0 { // else all go on asking, and there is no idle window
-		if err := t.pause(t.config.Lasts / warmUpDivisor); err != nil {
+		if err := t.pause(t.config.Duration / warmUpDivisor); err != nil {
 			return err
 		}
 		if err := t.measureIdle(); err != nil {
@@ -104,12 +104,12 @@
 
 // measureIdle measures a window in which nothing happens.
 func (t *trial) measureIdle() error {
-	t.config.progress("%s: idle for %s", t.scenario, t.config.Lasts)
+	t.config.progress("%s: idle for %s", t.scenario, t.config.Duration)
 	before, err := t.fleet.snapshot()
 	if err != nil {
 		return err
 	}
-	if err := t.pause(t.config.Lasts); err != nil {
+	if err := t.pause(t.config.Duration); err != nil {
 		return err
 	}
 	after, err := t.fleet.snapshot()
@@ -232,20 +232,20 @@
 	if _, err := t.fleet.setReach(reachDown, 0); err != nil {
 		return err
 	}
-	if err := t.pause(t.config.Lasts / 2); err != nil {
+	if err := t.pause(t.config.Duration / 2); err != nil {
 		return err
 	}
 	if _, err := t.publish(); err != nil {
 		return err
 	}
-	if err := t.pause(t.config.Lasts / 2); err != nil {
+	if err := t.pause(t.config.Duration / 2); err != nil {
 		return err
 	}
 	back, err := t.fleet.setReach(reachUp, 0)
 	if err != nil {
 		return err
 	}
-	t.notes = append(t.notes, fmt.Sprintf("away for %s; times from its return", t.config.Lasts))
+	t.notes = append(t.notes, fmt.Sprintf("away for %s; times from its return", t.config.Duration))
 	return t.awaitInForce(func(int) int64 { return back })
 }
 
@@ -261,14 +261,14 @@
 	if err != nil {
 		return err
 	}
-	if err := t.pause(t.config.Lasts); err != nil {
+	if err := t.pause(t.config.Duration); err != nil {
 		return err
 	}
 	back, err := t.fleet.setReach(reachRestored, cutZone)
 	if err != nil {
 		return err
 	}
-	t.notes = append(t.notes, fmt.Sprintf("%d forwarders cut off for %s; their times from its end", t.inZone(cutZone), t.config.Lasts))
+	t.notes = append(t.notes, fmt.Sprintf("%d forwarders cut off for %s; their times from its end", t.inZone(cutZone), t.config.Duration))
 	return t.awaitInForce(func(forwarder int) int64 {
 		if forwarder%zoneCount == cutZone {
 			return back
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -20,17 +20,17 @@
 
 // Options are the bounds of a measurement and what it is made with.
 type Options struct {
-	Seed     uint64
-	Largest  int           // the largest size, in the unit of each role; 0: the role's own
-	Memory   int64         // bytes that this process and those it starts may take
-	Lasts    time.Duration // for each role; sizes that would take longer are left out
-	Program  string        // path of the built forwarder; spanflowctl lies beside it
-	Folder   string        // for write-ahead logs and configurations; empty: a temporary one
-	Progress func(line string)
+	Seed      uint64
+	Largest   int           // the largest size, in the unit of each role; 0: the role's own
+	Memory    int64         // bytes that this process and those it starts may take
+	TimeLimit time.Duration // for each role; sizes that would take longer are left out
+	Program   string        // path of the built forwarder; spanflowctl lies beside it
+	Folder    string        // for write-ahead logs and configurations; empty: a temporary one
+	Progress  func(line string)
 }
 
-// DefaultLasts is the time that a role gets if none is set.
-const DefaultLasts = 3 * time.Minute
+// DefaultTimeLimit is the time that a role gets if none is set.
+const DefaultTimeLimit = 3 * time.Minute
 
 // DefaultMemory is a quarter of the machine's memory in bytes.
 func DefaultMemory() int64 { return machineMemory() / 4 }
@@ -98,7 +98,7 @@
 	defer t.cancel()
 	err := r.measure(t)
 	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil { // the role's time is over, not the caller's
-		t.say("stopped: %s are over", options.Lasts)
+		t.say("stopped: %s are over", options.TimeLimit)
 		err = nil
 	}
 	if err != nil {
@@ -124,8 +124,8 @@
 }
 
 func newTrial(ctx context.Context, r *Role, options Options) *trial {
-	if options.Lasts <= 0 {
-		options.Lasts = DefaultLasts
+	if options.TimeLimit <= 0 {
+		options.TimeLimit = DefaultTimeLimit
 	}
 	if options.Memory <= 0 {
 		options.Memory = DefaultMemory()
@@ -134,7 +134,7 @@
 		options.Largest = r.Largest
 	}
 	t := &trial{Options: options, role: r}
-	t.ctx, t.cancel = context.WithTimeout(ctx, options.Lasts)
+	t.ctx, t.cancel = context.WithTimeout(ctx, options.TimeLimit)
 	return t
 }
 
@@ -180,7 +180,7 @@
 // sweep measures at growing sizes. It leaves out those that cannot be expected to fit into the memory, or into this
 // sweep's share of the role's time.
 func (t *trial) sweep(what string, share, growth float64, sizes []int, one func(size int) error) error {
-	lasts := time.Duration(share * float64(t.Lasts))
+	lasts := time.Duration(share * float64(t.TimeLimit))
 	began, before, took := time.Now(), 0, time.Duration(0)
 	for _, size := range sizes {
 		if err := t.ctx.Err(); err != nil {
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -45,7 +45,7 @@
 func small(t *testing.T, role string, largest int) *trial {
 	r, err := Find(role)
 	require.NoError(t, err)
-	trial := newTrial(t.Context(), r, Options{Seed: 1, Largest: largest, Lasts: time.Minute, Program: built, Folder: t.TempDir()})
+	trial := newTrial(t.Context(), r, Options{Seed: 1, Largest: largest, TimeLimit: time.Minute, Program: built, Folder: t.TempDir()})
 	trial.quick = true
 	t.Cleanup(trial.cancel)
 	return trial
@@ -235,7 +235,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	require.Equal(t, []int{1, 10, 100}, tried(Options{Lasts: time.Minute}, slow))
+	require.Equal(t, []int{1, 10, 100}, tried(Options{TimeLimit: time.Minute}, slow))
 	large := func(m *trial, size int) { m.peak = int64(size) << 10 }
 	require.Equal(t, []int{1, 10, 100}, tried(Options{Memory: 1 << 20}, large))
 	require.Len(t, tried(Options{}, func(*trial, int) {}), 4)
@@ -260,7 +260,7 @@
 	said := ""
 	r, err := Find("down-destination")
 	require.NoError(t, err)
-	curves, err := r.Measure(t.Context(), Options{Largest: 100, Lasts: time.Nanosecond, Progress: func(line string) { said = line }})
+	curves, err := r.Measure(t.Context(), Options{Largest: 100, TimeLimit: time.Nanosecond, Progress: func(line string) { said = line }})
 	require.NoError(t, err)
 	require.Empty(t, curves)
 	require.Contains(t, said, "stopped")
--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -19,7 +19,7 @@
 
 // hollowCommand is 'spanflow-lab capacity hollow'.
 func (s *session) hollowCommand() *cobra.Command {
-	config := hollow.Config{Forwarders: 500, Processes: 4, Destinations: 1700, Changes: 5, Lasts: 10 * time.Second, Seed: 1}
+	config := hollow.Config{Forwarders: 500, Processes: 4, Destinations: 1700, Changes: 5, Duration: 10 * time.Second, Seed: 1}
 	memoryMB, listMB, into := 0, 0, ""
 	c := &cobra.Command{Use: "hollow [SCENARIO...]", Short: "Bring list changes into force in a fleet of hollow forwarders",
 		Long: `Starts forwarders without clients and without calls to targets, many in a process, with the real discovery client, module
@@ -58,7 +58,7 @@
 				err = errors.New("interrupted")
 			}
 			if into != "" && len(trials) > 0 {
-				err = errors.Join(err, hollow.Store(into, trials))
+				err = errors.Join(err, hollow.SaveTrials(into, trials))
 			}
 			return errors.Join(err, s.printFleets(trials))
 		})}
@@ -67,7 +67,7 @@
 	f.IntVar(&config.Processes, "processes", config.Processes, "processes that they are spread over")
 	f.IntVar(&config.Destinations, "destinations", config.Destinations, "destinations on the list, with one target each")
 	f.IntVar(&config.Changes, "changes", config.Changes, "changes of the scenario 'change', one after another")
-	f.DurationVar(&config.Lasts, "lasts", config.Lasts, "of the idle window, and of an outage or a cut")
+	f.DurationVar(&config.Duration, "lasts", config.Duration, "of the idle window, and of an outage or a cut")
 	f.IntVar(&memoryMB, "memory", 0, "MB for all processes together; 0: a quarter of the machine's, at most half")
 	f.IntVar(&listMB, "list-limit", 0, "MB that a forwarder takes as one object of the watch; 0: its own limit")
 	f.Uint64Var(&config.Seed, "seed", config.Seed, "of what changes and of each forwarder's chance")
--- a/lab/commands/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -25,7 +25,7 @@
 }
 
 func (s *session) capacityMeasure() *cobra.Command {
-	m := &measureCommand{session: s, options: measure.Options{Lasts: measure.DefaultLasts}}
+	m := &measureCommand{session: s, options: measure.Options{TimeLimit: measure.DefaultTimeLimit}}
 	c := &cobra.Command{Use: "measure [ROLE...]", Short: "Measure what each role costs at several sizes, and fit lines",
 		Long: `Measures each role, or those named, at five sizes over two decades and fits a straight line to each quantity. A curve
 that is not straight is said to be so. Sizes that would not fit into --lasts or --memory are left out, which is told on
@@ -45,7 +45,7 @@
 	f := c.Flags()
 	f.Uint64Var(&m.options.Seed, "seed", 1, "of what is drawn")
 	f.IntVar(&m.options.Largest, "largest", 0, "the largest size, in the unit of each role; 0: the role's own")
-	f.DurationVar(&m.options.Lasts, "lasts", m.options.Lasts, "time for each role")
+	f.DurationVar(&m.options.TimeLimit, "lasts", m.options.TimeLimit, "time for each role")
 	f.StringVar(&m.memory, "memory", humanize.Bytes(uint64(measure.DefaultMemory())), "memory that the measurement and the forwarders it starts may take")
 	f.StringVar(&m.options.Program, "program", "bin/spanflow", "the built forwarder, with spanflowctl beside it")
 	f.StringVar(&m.options.Folder, "folder", "", "where write-ahead logs and configurations lie meanwhile (default: the system's temporary folder)")
@@ -85,7 +85,7 @@
 	if err != nil {
 		return fmt.Errorf("--memory: %w", err)
 	}
-	if m.options.Memory = int64(bytes); m.options.Lasts <= 0 || m.options.Largest < 0 {
+	if m.options.Memory = int64(bytes); m.options.TimeLimit <= 0 || m.options.Largest < 0 {
 		return errors.New("--lasts has to be over 0, --largest 0 or more")
 	}
 	if err := measure.CheckMemory(m.options.Memory); err != nil {
