--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -14,9 +14,9 @@
 var (
 	backlogFresh  = quantity{"processor time of a fresh message beside stored ones", "messages stored", "s"}
 	backlogRatio  = quantity{"processor time of a fresh message, as a multiple of that with none stored", "messages stored", "times"}
-	outFresh      = quantity{"processor time of a fresh message beside full head windows", "destinations out", "s"}
-	outRatio      = quantity{"processor time of a fresh message, as a multiple of that with none out", "destinations out", "times"}
-	outIdle       = quantity{"processor time in a second without load", "destinations out", "s"}
+	downFresh     = quantity{"processor time of a fresh message beside full head windows", "destinations out", "s"}
+	downRatio     = quantity{"processor time of a fresh message, as a multiple of that with none out", "destinations out", "times"}
+	downIdle      = quantity{"processor time in a second without load", "destinations out", "s"}
 	backlogReady  = quantity{"time to the forwarder's readiness", "messages stored", "s"}
 	backlogMemory = quantity{"memory of the forwarder when ready", "messages stored", "bytes"}
 	backlogDisk   = quantity{"bytes of the store on disk", "messages stored", "bytes"}
@@ -24,20 +24,20 @@
 
 const (
 	fleetForwarders     = 500
-	outDestinations     = 10 // that the stored messages are for; the forwarder gets no connection to them
-	outWindow           = 10 // messages of each that are in memory
+	downDestinations    = 10 // destinations of the stored messages, to which no connection can be established
+	downWindow          = 10 // messages of each destination that are in memory
 	freshRate           = 1000
 	freshRounds         = 7
 	quickRounds         = 1
-	mostOutDestinations = 5950 // destinations that are out at once at the size of docs/CAPACITY.md
-	mostOutWindow       = 64
-	mostOutStored       = 16 // messages of each destination beyond its head window
-	largestOutQueue     = 600_000
-	reloadPause         = 3 * time.Second // after which the head windows are looked at again
-	windowsWithin       = time.Minute
-	storedOnDisk        = 650     // bytes of the store's bound for each message, a quarter of it being for compaction
-	leastStoreDisk      = 8 << 20 // bytes of the store's bound beside that
-	walBytesEach        = 1500    // bytes of the write-ahead log's bound for each message of a head window
+	maxDownDestinations = 5950 // destinations that are down at the same time at the size of docs/CAPACITY.md
+	maxDownWindow       = 64
+	storedBeyondWindow  = 16 // messages of each destination in the store beyond its head window
+	downQueueCapacity   = 600_000
+	idleDuration        = 3 * time.Second // of the measurement without load; long enough that the head windows are checked again
+	windowsTimeout      = time.Minute
+	storeBytesEach      = 650     // bytes of the store's limit for each message, a quarter of which is for compaction
+	minStoreDisk        = 8 << 20 // bytes of the store's limit in addition to those
+	walBytesEach        = 1500    // bytes of the write-ahead log's limit for each message of a head window
 )
 
 var (
@@ -45,7 +45,7 @@
 	readySizes = []int{10_000, 100_000, 1_000_000}
 )
 
-// measureBacklog measures what fresh messages cost beside those that are stored for destinations that are out.
+// measureBacklog measures the cost of fresh messages beside messages that are stored for destinations that are down.
 func measureBacklog(t *trial) error {
 	var sizes []int
 	for _, size := range freshSizes {
@@ -56,38 +56,38 @@
 	if err := t.freshBesideStored(sizes); err != nil {
 		return err
 	}
-	return t.freshBesideWindows([]int{0, min(mostOutDestinations, t.Largest)}, mostOutWindow)
+	return t.freshBesideWindows([]int{0, min(maxDownDestinations, t.Largest)}, maxDownWindow)
 }
 
-// stored is what a store is filled with.
+// stored describes the messages that a store is filled with.
 type stored struct {
 	messages     int
-	destinations int                   // that they are for in turn, numbered from first
+	destinations int                   // destinations of the messages in turn, numbered from first
 	first        int                   // number of the first destination
-	expiry       func(n int) time.Time // of the message with this number; nil: in a day
+	expiry       func(n int) time.Time // of message n; nil means in a day
 
 }
 
-// storeDisk is the bound in bytes of a store with so many messages.
-func storeDisk(messages int) int64 { return leastStoreDisk + storedOnDisk*int64(messages) }
+// storeLimit returns a limit in bytes that is large enough for a store with a number of messages.
+func storeLimit(messages int) int64 { return minStoreDisk + storeBytesEach*int64(messages) }
 
-// fillStore writes messages to a new store that no process has open. It returns the bytes that were written for them
-// and the live ones among them.
-func (t *trial) fillStore(folder string, what stored) (written, live int64, err error) {
-	s, err := backlog.Open(backlog.OS{}, folder, backlog.Bounds{Bytes: storeDisk(what.messages)})
+// fillStore writes messages to a new store and closes it. It returns the bytes written for the messages and the store's
+// live bytes.
+func (t *trial) fillStore(folder string, content stored) (written, live int64, err error) {
+	s, err := backlog.Open(backlog.OS{}, folder, backlog.Bounds{Bytes: storeLimit(content.messages)})
 	if err != nil {
 		return 0, 0, err
 	}
 	defer s.Close()
-	begin := s.Written()
+	before := s.Written()
 	day := time.Now().Add(24 * time.Hour)
-	for n := range what.messages {
+	for n := range content.messages {
 		if n%1000 == 0 && t.ctx.Err() != nil {
 			return 0, 0, t.ctx.Err()
 		}
 		m := &backlog.Message{
 			Seq:        uint64(n + 1),
-			Lane:       backlog.Lane{Destination: uint64(what.first + n%what.destinations)},
+			Lane:       backlog.Lane{Destination: uint64(content.first + n%content.destinations)},
 			Key:        uint64(n + 1),
 			Type:       heldType,
 			ID:         storedID(n),
@@ -95,25 +95,25 @@
 			AcceptedAt: time.Now().UnixMicro(),
 			Expiry:     day.UnixMicro(),
 		}
-		if what.expiry != nil {
-			m.Expiry = what.expiry(n).UnixMicro()
+		if content.expiry != nil {
+			m.Expiry = content.expiry(n).UnixMicro()
 		}
 		if err := s.Append(m); err != nil {
-			return 0, 0, fmt.Errorf("message %d of %d: %w", n, what.messages, err)
+			return 0, 0, fmt.Errorf("message %d of %d: %w", n, content.messages, err)
 		}
 	}
-	return s.Written() - begin, s.Bytes(), nil
+	return s.Written() - before, s.Bytes(), nil
 }
 
 func storedID(n int) string { return fmt.Sprintf("stored-%09d", n) }
 
-// backlogSection is the part of a configuration that makes a forwarder use a store.
+// backlogSection returns the section of a configuration that makes a forwarder use a store.
 func backlogSection(folder string, messages, window int) string {
-	return fmt.Sprintf("[backlog]\nfolder = %q\ndisk = \"%dB\"\nwindow = %d\nbehind = %d\n", folder, storeDisk(messages), window, max(1000, window))
+	return fmt.Sprintf("[backlog]\nfolder = %q\ndisk = \"%dB\"\nwindow = %d\nbehind = %d\n", folder, storeLimit(messages), window, max(1000, window))
 }
 
-// outTargets are the lines of destinations to which no connection comes up.
-func outTargets(first, number int) string {
+// downEndpoints returns the lines of a configuration for destinations to which no connection can be established.
+func downEndpoints(first, number int) string {
 	var b strings.Builder
 	for i := range number {
 		fmt.Fprintf(&b, "[[targets]]\nuid = \"out%d\"\naddress = %q\ndest = %d\n", i, discardPort, first+i)
@@ -121,13 +121,13 @@
 	return b.String()
 }
 
-// loadedForwarder is a forwarder whose processor time is measured in turn with that of others.
+// loadedForwarder is one of several forwarders whose processor time is measured in turn.
 type loadedForwarder struct {
 	*process
-	size  int
-	each  []float64 // processor time of a fresh message in seconds, by round
-	idle  float64   // processor time in a second without load
-	files string    // folder of its store
+	size       int
+	perMessage []float64 // processor time of a fresh message in seconds, for each round
+	idle       float64   // seconds of processor time in a second without load
+	files      string    // folder of the store
 }
 
 func (l *loadedForwarder) end() {
@@ -135,20 +135,20 @@
 	os.RemoveAll(l.files)
 }
 
-// startStored starts a forwarder on a store with messages for destinations that are out, numbered after those
-// of the endpoint servers.
-func (t *trial) startStored(targets *endpointServers, size int, what stored, window, room int) (*loadedForwarder, error) {
+// startStored starts a forwarder with a store of messages for destinations that are down. These are numbered after the
+// destinations of the endpoint servers.
+func (t *trial) startStored(endpoints *endpointServers, size int, content stored, window, queueCapacity int) (*loadedForwarder, error) {
 	folder, err := os.MkdirTemp(t.Folder, "store")
 	if err != nil {
 		return nil, err
 	}
-	what.first = pathTargets + 1
-	if _, _, err = t.fillStore(folder, what); err == nil {
+	content.first = pathEndpoints + 1
+	if _, _, err = t.fillStore(folder, content); err == nil {
 		var p *process
-		p, err = t.start(&configuration{destinations: pathTargets, targets: targets.addresses, queueCapacity: room, descriptors: 4 * defaultDescriptors,
-			forwarders: fleetForwarders, // a destination that is out is tried by all of them together
-			disk:       pathDisk + walBytesEach*int64(window*what.destinations),
-			settings:   backlogSection(folder, what.messages, window) + outTargets(what.first, what.destinations)})
+		p, err = t.start(&configuration{destinations: pathEndpoints, endpoints: endpoints.addresses, queueCapacity: queueCapacity, descriptors: 4 * defaultDescriptors,
+			forwarders: fleetForwarders, // the whole fleet shares the calls to a destination that is down
+			disk:       pathDisk + walBytesEach*int64(window*content.destinations),
+			settings:   backlogSection(folder, content.messages, window) + downEndpoints(content.first, content.destinations)})
 		if err == nil {
 			return &loadedForwarder{process: p, size: size, files: folder}, nil
 		}
@@ -157,45 +157,45 @@
 	return nil, err
 }
 
-// freshBesideStored measures fresh messages with several amounts stored, in turn.
+// freshBesideStored measures fresh messages beside several numbers of stored messages.
 func (t *trial) freshBesideStored(sizes []int) error {
-	return t.alternate(sizes, backlogFresh, backlogRatio, func(targets *endpointServers, size int) (*loadedForwarder, error) {
-		return t.startStored(targets, size, stored{messages: size, destinations: outDestinations}, outWindow, defaultQueueCapacity)
+	return t.alternate(sizes, backlogFresh, backlogRatio, func(endpoints *endpointServers, size int) (*loadedForwarder, error) {
+		return t.startStored(endpoints, size, stored{messages: size, destinations: downDestinations}, downWindow, defaultQueueCapacity)
 	})
 }
 
-// freshBesideWindows measures fresh messages with several numbers of destinations out, each with a full head window in
-// memory and more in the store, in turn.
+// freshBesideWindows measures fresh messages beside several numbers of destinations that are down, each with a full
+// head window in memory and more messages in the store.
 func (t *trial) freshBesideWindows(sizes []int, window int) error {
-	return t.alternate(sizes, outFresh, outRatio, func(targets *endpointServers, size int) (*loadedForwarder, error) {
-		what := stored{messages: size * (window + mostOutStored), destinations: max(size, 1)}
-		l, err := t.startStored(targets, size, what, window, max(defaultQueueCapacity, largestOutQueue))
+	return t.alternate(sizes, downFresh, downRatio, func(endpoints *endpointServers, size int) (*loadedForwarder, error) {
+		content := stored{messages: size * (window + storedBeyondWindow), destinations: max(size, 1)}
+		l, err := t.startStored(endpoints, size, content, window, max(defaultQueueCapacity, downQueueCapacity))
 		if err != nil {
 			return nil, err
 		}
-		if err = t.awaitWindows(l, size*mostOutStored); err == nil {
+		if err = t.awaitWindows(l, size*storedBeyondWindow); err == nil {
 			err = t.idleTime(l)
 		}
 		if err != nil {
 			l.end()
 			return nil, err
 		}
-		if size > 0 { // a curve has no size of 0
-			t.record(outIdle, float64(size), l.idle)
+		if size > 0 { // a curve has no size 0
+			t.record(downIdle, float64(size), l.idle)
 		}
 		return l, nil
 	})
 }
 
-// awaitWindows waits until no more than so many messages are in the store.
+// awaitWindows waits until the head windows are full, that is until at most left messages are in the store.
 func (t *trial) awaitWindows(l *loadedForwarder, left int) error {
-	for late := time.Now().Add(windowsWithin); ; {
+	for deadline := time.Now().Add(windowsTimeout); ; {
 		messages, err := storedIn(l.files)
 		if err == nil && messages <= left {
 			return nil
 		}
-		if time.Now().After(late) {
-			return fmt.Errorf("%d messages are in the store and not %d: %w", messages, left, err)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d messages are left in the store, want at most %d: %w", messages, left, err)
 		}
 		if err := t.pause(settlingTime); err != nil {
 			return err
@@ -203,7 +203,7 @@
 	}
 }
 
-// storedIn is how many messages a store has that another process has open.
+// storedIn returns the number of messages in a store that another process has open.
 func storedIn(folder string) (int, error) {
 	view, err := backlog.Inspect(backlog.OS{}, folder)
 	if err != nil {
@@ -217,7 +217,7 @@
 	return stats.Messages, nil
 }
 
-// idleTime measures the processor time that a forwarder needs without load.
+// idleTime measures the processor time that a forwarder takes per second without load.
 func (t *trial) idleTime(l *loadedForwarder) error {
 	if err := t.pause(settlingTime); err != nil {
 		return err
@@ -226,11 +226,11 @@
 	if err != nil {
 		return err
 	}
-	began, lasts := time.Now(), reloadPause
+	began, duration := time.Now(), idleDuration
 	if t.quick {
-		lasts = settlingTime
+		duration = settlingTime
 	}
-	if err := t.pause(lasts); err != nil {
+	if err := t.pause(duration); err != nil {
 		return err
 	}
 	after, err := processorTimeOf(l.pid())
@@ -238,14 +238,14 @@
 	return err
 }
 
-// alternate starts a forwarder for each size and loads them in turn, in rounds. It records the median of each and the
-// median of its ratios to the first, whose size is 0.
-func (t *trial) alternate(sizes []int, each, ratio quantity, start func(*endpointServers, int) (*loadedForwarder, error)) error {
-	targets, err := newEndpointServers(pathTargets)
+// alternate starts a forwarder for each size and loads them in turn, for several rounds. The first size is 0, for
+// comparison. It records the median for each other size, and the median of its ratios to the first one.
+func (t *trial) alternate(sizes []int, perMessage, ratio quantity, start func(*endpointServers, int) (*loadedForwarder, error)) error {
+	endpoints, err := newEndpointServers(pathEndpoints)
 	if err != nil {
 		return err
 	}
-	defer targets.close()
+	defer endpoints.close()
 	var all []*loadedForwarder
 	defer func() {
 		for _, l := range all {
@@ -253,7 +253,7 @@
 		}
 	}()
 	for _, size := range sizes {
-		l, err := start(targets, size)
+		l, err := start(endpoints, size)
 		if err != nil {
 			return err
 		}
@@ -263,29 +263,29 @@
 	if t.quick {
 		rounds = quickRounds
 	}
-	for round := range rounds + 1 { // the first warms up
+	for round := range rounds + 1 { // the first round is a warm-up
 		for i := range all {
 			l := all[(i+round)%len(all)]
-			w, err := t.load(l.process, targets, freshRate, pathBody)
+			w, err := t.load(l.process, endpoints, freshRate, pathBody)
 			if err != nil {
-				return fmt.Errorf("with %d: %w", l.size, err)
+				return fmt.Errorf("size %d: %w", l.size, err)
 			}
 			if round > 0 {
-				l.each = append(l.each, (w.cpu-l.idle*w.seconds)/w.delivered)
+				l.perMessage = append(l.perMessage, (w.cpu-l.idle*w.seconds)/w.delivered)
 			}
 		}
 	}
-	for _, l := range all[1:] { // a curve has no size of 0: that one is in the ratios
-		t.record(each, float64(l.size), median(l.each))
-		t.record(ratio, float64(l.size), median(ratios(l.each, all[0].each)))
+	for _, l := range all[1:] { // a curve has no size 0; the ratios are relative to it
+		t.record(perMessage, float64(l.size), median(l.perMessage))
+		t.record(ratio, float64(l.size), median(ratios(l.perMessage, all[0].perMessage)))
 	}
 	return nil
 }
 
-func ratios(of, to []float64) []float64 {
+func ratios(values, bases []float64) []float64 {
 	var all []float64
-	for i := range of {
-		all = append(all, of[i]/to[i])
+	for i := range values {
+		all = append(all, values[i]/bases[i])
 	}
 	return all
 }
@@ -298,7 +298,7 @@
 	return sorted[len(sorted)/2]
 }
 
-// measureBacklogRestart measures a start by what is stored.
+// measureBacklogRestart measures starts with several numbers of stored messages.
 func measureBacklogRestart(t *trial) error {
 	var sizes []int
 	for _, size := range append(slices.Clone(readySizes), t.Largest) {
@@ -306,7 +306,7 @@
 			sizes = append(sizes, size)
 		}
 	}
-	return t.sweep("starts", 1, linearly, sizes, t.restartStored)
+	return t.sweep("starts", 1, linearTime, sizes, t.restartStored)
 }
 
 func (t *trial) restartStored(size int) error {
@@ -315,11 +315,11 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	_, live, err := t.fillStore(folder, stored{messages: size, destinations: outDestinations, first: 2})
+	_, live, err := t.fillStore(folder, stored{messages: size, destinations: downDestinations, first: 2})
 	if err != nil {
 		return err
 	}
-	c := &configuration{destinations: 1, settings: backlogSection(folder, size, outWindow) + outTargets(2, outDestinations)}
+	c := &configuration{destinations: 1, settings: backlogSection(folder, size, downWindow) + downEndpoints(2, downDestinations)}
 	var memory []float64
 	took, err := t.bestOf(func() (float64, error) {
 		p, err := t.start(c)
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -12,41 +12,41 @@
 )
 
 var (
-	drainRate     = quantity{"messages a second that drain with one core", "messages stored", "messages a second"}
-	drainCPU      = quantity{"processor time of a message that drains", "messages stored", "s"}
-	drainWritten  = quantity{"bytes written for a message, from the store to its end, by byte of its record", "messages stored", "times"}
-	fillWritten   = quantity{"bytes written to store a message, by byte of its record", "messages stored", "times"}
-	expiredLate   = quantity{"messages answered after their time, of those that expire in one second", "messages stored", "messages"}
-	expiredMargin = quantity{"least time left at an answer", "messages stored", "s"}
-	expiredFresh  = quantity{"slowest answer to a fresh message meanwhile", "messages stored", "s"}
+	drainRate    = quantity{"messages a second that drain with one core", "messages stored", "messages a second"}
+	drainCPU     = quantity{"processor time of a message that drains", "messages stored", "s"}
+	drainWritten = quantity{"bytes written for a message, from the store to its end, by byte of its record", "messages stored", "times"}
+	fillWritten  = quantity{"bytes written to store a message, by byte of its record", "messages stored", "times"}
+	expiryLate   = quantity{"messages answered after their time, of those that expire in one second", "messages stored", "messages"}
+	expiryMargin = quantity{"least time left at an answer", "messages stored", "s"}
+	expiryFresh  = quantity{"slowest answer to a fresh message meanwhile", "messages stored", "s"}
 )
 
 const (
 	drainDestinations  = 8
 	drainWindow        = 64
 	drainQueueCapacity = 60_000
-	drainWithin        = 3 * time.Minute
-	expiryRate         = 200              // fresh messages a second meanwhile
-	expiryAfter        = 10 * time.Second // from the filling of the store to the first expiry; more for many messages
-	expiryAfterEach    = 50 * time.Microsecond
-	expiryLoadLead     = 4 * time.Second // before the first expiry
-	expiryLoadTail     = time.Second     // after the last
-	expiryWithin       = time.Second     // in which all expire
-	noticesWithin      = 10 * time.Second
+	drainTimeout       = 3 * time.Minute
+	expiryRate         = 200                   // fresh messages a second during the expiries
+	expiryAfter        = 10 * time.Second      // from before the store is filled to the first expiry
+	expiryAfterEach    = 50 * time.Microsecond // added to expiryAfter for each message
+	expiryLoadLead     = 4 * time.Second       // start of the load before the first expiry
+	expiryLoadTail     = time.Second           // end of the load after the last expiry
+	expirySpan         = time.Second           // from the first expiry to the last
+	noticesTimeout     = 10 * time.Second
 	quickExpiryAfter   = 5 * time.Second
 )
 
-// measureBacklogDrain measures how fast stored messages go out to endpoints that answer at once.
+// measureBacklogDrain measures how fast stored messages are delivered to endpoints that answer at once.
 func measureBacklogDrain(t *trial) error {
-	return t.sweep("drains", 1, linearly, sizes(t.Largest), t.drainStored)
+	return t.sweep("drains", 1, linearTime, sizes(t.Largest), t.drainStored)
 }
 
 func (t *trial) drainStored(size int) error {
-	targets, err := newEndpointServers(pathTargets)
+	endpoints, err := newEndpointServers(pathEndpoints)
 	if err != nil {
 		return err
 	}
-	defer targets.close()
+	defer endpoints.close()
 	folder, err := os.MkdirTemp(t.Folder, "store")
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 		return err
 	}
 	began := time.Now()
-	p, err := t.start(&configuration{destinations: drainDestinations, targets: targets.addresses, queueCapacity: drainQueueCapacity, disk: pathDisk, descriptors: 4 * defaultDescriptors,
+	p, err := t.start(&configuration{destinations: drainDestinations, endpoints: endpoints.addresses, queueCapacity: drainQueueCapacity, disk: pathDisk, descriptors: 4 * defaultDescriptors,
 		settings: backlogSection(folder, size, drainWindow)})
 	if err != nil {
 		return err
@@ -68,13 +68,13 @@
 	if err != nil {
 		return err
 	}
-	before := targets.calls.Load()
-	for targets.calls.Load() < int64(size) {
-		if time.Since(ready) > drainWithin {
-			return fmt.Errorf("%d of %d messages have drained in %s", targets.calls.Load(), size, drainWithin)
+	before := endpoints.calls.Load()
+	for endpoints.calls.Load() < int64(size) {
+		if time.Since(ready) > drainTimeout {
+			return fmt.Errorf("%d of %d messages have drained in %s", endpoints.calls.Load(), size, drainTimeout)
 		}
 		if err := t.pause(pollInterval); err != nil {
-			return fmt.Errorf("%d of %d messages have drained: %w", targets.calls.Load(), size, err)
+			return fmt.Errorf("%d of %d messages have drained: %w", endpoints.calls.Load(), size, err)
 		}
 	}
 	took := time.Since(ready).Seconds()
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	t.say("%d drained, ready %s after the start", size, ready.Sub(began).Round(time.Millisecond))
+	t.reportProgress("%d messages drained; the forwarder was ready %s after its start", size, ready.Sub(began).Round(time.Millisecond))
 	t.record(drainRate, float64(size), drained/took)
 	t.record(drainCPU, float64(size), (after-cpu)/drained)
 	t.record(fillWritten, float64(size), float64(written)/float64(live))
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// diskWritten is how many bytes a process has caused to be written to disk, in whole pages.
+// diskWritten returns the bytes that a process has caused to be written to disk, in whole pages.
 func diskWritten(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -113,17 +113,18 @@
 	return written, err
 }
 
-// measureBacklogExpiry measures what becomes of stored messages that all expire in one second.
+// measureBacklogExpiry measures the answers to stored messages that all expire within one second, and to fresh
+// messages.
 func measureBacklogExpiry(t *trial) error {
-	return t.sweep("expiries", 1, equally, sizes(t.Largest), t.expireStored)
+	return t.sweep("expiries", 1, constantTime, sizes(t.Largest), t.expireStored)
 }
 
 func (t *trial) expireStored(size int) error {
-	targets, err := newEndpointServers(pathTargets)
+	endpoints, err := newEndpointServers(pathEndpoints)
 	if err != nil {
 		return err
 	}
-	defer targets.close()
+	defer endpoints.close()
 	notices, err := newNotices()
 	if err != nil {
 		return err
@@ -139,13 +140,13 @@
 		after = quickExpiryAfter
 	}
 	first := time.Now().Add(after)
-	expiry := func(n int) time.Time { return first.Add(expiryWithin * time.Duration(n) / time.Duration(size)) }
-	what := stored{messages: size, destinations: outDestinations, first: pathTargets + 1, expiry: expiry}
-	if _, _, err := t.fillStore(folder, what); err != nil {
+	expiry := func(n int) time.Time { return first.Add(expirySpan * time.Duration(n) / time.Duration(size)) }
+	content := stored{messages: size, destinations: downDestinations, first: pathEndpoints + 1, expiry: expiry}
+	if _, _, err := t.fillStore(folder, content); err != nil {
 		return err
 	}
-	p, err := t.start(&configuration{destinations: pathTargets, targets: targets.addresses, disk: pathDisk,
-		settings: backlogSection(folder, size, outWindow) + outTargets(what.first, outDestinations) +
+	p, err := t.start(&configuration{destinations: pathEndpoints, endpoints: endpoints.addresses, disk: pathDisk,
+		settings: backlogSection(folder, size, downWindow) + downEndpoints(content.first, downDestinations) +
 			fmt.Sprintf("[discovery]\nnotices = %q\n", notices.address)})
 	if err != nil {
 		return err
@@ -154,8 +155,8 @@
 	if err := t.pause(time.Until(first.Add(-expiryLoadLead))); err != nil {
 		return err
 	}
-	lasts := time.Until(first) + expiryWithin + expiryLoadTail
-	w, err := t.loadFor(p, targets, expiryRate, pathBody, lasts.Seconds())
+	duration := time.Until(first) + expirySpan + expiryLoadTail
+	w, err := t.loadFor(p, endpoints, expiryRate, pathBody, duration.Seconds())
 	if err != nil {
 		return err
 	}
@@ -163,16 +164,16 @@
 		return err
 	}
 	late, margin := notices.late(size, expiry)
-	t.record(expiredLate, float64(size), float64(late))
-	t.record(expiredMargin, float64(size), margin.Seconds())
-	t.record(expiredFresh, float64(size), w.slowest)
+	t.record(expiryLate, float64(size), float64(late))
+	t.record(expiryMargin, float64(size), margin.Seconds())
+	t.record(expiryFresh, float64(size), w.slowest)
 	return nil
 }
 
 func (t *trial) awaitNotices(n *notices, count int) error {
-	for late := time.Now().Add(noticesWithin); n.count() < count; {
-		if time.Now().After(late) {
-			return fmt.Errorf("%d of %d messages were answered", n.count(), count)
+	for deadline := time.Now().Add(noticesTimeout); n.count() < count; {
+		if time.Now().After(deadline) {
+			return fmt.Errorf("%d of %d messages were answered by notices", n.count(), count)
 		}
 		if err := t.pause(pollInterval); err != nil {
 			return err
@@ -181,12 +182,13 @@
 	return nil
 }
 
-// notices takes final answers and keeps when each came first.
+// notices is a server that receives the notices of final answers and records when the first one of each message
+// arrived.
 type notices struct {
-	address string
-	server  *http.Server
-	mu      sync.Mutex
-	came    map[string]time.Time // by message id
+	address   string
+	server    *http.Server
+	mu        sync.Mutex
+	firstSeen map[string]time.Time // by message id
 }
 
 func newNotices() (*notices, error) {
@@ -194,13 +196,13 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &notices{address: l.Addr().String(), came: map[string]time.Time{}}
-	n.server = &http.Server{Handler: http.HandlerFunc(n.take)}
+	n := &notices{address: l.Addr().String(), firstSeen: map[string]time.Time{}}
+	n.server = &http.Server{Handler: http.HandlerFunc(n.receive)}
 	go n.server.Serve(l)
 	return n, nil
 }
 
-func (n *notices) take(w http.ResponseWriter, r *http.Request) {
+func (n *notices) receive(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	in := json.NewDecoder(r.Body)
 	for in.More() {
@@ -212,8 +214,8 @@
 			return
 		}
 		n.mu.Lock()
-		if _, known := n.came[notice.ID]; !known {
-			n.came[notice.ID] = now
+		if _, known := n.firstSeen[notice.ID]; !known {
+			n.firstSeen[notice.ID] = now
 		}
 		n.mu.Unlock()
 	}
@@ -223,21 +225,21 @@
 func (n *notices) count() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.came)
+	return len(n.firstSeen)
 }
 
-// late is how many of the stored messages were answered after their time or not at all, and the least time that was
-// left at an answer.
+// late returns how many of the stored messages were answered after their expiry or not at all, and the shortest time
+// from an answer to the message's expiry, which is negative if that answer was late.
 func (n *notices) late(messages int, expiry func(n int) time.Time) (late int, margin time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i := range messages {
-		came, ok := n.came[storedID(i)]
+		firstSeen, ok := n.firstSeen[storedID(i)]
 		if !ok {
 			late++
 			continue
 		}
-		left := expiry(i).Sub(came)
+		left := expiry(i).Sub(firstSeen)
 		if left < 0 {
 			late++
 		}
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	linesAtOnce = 10_000          // of the list in one object: the client refuses much longer ones
-	blankAfter  = time.Second     // an empty line comes so often while nothing changes
-	listPath    = "/v1/endpoints" // with stream=1: the list and its changes
+	endpointsPerObject = 10_000          // endpoints in one object of a watch; the client rejects much longer objects
+	blankInterval      = time.Second     // interval of the empty lines that are sent while nothing changes
+	listPath           = "/v1/endpoints" // with stream=1: a watch of the list
 )
 
-// discoveryServer serves a list of destinations that does not change: its first part as the full list, the rest as
-// changes.
+// discoveryServer serves a list of destinations that never changes. A long list is split: the first part is sent as the
+// full list and the others as changes to it.
 type discoveryServer struct {
 	address string
 	server  *http.Server
@@ -26,9 +26,9 @@
 
 func newDiscoveryServer(destinations int) (*discoveryServer, error) {
 	d := &discoveryServer{}
-	for first := 1; first <= destinations; first += linesAtOnce {
+	for first := 1; first <= destinations; first += endpointsPerObject {
 		list := transport.EndpointList{Revision: int64(len(d.objects) + 1), Complete: first == 1}
-		for n := first; n < first+linesAtOnce && n <= destinations; n++ {
+		for n := first; n < first+endpointsPerObject && n <= destinations; n++ {
 			list.Endpoints = append(list.Endpoints, transport.Endpoint{UID: fmt.Sprintf(endpointName, n), Address: discardPort, Zone: "a", Kind: "partners",
 				Destination: uint64(n), State: "active"})
 		}
@@ -50,9 +50,9 @@
 	return d, nil
 }
 
-// watch serves the list and keeps the connection open.
+// watch sends the list and then keeps the connection open with empty lines.
 func (d *discoveryServer) watch(w http.ResponseWriter, r *http.Request) {
-	blank := time.NewTicker(blankAfter)
+	blank := time.NewTicker(blankInterval)
 	defer blank.Stop()
 	for _, o := range d.objects {
 		if _, err := w.Write(o); err != nil {
--- a/lab/capacity/measure/down_destination.go
+++ b/lab/capacity/measure/down_destination.go
@@ -11,119 +11,119 @@
 )
 
 var (
-	vainCalls    = quantity{"calls to a destination that is down for a minute", "forwarders", "calls"}
-	returnCalls  = quantity{"calls in the first second of its return", "forwarders", "calls"}
-	returnBudget = quantity{"budget of the first second of its return", "forwarders", "calls"}
+	failedCalls    = quantity{"calls to a destination that is down for a minute", "forwarders", "calls"}
+	recoveryCalls  = quantity{"calls in the first second of its return", "forwarders", "calls"}
+	recoveryBudget = quantity{"budget of the first second of its return", "forwarders", "calls"}
 )
 
-// outageScenario is a run of one destination that refuses connections for a minute.
+// outageScenario has one destination, which refuses connections for a minute.
 //
 //go:embed down.toml
 var outageScenario []byte
 
 const (
-	outageDays   = 5 // of which the mean is taken
-	quickDays    = 2
-	returnSecond = 1.0 // seconds that are counted from the end of the outage on
+	outageRuns      = 5 // runs that the mean is taken over
+	quickOutageRuns = 2
+	recoveryWindow  = 1.0 // seconds after the end of the outage
 )
 
-// measureDownDestination plays a destination that is down for a minute before fleets of several sizes, all of which
-// serve it, simulated with the real scheduler.
+// measureDownDestination simulates fleets of several sizes, with the real scheduler. All forwarders of a fleet serve
+// the same destination, which is down for a minute.
 func measureDownDestination(t *trial) error {
-	return t.sweep("simulated days", 1, quadratically, sizes(t.Largest), t.outage)
+	return t.sweep("simulated outages", 1, quadraticTime, sizes(t.Largest), t.outage)
 }
 
 func (t *trial) outage(forwarders int) error {
-	day, err := scenario.Parse("down.toml", outageScenario)
+	sc, err := scenario.Parse("down.toml", outageScenario)
 	if err != nil {
 		return err
 	}
-	day.Dispatch.Forwarders = forwarders
-	vain, returning := 0, 0
-	days := uint64(outageDays)
+	sc.Dispatch.Forwarders = forwarders
+	failed, recovering := 0, 0
+	runs := uint64(outageRuns)
 	if t.quick {
-		days = quickDays
+		runs = quickOutageRuns
 	}
-	for n := range days {
+	for n := range runs {
 		if err := t.ctx.Err(); err != nil {
 			return err
 		}
-		count := &outageCount{from: float64(day.Faults[0].At), to: float64(day.Faults[0].At + day.Faults[0].For)}
-		result := sim.Play(day, t.Seed+n, count.policy)
+		count := &outageCount{from: float64(sc.Faults[0].At), to: float64(sc.Faults[0].At + sc.Faults[0].For)}
+		result := sim.Play(sc, t.Seed+n, count.policy)
 		if result.Accepted == 0 {
-			return fmt.Errorf("no message was taken on with %d forwarders", forwarders)
+			return fmt.Errorf("no message was accepted with %d forwarders", forwarders)
 		}
-		vain, returning = vain+count.vain, returning+count.returning
+		failed, recovering = failed+count.failed, recovering+count.recovering
 	}
 	size := float64(forwarders)
-	t.record(vainCalls, size, float64(vain)/float64(days))
-	t.record(returnCalls, size, float64(returning)/float64(days))
-	t.record(returnBudget, size, budget(allowedCalls(day)))
+	t.record(failedCalls, size, float64(failed)/float64(runs))
+	t.record(recoveryCalls, size, float64(recovering)/float64(runs))
+	t.record(recoveryBudget, size, budget(allowedCalls(sc)))
 	return nil
 }
 
-// allowedCalls is how many calls a destination of the scenario that has just recovered takes in a second.
-func allowedCalls(day *scenario.Scenario) float64 {
-	p := &day.Receivers[0]
-	capacity := float64(p.Concurrency*p.Endpoints) / float64(p.Mean)
-	if p.Rate > 0 {
-		capacity = math.Min(capacity, p.Rate)
+// allowedCalls returns how many calls a destination of the scenario can take in the first second of its recovery.
+func allowedCalls(sc *scenario.Scenario) float64 {
+	r := &sc.Receivers[0]
+	capacity := float64(r.Concurrency*r.Endpoints) / float64(r.Mean)
+	if r.Rate > 0 {
+		capacity = math.Min(capacity, r.Rate)
 	}
-	return day.Dispatch.OverloadMultiple * day.Dispatch.SlowStartShare * capacity * returnSecond
+	return sc.Dispatch.OverloadMultiple * sc.Dispatch.SlowStartShare * capacity * recoveryWindow
 }
 
-// budget is the number of calls above which a recovering destination that can take allowed calls fails: these and a
-// margin for chance, as the operators' pages state it.
+// budget returns the most calls that a recovering destination may get if it can take the allowed number. The margin for
+// chance is the one that the operators' pages state.
 func budget(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
-// outageCount counts the calls of all forwarders in an outage and just after it.
+// outageCount counts the calls of all forwarders during an outage and in the second after it.
 type outageCount struct {
-	from, to  float64 // of the outage, in seconds from the run's beginning
-	runStart  float64 // of the run, on the simulated clock
-	vain      int
-	returning int
+	from, to   float64 // start and end of the outage, in seconds since the start of the run
+	runStart   float64 // simulated time at which the run starts
+	failed     int
+	recovering int
 }
 
-// policy is the scheduler, with its calls counted.
-func (o *outageCount) policy(terms scheduler.Settings, seed uint64, now float64, to scheduler.Host) sim.Policy {
+// policy starts a scheduler whose calls are counted.
+func (o *outageCount) policy(settings scheduler.Settings, seed uint64, now float64, inner scheduler.Host) sim.Policy {
 	if o.runStart == 0 {
 		o.runStart = now // the first forwarder starts with the run
 	}
-	counting := &countingHost{Host: to, count: o, now: now}
-	return &countingScheduler{Scheduler: scheduler.New(terms, seed, now, counting), host: counting}
+	counting := &countingHost{Host: inner, count: o, now: now}
+	return &countingScheduler{Scheduler: scheduler.New(settings, seed, now, counting), host: counting}
 }
 
-// sent counts a call.
+// sent counts a call by the simulated time at which it is sent.
 func (o *outageCount) sent(now float64) {
 	switch at := now - o.runStart; {
 	case at >= o.from && at < o.to:
-		o.vain++
-	case at >= o.to && at < o.to+returnSecond:
-		o.returning++
+		o.failed++
+	case at >= o.to && at < o.to+recoveryWindow:
+		o.recovering++
 	}
 }
 
-// countingScheduler is a scheduler whose host knows the time.
+// countingScheduler is a scheduler that also passes the time to its host.
 type countingScheduler struct {
 	*scheduler.Scheduler
 	host *countingHost
 }
 
-// SetTime sets the time of both.
+// SetTime sets the time of the scheduler and of its host.
 func (c *countingScheduler) SetTime(now float64) {
 	c.host.now = now
 	c.Scheduler.SetTime(now)
 }
 
-// countingHost passes on what the scheduler decides, and counts calls.
+// countingHost forwards the scheduler's decisions to another host and counts calls.
 type countingHost struct {
 	scheduler.Host
 	count *outageCount
 	now   float64
 }
 
-// Send counts a call; the scenario's destinations take one message in each.
-func (h *countingHost) Send(d *scheduler.Message, t *scheduler.Endpoint, timeout float64) {
+// Send counts each message as a call, because the scenario's calls carry one message each.
+func (h *countingHost) Send(message *scheduler.Message, endpoint *scheduler.Endpoint, timeout float64) {
 	h.count.sent(h.now)
-	h.Host.Send(d, t, timeout)
+	h.Host.Send(message, endpoint, timeout)
 }
--- a/lab/capacity/measure/held_message.go
+++ b/lab/capacity/measure/held_message.go
@@ -13,53 +13,53 @@
 
 var (
 	heldMemory  = quantity{"memory in the scheduler", "messages held", "bytes"}
-	heldTake    = quantity{"processor time of taking all in one turn", "messages held", "s"}
+	heldAccept  = quantity{"processor time of taking all in one turn", "messages held", "s"}
 	heldFresh   = quantity{"processor time of a fresh message beside them", "messages held", "s"}
-	heldGivenUp = quantity{"processor time of giving all up in one turn", "messages held", "s"}
+	heldExpired = quantity{"processor time of giving all up in one turn", "messages held", "s"}
 	heldDrained = quantity{"processor time of each message that drains of them", "messages held", "s"}
 	logMemory   = quantity{"memory in the write-ahead log", "messages held", "bytes"}
 	logDisk     = quantity{"bytes on disk", "messages held", "bytes"}
-	logTake     = quantity{"processor time of writing all to the log", "messages held", "s"}
+	logWrite    = quantity{"processor time of writing all to the log", "messages held", "s"}
 )
 
 const (
-	bodyBytes       = 300  // of a message
-	freshMost       = 2000 // fresh messages of which the mean is taken, at most
-	freshLeast      = 16
-	drainedFraction = 0.05 // of the messages held that drain while they are measured, at most
-	freshEnough     = 0.1  // seconds of processor time after which the mean is taken
+	bodyBytes        = 300  // length of a message body
+	maxFreshMessages = 2000 // most fresh messages that the mean is taken over
+	minFreshMessages = 16
+	drainedFraction  = 0.05 // largest fraction of the held messages that drains during a measurement
+	maxFreshTime     = 0.1  // seconds of processor time after which no more messages are measured
 )
 
-// measureHeldMessage measures what a message costs that is held for a destination which sent a retry-after.
+// measureHeldMessage measures the cost of a message that is held because its destination sent a Retry-After.
 func measureHeldMessage(t *trial) error {
-	if err := t.sweep("the write-ahead log", 0.15, linearly, sizes(t.Largest), t.heldInLog); err != nil {
+	if err := t.sweep("the write-ahead log", 0.15, linearTime, sizes(t.Largest), t.heldInLog); err != nil {
 		return err
 	}
-	if err := t.sweep("a drain", 0.15, quadratically, sizes(t.Largest), t.drain); err != nil {
+	if err := t.sweep("a drain", 0.15, quadraticTime, sizes(t.Largest), t.drainHeld); err != nil {
 		return err
 	}
-	return t.sweep("the scheduler", 0.7, quadratically, sizes(t.Largest), t.heldInScheduler)
+	return t.sweep("the scheduler", 0.7, quadraticTime, sizes(t.Largest), t.heldInScheduler)
 }
 
 func (t *trial) heldInScheduler(size int) error {
-	before := t.heap()
+	before := t.heapBytes()
 	var s *measuredScheduler
-	taken, err := t.bestOf(func() (float64, error) {
+	accepted, err := t.bestOf(func() (float64, error) {
 		var took float64
 		s = nil
-		t.heap()
+		t.heapBytes()
 		s, took = t.hold(size)
 		return took, nil
 	})
 	if err != nil {
 		return err
 	}
-	t.record(heldTake, float64(size), taken)
-	t.record(heldMemory, float64(size), t.heap()-before)
-	busy := s.destinations[0]
-	fresh, err := t.bestOf(func() (float64, error) {
-		return t.fresh(func() bool {
-			s.deliver(busy)
+	t.record(heldAccept, float64(size), accepted)
+	t.record(heldMemory, float64(size), t.heapBytes()-before)
+	responsive := s.destinations[0]
+	meanFreshTime, err := t.bestOf(func() (float64, error) {
+		return t.meanFreshTime(func() bool {
+			s.deliver(responsive)
 			return true
 		})
 	})
@@ -67,30 +67,30 @@
 		return err
 	}
 	if s.host.ended > 0 {
-		return fmt.Errorf("%d of %d messages were given up before their time", s.host.ended, size)
+		return fmt.Errorf("%d messages ended while %d were held, before their expiry", s.host.ended, size)
 	}
-	t.record(heldFresh, float64(size), fresh)
-	givenUp, err := t.bestOf(func() (float64, error) {
+	t.record(heldFresh, float64(size), meanFreshTime)
+	expired, err := t.bestOf(func() (float64, error) {
 		if s.host.ended > 0 {
 			s = nil
-			t.heap()
+			t.heapBytes()
 			s, _ = t.hold(size)
 		}
 		s.advance(messageTimeToLive + 1)
 		took := withoutCollection(s.Reconcile)
 		if s.host.ended < size {
-			return 0, fmt.Errorf("%d of %d messages were given up at their time", s.host.ended, size)
+			return 0, fmt.Errorf("%d of %d messages ended at their expiry", s.host.ended, size)
 		}
 		return took, nil
 	})
 	if err == nil {
-		t.record(heldGivenUp, float64(size), givenUp)
+		t.record(heldExpired, float64(size), expired)
 	}
 	return err
 }
 
-// hold makes a scheduler with two destinations, of which the second has sent a retry-after and has so many messages,
-// and returns the processor time in seconds of accepting these in one round.
+// hold starts a scheduler with two destinations. The second one has sent a Retry-After and gets the messages to hold.
+// The returned processor time in seconds is that of accepting these messages in one round.
 func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
 	s.addDestinations(2)
@@ -104,13 +104,13 @@
 	return s, took
 }
 
-// fresh is the mean processor time in seconds of a message's decisions; deliver makes them, and returns whether there
-// was one.
-func (t *trial) fresh(deliver func() bool) (float64, error) {
+// meanFreshTime returns the mean processor time in seconds of deliver, which makes all decisions of one message and
+// returns false once there are no more messages.
+func (t *trial) meanFreshTime(deliver func() bool) (float64, error) {
 	n := 0
 	took := withoutCollection(func() {
 		start := processorTime()
-		for t.ctx.Err() == nil && (n < freshLeast || n < freshMost && processorTime()-start < freshEnough) && deliver() {
+		for t.ctx.Err() == nil && (n < minFreshMessages || n < maxFreshMessages && processorTime()-start < maxFreshTime) && deliver() {
 			n++
 		}
 	})
@@ -120,46 +120,47 @@
 	return took / float64(n), t.ctx.Err()
 }
 
-// drain measures the decisions of a message that goes out once its destination takes calls again, one for each that
-// has ended.
-func (t *trial) drain(size int) error {
-	each, err := t.bestOf(func() (float64, error) {
-		t.heap()
+// drainHeld measures the decisions of held messages that are sent after their destination's Retry-After is over, one
+// for each call that ends.
+func (t *trial) drainHeld(size int) error {
+	perMessage, err := t.bestOf(func() (float64, error) {
+		t.heapBytes()
 		s := newScheduler(2*size+100, t.Seed)
 		s.addDestinations(1)
-		s.BlockUntil(s.targets[0], s.now+blockedTime)
+		s.BlockUntil(s.endpoints[0], s.now+blockedTime)
 		for i := range size {
 			s.accept(s.destinations[0], i)
 		}
 		s.Reconcile()
-		if len(s.host.out) > 0 {
-			return 0, fmt.Errorf("%d messages were sent within a wait", len(s.host.out))
+		if len(s.host.inFlight) > 0 {
+			return 0, fmt.Errorf("%d messages were sent before the end of the Retry-After", len(s.host.inFlight))
 		}
 		s.advance(blockedTime + 1)
 		s.Reconcile()
-		// So few that about as many are held at the end, and further ones go out at each end.
-		most := min(size-len(s.host.out), max(freshLeast, int(drainedFraction*float64(size))))
-		each, err := t.fresh(func() bool { return s.endFirst(&most) })
+		// Only a small fraction drains, so that the number of held messages stays about the same and each call that
+		// ends is followed by another.
+		left := min(size-len(s.host.inFlight), max(minFreshMessages, int(drainedFraction*float64(size))))
+		perMessage, err := t.meanFreshTime(func() bool { return s.endFirst(&left) })
 		if err == nil && s.host.ended > 0 {
-			err = fmt.Errorf("%d messages were given up while they drained", s.host.ended)
+			err = fmt.Errorf("%d messages expired or were rejected while they drained", s.host.ended)
 		}
-		return each, err
+		return perMessage, err
 	})
 	if err == nil {
-		t.record(heldDrained, float64(size), each)
+		t.record(heldDrained, float64(size), perMessage)
 	}
 	return err
 }
 
-// endFirst ends the call that has been out for longest, after which another goes out, and counts down how many there
-// are yet. It returns whether there was one.
+// endFirst ends the oldest call in flight, after which the scheduler sends another, and decrements the number of calls
+// left to end. It returns false if no call is left.
 func (s *measuredScheduler) endFirst(left *int) bool {
-	if *left <= 0 || len(s.host.out) == 0 {
+	if *left <= 0 || len(s.host.inFlight) == 0 {
 		return false
 	}
 	*left--
-	d := s.host.out[0]
-	s.host.out = s.host.out[1:]
+	d := s.host.inFlight[0]
+	s.host.inFlight = s.host.inFlight[1:]
 	s.advance(0.001)
 	s.AttemptEnded(d, scheduler.AttemptResult{Outcome: scheduler.Delivered, Final: true, Latency: callLatency})
 	s.Reconcile()
@@ -172,30 +173,30 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	before, start := t.heap(), processorTime()
-	log, err := t.fill(folder, size)
+	before, start := t.heapBytes(), processorTime()
+	log, err := t.fillLog(folder, size)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	t.record(logTake, float64(size), processorTime()-start)
-	t.record(logMemory, float64(size), t.heap()-before)
+	t.record(logWrite, float64(size), processorTime()-start)
+	t.record(logMemory, float64(size), t.heapBytes()-before)
 	t.record(logDisk, float64(size), float64(log.Used()))
 	return nil
 }
 
-// heldType is the type of messages that are written to a write-ahead log, heldDestination their destination.
+// The type and destination of the messages that are written to a write-ahead log.
 const (
 	heldType        = "update"
 	heldDestination = 1
 )
 
-// logLimit is the space in bytes that a write-ahead log with so many messages needs at most, half of it being for
-// compaction.
+// logLimit returns a limit in bytes that is large enough for a write-ahead log with a number of messages. Half of it is
+// for compaction.
 func logLimit(size int) int64 { return 1<<21 + int64(size)*(bodyBytes+200)*5/2 }
 
-// fill writes so many messages to a write-ahead log in a folder; they expire in a day.
-func (t *trial) fill(folder string, size int) (*wal.Log, error) {
+// fillLog writes messages that expire in a day to a write-ahead log in a folder.
+func (t *trial) fillLog(folder string, size int) (*wal.Log, error) {
 	log, err := wal.Open(folder, logLimit(size))
 	if err != nil {
 		return nil, err
--- a/lab/capacity/measure/idle_client.go
+++ b/lab/capacity/measure/idle_client.go
@@ -14,15 +14,16 @@
 )
 
 const (
-	connecting      = 64  // connections that are made at once
-	spareForClients = 256 // descriptors beyond those that the clients need
+	maxConnecting    = 64  // connections that are opened at the same time
+	spareDescriptors = 256 // descriptors beyond those that clients need
 )
 
-// measureIdleClient measures what a client's connection costs that has sent one request and stays idle.
+// measureIdleClient measures the cost of a client connection that has sent requests and then stays idle.
 func measureIdleClient(t *trial) error {
-	return t.sweep("connections", 1, linearly, sizes(t.Largest), func(size int) error {
-		// Clients get two thirds of the descriptors; all sizes get as many, as the forwarder's tables depend on them.
-		p, err := t.start(&configuration{destinations: 1, descriptors: t.Largest*3/2 + spareForClients})
+	return t.sweep("connections", 1, linearTime, sizes(t.Largest), func(size int) error {
+		// Clients get two thirds of the descriptors. All sizes have the same limit because the size of the forwarder's
+		// tables depends on it.
+		p, err := t.start(&configuration{destinations: 1, descriptors: t.Largest*3/2 + spareDescriptors})
 		if err != nil {
 			return err
 		}
@@ -34,7 +35,7 @@
 			}
 		}()
 		if err == nil {
-			err = each(clients, alive) // once more, as a server may close the first ones for the last
+			err = forEach(clients, ping) // again, as the server may have closed early connections in favor of later ones
 		}
 		if err != nil {
 			return err
@@ -53,48 +54,49 @@
 	})
 }
 
-// connect makes so many connections, each of which has sent PING.
+// connect opens connections and sends PING on each. On an error it also returns those that were opened.
 func connect(address string, number int) ([]*emulator.Client, error) {
 	clients := make([]*emulator.Client, number)
-	places := make([]int, number)
-	for i := range places {
-		places[i] = i
+	indexes := make([]int, number)
+	for i := range indexes {
+		indexes[i] = i
 	}
-	err := each(places, func(i int) error {
+	err := forEach(indexes, func(i int) error {
 		c, err := emulator.NewClient(address)
 		if err != nil {
 			return err
 		}
 		clients[i] = c
-		return alive(c)
+		return ping(c)
 	})
-	made := clients[:0]
+	connected := clients[:0]
 	for _, c := range clients {
 		if c != nil {
-			made = append(made, c)
+			connected = append(connected, c)
 		}
 	}
-	return made, err
+	return connected, err
 }
 
-func alive(c *emulator.Client) error {
+func ping(c *emulator.Client) error {
 	answer, err := c.Send(emulator.Command("PING"))
 	if err == nil && answer != "+PONG" {
-		err = fmt.Errorf("a client was answered %q", answer)
+		err = fmt.Errorf("PING was answered %q", answer)
 	}
 	return err
 }
 
-// each does something with all of a list, a few at once.
-func each[T any](list []T, do func(T) error) error {
-	var all sync.WaitGroup
+// forEach calls a function for every element of a list, maxConnecting at the same time. A worker stops calling it after
+// its first error.
+func forEach[T any](list []T, do func(T) error) error {
+	var workers sync.WaitGroup
 	work := make(chan T)
-	failed := make([]error, min(connecting, len(list)))
-	for i := range failed {
-		all.Go(func() {
+	errs := make([]error, min(maxConnecting, len(list)))
+	for i := range errs {
+		workers.Go(func() {
 			for x := range work {
-				if failed[i] == nil {
-					failed[i] = do(x)
+				if errs[i] == nil {
+					errs[i] = do(x)
 				}
 			}
 		})
@@ -103,6 +105,6 @@
 		work <- x
 	}
 	close(work)
-	all.Wait()
-	return errors.Join(failed...)
+	workers.Wait()
+	return errors.Join(errs...)
 }
--- a/lab/capacity/measure/known_destination.go
+++ b/lab/capacity/measure/known_destination.go
@@ -9,27 +9,27 @@
 var (
 	knownMemory   = quantity{"memory in the scheduler", "destinations", "bytes"}
 	knownChange   = quantity{"processor time of a list change", "destinations", "s"}
-	knownList     = quantity{"processor time of a whole list", "destinations", "s"}
+	knownFullList = quantity{"processor time of a whole list", "destinations", "s"}
 	knownStart    = quantity{"processor time of the scheduler's first start", "destinations", "s"}
 	forwarderRSS  = quantity{"memory of the forwarder", "destinations", "bytes"}
 	forwarderBoot = quantity{"time until a started forwarder knows all", "destinations", "s"}
 	forwarderCPU  = quantity{"processor time until a started forwarder knows all", "destinations", "s"}
 )
 
-const listChanges = 2000 // of which the mean is taken
+const listChanges = 2000 // changes of the list that the mean is taken over
 
-// measureKnownDestination measures what a destination costs that is in the list and has no messages.
+// measureKnownDestination measures what a destination costs that is on the list and has no messages.
 func measureKnownDestination(t *trial) error {
-	if err := t.sweep("the scheduler", 0.3, linearly, sizes(t.Largest), t.knownInScheduler); err != nil {
+	if err := t.sweep("the scheduler", 0.3, linearTime, sizes(t.Largest), t.knownInScheduler); err != nil {
 		return err
 	}
-	return t.sweep("the forwarder", 0.7, linearly, sizes(t.Largest), t.knownInForwarder)
+	return t.sweep("the forwarder", 0.7, linearTime, sizes(t.Largest), t.knownInForwarder)
 }
 
 func (t *trial) knownInScheduler(size int) error {
-	before := t.heap()
+	before := t.heapBytes()
 	start, err := t.bestOf(func() (float64, error) {
-		t.heap()
+		t.heapBytes()
 		return withoutCollection(func() { newScheduler(defaultQueueCapacity, t.Seed).addDestinations(size) }), nil
 	})
 	if err != nil {
@@ -38,13 +38,13 @@
 	t.record(knownStart, float64(size), start)
 	s := newScheduler(defaultQueueCapacity, t.Seed)
 	lines := s.addDestinations(size)
-	whole, err := t.bestOf(func() (float64, error) { return s.updateFullList(lines), nil })
+	fullList, err := t.bestOf(func() (float64, error) { return s.updateFullList(lines), nil })
 	if err != nil {
 		return err
 	}
-	t.record(knownList, float64(size), whole)
-	lines = nil // it is the caller's and not the scheduler's
-	t.record(knownMemory, float64(size), t.heap()-before)
+	t.record(knownFullList, float64(size), fullList)
+	lines = nil // not part of the scheduler's memory
+	t.record(knownMemory, float64(size), t.heapBytes()-before)
 	change, err := t.bestOf(func() (float64, error) { return s.changes(), nil })
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// updateFullList is the processor time of a full list that changes nothing, in one round.
+// updateFullList returns the processor time in seconds of one round with a full list that changes nothing.
 func (s *measuredScheduler) updateFullList(lines []scheduler.EndpointUpdate) float64 {
 	s.advance(1)
 	return withoutCollection(func() {
@@ -62,7 +62,7 @@
 	})
 }
 
-// changes is the processor time of a change of the list: a destination's endpoint is replaced.
+// changes returns the mean processor time in seconds of a list change that replaces one destination's endpoint.
 func (s *measuredScheduler) changes() float64 {
 	return withoutCollection(func() {
 		for i := range listChanges {
@@ -71,13 +71,13 @@
 	}) / listChanges
 }
 
-// replace replaces a destination's endpoint by another.
+// replace replaces the endpoint of the nth destination by a new one.
 func (s *measuredScheduler) replace(n int) {
 	s.advance(0.01)
-	gone, fresh := s.targets[n], &scheduler.Endpoint{ID: uint64(n)}
-	s.targets[n] = fresh
-	s.UpdateEndpoints(false, []scheduler.EndpointUpdate{{Endpoint: gone, Destination: s.destinations[n], State: scheduler.Removed},
-		{Endpoint: fresh, Destination: s.destinations[n], State: scheduler.Ready}})
+	removed, added := s.endpoints[n], &scheduler.Endpoint{ID: uint64(n)}
+	s.endpoints[n] = added
+	s.UpdateEndpoints(false, []scheduler.EndpointUpdate{{Endpoint: removed, Destination: s.destinations[n], State: scheduler.Removed},
+		{Endpoint: added, Destination: s.destinations[n], State: scheduler.Ready}})
 	s.Reconcile()
 }
 
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// processorTime is the processor time of this process in seconds, in user and system mode.
+// processorTime returns the processor time of this process in seconds, in user and system mode.
 func processorTime() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -23,8 +23,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()).Seconds()
 }
 
-// withoutCollection is the processor time in seconds of what is done, with garbage collection put off meanwhile. What
-// that adds depends on how the heap grew before, and would make equal work cost more at some sizes than at others.
+// withoutCollection runs a function with garbage collection off and returns its processor time in seconds. The time of
+// a collection depends on how the heap has grown before, which would make equal work cost more at some sizes than
+// others.
 func withoutCollection(do func()) float64 {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
 	start := processorTime()
@@ -32,7 +33,7 @@
 	return processorTime() - start
 }
 
-// processorTimeOf is the processor time in seconds of the threads that another process has now.
+// processorTimeOf returns the processor time in seconds of another process, without threads that have ended.
 func processorTimeOf(pid int) (float64, error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
@@ -54,7 +55,7 @@
 	return sum.Seconds(), nil
 }
 
-// residentBytes is the resident memory of a process.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
@@ -68,13 +69,12 @@
 	return pages * int64(os.Getpagesize()), err
 }
 
-// openDescriptors is how many descriptors a process has open.
 func openDescriptors(pid int) (int, error) {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	return len(all), err
 }
 
-// machineMemory is the machine's memory in bytes, 0 if it is unknown.
+// machineMemory returns the machine's memory in bytes, or 0 if it is unknown.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -89,7 +89,7 @@
 	return kB << 10
 }
 
-// Machine describes the machine: cores, memory and processor model, without a name by which it could be found.
+// Machine describes the machine for the results: cores, memory, processor model and Go version, without a host name.
 func Machine() string {
 	model := "unknown processor"
 	if text, err := os.ReadFile("/proc/cpuinfo"); err == nil {
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -1,6 +1,7 @@
-// Package measure measures what each role of a fleet costs at several sizes: memory, processor time, bytes and calls.
-// Each role is a function that returns curves; package capacity fits a line to each. The scheduler is called through
-// its exported interface alone, so that two versions of it are measured alike.
+// Package measure measures what each role costs at several sizes: memory, processor time, bytes and calls. A role is
+// one thing whose cost grows with a number, such as a known destination or a held message. Its function records curves,
+// and package capacity fits a line to each. The scheduler is called only through its exported interface, so that
+// different versions of it can be compared.
 package measure
 
 import (
@@ -18,71 +19,71 @@
 	"spanflow/lab/capacity"
 )
 
-// Options are the bounds of a measurement and what it is made with.
+// Options holds the limits of a measurement and the program and folder that it uses.
 type Options struct {
 	Seed      uint64
-	Largest   int           // the largest size, in the unit of each role; 0: the role's own
-	Memory    int64         // bytes that this process and those it starts may take
-	TimeLimit time.Duration // for each role; sizes that would take longer are left out
-	Program   string        // path of the built forwarder; spanflowctl lies beside it
-	Folder    string        // for write-ahead logs and configurations; empty: a temporary one
+	Largest   int           // the largest size, in the unit of each role; 0 means the role's default
+	Memory    int64         // limit in bytes for this process and those it starts
+	TimeLimit time.Duration // for each role; sizes that would exceed it are left out
+	Program   string        // path of the built forwarder, with spanflowctl in the same folder
+	Folder    string        // for write-ahead logs and configurations; empty means the system's temporary folder
 	Progress  func(line string)
 }
 
-// DefaultTimeLimit is the time that a role gets if none is set.
+// DefaultTimeLimit is the time limit of a role if Options sets none.
 const DefaultTimeLimit = 3 * time.Minute
 
-// DefaultMemory is a quarter of the machine's memory in bytes.
+// DefaultMemory returns a quarter of the machine's memory in bytes, the limit if Options sets none.
 func DefaultMemory() int64 { return machineMemory() / 4 }
 
-// CheckMemory returns an error unless a bound on memory is under half of the machine's, as it has to be.
+// CheckMemory returns an error unless a memory limit in bytes is positive and under half of the machine's memory.
 func CheckMemory(bytes int64) error {
-	if most := machineMemory() / 2; bytes <= 0 || bytes >= most {
-		return fmt.Errorf("memory: %d bytes are not over 0 and under half of the machine's (%d)", bytes, most)
+	if limit := machineMemory() / 2; bytes <= 0 || bytes >= limit {
+		return fmt.Errorf("memory: %d bytes is not between 0 and half of the machine's memory (%d)", bytes, limit)
 	}
 	return nil
 }
 
-// Role is something whose cost grows with a size.
+// Role is one thing whose cost is measured at several sizes.
 type Role struct {
 	Name    string
 	About   string
-	Unit    string // of its sizes
-	Largest int    // the largest size, unless another is set
+	Unit    string // of the sizes
+	Largest int    // the default largest size
 	measure func(t *trial) error
 }
 
-// Roles are all roles, in the order in which they are measured.
+// Roles lists all roles in the order in which they are measured.
 var Roles = []Role{
 	{"known-destination", "a destination in the list: memory, list changes, whole lists, first start", "destinations", 170_000, measureKnownDestination},
-	{"down-destination", "a destination that is down: vain calls, and calls as it returns, by forwarders", "forwarders", 500, measureDownDestination},
-	{"held-message", "a message that is held: memory, disk, cost of fresh messages beside it, giving up", "messages", 300_000, measureHeldMessage},
-	{"restart", "a restart: time to open the write-ahead log and to be ready, by what is owed", "messages", 1_000_000, measureRestart},
-	{"backlog", "messages in the backlog store, and destinations out: cost of fresh messages beside them", "messages", 1_000_000, measureBacklog},
-	{"backlog-restart", "a restart with a backlog store: time to be ready, memory and disk, by what is stored", "messages", 1_000_000, measureBacklogRestart},
-	{"backlog-drain", "a backlog store that drains to targets that answer at once, with one core", "messages", 100_000, measureBacklogDrain},
-	{"backlog-expiry", "stored messages that all expire in one second: their answers, and fresh messages meanwhile", "messages", 100_000, measureBacklogExpiry},
-	{"message-path", "a message on its way: processor time and bytes, by rate and by size of its body", "messages a second", 3000, measureMessagePath},
+	{"down-destination", "a destination that is down: failed calls, and calls as it recovers, by number of forwarders", "forwarders", 500, measureDownDestination},
+	{"held-message", "a held message: memory, disk, cost of fresh messages beside it and of its expiry", "messages", 300_000, measureHeldMessage},
+	{"restart", "a restart: time to open the write-ahead log and to be ready, by pending messages", "messages", 1_000_000, measureRestart},
+	{"backlog", "messages in the backlog store, and destinations that are down: cost of fresh messages beside them", "messages", 1_000_000, measureBacklog},
+	{"backlog-restart", "a restart with a backlog store: time to be ready, memory and disk, by stored messages", "messages", 1_000_000, measureBacklogRestart},
+	{"backlog-drain", "a backlog store that drains to endpoints that answer at once, with one core", "messages", 100_000, measureBacklogDrain},
+	{"backlog-expiry", "stored messages that all expire within one second: their answers, and fresh messages meanwhile", "messages", 100_000, measureBacklogExpiry},
+	{"message-path", "a message from client to endpoint: processor time and bytes, by rate and by size of the body", "messages a second", 3000, measureMessagePath},
 	{"idle-client", "a client's idle connection: memory and descriptors", "connections", 6000, measureIdleClient},
-	{"scrape", "a scrape of the metrics, by destinations", "destinations", 170_000, measureScrape},
-	{"reload", "a reload of the configuration, by destinations in its list", "destinations", 170_000, measureReload},
+	{"scrape", "a scrape of the metrics, by number of destinations", "destinations", 170_000, measureScrape},
+	{"reload", "a reload of the configuration, by number of destinations in the list", "destinations", 170_000, measureReload},
 }
 
-// Find finds a role by its name. An unknown name is an error that names the nearest known one.
+// Find returns the role with a name. The error for an unknown name suggests the closest known one.
 func Find(name string) (*Role, error) {
-	nearest, least := "", math.MaxInt
+	closest, leastDistance := "", math.MaxInt
 	for i := range Roles {
 		if Roles[i].Name == name {
 			return &Roles[i], nil
 		}
-		if d := levenshtein.ComputeDistance(name, Roles[i].Name); d < least {
-			nearest, least = Roles[i].Name, d
+		if distance := levenshtein.ComputeDistance(name, Roles[i].Name); distance < leastDistance {
+			closest, leastDistance = Roles[i].Name, distance
 		}
 	}
-	return nil, fmt.Errorf("unknown role %q; the nearest is %q", name, nearest)
+	return nil, fmt.Errorf("unknown role %q; the nearest is %q", name, closest)
 }
 
-// Names are the names of all roles.
+// Names returns the names of all roles in the order of Roles.
 func Names() []string {
 	var names []string
 	for _, r := range Roles {
@@ -91,14 +92,14 @@
 	return names
 }
 
-// Measure measures a role and fits a line to each of its curves. Sizes beyond a bound are left out, which is reported
-// as progress. The curves that were measured are returned even if ctx ends the work, with its error.
+// Measure measures a role and fits a line to each of its curves. Sizes that would exceed a limit are left out and
+// reported as progress. If ctx ends, Measure returns its error together with the curves measured so far.
 func (r *Role) Measure(ctx context.Context, options Options) ([]capacity.Curve, error) {
 	t := newTrial(ctx, r, options)
 	defer t.cancel()
 	err := r.measure(t)
-	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil { // the role's time is over, not the caller's
-		t.say("stopped: %s are over", options.TimeLimit)
+	if errors.Is(err, context.DeadlineExceeded) && ctx.Err() == nil { // the role's time limit, not the caller's
+		t.reportProgress("stopped: the time limit of %s is over", options.TimeLimit)
 		err = nil
 	}
 	if err != nil {
@@ -119,8 +120,8 @@
 	cancel func()
 	role   *Role
 	curves []capacity.Curve
-	quick  bool  // as a test wants it: few tries, short loads
-	peak   int64 // the most memory in use that was seen at the present size
+	quick  bool  // few tries and short loads, for tests
+	peak   int64 // the most memory seen in use at the current size, in bytes
 }
 
 func newTrial(ctx context.Context, r *Role, options Options) *trial {
@@ -138,19 +139,19 @@
 	return t
 }
 
-func (t *trial) say(format string, values ...any) {
+func (t *trial) reportProgress(format string, values ...any) {
 	if t.Progress != nil {
 		t.Progress(t.role.Name + ": " + fmt.Sprintf(format, values...))
 	}
 }
 
-// quantity is what a curve shows.
+// quantity is what a curve shows. All three texts are written into the results.
 type quantity struct{ name, sizeUnit, unit string }
 
 // record adds a point to a quantity's curve.
 func (t *trial) record(q quantity, size, value float64) {
 	point := capacity.Point{Size: size, Value: value}
-	t.say("%s at %.0f %s: %.4g %s", q.name, size, q.sizeUnit, value, q.unit)
+	t.reportProgress("%s at %.0f %s: %.4g %s", q.name, size, q.sizeUnit, value, q.unit)
 	for i := range t.curves {
 		if t.curves[i].Quantity == q.name {
 			t.curves[i].Points = append(t.curves[i].Points, point)
@@ -161,71 +162,72 @@
 		Points: []capacity.Point{point}})
 }
 
-// sizes are five sizes over two decades up to the largest.
+// sizes returns five sizes that span two orders of magnitude up to the largest.
 func sizes(largest int) []int {
 	var all []int
-	for _, share := range []float64{0.01, 0.03, 0.1, 0.3, 1} {
-		all = append(all, max(1, int(math.Round(float64(largest)*share))))
+	for _, fraction := range []float64{0.01, 0.03, 0.1, 0.3, 1} {
+		all = append(all, max(1, int(math.Round(float64(largest)*fraction))))
 	}
 	return slices.Compact(all)
 }
 
-// The powers of the size with which the time of a measurement may grow.
+// Exponents of the size by which the time of a measurement may grow.
 const (
-	equally       = 0.0
-	linearly      = 1.0
-	quadratically = 2.0
+	constantTime  = 0.0
+	linearTime    = 1.0
+	quadraticTime = 2.0
 )
 
-// sweep measures at growing sizes. It leaves out those that cannot be expected to fit into the memory, or into this
-// sweep's share of the role's time.
-func (t *trial) sweep(what string, share, growth float64, sizes []int, one func(size int) error) error {
-	lasts := time.Duration(share * float64(t.TimeLimit))
-	began, before, took := time.Now(), 0, time.Duration(0)
+// sweep measures at each of the sizes, in increasing order. It stops before the first size that is expected to exceed
+// the memory limit or this sweep's share of the role's time limit, judging by the previous size.
+func (t *trial) sweep(subject string, share, growth float64, sizes []int, measureSize func(size int) error) error {
+	timeLimit := time.Duration(share * float64(t.TimeLimit))
+	began, previousSize, took := time.Now(), 0, time.Duration(0)
 	for _, size := range sizes {
 		if err := t.ctx.Err(); err != nil {
 			return err
 		}
-		if before > 0 {
-			times := float64(size) / float64(before)
-			if need := time.Duration(float64(took) * math.Pow(times, growth)); time.Since(began)+need > lasts {
-				t.say("%s left out from %d on: it may take %s", what, size, need.Round(time.Millisecond))
+		if previousSize > 0 {
+			ratio := float64(size) / float64(previousSize)
+			if estimate := time.Duration(float64(took) * math.Pow(ratio, growth)); time.Since(began)+estimate > timeLimit {
+				t.reportProgress("%s: sizes from %d up are left out, as they may take %s", subject, size, estimate.Round(time.Millisecond))
 				return nil
 			}
-			if need := int64(float64(t.peak) * times); need > t.Memory {
-				t.say("%s left out from %d on: it may take %d bytes of memory", what, size, need)
+			if estimate := int64(float64(t.peak) * ratio); estimate > t.Memory {
+				t.reportProgress("%s: sizes from %d up are left out, as they may take %d bytes of memory", subject, size, estimate)
 				return nil
 			}
 		}
 		t.peak = 0
 		start := time.Now()
-		if err := one(size); err != nil {
+		if err := measureSize(size); err != nil {
 			return err
 		}
-		before, took = size, time.Since(start)
+		previousSize, took = size, time.Since(start)
 	}
 	return nil
 }
 
-// How often a measurement is tried: a short one suffers more from what else goes on on the machine.
+// How often a measurement is tried. Short measurements get more tries because other load on the machine distorts them
+// more.
 const (
-	fewTries  = 3
-	mostTries = 1000
-	longTries = 3 * time.Second        // after so long there is no further try
-	tryAtMost = 300 * time.Millisecond // after so long there are no more than a few
+	minTries      = 3
+	maxTries      = 1000
+	maxTryTime    = 3 * time.Second        // no further try starts after this time
+	minTriesAfter = 300 * time.Millisecond // only the least number of tries is made after this time
 )
 
-// bestOf is the least of several tries of a measurement, which has the least of what else goes on on the machine.
-func (t *trial) bestOf(one func() (float64, error)) (float64, error) {
+// bestOf returns the least result of several tries, which is the one least distorted by other load on the machine.
+func (t *trial) bestOf(measureOnce func() (float64, error)) (float64, error) {
 	least, began := math.Inf(1), time.Now()
-	for i := range mostTries {
+	for i := range maxTries {
 		if err := t.ctx.Err(); err != nil {
 			return 0, err
 		}
-		if spent := time.Since(began); i > 0 && (spent > longTries || i >= fewTries && (t.quick || spent > tryAtMost)) {
+		if elapsed := time.Since(began); i > 0 && (elapsed > maxTryTime || i >= minTries && (t.quick || elapsed > minTriesAfter)) {
 			break
 		}
-		value, err := one()
+		value, err := measureOnce()
 		if err != nil {
 			return 0, err
 		}
@@ -234,17 +236,17 @@
 	return least, nil
 }
 
-// heap is the bytes that live objects take.
-func (t *trial) heap() float64 {
+// heapBytes returns the bytes taken by live objects and updates the peak.
+func (t *trial) heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the second frees what finalizers held
+	runtime.GC() // the second run frees what finalizers kept alive
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	t.peak = max(t.peak, int64(m.HeapSys-m.HeapReleased))
 	return float64(m.HeapAlloc)
 }
 
-// Describe lists the roles, one a line.
+// Describe lists the roles for the help text, one per line.
 func Describe() string {
 	var b strings.Builder
 	for _, r := range Roles {
--- a/lab/capacity/measure/message_path.go
+++ b/lab/capacity/measure/message_path.go
@@ -21,36 +21,36 @@
 )
 
 const (
-	pathTargets       = 8
+	pathEndpoints     = 8
 	pathClients       = 32
-	pathSeconds       = 2.0 // that each rate is kept for
+	pathSeconds       = 2.0 // duration of each rate
 	quickSeconds      = 0.1
 	pathDisk          = 512_000_000
-	pathBody          = 400  // bytes, while rates are measured
-	pathRate          = 300  // messages a second, while bodies are measured
-	deliveredFraction = 0.98 // of the messages that have to be delivered
-	answerWithin      = 5 * time.Second
-	deliveredWithin   = 10 * time.Second
+	pathBody          = 400  // bytes of a body while rates are measured
+	pathRate          = 300  // messages a second while body sizes are measured
+	deliveredFraction = 0.98 // of the submitted messages that have to be delivered
+	answerTimeout     = 5 * time.Second
+	deliveryTimeout   = 10 * time.Second
 )
 
-// measureMessagePath measures a message's way through the built forwarder: from a client, through the write-ahead log,
+// measureMessagePath measures the path of a message through a forwarder: from a client, through the write-ahead log,
 // to an endpoint that answers at once.
 func measureMessagePath(t *trial) error {
-	err := t.sweep("rates", 0.5, equally, sizes(t.Largest), func(rate int) error { return t.path(rate, pathBody, t.recordRate) })
+	err := t.sweep("rates", 0.5, constantTime, sizes(t.Largest), func(rate int) error { return t.path(rate, pathBody, t.recordRate) })
 	if err != nil {
 		return err
 	}
-	return t.sweep("bodies", 0.5, equally, pathBodySizes, func(body int) error { return t.path(pathRate, body, t.recordBody) })
+	return t.sweep("bodies", 0.5, constantTime, pathBodySizes, func(body int) error { return t.path(pathRate, body, t.recordBody) })
 }
 
-// traffic is what went through a forwarder in a time.
+// traffic is what passed through a forwarder during one load.
 type traffic struct {
-	body      int     // bytes
+	body      int     // bytes of each message's body
 	delivered float64 // messages
 	seconds   float64
-	cpu       float64 // seconds of the forwarder's processor time
+	cpu       float64 // the forwarder's processor time in seconds
 	in, out   float64 // bytes between clients and forwarder, and between forwarder and endpoints
-	slowest   float64 // seconds from the moment at which a message was to be submitted to its answer, at most
+	slowest   float64 // longest time in seconds from the intended submission of a message to its answer
 }
 
 func (t *trial) recordRate(w traffic) {
@@ -63,25 +63,25 @@
 	t.record(pathBytesOut, float64(w.body), w.out/w.delivered)
 }
 
-// path starts a forwarder, loads it a few times and records the time that took the least processor time.
+// path starts a forwarder, loads it a few times and records the load that took the least processor time per message.
 func (t *trial) path(rate, body int, record func(traffic)) error {
-	targets, err := newEndpointServers(pathTargets)
+	endpoints, err := newEndpointServers(pathEndpoints)
 	if err != nil {
 		return err
 	}
-	defer targets.close()
-	p, err := t.start(&configuration{destinations: pathTargets, targets: targets.addresses, disk: pathDisk})
+	defer endpoints.close()
+	p, err := t.start(&configuration{destinations: pathEndpoints, endpoints: endpoints.addresses, disk: pathDisk})
 	if err != nil {
 		return err
 	}
 	defer p.kill()
 	var least traffic
 	_, err = t.bestOf(func() (float64, error) {
-		w, err := t.load(p, targets, rate, body)
+		w, err := t.load(p, endpoints, rate, body)
 		if err != nil {
 			return 0, err
 		}
-		if each := w.cpu / w.delivered; least.delivered == 0 || each < least.cpu/least.delivered {
+		if perMessage := w.cpu / w.delivered; least.delivered == 0 || perMessage < least.cpu/least.delivered {
 			least = w
 		}
 		return w.cpu, nil
@@ -92,55 +92,55 @@
 	return err
 }
 
-// load sends messages at a rate for a while and waits until they are delivered.
-func (t *trial) load(p *process, targets *endpointServers, rate, body int) (traffic, error) {
+// load submits messages at a rate for the usual duration and waits until they are delivered.
+func (t *trial) load(p *process, endpoints *endpointServers, rate, body int) (traffic, error) {
 	if t.quick {
-		return t.loadFor(p, targets, rate, body, quickSeconds)
+		return t.loadFor(p, endpoints, rate, body, quickSeconds)
 	}
-	return t.loadFor(p, targets, rate, body, pathSeconds)
+	return t.loadFor(p, endpoints, rate, body, pathSeconds)
 }
 
-// loadFor is load for so many seconds.
-func (t *trial) loadFor(p *process, targets *endpointServers, rate, body int, lasts float64) (w traffic, err error) {
+// loadFor is load with a duration in seconds.
+func (t *trial) loadFor(p *process, endpoints *endpointServers, rate, body int, duration float64) (w traffic, err error) {
 	var in atomic.Int64
-	run := load.Run{Addr: p.listen, Connections: pathClients, Timeout: answerWithin, TimeToLive: 60, Bytes: body,
+	run := load.Run{Addr: p.listen, Connections: pathClients, Timeout: answerTimeout, TimeToLive: 60, Bytes: body,
 		Prefix: fmt.Sprintf("%x-", time.Now().UnixNano()),
 		Dial: func() (net.Conn, error) {
-			c, err := net.DialTimeout("tcp", p.listen, answerWithin)
+			c, err := net.DialTimeout("tcp", p.listen, answerTimeout)
 			return &countedConn{c, &in}, err
 		}}
 	random := rand.New(rand.NewPCG(t.Seed, 1))
-	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, lasts), Random: random, DestinationPicker: load.Zipf(pathTargets, 0),
+	source := &load.Generator{Arrivals: load.Even(load.Shape{{Rate: float64(rate)}}, duration), Random: random, DestinationPicker: load.Zipf(pathEndpoints, 0),
 		Types: []string{heldType}}
-	for i := range pathTargets {
+	for i := range pathEndpoints {
 		source.Destinations = append(source.Destinations, uint64(i+1))
 	}
 	cpu, err := processorTimeOf(p.pid())
 	if err != nil {
 		return w, err
 	}
-	calls, out, began := targets.calls.Load(), targets.bytes.Load(), time.Now()
+	calls, out, began := endpoints.calls.Load(), endpoints.bytes.Load(), time.Now()
 	report, err := run.Do(t.ctx, source)
 	if err != nil {
 		return w, err
 	}
-	taken := int64(report.Answers["ok"])
-	for late := time.Now().Add(deliveredWithin); targets.calls.Load()-calls < taken && time.Now().Before(late); {
+	accepted := int64(report.Answers["ok"])
+	for deadline := time.Now().Add(deliveryTimeout); endpoints.calls.Load()-calls < accepted && time.Now().Before(deadline); {
 		if err := t.pause(pollInterval); err != nil {
 			return w, err
 		}
 	}
-	w = traffic{body: body, delivered: float64(targets.calls.Load() - calls), seconds: time.Since(began).Seconds(),
-		in: float64(in.Load()), out: float64(targets.bytes.Load() - out), slowest: report.Intended.Max}
+	w = traffic{body: body, delivered: float64(endpoints.calls.Load() - calls), seconds: time.Since(began).Seconds(),
+		in: float64(in.Load()), out: float64(endpoints.bytes.Load() - out), slowest: report.Intended.Max}
 	after, err := processorTimeOf(p.pid())
 	w.cpu = after - cpu
 	if err == nil && w.delivered < deliveredFraction*float64(report.Sent) {
-		err = fmt.Errorf("of %d messages at %d a second %.0f were delivered; answers %v", report.Sent, rate, w.delivered, report.Answers)
+		err = fmt.Errorf("%d messages were submitted at %d a second and %.0f delivered; answers %v", report.Sent, rate, w.delivered, report.Answers)
 	}
 	return w, err
 }
 
-// endpointServers answers each call at once.
+// endpointServers are the servers of several endpoints, which answer each call at once.
 type endpointServers struct {
 	addresses []string
 	servers   []*http.Server
@@ -177,13 +177,13 @@
 	}
 }
 
-// countedListener counts the bytes of its connections.
+// countedListener counts the bytes of all connections that it accepts.
 type countedListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection, which counts its bytes.
 func (l countedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -192,20 +192,20 @@
 	return &countedConn{c, l.bytes}, nil
 }
 
-// countedConn counts the bytes of a connection.
+// countedConn counts the bytes of one connection in both directions.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read counts what comes.
+// Read counts the bytes that it reads.
 func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write counts what goes.
+// Write counts the bytes that it writes.
 func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytes.Add(int64(n))
--- a/lab/capacity/measure/process.go
+++ b/lab/capacity/measure/process.go
@@ -15,44 +15,44 @@
 )
 
 const (
-	startWithin  = 2 * time.Minute // a forwarder that is not ready by then has failed
+	startTimeout = 2 * time.Minute // until a started forwarder has to be ready
 	pollInterval = time.Millisecond
-	settlingTime = 300 * time.Millisecond // before a started forwarder's memory is read
-	discardPort  = "127.0.0.1:9"          // nothing listens there
+	settlingTime = 300 * time.Millisecond // before the memory or processor time of a forwarder is read
+	discardPort  = "127.0.0.1:9"          // nothing listens on it
 )
 
-// configuration is what a forwarder that is measured differs in.
+// configuration holds the settings in which measured forwarders differ.
 type configuration struct {
-	destinations  int      // in its list, numbered from 1, each with one endpoint
-	unlisted      int      // the number of a destination that is not in it; 0: all are
-	targets       []string // addresses of the endpoints, used in turn; empty: nothing listens there
-	folder        string   // with its write-ahead log; empty: a new one
-	disk          int64    // bytes that its write-ahead log may take; 0: enough for a few messages
-	descriptors   int      // 0: enough for a few clients
-	queueCapacity int      // messages that it may hold; 0: a few thousand
-	forwarders    int      // of the fleet that it belongs to; 0: it is alone
+	destinations  int      // in the list, numbered from 1, each with one endpoint
+	unlisted      int      // number of a destination to leave out of the list; 0 means none
+	endpoints     []string // addresses of the endpoints, used in turn; if empty, nothing listens on any endpoint
+	folder        string   // with the write-ahead log; empty means a new one
+	disk          int64    // limit of the write-ahead log in bytes; 0 means enough for a few messages
+	descriptors   int      // limit; 0 means enough for a few clients
+	queueCapacity int      // 0 means a few thousand messages
+	forwarders    int      // in the fleet that it belongs to; 0 means it is the only one
 	metrics       bool
-	discovery     string // address of the service with the list; empty: the configuration has it
-	settings      string // further lines
+	discovery     string // address of discovery; empty means the list is part of the configuration
+	settings      string // further lines of TOML
 }
 
 const (
 	defaultDisk          = 64_000_000
 	defaultDescriptors   = 1024
 	defaultQueueCapacity = 4000
-	endpointName         = "t%d" // of a destination's endpoint
+	endpointName         = "t%d" // unique id of a destination's endpoint
 )
 
-// write writes the configuration to a file.
+// write writes the configuration to a file. The folder is that of the write-ahead log; memory is a limit in bytes.
 func (c *configuration) write(path, folder string, memory int64) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	w := bufio.NewWriter(f)
-	fmt.Fprintf(w, "name = \"measured\"\nseed = \"1\"\n[ledger]\nfolder = %q\ndisk = \"%dB\"\n", folder, or(c.disk, defaultDisk))
-	fmt.Fprintf(w, "[limits]\nmemory = \"%dB\"\ndescriptors = %d\n", memory, or(c.descriptors, defaultDescriptors))
-	fmt.Fprintf(w, "[dispatch]\nslots = 64\nroom = %d\nforwarders = %d\n", or(c.queueCapacity, defaultQueueCapacity), or(c.forwarders, 1))
+	fmt.Fprintf(w, "name = \"measured\"\nseed = \"1\"\n[ledger]\nfolder = %q\ndisk = \"%dB\"\n", folder, orDefault(c.disk, defaultDisk))
+	fmt.Fprintf(w, "[limits]\nmemory = \"%dB\"\ndescriptors = %d\n", memory, orDefault(c.descriptors, defaultDescriptors))
+	fmt.Fprintf(w, "[dispatch]\nslots = 64\nroom = %d\nforwarders = %d\n", orDefault(c.queueCapacity, defaultQueueCapacity), orDefault(c.forwarders, 1))
 	if c.discovery != "" {
 		fmt.Fprintf(w, "[discovery]\naddress = %q\n", c.discovery)
 	}
@@ -67,17 +67,17 @@
 			continue
 		}
 		address := discardPort
-		if len(c.targets) > 0 {
-			address = c.targets[i%len(c.targets)]
+		if len(c.endpoints) > 0 {
+			address = c.endpoints[i%len(c.endpoints)]
 		}
 		fmt.Fprintf(w, "[[targets]]\nuid = \""+endpointName+"\"\naddress = %q\ndest = %d\n", i, address, i)
 	}
 	return errors.Join(w.Flush(), f.Close())
 }
 
-func or[T comparable](value, usual T) T {
+func orDefault[T comparable](value, fallback T) T {
 	if value == *new(T) {
-		return usual
+		return fallback
 	}
 	return value
 }
@@ -87,16 +87,16 @@
 	command    *exec.Cmd
 	log        *emulator.Log
 	ended      chan struct{}
-	folder     string // of its configuration, removed at its end
-	file       string // its configuration
-	state      string // folder of its write-ahead log
-	listen     string // where clients connect
-	metrics    string // where metrics are served
+	folder     string // of the configuration; kill removes it
+	file       string // path of the configuration
+	state      string // folder of the write-ahead log
+	listen     string // address for clients
+	metrics    string // address of the metrics
 	began      time.Time
-	readyAfter time.Duration // until clients were served, or all of its list was known
+	readyAfter time.Duration // from the start until clients are served or, with discovery, until the whole list is known
 }
 
-// start starts the built forwarder and waits until it is ready.
+// start starts a forwarder and waits until it is ready.
 func (t *trial) start(c *configuration) (*process, error) {
 	folder, err := os.MkdirTemp(t.Folder, "forwarder")
 	if err != nil {
@@ -121,7 +121,7 @@
 		p.command.Wait()
 		close(p.ended)
 	}()
-	if err := p.await(t, `"message":"ready"`, startWithin); err != nil {
+	if err := p.awaitLog(t, `"message":"ready"`, startTimeout); err != nil {
 		p.kill()
 		return nil, err
 	}
@@ -139,33 +139,33 @@
 	os.RemoveAll(p.folder)
 }
 
-// reload makes the process read its configuration again.
+// reload makes the process reload its configuration, by SIGHUP.
 func (p *process) reload() error { return p.command.Process.Signal(syscall.SIGHUP) }
 
-// field is the first value of a field in the process's log lines.
+// field returns the first value of a text field in the process's log lines.
 func (p *process) field(name string) string {
 	_, text, _ := strings.Cut(p.log.String(), `"`+name+`":"`)
 	value, _, _ := strings.Cut(text, `"`)
 	return value
 }
 
-// await waits until a word is in the process's log.
-func (p *process) await(t *trial, word string, within time.Duration) error {
-	late := time.After(within)
-	look := time.NewTicker(pollInterval)
-	defer look.Stop()
+// awaitLog waits until the process's log contains a text.
+func (p *process) awaitLog(t *trial, text string, timeout time.Duration) error {
+	expired := time.After(timeout)
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-look.C:
-			if p.log.Has(word) {
+		case <-ticker.C:
+			if p.log.Has(text) {
 				return nil
 			}
 		case <-p.ended:
-			return fmt.Errorf("the forwarder ended: %s", lastLine(p.log.String()))
+			return fmt.Errorf("the forwarder ended; its last log line: %s", lastLine(p.log.String()))
 		case <-t.ctx.Done():
 			return t.ctx.Err()
-		case <-late:
-			return fmt.Errorf("no %s from the forwarder within %s; its last line: %s", word, within, lastLine(p.log.String()))
+		case <-expired:
+			return fmt.Errorf("the forwarder logged no %s within %s; its last log line: %s", text, timeout, lastLine(p.log.String()))
 		}
 	}
 }
@@ -175,7 +175,7 @@
 	return lines[len(lines)-1]
 }
 
-// startListed starts a forwarder that gets its list from discovery, and waits until it knows all of it. The caller
+// startListed starts a forwarder that gets its list from discovery, and waits until it knows the whole list. The caller
 // closes the server.
 func (t *trial) startListed(c *configuration) (p *process, server *discoveryServer, err error) {
 	if server, err = newDiscoveryServer(c.destinations); err != nil {
@@ -183,7 +183,7 @@
 	}
 	c.discovery = server.address
 	if p, err = t.start(c); err == nil {
-		if err = t.untilKnown(p, c.destinations); err == nil {
+		if err = t.awaitKnown(p, c.destinations); err == nil {
 			p.readyAfter = time.Since(p.began)
 			return p, server, nil
 		}
@@ -193,7 +193,7 @@
 	return nil, nil, err
 }
 
-// memoryOf is the process's resident memory, a moment after its start.
+// memoryOf waits until the process has settled and returns its resident memory in bytes.
 func (t *trial) memoryOf(p *process) (int64, error) {
 	if err := t.pause(settlingTime); err != nil {
 		return 0, err
@@ -203,7 +203,7 @@
 	return resident, err
 }
 
-// pause waits, but not beyond the trial's end.
+// pause waits for a time, or returns an error as soon as the trial ends.
 func (t *trial) pause(d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -12,24 +12,24 @@
 )
 
 var (
-	reloadTime   = quantity{"time until a changed list of the configuration is in force", "destinations", "s"}
-	reloadCPU    = quantity{"processor time of a reload that changes the configuration's list", "destinations", "s"}
-	rereadTime   = quantity{"time of a reload that leaves the list to discovery", "destinations", "s"}
-	tookUpOrder  = `"message":"configuration reloaded"`
-	otherLogging = "[log]\nids = [\"%d\"]\n"
+	reloadTime      = quantity{"time until a changed list of the configuration is in force", "destinations", "s"}
+	reloadCPU       = quantity{"processor time of a reload that changes the configuration's list", "destinations", "s"}
+	otherReloadTime = quantity{"time of a reload that leaves the list to discovery", "destinations", "s"}
+	reloadedLine    = `"message":"configuration reloaded"`
+	loggingSection  = "[log]\nids = [\"%d\"]\n"
 )
 
-const mostConfigured = 10_000 // destinations in a list of the configuration; a larger fleet has discovery
+const maxConfigured = 10_000 // most destinations in the configuration's own list; larger fleets use discovery
 
-// measureReload measures reloads by SIGHUP.
+// measureReload measures reloads of the configuration by SIGHUP, with the list in discovery and in the configuration.
 func measureReload(t *trial) error {
-	if err := t.sweep("a list from discovery", 0.3, linearly, sizes(t.Largest), t.reloadOther); err != nil {
+	if err := t.sweep("a list from discovery", 0.3, linearTime, sizes(t.Largest), t.reloadOther); err != nil {
 		return err
 	}
-	return t.sweep("a list of the configuration", 0.7, quadratically, sizes(min(t.Largest, mostConfigured)), t.reloadList)
+	return t.sweep("a list of the configuration", 0.7, quadraticTime, sizes(min(t.Largest, maxConfigured)), t.reloadList)
 }
 
-// reloadOther measures a reload that changes what is logged, with a list from discovery, until it is in force.
+// reloadOther measures the time until a reload is in force that changes the log settings, with a list from discovery.
 func (t *trial) reloadOther(size int) error {
 	c := &configuration{destinations: size}
 	p, server, err := t.startListed(c)
@@ -39,8 +39,8 @@
 	defer server.close()
 	defer p.kill()
 	took, err := t.bestOf(func() (float64, error) {
-		count := p.log.Count(tookUpOrder)
-		c.settings = fmt.Sprintf(otherLogging, count)
+		count := p.log.Count(reloadedLine)
+		c.settings = fmt.Sprintf(loggingSection, count)
 		if err := t.rewrite(p, c); err != nil {
 			return 0, err
 		}
@@ -48,9 +48,9 @@
 		if err := p.reload(); err != nil {
 			return 0, err
 		}
-		for p.log.Count(tookUpOrder) == count {
-			if time.Since(began) > startWithin {
-				return 0, fmt.Errorf("no reload within %s; the log ends: %s", startWithin, lastLine(p.log.String()))
+		for p.log.Count(reloadedLine) == count {
+			if time.Since(began) > startTimeout {
+				return 0, fmt.Errorf("the configuration was not reloaded within %s; the last log line: %s", startTimeout, lastLine(p.log.String()))
 			}
 			if err := t.pause(pollInterval); err != nil {
 				return 0, err
@@ -59,13 +59,13 @@
 		return time.Since(began).Seconds(), nil
 	})
 	if err == nil {
-		t.record(rereadTime, float64(size), took)
+		t.record(otherReloadTime, float64(size), took)
 	}
 	return err
 }
 
-// reloadList measures a reload of a configuration to whose list a destination was added, until a message for it is
-// accepted.
+// reloadList measures a reload that adds a destination to the configuration's list, until a message for that
+// destination is accepted.
 func (t *trial) reloadList(size int) error {
 	c := &configuration{destinations: size}
 	p, err := t.start(c)
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// rewrite replaces the process's configuration.
+// rewrite replaces the file of the process's configuration.
 func (t *trial) rewrite(p *process, c *configuration) error {
 	next := p.file + ".next"
 	if err := c.write(next, p.state, t.Memory); err != nil {
@@ -98,8 +98,8 @@
 	return os.Rename(next, p.file)
 }
 
-// reload adds a destination to the process's configuration and returns the time until it is known, and the process's
-// processor time meanwhile, in seconds.
+// reload adds a destination to the process's configuration. It returns the time until the destination is known and the
+// process's processor time during it, both in seconds.
 func (t *trial) reload(p *process, c *configuration) (took, cpu float64, err error) {
 	if err := t.pause(settlingTime); err != nil {
 		return 0, 0, err
@@ -116,7 +116,7 @@
 	if err := p.reload(); err != nil {
 		return 0, 0, err
 	}
-	if err := t.untilKnown(p, c.destinations); err != nil {
+	if err := t.awaitKnown(p, c.destinations); err != nil {
 		return 0, 0, err
 	}
 	took = time.Since(began).Seconds()
@@ -124,12 +124,12 @@
 	return took, after - before, err
 }
 
-// untilKnown submits messages for a destination until one is accepted.
-func (t *trial) untilKnown(p *process, destination int) error {
-	for late := time.Now().Add(startWithin); time.Now().Before(late); {
+// awaitKnown submits messages for a destination until one is accepted.
+func (t *trial) awaitKnown(p *process, destination int) error {
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); {
 		answer, err := t.submit(p, destination)
-		var late net.Error
-		if errors.As(err, &late) && late.Timeout() { // a forwarder that reads a long configuration answers nobody
+		var timeout net.Error
+		if errors.As(err, &timeout) && timeout.Timeout() { // a forwarder answers no client while it reads a long configuration
 			continue
 		}
 		if err != nil {
@@ -145,10 +145,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("destination %d was not known within %s; the log ends: %s", destination, startWithin, lastLine(p.log.String()))
+	return fmt.Errorf("destination %d was not known within %s; the last log line: %s", destination, startTimeout, lastLine(p.log.String()))
 }
 
-// submit submits a message on a connection of its own and returns the answer.
+// submit submits a message on a new connection and returns the answer.
 func (t *trial) submit(p *process, destination int) (string, error) {
 	c, err := emulator.NewClient(p.listen)
 	if err != nil {
--- a/lab/capacity/measure/restart.go
+++ b/lab/capacity/measure/restart.go
@@ -18,20 +18,20 @@
 	readyWithMemory = quantity{"memory of the forwarder when ready", "messages owed", "bytes"}
 )
 
-// measureRestart measures how long a restart takes by the number of unanswered messages.
+// measureRestart measures how long a restart takes for several numbers of pending messages.
 func measureRestart(t *trial) error {
 	for _, s := range []struct {
-		what    string
+		subject string
 		share   float64
 		growth  float64
 		measure func(size int) error
 	}{
-		{"the write-ahead log", 0.2, linearly, t.openLog},
-		{"the scheduler, none tried", 0.2, quadratically, func(size int) error { return t.recover(size, recoverUntried, scheduler.RecoveredState{}) }},
-		{"the scheduler, all tried once", 0.2, quadratically, func(size int) error { return t.recover(size, recoverTried, scheduler.RecoveredState{Attempts: 1}) }},
-		{"the forwarder", 0.4, linearly, t.restartForwarder},
+		{"the write-ahead log", 0.2, linearTime, t.openLog},
+		{"the scheduler, none tried", 0.2, quadraticTime, func(size int) error { return t.recover(size, recoverUntried, scheduler.RecoveredState{}) }},
+		{"the scheduler, all tried once", 0.2, quadraticTime, func(size int) error { return t.recover(size, recoverTried, scheduler.RecoveredState{Attempts: 1}) }},
+		{"the forwarder", 0.4, linearTime, t.restartForwarder},
 	} {
-		if err := t.sweep(s.what, s.share, s.growth, sizes(t.Largest), s.measure); err != nil {
+		if err := t.sweep(s.subject, s.share, s.growth, sizes(t.Largest), s.measure); err != nil {
 			return err
 		}
 	}
@@ -39,23 +39,23 @@
 }
 
 func (t *trial) openLog(size int) error {
-	folder, err := t.filled(size)
+	folder, err := t.newFilledLog(size)
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(folder)
 	opened, memory := 0.0, 0.0
 	opened, err = t.bestOf(func() (float64, error) {
-		before, start := t.heap(), time.Now()
+		before, start := t.heapBytes(), time.Now()
 		log, err := wal.Open(folder, logLimit(size))
 		took := time.Since(start).Seconds()
 		if err != nil {
 			return 0, err
 		}
 		defer log.Close()
-		memory = t.heap() - before
-		if owed := len(log.Pending()); owed != size {
-			return 0, fmt.Errorf("the log gave %d of %d messages", owed, size)
+		memory = t.heapBytes() - before
+		if pending := len(log.Pending()); pending != size {
+			return 0, fmt.Errorf("the log has %d of %d messages pending", pending, size)
 		}
 		return took, nil
 	})
@@ -67,13 +67,13 @@
 	return nil
 }
 
-// filled is a new folder with a write-ahead log of so many messages that no process has open.
-func (t *trial) filled(size int) (folder string, err error) {
+// newFilledLog creates a folder with a closed write-ahead log of pending messages.
+func (t *trial) newFilledLog(size int) (folder string, err error) {
 	folder, err = os.MkdirTemp(t.Folder, "log")
 	if err != nil {
 		return "", err
 	}
-	log, err := t.fill(folder, size)
+	log, err := t.fillLog(folder, size)
 	if err == nil {
 		err = log.Close()
 	}
@@ -83,17 +83,17 @@
 	return folder, err
 }
 
-// recover measures from the scheduler's start until it has reconciled all that an earlier process left unanswered. The
-// destination's retry-after outlasts the start, so that all of it stays held.
-func (t *trial) recover(size int, q quantity, past scheduler.RecoveredState) error {
+// recover measures the time from the scheduler's start until it has reconciled all messages that a predecessor left
+// pending. Their destination is blocked by a Retry-After, so that all of them stay held.
+func (t *trial) recover(size int, q quantity, state scheduler.RecoveredState) error {
 	took, err := t.bestOf(func() (float64, error) {
-		t.heap()
+		t.heapBytes()
 		var s *measuredScheduler
-		took := withoutCollection(func() { s = newRecoveredScheduler(2*size+100, size, past, t.Seed) })
-		if s.host.ended > 0 || len(s.host.out) > 0 {
-			return 0, fmt.Errorf("of %d messages %d were given up and %d sent, within a wait", size, s.host.ended, len(s.host.out))
+		took := withoutCollection(func() { s = newRecoveredScheduler(2*size+100, size, state, t.Seed) })
+		if s.host.ended > 0 || len(s.host.inFlight) > 0 {
+			return 0, fmt.Errorf("of %d messages %d ended and %d were sent before the end of the Retry-After", size, s.host.ended, len(s.host.inFlight))
 		}
-		t.heap()
+		t.heapBytes()
 		return took, nil
 	})
 	if err == nil {
@@ -102,21 +102,21 @@
 	return err
 }
 
-// newRecoveredScheduler starts a scheduler with what an earlier process left unanswered for a destination that sent a
-// retry-after.
-func newRecoveredScheduler(capacity, size int, past scheduler.RecoveredState, seed uint64) *measuredScheduler {
+// newRecoveredScheduler starts a scheduler with messages that a predecessor left pending for a destination that sent a
+// Retry-After.
+func newRecoveredScheduler(capacity, size int, state scheduler.RecoveredState, seed uint64) *measuredScheduler {
 	s := newScheduler(capacity, seed)
 	s.addDestinations(2)
-	s.BlockUntil(s.targets[1], s.now+blockedTime)
+	s.BlockUntil(s.endpoints[1], s.now+blockedTime)
 	for i := range size {
-		s.Recover(&scheduler.Message{ID: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageTimeToLive, past)
+		s.Recover(&scheduler.Message{ID: uint64(i), Dest: s.destinations[1], Size: typicalSize}, 0, messageTimeToLive, state)
 	}
 	s.Reconcile()
 	return s
 }
 
 func (t *trial) restartForwarder(size int) error {
-	folder, err := t.filled(size)
+	folder, err := t.newFilledLog(size)
 	if err != nil {
 		return err
 	}
--- a/lab/capacity/measure/scrape.go
+++ b/lab/capacity/measure/scrape.go
@@ -14,9 +14,9 @@
 	scrapeCPU   = quantity{"processor time of a scrape", "destinations", "s"}
 )
 
-// measureScrape measures what it costs a forwarder to be asked for its metrics.
+// measureScrape measures what it costs a forwarder to serve its metrics once.
 func measureScrape(t *trial) error {
-	return t.sweep("the forwarder", 1, linearly, sizes(t.Largest), func(size int) error {
+	return t.sweep("the forwarder", 1, linearTime, sizes(t.Largest), func(size int) error {
 		p, server, err := t.startListed(&configuration{destinations: size, metrics: true})
 		if err != nil {
 			return err
@@ -52,7 +52,7 @@
 	})
 }
 
-// scrape reads a forwarder's metrics and returns how many bytes they are.
+// scrape reads a forwarder's metrics and returns their length in bytes.
 func scrape(ctx context.Context, address string) (int, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
@@ -65,7 +65,7 @@
 	defer response.Body.Close()
 	n, err := io.Copy(io.Discard, response.Body)
 	if err == nil && response.StatusCode != http.StatusOK {
-		err = fmt.Errorf("the metrics were answered with %s", response.Status)
+		err = fmt.Errorf("scrape of the metrics: status %s", response.Status)
 	}
 	return int(n), err
 }
