--- a/lab/capacity/hollow/endpoint_list.go
+++ b/lab/capacity/hollow/endpoint_list.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	zoneCount       = 6 // of a fleet: two regions with three zones each
-	firstRevision   = 1 // of the list that a fleet starts with
+	zoneCount       = 6 // zones of a fleet: two regions with three zones each
+	firstRevision   = 1 // revision of the list that a fleet starts with
 	destinationKind = "partner"
-	uidMultiplier   = 2654435761 // odd, so that different numbers get different ids
+	uidMultiplier   = 2654435761 // odd, so that different endpoints get different ids
 )
 
-// entry is one endpoint of the list, in discovery's published form.
+// entry is one endpoint of the list, in the format of discovery's protocol.
 type entry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -32,11 +32,11 @@
 	stateLeaving = "leaving"
 )
 
-// object is one line of a watch, or the whole list.
+// object is one line of a watch: the full list if All is set, otherwise changes.
 type object struct {
 	Revision int64   `json:"rev"`
 	All      bool    `json:"all"`
-	Targets  []entry `json:"targets"`
+	Entries  []entry `json:"targets"`
 }
 
 func (o object) encode() ([]byte, error) {
@@ -46,7 +46,7 @@
 
 func zoneName(zone int) string { return fmt.Sprintf("zone-%d", zone+1) }
 
-// makeList is a list with one endpoint for each destination. Nothing calls the endpoints.
+// makeList returns a list with one endpoint for each destination. The endpoints are never called.
 func makeList(destinations int) []entry {
 	list := make([]entry, destinations)
 	for i := range list {
@@ -57,7 +57,7 @@
 	return list
 }
 
-// knownList is the list of the first revision as a forwarder that has it knows it.
+// knownList returns the first revision of the list in the form in which a forwarder keeps it.
 func knownList(destinations int) transport.EndpointList {
 	list := transport.EndpointList{Revision: firstRevision, Complete: true}
 	for _, e := range makeList(destinations) {
--- a/lab/capacity/hollow/fleet.go
+++ b/lab/capacity/hollow/fleet.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-const memoryEvery = 500 * time.Millisecond // between two looks at the processes' memory
+const memoryCheckInterval = 500 * time.Millisecond // interval at which the processes' memory is checked
 
-// fleet is the processes of a trial.
+// fleet is the set of processes of a trial.
 type fleet struct {
-	ctx       context.Context
-	cancel    context.CancelCauseFunc
-	config    Config
-	size      fleetSize
-	addresses []string // of discovery, by zone
-	server    *process
-	workers   []*process
-	watched   sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	config      Config
+	size        fleetSize
+	addresses   []string // addresses of discovery, by zone
+	server      *process
+	workers     []*process
+	memoryWatch sync.WaitGroup
 }
 
-// newFleet starts the processes, without forwarders. The caller ends it.
+// newFleet starts the processes without forwarders. The caller has to call end. The environment is that of the workers.
 func newFleet(ctx context.Context, config Config, size fleetSize, environment ...string) (*fleet, error) {
 	f := &fleet{config: config, size: size}
 	f.ctx, f.cancel = context.WithCancelCause(ctx)
 	if err := f.startProcesses(environment); err != nil {
-		err = f.reason(err)
+		err = f.cancelCause(err)
 		f.end()
 		return nil, err
 	}
-	f.watched.Go(f.watchMemory)
+	f.memoryWatch.Go(f.watchMemory)
 	return f, nil
 }
 
@@ -59,7 +59,7 @@
 	}
 	wait.Wait()
 	f.cancel(nil)
-	f.watched.Wait()
+	f.memoryWatch.Wait()
 }
 
 func (f *fleet) processes() []*process {
@@ -69,17 +69,18 @@
 	return append([]*process{f.server}, f.workers...)
 }
 
-// reason is why the processes were killed, if they were, in place of the error of a call that follows from it.
-func (f *fleet) reason(err error) error {
+// cancelCause returns why the fleet was cancelled, or err if it was not. Calls fail once the processes are killed, so
+// the cause says more than their errors.
+func (f *fleet) cancelCause(err error) error {
 	if cause := context.Cause(f.ctx); cause != nil {
 		return cause
 	}
 	return err
 }
 
-// watchMemory ends the processes when they take more than is allowed.
+// watchMemory kills the processes if together they exceed the memory limit.
 func (f *fleet) watchMemory() {
-	ticker := time.NewTicker(memoryEvery)
+	ticker := time.NewTicker(memoryCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -92,13 +93,13 @@
 			sum += residentMemory(p.pid(), residentNow)
 		}
 		if sum > f.config.MemoryBytes {
-			f.cancel(fmt.Errorf("memory: the processes took %d MB, %d MB are allowed", sum>>20, f.config.MemoryBytes>>20))
+			f.cancel(fmt.Errorf("memory: the processes took %d MB, the limit is %d MB", sum>>20, f.config.MemoryBytes>>20))
 			return
 		}
 	}
 }
 
-// requestAll asks all workers at once.
+// requestAll sends a request to each worker in parallel and returns the answers.
 func (f *fleet) requestAll(requestOf func(worker int) request) ([]response, error) {
 	answers, errs := make([]response, len(f.workers)), make([]error, len(f.workers))
 	var wait sync.WaitGroup
@@ -109,7 +110,7 @@
 	return answers, errors.Join(errs...)
 }
 
-// launch starts the forwarders and returns when the first worker began to.
+// launch starts the forwarders and returns when the first worker began to start them, as Unix time in nanoseconds.
 func (f *fleet) launch(knowsList bool) (at int64, err error) {
 	n, processes := f.size.forwarders, f.size.processes
 	answers, err := f.requestAll(func(worker int) request {
@@ -126,26 +127,26 @@
 	return at, err
 }
 
-// expect has all workers note when their forwarders have a revision in force.
+// expect makes all workers record when a revision comes into force at their forwarders.
 func (f *fleet) expect(revision int64) error {
 	_, err := f.requestAll(func(int) request { return request{Expect: &expectRequest{Revision: revision}} })
 	return err
 }
 
-// outcome is what became of an expectation.
+// outcome is the result of waiting for an expected revision.
 type outcome struct {
-	inForce []int64        // when, by forwarder, Unix time in nanoseconds; 0: not within the time
-	endings map[string]int // watches that ended meanwhile, by reason
-	late    int            // turns of forwarders that took over 100 ms, or waited so long; at most one a second each
+	inForce   []int64        // when it came into force, by forwarder, as Unix time in nanoseconds; 0 means not in time
+	endings   map[string]int // number of watches that ended since the expectation, by reason
+	slowTurns int            // turns of event loops that took over 100 ms or waited as long; at most one a second each
 }
 
-// await waits until all forwarders have the expected revision in force, or for so long.
+// await waits until the expected revision is in force at all forwarders, or until the time is over.
 func (f *fleet) await(within time.Duration) (outcome, error) {
 	answers, err := f.requestAll(func(int) request { return request{Await: &awaitRequest{Within: within}} })
 	result := outcome{endings: map[string]int{}}
 	for _, a := range answers {
 		result.inForce = append(result.inForce, a.InForce...)
-		result.late += a.Late
+		result.slowTurns += a.SlowTurns
 		for _, e := range a.Endings {
 			result.endings[e.Why] += e.Count
 		}
@@ -153,23 +154,23 @@
 	return result, err
 }
 
-// publish makes a change and returns its moment, Unix time in nanoseconds.
+// publish changes the list and returns the Unix time of the change in nanoseconds.
 func (f *fleet) publish() (at int64, err error) {
 	answer, err := f.server.call(request{Publish: &publishRequest{}})
 	return answer.At, err
 }
 
-// setReach changes who can reach discovery and returns the moment, Unix time in nanoseconds.
+// setReach changes who can reach discovery and returns the Unix time of the change in nanoseconds.
 func (f *fleet) setReach(r reach, zone int) (at int64, err error) {
 	answer, err := f.server.call(request{Reach: &reachRequest{Reach: r, Zone: zone}})
 	return answer.At, err
 }
 
-// snapshot is what the processes have used up to a moment.
+// snapshot is what the processes have used up to a time.
 type snapshot struct {
 	at      time.Time
 	server  usage
-	workers usage // all together
+	workers usage // sum of all workers
 	machine machineTime
 }
 
@@ -190,7 +191,7 @@
 	return s, nil
 }
 
-// memory is what the forwarders take, all together.
+// memory returns the memory that all forwarders take together.
 func (f *fleet) memory() (memoryUsage, error) {
 	answers, err := f.requestAll(func(int) request { return request{Memory: &memoryRequest{}} })
 	if err != nil {
@@ -206,12 +207,12 @@
 	return sum, nil
 }
 
-// measureFootprint starts the one forwarder of a pilot and returns what the parts of a trial need.
+// measureFootprint starts the single forwarder of a pilot and returns the memory that the parts of a trial need.
 func (f *fleet) measureFootprint(knowsList bool) (footprint, error) {
 	if _, err := f.launch(knowsList); err != nil {
 		return footprint{}, err
 	}
-	if _, err := f.await(inForceWithin / 4); err != nil {
+	if _, err := f.await(inForceTimeout / 4); err != nil {
 		return footprint{}, err
 	}
 	memory, err := f.memory()
--- a/lab/capacity/hollow/gate.go
+++ b/lab/capacity/hollow/gate.go
@@ -11,12 +11,12 @@
 	received, sent atomic.Int64
 }
 
-// gate is the way between discovery and the forwarders of one zone. While it is cut, connections stay open and carry
-// nothing; once it is back, all connections of before are reset.
+// gate carries the connections between discovery and the forwarders of one zone. While it is cut, connections stay open
+// but nothing is sent on them. When it is restored, all connections that are open are reset.
 type gate struct {
 	traffic *traffic
 	mu      sync.Mutex
-	passing chan struct{} // closed while data passes
+	passing chan struct{} // closed unless the gate is cut
 	open    map[*gatedConn]struct{}
 }
 
@@ -26,14 +26,14 @@
 	return g
 }
 
-// cut lets nothing through any more. It must not be cut already.
+// cut stops all sending. The gate must not be cut already.
 func (g *gate) cut() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.passing = make(chan struct{})
 }
 
-// restore ends a cut.
+// restore ends a cut and resets the open connections.
 func (g *gate) restore() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,13 +49,13 @@
 	return g.passing
 }
 
-// gatedListener accepts connections that come through a gate.
+// gatedListener accepts connections and puts them under a gate.
 type gatedListener struct {
 	net.Listener
 	gate *gate
 }
 
-// Accept waits for the next connection and puts it under the gate.
+// Accept returns the next connection, whose writes wait while the gate is cut.
 func (l *gatedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -68,7 +68,7 @@
 	return gated, nil
 }
 
-// gatedConn is a connection through a gate.
+// gatedConn is a connection through a gate, which counts its bytes.
 type gatedConn struct {
 	net.Conn
 	gate *gate
@@ -81,7 +81,7 @@
 	return n, err
 }
 
-// Write waits until the gate lets traffic pass, then writes and counts the bytes as sent.
+// Write waits while the gate is cut, then writes and counts the bytes as sent.
 func (c *gatedConn) Write(b []byte) (int, error) {
 	<-c.gate.passes()
 	n, err := c.Conn.Write(b)
@@ -89,7 +89,7 @@
 	return n, err
 }
 
-// Close takes the connection out of the gate and closes it.
+// Close removes the connection from the gate and closes it.
 func (c *gatedConn) Close() error {
 	c.gate.mu.Lock()
 	delete(c.gate.open, c)
@@ -97,7 +97,7 @@
 	return c.Conn.Close()
 }
 
-// reset ends the connection as one whose other side was away.
+// reset closes the connection with a TCP reset.
 func (c *gatedConn) reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -1,13 +1,14 @@
-// Package hollow measures how fast and at what cost a change of discovery's list comes into force in a large fleet.
+// Package hollow measures how fast a change of discovery's list comes into force in a large fleet, and what it costs.
 //
-// A hollow forwarder is the real discovery client, the real hand-over of lists and the real scheduler on real sockets,
-// without clients, calls to endpoints and a write-ahead log; many run in one process (forwarder.FollowEndpoints). The
-// coordinator, Run, starts a process with an emulator of discovery and some with forwarders, all on 127.0.0.1, commands
-// them by JSON lines, and ends them when it returns. A list is in force at a forwarder once its scheduler has it and
-// has reconciled.
+// A hollow forwarder is a lightweight simulated forwarder that holds one endpoint list. It has the real discovery
+// client, event queue, scheduler and sockets, but no clients, no calls to endpoints and no write-ahead log, so that
+// many of them run in one process (forwarder.FollowEndpoints). The coordinator, Run, starts one process that emulates
+// discovery and several worker processes with hollow forwarders, all on 127.0.0.1. It controls them by lines of JSON
+// and ends them before it returns. A list is in force at a forwarder once its scheduler has the list and has
+// reconciled.
 //
-// Processor time is that of whole processes by getrusage. Bytes are those that the sockets took and gave, without the
-// headers of TCP and IP: some 52 a segment come on top.
+// Processor time is that of whole processes, as reported by getrusage. Bytes are counted at the sockets, without the
+// TCP and IP headers of about 52 bytes per segment.
 package hollow
 
 import (
@@ -20,20 +21,20 @@
 	"spanflow/lab/capacity"
 )
 
-// Scenario is what happens to the fleet in a trial.
+// Scenario names the event that a trial measures.
 type Scenario string
 
 // The scenarios.
 const (
-	Idle     Scenario = "idle"    // nothing
+	Idle     Scenario = "idle"    // nothing changes
 	Change   Scenario = "change"  // the list changes
-	Restart  Scenario = "restart" // a third is restarted at once, and the list changes
-	Outage   Scenario = "outage"  // discovery is away for a time, and the list changes meanwhile
-	Zone     Scenario = "zone"    // a zone is cut off from discovery for a time, and the list changes meanwhile
-	FullList Scenario = "whole"   // all start at once and know no list, so that each gets the full list
+	Restart  Scenario = "restart" // a third of the forwarders restart at the same time, and the list changes
+	Outage   Scenario = "outage"  // discovery is down for a while, during which the list changes
+	Zone     Scenario = "zone"    // a zone is cut off from discovery for a while, during which the list changes
+	FullList Scenario = "whole"   // all forwarders start at the same time without a list, so that each gets the full list
 )
 
-// Scenarios are all scenarios in the order in which they are run.
+// Scenarios lists all scenarios in the order in which they are run.
 var Scenarios = []Scenario{Idle, Change, Restart, Outage, Zone, FullList}
 
 const (
@@ -41,40 +42,40 @@
 	maxProcesses    = 100
 	maxDestinations = 1_000_000
 	maxChanges      = 100
-	memoryDivisor   = 2                // all processes together stay under one part in so many of the machine's memory
-	trialWithin     = 4 * time.Minute  // a trial that takes longer ends with an error
-	inForceWithin   = 60 * time.Second // a forwarder that does not have a list so long after it could is missed
+	memoryDivisor   = 2                // the memory limit is at most the machine's memory divided by this
+	trialTimeout    = 4 * time.Minute  // a trial that takes longer fails
+	inForceTimeout  = 60 * time.Second // a forwarder in which a list is not in force after this time counts as missed
 	restartEveryNth = 3
 	cutZone         = 0
 )
 
-// InForceTarget is the time within which a change has to be in force everywhere (issue 44).
+// InForceTarget is the time within which a change has to be in force at all forwarders (issue 44).
 const InForceTarget = 9 * time.Second
 
-// Config says what is run.
+// Config holds the scenarios to run, the size of the fleet and its limits.
 type Config struct {
 	Scenarios    []Scenario
 	Forwarders   int
-	Processes    int // that the forwarders are spread over
+	Processes    int // worker processes that share the forwarders
 	Destinations int
-	Changes      int           // of the scenario Change, one after another
-	Duration     time.Duration // of the idle window of each trial; and how long discovery or a zone is away
-	MemoryBytes  int64         // of all processes together; 0: a quarter of the machine's
-	ListBytes    int           // of one object of discovery's watch at most; 0: the forwarder's own limit
+	Changes      int           // number of successive changes in the scenario Change
+	Duration     time.Duration // of each trial's idle window, and of an outage of discovery or a zone
+	MemoryBytes  int64         // limit for all processes together; 0 means a quarter of the machine's memory
+	ListBytes    int           // limit for one object of a watch; 0 means the forwarder's default
 	Seed         uint64
-	Program      []string     // calls Serve with the role that is appended, on standard input and output
-	Progress     func(string) // gets a line for each step; may be nil
+	Program      []string     // command line, to which the role is appended; it calls Serve on standard input and output
+	Progress     func(string) // called with a line for each step; may be nil
 }
 
-// check names the first field that is out of range, and fills in the memory.
+// check sets the default of MemoryBytes and returns an error that names the first field that is out of range.
 func (c *Config) check() error {
 	for _, field := range []struct {
-		name        string
-		value, most int
+		name         string
+		value, limit int
 	}{{"forwarders", c.Forwarders, maxForwarders}, {"processes", c.Processes, maxProcesses},
 		{"destinations", c.Destinations, maxDestinations}, {"changes", c.Changes, maxChanges}} {
-		if field.value < 1 || field.value > field.most {
-			return fmt.Errorf("%s: %d is not between 1 and %d", field.name, field.value, field.most)
+		if field.value < 1 || field.value > field.limit {
+			return fmt.Errorf("%s: %d is not between 1 and %d", field.name, field.value, field.limit)
 		}
 	}
 	for _, scenario := range c.Scenarios {
@@ -82,21 +83,21 @@
 			return fmt.Errorf("scenario: %q is not one of %v", scenario, Scenarios)
 		}
 	}
-	all := machineMemory()
+	machineBytes := machineMemory()
 	if c.MemoryBytes == 0 {
-		c.MemoryBytes = all / (2 * memoryDivisor)
+		c.MemoryBytes = machineBytes / (2 * memoryDivisor)
 	}
 	switch {
 	case c.Processes > c.Forwarders:
-		return fmt.Errorf("processes: %d are more than the %d forwarders", c.Processes, c.Forwarders)
-	case c.Duration <= 0 || c.Duration > trialWithin/4:
-		return fmt.Errorf("lasts: %s is not between 0 and %s", c.Duration, trialWithin/4)
+		return fmt.Errorf("processes: %d exceeds the %d forwarders", c.Processes, c.Forwarders)
+	case c.Duration <= 0 || c.Duration > trialTimeout/4:
+		return fmt.Errorf("lasts: %s is not between 0 and %s", c.Duration, trialTimeout/4)
 	case c.ListBytes < 0:
-		return fmt.Errorf("list limit: %d is under 0", c.ListBytes)
-	case c.MemoryBytes <= 0 || c.MemoryBytes > all/memoryDivisor:
-		return fmt.Errorf("memory: %d MB are not between 0 and half of the machine's, %d MB", c.MemoryBytes>>20, all/memoryDivisor>>20)
+		return fmt.Errorf("list limit: %d is negative", c.ListBytes)
+	case c.MemoryBytes <= 0 || c.MemoryBytes > machineBytes/memoryDivisor:
+		return fmt.Errorf("memory: %d MB is not between 0 and half of the machine's memory, %d MB", c.MemoryBytes>>20, machineBytes/memoryDivisor>>20)
 	case len(c.Program) == 0:
-		return errors.New("program: none for the processes")
+		return errors.New("program: no command line is set")
 	}
 	return nil
 }
@@ -107,7 +108,7 @@
 	}
 }
 
-// Run runs the scenarios one after another. It returns the trials that were finished, also beside an error.
+// Run runs the scenarios one after another. It returns the finished trials even if it returns an error.
 func Run(ctx context.Context, config Config) ([]capacity.FleetTrial, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -123,10 +124,10 @@
 	return trials, nil
 }
 
-var errTooLong = fmt.Errorf("not finished within %s", trialWithin)
+var errTooLong = fmt.Errorf("not finished within %s", trialTimeout)
 
 func runTrial(ctx context.Context, config Config, scenario Scenario) (capacity.FleetTrial, error) {
-	ctx, cancel := context.WithTimeoutCause(ctx, trialWithin, errTooLong)
+	ctx, cancel := context.WithTimeoutCause(ctx, trialTimeout, errTooLong)
 	defer cancel()
 	size, err := planFleet(ctx, config, scenario)
 	if err != nil {
@@ -140,7 +141,7 @@
 	defer f.end()
 	t := &trial{config: config, scenario: scenario, fleet: f}
 	if err := t.run(); err != nil {
-		return capacity.FleetTrial{}, f.reason(err)
+		return capacity.FleetTrial{}, f.cancelCause(err)
 	}
 	return t.result, nil
 }
--- a/lab/capacity/hollow/message.go
+++ b/lab/capacity/hollow/message.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Role is what a process that the coordinator starts does.
+// Role is the task of a process that the coordinator starts.
 type Role string
 
 // The roles.
 const (
 	RoleServer Role = "server" // emulates discovery
-	RoleWorker Role = "worker" // hollow forwarders
+	RoleWorker Role = "worker" // runs hollow forwarders
 )
 
-// request is a line from the coordinator to a process. Exactly one field is set.
+// request is a line of JSON from the coordinator to a process. Exactly one field is set.
 type request struct {
 	Serve   *serveRequest   `json:"serve,omitempty"`
 	Publish *publishRequest `json:"publish,omitempty"`
@@ -32,56 +32,56 @@
 	Seed         uint64 `json:"seed"`
 }
 
-// publishRequest makes a change of the list.
+// publishRequest changes the list.
 type publishRequest struct{}
 
-// Reach says who can reach discovery.
+// reach is a change of who can reach discovery.
 type reach string
 
 const (
-	reachDown     reach = "down"     // nobody; all connections end
-	reachUp       reach = "up"       // again
-	reachCut      reach = "cut"      // not one zone; its connections fall silent
-	reachRestored reach = "restored" // that zone again; its connections of before are reset
+	reachDown     reach = "down"     // nobody can reach discovery; all connections are closed
+	reachUp       reach = "up"       // discovery can be reached again
+	reachCut      reach = "cut"      // one zone cannot reach discovery; nothing is sent on its connections
+	reachRestored reach = "restored" // that zone can reach discovery again; its open connections are reset
 )
 
 // reachRequest changes who can reach discovery.
 type reachRequest struct {
 	Reach reach `json:"reach"`
-	Zone  int   `json:"zone"` // of reachCut and reachRestored
+	Zone  int   `json:"zone"` // used with reachCut and reachRestored
 }
 
-// startRequest starts a worker's forwarders. Each has in force, when it starts, the first revision if KnowsList, else
-// nothing; FirstIndex numbers them within the fleet.
+// startRequest starts a worker's forwarders. They start with the first revision of the list if KnowsList is set,
+// otherwise without a list.
 type startRequest struct {
-	Addresses    []string `json:"addresses"` // of discovery, by zone
-	Fleet        int      `json:"fleet"`     // forwarders in all
-	FirstIndex   int      `json:"first_index"`
+	Addresses    []string `json:"addresses"`   // addresses of discovery, by zone
+	Fleet        int      `json:"fleet"`       // forwarders of all workers
+	FirstIndex   int      `json:"first_index"` // index of the first forwarder within the fleet
 	Forwarders   int      `json:"forwarders"`
 	Destinations int      `json:"destinations"`
 	KnowsList    bool     `json:"knows_list"`
-	ListBytes    int      `json:"list_bytes"` // one object of a watch at most; 0: the forwarder's own limit
+	ListBytes    int      `json:"list_bytes"` // limit for one object of a watch; 0 means the forwarder's default
 	Seed         uint64   `json:"seed"`
-	MemoryLimit  int64    `json:"memory_limit"` // that the garbage collector aims at, in bytes
+	MemoryLimit  int64    `json:"memory_limit"` // memory in bytes that the garbage collector aims at
 }
 
-// expectRequest has a worker note when each of its forwarders has a revision, or a later one, in force.
+// expectRequest makes a worker record when a revision, or a later one, comes into force at each of its forwarders.
 type expectRequest struct {
 	Revision int64 `json:"revision"`
 }
 
-// restartRequest ends forwarders without a graceful stop and starts them anew, with the first revision of the list
-// known.
+// restartRequest stops forwarders without a drain and starts them again as startRequest did, that is with the first
+// revision of the list if KnowsList was set.
 type restartRequest struct {
-	EveryNth int `json:"every_nth"` // of the fleet
+	EveryNth int `json:"every_nth"` // every nth forwarder of the fleet restarts
 }
 
-// awaitRequest waits until all forwarders of a worker have the expected revision in force.
+// awaitRequest waits until the expected revision is in force at all forwarders of a worker.
 type awaitRequest struct {
 	Within time.Duration `json:"within_ns"`
 }
 
-// usageRequest asks what a process has used, memoryRequest what memory a worker's forwarders take.
+// usageRequest asks for the resources that a process has used, memoryRequest for the memory of a worker's forwarders.
 type (
 	usageRequest  struct{}
 	memoryRequest struct{}
@@ -90,26 +90,27 @@
 // response answers a request.
 type response struct {
 	Error     string       `json:"error,omitempty"`
-	Addresses []string     `json:"addresses,omitempty"` // to serveRequest
-	At        int64        `json:"at,omitempty"`        // when it was done, Unix time in nanoseconds
-	Revision  int64        `json:"revision,omitempty"`  // to publishRequest
-	InForce   []int64      `json:"in_force,omitempty"`  // to awaitRequest: when, by forwarder; 0: not yet
-	Endings   []ending     `json:"endings,omitempty"`   // to awaitRequest: since the expectation
-	Late      int          `json:"late,omitempty"`      // to awaitRequest: "late" lines in the forwarders' logs since
+	Addresses []string     `json:"addresses,omitempty"` // answers serveRequest
+	At        int64        `json:"at,omitempty"`        // when the request was carried out, as Unix time in nanoseconds
+	Revision  int64        `json:"revision,omitempty"`  // answers publishRequest
+	InForce   []int64      `json:"in_force,omitempty"`  // answers awaitRequest: when, by forwarder; 0 means not yet
+	Endings   []ending     `json:"endings,omitempty"`   // answers awaitRequest: watches that ended since expectRequest
+	SlowTurns int          `json:"late,omitempty"`      // answers awaitRequest: slow turns since expectRequest
 	Usage     *usage       `json:"usage,omitempty"`
 	Memory    *memoryUsage `json:"memory,omitempty"`
 }
 
-// ending counts watches that ended for one reason.
+// ending is the number of watches that ended for one reason.
 type ending struct {
 	Why   string `json:"why"`
 	Count int    `json:"count"`
 }
 
-// memoryUsage is what a worker's forwarders take, in bytes beyond what it took before they started.
+// memoryUsage is memory in bytes. Live, Resident and Peak leave out what the process took before its forwarders
+// started.
 type memoryUsage struct {
 	Live     int64 `json:"live"`     // heap and stacks after a collection
-	Resident int64 `json:"resident"` // memory of the process
-	Peak     int64 `json:"peak"`     // the same, at most so far
-	Before   int64 `json:"before"`   // memory of the process before they started
+	Resident int64 `json:"resident"` // resident memory of the process
+	Peak     int64 `json:"peak"`     // highest resident memory so far
+	Before   int64 `json:"before"`   // resident memory of the process before its forwarders started
 }
--- a/lab/capacity/hollow/plan.go
+++ b/lab/capacity/hollow/plan.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	pilotCollector = "GOGC=25" // so that the pilot's memory has little garbage in it
-	reserve        = 1.15      // of the memory for each forwarder, times what the pilot's took
-	leastEach      = 256 << 10 // bytes that a forwarder is taken to need at least: a small one's is not measured well
-	unlimited      = int64(1) << 50
+	pilotGC            = "GOGC=25" // collects often, so that the pilot's memory contains little garbage
+	memoryReserve      = 1.15      // memory planned for each forwarder, as a multiple of what the pilot's took
+	minForwarderMemory = 256 << 10 // least bytes planned for a forwarder, as smaller amounts are not measured reliably
+	unlimitedMemory    = int64(1) << 50
 )
 
-// fleetSize is how many forwarders a trial has, and why not more.
+// fleetSize is the number of forwarders of a trial, with a note if it is smaller than requested.
 type fleetSize struct {
 	forwarders, processes int
-	memoryLimit           int64 // of each worker, for its garbage collector, in bytes
+	memoryLimit           int64 // memory in bytes that each worker's garbage collector aims at
 	note                  string
 }
 
-// footprint is the memory that the parts of a trial need, in bytes.
+// footprint is the memory in bytes that the parts of a trial need.
 type footprint struct {
 	server    int64
 	worker    int64 // without forwarders
-	forwarder int64 // from its start until the first list is in force, at most
+	forwarder int64 // peak from its start until its first list is in force
 }
 
-// planFleet measures what memory one forwarder needs and fits the fleet into what is allowed.
+// planFleet measures the memory that one forwarder needs and fits the fleet into the memory limit.
 func planFleet(ctx context.Context, config Config, scenario Scenario) (fleetSize, error) {
-	f, err := newFleet(ctx, config, fleetSize{forwarders: 1, processes: 1, memoryLimit: unlimited}, pilotCollector)
+	f, err := newFleet(ctx, config, fleetSize{forwarders: 1, processes: 1, memoryLimit: unlimitedMemory}, pilotGC)
 	if err != nil {
 		return fleetSize{}, err
 	}
@@ -36,25 +36,25 @@
 	config.progress("%s: measuring one forwarder with %d destinations", scenario, config.Destinations)
 	need, err := f.measureFootprint(scenario != FullList)
 	if err != nil {
-		return fleetSize{}, f.reason(err)
+		return fleetSize{}, f.cancelCause(err)
 	}
 	return fitFleet(config, need)
 }
 
-// fitFleet works out how many forwarders the memory allows.
+// fitFleet computes how many forwarders fit into the memory limit.
 func fitFleet(config Config, need footprint) (fleetSize, error) {
-	each := max(leastEach, int64(reserve*float64(need.forwarder)))
-	room := config.MemoryBytes - need.server - int64(config.Processes)*need.worker
+	perForwarder := max(minForwarderMemory, int64(memoryReserve*float64(need.forwarder)))
+	available := config.MemoryBytes - need.server - int64(config.Processes)*need.worker
 	size := fleetSize{forwarders: config.Forwarders}
-	if fit := room / each; fit < int64(size.forwarders) {
+	if fit := available / perForwarder; fit < int64(size.forwarders) {
 		if fit < 1 {
-			return size, fmt.Errorf("memory: %d MB do not hold a forwarder of %d MB beside the processes", config.MemoryBytes>>20, each>>20)
+			return size, fmt.Errorf("memory: %d MB is too little for the processes and one forwarder of %d MB", config.MemoryBytes>>20, perForwarder>>20)
 		}
 		size.forwarders = int(fit)
 		size.note = fmt.Sprintf("%d forwarders in place of %d: one needs %.1f MB, all processes together may have %.1f GB",
-			fit, config.Forwarders, float64(each)/(1<<20), float64(config.MemoryBytes)/(1<<30))
+			fit, config.Forwarders, float64(perForwarder)/(1<<20), float64(config.MemoryBytes)/(1<<30))
 	}
 	size.processes = min(config.Processes, size.forwarders)
-	size.memoryLimit = need.worker + room/int64(size.processes)
+	size.memoryLimit = need.worker + available/int64(size.processes)
 	return size, nil
 }
--- a/lab/capacity/hollow/process.go
+++ b/lab/capacity/hollow/process.go
@@ -13,26 +13,27 @@
 )
 
 const (
-	endWithin  = 2 * time.Second // a process whose input ended is killed, or ends itself, after so long
-	mostStderr = 4 << 10         // bytes kept of what a process says on standard error
+	exitTimeout = 2 * time.Second // from the end of its input until a process is killed or exits by force
+	maxStderr   = 4 << 10         // bytes kept of a process's standard error
 )
 
-// process is a process that the coordinator started. It answers requests one after another and ends with its input.
+// process is a process that the coordinator has started. It answers requests one after another and exits when its input
+// ends.
 type process struct {
 	name    string
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  *json.Decoder
-	said    *tail
+	stderr  *tail
 }
 
-// startProcess runs a program with further environment; it is killed when ctx ends.
+// startProcess starts a program with additional environment variables. The process is killed when ctx ends.
 func startProcess(ctx context.Context, name string, program []string, role Role, environment ...string) (*process, error) {
-	p := &process{name: name, said: &tail{}}
+	p := &process{name: name, stderr: &tail{}}
 	p.command = exec.CommandContext(ctx, program[0], append(program[1:len(program):len(program)], string(role))...)
 	p.command.Env = append(os.Environ(), environment...)
-	p.command.Stderr = p.said
-	p.command.WaitDelay = endWithin
+	p.command.Stderr = p.stderr
+	p.command.WaitDelay = exitTimeout
 	input, err := p.command.StdinPipe()
 	if err != nil {
 		return nil, err
@@ -59,38 +60,38 @@
 	}
 	switch {
 	case err != nil:
-		return answer, fmt.Errorf("%s: %w; it said: %s", p.name, err, p.said)
+		return answer, fmt.Errorf("%s: %w; its standard error: %s", p.name, err, p.stderr)
 	case answer.Error != "":
 		return answer, fmt.Errorf("%s: %s", p.name, answer.Error)
 	}
 	return answer, nil
 }
 
-// end ends the process and waits until it has ended.
+// end closes the process's input and waits until it has exited. After a time it kills the process.
 func (p *process) end() {
 	p.input.Close()
-	kill := time.AfterFunc(endWithin, func() { p.command.Process.Kill() })
+	kill := time.AfterFunc(exitTimeout, func() { p.command.Process.Kill() })
 	defer kill.Stop()
 	p.command.Wait()
 }
 
-// tail keeps the latest bytes written to it.
+// tail keeps the last bytes written to it.
 type tail struct{ text []byte }
 
-// Write keeps the end of all that was written, mostStderr bytes at most. It never fails.
+// Write appends bytes and keeps at most the last maxStderr bytes. It never returns an error.
 func (t *tail) Write(b []byte) (int, error) {
 	t.text = append(t.text, b...)
-	if len(t.text) > mostStderr {
-		t.text = append(t.text[:0], t.text[len(t.text)-mostStderr:]...)
+	if len(t.text) > maxStderr {
+		t.text = append(t.text[:0], t.text[len(t.text)-maxStderr:]...)
 	}
 	return len(b), nil
 }
 
-// String returns the bytes that are kept.
+// String returns the bytes kept so far.
 func (t *tail) String() string { return string(t.text) }
 
-// Serve is the work of a process that the coordinator started: it answers requests until the input or ctx ends. An
-// input that ends while a request is being carried out ends the process a little later, whatever it does.
+// Serve runs a process that the coordinator started. It answers requests until the input or ctx ends. If a request is
+// still being processed some time after the end of the input, the process exits with status 1.
 func Serve(ctx context.Context, role Role, input io.Reader, output io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -113,7 +114,7 @@
 			var r request
 			if decoder.Decode(&r) != nil {
 				cancel()
-				time.AfterFunc(endWithin, func() { os.Exit(1) })
+				time.AfterFunc(exitTimeout, func() { os.Exit(1) })
 				return
 			}
 			requests <- r
@@ -133,13 +134,13 @@
 				answer.Error = err.Error()
 			}
 			if err := encoder.Encode(answer); err != nil {
-				return nil // the coordinator has ended
+				return nil // the coordinator has exited
 			}
 		}
 	}
 }
 
-var errUnknownRequest = errors.New("a request that this process does not serve")
+var errUnknownRequest = errors.New("the process does not support this request")
 
 // serverProcess is a process that emulates discovery.
 type serverProcess struct{ server *server }
@@ -152,7 +153,7 @@
 			answer.Addresses = p.server.addresses
 		}
 	case p.server == nil:
-		err = errors.New("discovery was not started")
+		err = errors.New("discovery has not been started")
 	case r.Publish != nil:
 		answer.At = time.Now().UnixNano()
 		answer.Revision, err = p.server.publish()
@@ -171,7 +172,7 @@
 
 func (s *server) setReach(r reachRequest) error {
 	if r.Zone < 0 || r.Zone >= zoneCount {
-		return fmt.Errorf("zone: %d is not among %d", r.Zone, zoneCount)
+		return fmt.Errorf("zone: %d is not one of the %d zones", r.Zone, zoneCount)
 	}
 	switch r.Reach {
 	case reachDown:
@@ -183,7 +184,7 @@
 	case reachRestored:
 		s.gates[r.Zone].restore()
 	default:
-		return fmt.Errorf("reach: unknown word %q", r.Reach)
+		return fmt.Errorf("reach: unknown value %q", r.Reach)
 	}
 	return nil
 }
--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -4,42 +4,41 @@
 	"math/rand/v2"
 )
 
-// historyLength is how many changes a watch that begins late can still get; with more missed it gets the full
-// list.
+// historyLength is the number of changes that are kept. A watch that has missed more gets the full list.
 const historyLength = 256
 
 // change is what one revision changed.
 type change struct {
 	revision int64
-	index    int    // of the entry in the list
-	encoded  []byte // as a line of a watch that holds the revision before
+	index    int    // index of the changed entry in the list
+	encoded  []byte // line for a watch that has the previous revision
 }
 
-// registry is discovery's list with its latest changes. It does no I/O and takes no locks.
+// registry is discovery's list with its latest changes. It does no I/O and is not safe for concurrent use.
 type registry struct {
 	list             []entry
 	revision         int64
-	history          []change // oldest first, without gaps, up to the present revision
+	history          []change // oldest first, without gaps, up to the current revision
 	random           *rand.Rand
-	fullList         []byte // the list as encoded last
-	fullListRevision int64  // its revision; 0: none
+	fullList         []byte // the full list as it was last encoded
+	fullListRevision int64  // revision of fullList; 0 means none
 }
 
 func newRegistry(destinations int, seed uint64) *registry {
 	return &registry{list: makeList(destinations), revision: firstRevision, random: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// publish lets an endpoint that is drawn leave, or come back if it was leaving, and returns the new revision.
+// publish switches a randomly chosen endpoint between active and leaving, and returns the new revision.
 func (r *registry) publish() (int64, error) {
 	index := r.random.IntN(len(r.list))
-	target := &r.list[index]
-	if target.State == stateActive {
-		target.State = stateLeaving
+	endpoint := &r.list[index]
+	if endpoint.State == stateActive {
+		endpoint.State = stateLeaving
 	} else {
-		target.State = stateActive
+		endpoint.State = stateActive
 	}
 	r.revision++
-	encoded, err := object{Revision: r.revision, Targets: []entry{*target}}.encode()
+	encoded, err := object{Revision: r.revision, Entries: []entry{*endpoint}}.encode()
 	if err != nil {
 		return 0, err
 	}
@@ -50,8 +49,8 @@
 	return r.revision, nil
 }
 
-// since is what a watch that holds a revision gets: what has changed after it, or the full list where that is not
-// known any more.
+// since returns the line for a watch that has a revision: the changes after that revision, or the full list if the
+// history does not reach back to it.
 func (r *registry) since(revision int64) ([]byte, error) {
 	missed := r.revision - revision
 	switch {
@@ -60,21 +59,21 @@
 	case missed == 1:
 		return r.history[len(r.history)-1].encoded, nil
 	}
-	changes := object{Revision: r.revision, Targets: []entry{}}
-	told := map[int]bool{}
+	changes := object{Revision: r.revision, Entries: []entry{}}
+	included := map[int]bool{}
 	for _, c := range r.history[len(r.history)-int(missed):] {
-		if !told[c.index] {
-			told[c.index] = true
-			changes.Targets = append(changes.Targets, r.list[c.index])
+		if !included[c.index] {
+			included[c.index] = true
+			changes.Entries = append(changes.Entries, r.list[c.index])
 		}
 	}
 	return changes.encode()
 }
 
-// encodeFullList is the encoded list; it is encoded once for each revision.
+// encodeFullList returns the encoded list. It encodes each revision only once.
 func (r *registry) encodeFullList() ([]byte, error) {
 	if r.fullListRevision != r.revision {
-		encoded, err := object{Revision: r.revision, All: true, Targets: r.list}.encode()
+		encoded, err := object{Revision: r.revision, All: true, Entries: r.list}.encode()
 		if err != nil {
 			return nil, err
 		}
--- a/lab/capacity/hollow/server.go
+++ b/lab/capacity/hollow/server.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-const blankEvery = 2 * time.Second // an empty line comes so often on a watch while nothing changes
+const blankInterval = 2 * time.Second // interval of the empty lines that a watch gets while nothing changes
 
-// server emulates discovery as the published protocol has it: the full list, and watches that
-// get what changed after the revision they hold. Each zone reaches it at an address of its own. It serves calls
-// as they come; it does not imitate how long the real service takes for each.
+// server emulates discovery according to the published protocol: it serves the full list, and watches that get the
+// changes after the revision that they have. Each zone has a separate address. Requests are served immediately; the
+// response times of the real service are not emulated.
 type server struct {
 	traffic traffic
 	gates   []*gate
 
-	mu        sync.Mutex
-	registry  *registry
-	changed   chan struct{} // closed at the next change
-	addresses []string
-	running   *http.Server // nil while discovery is away
+	mu         sync.Mutex
+	registry   *registry
+	changed    chan struct{} // closed at the next change
+	addresses  []string
+	httpServer *http.Server // nil while discovery is down
 }
 
-// newServer listens at a free port of 127.0.0.1 for each zone.
+// newServer starts a server that listens on a free port of 127.0.0.1 for each zone.
 func newServer(destinations int, seed uint64) (*server, error) {
 	s := &server{registry: newRegistry(destinations, seed), changed: make(chan struct{})}
 	for range zoneCount {
@@ -36,45 +36,45 @@
 	return s, s.listen()
 }
 
-// listen serves at the addresses; a port that was not chosen yet is kept from then on.
+// listen serves on the addresses. Ports that the system chooses the first time are used again later.
 func (s *server) listen() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", s.endpoints)
-	s.running = &http.Server{Handler: mux}
+	s.httpServer = &http.Server{Handler: mux}
 	for zone, address := range s.addresses {
 		listener, err := net.Listen("tcp4", address)
 		if err != nil {
-			return errors.Join(fmt.Errorf("discovery for %s: %w", zoneName(zone), err), s.running.Close())
+			return errors.Join(fmt.Errorf("discovery for %s: %w", zoneName(zone), err), s.httpServer.Close())
 		}
 		s.addresses[zone] = listener.Addr().String()
-		go s.running.Serve(&gatedListener{Listener: listener, gate: s.gates[zone]})
+		go s.httpServer.Serve(&gatedListener{Listener: listener, gate: s.gates[zone]})
 	}
 	return nil
 }
 
-// down ends all connections and refuses new ones.
+// down closes all connections and refuses new ones.
 func (s *server) down() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running == nil {
-		return errors.New("discovery is down already")
+	if s.httpServer == nil {
+		return errors.New("discovery is already down")
 	}
-	running := s.running
-	s.running = nil
-	return running.Close()
+	httpServer := s.httpServer
+	s.httpServer = nil
+	return httpServer.Close()
 }
 
-// up serves again, with the list and the history of before.
+// up serves again, with the same list and history as before.
 func (s *server) up() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.running != nil {
-		return errors.New("discovery is up already")
+	if s.httpServer != nil {
+		return errors.New("discovery is already up")
 	}
 	return s.listen()
 }
 
-// publish makes a change and sends it to all watches.
+// publish changes the list and wakes all watches, which then send the change.
 func (s *server) publish() (revision int64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,9 +86,9 @@
 	return revision, nil
 }
 
-// since is what a watch that holds a revision gets, the revision it holds then, and what is closed at the next
-// change.
-func (s *server) since(revision int64) (encoded []byte, now int64, changed <-chan struct{}, err error) {
+// since returns the line for a watch that has a revision, the revision that it has after it, and a channel that is
+// closed at the next change.
+func (s *server) since(revision int64) (encoded []byte, newRevision int64, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	encoded, err = s.registry.since(revision)
@@ -115,20 +115,20 @@
 	s.watch(w, r, revision)
 }
 
-// watch sends changes until the connection ends.
+// watch sends the changes after a revision until the connection ends.
 func (s *server) watch(w http.ResponseWriter, r *http.Request, revision int64) {
 	for {
-		encoded, now, changed, err := s.since(revision)
-		if err != nil || !tell(w, r, encoded, changed) {
+		encoded, newRevision, changed, err := s.since(revision)
+		if err != nil || !sendLine(w, r, encoded, changed) {
 			return
 		}
-		revision = now
+		revision = newRevision
 	}
 }
 
-// tell writes a line, then empty ones until the list has changed. It returns false if the connection ended.
-func tell(w http.ResponseWriter, r *http.Request, line []byte, changed <-chan struct{}) bool {
-	blank := time.NewTicker(blankEvery)
+// sendLine writes a line and then empty lines until the list changes. It returns false if the connection has ended.
+func sendLine(w http.ResponseWriter, r *http.Request, line []byte, changed <-chan struct{}) bool {
+	blank := time.NewTicker(blankInterval)
 	defer blank.Stop()
 	for {
 		if _, err := w.Write(line); err != nil {
--- a/lab/capacity/hollow/server_test.go
+++ b/lab/capacity/hollow/server_test.go
@@ -19,23 +19,23 @@
 	return o
 }
 
-func TestAWatchGetsWhatChangedAfterItsRevision(t *testing.T) {
+func TestWatchGetsChangesAfterItsRevision(t *testing.T) {
 	r := newRegistry(5, 1)
 	since := func(revision int64) object {
 		encoded, err := r.since(revision)
 		require.NoError(t, err)
 		return decodeObject(t, encoded)
 	}
-	nothing := since(firstRevision)
-	require.Equal(t, object{Revision: firstRevision, Targets: []entry{}}, nothing)
+	unchanged := since(firstRevision)
+	require.Equal(t, object{Revision: firstRevision, Entries: []entry{}}, unchanged)
 
 	revision, err := r.publish()
 	require.NoError(t, err)
 	require.EqualValues(t, firstRevision+1, revision)
-	one := since(firstRevision)
-	require.False(t, one.All)
-	require.Len(t, one.Targets, 1)
-	require.Equal(t, stateLeaving, one.Targets[0].State)
+	changed := since(firstRevision)
+	require.False(t, changed.All)
+	require.Len(t, changed.Entries, 1)
+	require.Equal(t, stateLeaving, changed.Entries[0].State)
 
 	for range 20 {
 		_, err = r.publish()
@@ -44,31 +44,31 @@
 	merged := since(firstRevision)
 	require.False(t, merged.All)
 	require.Equal(t, r.revision, merged.Revision)
-	require.Len(t, merged.Targets, 5, "each target once, as it is now")
-	for _, target := range merged.Targets {
-		require.Contains(t, r.list, target)
+	require.Len(t, merged.Entries, 5, "each endpoint once, in its current state")
+	for _, endpoint := range merged.Entries {
+		require.Contains(t, r.list, endpoint)
 	}
 }
 
-func TestAWatchGetsTheFullListWhereChangesAreNotKnown(t *testing.T) {
+func TestWatchGetsFullListWithoutHistory(t *testing.T) {
 	r := newRegistry(5, 1)
 	for range historyLength + 1 {
 		_, err := r.publish()
 		require.NoError(t, err)
 	}
-	for revision, whole := range map[int64]bool{0: true, firstRevision: true, firstRevision + 1: false, r.revision + 1: true} {
+	for revision, full := range map[int64]bool{0: true, firstRevision: true, firstRevision + 1: false, r.revision + 1: true} {
 		encoded, err := r.since(revision)
 		require.NoError(t, err)
 		o := decodeObject(t, encoded)
-		require.Equal(t, whole, o.All, "since %d", revision)
+		require.Equal(t, full, o.All, "since %d", revision)
 		require.Equal(t, r.revision, o.Revision)
-		if whole {
-			require.Equal(t, r.list, o.Targets)
+		if full {
+			require.Equal(t, r.list, o.Entries)
 		}
 	}
 }
 
-// watchFrom begins a watch and returns its connection and the lines that are not chunk sizes or empty.
+// watchFrom starts a watch of changes after a revision and returns its connection with a reader.
 func watchFrom(t *testing.T, address string, revision int64) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -81,7 +81,7 @@
 
 func nextObject(t *testing.T, c net.Conn, in *bufio.Reader) object {
 	t.Helper()
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	for {
 		line, err := in.ReadString('\n')
 		require.NoError(t, err)
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestAPartitionedZoneGetsNothingAndIsResetAfterwards(t *testing.T) {
+func TestConnectionsOfCutOffZoneAreSilentThenReset(t *testing.T) {
 	s, err := newServer(5, 1)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.down() })
@@ -109,21 +109,21 @@
 	require.ErrorContains(t, err, "timeout")
 
 	require.NoError(t, s.setReach(reachRequest{Reach: reachRestored}))
-	require.NoError(t, cutConn.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, cutConn.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = cutIn.ReadString('{')
 	require.ErrorContains(t, err, "reset")
-	again, againIn := watchFrom(t, s.addresses[0], firstRevision)
-	require.Equal(t, revision, nextObject(t, again, againIn).Revision)
+	newConn, newIn := watchFrom(t, s.addresses[0], firstRevision)
+	require.Equal(t, revision, nextObject(t, newConn, newIn).Revision)
 }
 
-func TestDiscoveryThatWasAwayKnowsWhatChangedMeanwhile(t *testing.T) {
+func TestDiscoverySendsChangesMadeDuringItsOutage(t *testing.T) {
 	s, err := newServer(5, 1)
 	require.NoError(t, err)
 	t.Cleanup(func() { s.down() })
 	c, in := watchFrom(t, s.addresses[0], firstRevision)
 	nextObject(t, c, in)
 	require.NoError(t, s.setReach(reachRequest{Reach: reachDown}))
-	require.NoError(t, c.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, c.SetReadDeadline(time.Now().Add(testTimeout)))
 	_, err = in.ReadString('{')
 	require.Error(t, err)
 	_, err = net.Dial("tcp", s.addresses[0])
--- a/lab/capacity/hollow/store.go
+++ b/lab/capacity/hollow/store.go
@@ -51,7 +51,7 @@
 	return results, nil
 }
 
-// merge puts a trial in the place of the same one, or behind all others.
+// merge replaces the trial with the same scenario and size, or appends the trial if there is none.
 func merge(trials []capacity.FleetTrial, trial capacity.FleetTrial) []capacity.FleetTrial {
 	for i, old := range trials {
 		if old.Scenario == trial.Scenario && old.Forwarders == trial.Forwarders && old.Destinations == trial.Destinations {
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	warmUpDivisor = 10                     // one part in so many of Config.Lasts passes before anything is measured
-	betweenTimes  = 250 * time.Millisecond // between two changes
-	maxEndings    = 3                      // reasons for ended watches that a note names
+	warmUpDivisor = 10                     // Config.Duration divided by this passes before anything is measured
+	changePause   = 250 * time.Millisecond // pause between two changes
+	maxEndings    = 3                      // most reasons for ended watches that a note lists
 )
 
-// titles name the scenarios in results.
+// titles are the names of the scenarios in results.
 var titles = map[Scenario]string{Idle: "idle", Change: "change", Restart: "restart of a third", Outage: "discovery away",
 	Zone: "zone cut off", FullList: "whole list"}
 
 // trial is one scenario with one fleet.
 type trial struct {
-	config   Config
-	scenario Scenario
-	fleet    *fleet
-	revision int64 // the latest
-	delays   []time.Duration
-	missed   int
-	endings  map[string]int
-	late     int
-	notes    []string
-	result   capacity.FleetTrial
+	config    Config
+	scenario  Scenario
+	fleet     *fleet
+	revision  int64 // the latest
+	delays    []time.Duration
+	missed    int
+	endings   map[string]int
+	slowTurns int
+	notes     []string
+	result    capacity.FleetTrial
 }
 
 func (t *trial) run() error {
@@ -51,12 +51,12 @@
 	if _, err := t.fleet.launch(true); err != nil {
 		return err
 	}
-	started, err := t.fleet.await(inForceWithin)
+	started, err := t.fleet.await(inForceTimeout)
 	if err != nil {
 		return err
 	}
 	if slices.Contains(started.inForce, 0) {
-		return fmt.Errorf("%d forwarders did not hear of discovery within %s", count(started.inForce, 0), inForceWithin)
+		return fmt.Errorf("%d forwarders received nothing from discovery within %s", count(started.inForce, 0), inForceTimeout)
 	}
 	if err := t.pause(t.config.Duration / warmUpDivisor); err != nil {
 		return err
@@ -72,7 +72,7 @@
 	return t.finish()
 }
 
-// runFullList starts all forwarders without a list, and measures the idle window behind that.
+// runFullList starts all forwarders without a list and then measures the idle window.
 func (t *trial) runFullList() error {
 	before, err := t.fleet.snapshot()
 	if err != nil {
@@ -90,7 +90,7 @@
 		return err
 	}
 	t.result.Changes = 1
-	if t.missed == 0 { // else all go on asking, and there is no idle window
+	if t.missed == 0 { // otherwise forwarders keep asking for the list and are not idle
 		if err := t.pause(t.config.Duration / warmUpDivisor); err != nil {
 			return err
 		}
@@ -102,7 +102,7 @@
 	return t.finish()
 }
 
-// measureIdle measures a window in which nothing happens.
+// measureIdle measures a window in which nothing changes.
 func (t *trial) measureIdle() error {
 	t.config.progress("%s: idle for %s", t.scenario, t.config.Duration)
 	before, err := t.fleet.snapshot()
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// measureEvent measures what the scenario does.
+// measureEvent runs the scenario's event and measures its cost.
 func (t *trial) measureEvent() error {
 	before, err := t.fleet.snapshot()
 	if err != nil {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// account works out the cost of the changes between two moments. What the same time would have cost when idle is
-// taken off the forwarders' part.
+// account computes the cost of the changes between two snapshots. The cost of an idle window of the same length is
+// subtracted from the forwarders' cost.
 func (t *trial) account(before, after snapshot) {
 	used, server := after.workers.minus(before.workers), after.server.minus(before.server)
 	n, changes, seconds := float64(t.result.Forwarders), float64(t.result.Changes), after.at.Sub(before.at).Seconds()
@@ -161,30 +161,30 @@
 		seconds, 100*busyFraction(before.machine, after.machine), used.CPU))
 }
 
-// publish makes a change that all forwarders are expected to learn of, and returns its moment.
+// publish changes the list and returns the Unix time of the change in nanoseconds.
 func (t *trial) publish() (at int64, err error) {
 	t.revision++
 	t.result.Changes++
 	return t.fleet.publish()
 }
 
-// awaitInForce waits until all forwarders have the latest revision in force. since is from when on each could learn
-// of it.
+// awaitInForce waits until the latest revision is in force at all forwarders and records the delays. since returns the
+// time from which on a forwarder could receive the revision.
 func (t *trial) awaitInForce(since func(forwarder int) int64) error {
-	heard, err := t.fleet.await(inForceWithin)
+	result, err := t.fleet.await(inForceTimeout)
 	if err != nil {
 		return err
 	}
-	for forwarder, at := range heard.inForce {
+	for forwarder, at := range result.inForce {
 		if at == 0 {
 			t.missed++
 			continue
 		}
 		t.delays = append(t.delays, time.Duration(at-since(forwarder)))
 	}
-	t.late += heard.late
-	for why, n := range heard.endings {
-		t.endings[why] += n
+	t.slowTurns += result.slowTurns
+	for reason, n := range result.endings {
+		t.endings[reason] += n
 	}
 	return nil
 }
@@ -201,14 +201,14 @@
 		if err := t.awaitInForce(func(int) int64 { return at }); err != nil {
 			return err
 		}
-		if err := t.pause(betweenTimes); err != nil {
+		if err := t.pause(changePause); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// restart restarts a third and then makes a change, while they start.
+// restart restarts a third of the forwarders and changes the list while they start.
 func (t *trial) restart() error {
 	if err := t.fleet.expect(t.revision + 1); err != nil {
 		return err
@@ -224,7 +224,7 @@
 	return t.awaitInForce(func(int) int64 { return at })
 }
 
-// outage takes discovery away, makes a change meanwhile, and counts from when discovery is back.
+// outage stops discovery, changes the list during the outage, and measures delays from the end of the outage.
 func (t *trial) outage() error {
 	if err := t.fleet.expect(t.revision + 1); err != nil {
 		return err
@@ -241,15 +241,16 @@
 	if err := t.pause(t.config.Duration / 2); err != nil {
 		return err
 	}
-	back, err := t.fleet.setReach(reachUp, 0)
+	restoredAt, err := t.fleet.setReach(reachUp, 0)
 	if err != nil {
 		return err
 	}
 	t.notes = append(t.notes, fmt.Sprintf("away for %s; times from its return", t.config.Duration))
-	return t.awaitInForce(func(int) int64 { return back })
+	return t.awaitInForce(func(int) int64 { return restoredAt })
 }
 
-// cutOff cuts a zone off and makes a change. Latencies count from the change, in the zone from when it is back.
+// cutOff cuts a zone off and changes the list. Delays are measured from the change, and in the cut-off zone from the
+// end of the cut.
 func (t *trial) cutOff() error {
 	if err := t.fleet.expect(t.revision + 1); err != nil {
 		return err
@@ -257,29 +258,29 @@
 	if _, err := t.fleet.setReach(reachCut, cutZone); err != nil {
 		return err
 	}
-	published, err := t.publish()
+	publishedAt, err := t.publish()
 	if err != nil {
 		return err
 	}
 	if err := t.pause(t.config.Duration); err != nil {
 		return err
 	}
-	back, err := t.fleet.setReach(reachRestored, cutZone)
+	restoredAt, err := t.fleet.setReach(reachRestored, cutZone)
 	if err != nil {
 		return err
 	}
 	t.notes = append(t.notes, fmt.Sprintf("%d forwarders cut off for %s; their times from its end", t.inZone(cutZone), t.config.Duration))
 	return t.awaitInForce(func(forwarder int) int64 {
 		if forwarder%zoneCount == cutZone {
-			return back
+			return restoredAt
 		}
-		return published
+		return publishedAt
 	})
 }
 
 func (t *trial) inZone(zone int) int { return (t.result.Forwarders - zone + zoneCount - 1) / zoneCount }
 
-// finish fills in what is known at the end.
+// finish completes the result with the memory, the delays and the note.
 func (t *trial) finish() error {
 	memory, err := t.fleet.memory()
 	if err != nil {
@@ -296,36 +297,37 @@
 	return nil
 }
 
-// summarise fills in the times.
+// summarise completes the result with the delays and notes those that were too long.
 func (t *trial) summarise() {
 	slices.Sort(t.delays)
-	all := len(t.delays) + t.missed
+	total := len(t.delays) + t.missed
 	t.result.Missed = t.missed
-	t.result.InForce50, t.result.InForce99 = percentile(t.delays, all, 0.5), percentile(t.delays, all, 0.99)
+	t.result.InForce50, t.result.InForce99 = percentile(t.delays, total, 0.5), percentile(t.delays, total, 0.99)
 	if len(t.delays) > 0 {
 		t.result.InForceLast = t.delays[len(t.delays)-1].Seconds()
 	}
-	over := t.missed
+	tooLate := t.missed
 	for _, d := range t.delays {
 		if d > InForceTarget {
-			over++
+			tooLate++
 		}
 	}
-	if over > 0 {
-		t.notes = append(t.notes, fmt.Sprintf("NOT IN TIME: %d of %d had it after more than %s or not within %s", over, all, InForceTarget, inForceWithin))
+	if tooLate > 0 {
+		t.notes = append(t.notes, fmt.Sprintf("NOT IN TIME: %d of %d had it after more than %s or not within %s", tooLate, total, InForceTarget, inForceTimeout))
 	}
-	if t.late > 0 {
-		t.notes = append(t.notes, fmt.Sprintf("%d late turns", t.late))
+	if t.slowTurns > 0 {
+		t.notes = append(t.notes, fmt.Sprintf("%d late turns", t.slowTurns))
 	}
 	reasons := slices.SortedFunc(maps.Keys(t.endings), func(a, b string) int { return t.endings[b] - t.endings[a] })
-	for _, why := range reasons[:min(len(reasons), maxEndings)] {
-		t.notes = append(t.notes, fmt.Sprintf("watches ended %d times: %s", t.endings[why], why))
+	for _, reason := range reasons[:min(len(reasons), maxEndings)] {
+		t.notes = append(t.notes, fmt.Sprintf("watches ended %d times: %s", t.endings[reason], reason))
 	}
 }
 
-// percentile is the time in seconds within which a share of all had something, by nearest rank; 0 if so many did not.
-func percentile(sorted []time.Duration, all int, share float64) float64 {
-	rank := int(math.Ceil(share * float64(all)))
+// percentile returns the nearest-rank percentile in seconds for a share of all forwarders, of which those without an
+// entry in sorted have no time. It returns 0 if the rank falls on one of these.
+func percentile(sorted []time.Duration, total int, share float64) float64 {
+	rank := int(math.Ceil(share * float64(total)))
 	if rank < 1 || rank > len(sorted) {
 		return 0
 	}
--- a/lab/capacity/hollow/usage.go
+++ b/lab/capacity/hollow/usage.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// usage is what a process has used since its start.
+// usage is the processor time and traffic of a process since its start.
 type usage struct {
 	CPU      float64 `json:"cpu_s"`
 	Received int64   `json:"received_bytes"`
@@ -26,7 +26,7 @@
 	return usage{u.CPU - other.CPU, u.Received - other.Received, u.Sent - other.Sent}
 }
 
-// processorTime is what this process has used, user and system.
+// processorTime returns the processor time of this process in user and system mode.
 func processorTime() (seconds float64, err error) {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
@@ -35,13 +35,13 @@
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano()).Seconds(), nil
 }
 
-// The fields of /proc/PID/status that are read, in kB there.
+// Fields of /proc/PID/status, whose values are in kB.
 const (
 	residentNow  = "VmRSS"
 	residentPeak = "VmHWM"
 )
 
-// residentMemory is a process's, in bytes; 0 if it has ended.
+// residentMemory returns the resident memory of a process in bytes, or 0 if the process has ended.
 func residentMemory(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -50,7 +50,7 @@
 	return kilobyteField(string(text), field)
 }
 
-// machineMemory is the memory of the machine in bytes; 0 if it cannot be read.
+// machineMemory returns the memory of the machine in bytes, or 0 if it cannot be read.
 func machineMemory() int64 {
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -59,7 +59,7 @@
 	return kilobyteField(string(text), "MemTotal")
 }
 
-// kilobyteField reads a line "Name:   123 kB" and returns bytes; 0 if there is none.
+// kilobyteField returns the value of a line such as "Name:   123 kB" in bytes, or 0 if there is none.
 func kilobyteField(text, name string) int64 {
 	for line := range strings.Lines(text) {
 		words := strings.Fields(line)
@@ -71,7 +71,7 @@
 	return 0
 }
 
-// Machine describes the cores and the processor model of this machine.
+// Machine describes this machine in the results by a number of cores and its processor model.
 func Machine(cores int) string {
 	text, _ := os.ReadFile("/proc/cpuinfo")
 	model := "unknown processor"
@@ -84,17 +84,17 @@
 	return fmt.Sprintf("%d cores, %s", cores, model)
 }
 
-// machineTime is the processor time of the whole machine since it started, in ticks.
+// machineTime is the processor time in ticks of the whole machine since its boot.
 type machineTime struct{ busy, all int64 }
 
-// The fields of the first line of /proc/stat that count as idle.
+// Indexes of fields in the first line of /proc/stat. The fields of idle and I/O wait time count as idle.
 const (
 	idleField       = 4
 	ioWaitField     = 5
-	firstGuestField = 9 // it and what follows is counted in the fields before
+	firstGuestField = 9 // this and later fields are already included in earlier ones
 )
 
-// readMachineTime is zero where it cannot be read.
+// readMachineTime returns zero times if they cannot be read.
 func readMachineTime() machineTime {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -115,7 +115,7 @@
 	return t
 }
 
-// busyFraction is how much of the machine was busy between two moments, with whatever ran on it.
+// busyFraction returns the fraction of the machine's processor time that was busy between two times, by all processes.
 func busyFraction(from, to machineTime) float64 {
 	if to.all <= from.all {
 		return 0
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -22,57 +22,56 @@
 )
 
 const (
-	descriptorsEach = 16   // of a hollow forwarder at most; it needs three, and one more while it connects
-	spareOpen       = 1024 // descriptors that a worker has for all else
-	linesEach       = 4    // connections of a hollow forwarder at most
-	maxReasons      = 16   // different reasons for the end of a watch that are kept apart
-	otherReasons    = "other reasons"
+	descriptorsEach  = 16   // limit for a hollow forwarder, which needs three, and one more while it connects
+	spareDescriptors = 1024 // descriptors of a worker for everything else
+	connectionsEach  = 4    // connection limit of a hollow forwarder
+	maxReasons       = 16   // reasons for the end of a watch that are counted separately
+	otherReasons     = "other reasons"
 )
 
-// schedulerSettings are the operators' settings of a hollow forwarder: its zone's number and the number of forwarders
-// are put in. Discovery is asked, and at least every ten seconds, as in the protocol's own example.
+// schedulerSettings are the operators' settings of a hollow forwarder, a format for its zone's number and the number of
+// forwarders. Discovery is polled at least every ten seconds, as in the example of the protocol.
 const schedulerSettings = `{"Azs":["zone-1","zone-2","zone-3","zone-4","zone-5","zone-6"],"MyZone":%d,"Kinds":["partner"],
 "Classes":[{"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
 "Extra":{"CallsOut":64,"KindBatch":[1]},"Guarantees":{"AskWithin":10000,"Cold":10000,"ColdFrom":0.2,"FallMultiple":2,
 "KeyRest":100},"Limits":{"AttemptsCap":6,"MaxOpen":4000,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,
 "ConnectTimeout":1500},"Report":{"Fields":[]},"Discovery":"ask","WeightKind":"silent","NInstances":%d,"Tenants":[]}`
 
-// worker is a process with hollow forwarders.
+// worker is a process that runs hollow forwarders.
 type worker struct {
-	ctx     context.Context
-	start   startRequest
-	known   transport.EndpointList
-	members []*hollowForwarder
-	used    usage // by members that were ended; CPU is not counted here
-	before  memoryUsage
+	ctx            context.Context
+	start          startRequest
+	knownEndpoints transport.EndpointList
+	forwarders     []*hollowForwarder
+	used           usage // traffic of forwarders that were stopped by a restart; CPU is not set
+	before         memoryUsage
 
-	mu       sync.Mutex
-	expected int64
-	missing  int           // forwarders that do not have the expected revision
-	all      chan struct{} // closed when there are none
-	endings  map[string]int
-	late     int
+	mu         sync.Mutex
+	expected   int64
+	missing    int           // number of forwarders without the expected revision
+	allInForce chan struct{} // closed when missing falls to 0
+	endings    map[string]int
+	slowTurns  int
 }
 
-// hollowForwarder is one hollow forwarder.
 type hollowForwarder struct {
-	index   int // within the fleet
-	dialer  *dial.Dialer
-	cancel  context.CancelFunc
-	ended   chan struct{}
-	err     error // read once ended is closed
-	inForce int64 // when the expected revision was, Unix time in nanoseconds; under the worker's lock
-	holds   int64 // revision in force, 0 before there is one; under the worker's lock
+	index     int // within the fleet
+	dialer    *dial.Dialer
+	cancel    context.CancelFunc
+	ended     chan struct{}
+	err       error // valid once ended is closed
+	inForceAt int64 // when the expected revision came into force, as Unix time in nanoseconds; guarded by the worker's mu
+	revision  int64 // revision in force, 0 before the first; guarded by the worker's mu
 }
 
 func newWorker(ctx context.Context) *worker {
-	return &worker{ctx: ctx, all: make(chan struct{}), endings: map[string]int{}}
+	return &worker{ctx: ctx, allInForce: make(chan struct{}), endings: map[string]int{}}
 }
 
 func (w *worker) handle(r request) (answer response, err error) {
 	switch {
 	case r.Start != nil:
-		answer.At, err = w.begin(*r.Start)
+		answer.At, err = w.startForwarders(*r.Start)
 	case r.Expect != nil:
 		w.expect(r.Expect.Revision)
 	case r.Restart != nil:
@@ -89,21 +88,22 @@
 	return answer, err
 }
 
-// begin starts the forwarders, which are expected to have the first revision, and returns when it began to.
-func (w *worker) begin(s startRequest) (at int64, err error) {
-	if len(w.members) > 0 {
-		return 0, errors.New("the forwarders were started before")
+// startForwarders starts the forwarders and expects the first revision. It returns the Unix time in nanoseconds just
+// before the first start.
+func (w *worker) startForwarders(s startRequest) (at int64, err error) {
+	if len(w.forwarders) > 0 {
+		return 0, errors.New("the forwarders have already been started")
 	}
 	if len(s.Addresses) != zoneCount {
-		return 0, fmt.Errorf("addresses: %d, not one for each of %d zones", len(s.Addresses), zoneCount)
+		return 0, fmt.Errorf("addresses: got %d, want one for each of the %d zones", len(s.Addresses), zoneCount)
 	}
-	logging.Output = os.Stderr // standard output is the connection to the coordinator
+	logging.Output = os.Stderr // standard output carries the answers to the coordinator
 	logging.SetLevel(logging.LevelError)
-	nbio.MaxOpenFiles = s.Forwarders*descriptorsEach + spareOpen
+	nbio.MaxOpenFiles = s.Forwarders*descriptorsEach + spareDescriptors
 	debug.SetMemoryLimit(s.MemoryLimit)
 	w.start = s
 	if s.KnowsList {
-		w.known = knownList(s.Destinations)
+		w.knownEndpoints = knownList(s.Destinations)
 	}
 	w.before = processMemory()
 	w.expected, w.missing = firstRevision, s.Forwarders
@@ -113,21 +113,21 @@
 		if err != nil {
 			return 0, err
 		}
-		w.members = append(w.members, m)
+		w.forwarders = append(w.forwarders, m)
 	}
 	return at, nil
 }
 
-// launch starts a forwarder.
+// launch starts the forwarder with an index within the fleet.
 func (w *worker) launch(index int) (*hollowForwarder, error) {
 	zone := index % zoneCount
-	read, names, err := settings.Read(fmt.Appendf(nil, schedulerSettings, zone, w.start.Fleet))
+	parsed, names, err := settings.Read(fmt.Appendf(nil, schedulerSettings, zone, w.start.Fleet))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	order := &forwarder.Config{Name: fmt.Sprint("hollow-", index), Discovery: w.start.Addresses[zone], Scheduler: read, Names: names,
-		Seed: w.start.Seed + uint64(index), LastEndpoints: w.known, ListBytes: w.start.ListBytes}
-	dialer, err := dial.New(order.Name, linesEach)
+	config := &forwarder.Config{Name: fmt.Sprint("hollow-", index), Discovery: w.start.Addresses[zone], Scheduler: parsed, Names: names,
+		Seed: w.start.Seed + uint64(index), LastEndpoints: w.knownEndpoints, ListBytes: w.start.ListBytes}
+	dialer, err := dial.New(config.Name, connectionsEach)
 	if err != nil {
 		return nil, err
 	}
@@ -135,121 +135,124 @@
 	m := &hollowForwarder{index: index, dialer: dialer, cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(m.ended)
-		m.err = forwarder.FollowEndpoints(ctx, order, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, OnReconciled: func(revision int64) { w.recordRevision(m, revision) }})
+		m.err = forwarder.FollowEndpoints(ctx, config, forwarder.EndpointFollower{Dialer: dialer, LogTo: w, OnReconciled: func(revision int64) { w.recordRevision(m, revision) }})
 	}()
 	return m, nil
 }
 
-// halt ends a forwarder.
+// halt stops a forwarder and waits until it has ended.
 func (m *hollowForwarder) halt() {
 	m.cancel()
 	<-m.ended
 	m.dialer.Stop()
 }
 
-// stopAll ends forwarders at once.
-func stopAll(members []*hollowForwarder) {
+// stopAll stops forwarders in parallel.
+func stopAll(forwarders []*hollowForwarder) {
 	var wait sync.WaitGroup
-	for _, m := range members {
+	for _, m := range forwarders {
 		wait.Go(m.halt)
 	}
 	wait.Wait()
 }
 
-func (w *worker) stop() { stopAll(w.members) }
+func (w *worker) stop() { stopAll(w.forwarders) }
 
-// recordRevision records which revision a forwarder has in force now.
+// recordRevision records that a revision has come into force at a forwarder.
 func (w *worker) recordRevision(m *hollowForwarder, revision int64) {
 	now := time.Now().UnixNano()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m.holds = revision
+	m.revision = revision
 	w.markInForce(m, now)
 }
 
-// markInForce notes that a forwarder has the expected revision, if it has and that was not known; the lock is held.
+// markInForce records when the expected revision came into force at a forwarder, unless it has not or is recorded
+// already. The caller holds mu.
 func (w *worker) markInForce(m *hollowForwarder, now int64) {
-	if m.holds < w.expected || m.inForce > 0 {
+	if m.revision < w.expected || m.inForceAt > 0 {
 		return
 	}
-	m.inForce = now
+	m.inForceAt = now
 	if w.missing--; w.missing == 0 {
-		close(w.all)
+		close(w.allInForce)
 	}
 }
 
-// expect forgets what was noted, and notes from now on who has a revision.
+// expect resets the records and sets the revision that is expected next. Forwarders that already have it count as of
+// now.
 func (w *worker) expect(revision int64) {
 	now := time.Now().UnixNano()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.expected, w.missing, w.all = revision, len(w.members), make(chan struct{})
-	w.endings, w.late = map[string]int{}, 0
-	for _, m := range w.members {
-		m.inForce = 0
-		if m.holds > 0 {
+	w.expected, w.missing, w.allInForce = revision, len(w.forwarders), make(chan struct{})
+	w.endings, w.slowTurns = map[string]int{}, 0
+	for _, m := range w.forwarders {
+		m.inForceAt = 0
+		if m.revision > 0 {
 			w.markInForce(m, now)
 		}
 	}
 }
 
-// restarts tells whether a forwarder is among every so manyth of the fleet; these are spread over the zones.
-func restarts(index, everyNth int) bool { return (index+index/zoneCount)%everyNth == 0 }
+// isRestarted reports whether a forwarder belongs to every nth of the fleet. These are spread evenly over the zones.
+func isRestarted(index, everyNth int) bool { return (index+index/zoneCount)%everyNth == 0 }
 
-// restart ends every so manyth forwarder of the fleet and starts it anew. All are ended before the first starts.
+// restart restarts every nth forwarder of the fleet. All of them are stopped before the first one starts again.
 func (w *worker) restart(everyNth int) error {
 	if everyNth < 1 {
-		return fmt.Errorf("every_nth: %d is under 1", everyNth)
+		return fmt.Errorf("every_nth: %d is less than 1", everyNth)
 	}
-	var ended []*hollowForwarder
-	for _, m := range w.members {
-		if restarts(m.index, everyNth) {
-			ended = append(ended, m)
+	var stopped []*hollowForwarder
+	for _, m := range w.forwarders {
+		if isRestarted(m.index, everyNth) {
+			stopped = append(stopped, m)
 		}
 	}
-	stopAll(ended)
-	for _, m := range ended {
+	stopAll(stopped)
+	for _, m := range stopped {
 		w.used = w.used.plus(m.traffic())
 		w.unmarkInForce(m)
 	}
-	for i, m := range w.members {
-		if !restarts(m.index, everyNth) {
+	for i, m := range w.forwarders {
+		if !isRestarted(m.index, everyNth) {
 			continue
 		}
-		anew, err := w.launch(m.index)
+		restarted, err := w.launch(m.index)
 		if err != nil {
 			return err
 		}
-		w.members[i] = anew
+		w.forwarders[i] = restarted
 	}
 	return nil
 }
 
-// unmarkInForce counts a forwarder that has ended among those without the expected revision.
+// unmarkInForce counts a forwarder that was stopped as one without the expected revision.
 func (w *worker) unmarkInForce(m *hollowForwarder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if m.inForce == 0 {
+	if m.inForceAt == 0 {
 		return
 	}
 	if w.missing == 0 {
-		w.all = make(chan struct{})
+		w.allInForce = make(chan struct{})
 	}
 	w.missing++
 }
 
-// await waits until all forwarders have the expected revision, one has ended, or the time is over.
+// await waits until the expected revision is in force at all forwarders or the time is over. It returns an error if a
+// forwarder has ended by then.
 func (w *worker) await(within time.Duration) (answer response, err error) {
 	w.mu.Lock()
-	all := w.all
+	allInForce := w.allInForce
 	w.mu.Unlock()
 	select {
-	case <-all:
+	case <-allInForce:
 	case <-time.After(within):
 	case <-w.ctx.Done():
 		return answer, w.ctx.Err()
 	}
-	for _, m := range w.members {
+	for _, m := range w.forwarders {
 		select {
 		case <-m.ended:
 			return answer, fmt.Errorf("forwarder %d ended: %w", m.index, m.err)
@@ -258,13 +261,13 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, m := range w.members {
-		answer.InForce = append(answer.InForce, m.inForce)
+	for _, m := range w.forwarders {
+		answer.InForce = append(answer.InForce, m.inForceAt)
 	}
-	for why, count := range w.endings {
-		answer.Endings = append(answer.Endings, ending{Why: why, Count: count})
+	for reason, count := range w.endings {
+		answer.Endings = append(answer.Endings, ending{Why: reason, Count: count})
 	}
-	answer.Late = w.late
+	answer.SlowTurns = w.slowTurns
 	return answer, nil
 }
 
@@ -274,7 +277,7 @@
 
 func (w *worker) usage() (*usage, error) {
 	used := w.used
-	for _, m := range w.members {
+	for _, m := range w.forwarders {
 		used = used.plus(m.traffic())
 	}
 	var err error
@@ -282,14 +285,14 @@
 	return &used, err
 }
 
-// memory is what the forwarders take beyond what the process took before them.
+// memory returns the memory that the process takes in addition to what it took before the forwarders started.
 func (w *worker) memory() *memoryUsage {
 	now := processMemory()
 	return &memoryUsage{Live: now.Live - w.before.Live, Peak: now.Peak - w.before.Resident,
 		Resident: now.Resident - w.before.Resident, Before: w.before.Resident}
 }
 
-// processMemory is what this process takes, after a collection.
+// processMemory returns the memory of this process after a garbage collection.
 func processMemory() memoryUsage {
 	runtime.GC()
 	var m runtime.MemStats
@@ -298,14 +301,14 @@
 	return memoryUsage{Live: int64(m.HeapAlloc + m.StackInuse), Peak: residentMemory(pid, residentPeak), Resident: residentMemory(pid, residentNow)}
 }
 
-// logLine is what is read of a forwarder's log line. Why is the older name of Reason.
+// logLine holds the fields that are read from a forwarder's log lines. Why is the older name of Reason.
 type logLine struct {
 	Message string
 	Reason  string
 	Why     string
 }
 
-// reason is why a watch ended, without the address, which differs from zone to zone.
+// reason returns why a watch ended. The address in dial errors is removed, as it differs from zone to zone.
 func (l *logLine) reason() string {
 	reason := l.Reason + l.Why // a line has one of them
 	if strings.HasPrefix(reason, "dial ") {
@@ -314,8 +317,8 @@
 	return reason
 }
 
-// Write takes the forwarders' log lines, of which it counts the ends of watches and the slow turns. It implements
-// io.Writer and returns no errors.
+// Write receives one log line of a forwarder and counts it if it reports the end of a watch or a slow turn. It never
+// returns an error.
 func (w *worker) Write(line []byte) (int, error) {
 	var parsed logLine
 	if json.Unmarshal(line, &parsed) != nil {
@@ -324,8 +327,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch parsed.Message {
-	case "slow turn", "late": // the latter is the older name
-		w.late++
+	case "slow turn", "late": // "late" is the older name
+		w.slowTurns++
 	case "watch ended":
 		reason := parsed.reason()
 		if _, known := w.endings[reason]; !known && len(w.endings) >= maxReasons {
--- a/lab/capacity/hollow/worker_test.go
+++ b/lab/capacity/hollow/worker_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAWorkerCountsSlowTurnsAndEndedWatches(t *testing.T) {
+func TestWorkerCountsSlowTurnsAndEndedWatches(t *testing.T) {
 	w := newWorker(context.Background())
 	for _, line := range []string{
 		`{"message":"slow turn","events":3}`,
@@ -22,6 +22,6 @@
 		require.NoError(t, err)
 		require.Equal(t, len(line), n)
 	}
-	require.Equal(t, 2, w.late)
+	require.Equal(t, 2, w.slowTurns)
 	require.Equal(t, map[string]int{"connection refused": 2, "silent": 1}, w.endings)
 }
