--- a/lab/capacity/hollow/message.go
+++ b/lab/capacity/hollow/message.go
@@ -106,7 +106,7 @@
 	Count int    `json:"count"`
 }
 
-// memoryUsage is memory in bytes. Live, Resident and Peak leave out what the process took before its forwarders
+// memoryUsage is memory in bytes. Live, Resident and Peak exclude what the process took before its forwarders
 // started.
 type memoryUsage struct {
 	Live     int64 `json:"live"`     // heap and stacks after a collection
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -169,7 +169,7 @@
 }
 
 // awaitInForce waits until the latest revision is in force at all forwarders and records the delays. since returns the
-// time from which on a forwarder could receive the revision.
+// earliest time at which a forwarder could receive the revision.
 func (t *trial) awaitInForce(since func(forwarder int) int64) error {
 	result, err := t.fleet.await(inForceTimeout)
 	if err != nil {
