--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxLineBytes    = 4 << 20                   // limit of one object, unless Client.MaxObjectBytes is set
+	maxLineBytes      = 4 << 20                   // limit of one object, unless Client.MaxObjectBytes is set
 	heartbeatInterval = 2 * time.Second           // the service sends an empty line at this interval if nothing changes
 	answerTimeout     = 2 * time.Second           // from establishing the connection to the first line
 	silenceTimeout    = heartbeatInterval * 3 / 2 // limit of the time between two lines
