--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -72,8 +72,8 @@
 	return true
 }
 
-// Set sets the present moment. No function may be due before it.
-func (q *Queue) Set(now float64) { q.now = now }
+// SetTime sets the present moment. No function may be due before it.
+func (q *Queue) SetTime(now float64) { q.now = now }
 
 // Events is how many functions have been added.
 func (q *Queue) Events() uint64 { return q.seq }
--- a/lab/commands/root.go
+++ b/lab/commands/root.go
@@ -63,7 +63,7 @@
 // schedulerPolicy is the scheduler's name among the policies.
 const schedulerPolicy = "module"
 
-func policy(name string) (sim.Maker, error) {
+func policy(name string) (sim.PolicyFactory, error) {
 	if name == schedulerPolicy {
 		return sim.SchedulerPolicy, nil
 	}
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -19,7 +19,7 @@
 type Arm struct {
 	Name      string
 	Scenario  *scenario.Scenario
-	NewPolicy sim.Maker
+	NewPolicy sim.PolicyFactory
 }
 
 // Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds. done
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -15,7 +15,7 @@
 	"spanflow/scheduler"
 )
 
-func arm(t *testing.T, name string, make sim.Maker) Arm {
+func arm(t *testing.T, name string, make sim.PolicyFactory) Arm {
 	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	s.Length, s.Drain = 30, 20
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -39,7 +39,7 @@
 }
 
 // judge plays a scenario with a policy and the baselines.
-func judge(s *scenario.Scenario, seed uint64, newPolicy sim.Maker) *Finding {
+func judge(s *scenario.Scenario, seed uint64, newPolicy sim.PolicyFactory) *Finding {
 	r := sim.Play(s, seed, newPolicy)
 	f := &Finding{Scenario: s, Seed: seed, G: r.G}
 	for _, v := range r.Violations {
@@ -62,7 +62,7 @@
 
 // Search draws scenarios until ctx ends or limit scenarios were drawn, and returns the worst, shrunk; keep is how many.
 // progress, which may be nil, gets how many were drawn and the worst loss.
-func Search(ctx context.Context, base *scenario.Scenario, newPolicy sim.Maker, from uint64, limit, keep int, progress func(n int, worst float64)) []*Finding {
+func Search(ctx context.Context, base *scenario.Scenario, newPolicy sim.PolicyFactory, from uint64, limit, keep int, progress func(n int, worst float64)) []*Finding {
 	var found []*Finding
 	for n := 0; n < limit && ctx.Err() == nil; n += findingsBatch {
 		batch := make([]*Finding, findingsBatch)
--- a/lab/experiment/shrink.go
+++ b/lab/experiment/shrink.go
@@ -13,7 +13,7 @@
 )
 
 // Shrink makes a finding's scenario smaller as long as three quarters of the loss stay.
-func Shrink(f *Finding, newPolicy sim.Maker) *Finding {
+func Shrink(f *Finding, newPolicy sim.PolicyFactory) *Finding {
 	floor := f.Loss() * shrunkLoss
 	s, steps := shrink(f.Scenario, func(s *scenario.Scenario) bool { return judge(s, f.Seed, newPolicy).Loss() >= floor })
 	if steps == 0 {
--- a/lab/experiment/violation_search.go
+++ b/lab/experiment/violation_search.go
@@ -145,7 +145,7 @@
 // Run plays drawn scenarios from a seed on until ctx ends or so many were played, writing to the folder after each
 // batch. A batch that is begun is finished, so that an interrupted search has kept all that it found. progress may be
 // nil.
-func (v *ViolationSearch) Run(ctx context.Context, folder string, newPolicy sim.Maker, from uint64, limit int, progress func(*ViolationSearch)) error {
+func (v *ViolationSearch) Run(ctx context.Context, folder string, newPolicy sim.PolicyFactory, from uint64, limit int, progress func(*ViolationSearch)) error {
 	for played := 0; played < limit && ctx.Err() == nil; {
 		from = v.nextUntried(from)
 		size := v.batchSize(from, limit-played)
@@ -190,7 +190,7 @@
 	result   *sim.Result
 }
 
-func playBatch(from uint64, size int, newPolicy sim.Maker) []playedScenario {
+func playBatch(from uint64, size int, newPolicy sim.PolicyFactory) []playedScenario {
 	batch := make([]playedScenario, size)
 	parallel(size, func(i int) {
 		seed := from + uint64(i)
@@ -228,7 +228,7 @@
 }
 
 // keep shrinks a violation's scenario and writes it to the folder.
-func (v *ViolationSearch) keep(folder string, found unshrunkViolation, newPolicy sim.Maker) error {
+func (v *ViolationSearch) keep(folder string, found unshrunkViolation, newPolicy sim.PolicyFactory) error {
 	f := found.FoundViolation
 	shrunk, steps := shrink(found.scenario, func(s *scenario.Scenario) bool { return violationOf(s, f.Seed, f.Rule, newPolicy) != "" })
 	f.Steps = steps
@@ -250,7 +250,7 @@
 }
 
 // violationOf is how a rule is broken in a scenario, empty if it is kept.
-func violationOf(s *scenario.Scenario, seed uint64, rule string, newPolicy sim.Maker) string {
+func violationOf(s *scenario.Scenario, seed uint64, rule string, newPolicy sim.PolicyFactory) string {
 	for _, violation := range sim.Play(s, seed, newPolicy).Violations {
 		if string(violation.Rule) == rule {
 			return violation.Reason
--- a/lab/experiment/violation_search_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -22,7 +22,7 @@
 	return sim.SchedulerPolicy(settings, seed, now, h)
 }
 
-func searchViolations(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
+func searchViolations(t *testing.T, dir string, make sim.PolicyFactory, from uint64, most int) *ViolationSearch {
 	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	require.NoError(t, h.Run(context.Background(), dir, make, from, most, nil))
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -144,7 +144,7 @@
 	if err := d.line(p, "held", orange, func(s *sim.Second) float64 { return float64(s.Held) }); err != nil {
 		return nil, err
 	}
-	if err := d.line(p, "in flight", blue, func(s *sim.Second) float64 { return float64(s.Out) }); err != nil {
+	if err := d.line(p, "in flight", blue, func(s *sim.Second) float64 { return float64(s.OpenCalls) }); err != nil {
 		return nil, err
 	}
 	return p, d.marks(p, math.Max(1, p.Y.Max))
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -9,7 +9,7 @@
 
 // Baselines are policies to compare the scheduler with, by name. They are for the laboratory only. The oracle sees the
 // true state of all endpoints and is a ceiling that may be out of reach.
-var Baselines = map[string]Maker{
+var Baselines = map[string]PolicyFactory{
 	"fifo":         baselineMaker(func(*baseline) {}),
 	"backoff":      baselineMaker(func(b *baseline) { b.backoff = true }),
 	"bucket":       baselineMaker(func(b *baseline) { b.backoff, b.bucket = true, true }),
@@ -18,7 +18,7 @@
 }
 
 // baselineMaker makes baselines with a variation.
-func baselineMaker(vary func(*baseline)) Maker {
+func baselineMaker(vary func(*baseline)) PolicyFactory {
 	return func(settings scheduler.Settings, _ uint64, now float64, host scheduler.Host) Policy {
 		b := newBaseline(settings, now, host)
 		vary(b)
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -46,7 +46,7 @@
 	Offered           float64 `json:"offered"`   // value of the messages that came in it
 	Delivered         float64 `json:"delivered"` // value that they had in the end
 	Held              int     `json:"held"`      // messages, at its end
-	Out               int     `json:"out"`       // calls, at its end
+	OpenCalls         int     `json:"out"`       // calls, at its end
 	HeldByDestination []int   `json:"held_by_destination,omitempty"`
 }
 
@@ -106,7 +106,7 @@
 	}
 	for _, f := range run.forwarders {
 		s.Held += len(f.submissions)
-		s.Out += len(f.openCalls)
+		s.OpenCalls += len(f.openCalls)
 		if s.HeldByDestination != nil {
 			for _, h := range f.submissions {
 				s.HeldByDestination[h.effect.destination]++
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -27,8 +27,8 @@
 	Reconcile()
 }
 
-// Maker makes the policy of a forwarder. now is in seconds.
-type Maker func(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
+// PolicyFactory makes the policy of a forwarder. now is in seconds.
+type PolicyFactory func(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
 
 // SchedulerPolicy makes the scheduler.
 func SchedulerPolicy(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
@@ -62,7 +62,7 @@
 type simRun struct {
 	clock.Queue
 	scenario      *scenario.Scenario
-	newPolicy     Maker
+	newPolicy     PolicyFactory
 	loadRandom    *rand.Rand
 	networkRandom *rand.Rand // of clients and the network
 	log           *audit.Log
@@ -78,7 +78,7 @@
 }
 
 // Play plays a scenario with a seed.
-func Play(s *scenario.Scenario, seed uint64, newPolicy Maker) *Result {
+func Play(s *scenario.Scenario, seed uint64, newPolicy PolicyFactory) *Result {
 	run := newSimRun(s, seed, newPolicy)
 	for _, f := range run.forwarders {
 		f.start()
@@ -89,7 +89,7 @@
 	for at := startTime + 1; at <= end+clockTolerance; at++ {
 		for run.Step(at) {
 		}
-		run.Set(at)
+		run.SetTime(at)
 		run.result.recordSecond(run)
 	}
 	run.result.Events = run.Events()
@@ -97,7 +97,7 @@
 	return run.result
 }
 
-func newSimRun(s *scenario.Scenario, seed uint64, newPolicy Maker) *simRun {
+func newSimRun(s *scenario.Scenario, seed uint64, newPolicy PolicyFactory) *simRun {
 	run := &simRun{
 		scenario:      s,
 		newPolicy:     newPolicy,
@@ -107,7 +107,7 @@
 		submissions:   map[uint64]*submission{},
 		result:        newResult(s, seed),
 	}
-	run.Set(startTime)
+	run.SetTime(startTime)
 	limitsPerEndpoint := func(destination int) bool { return s.Receivers[run.group[destination]].EndpointLimits }
 	run.log = audit.New(run, limitsPerEndpoint, float64(s.Dispatch.KeyCooldown))
 	receiverRandom := newRandom(seed, receiverStream)
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -77,7 +77,7 @@
 		} else {
 			s = readScenario(t, c.scene)
 		}
-		make := func(fault misbehavior) Maker {
+		make := func(fault misbehavior) PolicyFactory {
 			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
 				p := newBaseline(settings, now, h)
 				p.misbehavior = fault
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -29,7 +29,7 @@
 			r := Play(s, seed, SchedulerPolicy)
 			require.Empty(t, r.Violations, "killed at %s, seed %d", killedAt, seed)
 			last := r.Seconds[len(r.Seconds)-1]
-			require.Zero(t, last.Out, "slots are taken at the end of the run: killed at %s, seed %d", killedAt, seed)
+			require.Zero(t, last.OpenCalls, "slots are taken at the end of the run: killed at %s, seed %d", killedAt, seed)
 			require.Zero(t, last.Held, "killed at %s, seed %d", killedAt, seed)
 			require.Greater(t, r.G, 0.4, "killed at %s, seed %d", killedAt, seed)
 		}
