--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -1,4 +1,5 @@
-// Package audit judges the six rules by what receivers and clients recorded, never by what a forwarder says.
+// Package audit checks the six rules against the records of receivers and clients. It never relies on what a forwarder
+// reports.
 package audit
 
 import (
@@ -8,30 +9,30 @@
 	"spanflow/lab/receiver"
 )
 
-// Message is what a client knows of one message.
+// Message is a client's record of one message.
 type Message struct {
 	ID             uint64
-	FirstID        uint64 // of the first submission of the same effect; its own id if it is the first
+	FirstID        uint64 // ID of the first submission of the same effect; equals ID for the first submission itself
 	IdempotencyKey uint64
-	Key            uint64 // ordering key; 0: it has none
+	Key            uint64 // ordering key; 0 means none
 	Type           int
 	AtMostOnce     bool
-	Keyed          bool // it has an idempotency key
+	Keyed          bool // has an idempotency key
 	Destination    int
-	Forwarder      int // that it was submitted to
+	Forwarder      int // the forwarder that it was submitted to
 	SubmittedAt    float64
 	Expiry         float64
 	Accepted       bool
 	FinalAnswers   []FinalAnswer
 }
 
-// FinalAnswer is an answer that a client got.
+// FinalAnswer is a final answer as a client received it.
 type FinalAnswer struct {
 	At     float64
-	Answer string // delivered, returned, abandoned
+	Answer string // "delivered", "returned" (rejected) or "abandoned" (failed)
 }
 
-// arrival is one message of a call that a receiver got.
+// arrival is one message of a call that a receiver received.
 type arrival struct {
 	at                    float64
 	destination, endpoint int
@@ -41,7 +42,7 @@
 
 type endpointKey struct{ destination, endpoint int }
 
-// retryAfterKey names what a retry-after applies to; endpoint is anyEndpoint where a destination's endpoints share
+// retryAfterKey identifies the scope of a Retry-After. endpoint is anyEndpoint if the destination's endpoints share
 // their limits.
 type retryAfterKey struct{ destination, endpoint, forwarder int }
 
@@ -49,7 +50,7 @@
 
 type retryAfter struct{ sentAt, until float64 }
 
-// Log is the record of one run, which Violations judges. It is a receiver.Recorder. It is not safe for concurrent use.
+// Log records one run for Violations to check. It implements receiver.Recorder and is not safe for concurrent use.
 type Log struct {
 	Clock receiver.Clock
 	Slack Slack
@@ -63,14 +64,14 @@
 	drainingSince     map[endpointKey]float64
 	retryAfters       map[retryAfterKey]retryAfter
 	limitsPerEndpoint func(destination int) bool
-	openAttempts      map[uint64]bool    // by message, as the receiver's side of the network sees them
-	unknownOutcomes   map[uint64]float64 // by message: when an attempt last ended that may still be executed
-	keyCooldown       float64
-	unavailableUntil  map[int]float64 // by forwarder: until when it could not answer
+	openAttempts      map[uint64]bool    // by message ID, as seen at the receiver's end of the network
+	unknownOutcomes   map[uint64]float64 // by message ID: end of the latest attempt that may still be executing
+	keyCooldown       float64            // seconds
+	unavailableUntil  map[int]float64    // by forwarder: end of the time in which it could not answer
 }
 
-// New makes the log of a run. limitsPerEndpoint tells which destinations have limits of their own at each endpoint;
-// keyCooldown is how many seconds an ordering key waits after an attempt of unknown outcome.
+// New returns an empty log. limitsPerEndpoint reports whether each endpoint of a destination has its own limits.
+// keyCooldown is the time in seconds for which an ordering key is blocked after an attempt with an unknown outcome.
 func New(clock receiver.Clock, limitsPerEndpoint func(destination int) bool, keyCooldown float64) *Log {
 	return &Log{
 		Clock:             clock,
@@ -90,19 +91,20 @@
 	l.violations = append(l.violations, Violation{Rule: rule, At: l.Clock.Now(), Message: message, Reason: fmt.Sprintf(format, v...)})
 }
 
-// Messages are all messages of the run in the order of their submission. The log owns them.
+// Messages returns all messages of the run in the order of their submission. The log keeps ownership of them.
 func (l *Log) Messages() []*Message { return l.order }
 
-// MessageSubmitted says that a client submits a message. The log owns it from here on.
+// MessageSubmitted records that a client submits a message. The log takes ownership of the message.
 func (l *Log) MessageSubmitted(m *Message) {
 	l.messages[m.ID] = m
 	l.order = append(l.order, m)
 }
 
-// MessageAccepted says that a client got the answer that its message is accepted.
+// MessageAccepted records that a client was answered that its message is accepted.
 func (l *Log) MessageAccepted(id uint64) { l.messages[id].Accepted = true }
 
-// FinalAnswer says that a client got a final answer: delivered, returned or abandoned.
+// FinalAnswer records that a client received a final answer: "delivered", "returned" or "abandoned". It reports a
+// violation if the answer is late or not the first one.
 func (l *Log) FinalAnswer(id uint64, answer string) {
 	m := l.messages[id]
 	m.FinalAnswers = append(m.FinalAnswers, FinalAnswer{l.Clock.Now(), answer})
@@ -113,16 +115,16 @@
 	}
 }
 
-// Answered tells whether a client got a final answer.
+// Answered reports whether the client of a message has received a final answer.
 func (l *Log) Answered(id uint64) bool { return len(l.messages[id].FinalAnswers) > 0 }
 
-// ForwarderStalled says that a forwarder was kept from answering, by a stall or a restart, until a moment.
+// ForwarderStalled records that a stall or a restart keeps a forwarder from answering until the given time.
 func (l *Log) ForwarderStalled(forwarder int, until float64) {
 	l.unavailableUntil[forwarder] = math.Max(l.unavailableUntil[forwarder], until)
 }
 
-// ForwarderRestarted says that a forwarder's process was killed and may be late until a moment. A restart ends the
-// retry-afters that it was sent.
+// ForwarderRestarted records that a forwarder's process was killed and may answer late until the given time. The
+// forwarder no longer has to heed any Retry-After that it received before the restart.
 func (l *Log) ForwarderRestarted(forwarder int, until float64) {
 	l.ForwarderStalled(forwarder, until)
 	for key := range l.retryAfters {
@@ -132,12 +134,12 @@
 	}
 }
 
-// answerDeadline is the moment by which a message has to have its final answer.
+// answerDeadline returns the time by which the client must have received the final answer.
 func (l *Log) answerDeadline(m *Message) float64 {
 	return math.Max(m.Expiry, l.unavailableUntil[m.Forwarder]) + l.Slack.Answer
 }
 
-// EndpointDraining says that the endpoint list has informed forwarders that an endpoint drains or leaves.
+// EndpointDraining records that the endpoint list has informed forwarders that an endpoint drains or is removed.
 func (l *Log) EndpointDraining(destination, endpoint int) {
 	key := endpointKey{destination, endpoint}
 	if _, known := l.drainingSince[key]; !known {
@@ -145,13 +147,13 @@
 	}
 }
 
-// CallReceived says that an endpoint got a call, and judges whether it may have been sent.
+// CallReceived records that an endpoint received a call, and reports a violation if the call should not have been sent.
 func (l *Log) CallReceived(destination, endpoint, forwarder int, messages []receiver.Message) {
 	now := l.Clock.Now()
 	for _, m := range messages {
 		l.arrivals = append(l.arrivals, arrival{now, destination, endpoint, forwarder, m.ID})
 		if l.openAttempts[m.ID] {
-			l.report(RuleNoDoubleEffect, m.ID, "a transmission began while one was out")
+			l.report(RuleNoDoubleEffect, m.ID, "an attempt began while another was in progress")
 		}
 		l.openAttempts[m.ID] = true
 	}
@@ -161,12 +163,12 @@
 	}
 	wait, blocked := l.retryAfters[l.retryAfterKey(destination, endpoint, forwarder)]
 	if blocked && now > wait.sentAt+l.Slack.Wait && now < wait.until-0.001 {
-		l.report(RuleRetryAfterHeeded, first, "forwarder %d called destination %d %.2f s before the wait it was told was over",
+		l.report(RuleRetryAfterHeeded, first, "forwarder %d called destination %d %.2f s before the end of its Retry-After",
 			forwarder, destination, wait.until-now)
 	}
 	since, draining := l.drainingSince[endpointKey{destination, endpoint}]
 	if draining && now > since+l.Slack.Drain {
-		l.report(RuleDrainObserved, first, "target %d of destination %d was called %.2f s after it was told to be leaving",
+		l.report(RuleDrainObserved, first, "endpoint %d of destination %d was called %.2f s after it was listed as draining or removed",
 			endpoint, destination, now-since)
 	}
 }
@@ -178,8 +180,8 @@
 	return retryAfterKey{destination, endpoint, forwarder}
 }
 
-// AttemptClosed says that an attempt of a message is over: answered, or its connection has ended. known tells that its
-// answer says what became of it; else it may still be executed.
+// AttemptClosed records that an attempt of a message was answered or that its connection ended. known is false if the
+// message may still be executed.
 func (l *Log) AttemptClosed(id uint64, known bool) {
 	delete(l.openAttempts, id)
 	if !known {
@@ -187,27 +189,27 @@
 	}
 }
 
-// MessageExecuted says that a receiver executed a message.
+// MessageExecuted records that a receiver executed a message.
 func (l *Log) MessageExecuted(e receiver.Execution) { l.executions = append(l.executions, e) }
 
-// maxInformedFraction is the fraction of calls by forwarders that knew of an outage from which on they are to blame for
-// an endpoint that was overloaded in its slow start.
+// maxInformedFraction is the fraction of calls from forwarders that knew of the outage at and above which the overload
+// of an endpoint in slow start counts as a violation by the forwarders.
 const maxInformedFraction = 2.0 / 3
 
-// EndpointOverloaded says that calls in its slow start made an endpoint fail; informed is the fraction of them that
-// came from forwarders which had seen the outage.
+// EndpointOverloaded records that an endpoint failed because it received too many calls in its slow start. informed is
+// the fraction of these calls that came from forwarders that had seen the outage.
 func (l *Log) EndpointOverloaded(destination, _ int, informed float64) {
 	if informed >= maxInformedFraction {
 		l.report(RuleRecoveryNotOverloaded, 0,
-			"destination %d fell over on its return, %.0f%% of it sent by forwarders that knew of the outage", destination, 100*informed)
+			"destination %d was overloaded in its slow start, with %.0f%% of the calls from forwarders that knew of the outage", destination, 100*informed)
 	}
 }
 
-// RetryAfterSent says that an endpoint answered a forwarder to wait for so many seconds.
+// RetryAfterSent records that an endpoint answered a forwarder with a Retry-After, in seconds.
 func (l *Log) RetryAfterSent(destination, endpoint, forwarder int, seconds float64) {
 	now := l.Clock.Now()
 	l.retryAfters[l.retryAfterKey(destination, endpoint, forwarder)] = retryAfter{now, now + seconds}
 }
 
-// EndpointRecovered says that an endpoint answers again; no rule needs it.
+// EndpointRecovered does nothing, as no rule depends on the recovery of an endpoint.
 func (l *Log) EndpointRecovered(int, int) {}
--- a/lab/audit/judge.go
+++ b/lab/audit/judge.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// Violations judges the run that has ended. The violations are in order of time. It is called once.
+// Violations checks the run after its end and returns the violations in order of time. It must be called only once.
 func (l *Log) Violations() []Violation {
 	now := l.Clock.Now()
 	for _, m := range l.order {
 		if m.Accepted && len(m.FinalAnswers) == 0 && now > l.answerDeadline(m) {
-			l.report(RuleOneAnswer, m.ID, "taken and never answered")
+			l.report(RuleOneAnswer, m.ID, "accepted and never answered")
 		}
 	}
 	l.checkEffects()
@@ -24,7 +24,7 @@
 	return l.violations
 }
 
-// checkEffects finds effects that took place twice.
+// checkEffects reports effects that took place twice.
 func (l *Log) checkEffects() {
 	effects := map[uint64]int{}
 	for _, e := range l.executions {
@@ -39,13 +39,14 @@
 	}
 }
 
-// orderTolerance is by how many seconds a message may come early for rounding.
+// orderTolerance is the number of seconds by which a message may arrive early, to allow for rounding errors.
 const orderTolerance = 1e-9
 
-// checkKeyOrder finds messages of an ordering key that were sent before an earlier one was over. It is over once it has
-// its final answer and, if an attempt of it ended in a time-out, a reset or a cut, the key's cooldown has passed since.
-// What such an attempt still does later is beyond a forwarder, as the operators' page has it ("the attempt may still be
-// executing; later requests for that key shall therefore wait a further KeyCooldown").
+// checkKeyOrder reports messages of an ordering key that were sent while an earlier message still blocked the key. A
+// message blocks its key until its final answer and, if one of its attempts ended with an unknown outcome (a time-out, a
+// reset or a malformed answer), until the key's cooldown has passed since. A forwarder has no control over what such an
+// attempt does after that, as the operators' page states ("the attempt may still be executing; later requests for that
+// key shall therefore wait a further KeyCooldown").
 func (l *Log) checkKeyOrder() {
 	byKey := map[uint64][]*Message{}
 	var keys []uint64
@@ -68,13 +69,13 @@
 	}
 }
 
-// checkOrderOf checks the messages of one key, in the order of their submission.
+// checkOrderOf checks the messages of one key, which are given in the order of their submission.
 func (l *Log) checkOrderOf(messages []*Message, firstArrival map[uint64]float64) {
-	over, before := 0.0, uint64(0)
+	keyBlockedUntil, blockingID := 0.0, uint64(0)
 	for _, m := range messages {
-		if at, sent := firstArrival[m.ID]; sent && at < over-orderTolerance {
+		if at, sent := firstArrival[m.ID]; sent && at < keyBlockedUntil-orderTolerance {
 			l.violations = append(l.violations, Violation{Rule: RuleKeyOrder, At: at, Message: m.ID,
-				Reason: fmt.Sprintf("came %.3f s before %x of the same key was over", over-at, before)})
+				Reason: fmt.Sprintf("received %.3f s before message %x of the same key stopped blocking the key", keyBlockedUntil-at, blockingID)})
 		}
 		end := 0.0
 		if len(m.FinalAnswers) > 0 {
@@ -83,13 +84,13 @@
 		if at, unknown := l.unknownOutcomes[m.ID]; unknown {
 			end = math.Max(end, at+l.keyCooldown)
 		}
-		if end > over {
-			over, before = end, m.ID
+		if end > keyBlockedUntil {
+			keyBlockedUntil, blockingID = end, m.ID
 		}
 	}
 }
 
-// history is what is known of a message, in order of time; nothing for an unknown id.
+// history returns the recorded events of a message in order of time, or nil for an unknown id.
 func (l *Log) history(id uint64) []string {
 	m := l.messages[id]
 	if m == nil {
@@ -99,15 +100,15 @@
 		at   float64
 		text string
 	}
-	lines := []line{{m.SubmittedAt, fmt.Sprintf("handed in for destination %d, expiry %.3f, key %x", m.Destination, m.Expiry, m.Key)}}
+	lines := []line{{m.SubmittedAt, fmt.Sprintf("submitted for destination %d, expiry %.3f, key %x", m.Destination, m.Expiry, m.Key)}}
 	for _, a := range l.arrivals {
 		if a.message == id {
-			lines = append(lines, line{a.at, fmt.Sprintf("came to target %d from forwarder %d", a.endpoint, a.forwarder)})
+			lines = append(lines, line{a.at, fmt.Sprintf("received at endpoint %d from forwarder %d", a.endpoint, a.forwarder)})
 		}
 	}
 	for _, e := range l.executions {
 		if e.Message.ID == id {
-			lines = append(lines, line{e.EndedAt, fmt.Sprintf("ran at target %d from %.3f on, effect %v", e.Endpoint, e.StartedAt, e.Effect)})
+			lines = append(lines, line{e.EndedAt, fmt.Sprintf("executed at endpoint %d since %.3f, effect %v", e.Endpoint, e.StartedAt, e.Effect)})
 		}
 	}
 	for _, f := range m.FinalAnswers {
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -1,9 +1,9 @@
 package audit
 
-// Rule is one of the rules that a forwarder keeps.
+// Rule names one of the rules that a forwarder must keep.
 type Rule string
 
-// The rules.
+// The six rules. Reports and result files contain these values.
 const (
 	// RuleOneAnswer is kept if each accepted message gets one final answer before its expiry.
 	RuleOneAnswer Rule = "1 one final answer"
@@ -16,28 +16,28 @@
 	RuleRecoveryNotOverloaded Rule = "4 returns not pushed over"
 	// RuleKeyOrder is kept if messages of one ordering key are sent one after another.
 	RuleKeyOrder Rule = "5 order per key"
-	// RuleRetryAfterHeeded is kept if no call comes before the time of a retry-after is over.
+	// RuleRetryAfterHeeded is kept if no call arrives before the end of a Retry-After that applies to it.
 	RuleRetryAfterHeeded Rule = "6 waits heeded"
 )
 
-// Rules are all rules, in order.
+// Rules lists all rules by their number.
 var Rules = []Rule{RuleOneAnswer, RuleNoDoubleEffect, RuleDrainObserved, RuleRecoveryNotOverloaded, RuleKeyOrder, RuleRetryAfterHeeded}
 
-// Slack is what is tolerated, in seconds.
+// Slack contains the tolerances of the audit, in seconds.
 type Slack struct {
 	Answer float64 // after a message's expiry
-	Wait   float64 // for a call that crosses a retry-after on its way
-	Drain  float64 // after the endpoint list said that an endpoint drains
+	Wait   float64 // for a call that was sent before the Retry-After arrived
+	Drain  float64 // after the endpoint list reported that an endpoint drains
 }
 
-// DefaultSlack allows for the network's delay and for a forwarder's own.
+// DefaultSlack allows for the delays of the network and of a forwarder.
 var DefaultSlack = Slack{Answer: 0.3, Wait: 0.1, Drain: 0.1}
 
-// Violation is a broken rule, with the message's history.
+// Violation is one breach of a rule, with the history of the message concerned.
 type Violation struct {
 	Rule    Rule     `json:"Rule"`
 	At      float64  `json:"At"`  // seconds of the run's clock
-	Message uint64   `json:"Doc"` // 0: it concerns no single message
+	Message uint64   `json:"Doc"` // 0 if the violation does not concern a single message
 	Reason  string   `json:"What"`
 	History []string `json:"History"`
 }
--- a/lab/clock/clock.go
+++ b/lab/clock/clock.go
@@ -1,16 +1,16 @@
-// Package clock is simulated time: a queue of functions, each with the moment at which it runs.
+// Package clock simulates time with a queue of functions, each of which runs at a given time.
 package clock
 
-// Queue runs functions in order of time; those of one moment run in the order in which they were added. The zero value
-// is an empty queue at 0. It is not safe for concurrent use.
+// Queue runs functions in order of time. Functions with the same time run in the order in which they were added. The
+// zero value is an empty queue at time 0. A Queue is not safe for concurrent use.
 type Queue struct {
 	heap []event
 	seq  uint64
 	now  float64
 }
 
-// heapWidth is how many children a node of the heap has.
-const heapWidth = 4
+// heapArity is the number of children of a heap node.
+const heapArity = 4
 
 type event struct {
 	at  float64
@@ -20,20 +20,20 @@
 
 func (e *event) before(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// Now is the present moment, in seconds.
+// Now returns the current time in seconds.
 func (q *Queue) Now() float64 { return q.now }
 
-// After adds a function that runs after so many seconds; now if that is below 0.
+// After adds a function that runs after the given number of seconds. A negative delay counts as 0.
 func (q *Queue) After(in float64, do func()) { q.At(q.now+max(0, in), do) }
 
-// At adds a function that runs at a moment, now if that is past.
+// At adds a function that runs at the given time, or at the current time if the given time is in the past.
 func (q *Queue) At(at float64, do func()) {
 	q.seq++
 	q.heap = append(q.heap, event{max(at, q.now), q.seq, do})
 	h := q.heap
 	i := len(h) - 1
 	for i > 0 {
-		parent := (i - 1) / heapWidth
+		parent := (i - 1) / heapArity
 		if !h[i].before(&h[parent]) {
 			break
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-// Step runs the next function; it returns false if none is due up to a moment.
+// Step runs the next function and advances the clock to its time. It returns false if no function is due by until.
 func (q *Queue) Step(until float64) bool {
 	if len(q.heap) == 0 || q.heap[0].at > until {
 		return false
@@ -56,7 +56,7 @@
 	q.heap = h
 	for i := 0; ; {
 		first := i
-		for child := heapWidth*i + 1; child <= heapWidth*i+heapWidth && child < last; child++ {
+		for child := heapArity*i + 1; child <= heapArity*i+heapArity && child < last; child++ {
 			if h[child].before(&h[first]) {
 				first = child
 			}
@@ -72,8 +72,8 @@
 	return true
 }
 
-// SetTime sets the present moment. No function may be due before it.
+// SetTime advances the clock. The caller must have run all functions that are due before that time.
 func (q *Queue) SetTime(now float64) { q.now = now }
 
-// Events is how many functions have been added.
+// Events returns the number of functions added so far.
 func (q *Queue) Events() uint64 { return q.seq }
--- a/lab/receiver/endpoint.go
+++ b/lab/receiver/endpoint.go
@@ -121,19 +121,19 @@
 	if e.Fault.slows(c) {
 		duration *= e.Fault.SlowFactor
 	}
-	code, runs, lost := e.drawOutcome(c)
+	code, executed, answerLost := e.drawOutcome(c)
 	startedAt := d.clock.Now()
 	e.executing = append(e.executing, c)
 	d.clock.After(duration, func() {
 		if i := slices.Index(e.executing, c); i >= 0 {
 			e.executing = append(e.executing[:i], e.executing[i+1:]...)
 		}
-		if runs {
+		if executed {
 			for _, message := range c.Messages {
 				d.recordExecution(e, c, message, startedAt)
 			}
 		}
-		if !lost && e.Fault.Silences == 0 && e.outages == 0 {
+		if !answerLost && e.Fault.Silences == 0 && e.outages == 0 {
 			c.finish(e.withLimitReport(Answer{Code: code}))
 		}
 		e.startNext()
@@ -175,9 +175,9 @@
 		return false
 	}
 	limit := e.rateLimiter()
-	peek := rateLimiter{limit.tokens, limit.refilledAt, slices.Clone(limit.admitted)}
+	limiterCopy := rateLimiter{limit.tokens, limit.refilledAt, slices.Clone(limit.admitted)}
 	for range approaching + 1 {
-		if _, full := peek.admit(&d.Behavior, f.LimitFraction, now); full {
+		if _, full := limiterCopy.admit(&d.Behavior, f.LimitFraction, now); full {
 			return false
 		}
 	}
--- a/lab/receiver/fault.go
+++ b/lab/receiver/fault.go
@@ -47,7 +47,7 @@
 }
 
 // drawOutcome draws what faults do to a call: how it ends, whether it is executed, and whether its answer gets lost.
-func (e *Endpoint) drawOutcome(c *Call) (code transport.ResultCode, runs, lost bool) {
+func (e *Endpoint) drawOutcome(c *Call) (code transport.ResultCode, executed, answerLost bool) {
 	f := &e.Fault
 	if f.failingFraction() == 0 || f.OddForwarders && c.Forwarder%2 == 0 {
 		return transport.ResultOK, true, false
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -15,33 +15,33 @@
 
 // testRecorder is a record that sums up waits.
 type testRecorder struct {
-	runs      int
-	waited    float64
-	overloads int
-	informed  float64
-	reported  []float64
-	all       []receiver.Execution
+	executed    int
+	totalWait   float64
+	overloads   int
+	informed    float64
+	retryAfters []float64
+	executions  []receiver.Execution
 }
 
 func (n *testRecorder) CallReceived(int, int, int, []receiver.Message) {}
 func (n *testRecorder) MessageExecuted(r receiver.Execution) {
-	n.runs++
-	n.waited += r.StartedAt - r.ReceivedAt
-	if len(n.all) < 10_000 {
-		n.all = append(n.all, r)
+	n.executed++
+	n.totalWait += r.StartedAt - r.ReceivedAt
+	if len(n.executions) < 10_000 {
+		n.executions = append(n.executions, r)
 	}
 }
 func (n *testRecorder) EndpointOverloaded(_, _ int, informed float64) {
 	n.overloads, n.informed = n.overloads+1, informed
 }
 func (n *testRecorder) RetryAfterSent(_, _, _ int, wait float64) {
-	n.reported = append(n.reported, wait)
+	n.retryAfters = append(n.retryAfters, wait)
 }
 func (n *testRecorder) EndpointRecovered(int, int) {}
 
-// feed sends calls by a rate and returns how each ended.
-func feed(settings receiver.Behavior, rate float64, calls int, even bool) (*testRecorder, map[transport.ResultCode]int) {
-	q, n, ends := &clock.Queue{}, &testRecorder{}, map[transport.ResultCode]int{}
+// simulateCalls sends calls by a rate and returns how each ended.
+func simulateCalls(settings receiver.Behavior, rate float64, calls int, even bool) (*testRecorder, map[transport.ResultCode]int) {
+	q, n, results := &clock.Queue{}, &testRecorder{}, map[transport.ResultCode]int{}
 	random := rand.New(rand.NewPCG(1, 2))
 	d := receiver.New(0, settings, 1, 1, q, random, n)
 	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
@@ -53,7 +53,7 @@
 	next = func() {
 		at, _ := arrivals.Next()
 		q.At(at, func() {
-			d.Endpoints[0].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { ends[a.Code]++ }})
+			d.Endpoints[0].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { results[a.Code]++ }})
 			if left--; left > 0 {
 				next()
 			}
@@ -62,7 +62,7 @@
 	next()
 	for q.Step(math.Inf(1)) {
 	}
-	return n, ends
+	return n, results
 }
 
 // erlangB is the share of calls lost with c servers and an offered load of a.
@@ -77,18 +77,18 @@
 func TestWaitsAreThoseOfTheory(t *testing.T) {
 	const mean, calls = 0.1, 1_000_000
 	for _, c := range []struct {
-		places int
-		busy   float64
+		servers     int
+		utilization float64
 	}{{1, 0.7}, {4, 0.7}, {8, 0.8}} {
-		a := c.busy * float64(c.places)
-		b := erlangB(c.places, a)
-		erlangC := b / (1 - c.busy*(1-b))
-		want := erlangC * mean / (float64(c.places) * (1 - c.busy))
-		n, _ := feed(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: mean}, Concurrency: c.places, Queue: 1 << 30}, a/mean, calls, false)
-		require.InEpsilon(t, want, n.waited/float64(n.runs), 0.03, "M/M/%d", c.places)
+		a := c.utilization * float64(c.servers)
+		b := erlangB(c.servers, a)
+		erlangC := b / (1 - c.utilization*(1-b))
+		want := erlangC * mean / (float64(c.servers) * (1 - c.utilization))
+		n, _ := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: mean}, Concurrency: c.servers, Queue: 1 << 30}, a/mean, calls, false)
+		require.InEpsilon(t, want, n.totalWait/float64(n.executed), 0.03, "M/M/%d", c.servers)
 	}
-	n, _ := feed(receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
-	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.waited/float64(n.runs), 0.03, "M/D/1")
+	n, _ := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
+	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.totalWait/float64(n.executed), 0.03, "M/D/1")
 }
 
 func TestLossesAreThoseOfTheory(t *testing.T) {
@@ -96,22 +96,22 @@
 		places int
 		a      float64
 	}{{1, 0.5}, {4, 3}, {10, 9}} {
-		_, ends := feed(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
+		_, ends := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
 		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
 	}
 }
 
 func TestALimitAdmitsExactlyItsRate(t *testing.T) {
-	quick := receiver.Distribution{Form: "fixed", Mean: 0.001}
-	_, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
+	service := receiver.Distribution{Form: "fixed", Mean: 0.001}
+	_, ends := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
 	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
-	n, ends := feed(receiver.Behavior{Service: quick, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
+	n, ends := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
 	require.Equal(t, 7*5, ends[transport.ResultOK], "seven in any two seconds")
 	require.Equal(t, 1000-35, ends[transport.ResultRetryAfter])
-	for i := range n.all[7:] {
-		require.GreaterOrEqual(t, n.all[i+7].ReceivedAt-n.all[i].ReceivedAt, 2-1e-6)
+	for i := range n.executions[7:] {
+		require.GreaterOrEqual(t, n.executions[i+7].ReceivedAt-n.executions[i].ReceivedAt, 2-1e-6)
 	}
-	require.InDelta(t, 2-0.07, n.reported[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
+	require.InDelta(t, 2-0.07, n.retryAfters[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
 }
 
 // slowStartBehavior is that of an endpoint that executes 40 calls a second, and a quarter of that right after an outage.
@@ -133,10 +133,10 @@
 func TestAnEndpointInSlowStartFailsWhenOverloadedAndNotBefore(t *testing.T) {
 	settings := slowStartBehavior()
 	for _, c := range []struct {
-		rate     float64
-		calls    int
-		informed float64 // share of the calls that comes from forwarders which met the outage
-		fell     bool
+		rate       float64
+		calls      int
+		informed   float64 // share of the calls that comes from forwarders which met the outage
+		overloaded bool
 	}{{15, 60, 1, false}, {30, 60, 1, false}, {60, 60, 1, true}, {60, 60, 0.5, true}, {60, 30, 1, false}} {
 		q, n := &clock.Queue{}, &testRecorder{}
 		d := receiver.New(0, settings, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
@@ -157,8 +157,8 @@
 		}
 		for q.Step(4) {
 		}
-		require.Equal(t, c.fell, n.overloads > 0, "%v calls at %v a second", c.calls, c.rate)
-		if c.fell {
+		require.Equal(t, c.overloaded, n.overloads > 0, "%v calls at %v a second", c.calls, c.rate)
+		if c.overloaded {
 			require.InDelta(t, c.informed, n.informed, 0.02)
 		}
 	}
@@ -194,7 +194,7 @@
 	}
 	for q.Step(100) {
 	}
-	require.Equal(t, []bool{true, false, false, true}, []bool{n.all[0].Effect, n.all[1].Effect, n.all[2].Effect, n.all[3].Effect})
+	require.Equal(t, []bool{true, false, false, true}, []bool{n.executions[0].Effect, n.executions[1].Effect, n.executions[2].Effect, n.executions[3].Effect})
 }
 
 func TestFaultsDoWhatTheySay(t *testing.T) {
@@ -216,19 +216,19 @@
 	endpoint.Fault.Hangs = 1
 	call()
 	call()
-	waiting := call()
+	queued := call()
 	require.Empty(t, run())
-	waiting.Cancel() // waits in the queue: never runs
+	queued.Cancel() // waits in the queue: never runs
 	endpoint.EndHang()
 	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
-	require.Equal(t, 2, n.runs)
+	require.Equal(t, 2, n.executed)
 	endpoint.Fault.Silences = 1
 	call()
 	require.Empty(t, run())
 	endpoint.Fault = receiver.Fault{LostFraction: 1}
 	call()
 	require.Empty(t, run())
-	require.Equal(t, 3, n.runs, "ran, though nobody heard")
+	require.Equal(t, 3, n.executed, "ran, though nobody heard")
 	endpoint.Fault = receiver.Fault{ErrorFraction: 1, EveryNth: 2}
 	call()
 	call()
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -21,7 +21,7 @@
 func TestErrorsNameTheFieldThatIsWrong(t *testing.T) {
 	text, err := os.ReadFile("scenes/one-partner-hangs.toml")
 	require.NoError(t, err)
-	for _, c := range []struct{ old, new, says string }{
+	for _, c := range []struct{ old, new, wantError string }{
 		{`kind = "hang"`, `kind = "hangs"`, `x.toml: troubles[0].kind: unknown fault "hangs"`},
 		{`kind = "hang"`, `kind = "lose"`, "troubles[0].share: is missing"},
 		{`dest = [0]`, `dest = [99]`, "there is no destination 99"},
@@ -33,7 +33,7 @@
 		changed := strings.Replace(string(text), c.old, c.new, 1)
 		require.NotEqual(t, string(text), changed)
 		_, err := Parse("x.toml", []byte(changed))
-		require.ErrorContains(t, err, c.says)
+		require.ErrorContains(t, err, c.wantError)
 	}
 	_, err = Read("nowhere")
 	require.ErrorContains(t, err, "no built-in scenario (calm")
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -10,33 +10,33 @@
 // Baselines are policies to compare the scheduler with, by name. They are for the laboratory only. The oracle sees the
 // true state of all endpoints and is a ceiling that may be out of reach.
 var Baselines = map[string]PolicyFactory{
-	"fifo":         baselineMaker(func(*baseline) {}),
-	"backoff":      baselineMaker(func(b *baseline) { b.backoff = true }),
-	"bucket":       baselineMaker(func(b *baseline) { b.backoff, b.bucket = true, true }),
-	"oracle":       baselineMaker(func(b *baseline) { b.oracle = true }),
-	"least-loaded": baselineMaker(func(b *baseline) { b.backoff, b.leastLoaded = true, true }),
+	"fifo":         baselineFactory(func(*baseline) {}),
+	"backoff":      baselineFactory(func(b *baseline) { b.backoff = true }),
+	"bucket":       baselineFactory(func(b *baseline) { b.backoff, b.bucket = true, true }),
+	"oracle":       baselineFactory(func(b *baseline) { b.oracle = true }),
+	"least-loaded": baselineFactory(func(b *baseline) { b.backoff, b.leastLoaded = true, true }),
 }
 
-// baselineMaker makes baselines with a variation.
-func baselineMaker(vary func(*baseline)) PolicyFactory {
+// baselineFactory makes baselines with a variation.
+func baselineFactory(configure func(*baseline)) PolicyFactory {
 	return func(settings scheduler.Settings, _ uint64, now float64, host scheduler.Host) Policy {
 		b := newBaseline(settings, now, host)
-		vary(b)
+		configure(b)
 		return b
 	}
 }
 
 // Times in seconds, rates per second.
 const (
-	baselineTimeout    = 2.0  // of an attempt
-	baselineRetryDelay = 0.1  // before an attempt after one that failed; with backoff it doubles
-	baselineTick       = 0.02 // between two looks at what is held
-	minAdmissionTime   = 0.1  // that a message needs to be admitted
-	minAttemptTime     = 0.05 // that a message needs for a further attempt
-	maxBackoffDoubling = 5
-	initialAnswerRate  = 5.0 // of a destination, for bucket
-	bucketBurst        = 4.0
-	bucketGrowth       = 1.25 // over the rate at which a destination answers
+	baselineTimeout     = 2.0  // of an attempt
+	baselineRetryDelay  = 0.1  // before an attempt after one that failed; with backoff it doubles
+	baselineTick        = 0.02 // between two looks at what is held
+	minAdmissionTime    = 0.1  // that a message needs to be admitted
+	minAttemptTime      = 0.05 // that a message needs for a further attempt
+	maxBackoffDoublings = 5
+	initialAnswerRate   = 5.0 // of a destination, for bucket
+	bucketBurst         = 4.0
+	bucketGrowth        = 1.25 // over the rate at which a destination answers
 )
 
 // baseline sends messages in the order of their coming and retries what may be retried. It heeds retry-afters, drains,
@@ -45,7 +45,7 @@
 	settings     scheduler.Settings
 	host         scheduler.Host
 	now          float64
-	held         []*baselineMessage
+	unanswered   []*baselineMessage
 	messageByID  map[uint64]*baselineMessage
 	destinations map[uint64]*baselineDestination
 	openCalls    int
@@ -62,7 +62,7 @@
 type misbehavior uint8
 
 const (
-	behaves misbehavior = iota
+	noMisbehavior misbehavior = iota
 	overlapsAttempts
 	breaksKeyOrder
 	ignoresRetryAfter
@@ -145,7 +145,7 @@
 
 // Admit admits a message while there is capacity and time.
 func (b *baseline) Admit(_ int, left float64) (admitted bool, retryAfter float64) {
-	return len(b.held) < b.settings.QueueCapacity && left > minAdmissionTime, b.retryAfter()
+	return len(b.unanswered) < b.settings.QueueCapacity && left > minAdmissionTime, b.retryAfter()
 }
 
 // retryAfter is after how many seconds clients may submit again.
@@ -154,7 +154,7 @@
 // Accept takes a message.
 func (b *baseline) Accept(message *scheduler.Message, typeIndex int, left float64) {
 	m := &baselineMessage{handle: message, messageType: &b.settings.Types[typeIndex], expiry: b.now + left}
-	b.held = append(b.held, m)
+	b.unanswered = append(b.unanswered, m)
 	b.messageByID[message.ID] = m
 	if m.inOrder() {
 		d := b.destinations[message.Dest.ID]
@@ -212,7 +212,7 @@
 	}
 	delay := baselineRetryDelay
 	if b.backoff {
-		delay *= math.Pow(2, float64(min(m.attempts, maxBackoffDoubling)))
+		delay *= math.Pow(2, float64(min(m.attempts, maxBackoffDoublings)))
 	}
 	m.notBefore = b.now + delay
 }
@@ -229,12 +229,12 @@
 // finish drops a message that has its answer. Its key waits if it may still be executed.
 func (b *baseline) finish(m *baselineMessage) {
 	m.done = true
-	b.held = without(b.held, m)
+	b.unanswered = withoutMessage(b.unanswered, m)
 	if !m.inOrder() {
 		return
 	}
 	d := b.destinations[m.handle.Dest.ID]
-	queue := without(d.keyQueues[m.handle.Key], m)
+	queue := withoutMessage(d.keyQueues[m.handle.Key], m)
 	if len(queue) == 0 {
 		delete(d.keyQueues, m.handle.Key)
 		return
@@ -243,8 +243,8 @@
 	queue[0].notBefore = math.Max(queue[0].notBefore, m.keyBlockedUntil)
 }
 
-// without is a list without one message; the list itself stays as it is.
-func without(list []*baselineMessage, m *baselineMessage) []*baselineMessage {
+// withoutMessage is a list withoutMessage one message; the list itself stays as it is.
+func withoutMessage(list []*baselineMessage, m *baselineMessage) []*baselineMessage {
 	i := slices.Index(list, m)
 	if i < 0 {
 		return list
--- a/lab/sim/baseline_reconcile.go
+++ b/lab/sim/baseline_reconcile.go
@@ -13,8 +13,8 @@
 		if m.openAttempts > 0 && !(b.misbehavior == overlapsAttempts && m.openAttempts == 1 && b.now > m.notBefore) {
 			continue
 		}
-		if exhausted, returnable := b.exhausted(m); exhausted {
-			b.giveUp(m, returnable)
+		if exhausted, rejectable := b.exhausted(m); exhausted {
+			b.answerExhausted(m, rejectable)
 			continue
 		}
 		if b.now < m.notBefore || b.openCalls >= b.settings.ConcurrencyLimit {
@@ -24,11 +24,11 @@
 		if m.inOrder() && d.keyQueues[m.handle.Key][0] != m && b.misbehavior != breaksKeyOrder {
 			continue
 		}
-		if e := b.pick(d, m); e != nil {
+		if e := b.pickEndpoint(d, m); e != nil {
 			b.send(m, e, d)
 		}
 	}
-	if len(b.held) > 0 && !b.timerSet {
+	if len(b.unanswered) > 0 && !b.timerSet {
 		b.timerSet = true
 		b.host.Wake(baselineTick)
 	}
@@ -37,7 +37,7 @@
 // inSendingOrder is what is held in the order of its coming; for the oracle those that can still be in time come before
 // those that are late already.
 func (b *baseline) inSendingOrder() []*baselineMessage {
-	all := slices.Clone(b.held)
+	all := slices.Clone(b.unanswered)
 	if !b.oracle {
 		return all
 	}
@@ -57,12 +57,12 @@
 }
 
 // exhausted tells that a message must not be sent any more, and whether it may be returned to its client.
-func (b *baseline) exhausted(m *baselineMessage) (exhausted, returnable bool) {
-	repeatable := m.firstRanAt == 0 || m.messageType.Idempotency == scheduler.Idempotent
+func (b *baseline) exhausted(m *baselineMessage) (exhausted, rejectable bool) {
+	retryable := m.firstRanAt == 0 || m.messageType.Idempotency == scheduler.Idempotent
 	switch {
 	case b.now >= m.expiry-minAttemptTime || m.attempts >= b.settings.MaxAttempts:
-		return true, repeatable
-	case repeatable:
+		return true, retryable
+	case retryable:
 		return false, false
 	case m.messageType.Idempotency == scheduler.AtMostOnce:
 		return b.misbehavior != repeatsAtMostOnce, false
@@ -70,8 +70,8 @@
 	return b.now > m.firstRanAt+m.messageType.DeduplicationWindow-baselineTimeout-0.5, false
 }
 
-// giveUp answers a message that is exhausted.
-func (b *baseline) giveUp(m *baselineMessage, returnable bool) {
+// answerExhausted answers a message that is exhausted.
+func (b *baseline) answerExhausted(m *baselineMessage, rejectable bool) {
 	if b.misbehavior == neverAnswers || b.misbehavior == answersLate && b.now < m.expiry+1 {
 		return
 	}
@@ -81,7 +81,7 @@
 		answers = 2
 	}
 	for range answers {
-		if returnable {
+		if rejectable {
 			b.host.Reject(m.handle, b.retryAfter())
 		} else {
 			b.host.Fail(m.handle)
@@ -89,8 +89,8 @@
 	}
 }
 
-// pick is the endpoint for a message, nil if there is none now.
-func (b *baseline) pick(d *baselineDestination, m *baselineMessage) *baselineEndpoint {
+// pickEndpoint is the endpoint for a message, nil if there is none now.
+func (b *baseline) pickEndpoint(d *baselineDestination, m *baselineMessage) *baselineEndpoint {
 	if b.bucket && !d.refill(b.now) {
 		return nil
 	}
--- a/lab/sim/call.go
+++ b/lab/sim/call.go
@@ -58,7 +58,7 @@
 		last := e.idleSince[len(e.idleSince)-1]
 		e.idleSince = e.idleSince[:len(e.idleSince)-1]
 		if idle := run.Now() - last; idle < idleTimeout {
-			return oneWay, run.reapFaults > 0 && idle > reapedIdleTime
+			return oneWay, run.activeReapFaults > 0 && idle > reapedIdleTime
 		}
 	}
 	return 3 * oneWay, false // a new connection takes a way there and back before the call
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -40,8 +40,8 @@
 
 // resubmit submits again what was refused or returned, if its client does.
 func (run *simRun) resubmit(e *effect, retryAfter float64) {
-	expiry, wait, again := e.resubmission(run.scenario, run.Now(), retryAfter, run.networkRandom)
-	if !again {
+	expiry, wait, resubmit := e.resubmission(run.scenario, run.Now(), retryAfter, run.networkRandom)
+	if !resubmit {
 		return
 	}
 	run.After(wait, func() { run.submit(e, expiry, forwarderFor(e, run.networkRandom, len(run.forwarders))) })
--- a/lab/sim/effect.go
+++ b/lab/sim/effect.go
@@ -38,7 +38,7 @@
 
 // resubmission tells whether a client submits an effect again, after what time, and with what expiry. An idempotency
 // key is known for its window only, so a message with a key is submitted again with no more time than that.
-func (e *effect) resubmission(s *scenario.Scenario, now, retryAfter float64, random *rand.Rand) (expiry, wait float64, again bool) {
+func (e *effect) resubmission(s *scenario.Scenario, now, retryAfter float64, random *rand.Rand) (expiry, wait float64, resubmit bool) {
 	expiry = e.expiry
 	if e.idempotencyKey != 0 {
 		expiry = min(expiry, e.submittedAt+float64(e.messageType.DeduplicationWindow))
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -29,11 +29,11 @@
 			run.At(at+float64(fault.For)*float64(i)/float64(len(affected)), f.kill)
 		}
 	case scenario.FaultReap:
-		run.At(at, func() { run.reapFaults++ })
-		run.At(end, func() { run.reapFaults-- })
+		run.At(at, func() { run.activeReapFaults++ })
+		run.At(end, func() { run.activeReapFaults-- })
 	case scenario.FaultList:
-		run.At(at, func() { run.listFaults++ })
-		run.At(end, func() { run.listFaults-- })
+		run.At(at, func() { run.activeListFaults++ })
+		run.At(end, func() { run.activeListFaults-- })
 	case scenario.FaultDrain, scenario.FaultMove:
 		run.At(at, func() { run.replaceEndpoints(fault) })
 	default:
@@ -53,7 +53,7 @@
 
 // affectedForwarders is a fraction of the forwarders, rounded up.
 func (run *simRun) affectedForwarders(fraction float64) []*forwarder {
-	n := int(fraction*float64(len(run.forwarders)) + roundUp)
+	n := int(fraction*float64(len(run.forwarders)) + roundUpOffset)
 	return run.forwarders[:min(n, len(run.forwarders))]
 }
 
@@ -192,7 +192,7 @@
 // announce informs all forwarders of changed endpoints, after the endpoint list's lag.
 func (run *simRun) announce(endpoints []*receiver.Endpoint) {
 	run.After(float64(run.scenario.ListLag)+float64(run.scenario.NetworkDelay), func() {
-		if run.listFaults > 0 { // it comes with the next change of the list, or when it comes again
+		if run.activeListFaults > 0 { // it comes with the next change of the list, or when it comes again
 			run.After(listRetry, func() { run.announce(endpoints) })
 			return
 		}
--- a/lab/sim/forwarder.go
+++ b/lab/sim/forwarder.go
@@ -13,23 +13,23 @@
 // forwarder is one simulated forwarder: the policy, and what an event loop, a write-ahead log and an upstream are to
 // it.
 type forwarder struct {
-	run          *simRun
-	number       int
-	seed         uint64
-	incarnation  int // counts starts: what an earlier process asked for is ignored
-	up           bool
-	stalledUntil float64
-	policy       Policy
-	destinations []*scheduler.Destination
-	endpoints    [][]*knownEndpoint // by destination and number
-	endpointByID map[uint64]*knownEndpoint
-	submissions  map[uint64]*submission
-	unanswered   []*submission // in the order of acceptance; finished ones are dropped now and then
-	pendingCalls []*call       // that the present round makes up
-	openCalls    []*call
-	timer        int      // number of the latest timer: earlier ones are void
-	waiting      []func() // what came while it stalls
-	batching     bool     // it handles that: the policy decides once, at the end
+	run            *simRun
+	number         int
+	seed           uint64
+	incarnation    int // counts starts: what an earlier process asked for is ignored
+	up             bool
+	stalledUntil   float64
+	policy         Policy
+	destinations   []*scheduler.Destination
+	endpoints      [][]*knownEndpoint // by destination and number
+	endpointByID   map[uint64]*knownEndpoint
+	submissions    map[uint64]*submission
+	unanswered     []*submission // in the order of acceptance; finished ones are dropped now and then
+	pendingCalls   []*call       // that the present round makes up
+	openCalls      []*call
+	timer          int      // number of the latest timer: earlier ones are void
+	deferredEvents []func() // what came while it stalls
+	deferReconcile bool     // it handles that: the policy decides once, at the end
 }
 
 // knownEndpoint is a receiver's endpoint as a forwarder knows it.
@@ -86,7 +86,7 @@
 			continue
 		}
 		if s.attemptStart > 0 { // an attempt was out when that process ended
-			s.mayHaveRun()
+			s.recordPossibleExecution()
 			s.attemptStart = 0
 		}
 		f.track(s)
@@ -94,8 +94,8 @@
 	}
 }
 
-// mayHaveRun notes that the attempt that is out may have been executed.
-func (s *submission) mayHaveRun() {
+// recordPossibleExecution notes that the attempt that is out may have been executed.
+func (s *submission) recordPossibleExecution() {
 	if s.recovered.FirstRanAt == 0 {
 		s.recovered.FirstRanAt, s.recovered.Zone = s.attemptStart, s.attemptZone
 	}
@@ -142,22 +142,22 @@
 	})
 }
 
-// compactAbove is how many unanswered submissions are kept without looking for finished ones.
-const compactAbove = 64
+// compactionThreshold is how many unanswered submissions are kept without looking for finished ones.
+const compactionThreshold = 64
 
 // track makes a submission one of this process.
 func (f *forwarder) track(s *submission) {
 	s.message = &scheduler.Message{ID: s.id, Tenant: s.effect.tenant, Key: s.effect.key, Dest: f.destinations[s.effect.destination], Size: messageSize}
 	f.submissions[s.id] = s
 	f.unanswered = append(f.unanswered, s)
-	if len(f.unanswered) > compactAbove && len(f.unanswered) > 4*len(f.submissions) {
+	if len(f.unanswered) > compactionThreshold && len(f.unanswered) > 4*len(f.submissions) {
 		f.unanswered = slices.DeleteFunc(f.unanswered, func(s *submission) bool { return s.finished })
 	}
 }
 
 // reconcile lets the policy decide and begins the calls that it makes up.
 func (f *forwarder) reconcile() {
-	if f.batching {
+	if f.deferReconcile {
 		return
 	}
 	f.policy.Reconcile()
@@ -239,7 +239,7 @@
 func (f *forwarder) attemptEnded(s *submission, a receiver.Answer, latency float64) {
 	f.run.result.AttemptResults[a.Code.String()]++
 	if a.Code.MayHaveRun() {
-		s.mayHaveRun()
+		s.recordPossibleExecution()
 	}
 	s.attemptStart = 0
 	outcome, final := a.Code.Outcome()
--- a/lab/sim/lifecycle.go
+++ b/lab/sim/lifecycle.go
@@ -15,7 +15,7 @@
 	switch {
 	case !f.up:
 	case f.isStalled():
-		if f.waiting = append(f.waiting, handle); len(f.waiting) == 1 {
+		if f.deferredEvents = append(f.deferredEvents, handle); len(f.deferredEvents) == 1 {
 			f.resumeAfterStall(f.incarnation)
 		}
 	default:
@@ -31,12 +31,12 @@
 		case f.isStalled(): // for longer than it was then
 			f.resumeAfterStall(incarnation)
 		default:
-			waiting := f.waiting
-			f.waiting, f.batching = nil, true
-			for _, handle := range waiting {
+			events := f.deferredEvents
+			f.deferredEvents, f.deferReconcile = nil, true
+			for _, handle := range events {
 				handle()
 			}
-			f.batching = false
+			f.deferReconcile = false
 			f.policy.SetTime(f.run.Now())
 			f.reconcile()
 		}
@@ -55,7 +55,7 @@
 		c.done = true
 		c.abort()
 	}
-	f.openCalls, f.pendingCalls, f.waiting = nil, nil, nil
+	f.openCalls, f.pendingCalls, f.deferredEvents = nil, nil, nil
 	run.log.ForwarderRestarted(f.number, run.Now()+restartDelay+recoveryGrace)
 	for _, destination := range run.destinations {
 		destination.ForwarderRestarted(f.number)
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -134,7 +134,7 @@
 				if err := run.openEndpoint(e); err != nil {
 					return err
 				}
-				list = append(list, run.entry(e))
+				list = append(list, run.discoveryEntry(e))
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 		return err
 	}
 	run.discovery = discovery
-	discovery.OnNotice = run.notice
+	discovery.OnNotice = run.handleNotice
 	go run.drainNotices()
 	return nil
 }
@@ -178,7 +178,7 @@
 		run.processes = append(run.processes, p)
 	}
 	for _, p := range run.processes {
-		if err := p.ready(readyWithin); err != nil {
+		if err := p.awaitReady(readyWithin); err != nil {
 			return err
 		}
 	}
--- a/lab/sim/real_calls.go
+++ b/lab/sim/real_calls.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return
 	}
-	called, err := messagesOf(r, body)
+	called, err := parseMessages(r, body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -50,20 +50,20 @@
 	select {
 	case a := <-answers:
 		run.mu.Lock()
-		s.answered(call, a)
+		s.recordAnswer(call, a)
 		run.mu.Unlock()
 		writeAnswer(w, a, called)
 	case <-r.Context().Done():
 		run.mu.Lock()
 		call.Cancel()
 		s.model.ForwarderSawFailure(call.Forwarder)
-		run.attemptsClosed(call, false)
+		run.closeAttempts(call, false)
 		run.mu.Unlock()
 	}
 }
 
-// messagesOf is the messages of a call: one, named by headers, or those of a batch.
-func messagesOf(r *http.Request, body []byte) ([]calledMessage, error) {
+// parseMessages is the messages of a call: one, named by headers, or those of a batch.
+func parseMessages(r *http.Request, body []byte) ([]calledMessage, error) {
 	if r.URL.Path != batchPath {
 		return []calledMessage{{ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key")}}, nil
 	}
@@ -95,10 +95,10 @@
 	}
 }
 
-// answered records the answer to a call; the lock is held.
-func (s *endpointServer) answered(call *receiver.Call, a receiver.Answer) {
+// recordAnswer records the answer to a call; the lock is held.
+func (s *endpointServer) recordAnswer(call *receiver.Call, a receiver.Answer) {
 	run := s.run
-	run.attemptsClosed(call, outcomeKnown(a.Code))
+	run.closeAttempts(call, outcomeKnown(a.Code))
 	run.result.AttemptResults[a.Code.String()] += len(call.Messages)
 	if a.Code != transport.ResultOK {
 		s.model.ForwarderSawFailure(call.Forwarder)
@@ -112,7 +112,7 @@
 	}
 }
 
-func (run *realRun) attemptsClosed(c *receiver.Call, known bool) {
+func (run *realRun) closeAttempts(c *receiver.Call, known bool) {
 	for _, m := range c.Messages {
 		run.log.AttemptClosed(m.ID, known)
 	}
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -17,8 +17,8 @@
 // noticeAnswers are the final answers by the state that a notice reports.
 var noticeAnswers = map[string]string{"failed": answerFailed, "returned": answerRejected}
 
-// notice takes a final answer that a forwarder sends.
-func (run *realRun) notice(n emulator.Notice) {
+// handleNotice takes a final answer that a forwarder sends.
+func (run *realRun) handleNotice(n emulator.Notice) {
 	id, err := strconv.ParseUint(n.ID, 16, 64)
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -39,8 +39,8 @@
 
 // resubmit submits again what was refused or returned, if its client does; the lock is held.
 func (run *realRun) resubmit(e *effect, retryAfter float64) {
-	expiry, wait, again := e.resubmission(run.scenario, run.Now(), retryAfter, run.random)
-	if !again {
+	expiry, wait, resubmit := e.resubmission(run.scenario, run.Now(), retryAfter, run.random)
+	if !resubmit {
 		return
 	}
 	n := forwarderFor(e, run.random, len(run.processes))
@@ -72,14 +72,14 @@
 	if run.ctx.Err() != nil {
 		return
 	}
-	var before, done chan struct{}
+	var previous, done chan struct{}
 	if e.key != 0 {
 		done = make(chan struct{})
-		before, run.keyTails[e.key] = run.keyTails[e.key], done
+		previous, run.keyTails[e.key] = run.keyTails[e.key], done
 	}
 	run.wg.Go(func() {
-		if before != nil {
-			<-before
+		if previous != nil {
+			<-previous
 		}
 		if done != nil {
 			defer close(done)
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -8,8 +8,8 @@
 	"spanflow/lab/scenario"
 )
 
-// entry is an endpoint's entry of discovery's list.
-func (run *realRun) entry(e *receiver.Endpoint) emulator.Entry {
+// discoveryEntry is an endpoint's discoveryEntry of discovery's list.
+func (run *realRun) discoveryEntry(e *receiver.Endpoint) emulator.Entry {
 	destination := e.Destination.Number
 	entry := emulator.Entry{
 		UID:         fmt.Sprintf("d%d-%d", destination, e.Number),
@@ -39,7 +39,7 @@
 
 func (run *realRun) injectFault(fault *scenario.Fault) {
 	at, seconds := float64(fault.At), float64(fault.For)
-	processes := run.processes[:min(len(run.processes), int(fault.Fraction*float64(len(run.processes))+roundUp))]
+	processes := run.processes[:min(len(run.processes), int(fault.Fraction*float64(len(run.processes))+roundUpOffset))]
 	switch fault.Kind {
 	case scenario.FaultReap, scenario.FaultList:
 	case scenario.FaultStall:
@@ -85,7 +85,7 @@
 	run.After(float64(run.scenario.ListLag), func() {
 		for _, e := range endpoints {
 			run.log.EndpointDraining(e.Destination.Number, e.Number)
-			run.discovery.Set(run.entry(e))
+			run.discovery.Set(run.discoveryEntry(e))
 		}
 	})
 }
@@ -97,7 +97,7 @@
 		for _, e := range removed {
 			added := e.Destination.AddEndpoint(e.Zone)
 			if run.openEndpoint(added) == nil {
-				run.After(float64(run.scenario.ListLag), func() { run.discovery.Set(run.entry(added)) })
+				run.After(float64(run.scenario.ListLag), func() { run.discovery.Set(run.discoveryEntry(added)) })
 			}
 		}
 	})
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-// ready waits until the forwarder answers PING.
-func (p *process) ready(within time.Duration) error {
+// awaitReady waits until the forwarder answers PING.
+func (p *process) awaitReady(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if c, err := emulator.NewClient(p.listen); err == nil {
 			answer, err := c.Send(emulator.Command("PING"))
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -15,22 +15,22 @@
 	"spanflow/lab/audit"
 )
 
-// sleeper is a process of a run without a scenario; its program writes down that it was started and does nothing.
-func sleeper(t *testing.T) *process {
+// startSleepingProcess is a process of a run without a scenario; its program writes down that it was started and does nothing.
+func startSleepingProcess(t *testing.T) *process {
 	program := filepath.Join(t.TempDir(), "sleeper")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\necho started >> \"$0.starts\"\nexec sleep 60\n"), 0o700))
-	d := &realRun{Real: Real{Program: program}, epoch: time.Now()}
-	d.log = audit.New(d, func(int) bool { return false }, 0)
+	run := &realRun{Real: Real{Program: program}, epoch: time.Now()}
+	run.log = audit.New(run, func(int) bool { return false }, 0)
 	log, err := os.Create(filepath.Join(t.TempDir(), "log"))
 	require.NoError(t, err)
-	p := &process{run: d, log: log}
+	p := &process{run: run, log: log}
 	require.NoError(t, p.start())
 	t.Cleanup(p.stop)
 	return p
 }
 
-// state is the letter of a process's state: T for one that is held, empty for one that is gone.
-func state(pid int) string {
+// processState is the letter of a process's processState: T for one that is held, empty for one that is gone.
+func processState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
@@ -39,11 +39,11 @@
 	return rest[:1]
 }
 
-// present is the process that there is and its state, as of one moment of the run.
-func (p *process) present() (pid int, is string, now float64) {
+// current is the process that there is and its state, as of one moment of the run.
+func (p *process) current() (pid int, state string, now float64) {
 	p.run.mu.Lock()
 	defer p.run.mu.Unlock()
-	return p.cmd.Process.Pid, state(p.cmd.Process.Pid), p.run.Now()
+	return p.cmd.Process.Pid, processState(p.cmd.Process.Pid), p.run.Now()
 }
 
 // starts is how many processes have begun.
@@ -52,33 +52,33 @@
 	return strings.Count(string(text), "\n")
 }
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 func TestAShorterStallDoesNotEndALongerOne(t *testing.T) {
-	p := sleeper(t)
+	p := startSleepingProcess(t)
 	p.run.mu.Lock()
 	until := p.run.Now() + 0.5
 	p.stall(until)
 	p.stall(p.run.Now() + 0.1)
 	p.run.mu.Unlock()
-	require.Eventually(t, func() bool { _, is, _ := p.present(); return is == "T" }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { _, is, _ := p.current(); return is == "T" }, testTimeout, time.Millisecond)
 	for {
-		_, is, now := p.present()
+		_, state, now := p.current()
 		if now >= until {
 			break
 		}
-		require.Equal(t, "T", is, "%.2f s before the end", until-now)
+		require.Equal(t, "T", state, "%.2f s before the end", until-now)
 		time.Sleep(5 * time.Millisecond)
 	}
-	require.Eventually(t, func() bool { _, is, _ := p.present(); return is != "T" }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { _, is, _ := p.current(); return is != "T" }, testTimeout, time.Millisecond)
 }
 
 // Whatever comes first: the process that follows a kill begins at the end of the stall, and there is but one.
 func TestAProcessThatFollowsAKillBeginsAtTheEndOfAStall(t *testing.T) {
 	for _, killFirst := range []bool{true, false} {
-		p := sleeper(t)
-		require.Eventually(t, func() bool { return p.starts() == 1 }, patience, time.Millisecond)
-		first, _, _ := p.present()
+		p := startSleepingProcess(t)
+		require.Eventually(t, func() bool { return p.starts() == 1 }, testTimeout, time.Millisecond)
+		first, _, _ := p.current()
 		p.run.mu.Lock()
 		until := p.run.Now() + restartDelay + 0.5
 		if killFirst {
@@ -89,19 +89,19 @@
 		p.kill()
 		p.run.mu.Unlock()
 		for {
-			pid, _, now := p.present()
+			pid, _, now := p.current()
 			if now >= until {
 				break
 			}
 			require.Equal(t, first, pid, "another process began %.2f s before the end of the standstill", until-now)
 			time.Sleep(5 * time.Millisecond)
 		}
-		require.Eventually(t, func() bool { return p.starts() == 2 }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return p.starts() == 2 }, testTimeout, time.Millisecond)
 		time.Sleep(200 * time.Millisecond) // the other kills' processes would begin at the same moment
 		require.Equal(t, 2, p.starts())
-		pid, is, _ := p.present()
+		pid, state, _ := p.current()
 		require.NotEqual(t, first, pid)
-		require.NotEqual(t, "T", is)
+		require.NotEqual(t, "T", state)
 	}
 }
 
@@ -118,9 +118,9 @@
 	r, err := Real{Program: program, Folder: t.TempDir(), Memory: 64, Sockets: 256}.Play(context.Background(), s, 1)
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
-	twin := Play(s, 1, SchedulerPolicy)
-	require.Equal(t, twin.Messages, r.Messages, "the same load")
-	require.Greater(t, twin.Late, twin.Messages/5)
+	simulated := Play(s, 1, SchedulerPolicy)
+	require.Equal(t, simulated.Messages, r.Messages, "the same load")
+	require.Greater(t, simulated.Late, simulated.Messages/5)
 	require.Greater(t, r.Late, r.Messages/5, "the stall is seen")
-	t.Logf("on sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, twin.G, twin.Late)
+	t.Logf("on sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, simulated.G, simulated.Late)
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -44,7 +44,7 @@
 	drainTime      = 2.0    // until an endpoint that drains leaves
 	reapedIdleTime = 0.5    // connections that were idle for longer are dead while a reap fault is on
 	messageSize    = 500    // bytes, as the scheduler counts them
-	roundUp        = 0.999999
+	roundUpOffset  = 0.999999
 	clockTolerance = 1e-9
 )
 
@@ -61,20 +61,20 @@
 // simRun is one run on the simulated clock.
 type simRun struct {
 	clock.Queue
-	scenario      *scenario.Scenario
-	newPolicy     PolicyFactory
-	loadRandom    *rand.Rand
-	networkRandom *rand.Rand // of clients and the network
-	log           *audit.Log
-	destinations  []*receiver.Destination
-	group         []int // by destination: index of its scenario.Receiver
-	forwarders    []*forwarder
-	effects       map[uint64]*effect     // by the id of each of its messages
-	submissions   map[uint64]*submission // by id
-	lastID        uint64
-	reapFaults    int // that are on
-	listFaults    int // that are on
-	result        *Result
+	scenario         *scenario.Scenario
+	newPolicy        PolicyFactory
+	loadRandom       *rand.Rand
+	networkRandom    *rand.Rand // of clients and the network
+	log              *audit.Log
+	destinations     []*receiver.Destination
+	group            []int // by destination: index of its scenario.Receiver
+	forwarders       []*forwarder
+	effects          map[uint64]*effect     // by the id of each of its messages
+	submissions      map[uint64]*submission // by id
+	lastID           uint64
+	activeReapFaults int // that are on
+	activeListFaults int // that are on
+	result           *Result
 }
 
 // Play plays a scenario with a seed.
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -26,11 +26,11 @@
 }
 
 func violationsByRule(r *Result) map[audit.Rule]int {
-	n := map[audit.Rule]int{}
+	count := map[audit.Rule]int{}
 	for _, b := range r.Violations {
-		n[b.Rule]++
+		count[b.Rule]++
 	}
-	return n
+	return count
 }
 
 func TestTheSchedulerKeepsTheRulesInEachBuiltinScenario(t *testing.T) {
@@ -64,30 +64,30 @@
 // A forwarder that breaks one rule is caught at it, by that rule.
 func TestTheAuditCatchesEachRuleBrokenOnPurpose(t *testing.T) {
 	for _, c := range []struct {
-		fault misbehavior
-		scene string
-		rule  audit.Rule
+		misbehavior misbehavior
+		scenario    string
+		rule        audit.Rule
 	}{{overlapsAttempts, "calm", audit.RuleNoDoubleEffect}, {breaksKeyOrder, "one-partner-hangs", audit.RuleKeyOrder}, {ignoresRetryAfter, "limits-cut", audit.RuleRetryAfterHeeded},
 		{callsDraining, "drains", audit.RuleDrainObserved}, {answersTwice, "one-partner-hangs", audit.RuleOneAnswer}, {neverAnswers, "one-partner-hangs", audit.RuleOneAnswer},
-		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {behaves, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
+		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {noMisbehavior, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
 		var s *scenario.Scenario
-		if c.scene == "drains" {
+		if c.scenario == "drains" {
 			s = readScenario(t, "calm")
 			s.Faults = []scenario.Fault{{Kind: "drain", At: 10, For: 5, Destinations: []int{0, 1}, Endpoints: []int{0}}}
 		} else {
-			s = readScenario(t, c.scene)
+			s = readScenario(t, c.scenario)
 		}
-		make := func(fault misbehavior) PolicyFactory {
+		newPolicy := func(fault misbehavior) PolicyFactory {
 			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
 				p := newBaseline(settings, now, h)
 				p.misbehavior = fault
 				return p
 			}
 		}
-		n := violationsByRule(Play(s, 1, make(c.fault)))
-		require.NotZero(t, n[c.rule], "%d in %s: %v", c.fault, c.scene, n)
-		if c.fault != behaves {
-			require.Zero(t, violationsByRule(Play(s, 1, make(behaves)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
+		n := violationsByRule(Play(s, 1, newPolicy(c.misbehavior)))
+		require.NotZero(t, n[c.rule], "%d in %s: %v", c.misbehavior, c.scenario, n)
+		if c.misbehavior != noMisbehavior {
+			require.Zero(t, violationsByRule(Play(s, 1, newPolicy(noMisbehavior)))[c.rule], "without the fault %d in %s", c.misbehavior, c.scenario)
 		}
 	}
 }
@@ -96,10 +96,10 @@
 func TestTheOracleIsACeiling(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		s := readScenario(t, name)
-		top := Play(s, 1, Baselines["oracle"])
-		module := Play(s, 1, SchedulerPolicy)
-		require.Greater(t, top.G, module.G-0.01, name)
-		t.Logf("%-32s oracle %.3f module %.3f fifo %.3f", name, top.G, module.G, Play(s, 1, Baselines["fifo"]).G)
+		oracle := Play(s, 1, Baselines["oracle"])
+		underTest := Play(s, 1, SchedulerPolicy)
+		require.Greater(t, oracle.G, underTest.G-0.01, name)
+		t.Logf("%-32s oracle %.3f module %.3f fifo %.3f", name, oracle.G, underTest.G, Play(s, 1, Baselines["fifo"]).G)
 	}
 }
 
@@ -118,10 +118,10 @@
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
 	require.Greater(t, r.Messages, 150)
-	twin := Play(s, 1, SchedulerPolicy)
-	require.Equal(t, twin.Messages, r.Messages, "the same load")
-	require.InDelta(t, twin.G, r.G, 0.15)
-	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
+	simulated := Play(s, 1, SchedulerPolicy)
+	require.Equal(t, simulated.Messages, r.Messages, "the same load")
+	require.InDelta(t, simulated.G, r.G, 0.15)
+	t.Logf("on sockets %.3f, simulated %.3f", r.G, simulated.G)
 }
 
 // drawScenario draws a scenario: some receivers, some faults.
@@ -152,20 +152,20 @@
 func TestTheAuditReportsNoViolationOfTheScheduler(t *testing.T) {
 	base := readScenario(t, "calm")
 	var wg sync.WaitGroup
-	accused := make([]string, 200)
+	violations := make([]string, 200)
 	slots := make(chan struct{}, 4)
-	for seed := range accused {
+	for seed := range violations {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			s := drawScenario(base, uint64(seed))
 			if r := Play(s, uint64(seed), SchedulerPolicy); len(r.Violations) > 0 {
-				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
+				violations[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
 		})
 	}
 	wg.Wait()
-	for _, a := range accused {
+	for _, a := range violations {
 		require.Empty(t, a)
 	}
 }
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -42,7 +42,7 @@
 	count       int
 }
 
-func (c *startsDuringStall) make(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
+func (c *startsDuringStall) newPolicy(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	if now > startTime+c.from && now < startTime+c.until {
 		c.count++
 	}
@@ -52,7 +52,7 @@
 // A stall is the forwarder's, not one process's: no process begins in it, whatever comes first.
 func TestAProcessStartedDuringAStallBeginsAtItsEnd(t *testing.T) {
 	c := &startsDuringStall{from: 10, until: 20}
-	r := Play(stallScenario(t), 1, c.make)
+	r := Play(stallScenario(t), 1, c.newPolicy)
 	require.Zero(t, c.count)
 	require.Greater(t, r.Late, 100, "the stall is seen")
 }
