--- a/lab/audit/judge.go
+++ b/lab/audit/judge.go
@@ -43,10 +43,10 @@
 const orderTolerance = 1e-9
 
 // checkKeyOrder reports messages of an ordering key that were sent while an earlier message still blocked the key. A
-// message blocks its key until its final answer and, if one of its attempts ended with an unknown outcome (a time-out, a
-// reset or a malformed answer), until the key's cooldown has passed since. A forwarder has no control over what such an
-// attempt does after that, as the operators' page states ("the attempt may still be executing; later requests for that
-// key shall therefore wait a further KeyCooldown").
+// message blocks its key until its final answer and, if one of its attempts ended with an unknown outcome (a time-out,
+// a reset, a malformed answer or a broken connection), until the key's cooldown has passed since. A forwarder has no
+// control over what such an attempt does after that, as the operators' page states ("the attempt may still be
+// executing; later requests for that key shall therefore wait a further KeyCooldown").
 func (l *Log) checkKeyOrder() {
 	byKey := map[uint64][]*Message{}
 	var keys []uint64
--- a/lab/receiver/call.go
+++ b/lab/receiver/call.go
@@ -5,33 +5,34 @@
 // Message is a message as a receiver sees it.
 type Message struct {
 	ID                  uint64
-	IdempotencyKey      uint64  // 0: it has none
-	DeduplicationWindow float64 // seconds for which the key is known, from the execution on
-	DeduplicatedPerZone bool    // the key is known in the zone of the execution only
+	IdempotencyKey      uint64  // 0 means none
+	DeduplicationWindow float64 // seconds for which the key is remembered after the execution
+	DeduplicatedPerZone bool    // the key is remembered only in the zone of the execution
 	Tenant              int
 }
 
-// Call is one call on its way through an endpoint.
+// Call is one call to an endpoint.
 type Call struct {
 	Forwarder int
 	Messages  []Message
-	Answer    func(Answer) // called at most once; never if the answer gets lost
+	Answer    func(Answer) // called at most once, and never if the answer is lost
 
 	endpoint   *Endpoint
 	receivedAt float64
 	queued     bool
-	finished   bool // answered, or its caller has gone
+	finished   bool // answered, or cancelled by the caller
 }
 
-// Answer is what a caller gets.
+// Answer is the answer to a call, as the caller receives it.
 type Answer struct {
 	Code              transport.ResultCode
 	RetryAfter        float64 // seconds, with transport.ResultRetryAfter
-	ReportedLimit     float64 // calls a second; below 0: it is reported that there is no limit; 0: nothing is reported
-	ReportedRemaining float64 // the remaining share of the limit, in the form of scheduler.AttemptResult
+	ReportedLimit     float64 // calls per second; negative means reported as unlimited, 0 not reported
+	ReportedRemaining float64 // remaining share of the limit, encoded as in scheduler.AttemptResult
 }
 
-// Cancel says that the caller has gone. A call that is queued is not executed; one that is being executed runs on.
+// Cancel must be called when the caller closes the connection. A queued call is then not executed; a call that is
+// already being executed continues.
 func (c *Call) Cancel() {
 	c.finished = true
 	if !c.queued {
@@ -47,7 +48,7 @@
 	}
 }
 
-// finish answers the call, unless it was answered or its caller has gone.
+// finish answers the call unless it has been answered or cancelled.
 func (c *Call) finish(a Answer) {
 	if !c.finished {
 		c.finished = true
--- a/lab/receiver/clock.go
+++ b/lab/receiver/clock.go
@@ -1,10 +1,11 @@
 package receiver
 
-// Clock is the time of a model, in seconds. On a simulated clock After's functions run in order of time; on a real one
-// all of the model's calls have to be made under one lock, which After takes.
+// Clock is the clock of a model, in seconds. A simulated clock runs the functions passed to After in order of time.
+// With a real clock, all methods of the model must be called with one lock held, which After acquires before it runs a
+// function.
 type Clock interface {
-	// Now is the present moment.
+	// Now returns the current time.
 	Now() float64
-	// After runs a function after so many seconds.
+	// After runs a function after the given delay.
 	After(seconds float64, do func())
 }
--- a/lab/receiver/deduplicator.go
+++ b/lab/receiver/deduplicator.go
@@ -1,18 +1,18 @@
 package receiver
 
-// deduplicationMargin is how many seconds beyond its window a key is remembered: calls that came in time may be
-// executed so much later.
+// deduplicationMargin is the number of seconds for which a key is stored beyond its window, because calls that arrived
+// within the window may be executed that much later.
 const deduplicationMargin = 120
 
-// deduplicator remembers idempotency keys from their execution on, which is never less than a forwarder counts on, as
-// it only knows when it sent them.
+// deduplicator remembers idempotency keys for their window, counted from the execution. Forwarders count the window
+// from the time they sent the call, so a key is never forgotten earlier than they expect.
 type deduplicator struct {
 	knownUntil map[uint64]float64
 	order      []uint64
 }
 
-// firstSeen tells whether a key is new to a call that came at a moment and has been executed by now, and remembers it.
-// The key is looked up as of the call's arrival: a call that a hang held up is judged by what was known then.
+// firstSeen remembers the key of a call that has just been executed, and reports whether the key was unknown when the
+// call arrived. The time of arrival counts so that a hang, which delays the execution, does not change the result.
 func (d *deduplicator) firstSeen(key uint64, receivedAt, now, window float64) bool {
 	for len(d.order) > 0 && d.knownUntil[d.order[0]] <= now-deduplicationMargin {
 		delete(d.knownUntil, d.order[0])
--- a/lab/receiver/endpoint.go
+++ b/lab/receiver/endpoint.go
@@ -13,29 +13,32 @@
 	Number      int
 	Zone        int
 	Fault       Fault
-	Approaching int // calls on their way to it, which Ready takes into account
+	Approaching int // calls sent to the endpoint that have not arrived; set by the simulator, used by Ready
+
+	// With Behavior.EndpointLimits; otherwise those of the Destination are used.
+	limit    rateLimiter
+	recent   recentCalls
+	informed map[int]bool
 
-	limit       rateLimiter  // with Behavior.EndpointLimits
-	recent      recentCalls  // with Behavior.EndpointLimits
-	informed    map[int]bool // with Behavior.EndpointLimits
 	inService   int
 	queue       []*Call
 	executing   []*Call
-	hung        []*Call // accepted while it hangs
-	outages     int     // that are on
-	recoveredAt float64 // begin of its slow start; 0: it is not in one
+	hung        []*Call // accepted during a hang
+	outages     int     // number of outages in effect
+	recoveredAt float64 // start of the slow start; 0 means not in slow start
 }
 
-// Connectivity tells whether a connection to the endpoint comes up: refused is the immediate refusal, silent is no
-// answer at all.
+// Connectivity reports what prevents a connection to the endpoint from being established: refused means that it is
+// refused immediately, silent that there is no answer at all.
 func (e *Endpoint) Connectivity() (refused, silent bool) {
 	return e.outages > 0 || e.Fault.Removed, e.Fault.Silences > 0
 }
 
-// InService is how many calls the endpoint executes, hanging ones included.
+// InService returns the number of calls that the endpoint is executing, including hung ones.
 func (e *Endpoint) InService() int { return e.inService }
 
-// Accept takes a call whose last byte has come. The caller has seen by Connectivity that the connection came up.
+// Accept receives a call, after its last byte has arrived. The caller must first check by Connectivity that the
+// connection could be established.
 func (e *Endpoint) Accept(c *Call) {
 	d := e.Destination
 	now := d.clock.Now()
@@ -43,7 +46,7 @@
 	d.recorder.CallReceived(d.Number, e.Number, c.Forwarder, c.Messages)
 	switch refused, silent := e.Connectivity(); {
 	case silent:
-		return // as if it had never come
+		return // as if the call had never arrived
 	case refused:
 		c.finish(Answer{Code: transport.ResultClosed})
 		return
@@ -73,7 +76,7 @@
 	}
 }
 
-// rateLimiter is the limit that the endpoint's calls count against.
+// rateLimiter returns the limiter that applies to the endpoint's calls.
 func (e *Endpoint) rateLimiter() *rateLimiter {
 	if e.Destination.Behavior.EndpointLimits {
 		return &e.limit
@@ -81,7 +84,7 @@
 	return &e.Destination.limit
 }
 
-// rejection is the answer to a call that the limit does not admit for so many seconds.
+// rejection returns the answer to a call that the limit would admit only after wait seconds.
 func (e *Endpoint) rejection(forwarder int, wait float64) Answer {
 	d := e.Destination
 	a := Answer{Code: transport.ResultOverloaded}
@@ -92,7 +95,7 @@
 	return e.withLimitReport(a)
 }
 
-// withLimitReport adds the report of the limit to an answer, if the endpoint reports it.
+// withLimitReport adds the reported limit to an answer if the endpoint reports limits.
 func (e *Endpoint) withLimitReport(a Answer) Answer {
 	behavior := &e.Destination.Behavior
 	if !behavior.ReportsLimit {
@@ -110,7 +113,7 @@
 	return a
 }
 
-// execute executes a call for which there is concurrency.
+// execute executes a call, which the caller has counted in inService.
 func (e *Endpoint) execute(c *Call) {
 	d := e.Destination
 	if e.Fault.Hangs > 0 {
@@ -140,7 +143,7 @@
 	})
 }
 
-// startNext executes the next call of the queue in place of one that has ended.
+// startNext executes the next queued call, if any, in place of one that has ended.
 func (e *Endpoint) startNext() {
 	if len(e.queue) == 0 || e.outages > 0 {
 		e.inService--
@@ -152,8 +155,8 @@
 	e.execute(c)
 }
 
-// Ready tells whether a call that came now would be executed at once and answered well. No forwarder can know it: it
-// serves the oracle that others are compared with.
+// Ready reports whether a call that arrives now would be executed immediately and answered successfully. Forwarders
+// cannot know this; only the oracle baseline uses it.
 func (e *Endpoint) Ready(forwarder int) bool {
 	d, f := e.Destination, &e.Fault
 	refused, silent := e.Connectivity()
--- a/lab/receiver/fault.go
+++ b/lab/receiver/fault.go
@@ -2,29 +2,29 @@
 
 import "spanflow/transport"
 
-// mostlyFailsFraction is the fraction of failures above which it does not pay to try an endpoint.
+// mostlyFailsFraction is the fraction of failed calls above which calling an endpoint is not worthwhile.
 const mostlyFailsFraction = 0.6
 
-// Fault is what is wrong with an endpoint now. Several faults may be on at once.
+// Fault describes the faults of an endpoint that are currently in effect. Several can be in effect at once.
 type Fault struct {
-	Hangs             int     // hangs that are on: it executes nothing; what came meanwhile is executed afterwards
-	Silences          int     // silences that are on: nothing comes in or goes out
-	SlowFactor        float64 // service times are multiplied by it; 0: it is not slow
-	SlowTenant        int     // slow for this tenant only, if above 0: its number plus one
-	ErrorFraction     float64 // of calls that end with an error, half of them after their execution
-	ResetFraction     float64 // of calls whose connection breaks, half of them after their execution
-	LostFraction      float64 // of answers that get lost after the execution
-	MalformedFraction float64 // of answers that cannot be read
-	LimitFraction     float64 // of the usual limit that is in force; 0: all of it
-	EveryNth          int     // gray failure: only one of so many calls is affected by the four fractions above; 0: all
-	OddForwarders     bool    // gray failure: only calls of forwarders with odd numbers are
+	Hangs             int     // hangs in effect: calls that arrive during a hang are executed after its end
+	Silences          int     // silences in effect: nothing is received or sent
+	SlowFactor        float64 // multiplies service times; 0 means not slow
+	SlowTenant        int     // number plus 1 of the only tenant with slow service; 0 means all tenants
+	ErrorFraction     float64 // fraction of calls that end with an error, half of them after their execution
+	ResetFraction     float64 // fraction of calls whose connection breaks, half of them after their execution
+	LostFraction      float64 // fraction of calls whose answer is lost after the execution
+	MalformedFraction float64 // fraction of calls whose answer is malformed
+	LimitFraction     float64 // fraction of the usual limit that remains in force; 0 means all of it
+	EveryNth          int     // gray failure: the four fractions above affect every n-th call only; 0 means all calls
+	OddForwarders     bool    // gray failure: the same fractions affect calls of odd-numbered forwarders only
 	Draining          bool
 	Removed           bool
 
 	affectedCalls int // for EveryNth
 }
 
-// MostlyFails tells whether so many calls fail that it does not pay to try the endpoint: that counts as an outage too.
+// MostlyFails reports whether so many calls fail that calling the endpoint is not worthwhile. This counts as an outage.
 func (f *Fault) MostlyFails() bool {
 	fraction := f.failingFraction() / float64(max(1, f.EveryNth))
 	if f.OddForwarders { // about half of the forwarders are affected
@@ -33,12 +33,12 @@
 	return fraction > mostlyFailsFraction
 }
 
-// failingFraction is the fraction of failures among the calls that are affected.
+// failingFraction returns the fraction of failures among the affected calls.
 func (f *Fault) failingFraction() float64 {
 	return f.ErrorFraction + f.ResetFraction + f.LostFraction + f.MalformedFraction
 }
 
-// slows tells whether a call takes longer than usual.
+// slows reports whether SlowFactor applies to a call.
 func (f *Fault) slows(c *Call) bool {
 	if f.SlowFactor <= 0 {
 		return false
@@ -46,7 +46,8 @@
 	return f.SlowTenant == 0 || len(c.Messages) > 0 && c.Messages[0].Tenant == f.SlowTenant-1
 }
 
-// drawOutcome draws what faults do to a call: how it ends, whether it is executed, and whether its answer gets lost.
+// drawOutcome draws the effect of the faults on a call: its result, whether it is executed, and whether its answer is
+// lost.
 func (e *Endpoint) drawOutcome(c *Call) (code transport.ResultCode, executed, answerLost bool) {
 	f := &e.Fault
 	if f.failingFraction() == 0 || f.OddForwarders && c.Forwarder%2 == 0 {
--- a/lab/receiver/outage.go
+++ b/lab/receiver/outage.go
@@ -6,8 +6,8 @@
 	"spanflow/transport"
 )
 
-// BeginOutage begins an outage: connections are refused, and the calls at the endpoint end. What it executes runs on,
-// and its answers get lost.
+// BeginOutage begins an outage: connections are refused, and all calls at the endpoint end with a closed connection.
+// Calls that are already being executed continue, but their answers are lost.
 func (e *Endpoint) BeginOutage() {
 	e.outages++
 	for _, c := range e.queue {
@@ -21,14 +21,14 @@
 	e.recent = recentCalls{}
 }
 
-// EndOutage ends one outage; with the last one the endpoint begins its slow start.
+// EndOutage ends one outage. When no other is in effect, the endpoint begins its slow start.
 func (e *Endpoint) EndOutage() {
 	if e.outages--; e.outages == 0 {
 		e.Recover()
 	}
 }
 
-// EndHang ends one hang; with the last one the calls that came meanwhile are executed.
+// EndHang ends one hang. When no other is in effect, the endpoint begins its slow start and executes the hung calls.
 func (e *Endpoint) EndHang() {
 	if e.Fault.Hangs--; e.Fault.Hangs > 0 {
 		return
@@ -41,7 +41,7 @@
 	}
 }
 
-// Recover says that an outage is over: the endpoint is in slow start from here on.
+// Recover begins the endpoint's slow start at the end of an outage.
 func (e *Endpoint) Recover() {
 	d := e.Destination
 	e.recoveredAt = d.clock.Now()
@@ -52,7 +52,8 @@
 	d.recorder.EndpointRecovered(d.Number, e.Number)
 }
 
-// capacityFraction is the fraction of its capacity that the endpoint has now.
+// capacityFraction returns the fraction of its full capacity that the endpoint has now. It rises linearly during the
+// slow start.
 func (e *Endpoint) capacityFraction() float64 {
 	behavior := &e.Destination.Behavior
 	if e.recoveredAt == 0 || behavior.SlowStartDuration <= 0 {
@@ -66,13 +67,13 @@
 	return behavior.SlowStartFraction + (1-behavior.SlowStartFraction)*progress
 }
 
-// inOutage tells whether an outage, or what counts as one, is on.
+// inOutage reports whether the endpoint is in an outage, or has a fault that counts as one.
 func (e *Endpoint) inOutage() bool {
 	return e.outages > 0 || e.Fault.Hangs > 0 || e.Fault.Silences > 0 || e.Fault.MostlyFails()
 }
 
-// ForwarderSawFailure says that a forwarder has seen a call to the endpoint fail or be refused. It counts only while
-// the outage lasts.
+// ForwarderSawFailure records that a forwarder's call to the endpoint failed or was refused. It counts only during an
+// outage.
 func (e *Endpoint) ForwarderSawFailure(forwarder int) {
 	if !e.inOutage() {
 		return
@@ -84,8 +85,8 @@
 	(*informed)[forwarder] = true
 }
 
-// overloadState is which forwarders have seen the latest outage, the calls that came since, and how many endpoints
-// share both.
+// overloadState returns the forwarders that have seen the latest outage (informed), the recent calls since then, and
+// the number of endpoints that share both.
 func (e *Endpoint) overloadState() (informed *map[int]bool, recent *recentCalls, endpoints int) {
 	d := e.Destination
 	if d.Behavior.EndpointLimits {
@@ -99,8 +100,8 @@
 	return &d.informed, &d.recent, endpoints
 }
 
-// overloads counts a call that came during the slow start, and tells whether it makes the endpoint fail and which
-// fraction of the calls counted came from forwarders that had seen the outage.
+// overloads counts a call if the endpoint is in slow start. It reports whether the call makes the endpoint fail, and
+// the fraction of the counted calls that came from forwarders that had seen the outage.
 func (e *Endpoint) overloads(forwarder int) (overloaded bool, informed float64) {
 	d, fraction := e.Destination, e.capacityFraction()
 	if fraction >= 1 || d.Behavior.OverloadMultiple <= 0 {
@@ -111,14 +112,15 @@
 	return calls > d.overloadAllowance(fraction, endpoints), informed / calls
 }
 
-// overloadAllowance is how many calls may come within any window in slow start, at a fraction of the capacity of so
-// many endpoints: the budget, a multiple of what the present capacity does in a window, and what is put down to chance.
+// overloadAllowance returns the number of calls that a number of endpoints tolerate within any OverloadWindow while
+// they have the given fraction of their capacity. It is a budget, OverloadMultiple times the calls that they can
+// execute in the window, plus an allowance for random variation.
 func (d *Destination) overloadAllowance(fraction float64, endpoints int) float64 {
 	budget := d.Behavior.OverloadMultiple * fraction * d.capacity(endpoints) * d.Behavior.OverloadWindow
 	return budget + 2*math.Sqrt(budget) + 2
 }
 
-// wouldOverload tells whether so many further calls would make the endpoint fail.
+// wouldOverload reports whether the given number of further calls would make the endpoint fail.
 func (e *Endpoint) wouldOverload(calls int, now float64) bool {
 	d, fraction := e.Destination, e.capacityFraction()
 	if fraction >= 1 || d.Behavior.OverloadMultiple <= 0 {
@@ -134,7 +136,7 @@
 	return float64(calls) > d.overloadAllowance(fraction, endpoints)
 }
 
-// fail makes the endpoint, or all of its destination that share its limits, go down.
+// fail begins an outage of the endpoint and of all endpoints that share its limits.
 func (e *Endpoint) fail(informed float64) {
 	d := e.Destination
 	d.recorder.EndpointOverloaded(d.Number, e.Number, informed)
@@ -146,13 +148,13 @@
 	}
 }
 
-// recentCalls is the calls within the past window, and which of them came from forwarders that had seen the outage.
+// recentCalls holds the calls within the past OverloadWindow.
 type recentCalls struct {
 	at       []float64
-	informed []bool
+	informed []bool // whether the call came from a forwarder that had seen the outage
 }
 
-// add counts a call and returns how many there are in the window, and how many of them are informed.
+// add counts a call and returns the number of calls in the window, and how many of them came from informed forwarders.
 func (r *recentCalls) add(now, window float64, isInformed bool) (all, informed float64) {
 	for len(r.at) > 0 && r.at[0] <= now-window {
 		r.at, r.informed = r.at[1:], r.informed[1:]
--- a/lab/receiver/ratelimiter.go
+++ b/lab/receiver/ratelimiter.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// tokenTolerance is by how much a token may be short for rounding.
+// tokenTolerance is the fraction of a token that may be missing because of rounding.
 const tokenTolerance = 1e-9
 
-// rateLimiter is a rate (a token bucket), a count within a window, or both.
+// rateLimiter limits the rate of calls (by a token bucket), the number of calls within a sliding window, or both.
 type rateLimiter struct {
 	tokens, refilledAt float64
-	admitted           []float64 // when each call within the window was admitted
+	admitted           []float64 // admission times of the calls within the window
 }
 
 // reset fills the token bucket.
@@ -16,8 +16,8 @@
 	l.tokens, l.refilledAt = math.Max(1, b.Burst), now
 }
 
-// remaining is the share of the limit that is left now, the smaller one where there are two. fraction is that of the
-// usual limit that is in force, 0 for all of it.
+// remaining returns the unused share of the limit, or the smaller share if there are two limits. fraction is the
+// fraction of the usual limit that is in force; 0 means all of it.
 func (l *rateLimiter) remaining(b *Behavior, fraction, now float64) float64 {
 	if fraction == 0 {
 		fraction = 1
@@ -38,8 +38,8 @@
 	return math.Max(0, remaining)
 }
 
-// admit admits a call, or tells after how many seconds one would be. fraction is that of the usual limit that is in
-// force, 0 for all of it.
+// admit admits a call, or returns full and the number of seconds until a call would be admitted. fraction is the
+// fraction of the usual limit that is in force; 0 means all of it.
 func (l *rateLimiter) admit(b *Behavior, fraction, now float64) (wait float64, full bool) {
 	if fraction == 0 {
 		fraction = 1
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -1,34 +1,33 @@
-// Package receiver is the model of a destination's endpoints: their concurrency and queues, limits, outages and
-// recovery, and faults. It does no I/O and reads no clock but the one it is given, so that simulated runs and real
-// sockets share it.
+// Package receiver models the endpoints of destinations: concurrency, queues, limits, outages, recovery and faults. It
+// does no I/O and reads only the clock passed to it, so simulated runs and runs on real sockets share it.
 package receiver
 
 import (
 	"math/rand/v2"
 )
 
-// Behavior says how the endpoints of one destination behave.
+// Behavior describes how the endpoints of a destination behave without faults.
 type Behavior struct {
-	Service     Distribution // time that one call takes
+	Service     Distribution // service time of a call
 	Concurrency int          // calls that an endpoint executes at once
-	Queue       int          // calls that wait at an endpoint beyond them; more are rejected as overload
+	Queue       int          // further calls that an endpoint queues before it answers that it is overloaded
 
-	Rate              float64 // calls a second that the limit admits, 0: no such limit
-	Burst             float64 // calls that it admits at once after a pause; 0: one
-	WindowCalls       int     // calls admitted within any Window, 0: no such limit
+	Rate              float64 // rate limit in calls per second; 0 means none
+	Burst             float64 // size of the rate limit's token bucket; 0 means 1
+	WindowCalls       int     // limit of calls within any Window; 0 means none
 	Window            float64 // seconds
-	EndpointLimits    bool    // each endpoint has a limit and outages of its own; else the destination has them
-	ReportsRetryAfter bool    // a call that the limit rejects is answered with the time to wait
-	ReportsLimit      bool    // answers report the limit and what is left of it
+	EndpointLimits    bool    // limits and overload outages are per endpoint instead of per destination
+	ReportsRetryAfter bool    // calls rejected by a limit are answered with a Retry-After
+	ReportsLimit      bool    // answers report the limit and its remaining share
 
-	SlowStartFraction float64 // fraction of its capacity that an endpoint has right after an outage
-	SlowStartDuration float64 // seconds until it has all of it again
-	OverloadMultiple  float64 // an endpoint in slow start fails above this multiple of its present capacity,
-	OverloadWindow    float64 // counted over any span of so many seconds,
-	OverloadDowntime  float64 // and is down for so many seconds
+	SlowStartFraction float64 // fraction of the capacity right after an outage
+	SlowStartDuration float64 // seconds until the full capacity is reached again
+	OverloadMultiple  float64 // an endpoint in slow start fails above this multiple of its present capacity
+	OverloadWindow    float64 // seconds over which the calls in slow start are counted for OverloadMultiple
+	OverloadDowntime  float64 // seconds for which an overloaded endpoint is down
 }
 
-// sustainedRate is the calls a second that the limits admit in the long run, 0 if there is no limit.
+// sustainedRate returns the long-term rate that the limits admit, in calls per second, or 0 if there is no limit.
 func (b *Behavior) sustainedRate() float64 {
 	rate := b.Rate
 	if b.WindowCalls > 0 && (rate == 0 || float64(b.WindowCalls)/b.Window < rate) {
@@ -37,31 +36,31 @@
 	return rate
 }
 
-// Execution is what a receiver records of one executed message of a call. Times are those of the Clock.
+// Execution is a receiver's record of the execution of one message. Its times are those of the Clock.
 type Execution struct {
 	Message     Message
 	Destination int
 	Endpoint    int
-	Forwarder   int     // that sent the call
-	ReceivedAt  float64 // when the call's last byte came
+	Forwarder   int     // the forwarder that sent the call
+	ReceivedAt  float64 // arrival of the call's last byte
 	StartedAt   float64
 	EndedAt     float64
-	Effect      bool // false: its idempotency key was known
+	Effect      bool // false if the idempotency key was already known
 }
 
-// Recorder records what happens at receivers. Nothing of it comes from a forwarder. Destinations and endpoints are
-// named by number.
+// Recorder records events at receivers, independently of what forwarders report. Destinations and endpoints are
+// identified by number.
 type Recorder interface {
-	// CallReceived says that a call came in full, whatever becomes of it.
+	// CallReceived records that a call arrived completely, whether or not it is executed.
 	CallReceived(destination, endpoint, forwarder int, messages []Message)
-	// MessageExecuted says that a message was executed.
+	// MessageExecuted records the execution of a message.
 	MessageExecuted(Execution)
-	// EndpointOverloaded says that calls in its slow start made an endpoint fail; informed is the fraction of them that
-	// came from forwarders which had seen the outage before.
+	// EndpointOverloaded records that an endpoint failed because it received too many calls in its slow start. informed
+	// is the fraction of these calls that came from forwarders that had seen the outage.
 	EndpointOverloaded(destination, endpoint int, informed float64)
-	// RetryAfterSent says that a forwarder was sent a retry-after of so many seconds.
+	// RetryAfterSent records that a forwarder was answered with a Retry-After, in seconds.
 	RetryAfterSent(destination, endpoint, forwarder int, seconds float64)
-	// EndpointRecovered says that an endpoint answers again after an outage.
+	// EndpointRecovered records that an endpoint begins its slow start after an outage.
 	EndpointRecovered(destination, endpoint int)
 }
 
@@ -76,12 +75,12 @@
 	random        *rand.Rand
 	limit         rateLimiter
 	recent        recentCalls
-	deduplicators [2]deduplicator // by zone; keys that are known in all zones are in the first
-	informed      map[int]bool    // forwarders that have seen a call fail in the latest outage
+	deduplicators [2]deduplicator // by zone; the first also holds the keys that are known in all zones
+	informed      map[int]bool    // numbers of the forwarders that saw a call fail in the latest outage
 }
 
-// New makes a destination whose endpoints are spread evenly over zones. The clock, the random numbers and the recorder
-// may be shared with other destinations.
+// New returns a destination whose endpoints are spread evenly over the zones. The clock, the random number generator
+// and the recorder may be shared with other destinations.
 func New(number int, behavior Behavior, endpoints, zones int, clock Clock, random *rand.Rand, recorder Recorder) *Destination {
 	d := &Destination{Number: number, Behavior: behavior, clock: clock, recorder: recorder, random: random}
 	d.limit.reset(&behavior, clock.Now())
@@ -91,7 +90,7 @@
 	return d
 }
 
-// AddEndpoint adds an endpoint in a zone.
+// AddEndpoint adds an endpoint and gives it the next number of the destination.
 func (d *Destination) AddEndpoint(zone int) *Endpoint {
 	e := &Endpoint{Destination: d, Number: len(d.Endpoints), Zone: zone}
 	e.limit.reset(&d.Behavior, d.clock.Now())
@@ -99,7 +98,7 @@
 	return e
 }
 
-// ForwarderRestarted says that a forwarder starts anew and has seen no outage.
+// ForwarderRestarted records that a forwarder was restarted and no longer knows of any outage.
 func (d *Destination) ForwarderRestarted(forwarder int) {
 	delete(d.informed, forwarder)
 	for _, e := range d.Endpoints {
@@ -107,12 +106,12 @@
 	}
 }
 
-// capacity is the calls a second that so many of its endpoints execute at full capacity.
+// capacity returns the calls per second that the given number of endpoints can execute at full capacity.
 func (d *Destination) capacity(endpoints int) float64 {
 	return float64(endpoints*d.Behavior.Concurrency) / d.Behavior.Service.Mean
 }
 
-// recordExecution records an executed message and tells the recorder whether it had an effect.
+// recordExecution records the execution of a message, and whether it had an effect or was a duplicate.
 func (d *Destination) recordExecution(e *Endpoint, c *Call, message Message, startedAt float64) {
 	now, zone := d.clock.Now(), 0
 	if message.DeduplicatedPerZone {
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -13,7 +13,7 @@
 	"spanflow/transport"
 )
 
-// testRecorder is a record that sums up waits.
+// testRecorder sums up the queueing delays and keeps the first 10,000 executions.
 type testRecorder struct {
 	executed    int
 	totalWait   float64
@@ -23,49 +23,49 @@
 	executions  []receiver.Execution
 }
 
-func (n *testRecorder) CallReceived(int, int, int, []receiver.Message) {}
-func (n *testRecorder) MessageExecuted(r receiver.Execution) {
-	n.executed++
-	n.totalWait += r.StartedAt - r.ReceivedAt
-	if len(n.executions) < 10_000 {
-		n.executions = append(n.executions, r)
+func (recorder *testRecorder) CallReceived(int, int, int, []receiver.Message) {}
+func (recorder *testRecorder) MessageExecuted(r receiver.Execution) {
+	recorder.executed++
+	recorder.totalWait += r.StartedAt - r.ReceivedAt
+	if len(recorder.executions) < 10_000 {
+		recorder.executions = append(recorder.executions, r)
 	}
 }
-func (n *testRecorder) EndpointOverloaded(_, _ int, informed float64) {
-	n.overloads, n.informed = n.overloads+1, informed
+func (recorder *testRecorder) EndpointOverloaded(_, _ int, informed float64) {
+	recorder.overloads, recorder.informed = recorder.overloads+1, informed
 }
-func (n *testRecorder) RetryAfterSent(_, _, _ int, wait float64) {
-	n.retryAfters = append(n.retryAfters, wait)
+func (recorder *testRecorder) RetryAfterSent(_, _, _ int, wait float64) {
+	recorder.retryAfters = append(recorder.retryAfters, wait)
 }
-func (n *testRecorder) EndpointRecovered(int, int) {}
+func (recorder *testRecorder) EndpointRecovered(int, int) {}
 
-// simulateCalls sends calls by a rate and returns how each ended.
+// simulateCalls sends calls to an endpoint at a rate, as a Poisson process or evenly, and counts them by result code.
 func simulateCalls(settings receiver.Behavior, rate float64, calls int, even bool) (*testRecorder, map[transport.ResultCode]int) {
-	q, n, results := &clock.Queue{}, &testRecorder{}, map[transport.ResultCode]int{}
+	simClock, recorder, results := &clock.Queue{}, &testRecorder{}, map[transport.ResultCode]int{}
 	random := rand.New(rand.NewPCG(1, 2))
-	d := receiver.New(0, settings, 1, 1, q, random, n)
+	d := receiver.New(0, settings, 1, 1, simClock, random, recorder)
 	arrivals := load.Poisson(load.Shape{{Rate: rate}}, math.Inf(1), rand.New(rand.NewPCG(3, 4)))
 	if even {
 		arrivals = load.Even(load.Shape{{Rate: rate}}, math.Inf(1))
 	}
-	left := calls
+	remaining := calls
 	var next func()
 	next = func() {
 		at, _ := arrivals.Next()
-		q.At(at, func() {
-			d.Endpoints[0].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(left)}}, Answer: func(a receiver.Answer) { results[a.Code]++ }})
-			if left--; left > 0 {
+		simClock.At(at, func() {
+			d.Endpoints[0].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(remaining)}}, Answer: func(a receiver.Answer) { results[a.Code]++ }})
+			if remaining--; remaining > 0 {
 				next()
 			}
 		})
 	}
 	next()
-	for q.Step(math.Inf(1)) {
+	for simClock.Step(math.Inf(1)) {
 	}
-	return n, results
+	return recorder, results
 }
 
-// erlangB is the share of calls lost with c servers and an offered load of a.
+// erlangB returns the fraction of calls lost with c servers and an offered load of a erlangs (Erlang B formula).
 func erlangB(c int, a float64) float64 {
 	b := 1.0
 	for i := 1; i <= c; i++ {
@@ -74,7 +74,7 @@
 	return b
 }
 
-func TestWaitsAreThoseOfTheory(t *testing.T) {
+func TestQueueingDelayMatchesTheory(t *testing.T) {
 	const mean, calls = 0.1, 1_000_000
 	for _, c := range []struct {
 		servers     int
@@ -84,37 +84,37 @@
 		b := erlangB(c.servers, a)
 		erlangC := b / (1 - c.utilization*(1-b))
 		want := erlangC * mean / (float64(c.servers) * (1 - c.utilization))
-		n, _ := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: mean}, Concurrency: c.servers, Queue: 1 << 30}, a/mean, calls, false)
-		require.InEpsilon(t, want, n.totalWait/float64(n.executed), 0.03, "M/M/%d", c.servers)
+		recorder, _ := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: mean}, Concurrency: c.servers, Queue: 1 << 30}, a/mean, calls, false)
+		require.InEpsilon(t, want, recorder.totalWait/float64(recorder.executed), 0.03, "M/M/%d", c.servers)
 	}
-	n, _ := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
-	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), n.totalWait/float64(n.executed), 0.03, "M/D/1")
+	recorder, _ := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: mean}, Concurrency: 1, Queue: 1 << 30}, 0.7/mean, calls, false)
+	require.InEpsilon(t, 0.7*mean/(2*(1-0.7)), recorder.totalWait/float64(recorder.executed), 0.03, "M/D/1")
 }
 
-func TestLossesAreThoseOfTheory(t *testing.T) {
+func TestLossMatchesErlangB(t *testing.T) {
 	for _, c := range []struct {
-		places int
-		a      float64
+		servers int
+		offered float64
 	}{{1, 0.5}, {4, 3}, {10, 9}} {
-		_, ends := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: 0.1}, Concurrency: c.places}, c.a/0.1, 400_000, false)
-		require.InEpsilon(t, erlangB(c.places, c.a), float64(ends[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.places, c.places)
+		_, results := simulateCalls(receiver.Behavior{Service: receiver.Distribution{Form: "exponential", Mean: 0.1}, Concurrency: c.servers}, c.offered/0.1, 400_000, false)
+		require.InEpsilon(t, erlangB(c.servers, c.offered), float64(results[transport.ResultOverloaded])/400_000, 0.03, "M/M/%d/%d", c.servers, c.servers)
 	}
 }
 
-func TestALimitAdmitsExactlyItsRate(t *testing.T) {
+func TestRateLimitsAdmitExactlyTheirRate(t *testing.T) {
 	service := receiver.Distribution{Form: "fixed", Mean: 0.001}
-	_, ends := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
-	require.InDelta(t, 5+10*10, ends[transport.ResultOK], 1, "what it saved up and ten a second")
-	n, ends := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
-	require.Equal(t, 7*5, ends[transport.ResultOK], "seven in any two seconds")
-	require.Equal(t, 1000-35, ends[transport.ResultRetryAfter])
-	for i := range n.executions[7:] {
-		require.GreaterOrEqual(t, n.executions[i+7].ReceivedAt-n.executions[i].ReceivedAt, 2-1e-6)
+	_, results := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
+	require.InDelta(t, 5+10*10, results[transport.ResultOK], 1, "the burst and ten a second")
+	recorder, results := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
+	require.Equal(t, 7*5, results[transport.ResultOK], "seven in any two seconds")
+	require.Equal(t, 1000-35, results[transport.ResultRetryAfter])
+	for i := range recorder.executions[7:] {
+		require.GreaterOrEqual(t, recorder.executions[i+7].ReceivedAt-recorder.executions[i].ReceivedAt, 2-1e-6)
 	}
-	require.InDelta(t, 2-0.07, n.retryAfters[0], 1e-6, "the wait ends when the first of the seven is two seconds old")
+	require.InDelta(t, 2-0.07, recorder.retryAfters[0], 1e-6, "the Retry-After ends when the first of the seven calls is two seconds old")
 }
 
-// slowStartBehavior is that of an endpoint that executes 40 calls a second, and a quarter of that right after an outage.
+// slowStartBehavior describes an endpoint that executes 40 calls a second, and a quarter of that right after an outage.
 func slowStartBehavior() receiver.Behavior {
 	return receiver.Behavior{
 		Service:           receiver.Distribution{Form: "fixed", Mean: 0.1},
@@ -128,26 +128,27 @@
 	}
 }
 
-// At full capacity it executes 40 a second; right after an outage its budget is twice a quarter of that, 20 a second,
-// for any second and a half, and twice the root of the budget and two more calls are put down to chance.
-func TestAnEndpointInSlowStartFailsWhenOverloadedAndNotBefore(t *testing.T) {
+// The full capacity is 40 calls a second. Right after an outage the budget is twice a quarter of that, 20 calls a
+// second, over any 1.5 seconds. The allowance for random variation is twice the square root of the budget plus two
+// calls.
+func TestSlowStartOverload(t *testing.T) {
 	settings := slowStartBehavior()
 	for _, c := range []struct {
 		rate       float64
 		calls      int
-		informed   float64 // share of the calls that comes from forwarders which met the outage
+		informed   float64 // fraction of the calls from forwarders that saw the outage
 		overloaded bool
 	}{{15, 60, 1, false}, {30, 60, 1, false}, {60, 60, 1, true}, {60, 60, 0.5, true}, {60, 30, 1, false}} {
-		q, n := &clock.Queue{}, &testRecorder{}
-		d := receiver.New(0, settings, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+		simClock, recorder := &clock.Queue{}, &testRecorder{}
+		d := receiver.New(0, settings, 1, 1, simClock, rand.New(rand.NewPCG(1, 2)), recorder)
 		endpoint := d.Endpoints[0]
-		endpoint.ForwarderSawFailure(1) // before the outage: of no account
+		endpoint.ForwarderSawFailure(1) // does not count before the outage
 		endpoint.BeginOutage()
-		q.At(0.5, func() { endpoint.ForwarderSawFailure(0) })
-		q.After(1, endpoint.EndOutage)
-		q.At(1.005, func() { endpoint.ForwarderSawFailure(1) }) // after it
+		simClock.At(0.5, func() { endpoint.ForwarderSawFailure(0) })
+		simClock.After(1, endpoint.EndOutage)
+		simClock.At(1.005, func() { endpoint.ForwarderSawFailure(1) }) // does not count after the outage
 		for i := range c.calls {
-			q.At(1.01+float64(i)/c.rate, func() {
+			simClock.At(1.01+float64(i)/c.rate, func() {
 				from := 0
 				if float64(i%2) >= 2*c.informed {
 					from = 1
@@ -155,92 +156,93 @@
 				endpoint.Accept(&receiver.Call{Forwarder: from, Answer: func(receiver.Answer) {}})
 			})
 		}
-		for q.Step(4) {
+		for simClock.Step(4) {
 		}
-		require.Equal(t, c.overloaded, n.overloads > 0, "%v calls at %v a second", c.calls, c.rate)
+		require.Equal(t, c.overloaded, recorder.overloads > 0, "%v calls at %v a second", c.calls, c.rate)
 		if c.overloaded {
-			require.InDelta(t, c.informed, n.informed, 0.02)
+			require.InDelta(t, c.informed, recorder.informed, 0.02)
 		}
 	}
 }
 
-// Of calls that come at once as it recovers it bears 42, the whole part of 30 + 2 x root of 30 + 2, and not one more.
-func TestOneCallBeyondWhatIsPutDownToChanceOverloads(t *testing.T) {
+// An endpoint that has just recovered tolerates 42 simultaneous calls, 30 + 2·√30 + 2 rounded down, and fails at the
+// 43rd.
+func TestSlowStartOverloadThreshold(t *testing.T) {
 	settings := slowStartBehavior()
 	for calls, want := range map[int]int{42: 0, 43: 1} {
-		q, n := &clock.Queue{}, &testRecorder{}
-		endpoint := receiver.New(0, settings, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n).Endpoints[0]
+		simClock, recorder := &clock.Queue{}, &testRecorder{}
+		endpoint := receiver.New(0, settings, 1, 1, simClock, rand.New(rand.NewPCG(1, 2)), recorder).Endpoints[0]
 		endpoint.BeginOutage()
-		q.At(0.5, func() { endpoint.ForwarderSawFailure(0) })
-		q.At(1, func() {
+		simClock.At(0.5, func() { endpoint.ForwarderSawFailure(0) })
+		simClock.At(1, func() {
 			endpoint.EndOutage()
 			for range calls {
 				endpoint.Accept(&receiver.Call{Answer: func(receiver.Answer) {}})
 			}
 		})
-		for q.Step(2) {
+		for simClock.Step(2) {
 		}
-		require.Equal(t, want, n.overloads, "%d calls", calls)
+		require.Equal(t, want, recorder.overloads, "%d calls", calls)
 	}
 }
 
-func TestAnIdempotencyKeyIsKnownForItsWindowAndTakesEffectOnce(t *testing.T) {
-	q, n := &clock.Queue{}, &testRecorder{}
-	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+func TestIdempotencyKeyDeduplicatesWithinItsWindow(t *testing.T) {
+	simClock, recorder := &clock.Queue{}, &testRecorder{}
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 4}, 2, 1, simClock, rand.New(rand.NewPCG(1, 2)), recorder)
 	for i, at := range []float64{0, 1, 4.9, 5.5} {
-		q.At(at, func() {
+		simClock.At(at, func() {
 			d.Endpoints[i%2].Accept(&receiver.Call{Messages: []receiver.Message{{ID: uint64(i), IdempotencyKey: 9, DeduplicationWindow: 5}}, Answer: func(receiver.Answer) {}})
 		})
 	}
-	for q.Step(100) {
+	for simClock.Step(100) {
 	}
-	require.Equal(t, []bool{true, false, false, true}, []bool{n.executions[0].Effect, n.executions[1].Effect, n.executions[2].Effect, n.executions[3].Effect})
+	require.Equal(t, []bool{true, false, false, true}, []bool{recorder.executions[0].Effect, recorder.executions[1].Effect, recorder.executions[2].Effect, recorder.executions[3].Effect})
 }
 
-func TestFaultsDoWhatTheySay(t *testing.T) {
-	q, n := &clock.Queue{}, &testRecorder{}
-	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, q, rand.New(rand.NewPCG(1, 2)), n)
+func TestFaults(t *testing.T) {
+	simClock, recorder := &clock.Queue{}, &testRecorder{}
+	d := receiver.New(0, receiver.Behavior{Service: receiver.Distribution{Form: "fixed", Mean: 0.01}, Concurrency: 2, Queue: 10}, 1, 1, simClock, rand.New(rand.NewPCG(1, 2)), recorder)
 	endpoint := d.Endpoints[0]
-	var ends []transport.ResultCode
+	var results []transport.ResultCode
 	call := func() *receiver.Call {
-		c := &receiver.Call{Messages: []receiver.Message{{ID: 1}}, Answer: func(a receiver.Answer) { ends = append(ends, a.Code) }}
+		c := &receiver.Call{Messages: []receiver.Message{{ID: 1}}, Answer: func(a receiver.Answer) { results = append(results, a.Code) }}
 		endpoint.Accept(c)
 		return c
 	}
 	run := func() []transport.ResultCode {
-		ends = nil
-		for q.Step(math.Inf(1)) {
+		results = nil
+		for simClock.Step(math.Inf(1)) {
 		}
-		return ends
+		return results
 	}
 	endpoint.Fault.Hangs = 1
 	call()
 	call()
 	queued := call()
 	require.Empty(t, run())
-	queued.Cancel() // waits in the queue: never runs
+	queued.Cancel() // it is still queued, so it is never executed
 	endpoint.EndHang()
 	require.Equal(t, []transport.ResultCode{transport.ResultOK, transport.ResultOK}, run())
-	require.Equal(t, 2, n.executed)
+	require.Equal(t, 2, recorder.executed)
 	endpoint.Fault.Silences = 1
 	call()
 	require.Empty(t, run())
 	endpoint.Fault = receiver.Fault{LostFraction: 1}
 	call()
 	require.Empty(t, run())
-	require.Equal(t, 3, n.executed, "ran, though nobody heard")
+	require.Equal(t, 3, recorder.executed, "executed although the answer is lost")
 	endpoint.Fault = receiver.Fault{ErrorFraction: 1, EveryNth: 2}
 	call()
 	call()
 	require.ElementsMatch(t, []transport.ResultCode{transport.ResultOK, transport.ResultServerError}, run())
-	endpoint.Fault, ends = receiver.Fault{Draining: true}, nil
+	endpoint.Fault, results = receiver.Fault{Draining: true}, nil
 	call()
-	require.Equal(t, []transport.ResultCode{transport.ResultOverloaded}, ends)
+	require.Equal(t, []transport.ResultCode{transport.ResultOverloaded}, results)
 	endpoint.Fault = receiver.Fault{}
 	call()
-	ends = nil
+	results = nil
 	endpoint.BeginOutage()
-	require.Equal(t, []transport.ResultCode{transport.ResultClosed}, ends, "what it works on breaks")
+	require.Equal(t, []transport.ResultCode{transport.ResultClosed}, results, "the call being executed ends")
 	refused, _ := endpoint.Connectivity()
 	require.True(t, refused)
 }
--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	maxSeconds   = 86400 // of a scenario
+	maxSeconds   = 86400 // length of a scenario, and of its drain
 	maxZones     = 2
-	maxRate      = 1e6 // messages a second
+	maxRate      = 1e6 // messages per second
 	maxEndpoints = 1_000_000
 )
 
-// checker collects what is wrong with a scenario, and the names that later parts refer to.
+// checker collects the problems of a scenario, and the names that later parts of the scenario may refer to.
 type checker struct {
 	*Scenario
 	problems     config.Problems
-	tenants      []string // their names, and "" for none
-	receivers    []string // likewise
+	tenants      []string // names of tenants; includes "", as a reference may be empty
+	receivers    []string // names of receivers, likewise
 	destinations int
 }
 
-// Check returns all that is wrong with a scenario, each with its field.
+// Check returns all problems of a scenario, each with the TOML field concerned.
 func (s *Scenario) Check() config.Problems {
 	c := &checker{Scenario: s, tenants: []string{""}, receivers: []string{""}}
 	c.checkRun()
@@ -37,7 +37,7 @@
 		c.checkReceiver(fmt.Sprintf("partners[%d].", i), &s.Receivers[i])
 	}
 	if c.destinations == 0 {
-		c.add("partners", "there is none")
+		c.add("partners", "at least one is required")
 	}
 	c.checkLoad()
 	for i := range s.Faults {
@@ -50,16 +50,16 @@
 	c.problems = append(c.problems, config.Problem{Field: field, Reason: fmt.Sprintf(format, v...)})
 }
 
-// oneOf checks that a value is one of those known.
+// oneOf adds a problem if a value is not one of the known ones.
 func (c *checker) oneOf(field, value string, known ...string) {
 	if !slices.Contains(known, value) {
-		c.add(field, "%q is none of %q", value, known)
+		c.add(field, "%q is not one of %q", value, known)
 	}
 }
 
 func (c *checker) checkRun() {
 	if c.Length <= 0 || c.Length > maxSeconds || c.Drain > maxSeconds {
-		c.add("length", "%s is not a time up to a day", c.Length)
+		c.add("length", "%s is not a duration above 0 and up to a day", c.Length)
 	}
 	if !(c.Floor >= 0 && c.Floor <= 1) {
 		c.add("floor", "%v is not a share", c.Floor)
@@ -69,10 +69,10 @@
 	}
 	d := &c.Dispatch
 	if d.Forwarders < 1 || d.Forwarders > 10_000 || d.ConcurrencyLimit < 1 || d.QueueCapacity < 1 || d.MaxAttempts < 1 {
-		c.add("dispatch", "forwarders, slots, room and transmissions are 1 at least")
+		c.add("dispatch", "forwarders, slots, room and transmissions must be at least 1")
 	}
 	if len(c.Types) == 0 {
-		c.add("types", "there is none")
+		c.add("types", "at least one is required")
 	}
 }
 
@@ -80,19 +80,19 @@
 	c.oneOf(at+"repeat", t.Idempotency, Idempotent, IdempotentWithKey, AtMostOnce)
 	c.oneOf(at+"group", t.Group, KnownInAllZones, KnownInOneZone)
 	if t.LatencyObjective <= 0 || t.TimeToLive < t.LatencyObjective {
-		c.add(at+"agreed", "agreed is over 0 and at most life")
+		c.add(at+"agreed", "agreed must be above 0 and at most life")
 	}
 	if t.Idempotency == IdempotentWithKey && t.DeduplicationWindow <= 0 {
-		c.add(at+"memory", "a numbered type needs one")
+		c.add(at+"memory", "is required for a numbered type")
 	}
 	if !(t.LoadWeight > 0) || !(t.Value >= 0) || t.Keys < 1 {
-		c.add(at+"part", "part is over 0, value 0 or more, keys 1 or more")
+		c.add(at+"part", "part must be above 0, value at least 0 and keys at least 1")
 	}
 }
 
 func (c *checker) checkTenant(at string, t *Tenant) {
 	if !(t.PerSecond > 0) || !(t.LoadWeight >= 0) {
-		c.add(at+"per_second", "per_second is over 0, part 0 or more")
+		c.add(at+"per_second", "per_second must be above 0 and part at least 0")
 	}
 	c.tenants = append(c.tenants, t.Name)
 }
@@ -100,13 +100,13 @@
 func (c *checker) checkReceiver(at string, r *Receiver) {
 	c.oneOf(at+"service", r.Service, ServiceFixed, ServiceExponential, ServiceLognormal)
 	if r.Count < 1 || r.Endpoints < 1 || r.Count*r.Endpoints > maxEndpoints || r.Batch < 1 || r.Concurrency < 1 || r.Queue < 0 {
-		c.add(at+"count", "count, targets, batch and places are 1 at least, queue 0")
+		c.add(at+"count", "count, targets, batch and places must be at least 1, queue at least 0")
 	}
 	if r.Mean <= 0 {
 		c.add(at+"mean", "is missing")
 	}
 	if !(r.Rate >= 0) || !(r.Burst >= 0) || r.Calls < 0 || (r.Calls > 0) != (r.Window > 0) {
-		c.add(at+"rate", "rate and burst are 0 or more, calls and window come together")
+		c.add(at+"rate", "rate, burst and calls must not be negative; calls and window must be set together")
 	}
 	c.destinations += r.Count
 	c.receivers = append(c.receivers, r.Name)
@@ -115,7 +115,7 @@
 func (c *checker) checkLoad() {
 	c.oneOf("load.arrive", c.Load.Arrivals, ArrivalsPoisson, ArrivalsEven)
 	if !(c.Load.PerSecond > 0) || c.Load.PerSecond > maxRate {
-		c.add("load.per_second", "%v is not a rate", c.Load.PerSecond)
+		c.add("load.per_second", "%v is not a valid rate", c.Load.PerSecond)
 	}
 	if err := c.Shape().Check(); err != nil {
 		c.add("load.shape", "%v", err)
@@ -123,7 +123,7 @@
 	for i, b := range c.Load.Bursts {
 		at := fmt.Sprintf("load.clumps[%d].", i)
 		if b.Destination < AnyDestination || b.Destination >= c.destinations || b.Count < 1 {
-			c.add(at+"dest", "there is no destination %d, or count is under 1", b.Destination)
+			c.add(at+"dest", "there is no destination %d, or count is below 1", b.Destination)
 		}
 		c.oneOf(at+"tenant", b.Tenant, c.tenants...)
 	}
@@ -150,6 +150,6 @@
 		c.add(at+"share", "is missing")
 	}
 	if f.Kind == FaultSlow && !(f.By > 1) {
-		c.add(at+"by", "%v is not over 1", f.By)
+		c.add(at+"by", "%v is not above 1", f.By)
 	}
 }
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -2,7 +2,7 @@
 
 import "spanflow/internal/config"
 
-// The kinds of Fault.
+// The values of Fault.Kind, described by FaultKinds.
 const (
 	FaultRefuse  = "refuse"
 	FaultHang    = "hang"
@@ -21,40 +21,40 @@
 	FaultMove    = "move"
 )
 
-// FaultKinds are the kinds of faults, each with what happens.
+// FaultKinds describes each kind of fault.
 var FaultKinds = map[string]string{
-	FaultRefuse:  "connections are refused; then it returns cold",
-	FaultHang:    "calls are taken and none is worked on; then it returns cold",
-	FaultSilent:  "nothing comes in or goes out",
-	FaultSlow:    "service takes `by` times as long",
+	FaultRefuse:  "connections are refused; a slow start follows",
+	FaultHang:    "calls are accepted but not executed until the end; a slow start follows",
+	FaultSilent:  "nothing is received or sent",
+	FaultSlow:    "service times are multiplied by `by`",
 	FaultErr:     "a share of calls ends with an error",
 	FaultReset:   "a share of connections breaks",
-	FaultLose:    "a share of answers gets lost after running",
-	FaultSpoil:   "a share of answers cannot be read",
-	FaultReap:    "idle connections go dead unseen",
-	FaultCut:     "the limit is a share of what it was",
-	FaultDrain:   "targets drain and leave, then come back as others",
-	FaultStall:   "a share of forwarders stands still, whichever process each has",
-	FaultRestart: "a share of forwarders is killed and starts again, in a wave",
-	FaultList:    "the list does not come",
-	FaultMove:    "targets leave and come back at other addresses",
+	FaultLose:    "a share of answers is lost after the execution",
+	FaultSpoil:   "a share of answers is malformed",
+	FaultReap:    "idle connections are dropped without notice",
+	FaultCut:     "the limit is reduced to a share of its usual value",
+	FaultDrain:   "endpoints drain and are removed, then others replace them",
+	FaultStall:   "a share of forwarders is suspended, across restarts of their processes",
+	FaultRestart: "a share of forwarders is killed and restarted, one after another",
+	FaultList:    "the endpoint list is not delivered",
+	FaultMove:    "endpoints are removed, then replaced at other addresses",
 }
 
-// fractionFaults are the kinds that need a fraction of calls, of the limit or of forwarders.
+// fractionFaults lists the kinds for which Fraction is required.
 var fractionFaults = []string{FaultErr, FaultReset, FaultLose, FaultSpoil, FaultCut, FaultStall, FaultRestart}
 
-// Fault is something that goes wrong with endpoints, forwarders or the endpoint list for a time.
+// Fault is a temporary fault of endpoints, forwarders or the endpoint list.
 type Fault struct {
 	Kind          string          `toml:"kind"`
 	At            config.Duration `toml:"at"`
 	For           config.Duration `toml:"for"`
-	Destinations  []int           `toml:"dest"`           // affected; empty: by Receiver, else all
-	Receiver      string          `toml:"partner"`        // name of a group of destinations; empty: all
-	Endpoints     []int           `toml:"target"`         // numbers at each destination; empty: all
-	Zone          int             `toml:"zone"`           // endpoints of this zone only, if above 0: its number plus 1
-	Fraction      float64         `toml:"share"`          // of calls, of the limit, or of forwarders
-	By            float64         `toml:"by"`             // slow: factor of service times
-	Every         int             `toml:"every"`          // gray failure: only one of so many calls
-	OddForwarders bool            `toml:"odd_forwarders"` // gray failure: only calls of every second forwarder
-	Tenant        string          `toml:"tenant"`         // slow: only calls of this tenant; empty: all
+	Destinations  []int           `toml:"dest"`           // affected destinations; if empty, Receiver selects them
+	Receiver      string          `toml:"partner"`        // name of the affected receiver; empty means all
+	Endpoints     []int           `toml:"target"`         // affected endpoint numbers; empty means all
+	Zone          int             `toml:"zone"`           // number plus 1 of the only affected zone; 0 means all
+	Fraction      float64         `toml:"share"`          // of calls or forwarders affected; FaultCut: of the limit that remains
+	By            float64         `toml:"by"`             // factor of service times, for FaultSlow
+	Every         int             `toml:"every"`          // gray failure: only every n-th call; 0 means all
+	OddForwarders bool            `toml:"odd_forwarders"` // gray failure: only calls of odd-numbered forwarders
+	Tenant        string          `toml:"tenant"`         // the only affected tenant, for FaultSlow; empty means all
 }
--- a/lab/scenario/read.go
+++ b/lab/scenario/read.go
@@ -18,10 +18,10 @@
 //go:embed scenes found
 var embedded embed.FS
 
-// Builtin are the names of the scenarios that come with the laboratory.
+// Builtin returns the names of the scenarios that are part of the laboratory.
 func Builtin() []string { return names(builtinFolder) }
 
-// Findings are the names of the scenarios that earlier searches found and that are kept as regression tests.
+// Findings returns the names of the scenarios that earlier searches found and that are kept as regression tests.
 func Findings() []string { return names(findingsFolder) }
 
 func names(folder string) []string {
@@ -33,7 +33,7 @@
 	return names
 }
 
-// Read reads a built-in scenario or a finding by its name, else a scenario from a file.
+// Read reads the built-in scenario or finding of the given name. If there is none, name is the path of a file.
 func Read(name string) (*Scenario, error) {
 	for _, folder := range []string{builtinFolder, findingsFolder} {
 		if text, err := embedded.ReadFile(folder + "/" + name + fileSuffix); err == nil {
@@ -42,13 +42,13 @@
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, fmt.Errorf("%s is no file and no built-in scenario (%s)", name, strings.Join(Builtin(), ", "))
+		return nil, fmt.Errorf("%s is neither a file nor a built-in scenario (%s)", name, strings.Join(Builtin(), ", "))
 	}
 	return Parse(name, text)
 }
 
-// Parse reads a scenario's text; path is for errors. The error is config.Problems where the text is understood but
-// wrong.
+// Parse reads a scenario from TOML. path is only used in errors. If the text can be decoded but the scenario is
+// invalid, the error is a config.Problems.
 func Parse(path string, text []byte) (*Scenario, error) {
 	s := &Scenario{
 		Seed:         1,
@@ -73,7 +73,7 @@
 	return s, nil
 }
 
-// applyDefaults fills in what the text leaves out of each type, tenant and receiver.
+// applyDefaults sets the missing fields of each type, tenant and receiver.
 func (s *Scenario) applyDefaults() {
 	for i := range s.Types {
 		t := &s.Types[i]
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenarios: how receivers, forwarders and load behave, and which faults happen when. A scenario
-// is TOML, checked as a whole like any configuration.
+// Package scenario reads scenarios. A scenario describes the receivers, the forwarders, the load, and the faults with
+// their times. It is written in TOML and checked completely before a run, like a configuration.
 package scenario
 
 import (
@@ -7,40 +7,40 @@
 	"spanflow/lab/load"
 )
 
-// Scenario is one run: a fleet of forwarders, their destinations, the load and the faults.
+// Scenario describes one run: a fleet of forwarders, their destinations, the load and the faults.
 type Scenario struct {
 	Name         string          `toml:"name"`
-	About        string          `toml:"about"` // what it is for, in a sentence
+	About        string          `toml:"about"` // its purpose in a sentence
 	Seed         uint64          `toml:"seed"`
-	Length       config.Duration `toml:"length"` // clients submit messages for so long
-	Drain        config.Duration `toml:"drain"`  // what is held may end in so long after that
+	Length       config.Duration `toml:"length"` // time in which clients submit messages
+	Drain        config.Duration `toml:"drain"`  // time after Length in which the accepted messages may end
 	Zones        int             `toml:"zones"`
-	NetworkDelay config.Duration `toml:"network"` // one way
+	NetworkDelay config.Duration `toml:"network"` // one-way delay
 	Dispatch     config.Dispatch `toml:"dispatch"`
 	Types        []Type          `toml:"types"`
 	Tenants      []Tenant        `toml:"tenants"`
 	Receivers    []Receiver      `toml:"partners"`
 	Load         Load            `toml:"load"`
 	Faults       []Fault         `toml:"troubles"`
-	ListLag      config.Duration `toml:"list_lag"`    // until forwarders learn of a change of the endpoint list
-	Resubmit     bool            `toml:"comes_again"` // clients submit again what was rejected, while there is time
-	Floor        float64         `toml:"floor"`       // of a kept finding: least share of the value delivered
+	ListLag      config.Duration `toml:"list_lag"`    // delay until forwarders learn of a change of the endpoint list
+	Resubmit     bool            `toml:"comes_again"` // clients submit rejected messages again until their expiry
+	Floor        float64         `toml:"floor"`       // lowest acceptable share of the value delivered, for findings
 }
 
-// The idempotency of a type, as Type.Idempotency has it.
+// The values of Type.Idempotency.
 const (
 	Idempotent        = "replayable"
 	IdempotentWithKey = "numbered"
 	AtMostOnce        = "binding"
 )
 
-// Where a key is known, as Type.Group has it.
+// The values of Type.Group, the zones in which an idempotency key is known.
 const (
 	KnownInAllZones = "all"
 	KnownInOneZone  = "zone"
 )
 
-// Type is a message type with its part of the load.
+// Type is a message type with its share of the load.
 type Type struct {
 	Name                string          `toml:"name"`
 	Idempotency         string          `toml:"repeat"`
@@ -49,82 +49,82 @@
 	LatencyObjective    config.Duration `toml:"agreed"`
 	TimeToLive          config.Duration `toml:"life"`
 	DeduplicationWindow config.Duration `toml:"memory"`
-	LoadWeight          float64         `toml:"part"`  // of the messages, against the other types
-	Value               float64         `toml:"value"` // within the objective; then half, falling to 0 at expiry
-	Keys                int             `toml:"keys"`  // ordering keys in use at once
+	LoadWeight          float64         `toml:"part"`  // relative number of messages, compared with the other types
+	Value               float64         `toml:"value"` // within the objective; then half of it, falling to 0 at expiry
+	Keys                int             `toml:"keys"`  // number of ordering keys in use
 }
 
-// Tenant is a client of the fleet with its rate and its part of the load.
+// Tenant is a tenant of the fleet with its quota and its share of the load.
 type Tenant struct {
 	Name       string  `toml:"name"`
-	PerSecond  float64 `toml:"per_second"` // messages that it may submit
-	LoadWeight float64 `toml:"part"`       // of the messages, against the other tenants
+	PerSecond  float64 `toml:"per_second"` // quota of messages
+	LoadWeight float64 `toml:"part"`       // relative number of messages, compared with the other tenants
 }
 
-// The forms of Receiver.Service.
+// The values of Receiver.Service, the form of the distribution of service times.
 const (
 	ServiceFixed       = "fixed"
 	ServiceExponential = "exponential"
 	ServiceLognormal   = "lognormal"
 )
 
-// Receiver is a group of destinations that behave alike.
+// Receiver is a group of destinations with the same behavior.
 type Receiver struct {
 	Name              string          `toml:"name"`
-	Count             int             `toml:"count"`        // destinations
-	Endpoints         int             `toml:"targets"`      // of each
-	Batch             int             `toml:"batch"`        // messages of a call at most
-	EndpointLimits    bool            `toml:"routes_apart"` // each endpoint has limits and outages of its own
+	Count             int             `toml:"count"`        // number of destinations
+	Endpoints         int             `toml:"targets"`      // number of endpoints of each destination
+	Batch             int             `toml:"batch"`        // maximum number of messages of a call
+	EndpointLimits    bool            `toml:"routes_apart"` // limits and overload are per endpoint, not per destination
 	Service           string          `toml:"service"`      // form of the distribution of service times
-	Mean              config.Duration `toml:"mean"`         // service time
-	Sigma             float64         `toml:"wide"`         // of a lognormal service time
+	Mean              config.Duration `toml:"mean"`         // mean service time
+	Sigma             float64         `toml:"wide"`         // of lognormal service times: standard deviation of the logarithm
 	Concurrency       int             `toml:"places"`       // calls that an endpoint executes at once
-	Queue             int             `toml:"queue"`        // calls that wait at an endpoint
-	Rate              float64         `toml:"rate"`         // calls a second that the limit admits; 0: no such limit
-	Burst             float64         `toml:"burst"`        // calls that it admits at once
-	Calls             int             `toml:"calls"`        // calls admitted within any Window; 0: no such limit
+	Queue             int             `toml:"queue"`        // calls that an endpoint queues
+	Rate              float64         `toml:"rate"`         // rate limit in calls per second; 0 means none
+	Burst             float64         `toml:"burst"`        // size of the rate limit's token bucket, in calls
+	Calls             int             `toml:"calls"`        // limit of calls within any Window; 0 means none
 	Window            config.Duration `toml:"window"`
 	ReportsRetryAfter bool            `toml:"tells_wait"`
 	ReportsLimit      bool            `toml:"shows_limit"`
-	LoadWeight        float64         `toml:"part"`         // of the load, against other groups
-	Skew              float64         `toml:"skew"`         // heavy tail within the group: the i-th gets 1/i^skew
-	OverloadWindow    config.Duration `toml:"falls_within"` // in which calls count that overload a slow start
-	OverloadDowntime  config.Duration `toml:"falls_for"`    // of an endpoint that was overloaded
+	LoadWeight        float64         `toml:"part"`         // relative load of the group, compared with the others
+	Skew              float64         `toml:"skew"`         // Zipf exponent: the i-th destination of the group gets 1/i^skew
+	OverloadWindow    config.Duration `toml:"falls_within"` // window in which calls count towards an overload in slow start
+	OverloadDowntime  config.Duration `toml:"falls_for"`    // time for which an overloaded endpoint is down
 }
 
-// The forms of Load.Arrivals.
+// The values of Load.Arrivals.
 const (
 	ArrivalsPoisson = "poisson"
 	ArrivalsEven    = "even"
 )
 
-// Load is what clients submit, whatever becomes of it.
+// Load is the load that clients offer, whether or not it is accepted.
 type Load struct {
-	PerSecond float64 `toml:"per_second"` // messages
-	Shape     []Point `toml:"shape"`      // the rate over time, in fractions of PerSecond
+	PerSecond float64 `toml:"per_second"` // usual rate of messages
+	Shape     []Point `toml:"shape"`      // rate over time, as fractions of PerSecond; empty means constant
 	Arrivals  string  `toml:"arrive"`
 	Bursts    []Burst `toml:"clumps"`
 }
 
-// Point is a fraction of the usual rate at a moment.
+// Point gives the fraction of the usual rate at one time.
 type Point struct {
 	At       config.Duration `toml:"at"`
 	Fraction float64         `toml:"share"`
 }
 
-// AnyDestination is the Burst.Destination of bursts that go to destinations drawn like those of all messages.
+// AnyDestination is the Burst.Destination of a burst whose destinations are drawn as for all other messages.
 const AnyDestination = -1
 
-// Burst is many messages at one moment.
+// Burst is a number of messages that are submitted at the same time.
 type Burst struct {
 	At          config.Duration `toml:"at"`
 	Count       int             `toml:"count"`
-	Destination int             `toml:"dest"`     // its number, or AnyDestination
-	SameKey     bool            `toml:"same_key"` // all have one ordering key
-	Tenant      string          `toml:"tenant"`   // empty: drawn
+	Destination int             `toml:"dest"`     // number, or AnyDestination
+	SameKey     bool            `toml:"same_key"` // all messages have the same ordering key
+	Tenant      string          `toml:"tenant"`   // drawn for each message if empty
 }
 
-// Shape is the load's rate over time.
+// Shape returns the load's rate over time, in messages per second.
 func (s *Scenario) Shape() load.Shape {
 	if len(s.Load.Shape) == 0 {
 		return load.Shape{{At: 0, Rate: s.Load.PerSecond}}
--- a/lab/scenario/scenario_test.go
+++ b/lab/scenario/scenario_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestEachBuiltinScenarioIsValidAndDescribed(t *testing.T) {
+func TestBuiltinScenariosAreValidAndDescribed(t *testing.T) {
 	require.GreaterOrEqual(t, len(Builtin()), 10)
 	for _, name := range Builtin() {
 		s, err := Read(name)
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestErrorsNameTheFieldThatIsWrong(t *testing.T) {
+func TestErrorsNameTheInvalidField(t *testing.T) {
 	text, err := os.ReadFile("scenes/one-partner-hangs.toml")
 	require.NoError(t, err)
 	for _, c := range []struct{ old, new, wantError string }{
@@ -26,7 +26,7 @@
 		{`kind = "hang"`, `kind = "lose"`, "troubles[0].share: is missing"},
 		{`dest = [0]`, `dest = [99]`, "there is no destination 99"},
 		{`mean = "60ms"`, `maen = "60ms"`, "unknown key; mean may be meant"},
-		{`per_second = 40`, `per_second = 0`, "load.per_second: 0 is not a rate"},
+		{`per_second = 40`, `per_second = 0`, "load.per_second: 0 is not a valid rate"},
 		{`repeat = "binding"`, `repeat = "once"`, "types[1].repeat"},
 		{`slots = 16`, `slots = 0`, "dispatch: forwarders, slots"},
 		{`length = "60s"`, `length = "60"`, "is not a time with its unit"}} {
@@ -36,5 +36,5 @@
 		require.ErrorContains(t, err, c.wantError)
 	}
 	_, err = Read("nowhere")
-	require.ErrorContains(t, err, "no built-in scenario (calm")
+	require.ErrorContains(t, err, "nowhere is neither a file nor a built-in scenario (calm")
 }
--- a/lab/scenario/settings.go
+++ b/lab/scenario/settings.go
@@ -5,7 +5,8 @@
 	"spanflow/scheduler"
 )
 
-// listedRateTolerances is by how much a listed rate may be exceeded; nothing: listed rates are not used.
+// listedRateTolerances gives, by the value of dispatch.listed_rates, the factor by which a listed rate may be exceeded.
+// Listed rates are not used for values that are missing here.
 var listedRateTolerances = map[string]float64{"exact": 1, "rough": 1.5}
 
 var idempotencies = map[string]scheduler.Idempotency{
@@ -14,7 +15,7 @@
 	AtMostOnce:        scheduler.AtMostOnce,
 }
 
-// SchedulerSettings are a forwarder's settings: the same for every forwarder but for its zone.
+// SchedulerSettings returns the settings of a forwarder. They differ between forwarders only by zone.
 func (s *Scenario) SchedulerSettings(forwarder int) scheduler.Settings {
 	d := &s.Dispatch
 	settings := scheduler.Settings{
@@ -51,7 +52,7 @@
 	return settings
 }
 
-// ReceiverBehavior is how the destinations of a group behave.
+// ReceiverBehavior returns the behavior of a receiver's destinations. Slow starts follow the fleet's settings.
 func (s *Scenario) ReceiverBehavior(r *Receiver) receiver.Behavior {
 	return receiver.Behavior{
 		Service:           receiver.Distribution{Form: r.Service, Mean: float64(r.Mean), Sigma: r.Sigma},
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -54,7 +54,7 @@
 
 const testTimeout = 10 * time.Second
 
-func TestAShorterStallDoesNotEndALongerOne(t *testing.T) {
+func TestShorterStallDoesNotEndLongerOne(t *testing.T) {
 	p := startSleepingProcess(t)
 	p.run.mu.Lock()
 	until := p.run.Now() + 0.5
@@ -74,7 +74,7 @@
 }
 
 // Whatever comes first: the process that follows a kill begins at the end of the stall, and there is but one.
-func TestAProcessThatFollowsAKillBeginsAtTheEndOfAStall(t *testing.T) {
+func TestRealRestartDuringStallIsDelayedToItsEnd(t *testing.T) {
 	for _, killFirst := range []bool{true, false} {
 		p := startSleepingProcess(t)
 		require.Eventually(t, func() bool { return p.starts() == 1 }, testTimeout, time.Millisecond)
@@ -106,7 +106,7 @@
 }
 
 // The kept stall, shorter, on real sockets: it is seen there as on the simulated clock, and no rule is broken.
-func TestAStallThatMeetsARestartOnRealSockets(t *testing.T) {
+func TestRestartDuringStallOnRealSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -33,7 +33,7 @@
 	return count
 }
 
-func TestTheSchedulerKeepsTheRulesInEachBuiltinScenario(t *testing.T) {
+func TestSchedulerKeepsRulesInBuiltinScenarios(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		r := Play(readScenario(t, name), 1, SchedulerPolicy)
 		require.Empty(t, r.Violations, name)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestTheSameScenarioAndSeedGiveTheSameBytes(t *testing.T) {
+func TestResultIsDeterministic(t *testing.T) {
 	s := readScenario(t, "several-at-once")
 	want := Play(s, 7, SchedulerPolicy).JSON()
 	for _, cores := range []int{1, 4} {
@@ -62,7 +62,7 @@
 }
 
 // A forwarder that breaks one rule is caught at it, by that rule.
-func TestTheAuditCatchesEachRuleBrokenOnPurpose(t *testing.T) {
+func TestAuditDetectsEachViolation(t *testing.T) {
 	for _, c := range []struct {
 		misbehavior misbehavior
 		scenario    string
@@ -93,7 +93,7 @@
 }
 
 // The oracle is a ceiling: in no built-in scenario does the scheduler or a baseline deliver much more.
-func TestTheOracleIsACeiling(t *testing.T) {
+func TestOracleIsAnUpperBound(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		s := readScenario(t, name)
 		oracle := Play(s, 1, Baselines["oracle"])
@@ -104,7 +104,7 @@
 }
 
 // One short scenario on real sockets: the built program as processes, the same model of receivers.
-func TestAScenarioOnRealSockets(t *testing.T) {
+func TestScenarioOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -124,8 +124,8 @@
 	t.Logf("on sockets %.3f, simulated %.3f", r.G, simulated.G)
 }
 
-// drawScenario draws a scenario: some receivers, some faults.
-func drawScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
+// randomScenario draws a scenario: some receivers, some faults.
+func randomScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	random := rand.New(rand.NewPCG(seed, 9))
 	s := *base
 	s.Length, s.Drain, s.Zones = 20, 20, 1+random.IntN(2)
@@ -149,7 +149,7 @@
 	return &s
 }
 
-func TestTheAuditReportsNoViolationOfTheScheduler(t *testing.T) {
+func TestSchedulerKeepsRulesInRandomScenarios(t *testing.T) {
 	base := readScenario(t, "calm")
 	var wg sync.WaitGroup
 	violations := make([]string, 200)
@@ -158,7 +158,7 @@
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			s := drawScenario(base, uint64(seed))
+			s := randomScenario(base, uint64(seed))
 			if r := Play(s, uint64(seed), SchedulerPolicy); len(r.Violations) > 0 {
 				violations[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -17,7 +17,7 @@
 
 // A forwarder that is killed shortly before, at the beginning of, within or at the end of a stall loses no result of a
 // call: its slots are free again and every message is answered.
-func TestNoCallResultIsLostWhenAStallMeetsARestart(t *testing.T) {
+func TestRestartDuringStallLosesNoCallResult(t *testing.T) {
 	for _, killedAt := range []config.Duration{9.3, 9.5, 9.9, 10, 12, 19, 19.9, 20} {
 		for seed := range uint64(5) {
 			s := stallScenario(t)
@@ -50,7 +50,7 @@
 }
 
 // A stall is the forwarder's, not one process's: no process begins in it, whatever comes first.
-func TestAProcessStartedDuringAStallBeginsAtItsEnd(t *testing.T) {
+func TestRestartDuringStallIsDelayedToItsEnd(t *testing.T) {
 	c := &startsDuringStall{from: 10, until: 20}
 	r := Play(stallScenario(t), 1, c.newPolicy)
 	require.Zero(t, c.count)
