--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -77,7 +77,7 @@
 	EndpointLimits    bool            `toml:"routes_apart"` // limits and overload are per endpoint, not per destination
 	Service           string          `toml:"service"`      // form of the distribution of service times
 	Mean              config.Duration `toml:"mean"`         // mean service time
-	Sigma             float64         `toml:"wide"`         // of lognormal service times: standard deviation of the logarithm
+	Sigma             float64         `toml:"wide"`         // standard deviation of the logarithm, if lognormal
 	Concurrency       int             `toml:"places"`       // calls that an endpoint executes at once
 	Queue             int             `toml:"queue"`        // calls that an endpoint queues
 	Rate              float64         `toml:"rate"`         // rate limit in calls per second; 0 means none
@@ -87,8 +87,8 @@
 	ReportsRetryAfter bool            `toml:"tells_wait"`
 	ReportsLimit      bool            `toml:"shows_limit"`
 	LoadWeight        float64         `toml:"part"`         // relative load of the group, compared with the others
-	Skew              float64         `toml:"skew"`         // Zipf exponent: the i-th destination of the group gets 1/i^skew
-	OverloadWindow    config.Duration `toml:"falls_within"` // window in which calls count towards an overload in slow start
+	Skew              float64         `toml:"skew"`         // Zipf exponent: the group's i-th destination gets 1/i^skew
+	OverloadWindow    config.Duration `toml:"falls_within"` // window in which calls in slow start are counted
 	OverloadDowntime  config.Duration `toml:"falls_for"`    // time for which an overloaded endpoint is down
 }
 
--- a/lab/sim/arrivals.go
+++ b/lab/sim/arrivals.go
@@ -9,7 +9,7 @@
 	"spanflow/lab/scenario"
 )
 
-// arrivalPlan draws what clients want in a run.
+// arrivalPlan draws the effects that clients want in a run.
 type arrivalPlan struct {
 	scenario     *scenario.Scenario
 	random       *rand.Rand
@@ -19,7 +19,8 @@
 	effects      []*effect
 }
 
-// planArrivals draws what clients want in a run, in order of time. Nothing that happens in the run moves an arrival.
+// planArrivals draws the effects that clients want in a run, in order of time. Arrivals do not depend on the events of
+// the run.
 func planArrivals(s *scenario.Scenario, random *rand.Rand) []*effect {
 	p := newArrivalPlan(s, random)
 	p.addSteadyLoad()
@@ -52,7 +53,7 @@
 	}
 }
 
-// addSteadyLoad adds the load that follows the scenario's shape.
+// addSteadyLoad adds the load outside bursts, at the rate of the scenario's shape.
 func (p *arrivalPlan) addSteadyLoad() {
 	shape := p.scenario.Shape()
 	for i := range shape {
@@ -74,7 +75,7 @@
 	}
 }
 
-// addBurst adds a burst; index is its place in the scenario.
+// addBurst adds a burst. index is its index in the scenario; it makes the ordering key of the burst unique.
 func (p *arrivalPlan) addBurst(index int, burst *scenario.Burst) {
 	for range burst.Count {
 		destination, tenant, key := burst.Destination, p.drawTenant(), uint64(0)
@@ -100,7 +101,8 @@
 	return p.tenants.Pick(p.random)
 }
 
-// add adds an effect of a drawn type. An ordering key belongs to a destination; 0: it is drawn if the type has keys.
+// add adds an effect of a randomly drawn type. If the type has ordering keys and key is 0, the key is drawn, too. An
+// ordering key is used for one destination only.
 func (p *arrivalPlan) add(at float64, destination, tenant int, key uint64) {
 	e := &effect{submittedAt: at, destination: destination, tenant: tenant}
 	e.typeIndex = p.types.Pick(p.random)
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -7,8 +7,8 @@
 	"spanflow/scheduler"
 )
 
-// Baselines are policies to compare the scheduler with, by name. They are for the laboratory only. The oracle sees the
-// true state of all endpoints and is a ceiling that may be out of reach.
+// Baselines contains, by name, simple policies for comparison with the scheduler. Only the laboratory uses them. The
+// oracle sees the true state of all endpoints; it is an upper bound that real policies may be unable to reach.
 var Baselines = map[string]PolicyFactory{
 	"fifo":         baselineFactory(func(*baseline) {}),
 	"backoff":      baselineFactory(func(b *baseline) { b.backoff = true }),
@@ -17,7 +17,7 @@
 	"least-loaded": baselineFactory(func(b *baseline) { b.backoff, b.leastLoaded = true, true }),
 }
 
-// baselineFactory makes baselines with a variation.
+// baselineFactory returns a factory of baselines that configure has changed.
 func baselineFactory(configure func(*baseline)) PolicyFactory {
 	return func(settings scheduler.Settings, _ uint64, now float64, host scheduler.Host) Policy {
 		b := newBaseline(settings, now, host)
@@ -29,18 +29,18 @@
 // Times in seconds, rates per second.
 const (
 	baselineTimeout     = 2.0  // of an attempt
-	baselineRetryDelay  = 0.1  // before an attempt after one that failed; with backoff it doubles
-	baselineTick        = 0.02 // between two looks at what is held
-	minAdmissionTime    = 0.1  // that a message needs to be admitted
-	minAttemptTime      = 0.05 // that a message needs for a further attempt
+	baselineRetryDelay  = 0.1  // after a failed attempt; doubles with each attempt with backoff
+	baselineTick        = 0.02 // timer interval while there are unanswered messages
+	minAdmissionTime    = 0.1  // before expiry, for a message to be admitted
+	minAttemptTime      = 0.05 // before expiry, for a message to be sent again
 	maxBackoffDoublings = 5
-	initialAnswerRate   = 5.0 // of a destination, for bucket
-	bucketBurst         = 4.0
-	bucketGrowth        = 1.25 // over the rate at which a destination answers
+	initialAnswerRate   = 5.0  // assumed rate of a destination's successful answers, for bucket
+	bucketBurst         = 4.0  // size of the token bucket
+	bucketGrowth        = 1.25 // factor of the bucket's refill rate over the rate of successful answers
 )
 
-// baseline sends messages in the order of their coming and retries what may be retried. It heeds retry-afters, drains,
-// the order of keys and what must not be executed twice; of slow starts and limits it knows nothing.
+// baseline sends messages in the order of their arrival and retries those that may be retried. It respects Retry-After
+// answers, drains, the order of keys and the rule that no effect takes place twice. It ignores slow starts and limits.
 type baseline struct {
 	settings     scheduler.Settings
 	host         scheduler.Host
@@ -50,15 +50,16 @@
 	destinations map[uint64]*baselineDestination
 	openCalls    int
 	timerSet     bool
-	backoff      bool // retries wait twice as long each time
-	bucket       bool // a destination gets at most as many calls a second as it answered of late, and a quarter more
-	leastLoaded  bool // the endpoint with the fewest open calls, not the next in turn
-	oracle       bool // sends only what would be executed at once and answered well
-	inspect      func(id uint64) (ready bool, inService int)
-	misbehavior  misbehavior
+	backoff      bool // exponential backoff between attempts
+	bucket       bool // limits calls to a destination to 1.25 times its recent rate of successful answers
+	leastLoaded  bool // picks the endpoint with the fewest open calls; otherwise endpoints take turns
+	oracle       bool // sends only calls that would be executed immediately and answered successfully
+	// inspect returns the true state of an endpoint, for the oracle.
+	inspect     func(id uint64) (ready bool, inService int)
+	misbehavior misbehavior
 }
 
-// misbehavior breaks one rule on purpose: the audit's own tests need forwarders that do.
+// misbehavior selects a rule that the baseline violates intentionally, for tests of the audit.
 type misbehavior uint8
 
 const (
@@ -75,11 +76,11 @@
 
 type baselineDestination struct {
 	endpoints  []*baselineEndpoint
-	next       int // of the endpoints, in turn
+	next       int // index of the next endpoint in round-robin order
 	tokens     float64
 	refilledAt float64
-	rate       float64 // of its answers
-	keyQueues  map[uint64][]*baselineMessage
+	rate       float64                       // recent rate of successful answers, decaying with a time constant of 1 s
+	keyQueues  map[uint64][]*baselineMessage // by ordering key, in order of arrival
 }
 
 type baselineEndpoint struct {
@@ -87,11 +88,11 @@
 	state        scheduler.EndpointState
 	openCalls    int
 	zone         int
-	blockedUntil float64 // by a retry-after
-	ownLimits    bool
-	batchSize    int     // messages that one call carries at most
-	callStarted  float64 // when the latest call began; what is sent at the same moment joins it
-	callMessages int     // messages that it carries
+	blockedUntil float64 // end of a Retry-After
+	ownLimits    bool    // does not share its limits with the destination's other endpoints
+	batchSize    int     // maximum number of messages of a call
+	callStarted  float64 // start of the latest call; messages sent at the same time join it
+	callMessages int     // number of messages of that call
 }
 
 type baselineMessage struct {
@@ -100,12 +101,12 @@
 	expiry          float64
 	openAttempts    int
 	attempts        int
-	firstRanAt      float64 // when it may first have been executed; 0: never
-	zone            int     // of that execution
-	notBefore       float64 // for a further attempt
+	firstRanAt      float64 // earliest time at which it may have been executed; 0 means never
+	zone            int     // zone of that execution
+	notBefore       float64 // earliest time of the next attempt
 	done            bool
-	endpoint        *baselineEndpoint // of the attempt that is out
-	keyBlockedUntil float64
+	endpoint        *baselineEndpoint // of the open attempt
+	keyBlockedUntil float64           // earliest time of the next message of its ordering key
 }
 
 func newBaseline(settings scheduler.Settings, now float64, host scheduler.Host) *baseline {
@@ -113,13 +114,13 @@
 		destinations: map[uint64]*baselineDestination{}}
 }
 
-// NewDestination makes a destination.
+// NewDestination adds a destination without endpoints.
 func (b *baseline) NewDestination(id uint64) *scheduler.Destination {
 	b.destinations[id] = &baselineDestination{keyQueues: map[uint64][]*baselineMessage{}, rate: initialAnswerRate, refilledAt: b.now}
 	return &scheduler.Destination{ID: id}
 }
 
-// UpdateEndpoints takes changed endpoints.
+// UpdateEndpoints applies changes of the endpoint list.
 func (b *baseline) UpdateEndpoints(_ bool, updates []scheduler.EndpointUpdate) {
 	for _, u := range updates {
 		e := b.destinations[u.Destination.ID].endpoint(u.Endpoint)
@@ -131,7 +132,7 @@
 	}
 }
 
-// endpoint is the destination's endpoint with a handle, made if it is new.
+// endpoint returns the destination's endpoint with the given handle, and adds it if it is new.
 func (d *baselineDestination) endpoint(handle *scheduler.Endpoint) *baselineEndpoint {
 	for _, e := range d.endpoints {
 		if e.handle == handle {
@@ -143,15 +144,15 @@
 	return e
 }
 
-// Admit admits a message while there is capacity and time.
+// Admit admits a message if there is queue capacity and at least minAdmissionTime left.
 func (b *baseline) Admit(_ int, left float64) (admitted bool, retryAfter float64) {
 	return len(b.unanswered) < b.settings.QueueCapacity && left > minAdmissionTime, b.retryAfter()
 }
 
-// retryAfter is after how many seconds clients may submit again.
+// retryAfter returns the delay in seconds after which clients may submit a message again.
 func (b *baseline) retryAfter() float64 { return math.Min(1, b.settings.MaxRetryAfter) }
 
-// Accept takes a message.
+// Accept queues an admitted message. left is the time until its expiry in seconds.
 func (b *baseline) Accept(message *scheduler.Message, typeIndex int, left float64) {
 	m := &baselineMessage{handle: message, messageType: &b.settings.Types[typeIndex], expiry: b.now + left}
 	b.unanswered = append(b.unanswered, m)
@@ -162,10 +163,10 @@
 	}
 }
 
-// inOrder tells whether the message has an ordering key.
+// inOrder reports whether the message has an ordering key.
 func (m *baselineMessage) inOrder() bool { return m.messageType.InOrder && m.handle.Key != 0 }
 
-// Recover takes a message that an earlier process left unanswered.
+// Recover queues a message that a previous process left unanswered.
 func (b *baseline) Recover(message *scheduler.Message, typeIndex int, left float64, state scheduler.RecoveredState) {
 	b.Accept(message, typeIndex, left)
 	m := b.messageByID[message.ID]
@@ -173,13 +174,13 @@
 	m.notBefore = b.now + b.settings.KeyCooldown
 }
 
-// SetTime sets the clock.
+// SetTime sets the current time in seconds.
 func (b *baseline) SetTime(now float64) { b.now = now }
 
-// TimerFired says that the timer has fired.
+// TimerFired must be called when the timer set by Host.Wake fires.
 func (b *baseline) TimerFired() { b.timerSet = false }
 
-// AttemptEnded takes the result of an attempt.
+// AttemptEnded handles the result of an attempt.
 func (b *baseline) AttemptEnded(message *scheduler.Message, result scheduler.AttemptResult) {
 	m := b.messageByID[message.ID]
 	if m == nil {
@@ -217,7 +218,7 @@
 	m.notBefore = b.now + delay
 }
 
-// block heeds a retry-after of an endpoint, which is for all of the destination that share its limits.
+// block applies a Retry-After of an endpoint to all endpoints of the destination that share its limits.
 func (d *baselineDestination) block(from *baselineEndpoint, until float64) {
 	for _, e := range d.endpoints {
 		if e == from || !e.ownLimits {
@@ -226,7 +227,7 @@
 	}
 }
 
-// finish drops a message that has its answer. Its key waits if it may still be executed.
+// finish removes an answered message. If the message may still be executing, its key stays blocked for the cooldown.
 func (b *baseline) finish(m *baselineMessage) {
 	m.done = true
 	b.unanswered = withoutMessage(b.unanswered, m)
@@ -243,7 +244,7 @@
 	queue[0].notBefore = math.Max(queue[0].notBefore, m.keyBlockedUntil)
 }
 
-// withoutMessage is a list withoutMessage one message; the list itself stays as it is.
+// withoutMessage returns a list without a message. It does not modify the original list.
 func withoutMessage(list []*baselineMessage, m *baselineMessage) []*baselineMessage {
 	i := slices.Index(list, m)
 	if i < 0 {
--- a/lab/sim/baseline_reconcile.go
+++ b/lab/sim/baseline_reconcile.go
@@ -7,7 +7,7 @@
 	"spanflow/scheduler"
 )
 
-// Reconcile answers what can no longer be sent, and sends what may be.
+// Reconcile answers messages that can no longer be sent, and sends those that may be sent now.
 func (b *baseline) Reconcile() {
 	for _, m := range b.inSendingOrder() {
 		if m.openAttempts > 0 && !(b.misbehavior == overlapsAttempts && m.openAttempts == 1 && b.now > m.notBefore) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// inSendingOrder is what is held in the order of its coming; for the oracle those that can still be in time come before
-// those that are late already.
+// inSendingOrder returns the unanswered messages in the order of their arrival. The oracle sends those that have missed
+// their latency objective last.
 func (b *baseline) inSendingOrder() []*baselineMessage {
 	all := slices.Clone(b.unanswered)
 	if !b.oracle {
@@ -56,7 +56,7 @@
 	return all
 }
 
-// exhausted tells that a message must not be sent any more, and whether it may be returned to its client.
+// exhausted reports whether a message must not be sent any more, and whether it may be rejected rather than failed.
 func (b *baseline) exhausted(m *baselineMessage) (exhausted, rejectable bool) {
 	retryable := m.firstRanAt == 0 || m.messageType.Idempotency == scheduler.Idempotent
 	switch {
@@ -70,7 +70,7 @@
 	return b.now > m.firstRanAt+m.messageType.DeduplicationWindow-baselineTimeout-0.5, false
 }
 
-// answerExhausted answers a message that is exhausted.
+// answerExhausted rejects or fails a message that must not be sent any more.
 func (b *baseline) answerExhausted(m *baselineMessage, rejectable bool) {
 	if b.misbehavior == neverAnswers || b.misbehavior == answersLate && b.now < m.expiry+1 {
 		return
@@ -89,7 +89,7 @@
 	}
 }
 
-// pickEndpoint is the endpoint for a message, nil if there is none now.
+// pickEndpoint returns the endpoint that a message is sent to, or nil if it cannot be sent now.
 func (b *baseline) pickEndpoint(d *baselineDestination, m *baselineMessage) *baselineEndpoint {
 	if b.bucket && !d.refill(b.now) {
 		return nil
@@ -118,7 +118,7 @@
 	return best
 }
 
-// refill fills the token bucket and tells whether there is a token.
+// refill refills the token bucket and reports whether a token is available.
 func (d *baselineDestination) refill(now float64) bool {
 	d.tokens = math.Min(bucketBurst, d.tokens+(now-d.refilledAt)*math.Max(1, d.rate*bucketGrowth))
 	d.rate *= math.Exp(d.refilledAt - now)
@@ -126,7 +126,7 @@
 	return !(d.tokens < 1)
 }
 
-// callable tells whether a message may be sent to an endpoint.
+// callable reports whether a message may be sent to an endpoint.
 func (b *baseline) callable(e *baselineEndpoint, m *baselineMessage) bool {
 	switch {
 	case e.state == scheduler.Removed:
@@ -141,12 +141,12 @@
 	return m.firstRanAt <= 0 || !keyKnownElsewhere
 }
 
-// joinsBatch tells whether a message would join the call that has just begun: it needs no concurrency of its own.
+// joinsBatch reports whether a message would join a call that began at the current time, so that it needs no slot.
 func (b *baseline) joinsBatch(e *baselineEndpoint) bool {
 	return b.oracle && e.callStarted == b.now && e.callMessages < e.batchSize
 }
 
-// send sends a message to an endpoint.
+// send sends a message to an endpoint and updates the counters of messages, calls and tokens.
 func (b *baseline) send(m *baselineMessage, e *baselineEndpoint, d *baselineDestination) {
 	if d.next++; b.joinsBatch(e) {
 		e.callMessages++
--- a/lab/sim/call.go
+++ b/lab/sim/call.go
@@ -15,13 +15,13 @@
 	submissions []*submission
 	timeout     float64
 	startedAt   float64
-	received    *receiver.Call // nil: it has not arrived
-	arrived     bool           // as far as the forwarder can tell
+	received    *receiver.Call // nil until the call arrives
+	arrived     bool           // false while the forwarder can tell that the call has not arrived
 	done        bool
 	cancelled   bool // before its first byte arrived
 }
 
-// begin sends the call: on the idle connection used last, or on a new one.
+// begin sends the call on the most recently used idle connection, or on a new one.
 func (c *call) begin() {
 	f, run, e := c.forwarder, c.forwarder.run, c.endpoint
 	c.startedAt = run.Now()
@@ -46,12 +46,13 @@
 	}
 }
 
-// connect takes a connection and tells after what time the call arrives on it. A dead one was closed unseen.
+// connect selects a connection and returns the time after which the call arrives on it. dead means that the connection
+// was closed without the forwarder's notice.
 func (c *call) connect() (delay float64, dead bool) {
 	f, run, e := c.forwarder, c.forwarder.run, c.endpoint
 	oneWay := float64(run.scenario.NetworkDelay)
 	idleTimeout := float64(run.scenario.Dispatch.IdleTimeout)
-	if p, ok := f.policy.(*baseline); ok && p.oracle { // it knows which connections are dead: a new one each time
+	if p, ok := f.policy.(*baseline); ok && p.oracle { // the oracle avoids dead connections by always opening a new one
 		e.idleSince = nil
 	}
 	for len(e.idleSince) > 0 {
@@ -61,16 +62,16 @@
 			return oneWay, run.activeReapFaults > 0 && idle > reapedIdleTime
 		}
 	}
-	return 3 * oneWay, false // a new connection takes a way there and back before the call
+	return 3 * oneWay, false // a new connection takes a round trip before the call
 }
 
-// endAfter ends the call after a time, as the forwarder sees it.
+// endAfter ends the call with a result code, after a delay, on the forwarder's side only.
 func (c *call) endAfter(seconds float64, code transport.ResultCode) {
 	f := c.forwarder
 	f.run.After(seconds, func() { f.do(func() { f.callEnded(c, receiver.Answer{Code: code}) }) })
 }
 
-// arrive hands the call to the endpoint.
+// arrive delivers the call to the endpoint, unless it has ended.
 func (c *call) arrive() {
 	f, run := c.forwarder, c.forwarder.run
 	c.endpoint.model.Approaching--
@@ -91,7 +92,7 @@
 	c.endpoint.model.Accept(c.received)
 }
 
-// receiverMessage is a submission as a receiver sees it.
+// receiverMessage returns the message of a submission as a receiver sees it.
 func (s *submission) receiverMessage() receiver.Message {
 	t := s.effect.messageType
 	return receiver.Message{
@@ -103,13 +104,13 @@
 	}
 }
 
-// outcomeKnown tells whether a result says what became of the message.
+// outcomeKnown reports whether a result code excludes that the message may still be executing.
 func outcomeKnown(code transport.ResultCode) bool {
 	outcome, _ := code.Outcome()
 	return outcome != scheduler.Reset && outcome != scheduler.TimedOut && outcome != scheduler.Malformed
 }
 
-// abort ends the call from the forwarder's side.
+// abort closes the call's connection on the forwarder's side. The receiver notices it after the network delay.
 func (c *call) abort() {
 	run := c.forwarder.run
 	if received := c.received; received != nil {
@@ -122,7 +123,7 @@
 	}
 }
 
-// timedOut ends the call at its time-out, unless it has ended.
+// timedOut ends the call at its time-out, unless it has already ended.
 func (c *call) timedOut() {
 	if c.done || c.incarnation != c.forwarder.incarnation {
 		return
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -1,14 +1,14 @@
 package sim
 
-// The final answers, as the audit and the result name them: a rejected message may be submitted again, a failed one has
-// been given up.
+// The names of the final answers in the audit and the result. The client may submit a rejected message again, but not a
+// failed one.
 const (
 	answerDelivered = "delivered"
 	answerRejected  = "returned"
 	answerFailed    = "abandoned"
 )
 
-// scheduleArrivals puts what clients want on the time line. All of it is drawn beforehand.
+// scheduleArrivals schedules the submissions of clients. All of them are drawn in advance.
 func (run *simRun) scheduleArrivals() {
 	for _, e := range planArrivals(run.scenario, run.loadRandom) {
 		run.At(e.submittedAt, func() {
@@ -18,11 +18,11 @@
 	}
 }
 
-// submit submits an effect to a forwarder, as a message of its own.
+// submit submits an effect to forwarder n as a new message.
 func (run *simRun) submit(e *effect, expiry float64, n int) {
 	run.After(float64(run.scenario.NetworkDelay), func() {
 		f := run.forwarders[n]
-		if !f.up { // refused: to another a little later
+		if !f.up { // connection refused: the client tries the next forwarder after a delay
 			run.After(failoverDelay, func() {
 				if run.Now() < expiry {
 					run.submit(e, expiry, nextForwarder(e, n, len(run.forwarders)))
@@ -38,7 +38,7 @@
 	})
 }
 
-// resubmit submits again what was refused or returned, if its client does.
+// resubmit submits an effect again after it was refused or rejected, if the scenario and its expiry allow it.
 func (run *simRun) resubmit(e *effect, retryAfter float64) {
 	expiry, wait, resubmit := e.resubmission(run.scenario, run.Now(), retryAfter, run.networkRandom)
 	if !resubmit {
@@ -47,7 +47,7 @@
 	run.After(wait, func() { run.submit(e, expiry, forwarderFor(e, run.networkRandom, len(run.forwarders))) })
 }
 
-// notifyClient gives a client a final answer.
+// notifyClient notifies the client of a final answer, after the network delay.
 func (run *simRun) notifyClient(s *submission, answer string, retryAfter float64) {
 	run.After(float64(run.scenario.NetworkDelay), func() {
 		run.log.FinalAnswer(s.id, answer)
--- a/lab/sim/effect.go
+++ b/lab/sim/effect.go
@@ -7,37 +7,37 @@
 	"spanflow/scheduler"
 )
 
-// effect is what a client wants done, whatever number of messages it takes.
+// effect is one effect that a client wants. It may take several messages, as the client resubmits rejected ones.
 type effect struct {
-	id             uint64 // of its first message; 0: none was submitted
+	id             uint64 // ID of its first message; 0 until that is submitted
 	messageType    *scenario.Type
 	typeIndex      int
-	submittedAt    float64 // the intended moment
+	submittedAt    float64 // intended time of the first submission
 	expiry         float64
 	tenant         int
-	key            uint64 // ordering key; 0: none
-	idempotencyKey uint64 // 0: none
+	key            uint64 // ordering key; 0 means none
+	idempotencyKey uint64 // 0 means none
 	destination    int
-	done           bool
+	done           bool // the effect has taken place
 }
 
-// submission is one message: an effect submitted once.
+// submission is one message, a single submission of an effect.
 type submission struct {
 	id           uint64
 	effect       *effect
 	message      *scheduler.Message
-	recovered    scheduler.RecoveredState // what a restart would recover
-	attemptStart float64                  // of the attempt that is out; 0: none is
-	attemptZone  int                      // of its endpoint
+	recovered    scheduler.RecoveredState // state that a restarted process would recover
+	attemptStart float64                  // start of the open attempt; 0 if there is none
+	attemptZone  int                      // zone of the open attempt's endpoint
 	expiry       float64
 	finished     bool
 }
 
-// resubmissionSlack is how many seconds a resubmission needs at least before its expiry.
+// resubmissionSlack is the minimum time in seconds between a resubmission and its expiry.
 const resubmissionSlack = 0.05
 
-// resubmission tells whether a client submits an effect again, after what time, and with what expiry. An idempotency
-// key is known for its window only, so a message with a key is submitted again with no more time than that.
+// resubmission decides whether a client submits an effect again, after which delay (wait), and with which expiry. The
+// expiry of a message with an idempotency key is limited to the key's deduplication window.
 func (e *effect) resubmission(s *scenario.Scenario, now, retryAfter float64, random *rand.Rand) (expiry, wait float64, resubmit bool) {
 	expiry = e.expiry
 	if e.idempotencyKey != 0 {
@@ -47,8 +47,8 @@
 	return expiry, wait, s.Resubmit && !e.done && now+wait+resubmissionSlack < expiry
 }
 
-// forwarderFor is the forwarder to which a client turns: any, but for an ordering key always the same, as forwarders
-// share nothing.
+// forwarderFor returns the number of the forwarder that a client submits an effect to: always the same one for an
+// ordering key, as forwarders share no state, and otherwise a random one.
 func forwarderFor(e *effect, random *rand.Rand, forwarders int) int {
 	if e.key != 0 {
 		return int((e.key * 0x9e3779b97f4a7c15 >> 33) % uint64(forwarders))
@@ -56,7 +56,8 @@
 	return random.IntN(forwarders)
 }
 
-// nextForwarder is the one to which it turns when that one is not there.
+// nextForwarder returns the forwarder that a client tries after forwarder n did not answer. It is the same one for an
+// effect with an ordering key.
 func nextForwarder(e *effect, n, forwarders int) int {
 	if e.key != 0 {
 		return n
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -7,7 +7,7 @@
 	"spanflow/lab/scenario"
 )
 
-// injectFaults puts the scenario's faults on the time line.
+// injectFaults schedules the scenario's faults.
 func (run *simRun) injectFaults() {
 	for i := range run.scenario.Faults {
 		run.injectFault(&run.scenario.Faults[i])
@@ -51,13 +51,14 @@
 	}
 }
 
-// affectedForwarders is a fraction of the forwarders, rounded up.
+// affectedForwarders returns the first forwarders up to the given fraction, rounded up.
 func (run *simRun) affectedForwarders(fraction float64) []*forwarder {
 	n := int(fraction*float64(len(run.forwarders)) + roundUpOffset)
 	return run.forwarders[:min(n, len(run.forwarders))]
 }
 
-// affectedEndpoints is the endpoints that a fault affects; group is by destination the index of its receivers.
+// affectedEndpoints returns the endpoints that a fault affects. group maps each destination to the index of its
+// receiver in the scenario.
 func affectedEndpoints(s *scenario.Scenario, destinations []*receiver.Destination, group []int, fault *scenario.Fault) []*receiver.Endpoint {
 	var affected []*receiver.Endpoint
 	for i, destination := range destinations {
@@ -77,7 +78,7 @@
 	return affected
 }
 
-// isAffected tells whether a fault affects an endpoint of a destination that it affects.
+// isAffected reports whether a fault affects an endpoint. The caller has checked the destination.
 func isAffected(e *receiver.Endpoint, fault *scenario.Fault) bool {
 	if e.Fault.Removed || fault.Zone > 0 && e.Zone != fault.Zone-1 {
 		return false
@@ -85,7 +86,7 @@
 	return len(fault.Endpoints) == 0 || slices.Contains(fault.Endpoints, e.Number)
 }
 
-// beginFault begins a fault at an endpoint.
+// beginFault puts a fault into effect at an endpoint.
 func beginFault(e *receiver.Endpoint, fault *scenario.Fault, s *scenario.Scenario) {
 	f := &e.Fault
 	switch fault.Kind {
@@ -124,7 +125,7 @@
 	f := &e.Fault
 	if f.MostlyFails() {
 		defer func() {
-			if !f.MostlyFails() { // most calls failed: a slow start follows as after any outage
+			if !f.MostlyFails() { // most calls failed, which counts as an outage, so a slow start follows
 				e.Recover()
 			}
 		}()
@@ -156,8 +157,8 @@
 	}
 }
 
-// replaceEndpoints removes endpoints and adds others in their place: drained first, as the endpoint list tells, or at
-// once.
+// replaceEndpoints removes endpoints and adds others in their place. With FaultDrain the endpoint list first reports
+// the endpoints as draining; otherwise they are removed immediately.
 func (run *simRun) replaceEndpoints(fault *scenario.Fault) {
 	affected := affectedEndpoints(run.scenario, run.destinations, run.group, fault)
 	if fault.Kind == scenario.FaultDrain {
@@ -171,7 +172,7 @@
 	run.removeEndpoints(affected, float64(fault.For))
 }
 
-// removeEndpoints removes endpoints; others replace them after a time.
+// removeEndpoints removes endpoints and adds others in their place after a delay in seconds.
 func (run *simRun) removeEndpoints(removed []*receiver.Endpoint, replacedAfter float64) {
 	for _, e := range removed {
 		e.Fault.Removed = true
@@ -186,13 +187,13 @@
 	})
 }
 
-// listRetry is how many seconds later a change is announced again while the endpoint list does not come.
+// listRetry is the delay in seconds before a change is announced again while the endpoint list is not delivered.
 const listRetry = 1
 
 // announce informs all forwarders of changed endpoints, after the endpoint list's lag.
 func (run *simRun) announce(endpoints []*receiver.Endpoint) {
 	run.After(float64(run.scenario.ListLag)+float64(run.scenario.NetworkDelay), func() {
-		if run.activeListFaults > 0 { // it comes with the next change of the list, or when it comes again
+		if run.activeListFaults > 0 { // the list is not delivered during the fault: try again later
 			run.After(listRetry, func() { run.announce(endpoints) })
 			return
 		}
--- a/lab/sim/forwarder.go
+++ b/lab/sim/forwarder.go
@@ -10,44 +10,44 @@
 	"spanflow/transport"
 )
 
-// forwarder is one simulated forwarder: the policy, and what an event loop, a write-ahead log and an upstream are to
-// it.
+// forwarder is a simulated forwarder. It consists of the policy and a simulation of the event loop, the write-ahead log
+// and the upstream that the policy uses. It implements scheduler.Host.
 type forwarder struct {
 	run            *simRun
 	number         int
 	seed           uint64
-	incarnation    int // counts starts: what an earlier process asked for is ignored
+	incarnation    int // number of the process; events of earlier processes are ignored
 	up             bool
 	stalledUntil   float64
 	policy         Policy
 	destinations   []*scheduler.Destination
-	endpoints      [][]*knownEndpoint // by destination and number
+	endpoints      [][]*knownEndpoint // by destination and endpoint number
 	endpointByID   map[uint64]*knownEndpoint
 	submissions    map[uint64]*submission
-	unanswered     []*submission // in the order of acceptance; finished ones are dropped now and then
-	pendingCalls   []*call       // that the present round makes up
+	unanswered     []*submission // in the order of acceptance; also contains finished ones until track compacts it
+	pendingCalls   []*call       // calls of the current reconciliation that have not been sent
 	openCalls      []*call
-	timer          int      // number of the latest timer: earlier ones are void
-	deferredEvents []func() // what came while it stalls
-	deferReconcile bool     // it handles that: the policy decides once, at the end
+	timer          int      // number of the latest timer; earlier timers are ignored
+	deferredEvents []func() // events that arrived during a stall
+	deferReconcile bool     // true while deferred events are handled, so that the policy reconciles once after them
 }
 
 // knownEndpoint is a receiver's endpoint as a forwarder knows it.
 type knownEndpoint struct {
 	model     *receiver.Endpoint
 	handle    *scheduler.Endpoint
-	idleSince []float64 // connections, by when each was last used
+	idleSince []float64 // time of the last use of each idle connection, in ascending order
 }
 
-// endpointID packs a destination's number and that of its endpoint.
+// endpointID returns an endpoint's id, which combines the numbers of the destination and the endpoint.
 func endpointID(destination, endpoint int) uint64 { return uint64(destination)<<32 | uint64(endpoint) }
 
-// endpointOf is the model of an endpoint by its id.
+// endpointOf returns the model of the endpoint with an id.
 func (run *simRun) endpointOf(id uint64) *receiver.Endpoint {
 	return run.destinations[id>>32].Endpoints[uint32(id)]
 }
 
-// start starts the process, with what an earlier one left unanswered.
+// start starts a process, which recovers the messages that the previous one left unanswered.
 func (f *forwarder) start() {
 	run := f.run
 	f.incarnation++
@@ -77,7 +77,7 @@
 	f.reconcile()
 }
 
-// recover takes over what an earlier process left unanswered.
+// recover passes the messages that the previous process left unanswered to the policy.
 func (f *forwarder) recover() {
 	unanswered := f.unanswered
 	f.unanswered = nil
@@ -85,7 +85,7 @@
 		if s.finished {
 			continue
 		}
-		if s.attemptStart > 0 { // an attempt was out when that process ended
+		if s.attemptStart > 0 { // an attempt was open when that process ended
 			s.recordPossibleExecution()
 			s.attemptStart = 0
 		}
@@ -94,14 +94,15 @@
 	}
 }
 
-// recordPossibleExecution notes that the attempt that is out may have been executed.
+// recordPossibleExecution records that the open attempt may have been executed, unless an earlier one may have been.
 func (s *submission) recordPossibleExecution() {
 	if s.recovered.FirstRanAt == 0 {
 		s.recovered.FirstRanAt, s.recovered.Zone = s.attemptStart, s.attemptZone
 	}
 }
 
-// endpointUpdate is an endpoint's line of the list; the forwarder knows the endpoint from then on.
+// endpointUpdate returns an endpoint's current entry of the endpoint list, and adds the endpoint if the forwarder does
+// not know it.
 func (f *forwarder) endpointUpdate(e *receiver.Endpoint) scheduler.EndpointUpdate {
 	d := e.Destination.Number
 	for len(f.endpoints[d]) <= e.Number {
@@ -126,7 +127,7 @@
 	return update
 }
 
-// updateEndpoints tells the forwarder of changed endpoints.
+// updateEndpoints notifies the forwarder of changed endpoints.
 func (f *forwarder) updateEndpoints(endpoints []*receiver.Endpoint) {
 	f.do(func() {
 		f.policy.SetTime(f.run.Now())
@@ -142,10 +143,10 @@
 	})
 }
 
-// compactionThreshold is how many unanswered submissions are kept without looking for finished ones.
+// compactionThreshold is the length of forwarder.unanswered up to which finished submissions are not removed.
 const compactionThreshold = 64
 
-// track makes a submission one of this process.
+// track adds a submission to those of the current process.
 func (f *forwarder) track(s *submission) {
 	s.message = &scheduler.Message{ID: s.id, Tenant: s.effect.tenant, Key: s.effect.key, Dest: f.destinations[s.effect.destination], Size: messageSize}
 	f.submissions[s.id] = s
@@ -155,7 +156,7 @@
 	}
 }
 
-// reconcile lets the policy decide and begins the calls that it makes up.
+// reconcile lets the policy decide and sends the calls that it adds to pendingCalls.
 func (f *forwarder) reconcile() {
 	if f.deferReconcile {
 		return
@@ -168,7 +169,7 @@
 	}
 }
 
-// admit offers a message to the policy.
+// admit submits an effect as a new message, which the policy admits or refuses.
 func (f *forwarder) admit(e *effect, expiry float64) {
 	run := f.run
 	f.policy.SetTime(run.Now())
@@ -195,7 +196,7 @@
 	f.reconcile()
 }
 
-// auditMessage is a submission of an effect as the audit knows it.
+// auditMessage returns the audit's record of a submission.
 func auditMessage(e *effect, id uint64, forwarder int, now, expiry float64) *audit.Message {
 	return &audit.Message{
 		ID:             id,
@@ -212,7 +213,7 @@
 	}
 }
 
-// callEnded takes the answer to a call, or what stands for it.
+// callEnded handles the end of a call. Calls that end without an answer have an Answer with the result code for that.
 func (f *forwarder) callEnded(c *call, a receiver.Answer) {
 	if c.done || c.incarnation != f.incarnation {
 		return
@@ -235,7 +236,7 @@
 	f.reconcile()
 }
 
-// attemptEnded tells the policy how the attempt of a submission ended.
+// attemptEnded records the result of an attempt of a submission and passes it to the policy.
 func (f *forwarder) attemptEnded(s *submission, a receiver.Answer, latency float64) {
 	f.run.result.AttemptResults[a.Code.String()]++
 	if a.Code.MayHaveRun() {
@@ -244,7 +245,7 @@
 	s.attemptStart = 0
 	outcome, final := a.Code.Outcome()
 	if final {
-		if outcome == scheduler.Delivered && !s.finished { // else its client has been answered, at its expiry say
+		if outcome == scheduler.Delivered && !s.finished { // finished ones have been answered, for example at their expiry
 			f.run.log.FinalAnswer(s.id, answerDelivered)
 		}
 		s.finished = true
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -6,9 +6,7 @@
 	"spanflow/transport"
 )
 
-// A forwarder is a scheduler.Host.
-
-// Send adds a message to a call of the present round, or makes a further call.
+// Send adds a message to a pending call to the same endpoint that has room for it, or to a new pending call.
 func (f *forwarder) Send(m *scheduler.Message, to *scheduler.Endpoint, timeout float64) {
 	s, endpoint := f.run.submissions[m.ID], f.endpointByID[to.ID]
 	s.recovered.Attempts++
@@ -27,15 +25,15 @@
 		&call{forwarder: f, incarnation: f.incarnation, endpoint: endpoint, submissions: []*submission{s}, timeout: timeout})
 }
 
-// Reject returns a message to its client.
+// Reject answers the client that the message is rejected and may be submitted again after retryAfter seconds.
 func (f *forwarder) Reject(m *scheduler.Message, retryAfter float64) {
 	f.finish(m, answerRejected, retryAfter)
 }
 
-// Fail gives a message up.
+// Fail answers the client that the message has failed.
 func (f *forwarder) Fail(m *scheduler.Message) { f.finish(m, answerFailed, 0) }
 
-// finish answers a message.
+// finish gives a message its final answer. The submission stays tracked while it has an open attempt.
 func (f *forwarder) finish(m *scheduler.Message, answer string, retryAfter float64) {
 	s := f.run.submissions[m.ID]
 	s.finished = true
@@ -46,7 +44,7 @@
 	f.run.notifyClient(s, answer, retryAfter)
 }
 
-// CancelUnsent takes back the calls to an endpoint whose first byte has not arrived.
+// CancelUnsent cancels the open calls to an endpoint that have not arrived there.
 func (f *forwarder) CancelUnsent(to *scheduler.Endpoint) {
 	for _, c := range f.openCalls {
 		if c.endpoint.handle == to && !c.arrived && !c.done {
@@ -58,17 +56,17 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an endpoint.
+// CloseIdle closes all idle connections to an endpoint.
 func (f *forwarder) CloseIdle(to *scheduler.Endpoint) {
 	if e := f.endpointByID[to.ID]; e != nil {
 		e.idleSince = nil
 	}
 }
 
-// ReleaseEndpoint forgets an endpoint.
+// ReleaseEndpoint removes an endpoint that the scheduler no longer uses.
 func (f *forwarder) ReleaseEndpoint(to *scheduler.Endpoint) { delete(f.endpointByID, to.ID) }
 
-// Wake sets the timer in place of any earlier one.
+// Wake sets the timer, replacing any earlier one. in is in seconds.
 func (f *forwarder) Wake(in float64) {
 	f.timer++
 	timer, incarnation := f.timer, f.incarnation
@@ -84,8 +82,8 @@
 	})
 }
 
-// WatchEndpoints does nothing: the run tells each forwarder of each change.
+// WatchEndpoints does nothing, as simRun.announce notifies all forwarders of every change.
 func (f *forwarder) WatchEndpoints() {}
 
-// Log counts the scheduler's changes of mode.
+// Log counts the scheduler's log lines as mode changes.
 func (f *forwarder) Log(string) { f.run.result.ModeChanges++ }
--- a/lab/sim/lifecycle.go
+++ b/lab/sim/lifecycle.go
@@ -1,6 +1,6 @@
 package sim
 
-// stall makes the forwarder, whichever process it has, stand still until a moment.
+// stall suspends the forwarder until the given time. A restart does not end the stall.
 func (f *forwarder) stall(until float64) {
 	f.stalledUntil = max(f.stalledUntil, until)
 	f.run.log.ForwarderStalled(f.number, until)
@@ -8,9 +8,9 @@
 
 func (f *forwarder) isStalled() bool { return f.run.Now() < f.stalledUntil }
 
-// do runs a function in the process as it is now; without a process it is dropped. During a stall all that comes waits;
-// then the process handles all of it before it decides once, as the forwarder's event loop handles what lies in its
-// queue.
+// do handles an event in the current process, or drops it if no process is running. Events during a stall are deferred
+// to its end. Like the event loop with a filled event queue, the process then handles all of them before it reconciles
+// once.
 func (f *forwarder) do(handle func()) {
 	switch {
 	case !f.up:
@@ -23,12 +23,12 @@
 	}
 }
 
-// resumeAfterStall handles what waited, once the process no longer stalls.
+// resumeAfterStall handles the deferred events at the end of the stall.
 func (f *forwarder) resumeAfterStall(incarnation int) {
 	f.run.At(f.stalledUntil, func() {
 		switch {
-		case f.incarnation != incarnation: // that process is gone, with what waited
-		case f.isStalled(): // for longer than it was then
+		case f.incarnation != incarnation: // the process has ended, and its deferred events with it
+		case f.isStalled(): // the stall was extended
 			f.resumeAfterStall(incarnation)
 		default:
 			events := f.deferredEvents
@@ -43,7 +43,7 @@
 	})
 }
 
-// kill ends the process; it starts again with what it left unanswered.
+// kill ends the process and starts another one after restartDelay.
 func (f *forwarder) kill() {
 	if !f.up {
 		return
@@ -63,7 +63,7 @@
 	run.After(restartDelay, f.restart)
 }
 
-// restart starts the process after a kill. One that would start during a stall starts at its end.
+// restart starts a process after a kill, or at the end of the stall if the forwarder is stalled.
 func (f *forwarder) restart() {
 	if f.isStalled() {
 		f.run.log.ForwarderStalled(f.number, f.stalledUntil+recoveryGrace)
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -15,7 +15,8 @@
 	"spanflow/lab/audit"
 )
 
-// startSleepingProcess is a process of a run without a scenario; its program writes down that it was started and does nothing.
+// startSleepingProcess is a process of a run without a scenario; its program writes down that it was started and does
+// nothing.
 func startSleepingProcess(t *testing.T) *process {
 	program := filepath.Join(t.TempDir(), "sleeper")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\necho started >> \"$0.starts\"\nexec sleep 60\n"), 0o700))
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -9,31 +9,31 @@
 	"spanflow/lab/scenario"
 )
 
-// Result is what became of a run. Its JSON is the same to the byte for the same scenario and seed.
+// Result contains the results of a run. For the same scenario and seed, Play returns byte-for-byte the same JSON.
 type Result struct {
 	Scenario       string            `json:"scene"`
 	Seed           uint64            `json:"seed"`
-	Messages       int               `json:"documents"` // effects that clients wanted
+	Messages       int               `json:"documents"` // number of effects that clients wanted
 	Accepted       int               `json:"taken"`     // submissions
 	Refused        int               `json:"refused"`   // submissions
-	Served         int               `json:"served"`    // effects that took place
-	Late           int               `json:"late"`      // after their latency objective
+	Served         int               `json:"served"`    // number of effects that took place
+	Late           int               `json:"late"`      // effects between their latency objective and their expiry
 	Attempts       int               `json:"transmissions"`
-	ModeChanges    int               `json:"mode_changes"` // of the schedulers
-	AttemptResults map[string]int    `json:"ends"`
-	FinalAnswers   map[string]int    `json:"final_answers"` // that forwarders gave by notice
+	ModeChanges    int               `json:"mode_changes"`  // log lines of the schedulers, which report changes of mode
+	AttemptResults map[string]int    `json:"ends"`          // by result code
+	FinalAnswers   map[string]int    `json:"final_answers"` // final answers sent by notice
 	OfferedValue   float64           `json:"value_offered"`
 	DeliveredValue float64           `json:"value_delivered"`
-	G              float64           `json:"share"`     // of the value offered that was delivered
-	Latency        Percentiles       `json:"latency_s"` // from the intended moment to when the effect took place
+	G              float64           `json:"share"`     // delivered share of the offered value
+	Latency        Percentiles       `json:"latency_s"` // from the intended time of submission to the effect
 	Seconds        []Second          `json:"seconds"`
 	Violations     []audit.Violation `json:"breaches"`
-	Events         uint64            `json:"events"` // of the simulated clock
+	Events         uint64            `json:"events"` // number of events of the simulated clock
 
 	latencyHistogram *hdrhistogram.Histogram
 }
 
-// Percentiles of a time in seconds. What never took effect is in none of them.
+// Percentiles are percentiles of a time in seconds. They do not include effects that did not take place.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
@@ -43,17 +43,17 @@
 
 // Second is one second of a run.
 type Second struct {
-	Offered           float64 `json:"offered"`   // value of the messages that came in it
-	Delivered         float64 `json:"delivered"` // value that they had in the end
-	Held              int     `json:"held"`      // messages, at its end
-	OpenCalls         int     `json:"out"`       // calls, at its end
+	Offered           float64 `json:"offered"`   // value of the effects that clients wanted in this second
+	Delivered         float64 `json:"delivered"` // value of these effects when they took place, also if that was later
+	Held              int     `json:"held"`      // unanswered messages at the end of the second
+	OpenCalls         int     `json:"out"`       // open calls at the end of the second
 	HeldByDestination []int   `json:"held_by_destination,omitempty"`
 }
 
 const (
-	maxListedDestinations = 64 // for Second.HeldByDestination
+	maxListedDestinations = 64 // HeldByDestination is recorded up to this number of destinations
 	maxLatencyMicros      = 3_600_000_000
-	latencyDigits         = 3 // significant
+	latencyDigits         = 3 // significant digits of the latency histogram
 )
 
 func newResult(s *scenario.Scenario, seed uint64) *Result {
@@ -67,21 +67,21 @@
 	}
 }
 
-// at is the second of a moment, the first or last for moments outside the run.
+// at returns the second that contains the given time, or the first or last second for times outside the run.
 func (r *Result) at(moment float64) *Second {
 	i := min(max(0, int(moment-startTime)), len(r.Seconds)-1)
 	return &r.Seconds[i]
 }
 
-// recordOffer counts an effect that a client wants.
+// recordOffer counts an effect that a client wants, and its full value.
 func (r *Result) recordOffer(e *effect) {
 	r.Messages++
 	r.OfferedValue += e.messageType.Value
 	r.at(e.submittedAt).Offered += e.messageType.Value
 }
 
-// recordDelivery counts an effect that took place: all of its value within the latency objective, then half of it and
-// falling, none after its expiry.
+// recordDelivery counts an effect that took place. Its value is full within the latency objective; after that it is
+// half and falls linearly to 0 at the expiry.
 func (r *Result) recordDelivery(e *effect, at float64) {
 	took := at - e.submittedAt
 	value := 0.0
@@ -98,7 +98,7 @@
 	r.latencyHistogram.RecordValue(max(1, int64(took*1e6)))
 }
 
-// recordSecond records what forwarders hold at the end of a second.
+// recordSecond records the unanswered messages and open calls of all forwarders at the end of a second.
 func (r *Result) recordSecond(run *simRun) {
 	s := r.at(run.Now() - 0.5)
 	if len(run.destinations) <= maxListedDestinations {
@@ -115,7 +115,7 @@
 	}
 }
 
-// finish works out what the run comes to.
+// finish computes the results that depend on the whole run.
 func (r *Result) finish(log *audit.Log) {
 	r.Violations = log.Violations()
 	if r.OfferedValue > 0 {
@@ -125,11 +125,11 @@
 	r.Latency = Percentiles{at(50), at(90), at(99), float64(r.latencyHistogram.Max()) / 1e6}
 }
 
-// JSON is the result as text.
+// JSON returns the result as indented JSON with a trailing newline.
 func (r *Result) JSON() []byte {
 	b, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
-		panic(err) // plain values only
+		panic(err) // cannot happen: the result contains only marshallable values
 	}
 	return append(b, '\n')
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -1,6 +1,6 @@
-// Package sim plays a scenario on a simulated clock: whole fleets of forwarders, each with the real scheduler, in one
-// process. The same scenario and seed give the same result, to the byte, on any number of cores. Real plays the same
-// scenario with forwarder processes on real sockets.
+// Package sim plays scenarios. Play simulates a whole fleet of forwarders, each with the real scheduler, in one process
+// and on a simulated clock. Its result for a scenario and a seed is byte-for-byte the same on any number of cores.
+// Real.Play plays the same scenario with forwarder processes on real sockets.
 package sim
 
 import (
@@ -13,8 +13,7 @@
 	"spanflow/scheduler"
 )
 
-// Policy decides for one forwarder. The scheduler is one; so are the baselines. Its methods are those of
-// scheduler.Scheduler.
+// Policy makes the decisions of one forwarder. It is implemented by scheduler.Scheduler and by the baselines.
 type Policy interface {
 	NewDestination(id uint64) *scheduler.Destination
 	UpdateEndpoints(all bool, updates []scheduler.EndpointUpdate)
@@ -27,28 +26,28 @@
 	Reconcile()
 }
 
-// PolicyFactory makes the policy of a forwarder. now is in seconds.
+// PolicyFactory creates the policy of a forwarder's process. now is in seconds.
 type PolicyFactory func(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy
 
-// SchedulerPolicy makes the scheduler.
+// SchedulerPolicy is the PolicyFactory of the real scheduler.
 func SchedulerPolicy(settings scheduler.Settings, seed uint64, now float64, host scheduler.Host) Policy {
 	return scheduler.New(settings, seed, now, host)
 }
 
-// Times in seconds.
+// Times in seconds, and other constants of the simulation.
 const (
-	startTime      = 1000.0 // the clock's first moment: 0 stands for never in many places
-	restartDelay   = 0.8    // until a forwarder that was killed starts again
-	recoveryGrace  = 1.5    // for which it may be late with answers after that
-	failoverDelay  = 0.4    // until a client whose forwarder is gone turns to another
-	drainTime      = 2.0    // until an endpoint that drains leaves
-	reapedIdleTime = 0.5    // connections that were idle for longer are dead while a reap fault is on
+	startTime      = 1000.0 // start of the clock; not 0, because 0 means never in many places
+	restartDelay   = 0.8    // between the kill and the restart of a forwarder
+	recoveryGrace  = 1.5    // after a restart, in which a forwarder may answer late
+	failoverDelay  = 0.4    // until a client tries another forwarder if one does not answer
+	drainTime      = 2.0    // between the start of an endpoint's drain and its removal
+	reapedIdleTime = 0.5    // connections idle for longer are dead during FaultReap
 	messageSize    = 500    // bytes, as the scheduler counts them
 	roundUpOffset  = 0.999999
 	clockTolerance = 1e-9
 )
 
-// The streams of random numbers that a run draws from its seed.
+// The streams of random numbers of a run. Each is seeded with the run's seed and its own number.
 const (
 	loadStream      = 1
 	networkStream   = 2
@@ -64,7 +63,7 @@
 	scenario         *scenario.Scenario
 	newPolicy        PolicyFactory
 	loadRandom       *rand.Rand
-	networkRandom    *rand.Rand // of clients and the network
+	networkRandom    *rand.Rand // for clients and the network
 	log              *audit.Log
 	destinations     []*receiver.Destination
 	group            []int // by destination: index of its scenario.Receiver
@@ -72,12 +71,12 @@
 	effects          map[uint64]*effect     // by the id of each of its messages
 	submissions      map[uint64]*submission // by id
 	lastID           uint64
-	activeReapFaults int // that are on
-	activeListFaults int // that are on
+	activeReapFaults int
+	activeListFaults int
 	result           *Result
 }
 
-// Play plays a scenario with a seed.
+// Play simulates a scenario with a seed and returns its result.
 func Play(s *scenario.Scenario, seed uint64, newPolicy PolicyFactory) *Result {
 	run := newSimRun(s, seed, newPolicy)
 	for _, f := range run.forwarders {
@@ -127,13 +126,13 @@
 	return run
 }
 
-// recorder passes on what receivers record and counts the value of the effects.
+// recorder passes the records of receivers to the audit log and counts the value of the effects.
 type recorder struct {
 	*audit.Log
 	run *simRun
 }
 
-// MessageExecuted records an execution and counts its effect, if it is the first.
+// MessageExecuted records an execution, and counts its effect if it takes place for the first time.
 func (r *recorder) MessageExecuted(execution receiver.Execution) {
 	r.Log.MessageExecuted(execution)
 	if e := r.run.effects[execution.Message.ID]; e != nil && execution.Effect && !e.done {
