--- a/lab/audit/judge.go
+++ b/lab/audit/judge.go
@@ -108,7 +108,7 @@
 	}
 	for _, e := range l.executions {
 		if e.Message.ID == id {
-			lines = append(lines, line{e.EndedAt, fmt.Sprintf("executed at endpoint %d since %.3f, effect %v", e.Endpoint, e.StartedAt, e.Effect)})
+			lines = append(lines, line{e.EndedAt, fmt.Sprintf("execution at endpoint %d ended, started at %.3f, effect %v", e.Endpoint, e.StartedAt, e.Effect)})
 		}
 	}
 	for _, f := range m.FinalAnswers {
--- a/lab/sim/host.go
+++ b/lab/sim/host.go
@@ -85,5 +85,5 @@
 // WatchEndpoints does nothing, as simRun.announce notifies all forwarders of every change.
 func (f *forwarder) WatchEndpoints() {}
 
-// Log counts the scheduler's log lines as mode changes.
+// Log counts the scheduler's log lines, which report its mode changes.
 func (f *forwarder) Log(string) { f.run.result.ModeChanges++ }
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -12,29 +12,30 @@
 	"spanflow/lab/scenario"
 )
 
-// Real plays a scenario on real sockets: built forwarders as processes, receivers, discovery and clients on loopback.
-// The receivers are the same model, on the wall clock.
+// Real plays a scenario on real sockets: forwarders run as processes, and receivers, discovery and clients in this
+// process serve them on loopback addresses. The receivers use the same model as in Play, but on the wall clock.
 type Real struct {
-	Program string // of one forwarder
-	Folder  string // for write-ahead logs, configurations and logs; it exists
-	Memory  int    // MB that each forwarder may use
-	Sockets int    // that each forwarder may open
+	Program string // path of the forwarder's binary
+	Folder  string // existing folder for write-ahead logs, configurations and logs
+	Memory  int    // memory limit of each forwarder in MB
+	Sockets int    // limit of sockets that each forwarder may open
 }
 
-// realSlack allows for what processes on a shared machine need beyond the simulated ones.
+// realSlack allows for the additional delays of processes on a shared machine.
 var realSlack = audit.Slack{Answer: 0.35, Wait: 0.15, Drain: 0.3}
 
-const readyWithin = 10 * time.Second // after the start of a forwarder
+const readyWithin = 10 * time.Second // time-out for the start of a forwarder
 
-// realRun is one run on the wall clock. Its lock is held by whatever touches the model or the log.
+// realRun is one run on the wall clock. It implements receiver.Clock. Its lock must be held for every access to the
+// receivers' model or the audit log.
 type realRun struct {
 	Real
 	ctx       context.Context
 	scenario  *scenario.Scenario
-	epoch     time.Time // of the run's clock
+	epoch     time.Time // start of the run's clock, when Now returns startTime
 	discovery *emulator.Discovery
 	processes []*process
-	wg        sync.WaitGroup // clients
+	wg        sync.WaitGroup // for the goroutines of clients
 
 	mu                   sync.Mutex
 	random               *rand.Rand
@@ -43,20 +44,18 @@
 	endpoints            map[*receiver.Endpoint]*endpointServer
 	log                  *audit.Log
 	result               *Result
-	effects              map[uint64]*effect       // by the id of each of its messages
-	keyTails             map[uint64]chan struct{} // by ordering key; closed when its latest message was answered
-	deliveredToForwarder map[uint64]bool          // by message: the receiver has sent the answer
-	submittedTo          map[uint64]int           // by message: the forwarder
+	effects              map[uint64]*effect       // by message ID; an effect may have several
+	keyTails             map[uint64]chan struct{} // by ordering key; closed when its latest submission has been answered
+	deliveredToForwarder map[uint64]bool          // by message ID: the receiver has sent a successful answer
+	submittedTo          map[uint64]int           // by message ID: number of the forwarder
 	lastID               uint64
-	restartErrors        error // of forwarders that could not be started again
+	restartErrors        error // joined errors of forwarders that could not be restarted
 }
 
-// A realRun is a receiver.Clock.
-
-// Now is the present moment of the run's clock, in seconds.
+// Now returns the current time of the run's clock in seconds.
 func (run *realRun) Now() float64 { return startTime + time.Since(run.epoch).Seconds() }
 
-// After runs a function after so many seconds, with the lock held.
+// After runs a function after the given number of seconds, with the lock held.
 func (run *realRun) After(seconds float64, do func()) {
 	time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() {
 		run.mu.Lock()
@@ -65,8 +64,8 @@
 	})
 }
 
-// Play plays a scenario with a seed; it takes as long as the scenario. It ends with an error if ctx ends, or if a
-// forwarder cannot be started.
+// Play plays a scenario with a seed, in real time. It returns an error if ctx is cancelled, or if a forwarder cannot be
+// started or restarted.
 func (r Real) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -119,7 +118,7 @@
 	return run
 }
 
-// startReceivers starts a server for each endpoint, and discovery that lists them.
+// startReceivers starts a server for each endpoint, and a discovery service that lists the endpoints.
 func (run *realRun) startReceivers(random *rand.Rand) error {
 	s := run.scenario
 	var list []emulator.Entry
@@ -148,7 +147,7 @@
 	return nil
 }
 
-// drainNotices empties discovery's channel of notices, which OnNotice has handled already.
+// drainNotices discards the notices in discovery's channel, which OnNotice has already handled.
 func (run *realRun) drainNotices() {
 	for {
 		select {
@@ -185,20 +184,20 @@
 	return nil
 }
 
-// stopProcesses ends the forwarders, the one started last first.
+// stopProcesses kills the forwarders, in the reverse order of their start.
 func (run *realRun) stopProcesses() {
 	for i := len(run.processes) - 1; i >= 0; i-- {
 		run.processes[i].stop()
 	}
 }
 
-// realRecorder passes on what receivers record and counts the value of the effects.
+// realRecorder passes the records of receivers to the audit log and counts the value of the effects.
 type realRecorder struct {
 	*audit.Log
 	run *realRun
 }
 
-// MessageExecuted records an execution and counts its effect, if it is the first.
+// MessageExecuted records an execution, and counts its effect if it takes place for the first time.
 func (r *realRecorder) MessageExecuted(execution receiver.Execution) {
 	r.Log.MessageExecuted(execution)
 	if e := r.run.effects[execution.Message.ID]; e != nil && execution.Effect && !e.done {
--- a/lab/sim/real_calls.go
+++ b/lab/sim/real_calls.go
@@ -20,16 +20,16 @@
 	maxCallBytes = 16 << 20
 )
 
-// calledMessage is a message of a call, as the wire has it.
+// calledMessage is a message of a call as it is sent on the wire.
 type calledMessage struct {
 	ID   string
 	Key  string // idempotency key
-	Body string // base64, in a batch
+	Body string // base64; only set in a batch
 }
 
-var errMalformedCall = errors.New("malformed call")
+var errMalformedCall = errors.New("malformed batch of messages")
 
-// ServeHTTP hands a call to the model and writes what it answers.
+// ServeHTTP passes a call to the model and writes the model's answer.
 func (s *endpointServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxCallBytes))
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// parseMessages is the messages of a call: one, named by headers, or those of a batch.
+// parseMessages returns the messages of a call: a single one identified by headers, or those of a batch.
 func parseMessages(r *http.Request, body []byte) ([]calledMessage, error) {
 	if r.URL.Path != batchPath {
 		return []calledMessage{{ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key")}}, nil
@@ -79,7 +79,7 @@
 	return batch, nil
 }
 
-// addMessages adds messages to a call, with what the run knows of them; the lock is held.
+// addMessages adds messages to a call and fills in what the run recorded at their submission. The lock must be held.
 func (run *realRun) addMessages(call *receiver.Call, called []calledMessage) {
 	for _, m := range called {
 		id, _ := strconv.ParseUint(m.ID, 16, 64)
@@ -95,7 +95,7 @@
 	}
 }
 
-// recordAnswer records the answer to a call; the lock is held.
+// recordAnswer records the answer to a call. The lock must be held.
 func (s *endpointServer) recordAnswer(call *receiver.Call, a receiver.Answer) {
 	run := s.run
 	run.closeAttempts(call, outcomeKnown(a.Code))
@@ -105,7 +105,7 @@
 		return
 	}
 	for _, m := range call.Messages {
-		if run.effects[m.ID] != nil && !run.log.Answered(m.ID) { // a notice may have crossed it, which does no harm
+		if run.effects[m.ID] != nil && !run.log.Answered(m.ID) { // a notice may have arrived first, which does no harm
 			run.log.FinalAnswer(m.ID, answerDelivered)
 			run.deliveredToForwarder[m.ID] = true
 		}
@@ -118,7 +118,7 @@
 	}
 }
 
-// writeAnswer writes the answer to a call as HTTP, or breaks its connection.
+// writeAnswer writes the answer to a call as an HTTP response, or breaks the connection for codes without a response.
 func writeAnswer(w http.ResponseWriter, a receiver.Answer, called []calledMessage) {
 	if a.ReportedLimit != 0 {
 		w.Header().Set("X-Pressure", fmt.Sprintf("x0=%g,x1=%g", max(0, a.ReportedRemaining), max(0, a.ReportedLimit)))
@@ -147,7 +147,7 @@
 	}
 }
 
-// batchAnswer says of each message of a batch that it was delivered.
+// batchAnswer returns the body of a response that reports each message of a batch as delivered.
 func batchAnswer(called []calledMessage) string {
 	var b strings.Builder
 	separator := "["
--- a/lab/sim/real_clients.go
+++ b/lab/sim/real_clients.go
@@ -14,10 +14,10 @@
 	"spanflow/lab/scenario"
 )
 
-// noticeAnswers are the final answers by the state that a notice reports.
+// noticeAnswers maps the state in a notice to the final answer.
 var noticeAnswers = map[string]string{"failed": answerFailed, "returned": answerRejected}
 
-// handleNotice takes a final answer that a forwarder sends.
+// handleNotice records the final answer in a forwarder's notice.
 func (run *realRun) handleNotice(n emulator.Notice) {
 	id, err := strconv.ParseUint(n.ID, 16, 64)
 	run.mu.Lock()
@@ -26,7 +26,7 @@
 	if err != nil || e == nil {
 		return
 	}
-	if run.deliveredToForwarder[id] { // the forwarder may not have read the answer any more
+	if run.deliveredToForwarder[id] { // the forwarder may have stopped reading before the answer arrived
 		return
 	}
 	answer := noticeAnswers[n.State]
@@ -37,7 +37,8 @@
 	}
 }
 
-// resubmit submits again what was refused or returned, if its client does; the lock is held.
+// resubmit submits an effect again after it was refused or rejected, if the scenario and its expiry allow it. The lock
+// must be held.
 func (run *realRun) resubmit(e *effect, retryAfter float64) {
 	expiry, wait, resubmit := e.resubmission(run.scenario, run.Now(), retryAfter, run.random)
 	if !resubmit {
@@ -47,7 +48,7 @@
 	run.After(wait, func() { run.submit(e, expiry, n) })
 }
 
-// startClients submits what is planned, each effect at its moment, until ctx ends.
+// startClients starts a goroutine that submits the planned effects at their times until ctx is cancelled.
 func (run *realRun) startClients(seed uint64) {
 	effects := planArrivals(run.scenario, newRandom(seed, loadStream))
 	run.wg.Go(func() {
@@ -66,8 +67,8 @@
 	})
 }
 
-// submit submits an effect to a forwarder; the lock is held. The messages of a key are submitted one after another,
-// each when the one before it was answered.
+// submit starts a goroutine that submits an effect to forwarder n. The lock must be held. The messages of an ordering
+// key are submitted one after another, each after the answer to the previous submission.
 func (run *realRun) submit(e *effect, expiry float64, n int) {
 	if run.ctx.Err() != nil {
 		return
@@ -99,7 +100,7 @@
 		case clientBusy:
 			run.result.Refused++
 			run.resubmit(e, retryAfter)
-		case clientNoAnswer: // to another a little later; whatever the first does is ignored
+		case clientNoAnswer: // try the next forwarder after a delay; an answer of the first is ignored
 			if run.Now()+failoverDelay < expiry && !e.done && e.messageType.Idempotency != scenario.AtMostOnce {
 				run.After(failoverDelay, func() { run.submit(e, expiry, nextForwarder(e, n, len(run.processes))) })
 			}
@@ -122,19 +123,19 @@
 }
 
 const (
-	clientTimeout = 400 * time.Millisecond // for a connection, and for an answer
+	clientTimeout = 400 * time.Millisecond // for establishing a connection, and for an answer
 	bodyBytes     = 300
 )
 
-// How a forwarder answers a submission; any other answer is its text.
+// The answers of a forwarder to a submission. Any other answer is passed on as its text.
 const (
 	clientOK       = "ok"
 	clientBusy     = "busy"
 	clientNoAnswer = "none"
 )
 
-// submit submits a message on a connection of its forwarder's. A connection that was closed between two requests is
-// made anew once. retryAfter is in seconds.
+// submit submits a message to the forwarder on an idle or a new connection. If an idle connection turns out to be
+// closed, submit tries one more connection. retryAfter is in seconds.
 func (p *process) submit(e *effect, id uint64, left float64) (answer string, retryAfter float64) {
 	command := p.submitCommand(e, id, left)
 	for range 2 {
@@ -158,7 +159,7 @@
 	return clientNoAnswer, 0
 }
 
-// submitCommand is the command that submits a message.
+// submitCommand returns the command that submits a message. left is the time until its expiry in seconds.
 func (p *process) submitCommand(e *effect, id uint64, left float64) string {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", e.messageType.Name, int(left*1000), e.destination)
 	if e.idempotencyKey != 0 {
@@ -170,7 +171,7 @@
 	return emulator.Command("MSG.PUT", fmt.Sprintf("%016x", e.key), fmt.Sprintf("%016x", id), fields, strings.Repeat("x", bodyBytes))
 }
 
-// connection is an idle connection, or a new one.
+// connection returns an idle connection (reused) or establishes a new one.
 func (p *process) connection() (conn net.Conn, reused bool, err error) {
 	select {
 	case conn = <-p.conns:
@@ -181,7 +182,7 @@
 	}
 }
 
-// release keeps a connection for a later request, or closes it.
+// release keeps a connection for a later request, or closes it if there are maxIdleConns idle ones.
 func (p *process) release(conn net.Conn) {
 	select {
 	case p.conns <- conn:
@@ -190,7 +191,7 @@
 	}
 }
 
-// exchange sends a command and reads the line that answers it.
+// exchange sends a command and returns the first line of the answer.
 func exchange(conn net.Conn, command string) (string, error) {
 	conn.SetDeadline(time.Now().Add(clientTimeout))
 	if _, err := io.WriteString(conn, command); err != nil {
@@ -199,7 +200,7 @@
 	return bufio.NewReaderSize(conn, 128).ReadString('\n')
 }
 
-// parseAnswer is what a line answers; retryAfter is in seconds.
+// parseAnswer parses a forwarder's answer to a submission. retryAfter is in seconds.
 func parseAnswer(line string) (answer string, retryAfter float64) {
 	line = strings.TrimSpace(line)
 	if strings.HasPrefix(line, "+") {
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -9,21 +9,21 @@
 	"spanflow/lab/receiver"
 )
 
-// endpointServer serves one endpoint. While the endpoint refuses connections nothing listens at its address.
+// endpointServer serves one endpoint on a loopback address. It closes its listener while the model refuses connections.
 type endpointServer struct {
 	run   *realRun
 	model *receiver.Endpoint
 	addr  string
 
 	mu       sync.Mutex
-	listener net.Listener // nil: connections are refused
+	listener net.Listener // nil while connections are refused
 	conns    map[net.Conn]struct{}
 	closed   bool
 }
 
 const listenCheckInterval = 10 * time.Millisecond
 
-// openEndpoint serves an endpoint on a new address.
+// openEndpoint starts the server of an endpoint on a new address.
 func (run *realRun) openEndpoint(e *receiver.Endpoint) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// followModel refuses connections while the model does, until the server is closed.
+// followModel polls the model and refuses connections while the model does. It returns when the server is closed.
 func (s *endpointServer) followModel() {
 	tick := time.NewTicker(listenCheckInterval)
 	defer tick.Stop()
@@ -50,7 +50,7 @@
 	}
 }
 
-// serve serves connections of a listener until it is closed.
+// serve starts to serve connections of a listener, and keeps track of them for setRefusing.
 func (s *endpointServer) serve(listener net.Listener) {
 	s.listener = listener
 	server := &http.Server{Handler: s, ConnState: func(c net.Conn, state http.ConnState) {
@@ -66,7 +66,8 @@
 	go server.Serve(listener)
 }
 
-// setRefusing closes or opens the listener; false once the server is closed.
+// setRefusing closes the listener and all connections, or opens the listener again. It returns false if the server is
+// closed.
 func (s *endpointServer) setRefusing(refusing bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -8,7 +8,7 @@
 	"spanflow/lab/scenario"
 )
 
-// discoveryEntry is an endpoint's discoveryEntry of discovery's list.
+// discoveryEntry returns an endpoint's entry in the list of the discovery service.
 func (run *realRun) discoveryEntry(e *receiver.Endpoint) emulator.Entry {
 	destination := e.Destination.Number
 	entry := emulator.Entry{
@@ -28,9 +28,9 @@
 	return entry
 }
 
-// injectFaults puts the scenario's faults on the wall clock; the lock is held. What only the network could do (idle
-// connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
-// receiver that takes calls and never answers.
+// injectFaults schedules the scenario's faults. The lock must be held. Some network faults cannot be produced on
+// loopback without privileges: FaultReap has no effect, and during FaultSilent endpoints accept calls but never answer
+// them. FaultList has no effect either.
 func (run *realRun) injectFaults() {
 	for i := range run.scenario.Faults {
 		run.injectFault(&run.scenario.Faults[i])
@@ -77,7 +77,7 @@
 	}
 }
 
-// announce changes the state of endpoints; discovery publishes it after the list's lag.
+// announce changes the state of endpoints, which the discovery service publishes after the list's lag.
 func (run *realRun) announce(endpoints []*receiver.Endpoint, draining, removed bool) {
 	for _, e := range endpoints {
 		e.Fault.Draining, e.Fault.Removed = draining, removed
@@ -90,7 +90,7 @@
 	})
 }
 
-// removeEndpoints removes endpoints; others replace them after a time.
+// removeEndpoints removes endpoints and adds others in their place after a delay in seconds.
 func (run *realRun) removeEndpoints(removed []*receiver.Endpoint, replacedAfter float64) {
 	run.announce(removed, false, true)
 	run.After(replacedAfter, func() {
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -14,23 +14,24 @@
 	"spanflow/internal/emulator"
 )
 
-// process is one forwarder.
+// process is one forwarder on real sockets. It stays the same when the forwarder's operating system process is
+// restarted.
 type process struct {
 	run    *realRun
 	number int
 	name   string
-	listen string        // address
-	config string        // file
-	folder string        // of its write-ahead log
-	log    *os.File      // its log lines
-	cmd    *exec.Cmd     // the latest process
-	ended  chan struct{} // closed when that has ended
+	listen string        // address for clients
+	config string        // path of the configuration
+	folder string        // folder of the write-ahead log
+	log    *os.File      // receives the log lines
+	cmd    *exec.Cmd     // latest operating system process
+	ended  chan struct{} // closed when cmd has ended
 	conns  chan net.Conn // idle connections of clients
 
-	// Under the run's lock:
-	stalledUntil float64 // moment of the run's clock
-	killed       bool    // its process was killed and no other has begun
-	runEnded     bool    // no other begins
+	// Guarded by the run's lock:
+	stalledUntil float64 // time of the run's clock
+	killed       bool    // cmd was killed and has not been restarted
+	runEnded     bool    // no further process is started
 }
 
 const (
@@ -38,7 +39,7 @@
 	readyPollInterval = 20 * time.Millisecond
 )
 
-// newProcess makes a forwarder and its configuration, and starts no process.
+// newProcess prepares forwarder n, with its folder, configuration and log file, but does not start it.
 func (run *realRun) newProcess(n int) (*process, error) {
 	p := &process{run: run, number: n, name: fmt.Sprint("n", n), conns: make(chan net.Conn, maxIdleConns)}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,7 +63,7 @@
 	return p, err
 }
 
-// start starts a process.
+// start starts an operating system process.
 func (p *process) start() error {
 	cmd := exec.Command(p.run.Program)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "PROXY_STATE="+p.folder)
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// awaitReady waits until the forwarder answers PING.
+// awaitReady waits until the forwarder answers PING, and returns an error after the given time.
 func (p *process) awaitReady(within time.Duration) error {
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(readyPollInterval) {
 		if c, err := emulator.NewClient(p.listen); err == nil {
@@ -90,10 +91,10 @@
 			}
 		}
 	}
-	return fmt.Errorf("forwarder %s does not answer; its log is %s", p.name, p.log.Name())
+	return fmt.Errorf("forwarder %s did not answer PING in time; see its log %s", p.name, p.log.Name())
 }
 
-// stall makes the forwarder, whichever process it has, stand still until a moment; the run's lock is held.
+// stall suspends the forwarder until the given time. A restart does not end the stall. The run's lock must be held.
 func (p *process) stall(until float64) {
 	p.stalledUntil = max(p.stalledUntil, until)
 	p.run.log.ForwarderStalled(p.number, until)
@@ -103,7 +104,7 @@
 	}
 }
 
-// resumeAfterStall ends the stall once no other lasts longer; the run's lock is held.
+// resumeAfterStall resumes the process at the end of the longest stall. The run's lock must be held.
 func (p *process) resumeAfterStall() {
 	if left := p.stalledUntil - p.run.Now(); left > 0 {
 		p.run.After(left, p.resumeAfterStall)
@@ -112,7 +113,7 @@
 	}
 }
 
-// kill ends the process; another begins a little later. The run's lock is held.
+// kill kills the process and starts another one after restartDelay. The run's lock must be held.
 func (p *process) kill() {
 	if p.killed {
 		return
@@ -123,7 +124,8 @@
 	p.run.After(restartDelay, p.restart)
 }
 
-// restart begins another process after a kill, at the end of a stall if there is one. The run's lock is held.
+// restart starts a process after a kill, or at the end of the stall if the forwarder is stalled. The run's lock must be
+// held.
 func (p *process) restart() {
 	left := p.stalledUntil - p.run.Now()
 	switch {
@@ -133,14 +135,14 @@
 		p.run.After(left, p.restart)
 	default:
 		if err := p.start(); err != nil {
-			p.run.restartErrors = errors.Join(p.run.restartErrors, fmt.Errorf("forwarder %s does not start again: %w", p.name, err))
+			p.run.restartErrors = errors.Join(p.run.restartErrors, fmt.Errorf("restart forwarder %s: %w", p.name, err))
 			return
 		}
 		p.killed = false
 	}
 }
 
-// stop ends the process for good.
+// stop kills the process, waits for its end, and prevents any restart.
 func (p *process) stop() {
 	p.run.mu.Lock()
 	p.runEnded = true
--- a/lab/sim/real_settings.go
+++ b/lab/sim/real_settings.go
@@ -7,22 +7,24 @@
 	"spanflow/lab/scenario"
 )
 
-// object is an object of the platform's configuration, whose keys are the platform's.
+// object is a JSON object of the configuration that the hosting platform passes to a forwarder (PROXY_CONFIG). The
+// platform defines its keys.
 type object = map[string]any
 
-const diskMB = 8 // of a forwarder's write-ahead log
+const diskMB = 8 // disk limit of a forwarder's write-ahead log
 
-// platformIdempotencies are the platform's words for the idempotency of a type.
+// platformIdempotencies maps a type's idempotency to the platform's value.
 var platformIdempotencies = map[string]string{
 	scenario.Idempotent:        "retryable",
 	scenario.IdempotentWithKey: "dedup",
 	scenario.AtMostOnce:        "fragile",
 }
 
-// platformListedRates are the platform's words for how exact listed rates are; nothing: they are not used.
+// platformListedRates maps the precision of listed rates to the platform's value. Listed rates are not used for values
+// that are missing here.
 var platformListedRates = map[string]string{"exact": "nominal", "rough": "rough"}
 
-// platformConfig is a forwarder's configuration in the platform's form. It draws the forwarder's seed.
+// platformConfig returns a forwarder's configuration in the platform's format, with a random seed.
 func (run *realRun) platformConfig(p *process) object {
 	return object{
 		"name":      p.name,
@@ -35,7 +37,7 @@
 	}
 }
 
-// platformSettings are a forwarder's settings in the platform's form.
+// platformSettings returns a forwarder's settings in the platform's format.
 func platformSettings(s *scenario.Scenario, forwarder int) object {
 	var kinds, zones []string
 	var batch []int
@@ -99,5 +101,4 @@
 	return tenants
 }
 
-// millis is a time in milliseconds.
 func millis(seconds float64) float64 { return seconds * 1000 }
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -15,8 +15,8 @@
 	"spanflow/lab/audit"
 )
 
-// startSleepingProcess is a process of a run without a scenario; its program writes down that it was started and does
-// nothing.
+// startSleepingProcess starts a process in a run without a scenario. Its program counts its starts in a file and
+// sleeps.
 func startSleepingProcess(t *testing.T) *process {
 	program := filepath.Join(t.TempDir(), "sleeper")
 	require.NoError(t, os.WriteFile(program, []byte("#!/bin/sh\necho started >> \"$0.starts\"\nexec sleep 60\n"), 0o700))
@@ -30,7 +30,7 @@
 	return p
 }
 
-// processState is the letter of a process's processState: T for one that is held, empty for one that is gone.
+// processState returns the letter of a process's state in /proc: "T" if it is stopped, "" if it has ended.
 func processState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -40,14 +40,14 @@
 	return rest[:1]
 }
 
-// current is the process that there is and its state, as of one moment of the run.
+// current returns the id and state of the latest process, and the run's time at which they were read.
 func (p *process) current() (pid int, state string, now float64) {
 	p.run.mu.Lock()
 	defer p.run.mu.Unlock()
 	return p.cmd.Process.Pid, processState(p.cmd.Process.Pid), p.run.Now()
 }
 
-// starts is how many processes have begun.
+// starts returns the number of processes started so far.
 func (p *process) starts() int {
 	text, _ := os.ReadFile(p.run.Program + ".starts")
 	return strings.Count(string(text), "\n")
@@ -62,19 +62,20 @@
 	p.stall(until)
 	p.stall(p.run.Now() + 0.1)
 	p.run.mu.Unlock()
-	require.Eventually(t, func() bool { _, is, _ := p.current(); return is == "T" }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { _, state, _ := p.current(); return state == "T" }, testTimeout, time.Millisecond)
 	for {
 		_, state, now := p.current()
 		if now >= until {
 			break
 		}
-		require.Equal(t, "T", state, "%.2f s before the end", until-now)
+		require.Equal(t, "T", state, "%.2f s before the end of the longer stall", until-now)
 		time.Sleep(5 * time.Millisecond)
 	}
-	require.Eventually(t, func() bool { _, is, _ := p.current(); return is != "T" }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { _, state, _ := p.current(); return state != "T" }, testTimeout, time.Millisecond)
 }
 
-// Whatever comes first: the process that follows a kill begins at the end of the stall, and there is but one.
+// A restart during a stall starts exactly one process, at the end of the stall. The kill may precede or follow the
+// start of the stall.
 func TestRealRestartDuringStallIsDelayedToItsEnd(t *testing.T) {
 	for _, killFirst := range []bool{true, false} {
 		p := startSleepingProcess(t)
@@ -86,7 +87,7 @@
 			p.kill()
 		}
 		p.stall(until)
-		p.kill() // one that is down is not killed once more
+		p.kill() // further kills before the restart have no effect
 		p.kill()
 		p.run.mu.Unlock()
 		for {
@@ -94,11 +95,11 @@
 			if now >= until {
 				break
 			}
-			require.Equal(t, first, pid, "another process began %.2f s before the end of the standstill", until-now)
+			require.Equal(t, first, pid, "another process was started %.2f s before the end of the stall", until-now)
 			time.Sleep(5 * time.Millisecond)
 		}
 		require.Eventually(t, func() bool { return p.starts() == 2 }, testTimeout, time.Millisecond)
-		time.Sleep(200 * time.Millisecond) // the other kills' processes would begin at the same moment
+		time.Sleep(200 * time.Millisecond) // further processes would have been started by now
 		require.Equal(t, 2, p.starts())
 		pid, state, _ := p.current()
 		require.NotEqual(t, first, pid)
@@ -106,7 +107,8 @@
 	}
 }
 
-// The kept stall, shorter, on real sockets: it is seen there as on the simulated clock, and no rule is broken.
+// The finding of stallScenario, shortened, on real sockets. The stall must delay messages there, too, and no rule may
+// be violated.
 func TestRestartDuringStallOnRealSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "spanflow")
@@ -122,6 +124,6 @@
 	simulated := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, simulated.Messages, r.Messages, "the same load")
 	require.Greater(t, simulated.Late, simulated.Messages/5)
-	require.Greater(t, r.Late, r.Messages/5, "the stall is seen")
-	t.Logf("on sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, simulated.G, simulated.Late)
+	require.Greater(t, r.Late, r.Messages/5, "the stall delays messages")
+	t.Logf("G on real sockets %.3f with %d late, simulated %.3f with %d late", r.G, r.Late, simulated.G, simulated.Late)
 }
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -68,8 +68,8 @@
 	destinations     []*receiver.Destination
 	group            []int // by destination: index of its scenario.Receiver
 	forwarders       []*forwarder
-	effects          map[uint64]*effect     // by the id of each of its messages
-	submissions      map[uint64]*submission // by id
+	effects          map[uint64]*effect     // by message ID; an effect may have several
+	submissions      map[uint64]*submission // by message ID
 	lastID           uint64
 	activeReapFaults int
 	activeListFaults int
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -61,7 +61,7 @@
 	require.NotEqual(t, want, Play(s, 8, SchedulerPolicy).JSON())
 }
 
-// A forwarder that breaks one rule is caught at it, by that rule.
+// The audit must report a forwarder that violates one rule, as a violation of that rule.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	for _, c := range []struct {
 		misbehavior misbehavior
@@ -77,33 +77,35 @@
 		} else {
 			s = readScenario(t, c.scenario)
 		}
-		newPolicy := func(fault misbehavior) PolicyFactory {
+		newPolicy := func(m misbehavior) PolicyFactory {
 			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
 				p := newBaseline(settings, now, h)
-				p.misbehavior = fault
+				p.misbehavior = m
 				return p
 			}
 		}
 		n := violationsByRule(Play(s, 1, newPolicy(c.misbehavior)))
 		require.NotZero(t, n[c.rule], "%d in %s: %v", c.misbehavior, c.scenario, n)
 		if c.misbehavior != noMisbehavior {
-			require.Zero(t, violationsByRule(Play(s, 1, newPolicy(noMisbehavior)))[c.rule], "without the fault %d in %s", c.misbehavior, c.scenario)
+			require.Zero(t, violationsByRule(Play(s, 1, newPolicy(noMisbehavior)))[c.rule], "without the misbehavior %d in %s", c.misbehavior, c.scenario)
 		}
 	}
 }
 
-// The oracle is a ceiling: in no built-in scenario does the scheduler or a baseline deliver much more.
+// In no built-in scenario may the scheduler deliver noticeably more value than the oracle. The fifo baseline is logged
+// for comparison.
 func TestOracleIsAnUpperBound(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		s := readScenario(t, name)
 		oracle := Play(s, 1, Baselines["oracle"])
 		underTest := Play(s, 1, SchedulerPolicy)
 		require.Greater(t, oracle.G, underTest.G-0.01, name)
-		t.Logf("%-32s oracle %.3f module %.3f fifo %.3f", name, oracle.G, underTest.G, Play(s, 1, Baselines["fifo"]).G)
+		t.Logf("%-32s G of oracle %.3f, scheduler %.3f, fifo %.3f", name, oracle.G, underTest.G, Play(s, 1, Baselines["fifo"]).G)
 	}
 }
 
-// One short scenario on real sockets: the built program as processes, the same model of receivers.
+// A short scenario on real sockets must give about the same result as the simulation. The forwarders are processes of
+// the built program; the model of the receivers is the same.
 func TestScenarioOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
@@ -121,10 +123,10 @@
 	simulated := Play(s, 1, SchedulerPolicy)
 	require.Equal(t, simulated.Messages, r.Messages, "the same load")
 	require.InDelta(t, simulated.G, r.G, 0.15)
-	t.Logf("on sockets %.3f, simulated %.3f", r.G, simulated.G)
+	t.Logf("G on real sockets %.3f, simulated %.3f", r.G, simulated.G)
 }
 
-// randomScenario draws a scenario: some receivers, some faults.
+// randomScenario returns a variant of a base scenario with random fleet sizes, receivers and faults.
 func randomScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	random := rand.New(rand.NewPCG(seed, 9))
 	s := *base
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -10,13 +10,13 @@
 	"spanflow/scheduler"
 )
 
-// stallScenario is the finding in which the forwarder, with four slots, stalls for ten seconds while it restarts.
+// stallScenario returns the finding in which a forwarder with four slots stalls for ten seconds while it restarts.
 func stallScenario(t *testing.T) *scenario.Scenario {
 	return readScenario(t, "stands-still-while-it-restarts")
 }
 
-// A forwarder that is killed shortly before, at the beginning of, within or at the end of a stall loses no result of a
-// call: its slots are free again and every message is answered.
+// A forwarder that is killed shortly before, during or at the end of a stall must not lose the result of any call: at
+// the end of the run all slots are free and every message is answered.
 func TestRestartDuringStallLosesNoCallResult(t *testing.T) {
 	for _, killedAt := range []config.Duration{9.3, 9.5, 9.9, 10, 12, 19, 19.9, 20} {
 		for seed := range uint64(5) {
@@ -29,14 +29,15 @@
 			r := Play(s, seed, SchedulerPolicy)
 			require.Empty(t, r.Violations, "killed at %s, seed %d", killedAt, seed)
 			last := r.Seconds[len(r.Seconds)-1]
-			require.Zero(t, last.OpenCalls, "slots are taken at the end of the run: killed at %s, seed %d", killedAt, seed)
+			require.Zero(t, last.OpenCalls, "slots are still in use at the end of the run: killed at %s, seed %d", killedAt, seed)
 			require.Zero(t, last.Held, "killed at %s, seed %d", killedAt, seed)
 			require.Greater(t, r.G, 0.4, "killed at %s, seed %d", killedAt, seed)
 		}
 	}
 }
 
-// startsDuringStall counts the processes that begin within a stall; seconds from the beginning of the run.
+// startsDuringStall counts the processes that start during a stall. from and until are in seconds since the start of
+// the run.
 type startsDuringStall struct {
 	from, until float64
 	count       int
@@ -49,10 +50,10 @@
 	return SchedulerPolicy(settings, seed, now, host)
 }
 
-// A stall is the forwarder's, not one process's: no process begins in it, whatever comes first.
+// A stall applies to the forwarder rather than to one of its processes, so no process may start during a stall.
 func TestRestartDuringStallIsDelayedToItsEnd(t *testing.T) {
 	c := &startsDuringStall{from: 10, until: 20}
 	r := Play(stallScenario(t), 1, c.newPolicy)
 	require.Zero(t, c.count)
-	require.Greater(t, r.Late, 100, "the stall is seen")
+	require.Greater(t, r.Late, 100, "the stall delays messages")
 }
