--- a/lab/receiver/endpoint.go
+++ b/lab/receiver/endpoint.go
@@ -7,7 +7,7 @@
 	"spanflow/transport"
 )
 
-// Endpoint is one endpoint of a destination.
+// Endpoint models one endpoint of a destination. It is not safe for concurrent use.
 type Endpoint struct {
 	Destination *Destination
 	Number      int
--- a/lab/receiver/fault.go
+++ b/lab/receiver/fault.go
@@ -21,7 +21,7 @@
 	Draining          bool
 	Removed           bool
 
-	affectedCalls int // for EveryNth
+	affectedCalls int // counts the calls to which EveryNth applies
 }
 
 // MostlyFails reports whether so many calls fail that calling the endpoint is not worthwhile. This counts as an outage.
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -64,7 +64,7 @@
 	EndpointRecovered(destination, endpoint int)
 }
 
-// Destination is one destination with its endpoints.
+// Destination models one destination with its endpoints. It is not safe for concurrent use.
 type Destination struct {
 	Number    int
 	Behavior  Behavior
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -103,7 +103,7 @@
 
 func TestRateLimitsAdmitExactlyTheirRate(t *testing.T) {
 	service := receiver.Distribution{Form: "fixed", Mean: 0.001}
-	_, results := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // ten seconds
+	_, results := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, Rate: 10, Burst: 5}, 100, 1000, true) // for ten seconds
 	require.InDelta(t, 5+10*10, results[transport.ResultOK], 1, "the burst and ten a second")
 	recorder, results := simulateCalls(receiver.Behavior{Service: service, Concurrency: 100, WindowCalls: 7, Window: 2, ReportsRetryAfter: true}, 100, 1000, true)
 	require.Equal(t, 7*5, results[transport.ResultOK], "seven in any two seconds")
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -120,7 +120,7 @@
 	f.OddForwarders = f.OddForwarders || fault.OddForwarders
 }
 
-// endFault ends a fault at an endpoint.
+// endFault ends a fault at an endpoint. If the fault counted as an outage, the endpoint begins its slow start.
 func endFault(e *receiver.Endpoint, fault *scenario.Fault) {
 	f := &e.Fault
 	if f.MostlyFails() {
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -14,8 +14,8 @@
 	Scenario       string            `json:"scene"`
 	Seed           uint64            `json:"seed"`
 	Messages       int               `json:"documents"` // number of effects that clients wanted
-	Accepted       int               `json:"taken"`     // submissions
-	Refused        int               `json:"refused"`   // submissions
+	Accepted       int               `json:"taken"`     // number of accepted submissions
+	Refused        int               `json:"refused"`   // number of submissions that were not admitted
 	Served         int               `json:"served"`    // number of effects that took place
 	Late           int               `json:"late"`      // effects between their latency objective and their expiry
 	Attempts       int               `json:"transmissions"`
@@ -83,19 +83,19 @@
 // recordDelivery counts an effect that took place. Its value is full within the latency objective; after that it is
 // half and falls linearly to 0 at the expiry.
 func (r *Result) recordDelivery(e *effect, at float64) {
-	took := at - e.submittedAt
+	latency := at - e.submittedAt
 	value := 0.0
 	switch objective, timeToLive := float64(e.messageType.LatencyObjective), float64(e.messageType.TimeToLive); {
-	case took <= objective:
+	case latency <= objective:
 		value = e.messageType.Value
-	case took < timeToLive:
-		value = e.messageType.Value / 2 * (timeToLive - took) / (timeToLive - objective)
+	case latency < timeToLive:
+		value = e.messageType.Value / 2 * (timeToLive - latency) / (timeToLive - objective)
 		r.Late++
 	}
 	r.Served++
 	r.DeliveredValue += value
 	r.at(e.submittedAt).Delivered += value
-	r.latencyHistogram.RecordValue(max(1, int64(took*1e6)))
+	r.latencyHistogram.RecordValue(max(1, int64(latency*1e6)))
 }
 
 // recordSecond records the unanswered messages and open calls of all forwarders at the end of a second.
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -84,8 +84,8 @@
 				return p
 			}
 		}
-		n := violationsByRule(Play(s, 1, newPolicy(c.misbehavior)))
-		require.NotZero(t, n[c.rule], "%d in %s: %v", c.misbehavior, c.scenario, n)
+		counts := violationsByRule(Play(s, 1, newPolicy(c.misbehavior)))
+		require.NotZero(t, counts[c.rule], "%d in %s: %v", c.misbehavior, c.scenario, counts)
 		if c.misbehavior != noMisbehavior {
 			require.Zero(t, violationsByRule(Play(s, 1, newPolicy(noMisbehavior)))[c.rule], "without the misbehavior %d in %s", c.misbehavior, c.scenario)
 		}
@@ -98,9 +98,9 @@
 	for _, name := range scenario.Builtin() {
 		s := readScenario(t, name)
 		oracle := Play(s, 1, Baselines["oracle"])
-		underTest := Play(s, 1, SchedulerPolicy)
-		require.Greater(t, oracle.G, underTest.G-0.01, name)
-		t.Logf("%-32s G of oracle %.3f, scheduler %.3f, fifo %.3f", name, oracle.G, underTest.G, Play(s, 1, Baselines["fifo"]).G)
+		schedulerResult := Play(s, 1, SchedulerPolicy)
+		require.Greater(t, oracle.G, schedulerResult.G-0.01, name)
+		t.Logf("%-32s G of oracle %.3f, scheduler %.3f, fifo %.3f", name, oracle.G, schedulerResult.G, Play(s, 1, Baselines["fifo"]).G)
 	}
 }
 
