--- a/lab/sim/baseline_reconcile.go
+++ b/lab/sim/baseline_reconcile.go
@@ -7,14 +7,14 @@
 	"spanflow/scheduler"
 )
 
-// Reconcile answers what can no longer be sent, and sends what may be.
+// Reconcile answers messages that can no longer be sent, and sends those that may be sent now.
 func (b *baseline) Reconcile() {
 	for _, m := range b.inSendingOrder() {
 		if m.openAttempts > 0 && !(b.misbehavior == overlapsAttempts && m.openAttempts == 1 && b.now > m.notBefore) {
 			continue
 		}
-		if exhausted, returnable := b.exhausted(m); exhausted {
-			b.giveUp(m, returnable)
+		if exhausted, rejectable := b.exhausted(m); exhausted {
+			b.answerExhausted(m, rejectable)
 			continue
 		}
 		if b.now < m.notBefore || b.openCalls >= b.settings.ConcurrencyLimit {
@@ -24,20 +24,20 @@
 		if m.inOrder() && d.keyQueues[m.handle.Key][0] != m && b.misbehavior != breaksKeyOrder {
 			continue
 		}
-		if e := b.pick(d, m); e != nil {
+		if e := b.pickEndpoint(d, m); e != nil {
 			b.send(m, e, d)
 		}
 	}
-	if len(b.held) > 0 && !b.timerSet {
+	if len(b.unanswered) > 0 && !b.timerSet {
 		b.timerSet = true
 		b.host.Wake(baselineTick)
 	}
 }
 
-// inSendingOrder is what is held in the order of its coming; for the oracle those that can still be in time come before
-// those that are late already.
+// inSendingOrder returns the unanswered messages in the order of their arrival. The oracle sends those that have missed
+// their latency objective last.
 func (b *baseline) inSendingOrder() []*baselineMessage {
-	all := slices.Clone(b.held)
+	all := slices.Clone(b.unanswered)
 	if !b.oracle {
 		return all
 	}
@@ -56,13 +56,13 @@
 	return all
 }
 
-// exhausted tells that a message must not be sent any more, and whether it may be returned to its client.
-func (b *baseline) exhausted(m *baselineMessage) (exhausted, returnable bool) {
-	repeatable := m.firstRanAt == 0 || m.messageType.Idempotency == scheduler.Idempotent
+// exhausted reports whether a message must not be sent any more, and whether it may be rejected rather than failed.
+func (b *baseline) exhausted(m *baselineMessage) (exhausted, rejectable bool) {
+	retryable := m.firstRanAt == 0 || m.messageType.Idempotency == scheduler.Idempotent
 	switch {
 	case b.now >= m.expiry-minAttemptTime || m.attempts >= b.settings.MaxAttempts:
-		return true, repeatable
-	case repeatable:
+		return true, retryable
+	case retryable:
 		return false, false
 	case m.messageType.Idempotency == scheduler.AtMostOnce:
 		return b.misbehavior != repeatsAtMostOnce, false
@@ -70,8 +70,8 @@
 	return b.now > m.firstRanAt+m.messageType.DeduplicationWindow-baselineTimeout-0.5, false
 }
 
-// giveUp answers a message that is exhausted.
-func (b *baseline) giveUp(m *baselineMessage, returnable bool) {
+// answerExhausted rejects or fails a message that must not be sent any more.
+func (b *baseline) answerExhausted(m *baselineMessage, rejectable bool) {
 	if b.misbehavior == neverAnswers || b.misbehavior == answersLate && b.now < m.expiry+1 {
 		return
 	}
@@ -81,7 +81,7 @@
 		answers = 2
 	}
 	for range answers {
-		if returnable {
+		if rejectable {
 			b.host.Reject(m.handle, b.retryAfter())
 		} else {
 			b.host.Fail(m.handle)
@@ -89,8 +89,8 @@
 	}
 }
 
-// pick is the endpoint for a message, nil if there is none now.
-func (b *baseline) pick(d *baselineDestination, m *baselineMessage) *baselineEndpoint {
+// pickEndpoint returns the endpoint that a message is sent to, or nil if it cannot be sent now.
+func (b *baseline) pickEndpoint(d *baselineDestination, m *baselineMessage) *baselineEndpoint {
 	if b.bucket && !d.refill(b.now) {
 		return nil
 	}
@@ -118,7 +118,7 @@
 	return best
 }
 
-// refill fills the token bucket and tells whether there is a token.
+// refill refills the token bucket and reports whether a token is available.
 func (d *baselineDestination) refill(now float64) bool {
 	d.tokens = math.Min(bucketBurst, d.tokens+(now-d.refilledAt)*math.Max(1, d.rate*bucketGrowth))
 	d.rate *= math.Exp(d.refilledAt - now)
@@ -126,7 +126,7 @@
 	return !(d.tokens < 1)
 }
 
-// callable tells whether a message may be sent to an endpoint.
+// callable reports whether a message may be sent to an endpoint.
 func (b *baseline) callable(e *baselineEndpoint, m *baselineMessage) bool {
 	switch {
 	case e.state == scheduler.Removed:
@@ -141,12 +141,12 @@
 	return m.firstRanAt <= 0 || !keyKnownElsewhere
 }
 
-// joinsBatch tells whether a message would join the call that has just begun: it needs no concurrency of its own.
+// joinsBatch reports whether a message would join a call that began at the current time, so that it needs no slot.
 func (b *baseline) joinsBatch(e *baselineEndpoint) bool {
 	return b.oracle && e.callStarted == b.now && e.callMessages < e.batchSize
 }
 
-// send sends a message to an endpoint.
+// send sends a message to an endpoint and updates the counters of messages, calls and tokens.
 func (b *baseline) send(m *baselineMessage, e *baselineEndpoint, d *baselineDestination) {
 	if d.next++; b.joinsBatch(e) {
 		e.callMessages++
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -8,8 +8,8 @@
 	"spanflow/lab/scenario"
 )
 
-// entry is an endpoint's entry of discovery's list.
-func (run *realRun) entry(e *receiver.Endpoint) emulator.Entry {
+// discoveryEntry returns an endpoint's entry in the list of the discovery service.
+func (run *realRun) discoveryEntry(e *receiver.Endpoint) emulator.Entry {
 	destination := e.Destination.Number
 	entry := emulator.Entry{
 		UID:         fmt.Sprintf("d%d-%d", destination, e.Number),
@@ -28,9 +28,9 @@
 	return entry
 }
 
-// injectFaults puts the scenario's faults on the wall clock; the lock is held. What only the network could do (idle
-// connections that die unseen, addresses that answer nothing) is beyond loopback without privileges: silence is a
-// receiver that takes calls and never answers.
+// injectFaults schedules the scenario's faults. The lock must be held. Some network faults cannot be produced on
+// loopback without privileges: FaultReap has no effect, and during FaultSilent endpoints accept calls but never answer
+// them. FaultList has no effect either.
 func (run *realRun) injectFaults() {
 	for i := range run.scenario.Faults {
 		run.injectFault(&run.scenario.Faults[i])
@@ -39,7 +39,7 @@
 
 func (run *realRun) injectFault(fault *scenario.Fault) {
 	at, seconds := float64(fault.At), float64(fault.For)
-	processes := run.processes[:min(len(run.processes), int(fault.Fraction*float64(len(run.processes))+roundUp))]
+	processes := run.processes[:min(len(run.processes), int(fault.Fraction*float64(len(run.processes))+roundUpOffset))]
 	switch fault.Kind {
 	case scenario.FaultReap, scenario.FaultList:
 	case scenario.FaultStall:
@@ -77,7 +77,7 @@
 	}
 }
 
-// announce changes the state of endpoints; discovery publishes it after the list's lag.
+// announce changes the state of endpoints, which the discovery service publishes after the list's lag.
 func (run *realRun) announce(endpoints []*receiver.Endpoint, draining, removed bool) {
 	for _, e := range endpoints {
 		e.Fault.Draining, e.Fault.Removed = draining, removed
@@ -85,19 +85,19 @@
 	run.After(float64(run.scenario.ListLag), func() {
 		for _, e := range endpoints {
 			run.log.EndpointDraining(e.Destination.Number, e.Number)
-			run.discovery.Set(run.entry(e))
+			run.discovery.Set(run.discoveryEntry(e))
 		}
 	})
 }
 
-// removeEndpoints removes endpoints; others replace them after a time.
+// removeEndpoints removes endpoints and adds others in their place after a delay in seconds.
 func (run *realRun) removeEndpoints(removed []*receiver.Endpoint, replacedAfter float64) {
 	run.announce(removed, false, true)
 	run.After(replacedAfter, func() {
 		for _, e := range removed {
 			added := e.Destination.AddEndpoint(e.Zone)
 			if run.openEndpoint(added) == nil {
-				run.After(float64(run.scenario.ListLag), func() { run.discovery.Set(run.entry(added)) })
+				run.After(float64(run.scenario.ListLag), func() { run.discovery.Set(run.discoveryEntry(added)) })
 			}
 		}
 	})
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -26,14 +26,14 @@
 }
 
 func violationsByRule(r *Result) map[audit.Rule]int {
-	n := map[audit.Rule]int{}
+	count := map[audit.Rule]int{}
 	for _, b := range r.Violations {
-		n[b.Rule]++
+		count[b.Rule]++
 	}
-	return n
+	return count
 }
 
-func TestTheSchedulerKeepsTheRulesInEachBuiltinScenario(t *testing.T) {
+func TestSchedulerKeepsRulesInBuiltinScenarios(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		r := Play(readScenario(t, name), 1, SchedulerPolicy)
 		require.Empty(t, r.Violations, name)
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestTheSameScenarioAndSeedGiveTheSameBytes(t *testing.T) {
+func TestResultIsDeterministic(t *testing.T) {
 	s := readScenario(t, "several-at-once")
 	want := Play(s, 7, SchedulerPolicy).JSON()
 	for _, cores := range []int{1, 4} {
@@ -61,50 +61,52 @@
 	require.NotEqual(t, want, Play(s, 8, SchedulerPolicy).JSON())
 }
 
-// A forwarder that breaks one rule is caught at it, by that rule.
-func TestTheAuditCatchesEachRuleBrokenOnPurpose(t *testing.T) {
+// The audit must report a forwarder that violates one rule, as a violation of that rule.
+func TestAuditDetectsEachViolation(t *testing.T) {
 	for _, c := range []struct {
-		fault misbehavior
-		scene string
-		rule  audit.Rule
+		misbehavior misbehavior
+		scenario    string
+		rule        audit.Rule
 	}{{overlapsAttempts, "calm", audit.RuleNoDoubleEffect}, {breaksKeyOrder, "one-partner-hangs", audit.RuleKeyOrder}, {ignoresRetryAfter, "limits-cut", audit.RuleRetryAfterHeeded},
 		{callsDraining, "drains", audit.RuleDrainObserved}, {answersTwice, "one-partner-hangs", audit.RuleOneAnswer}, {neverAnswers, "one-partner-hangs", audit.RuleOneAnswer},
-		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {behaves, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
+		{answersLate, "one-partner-hangs", audit.RuleOneAnswer}, {repeatsAtMostOnce, "several-at-once", audit.RuleNoDoubleEffect}, {noMisbehavior, "returns-cold", audit.RuleRecoveryNotOverloaded}} {
 		var s *scenario.Scenario
-		if c.scene == "drains" {
+		if c.scenario == "drains" {
 			s = readScenario(t, "calm")
 			s.Faults = []scenario.Fault{{Kind: "drain", At: 10, For: 5, Destinations: []int{0, 1}, Endpoints: []int{0}}}
 		} else {
-			s = readScenario(t, c.scene)
+			s = readScenario(t, c.scenario)
 		}
-		make := func(fault misbehavior) Maker {
+		newPolicy := func(m misbehavior) PolicyFactory {
 			return func(settings scheduler.Settings, _ uint64, now float64, h scheduler.Host) Policy {
 				p := newBaseline(settings, now, h)
-				p.misbehavior = fault
+				p.misbehavior = m
 				return p
 			}
 		}
-		n := violationsByRule(Play(s, 1, make(c.fault)))
-		require.NotZero(t, n[c.rule], "%d in %s: %v", c.fault, c.scene, n)
-		if c.fault != behaves {
-			require.Zero(t, violationsByRule(Play(s, 1, make(behaves)))[c.rule], "without the fault %d in %s", c.fault, c.scene)
+		counts := violationsByRule(Play(s, 1, newPolicy(c.misbehavior)))
+		require.NotZero(t, counts[c.rule], "%d in %s: %v", c.misbehavior, c.scenario, counts)
+		if c.misbehavior != noMisbehavior {
+			require.Zero(t, violationsByRule(Play(s, 1, newPolicy(noMisbehavior)))[c.rule], "without the misbehavior %d in %s", c.misbehavior, c.scenario)
 		}
 	}
 }
 
-// The oracle is a ceiling: in no built-in scenario does the scheduler or a baseline deliver much more.
-func TestTheOracleIsACeiling(t *testing.T) {
+// In no built-in scenario may the scheduler deliver noticeably more value than the oracle. The fifo baseline is logged
+// for comparison.
+func TestOracleIsAnUpperBound(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		s := readScenario(t, name)
-		top := Play(s, 1, Baselines["oracle"])
-		module := Play(s, 1, SchedulerPolicy)
-		require.Greater(t, top.G, module.G-0.01, name)
-		t.Logf("%-32s oracle %.3f module %.3f fifo %.3f", name, top.G, module.G, Play(s, 1, Baselines["fifo"]).G)
+		oracle := Play(s, 1, Baselines["oracle"])
+		schedulerResult := Play(s, 1, SchedulerPolicy)
+		require.Greater(t, oracle.G, schedulerResult.G-0.01, name)
+		t.Logf("%-32s G of oracle %.3f, scheduler %.3f, fifo %.3f", name, oracle.G, schedulerResult.G, Play(s, 1, Baselines["fifo"]).G)
 	}
 }
 
-// One short scenario on real sockets: the built program as processes, the same model of receivers.
-func TestAScenarioOnRealSockets(t *testing.T) {
+// A short scenario on real sockets must give about the same result as the simulation. The forwarders are processes of
+// the built program; the model of the receivers is the same.
+func TestScenarioOnRealSockets(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "spanflow")
 	out, err := exec.Command("go", "build", "-o", program, "spanflow/cmd/spanflow").CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -118,14 +120,14 @@
 	require.NoError(t, err)
 	require.Empty(t, r.Violations)
 	require.Greater(t, r.Messages, 150)
-	twin := Play(s, 1, SchedulerPolicy)
-	require.Equal(t, twin.Messages, r.Messages, "the same load")
-	require.InDelta(t, twin.G, r.G, 0.15)
-	t.Logf("on sockets %.3f, simulated %.3f", r.G, twin.G)
+	simulated := Play(s, 1, SchedulerPolicy)
+	require.Equal(t, simulated.Messages, r.Messages, "the same load")
+	require.InDelta(t, simulated.G, r.G, 0.15)
+	t.Logf("G on real sockets %.3f, simulated %.3f", r.G, simulated.G)
 }
 
-// drawScenario draws a scenario: some receivers, some faults.
-func drawScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
+// randomScenario returns a variant of a base scenario with random fleet sizes, receivers and faults.
+func randomScenario(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	random := rand.New(rand.NewPCG(seed, 9))
 	s := *base
 	s.Length, s.Drain, s.Zones = 20, 20, 1+random.IntN(2)
@@ -149,23 +151,23 @@
 	return &s
 }
 
-func TestTheAuditReportsNoViolationOfTheScheduler(t *testing.T) {
+func TestSchedulerKeepsRulesInRandomScenarios(t *testing.T) {
 	base := readScenario(t, "calm")
 	var wg sync.WaitGroup
-	accused := make([]string, 200)
+	violations := make([]string, 200)
 	slots := make(chan struct{}, 4)
-	for seed := range accused {
+	for seed := range violations {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			s := drawScenario(base, uint64(seed))
+			s := randomScenario(base, uint64(seed))
 			if r := Play(s, uint64(seed), SchedulerPolicy); len(r.Violations) > 0 {
-				accused[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
+				violations[seed] = fmt.Sprintf("seed %d: %+v in %+v", seed, r.Violations[0], s.Faults)
 			}
 		})
 	}
 	wg.Wait()
-	for _, a := range accused {
+	for _, a := range violations {
 		require.Empty(t, a)
 	}
 }
