--- a/cmd/spanflowctl/backlog_commands_test.go
+++ b/cmd/spanflowctl/backlog_commands_test.go
@@ -45,7 +45,7 @@
 	h := startSingle(t)
 	h.writeConfig("[backlog]\nfolder = \"stored\"\nwindow = 0\n")
 	h.sendReload()
-	h.awaitLog("backlog.window: 0 is under the least, 1")
+	h.awaitLog("backlog.window: 0 is below the minimum, 1")
 	h.writeConfig("[backlog]\nfolder = \"stored\"\nwindow = 8\n")
 	h.sendReload()
 	h.awaitLog(`"at_next_start":["backlog_folder"]`)
--- a/cmd/spanflowctl/run_test.go
+++ b/cmd/spanflowctl/run_test.go
@@ -72,7 +72,7 @@
 	extra := fmt.Sprintf("[[targets]]\nuid = \"t2\"\naddress = %q\ndest = 8\n", other.Addr)
 	h.writeConfig(extra + "zone = \"z\"\n")
 	h.sendReload()
-	h.awaitLog(`targets[1].zone: \"z\" is none of zones`)
+	h.awaitLog(`targets[1].zone: \"z\" is not one of zones`)
 	h.writeConfig(extra + "[limits]\nmemory = \"96MB\"\n[metrics]\ntoken_file = \"other\"\n[log]\nformat = \"console\"\n")
 	require.NoError(t, os.WriteFile(filepath.Join(h.folder, "other"), []byte("x"), 0o600))
 	h.sendReload()
--- a/internal/config/check_backlog.go
+++ b/internal/config/check_backlog.go
@@ -93,7 +93,7 @@
 		}
 	}
 	if b.Window < 1 {
-		c.problem("backlog.window", "%d is under the least, 1", b.Window)
+		c.problem("backlog.window", "%d is below the minimum, 1", b.Window)
 	}
 	if b.Behind < b.Window {
 		c.problem("backlog.behind", "%d is less than backlog.window, %d", b.Behind, b.Window)
--- a/internal/config/check_lists.go
+++ b/internal/config/check_lists.go
@@ -134,7 +134,7 @@
 		c.problem(field("dest"), "%d exceeds the maximum, %d", e.Destination, uint32(math.MaxUint32))
 	}
 	if !slices.Contains(c.Zones, e.Zone) {
-		c.problem(field("zone"), "%q is none of zones %q", e.Zone, c.Zones)
+		c.problem(field("zone"), "%q is not one of zones %q", e.Zone, c.Zones)
 	}
 	if !slices.ContainsFunc(c.Kinds, func(k Kind) bool { return k.Name == e.Kind }) {
 		c.problem(field("kind"), "%q is not the name of a kind", e.Kind)
