--- a/cmd/spanflow/admin_harness_test.go
+++ b/cmd/spanflow/admin_harness_test.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	readyBound       = 6 * time.Second // a second process is ready beside the first one
-	handOverBound    = 4 * time.Second // the first one has ended after SIGTERM
-	adminAnswerBound = time.Second     // an answer of the admin address
-	noCallWithin     = time.Second     // in which an endpoint that is drained gets no call
+	readyBound       = 6 * time.Second // for the successor of an upgrade to become ready
+	handoverBound    = 4 * time.Second // from SIGTERM to the end of the predecessor
+	adminAnswerBound = time.Second     // for an answer of the admin address
+	noCallPeriod     = time.Second     // in which a drained endpoint must not get a call
 )
 
 // adminProcess is a forwarder with an admin address.
@@ -29,7 +29,8 @@
 	admin string
 }
 
-// startWithAdmin starts a forwarder with an admin address of its own. The clients' socket, if not nil, is handed down.
+// startWithAdmin starts a forwarder with a new admin address. The forwarder inherits the clients' socket unless socket
+// is nil.
 func (h *harness) startWithAdmin(socket *os.File) *adminProcess {
 	h.t.Helper()
 	admin := emulator.FreeAddress(h.t)
@@ -43,7 +44,7 @@
 	return &adminProcess{Process: h.process, admin: admin}
 }
 
-// inheritedSocket makes a listening socket as the platform hands it down.
+// inheritedSocket creates a listening socket for forwarders to inherit, as the platform does.
 func (h *harness) inheritedSocket() *os.File {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(h.t, err)
@@ -54,42 +55,43 @@
 	return socket
 }
 
-// startBeside starts a second process on a handed-down socket and the first one's folder, and returns once it is ready.
-func (h *harness) startBeside(socket *os.File) *adminProcess {
+// startSuccessor starts a second process with the inherited socket and the folder of the first one, and returns once
+// the second process is ready.
+func (h *harness) startSuccessor(socket *os.File) *adminProcess {
 	h.t.Helper()
-	second := h.startWithAdmin(socket)
-	require.Eventually(h.t, func() bool { return second.isReady() }, readyBound, 20*time.Millisecond)
-	return second
+	successor := h.startWithAdmin(socket)
+	require.Eventually(h.t, func() bool { return successor.isReady() }, readyBound, 20*time.Millisecond)
+	return successor
 }
 
-// upgrade starts a second process on the same handed-down socket, waits until it is ready and sends the first SIGTERM.
-// It calls meanwhile after the signal and then waits for the end of the first.
-func (h *harness) upgrade(first *adminProcess, socket *os.File, meanwhile func()) *adminProcess {
+// upgrade starts a successor with the same inherited socket, waits until it is ready and sends SIGTERM to the
+// predecessor. It calls meanwhile after the signal and then waits for the predecessor to end.
+func (h *harness) upgrade(predecessor *adminProcess, socket *os.File, meanwhile func()) *adminProcess {
 	h.t.Helper()
-	second := h.startBeside(socket)
-	require.NoError(h.t, first.Signal(syscall.SIGTERM))
+	successor := h.startSuccessor(socket)
+	require.NoError(h.t, predecessor.Signal(syscall.SIGTERM))
 	meanwhile()
 	select {
-	case <-first.Ended():
-		require.NoError(h.t, first.Wait(), first.Log.String())
-	case <-time.After(handOverBound):
-		h.t.Fatalf("the first process did not end; log:\n%s", first.Log)
+	case <-predecessor.Ended():
+		require.NoError(h.t, predecessor.Wait(), predecessor.Log.String())
+	case <-time.After(handoverBound):
+		h.t.Fatalf("the predecessor did not end; log:\n%s", predecessor.Log)
 	}
-	second.AwaitReady(h.t)
-	return second
+	successor.AwaitReady(h.t)
+	return successor
 }
 
-// requireNoCall requires that the endpoint, which is drained, gets no call within a second.
+// requireNoCall requires that the endpoint, which is drained, gets no call within noCallPeriod.
 func (h *harness) requireNoCall() {
 	h.t.Helper()
 	select {
 	case call := <-h.endpoint.Calls:
-		h.t.Fatalf("%s went to a drained endpoint", call.ID)
-	case <-time.After(noCallWithin):
+		h.t.Fatalf("%s was sent to a drained endpoint", call.ID)
+	case <-time.After(noCallPeriod):
 	}
 }
 
-// isReady reports whether the process says that it is ready; one that does not listen yet is not.
+// isReady asks the admin address whether the process is ready. A process that does not listen yet is not ready.
 func (p *adminProcess) isReady() bool {
 	response, err := (&http.Client{Timeout: time.Second}).Get("http://" + p.admin + "/_ready")
 	if err != nil {
@@ -99,21 +101,21 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// callAdmin makes one call of an admin address and returns its status and text.
+// callAdmin sends one request to an admin address and returns the status and the trimmed body of the answer.
 func callAdmin(t *testing.T, addr, method, path string) (int, string) {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+addr+path, nil)
 	require.NoError(t, err)
-	began := time.Now()
+	startedAt := time.Now()
 	response, err := (&http.Client{Timeout: 2 * time.Second}).Do(request)
 	require.NoError(t, err)
 	defer response.Body.Close()
 	body, _ := io.ReadAll(response.Body)
-	require.Less(t, time.Since(began), adminAnswerBound, "%s %s answered late", method, path)
+	require.Less(t, time.Since(startedAt), adminAnswerBound, "the answer to %s %s took too long", method, path)
 	return response.StatusCode, strings.TrimSpace(string(body))
 }
 
-// adminVars reads the counters and gauges of an admin address, by name.
+// adminVars returns the counters and gauges that an admin address reports, by name.
 func adminVars(t *testing.T, addr string) map[string]string {
 	t.Helper()
 	code, text := callAdmin(t, addr, http.MethodGet, "/_vars")
--- a/cmd/spanflow/admin_test.go
+++ b/cmd/spanflow/admin_test.go
@@ -15,12 +15,12 @@
 	"spanflow/internal/emulator"
 )
 
-func TestAdminAddressAnswersInTimeBesideStalledCallers(t *testing.T) {
+func TestAdminAddressAnswersDespiteStalledClients(t *testing.T) {
 	h := newHarness(t, "single")
 	p := h.startWithAdmin(nil)
 	p.AwaitReady(t)
 	require.True(t, p.isReady())
-	// Callers that send nothing, or half a call, and stay: they hold up no others.
+	// Stalled clients send nothing or half a request and stay connected. They must not delay the others.
 	var stalled []net.Conn
 	for i := range 30 {
 		c, err := net.Dial("tcp", p.admin)
@@ -42,54 +42,54 @@
 	for _, c := range stalled { // each is disconnected within a second
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
 		_, err := bufio.NewReader(c).ReadString('\n')
-		if err == nil { // half a call may be answered with an error
+		if err == nil { // half a request may be answered with an error
 			continue
 		}
 		require.NotErrorIs(t, err, os.ErrDeadlineExceeded)
 	}
 }
 
-// Operators make the forwarder a lame duck: PING is answered with an error, an idle client is disconnected, one in the
-// middle of a message is answered and then disconnected, and the message reaches the endpoint. The second command ends
-// that.
+// In lame duck mode, PING is answered with an error and idle clients are disconnected. A client in the middle of a
+// command is answered and then disconnected, and its message reaches the endpoint. After the second admin command,
+// clients are served as before.
 func TestLameDuckDisconnectsClientsAndLosesNoMessage(t *testing.T) {
 	h := newHarness(t, "single")
 	p := h.startWithAdmin(nil)
 	h.listen = p.AwaitReady(t)
 	idle, midway := h.client(), h.client()
-	raw := emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", "body")
+	raw := emulator.Command("MSG.PUT", noKey, "d1", "c=status,d=8000,dest=7", "body")
 	midway.Write([]byte(raw[:25]))
-	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // the fragment has been read by now
+	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // afterwards the fragment has been read
 	code, text := callAdmin(t, p.admin, "POST", "/_lameduck/on")
 	require.Equal(t, http.StatusOK, code, text)
-	asker, err := emulator.NewClient(h.listen)
+	pinging, err := emulator.NewClient(h.listen)
 	require.NoError(t, err)
-	h.requireReply(asker, emulator.Command("PING"), "-ERR lameduck: this forwarder is being emptied")
+	h.requireReply(pinging, emulator.Command("PING"), "-ERR lameduck: this forwarder is being emptied")
 	_, err = idle.ReadReply()
 	require.ErrorIs(t, err, io.EOF, "an idle client is disconnected")
 	h.requireReply(midway, raw[25:], "+OK")
 	_, err = midway.ReadReply()
-	require.ErrorIs(t, err, io.EOF, "so is one that was answered")
+	require.ErrorIs(t, err, io.EOF, "a client whose command was answered is disconnected")
 	require.Equal(t, "d1", h.nextCall().ID)
 	code, text = callAdmin(t, p.admin, "POST", "/_lameduck/off")
 	require.Equal(t, http.StatusOK, code, text)
-	c := h.client() // PING is answered +PONG
-	h.put(c, zero, "d2", "c=status,d=8000,dest=7", "+OK")
-	h.requireReply(c, emulator.Command("PING"), "+PONG") // and keeps its connection
+	c := h.client() // requires that PING is answered +PONG
+	h.put(c, noKey, "d2", "c=status,d=8000,dest=7", "+OK")
+	h.requireReply(c, emulator.Command("PING"), "+PONG") // the client stays connected
 }
 
-// Counters and gauges agree with what the test counts: messages delivered, rejected at submission, sent to the
-// endpoint, without a final answer, and endpoints listed and drained.
+// The counters and gauges match the numbers of messages that were delivered, rejected at submission, sent to the
+// endpoint or have no final answer, and of endpoints that are listed or drained.
 func TestAdminCountersMatchTraffic(t *testing.T) {
 	h := newHarness(t, "single")
 	p := h.startWithAdmin(nil)
 	h.listen = p.AwaitReady(t)
 	c := h.client()
 	for i := range 5 {
-		h.put(c, zero, fmt.Sprint("d", i), "c=status,d=8000,dest=7", "+OK")
+		h.put(c, noKey, fmt.Sprint("d", i), "c=status,d=8000,dest=7", "+OK")
 		h.nextCall()
 	}
-	h.put(c, zero, "late", "c=status,d=0,dest=7", "-BUSY 2000")
+	h.put(c, noKey, "late", "c=status,d=0,dest=7", "-BUSY 2000")
 	require.Eventually(t, func() bool {
 		return adminVars(t, p.admin)["proxy.fulfilled.status"] == "5|c"
 	}, 5*time.Second, 20*time.Millisecond)
@@ -103,13 +103,13 @@
 	}
 	code, text := callAdmin(t, p.admin, "POST", "/_targets/detach?name=s1")
 	require.Equal(t, http.StatusOK, code, text)
-	h.put(c, zero, "held", "c=status,d=8000,dest=7", "+OK")
+	h.put(c, noKey, "held", "c=status,d=8000,dest=7", "+OK")
 	got = adminVars(t, p.admin)
 	require.Equal(t, "1|g", got["proxy.out_of_rotation"])
 	require.Equal(t, "1|g", got["proxy.open_requests"])
 }
 
-// A drained endpoint stays drained when the forwarder is killed and started again on its folder.
+// A drained endpoint stays drained when the forwarder is killed and started again with the same folder.
 func TestDrainedEndpointStaysDrainedAfterKill(t *testing.T) {
 	h := newHarness(t, "single")
 	first := h.startWithAdmin(nil)
@@ -119,7 +119,7 @@
 	first.Kill()
 	again := h.startWithAdmin(nil)
 	h.listen = again.AwaitReady(t)
-	h.put(h.client(), zero, "d1", "c=status,d=20000,dest=7", "+OK")
+	h.put(h.client(), noKey, "d1", "c=status,d=20000,dest=7", "+OK")
 	h.requireNoCall()
 	code, text = callAdmin(t, again.admin, "POST", "/_targets/attach?name=s1")
 	require.Equal(t, http.StatusOK, code, text)
--- a/cmd/spanflow/clients_test.go
+++ b/cmd/spanflow/clients_test.go
@@ -16,7 +16,7 @@
 	h := newHarness(t, "single")
 	c := h.start()
 	body := "any\x00bytes\r\n\xff" + strings.Repeat("x", 60<<10)
-	h.requireReply(c, emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", body), "+OK")
+	h.requireReply(c, emulator.Command("MSG.PUT", noKey, "d1", "c=status,d=8000,dest=7", body), "+OK")
 	want := emulator.Call{Endpoint: h.endpoint.Addr, ID: "d1", IDs: []string{"d1"}, Body: body, Path: "/hook"}
 	require.Equal(t, want, h.nextCall())
 	h.put(c, "5", "d2", "c=ticket,d=8000,dest=7,k=m2,r=1,again=1", "+OK")
@@ -26,9 +26,9 @@
 func TestCommandsMayBeFragmentedOrPipelined(t *testing.T) {
 	h := newHarness(t, "single")
 	c := h.start()
-	raw := emulator.Command("MSG.PUT", zero, "d1", "c=status,d=8000,dest=7", "b")
+	raw := emulator.Command("MSG.PUT", noKey, "d1", "c=status,d=8000,dest=7", "b")
 	c.Write([]byte(raw[:20]))
-	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // the fragment has been read by now
+	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // afterwards the fragment has been read
 	h.requireReply(c, raw[20:]+emulator.Command("PING")+emulator.Command("NONSENSE"), "+OK")
 	for _, want := range []string{"+PONG", "-ERR unknown command"} {
 		got, err := c.ReadReply()
@@ -48,26 +48,27 @@
 		"c=status,d=0,dest=7":     "-BUSY 2000",
 		"c=ticket,d=8000,dest=7":  "-ERR k is missing, by which a repeat is known",
 	} {
-		h.put(c, zero, "d1", options, want)
+		h.put(c, noKey, "d1", options, want)
 	}
 	h.requireReply(h.client(), "GET / HTTP/1.1\r\n\r\n", "-ERR not an array of bulk strings")
 	h.requireReply(h.client(), "*5\r\n$99999999\r\n", "-ERR command over the limit")
-	h.put(c, zero, "d2", "c=status,d=8000,dest=7", "+OK")
+	h.put(c, noKey, "d2", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "d2", h.nextCall().ID)
-	h.put(c, zero, "d2", "c=status,d=8000,dest=7", "-ERR a document with this id was taken on")
-	h.put(c, zero, "d3", "c=status,d=8000,dest=9", "+OK") // waits: its only endpoint is leaving
-	h.put(h.client(), zero, "d3", "c=payment,d=8000,dest=7", "-ERR a document with this id was taken on")
+	h.put(c, noKey, "d2", "c=status,d=8000,dest=7", "-ERR a document with this id was taken on")
+	h.put(c, noKey, "d3", "c=status,d=8000,dest=9", "+OK") // queued, as its only endpoint is leaving
+	h.put(h.client(), noKey, "d3", "c=payment,d=8000,dest=7", "-ERR a document with this id was taken on")
 	require.Eventually(t, func() bool { // once discovery has sent its list
-		got, err := c.Put(zero, "d4", "c=status,d=8000,dest=8", "b")
+		got, err := c.Put(noKey, "d4", "c=status,d=8000,dest=8", "b")
 		return err == nil && got == "-ERR unknown destination"
 	}, 10*time.Second, 5*time.Millisecond)
 	require.Empty(t, h.endpoint.Calls)
 }
 
-// All connections are taken by clients that sent one command and stay; the first commands of others come late.
+// Clients that have sent one command and stay connected use up the limit on connections. Three other clients, which
+// connected among them and send their first command late, must not be evicted.
 func TestClientSlowToSendFirstCommandIsNotEvicted(t *testing.T) {
 	h := newHarness(t, "single")
-	h.sockets = 64 // a third of it for clients
+	h.sockets = 64 // a third of them for clients
 	h.start()
 	for range 30 {
 		h.client()
@@ -82,12 +83,13 @@
 		h.client()
 	}
 	for i, c := range fresh {
-		h.put(c, zero, fmt.Sprint("d", i), "c=status,d=8000,dest=7", "+OK")
+		h.put(c, noKey, fmt.Sprint("d", i), "c=status,d=8000,dest=7", "+OK")
 	}
 }
 
-// More connections come than there may be, which send nothing or stop within a command; other clients are still served.
-func TestSilentClientsAreClosedForNewOnes(t *testing.T) {
+// More clients connect than the limit on connections allows, and send nothing or stop in the middle of a command. Other
+// clients are still served.
+func TestSilentClientsAreEvictedForNewOnes(t *testing.T) {
 	h := newHarness(t, "single")
 	h.start()
 	var silent []*emulator.Client
@@ -100,23 +102,23 @@
 		silent = append(silent, c)
 	}
 	c := h.client()
-	h.put(c, zero, "d1", "c=status,d=8000,dest=7", "+OK")
-	h.put(c, zero, "d2", "c=status,d=8000,dest=7", "+OK")
-	began := time.Now()
+	h.put(c, noKey, "d1", "c=status,d=8000,dest=7", "+OK")
+	h.put(c, noKey, "d2", "c=status,d=8000,dest=7", "+OK")
+	startedAt := time.Now()
 	for i, c := range silent {
 		answer, err := c.ReadReply()
 		if i == 149 {
 			require.Equal(t, "-ERR the command did not go on in time", answer)
-			require.Less(t, time.Since(began), 3*time.Second)
+			require.Less(t, time.Since(startedAt), 3*time.Second)
 			_, err = c.ReadReply()
 		}
 		require.Error(t, err)
 	}
 }
 
-func TestIdleClientsAreClosedForNewOnes(t *testing.T) {
+func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	h := newHarness(t, "single")
-	h.sockets = 64 // clients get two thirds of what the program's own files leave
+	h.sockets = 64 // two thirds of those left by the program's own files are for clients
 	first := h.start()
 	var last *emulator.Client
 	for range 40 {
@@ -124,7 +126,7 @@
 	}
 	_, err := first.ReadReply()
 	require.Error(t, err)
-	h.put(last, zero, "d1", "c=status,d=8000,dest=7", "+OK")
+	h.put(last, noKey, "d1", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "d1", h.nextCall().ID)
 }
 
@@ -135,7 +137,7 @@
 	c := h.start()
 	big, answers := strings.Repeat("x", 60<<10), map[string]int{}
 	for i := range 10 {
-		got, err := c.Put(zero, fmt.Sprint("d", i), "c=status,d=8000,dest=7", big)
+		got, err := c.Put(noKey, fmt.Sprint("d", i), "c=status,d=8000,dest=7", big)
 		require.NoError(t, err)
 		answers[got]++
 	}
--- a/cmd/spanflow/configuration_test.go
+++ b/cmd/spanflow/configuration_test.go
@@ -14,15 +14,15 @@
 	"spanflow/internal/emulator"
 )
 
-func TestReloadMovesToAnotherDiscoveryWithoutDisturbingCalls(t *testing.T) {
+func TestReloadSwitchesDiscoveryWithoutAffectingCalls(t *testing.T) {
 	h := newHarness(t, "single")
 	hold := make(chan struct{})
 	h.endpoint.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	h.discovery.SetUnresponsive(true)
 	c := h.start()
-	h.put(c, zero, "out", "c=status,d=8000,dest=7", "+OK")
+	h.put(c, noKey, "out", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "out", h.nextCall().ID)
-	h.put(c, zero, "s1", "c=status,d=200,dest=9", "+OK")
+	h.put(c, noKey, "s1", "c=status,d=200,dest=9", "+OK")
 	h.awaitLog(logNoticesUnanswered)
 	text, err := os.ReadFile(h.configFile)
 	require.NoError(t, err)
@@ -37,7 +37,7 @@
 	h.reload(logReloaded)
 	require.Equal(t, "s1", (<-second.Notices).ID)
 	close(hold)
-	h.put(c, zero, "d2", "c=status,d=8000,dest=9", "+OK")
+	h.put(c, noKey, "d2", "c=status,d=8000,dest=9", "+OK")
 	require.Equal(t, "d2", h.nextCall().ID)
 	require.Empty(t, h.discovery.Notices)
 	h.stop()
@@ -46,7 +46,7 @@
 
 func TestInvalidConfigurationFailsStartupWithOneLine(t *testing.T) {
 	h := newHarness(t, "single")
-	for _, c := range []struct{ env, says string }{
+	for _, c := range []struct{ env, message string }{
 		{"PROXY_CONFIG=", "PROXY_CONFIG is not set"},
 		{"PROXY_CONFIG=/nowhere", "PROXY_CONFIG: open /nowhere"},
 		{"PROXY_STATE=/nowhere", "PROXY_STATE: stat /nowhere"},
@@ -56,13 +56,13 @@
 		cmd.Env = append(append(os.Environ(), h.environment()...), c.env)
 		out, err := cmd.CombinedOutput()
 		require.Error(t, err)
-		require.Contains(t, string(out), "spanflow: "+c.says)
+		require.Contains(t, string(out), "spanflow: "+c.message)
 		require.Equal(t, 1, strings.Count(string(out), "\n"))
 	}
 }
 
-// The inherited descriptor is a file, a socket that does not listen, not open, or no number: the process names it and
-// ends before it serves.
+// The inherited descriptor is a file, a connected socket, not open, or not a number. The process names it in an error
+// and ends before it serves clients.
 func TestInvalidInheritedDescriptorFailsStartup(t *testing.T) {
 	h := newHarness(t, "single")
 	plain, err := os.CreateTemp(t.TempDir(), "plain")
@@ -72,9 +72,9 @@
 	connected, err := c.(*net.TCPConn).File()
 	require.NoError(t, err)
 	for _, x := range []struct {
-		file  *os.File
-		value string
-		says  string
+		file    *os.File
+		value   string
+		message string
 	}{
 		{plain, "3", "PROXY_INHERITED_FD: descriptor 3 is not a socket"},
 		{connected, "3", "PROXY_INHERITED_FD: descriptor 3 is a socket that does not listen"},
@@ -87,36 +87,36 @@
 		if x.file != nil {
 			cmd.ExtraFiles = []*os.File{x.file}
 		}
-		require.Error(t, cmd.Run(), x.says)
-		require.Contains(t, log.String(), x.says)
+		require.Error(t, cmd.Run(), x.message)
+		require.Contains(t, log.String(), x.message)
 		require.NotContains(t, log.String(), emulator.ReadyLine)
 	}
 }
 
-// One process follows another on the same folder with another endpoint list and other settings: undelivered
-// messages and learned call times carry over, and the first messages are sent at once.
-func TestRestartWithOtherSettingsSendsAtOnce(t *testing.T) {
+// A process is restarted with the same folder, another endpoint list and other settings. Undelivered messages and
+// learned latencies are kept, and the first messages are sent without delay.
+func TestRestartWithOtherSettingsSendsImmediately(t *testing.T) {
 	h := newHarness(t, "single")
 	c := h.start()
 	for _, id := range []string{"d1", "d2", "d3"} {
-		h.put(c, zero, id, "c=status,d=8000,dest=7", "+OK")
+		h.put(c, noKey, id, "c=status,d=8000,dest=7", "+OK")
 		require.Equal(t, id, h.nextCall().ID)
 	}
-	h.put(c, zero, "owed", "c=status,d=20000,dest=9", "+OK")
+	h.put(c, noKey, "queued", "c=status,d=20000,dest=9", "+OK")
 	h.stop()
 	h.replacements = []string{`"NInstances":1`, `"NInstances":218`, `"CallsOut":8`, `"CallsOut":3,"Decay":"halves"`,
 		`"WeightKind":"silent"`, `"WeightKind":"nominal"`, `"RetryAfter":true`, `"RetryAfter":false,"SecondCopies":true`}
 	h.discovery.Set(h.activeEntry("s2", 9))
 	c = h.start()
-	h.awaitLog(logFiguresRestored)
-	began := time.Now()
-	h.put(c, zero, "first", "c=status,d=8000,dest=7", "+OK")
-	require.ElementsMatch(t, []string{"owed", "first"}, []string{h.nextCall().ID, h.nextCall().ID})
-	require.Less(t, time.Since(began), 3*time.Second)
+	h.awaitLog(logLatenciesRestored)
+	startedAt := time.Now()
+	h.put(c, noKey, "first", "c=status,d=8000,dest=7", "+OK")
+	require.ElementsMatch(t, []string{"queued", "first"}, []string{h.nextCall().ID, h.nextCall().ID})
+	require.Less(t, time.Since(startedAt), 3*time.Second)
 	h.stop()
 	require.NoError(t, os.WriteFile(filepath.Join(h.stateFolder, "learnt"), []byte("spanflow learnt 1\n cut"), 0o600))
 	c = h.start()
-	h.awaitLog(logFiguresDiscarded)
-	h.put(c, zero, "last", "c=status,d=8000,dest=7", "+OK")
+	h.awaitLog(logLatenciesIgnored)
+	h.put(c, noKey, "last", "c=status,d=8000,dest=7", "+OK")
 	require.Equal(t, "last", h.nextCall().ID)
 }
--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -13,17 +13,18 @@
 )
 
 const (
-	fleetSize  = 10
-	killedOnes = 7 // the first ones of the fleet
+	fleetSize     = 10
+	killedMembers = 7 // the members with the lowest numbers
 )
 
-// fleetMember is one forwarder of a fleet: it shares the harness's endpoint and discovery and has a folder of its own.
+// fleetMember is one forwarder of a fleet. Members share the endpoint and discovery of the harness, and each has its
+// own folder.
 type fleetMember struct {
 	harness
 	forwarder *adminProcess
 }
 
-// startFleet starts so many forwarders and waits until all serve.
+// startFleet starts size forwarders and waits until all of them serve clients.
 func (h *harness) startFleet(size int) []*fleetMember {
 	var fleet []*fleetMember
 	for range size {
@@ -32,18 +33,18 @@
 		m.forwarder = m.startWithAdmin(nil)
 		fleet = append(fleet, m)
 	}
-	awaitFleet(fleet)
+	awaitFleetReady(fleet)
 	return fleet
 }
 
-// awaitFleet waits until forwarders serve and records their addresses.
-func awaitFleet(fleet []*fleetMember) {
+// awaitFleetReady waits until all forwarders serve clients and records their addresses.
+func awaitFleetReady(fleet []*fleetMember) {
 	for _, m := range fleet {
 		m.listen = m.forwarder.AwaitReady(m.t)
 	}
 }
 
-// killFleet kills forwarders at once and waits for their ends.
+// killFleet kills all forwarders at the same time and waits until they have ended.
 func killFleet(fleet []*fleetMember) {
 	var all sync.WaitGroup
 	for _, m := range fleet {
@@ -52,57 +53,57 @@
 	all.Wait()
 }
 
-// fleetCalls counts the calls at an endpoint that answers none of them until it is released.
+// fleetCalls counts the calls at an endpoint that answers no call until release is closed.
 type fleetCalls struct {
 	mu        sync.Mutex
 	release   chan struct{}
-	came      map[string]int // calls, by message
-	delivered map[string]int // those that came after the release
+	received  map[string]int // calls, by message id
+	delivered map[string]int // calls received after the release, by message id
 }
 
 func newFleetCalls() *fleetCalls {
-	return &fleetCalls{release: make(chan struct{}), came: map[string]int{}, delivered: map[string]int{}}
+	return &fleetCalls{release: make(chan struct{}), received: map[string]int{}, delivered: map[string]int{}}
 }
 
 func (f *fleetCalls) reply(c emulator.Call) emulator.Reply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.came[c.ID]++
+	f.received[c.ID]++
 	select {
 	case <-f.release:
 		f.delivered[c.ID]++
 		return emulator.Reply{}
 	default:
-		return emulator.Reply{Hold: f.release} // the caller is killed before, or gets the answer
+		return emulator.Reply{Hold: f.release} // the caller gets the answer unless it is killed before the release
 	}
 }
 
-// messages returns the ids of the messages that calls have come with.
-func (f *fleetCalls) messages() map[string]bool {
+// receivedMessages returns the ids of all messages that were received in calls.
+func (f *fleetCalls) receivedMessages() map[string]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	ids := map[string]bool{}
-	for id := range f.came {
+	for id := range f.received {
 		ids[id] = true
 	}
 	return ids
 }
 
-// allEnded reports whether each message was delivered or has a notice. The calls of survivors in progress at the kill
-// were answered by the release and count as neither.
-func (f *fleetCalls) allEnded(ids []string, noticed map[string]int, outAtKill map[string]bool) bool {
+// allEnded reports whether each message was delivered or has a notice. A call of a surviving forwarder that was in
+// progress at the kill is answered by the release, so its message needs neither.
+func (f *fleetCalls) allEnded(ids []string, noticed map[string]int, inProgressAtKill map[string]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, id := range ids {
-		if noticed[id]+f.delivered[id] == 0 && !(ofSurvivor(id) && outAtKill[id]) {
+		if noticed[id]+f.delivered[id] == 0 && !(submittedToSurvivor(id) && inProgressAtKill[id]) {
 			return false
 		}
 	}
 	return true
 }
 
-// requireOnce requires that each message ended once and that none ran twice that must not.
-func (f *fleetCalls) requireOnce(t *testing.T, ids []string, noticed map[string]int) {
+// requireOneEnd requires that each message ended once and that no message of an at-most-once type ran twice.
+func (f *fleetCalls) requireOneEnd(t *testing.T, ids []string, noticed map[string]int) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,14 +111,14 @@
 		require.LessOrEqual(t, noticed[id]+f.delivered[id], 1,
 			"%s: %d notices, %d deliveries after the kill", id, noticed[id], f.delivered[id])
 		if strings.HasSuffix(id, "payment") {
-			require.LessOrEqual(t, f.came[id], 1, "%s must not run twice", id)
+			require.LessOrEqual(t, f.received[id], 1, "%s must not run twice", id)
 		}
 	}
 }
 
-// ofSurvivor reports whether a message was submitted to a forwarder that is not killed.
-func ofSurvivor(id string) bool {
-	for member := killedOnes; member < fleetSize; member++ {
+// submittedToSurvivor reports whether a message was submitted to a forwarder that is not killed.
+func submittedToSurvivor(id string) bool {
+	for member := killedMembers; member < fleetSize; member++ {
 		if strings.HasPrefix(id, fmt.Sprintf("d%d-", member)) {
 			return true
 		}
@@ -131,7 +132,7 @@
 		c := m.client()
 		for j, kind := range []string{"status", "payment", "ticket", "status", "payment"} {
 			id := fmt.Sprintf("d%d-%d-%s", i, j, kind)
-			m.put(c, zero, id, fmt.Sprintf("c=%s,d=15000,dest=7,k=m%d-%d", kind, i, j), "+OK")
+			m.put(c, noKey, id, fmt.Sprintf("c=%s,d=15000,dest=7,k=m%d-%d", kind, i, j), "+OK")
 			ids = append(ids, id)
 		}
 		_ = c.Close()
@@ -139,26 +140,27 @@
 	return ids
 }
 
-// Most of a fleet is killed at once with calls in progress and messages waiting, and started again on its folders:
-// each message ends once, by delivery or by a notice, and none that must not run twice is sent twice.
-func TestFleetMostlyKilledAtOnceAnswersEveryMessageOnce(t *testing.T) {
+// Most forwarders of a fleet are killed at the same time, with calls in progress and messages queued, and started again
+// with their folders. Each message ends once, by delivery or by a notice, and no message of an at-most-once type is
+// sent twice.
+func TestFleetAnswersEveryMessageOnceAfterSimultaneousKills(t *testing.T) {
 	h := newHarness(t, "single")
 	calls := newFleetCalls()
 	h.endpoint.Do(calls.reply)
 	fleet := h.startFleet(fleetSize)
 	ids := submitToFleet(fleet)
-	require.Eventually(t, func() bool { // each has calls in progress
-		return len(calls.messages()) >= 2*len(fleet)
+	require.Eventually(t, func() bool { // each forwarder has calls in progress
+		return len(calls.receivedMessages()) >= 2*len(fleet)
 	}, 10*time.Second, 10*time.Millisecond)
 
-	outAtKill := calls.messages()
-	killed := fleet[:killedOnes]
+	inProgressAtKill := calls.receivedMessages()
+	killed := fleet[:killedMembers]
 	killFleet(killed)
 	close(calls.release)
 	for _, m := range killed {
 		m.forwarder = m.startWithAdmin(nil)
 	}
-	awaitFleet(killed)
+	awaitFleetReady(killed)
 
 	noticed := map[string]int{}
 	require.Eventually(t, func() bool {
@@ -166,7 +168,7 @@
 			notice := <-h.discovery.Notices
 			noticed[notice.ID]++
 		}
-		return calls.allEnded(ids, noticed, outAtKill)
+		return calls.allEnded(ids, noticed, inProgressAtKill)
 	}, 20*time.Second, 20*time.Millisecond)
-	calls.requireOnce(t, ids, noticed)
+	calls.requireOneEnd(t, ids, noticed)
 }
--- a/cmd/spanflow/harness_test.go
+++ b/cmd/spanflow/harness_test.go
@@ -19,9 +19,9 @@
 // The tests start the built program and talk to it over sockets.
 
 const (
-	arrivalTimeout   = 20 * time.Second        // ends a wait for a call or a notice
-	terminationBound = 3700 * time.Millisecond // after SIGTERM; then the platform may send SIGKILL
-	zero             = "0000000000000000"      // stands for no ordering key
+	arrivalTimeout   = 20 * time.Second        // for a call or a notice to arrive
+	terminationBound = 3700 * time.Millisecond // from SIGTERM to the end; then the platform may send SIGKILL
+	noKey            = "0000000000000000"      // the ordering key of messages without one
 )
 
 // Texts of log lines that tests wait for.
@@ -32,15 +32,15 @@
 	logStopping          = `"message":"stopping"`
 	logHandingOver       = `"message":"handing over"`
 	logWatchEnded        = "watch ended"
-	logFiguresRestored   = "learned latencies restored"
-	logFiguresDiscarded  = "learned latencies ignored"
+	logLatenciesRestored = "learned latencies restored"
+	logLatenciesIgnored  = "learned latencies ignored"
 	logRecoveryDone      = `"message":"recovered messages settled"`
 	logDrainChanged      = `"message":"endpoint drained or restored"`
 )
 
 var (
 	program  string          // path of the built program
-	raceFlag = "-race=false" // of the build
+	raceFlag = "-race=false" // passed to the build
 )
 
 func TestMain(m *testing.M) {
@@ -63,25 +63,25 @@
 "Limits":{"AttemptsCap":6,"MaxOpen":%d,"RetryAfter":true,"MaxRetryAfter":2000,"ConnIdle":10000,"ConnectTimeout":1500},
 "Report":{"Fields":["x0","x1"]},"Discovery":"ask","WeightKind":"silent","NInstances":1,"Tenants":[]}`
 
-// harness is a forwarder configured by the platform's variables, with discovery and one endpoint. Destination 7 has the
-// endpoint, destination 9 an endpoint that is leaving.
+// harness is a forwarder that is configured by the platform's environment variables, with a discovery service and one
+// endpoint. The endpoint belongs to destination 7. Destination 9 has only an endpoint in state leaving.
 type harness struct {
 	t             *testing.T
 	discovery     *emulator.Discovery
 	endpoint      *emulator.Endpoint
 	stateFolder   string
-	configFile    string // of the latest environment
+	configFile    string // written by the latest call of environment
 	listen        string // address for clients
 	queueCapacity int
 	diskMB        int
 	sockets       int
-	replacements  []string          // pairs: text of the settings, and what replaces it
-	listenSocket  *os.File          // the clients' socket if the platform hands it down
-	process       *emulator.Process // the latest one started
+	replacements  []string          // pairs of a text of the settings and its replacement
+	listenSocket  *os.File          // the clients' socket if forwarders inherit it
+	process       *emulator.Process // the process started last
 }
 
-// newHarness starts all but the forwarder. The kind of the destinations is "single", or "several" if a call may carry
-// several messages.
+// newHarness starts everything except the forwarder. The kind of the destinations is "single", or "several" if a call
+// may carry several messages.
 func newHarness(t *testing.T, kind string) *harness {
 	h := &harness{t: t, stateFolder: t.TempDir(), queueCapacity: 100, diskMB: 3, sockets: 256}
 	var err error
@@ -94,14 +94,14 @@
 	return h
 }
 
-// activeEntry is an entry of discovery's list for the endpoint, which gets messages of one more destination.
+// activeEntry returns an entry of discovery's list that makes the endpoint an active endpoint of a destination.
 func (h *harness) activeEntry(uid string, destination int) emulator.Entry {
 	return emulator.Entry{
 		UID: uid, Endpoint: h.endpoint.Addr, Zone: "a", Kind: "single", Destination: destination, State: "active",
 	}
 }
 
-// environment writes the configuration file and returns the variables that the platform sets.
+// environment writes the configuration file and returns the environment variables that the platform sets.
 func (h *harness) environment() []string {
 	replaced := strings.NewReplacer(h.replacements...).Replace(fmt.Sprintf(settings, h.queueCapacity))
 	config, err := json.Marshal(map[string]any{
@@ -119,7 +119,7 @@
 	return []string{"PROXY_CONFIG=" + h.configFile, "PROXY_STATE=" + h.stateFolder, "PROXY_DISCOVERY=" + h.discovery.Addr}
 }
 
-// start starts the forwarder, waits until it serves and connects a client.
+// start starts the forwarder, waits until it serves clients and connects a client.
 func (h *harness) start() *emulator.Client {
 	h.t.Helper()
 	command := exec.Command(program)
@@ -137,7 +137,7 @@
 	return c
 }
 
-// requireReply sends bytes as they are and requires an answer.
+// requireReply sends raw bytes and requires the answer want.
 func (h *harness) requireReply(c *emulator.Client, raw, want string) {
 	h.t.Helper()
 	got, err := c.Send(raw)
@@ -145,13 +145,13 @@
 	require.Equal(h.t, want, got)
 }
 
-// put submits a message and requires an answer.
+// put submits a message and requires the answer want.
 func (h *harness) put(c *emulator.Client, key, id, options, want string) {
 	h.t.Helper()
 	h.requireReply(c, emulator.Command("MSG.PUT", key, id, options, "body of "+id), want)
 }
 
-// awaitLog waits until the forwarder has logged a text.
+// awaitLog waits until the forwarder's log contains text.
 func (h *harness) awaitLog(text string) {
 	h.t.Helper()
 	h.process.Log.Await(h.t, text)
@@ -165,11 +165,11 @@
 	h.t.Helper()
 	signalled := time.Now()
 	require.NoError(h.t, h.process.Signal(syscall.SIGTERM))
-	require.NoError(h.t, h.process.Wait(), "the program ends by itself with status 0")
+	require.NoError(h.t, h.process.Wait(), "the program must exit by itself with status 0")
 	require.Less(h.t, time.Since(signalled), terminationBound)
 }
 
-// reload has the forwarder read its configuration again and waits for a log line about it.
+// reload makes the forwarder read its configuration again and waits for a new log line that contains text.
 func (h *harness) reload(text string) {
 	h.t.Helper()
 	h.process.Reload(h.t, text)
@@ -178,22 +178,24 @@
 // nextCall waits for the next call at the endpoint.
 func (h *harness) nextCall() emulator.Call {
 	h.t.Helper()
-	return next(h, h.endpoint.Calls, "call")
+	return awaitNext(h, h.endpoint.Calls, "call")
 }
 
 // nextNotice waits for the next notice.
 func (h *harness) nextNotice() emulator.Notice {
 	h.t.Helper()
-	return next(h, h.discovery.Notices, "notice")
+	return awaitNext(h, h.discovery.Notices, "notice")
 }
 
-func next[T any](h *harness, arrivals <-chan T, what string) T {
+// awaitNext takes the next arrival from a channel. It fails the test, with a message that names what, if none comes
+// within arrivalTimeout.
+func awaitNext[T any](h *harness, arrivals <-chan T, what string) T {
 	h.t.Helper()
 	select {
 	case arrival := <-arrivals:
 		return arrival
 	case <-time.After(arrivalTimeout):
-		h.t.Fatalf("no %s came; log:\n%s", what, h.process.Log)
+		h.t.Fatalf("no %s arrived; log:\n%s", what, h.process.Log)
 	}
 	panic("unreachable")
 }
--- a/cmd/spanflow/key_order_test.go
+++ b/cmd/spanflow/key_order_test.go
@@ -13,25 +13,27 @@
 const (
 	keyCooldown = 100 * time.Millisecond // KeyRest of the settings
 
-	// lifeAcrossHandOver is the time to live of a message whose call is out on a hand-over: it ends before the first
-	// process has to end (3.2 s), so that the hand-over follows the end of the call at once.
-	lifeAcrossHandOver = 2500 * time.Millisecond
+	// timeToLiveAcrossHandover is the time to live of a message whose call is in progress at a handover. It is shorter
+	// than the time after which the predecessor has to end (3.2 s), so that the handover takes place right after the
+	// call ends.
+	timeToLiveAcrossHandover = 2500 * time.Millisecond
 )
 
-// hangingKey has the endpoint leave the calls of one message without an answer, and records when the connection of the
-// latest of them ended and when the key's later message was called.
-type hangingKey struct {
+// keyObserver records, for two messages of one key, when the connections of calls with the earlier message ended and
+// when the later message was called.
+type keyObserver struct {
 	ended chan time.Time
 	later chan time.Time
 }
 
-func (h *harness) hangOn(earlier, later string) *hangingKey {
-	return h.replyOn(earlier, later, emulator.Reply{Hold: make(chan struct{})})
+// leaveUnanswered makes the endpoint leave the calls with the earlier message unanswered.
+func (h *harness) leaveUnanswered(earlier, later string) *keyObserver {
+	return h.observeKey(earlier, later, emulator.Reply{Hold: make(chan struct{})})
 }
 
-// replyOn is hangOn with another reply to the calls of the earlier message.
-func (h *harness) replyOn(earlier, later string, reply emulator.Reply) *hangingKey {
-	k := &hangingKey{ended: make(chan time.Time, 16), later: make(chan time.Time, 16)}
+// observeKey makes the endpoint give a reply to the calls with the earlier message.
+func (h *harness) observeKey(earlier, later string, reply emulator.Reply) *keyObserver {
+	k := &keyObserver{ended: make(chan time.Time, 16), later: make(chan time.Time, 16)}
 	reply.Ended = func() { k.ended <- time.Now() }
 	h.endpoint.Do(func(c emulator.Call) emulator.Reply {
 		switch c.ID {
@@ -45,28 +47,29 @@
 	return k
 }
 
-// gap is the time from the end of the earlier message's last call to the call of the later one.
-func (k *hangingKey) gap(h *harness) time.Duration {
+// gap returns the time from the end of the earlier message's last call to the call of the later message.
+func (k *keyObserver) gap(h *harness) time.Duration {
 	h.t.Helper()
-	later := next(h, k.later, "call of the later message")
-	ended := next(h, k.ended, "end of the earlier call")
+	later := awaitNext(h, k.later, "call of the later message")
+	ended := awaitNext(h, k.ended, "end of the earlier call")
 	for len(k.ended) > 0 {
 		ended = <-k.ended
 	}
 	return later.Sub(ended)
 }
 
-// Within one life the later message of a key waits out the cooldown after an attempt that got no answer.
-func TestCooldownOfKeyIsKeptWithinALife(t *testing.T) {
+// After an attempt that got no answer, the next message of the key is sent only after the key's cooldown.
+func TestKeyCooldownIsKeptByOneProcess(t *testing.T) {
 	h := newOrderedHarness(t)
 	h.requireCooldownAfter(emulator.Reply{Hold: make(chan struct{})})
 }
 
-// Guards against a key that goes on though its call, given up over an unreadable answer, may still run.
-func TestCooldownOfKeyIsKeptAfterAnAnswerThatCannotBeRead(t *testing.T) {
+// Guards against sending the next message of a key too early after a call that was abandoned because its answer could
+// not be read: the endpoint may still run that call.
+func TestKeyCooldownIsKeptAfterUnreadableAnswer(t *testing.T) {
 	for name, raw := range map[string]string{
-		"no HTTP":      "\x00\xff noise\r\n\r\n",
-		"never ending": "HTTP/1.1 500 Error\r\nContent-Length: 9\r\n\r\nx",
+		"not HTTP":        "\x00\xff noise\r\n\r\n",
+		"incomplete body": "HTTP/1.1 500 Error\r\nContent-Length: 9\r\n\r\nx",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -75,29 +78,32 @@
 	}
 }
 
-// requireCooldownAfter has the endpoint give a reply to the first message of a key, which is given up then, and
-// requires that the second one waits out the cooldown.
+// requireCooldownAfter makes the endpoint give a reply to the first message of a key that makes the forwarder abandon
+// the call. It requires that the second message is sent only after the cooldown.
 func (h *harness) requireCooldownAfter(reply emulator.Reply) {
 	h.t.Helper()
-	k := h.replyOn("a", "b", reply)
+	k := h.observeKey("a", "b", reply)
 	h.startWithAdmin(h.listenSocket).AwaitReady(h.t)
-	h.submitKeyInOrder("payment", 1500*time.Millisecond)
+	h.submitOrderedPair("payment", 1500*time.Millisecond)
 	require.GreaterOrEqual(h.t, k.gap(h), keyCooldown)
 }
 
-// Guards against report 54762d: after a hand-over or restart a key went on before its cooldown was over.
-func TestCooldownOfKeyIsKeptByTheProcessThatTakesOver(t *testing.T) {
+// Guards against report 54762d: after a handover or a restart, the next message of a key was sent before the key's
+// cooldown was over.
+func TestKeyCooldownIsKeptAcrossUpgradeAndRestart(t *testing.T) {
 	const long = 20 * time.Second
 	for _, c := range []struct {
-		name    string
-		class   string        // of the earlier message
-		life    time.Duration // of the earlier message
-		replace func(h *harness, first *adminProcess)
+		name        string
+		messageType string        // of the earlier message
+		timeToLive  time.Duration // of the earlier message
+		replace     func(h *harness, predecessor *adminProcess)
 	}{
-		{"upgrade, call ends before, may be repeated", "ticket", lifeAcrossHandOver, (*harness).upgradeNow},
-		{"upgrade, call ends before, at most once", "payment", lifeAcrossHandOver, (*harness).upgradeNow},
-		{"upgrade, call out to the end", "payment", long, (*harness).upgradeNow},
-		{"upgrade, first process killed", "payment", long, (*harness).killInUpgrade},
+		{"upgrade, call ends before the handover, idempotent", "ticket", timeToLiveAcrossHandover,
+			(*harness).upgradeNow},
+		{"upgrade, call ends before the handover, at most once", "payment", timeToLiveAcrossHandover,
+			(*harness).upgradeNow},
+		{"upgrade, call in progress until the end", "payment", long, (*harness).upgradeNow},
+		{"upgrade, predecessor killed", "payment", long, (*harness).killDuringUpgrade},
 		{"restart after SIGTERM", "payment", long, func(h *harness, _ *adminProcess) {
 			h.stop()
 			h.restart()
@@ -110,31 +116,33 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			h := newOrderedHarness(t)
-			k := h.hangOn("a", "b")
-			first := h.startWithAdmin(h.listenSocket)
-			first.AwaitReady(t)
-			h.submitKeyInOrder(c.class, c.life)
-			c.replace(h, first)
+			k := h.leaveUnanswered("a", "b")
+			predecessor := h.startWithAdmin(h.listenSocket)
+			predecessor.AwaitReady(t)
+			h.submitOrderedPair(c.messageType, c.timeToLive)
+			c.replace(h, predecessor)
 			require.GreaterOrEqual(t, k.gap(h), keyCooldown)
 		})
 	}
 }
 
-// upgradeNow replaces the first process by a second one on the same socket.
-func (h *harness) upgradeNow(first *adminProcess) { h.upgrade(first, h.listenSocket, func() {}) }
+// upgradeNow upgrades with the inherited socket and does nothing else meanwhile.
+func (h *harness) upgradeNow(predecessor *adminProcess) {
+	h.upgrade(predecessor, h.listenSocket, func() {})
+}
 
-// killInUpgrade kills the first process while a second one waits for its folder.
-func (h *harness) killInUpgrade(first *adminProcess) {
-	second := h.startBeside(h.listenSocket)
-	first.Kill()
-	second.AwaitReady(h.t)
+// killDuringUpgrade kills the predecessor while the successor waits for its folder.
+func (h *harness) killDuringUpgrade(predecessor *adminProcess) {
+	successor := h.startSuccessor(h.listenSocket)
+	predecessor.Kill()
+	successor.AwaitReady(h.t)
 }
 
-// restart starts a process on a socket of its own.
+// restart starts a process that opens a new socket.
 func (h *harness) restart() { h.startWithAdmin(nil).AwaitReady(h.t) }
 
-// newOrderedHarness is a harness with a handed-down socket, in which payments, which must not run twice, are in order
-// by key too.
+// newOrderedHarness returns a harness with an inherited socket. Payments, which must not run twice, are ordered by key
+// too.
 func newOrderedHarness(t *testing.T) *harness {
 	h := newHarness(t, "single")
 	h.replacements = []string{`"Idempotency":"fragile"`, `"Idempotency":"fragile","Sequential":true`}
@@ -142,12 +150,12 @@
 	return h
 }
 
-// submitKeyInOrder submits two messages of a key, and returns once the endpoint has the call of the first.
-func (h *harness) submitKeyInOrder(class string, life time.Duration) {
+// submitOrderedPair submits two messages of a key and returns once the endpoint has received the call of the first.
+func (h *harness) submitOrderedPair(messageType string, timeToLive time.Duration) {
 	h.t.Helper()
 	c := h.client()
 	defer c.Close()
-	h.put(c, "5", "a", fmt.Sprintf("c=%s,d=%d,dest=7,k=a", class, life.Milliseconds()), "+OK")
+	h.put(c, "5", "a", fmt.Sprintf("c=%s,d=%d,dest=7,k=a", messageType, timeToLive.Milliseconds()), "+OK")
 	h.put(c, "5", "b", "c=ticket,d=20000,dest=7,k=b", "+OK")
 	require.Equal(h.t, "a", h.nextCall().ID)
 }
--- a/cmd/spanflow/repeated_kills_test.go
+++ b/cmd/spanflow/repeated_kills_test.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	kills        = 3
-	roundsOfLife = 6 // of messages that a process accepts before it is killed
-	keys         = 3
+	kills            = 3
+	roundsPerProcess = 6 // rounds of messages that are submitted to a process before it is killed
+	keyCount         = 3
 
-	// observationSlack is by how much the checker, beside load, may see the end of a connection late. The cooldown
-	// itself is held to by TestCooldownOfKeyIsKept*.
+	// observationSlack is the longest delay with which the checker, under load, may see the end of a connection.
+	// TestKeyCooldownIsKept* check the full cooldown.
 	observationSlack = 50 * time.Millisecond
 
-	drainGrace = time.Second // after the list says that an endpoint drains
+	drainGrace = time.Second // after the list marks an endpoint as leaving, in which it may still get calls
 )
 
-// ruleChecker is an endpoint that answers at random and notes calls that no forwarder may make. A message's id is its
-// type (t or p), key and number: t is ordered by key, p must not run twice.
+// ruleChecker provides the replies of endpoints that answer at random, and records calls that a forwarder must not
+// make. The id of a message consists of its type (t or p), key and number. Messages of type t are ordered by key, and
+// those of type p must not run twice.
 type ruleChecker struct {
-	hangs bool // some calls are left without an answer
+	leavesUnanswered bool // some calls are left without an answer
 
 	mu         sync.Mutex
 	random     *rand.Rand
-	ended      map[string]bool // delivered, or reported by a notice
+	ended      map[string]bool // delivered or ended by a notice
 	mayHaveRun map[string]bool
-	unanswered map[string]time.Time // when the latest call without an answer ended
-	out        map[string]int       // calls that are left without an answer and not given up
-	copied     map[string]time.Time // when a message was sent while such a call with it seemed to be out
-	drained    map[string]time.Time // by address: since when an endpoint drains by the list
+	unanswered map[string]time.Time // when the latest unanswered call ended
+	inProgress map[string]int       // unanswered calls that the forwarder has not abandoned yet
+	sentAgain  map[string]time.Time // when a message was sent while such a call with it seemed to be in progress
+	drained    map[string]time.Time // when the list marked an endpoint as leaving, by address
 	violations []string
 }
 
 func newRuleChecker() *ruleChecker {
 	return &ruleChecker{random: rand.New(rand.NewPCG(3, 4)), ended: map[string]bool{}, mayHaveRun: map[string]bool{},
-		unanswered: map[string]time.Time{}, out: map[string]int{}, copied: map[string]time.Time{},
+		unanswered: map[string]time.Time{}, inProgress: map[string]int{}, sentAgain: map[string]time.Time{},
 		drained: map[string]time.Time{}}
 }
 
@@ -54,28 +55,29 @@
 		r.check(id)
 	}
 	if since, drains := r.drained[c.Endpoint]; drains && time.Since(since) > drainGrace+observationSlack {
-		r.violations = append(r.violations, fmt.Sprintf("%s to an endpoint that drains since %v", c.ID, time.Since(since)))
+		r.violations = append(r.violations,
+			fmt.Sprintf("%s was sent to an endpoint that has been draining for %v", c.ID, time.Since(since)))
 	}
 	switch r.random.IntN(12) {
 	case 0:
 		return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": "0.05"}}
 	case 1:
-		r.run(c, false)
+		r.recordRun(c, false)
 		return emulator.Reply{Status: 500}
 	case 2:
-		r.run(c, false)
-		r.noteUnanswered(c)
+		r.recordRun(c, false)
+		r.recordUnanswered(c)
 		return emulator.Reply{Break: true}
 	case 3:
-		if r.hangs {
+		if r.leavesUnanswered {
 			return r.hang(c)
 		}
 	}
-	r.run(c, true)
+	r.recordRun(c, true)
 	return emulator.Reply{}
 }
 
-// setDrained notes that an endpoint drains by the list from now on, or does not.
+// setDrained records whether the list marks an endpoint as leaving.
 func (r *ruleChecker) setDrained(endpoint string, drained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,40 +87,40 @@
 	}
 }
 
-// hang leaves a call without an answer until the forwarder gives it up. The lock is held.
+// hang leaves a call unanswered until the forwarder abandons it. The caller holds the lock.
 func (r *ruleChecker) hang(c emulator.Call) emulator.Reply {
-	r.run(c, false)
+	r.recordRun(c, false)
 	for _, id := range c.IDs {
-		r.out[id]++
+		r.inProgress[id]++
 	}
 	return emulator.Reply{Hold: make(chan struct{}), Ended: func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, id := range c.IDs {
-			r.out[id]--
-			if at, copied := r.copied[id]; copied && time.Since(at) > observationSlack {
-				r.violations = append(r.violations, id+" was sent while a call with it was out")
+			r.inProgress[id]--
+			if at, sentAgain := r.sentAgain[id]; sentAgain && time.Since(at) > observationSlack {
+				r.violations = append(r.violations, id+" was sent while another call with it was in progress")
 			}
-			delete(r.copied, id)
+			delete(r.sentAgain, id)
 		}
-		r.noteUnanswered(c)
+		r.recordUnanswered(c)
 	}}
 }
 
-// noteUnanswered notes that the connection of a call ended without an answer. The lock is held.
-func (r *ruleChecker) noteUnanswered(c emulator.Call) {
+// recordUnanswered records that the connection of a call ended without an answer. The caller holds the lock.
+func (r *ruleChecker) recordUnanswered(c emulator.Call) {
 	for _, id := range c.IDs {
 		r.unanswered[id] = time.Now()
 	}
 }
 
-// check notes if a message must not be sent now. The lock is held.
+// check records a violation if the message must not be sent now. The caller holds the lock.
 func (r *ruleChecker) check(id string) {
-	if r.out[id] > 0 {
-		r.copied[id] = time.Now()
+	if r.inProgress[id] > 0 {
+		r.sentAgain[id] = time.Now()
 	}
 	if id[0] == 'p' && r.mayHaveRun[id] {
-		r.violations = append(r.violations, id+" may have run and must not run twice")
+		r.violations = append(r.violations, id+" was sent again, but may have run and must not run twice")
 	}
 	if id[0] != 't' {
 		return
@@ -126,27 +128,27 @@
 	var key, number int
 	_, _ = fmt.Sscanf(id[1:], "%d-%d", &key, &number)
 	for n := range number {
-		before := fmt.Sprintf("t%d-%d", key, n)
-		if !r.ended[before] {
-			r.violations = append(r.violations, id+" before "+before)
+		earlier := fmt.Sprintf("t%d-%d", key, n)
+		if !r.ended[earlier] {
+			r.violations = append(r.violations, id+" was sent before "+earlier+" ended")
 		}
-		if rested := time.Since(r.unanswered[before]); rested < keyCooldown-observationSlack {
+		if elapsed := time.Since(r.unanswered[earlier]); elapsed < keyCooldown-observationSlack {
 			r.violations = append(r.violations,
-				fmt.Sprintf("%s %v after a call of %s ended without an answer", id, rested, before))
+				fmt.Sprintf("%s was sent %v after a call of %s ended without an answer", id, elapsed, earlier))
 		}
 	}
 }
 
-// run notes that the messages of a call run. The lock is held.
-func (r *ruleChecker) run(c emulator.Call, delivered bool) {
+// recordRun records that the messages of a call run. The caller holds the lock.
+func (r *ruleChecker) recordRun(c emulator.Call, delivered bool) {
 	for _, id := range c.IDs {
 		r.mayHaveRun[id] = true
 		r.ended[id] = r.ended[id] || delivered
 	}
 }
 
-// notice notes that a message has ended.
-func (r *ruleChecker) notice(n emulator.Notice) {
+// recordNotice records that a message has ended.
+func (r *ruleChecker) recordNotice(n emulator.Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ended[n.ID] = true
@@ -164,30 +166,30 @@
 	return true
 }
 
-// putRounds submits the messages of one process's life and returns their ids.
-func (h *harness) putRounds(c *emulator.Client, life int) (ids []string) {
-	for n := range roundsOfLife {
-		number := life*roundsOfLife + n
-		for key := range keys {
+// putRounds submits roundsPerProcess rounds of messages to the process with a number and returns their ids.
+func (h *harness) putRounds(c *emulator.Client, process int) (ids []string) {
+	for n := range roundsPerProcess {
+		number := process*roundsPerProcess + n
+		for key := range keyCount {
 			id := fmt.Sprintf("t%d-%d", key, number)
 			h.put(c, fmt.Sprint(key+1), id, "c=ticket,d=20000,dest=7,k="+id, "+OK")
 			ids = append(ids, id)
 		}
 		id := fmt.Sprintf("p9-%d", number)
-		h.put(c, zero, id, "c=payment,d=20000,dest=7", "+OK")
+		h.put(c, noKey, id, "c=payment,d=20000,dest=7", "+OK")
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func TestRepeatedKillsEachMessageEndsOnceInKeyOrder(t *testing.T) {
+func TestMessagesEndOnceInKeyOrderAcrossRepeatedKills(t *testing.T) {
 	h := newHarness(t, "several")
 	checker := newRuleChecker()
 	h.endpoint.Do(checker.reply)
-	h.discovery.OnNotice = checker.notice
+	h.discovery.OnNotice = checker.recordNotice
 	var ids []string
-	for life := range kills {
-		ids = append(ids, h.putRounds(h.start(), life)...)
+	for process := range kills {
+		ids = append(ids, h.putRounds(h.start(), process)...)
 		for range 3 {
 			h.nextCall()
 		}
@@ -200,7 +202,7 @@
 		case <-h.discovery.Notices:
 		case <-h.endpoint.Calls:
 		case <-expired:
-			t.Fatalf("not all has ended; log:\n%s", h.process.Log)
+			t.Fatalf("not all messages have ended; log:\n%s", h.process.Log)
 		}
 	}
 	h.stop()
--- a/cmd/spanflow/restart_test.go
+++ b/cmd/spanflow/restart_test.go
@@ -9,8 +9,8 @@
 	"spanflow/internal/emulator"
 )
 
-// The process is killed with one message delivered, one in progress that may run again, one in progress that may not,
-// and one waiting behind another of its key; the next process ends each exactly once and in order.
+// The process is killed with one message delivered, one in progress that may run again, one in progress that must not,
+// and one queued behind another message of its key. The next process ends each message exactly once and in order.
 func TestKilledForwarderRecoversAcceptedMessages(t *testing.T) {
 	h := newHarness(t, "single")
 	hold := make(chan struct{})
@@ -21,11 +21,11 @@
 		return emulator.Reply{Hold: hold}
 	})
 	c := h.start()
-	h.put(c, zero, "done", "c=status,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "done", "c=status,d=20000,dest=7", "+OK")
 	require.Equal(t, "done", h.nextCall().ID)
 	h.put(c, "5", "k1", "c=ticket,d=20000,dest=7,k=m1", "+OK")
 	require.Equal(t, "k1", h.nextCall().ID)
-	h.put(c, zero, "pay", "c=payment,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "pay", "c=payment,d=20000,dest=7", "+OK")
 	require.Equal(t, "pay", h.nextCall().ID)
 	h.put(c, "5", "k2", "c=ticket,d=20000,dest=7,k=m2", "+OK")
 	h.kill()
@@ -44,7 +44,7 @@
 	h.endpoint.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Break: true} })
 	h.discovery.SetUnresponsive(true)
 	c := h.start()
-	h.put(c, zero, "p1", "c=payment,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "p1", "c=payment,d=20000,dest=7", "+OK")
 	h.nextCall()
 	h.awaitLog(logNoticesUnanswered)
 	h.kill()
@@ -59,17 +59,17 @@
 	hold := make(chan struct{})
 	h.endpoint.Do(func(c emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := h.start()
-	h.put(c, zero, "out", "c=status,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "out", "c=status,d=20000,dest=7", "+OK")
 	h.nextCall()
-	h.put(c, zero, "far", "c=status,d=20000,dest=9", "+OK") // no endpoint yet
+	h.put(c, noKey, "far", "c=status,d=20000,dest=9", "+OK") // the destination has no active endpoint yet
 	require.NoError(t, h.process.Signal(syscall.SIGTERM))
 	h.awaitLog(logStopping)
-	h.put(c, zero, "late", "c=status,d=20000,dest=7", "+OK")
-	h.put(h.client(), zero, "later", "c=status,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "late", "c=status,d=20000,dest=7", "+OK")
+	h.put(h.client(), noKey, "later", "c=status,d=20000,dest=7", "+OK")
 	close(hold)
 	require.ElementsMatch(t, []string{"late", "later"}, []string{h.nextCall().ID, h.nextCall().ID})
 	_, err := c.ReadReply()
-	require.Error(t, err, "the client is disconnected, to go elsewhere")
+	require.Error(t, err, "the client is disconnected so that it uses another forwarder")
 	require.NoError(t, h.process.Wait())
 	require.True(t, h.process.Log.Has(`"owed":1`), h.process.Log.String())
 	h.discovery.Set(h.activeEntry("s2", 9))
@@ -83,10 +83,10 @@
 	h.endpoint.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := h.start()
 	ids := map[string]bool{}
-	for i := range 20 { // some of these are in progress, and the others wait
+	for i := range 20 { // some of these are in progress and the others are queued
 		id := string(rune('a' + i))
 		ids[id] = true
-		h.put(c, zero, id, "c=status,d=20000,dest=7", "+OK")
+		h.put(c, noKey, id, "c=status,d=20000,dest=7", "+OK")
 	}
 	require.NotEmpty(t, h.nextCall().ID)
 	h.kill()
@@ -110,10 +110,10 @@
 		return emulator.Reply{Status: 429, Fields: map[string]string{"Retry-After": "3600"}}
 	})
 	c := h.start()
-	h.put(c, zero, "rejected", "c=status,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "rejected", "c=status,d=20000,dest=7", "+OK")
 	require.Equal(t, "rejected", h.nextCall().ID)
 	require.NoError(t, h.process.Signal(syscall.SIGTERM))
-	h.put(c, zero, "untried", "c=status,d=20000,dest=9", "+OK") // it has no endpoint yet
+	h.put(c, noKey, "untried", "c=status,d=20000,dest=9", "+OK") // its destination has no active endpoint yet
 	require.NoError(t, h.process.Wait())
 	require.True(t, h.process.Log.Has(`"owed":`))
 	h.discovery.Set(h.activeEntry("s0", 9))
@@ -121,17 +121,17 @@
 	h.start()
 	for h.nextCall().ID != "untried" {
 	}
-	h.put(h.client(), zero, "fresh", "c=status,d=20000,dest=7", "+OK")
-	require.Equal(t, "fresh", h.nextCall().ID, "Retry-After was sent to the process before")
+	h.put(h.client(), noKey, "fresh", "c=status,d=20000,dest=7", "+OK")
+	require.Equal(t, "fresh", h.nextCall().ID, "Retry-After applied only to the process before the restart")
 }
 
-// Signals follow each other in any order, before and while the process stops.
+// SIGHUP and SIGTERM arrive several times in mixed order, before and while the process stops.
 func TestRepeatedSignalsStopProcessOnceAndLoseNoMessage(t *testing.T) {
 	h := newHarness(t, "single")
 	hold := make(chan struct{})
 	h.endpoint.Do(func(emulator.Call) emulator.Reply { return emulator.Reply{Hold: hold} })
 	c := h.start()
-	h.put(c, zero, "out", "c=status,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "out", "c=status,d=20000,dest=7", "+OK")
 	require.Equal(t, "out", h.nextCall().ID)
 	for _, signal := range []syscall.Signal{
 		syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP,
@@ -139,7 +139,7 @@
 		require.NoError(t, h.process.Signal(signal))
 	}
 	h.awaitLog(logStopping)
-	h.put(c, zero, "late", "c=status,d=20000,dest=7", "+OK")
+	h.put(c, noKey, "late", "c=status,d=20000,dest=7", "+OK")
 	close(hold)
 	require.NoError(t, h.process.Wait())
 	require.Equal(t, 1, h.process.Log.Count(logStopping))
--- a/cmd/spanflow/start_signals_test.go
+++ b/cmd/spanflow/start_signals_test.go
@@ -13,12 +13,12 @@
 	"spanflow/internal/statefile"
 )
 
-// SIGTERM and SIGHUP were caught before the configuration was read, but SIGTERM was heeded only once the start was
-// over.
+// These tests guard against a fault in which SIGTERM and SIGHUP were caught before the configuration was read, but
+// SIGTERM took effect only after startup.
 
 const logWaitingForFolder = "waiting for the folder"
 
-// launch starts the forwarder with further variables and does not wait until it serves.
+// launch starts the forwarder with additional environment variables and does not wait until it serves clients.
 func (h *harness) launch(files []*os.File, variables ...string) {
 	h.t.Helper()
 	command := exec.Command(program)
@@ -27,7 +27,7 @@
 	h.process = emulator.StartProcess(h.t, command)
 }
 
-func TestSIGTERMWhileTheConfigurationIsReadEndsTheStart(t *testing.T) {
+func TestSIGTERMWhileReadingConfigurationEndsStartup(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, "single")
 	h.environment()
@@ -41,12 +41,12 @@
 	h.stop()
 }
 
-func TestSignalsWhileAProcessWaitsForTheFolder(t *testing.T) {
+func TestSignalsWhileWaitingForFolder(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, "single")
 	socket := h.inheritedSocket()
-	first := h.startWithAdmin(socket)
-	first.AwaitReady(t)
+	predecessor := h.startWithAdmin(socket)
+	predecessor.AwaitReady(t)
 	h.launch([]*os.File{socket}, "PROXY_INHERITED_FD=3")
 	h.awaitLog(logWaitingForFolder)
 	for range 2 {
@@ -60,18 +60,18 @@
 	for range 2 {
 		require.NoError(t, h.process.Signal(syscall.SIGHUP))
 	}
-	second := h.process
-	h.process = first.Process
+	successor := h.process
+	h.process = predecessor.Process
 	h.stop()
-	h.process = second
+	h.process = successor
 	h.process.AwaitReady(t)
 	h.process.Log.AwaitCount(t, logReloaded, 1)
 	h.client()
 	h.stop()
-	require.Equal(t, 1, h.process.Log.Count(logReloaded), "one reload for all signals before")
+	require.Equal(t, 1, h.process.Log.Count(logReloaded), "one reload for all earlier signals")
 }
 
-func TestSIGTERMWhileItRecoversEndsTheStart(t *testing.T) {
+func TestSIGTERMDuringRecoveryEndsStartup(t *testing.T) {
 	t.Parallel()
 	h := newHarness(t, "single")
 	file := emulator.NewSlowFile(t, filepath.Join(h.stateFolder, statefile.LatenciesFile))
--- a/cmd/spanflow/upgrade_soak_test.go
+++ b/cmd/spanflow/upgrade_soak_test.go
@@ -16,21 +16,22 @@
 	"spanflow/internal/emulator"
 )
 
-// The soak of upgrades plays one process after another on the same socket and folder under load, and draws from one
-// seed which of the two gets which signals and when. Of two endpoints, both leave calls without an answer now and then,
-// and one drains by the list and comes back. It is judged by final answers, effects, order and cooldown of keys, and
-// drains. Clients use their connections until these end, and the kill comes at the platform's earliest.
+// The soak of upgrades runs a series of upgrades with the same socket and folder under load. The seed determines which
+// signals the two processes of an upgrade get and when. Two endpoints sometimes leave calls unanswered, and the list
+// sometimes marks one of them as leaving. The test checks final answers, that messages run no more often than allowed,
+// the order and the cooldown of keys, and that draining endpoints get no calls. Clients use their connections until
+// these end. A process that runs for longer after SIGTERM than the platform guarantees is killed and fails the test.
 //
 //	TEST_SOAK_SEEDS=50 go test ./cmd/spanflow -run SoakOfUpgrades -timeout 60m     # seeds 1 to 50
 //	TEST_SOAK_FIRST=17 TEST_SOAK_SEEDS=1 go test ./cmd/spanflow -run SoakOfUpgrades # one seed
 const (
-	soakSeedsVariable = "TEST_SOAK_SEEDS" // how many seeds; 4 by default
-	soakFirstVariable = "TEST_SOAK_FIRST" // the first of them; 1 by default
+	soakSeedsVariable = "TEST_SOAK_SEEDS" // number of seeds; 4 by default
+	soakFirstVariable = "TEST_SOAK_FIRST" // first seed; 1 by default
 
-	soakUpgrades  = 10
-	soakClients   = 3                // at most
-	soakDrained   = 3 * time.Second  // until an endpoint drains or comes back, at most
-	soakAnswersIn = 30 * time.Second // after the last upgrade, for all that is owed
+	soakUpgrades      = 10
+	soakClients       = 3                // maximum
+	soakDrainInterval = 3 * time.Second  // longest time between two changes of the endpoint's state in the list
+	soakAnswerTimeout = 30 * time.Second // after the last upgrade, for the final answers of all pending messages
 )
 
 func TestSoakOfUpgrades(t *testing.T) {
@@ -43,45 +44,45 @@
 	}
 }
 
-func numberFromEnvironment(t *testing.T, variable string, byDefault int) int {
+func numberFromEnvironment(t *testing.T, variable string, defaultValue int) int {
 	t.Helper()
 	text := os.Getenv(variable)
 	if text == "" {
-		return byDefault
+		return defaultValue
 	}
 	n, err := strconv.Atoi(text)
 	require.NoError(t, err, variable)
 	return n
 }
 
-// upgradeSoak is one run.
+// upgradeSoak is one run of the soak with one seed.
 type upgradeSoak struct {
 	*harness
 	random  *rand.Rand
 	checker *ruleChecker
-	drained *emulator.Endpoint // drains by the list now and then
+	drained *emulator.Endpoint // the list sometimes marks it as leaving
 	socket  *os.File
-	current *adminProcess // holds the folder
-	next    *adminProcess // waits for it
+	current *adminProcess // owns the folder
+	next    *adminProcess // waits for the folder
 
-	mu       sync.Mutex
-	accepted []string
-	silent   []string // submissions that got no answer on a connection that stayed open
-	keys     int      // used so far
+	mu         sync.Mutex
+	accepted   []string
+	unanswered []string // ids of submissions without an answer although the connection stayed open
+	keysUsed   int      // number of keys used so far
 }
 
 func newUpgradeSoak(t *testing.T, seed uint64) *upgradeSoak {
 	s := &upgradeSoak{harness: newHarness(t, "single"), random: rand.New(rand.NewPCG(seed, 0)), checker: newRuleChecker()}
-	s.checker.hangs = true
+	s.checker.leavesUnanswered = true
 	s.endpoint.Do(s.checker.reply)
-	s.discovery.OnNotice = s.checker.notice
+	s.discovery.OnNotice = s.checker.recordNotice
 	var err error
 	s.drained, err = emulator.NewEndpoint("", s.checker.reply)
 	require.NoError(t, err)
-	s.listDrained("active")
+	s.setDrainedState("active")
 	for _, endpoint := range []*emulator.Endpoint{s.endpoint, s.drained} {
 		go func() {
-			for range endpoint.Calls { // nobody waits for single calls
+			for range endpoint.Calls { // discarded, as the soak does not wait for single calls
 			}
 		}()
 	}
@@ -93,17 +94,17 @@
 	return s
 }
 
-// run plays the upgrades beside the load, and then waits until nothing is owed.
+// run performs the upgrades under load, and then waits until all messages have a final answer.
 func (s *upgradeSoak) run() {
 	s.current = s.startWithAdmin(s.socket)
 	s.current.AwaitReady(s.t)
 	end := make(chan struct{})
 	var clients sync.WaitGroup
-	for range s.random.IntN(soakClients + 1) { // without any, nothing wakes a process that waits for a connection
+	for range s.random.IntN(soakClients + 1) { // without clients, no connection wakes a process that waits for one
 		clients.Go(func() { s.submitAll(end) })
 	}
 	random := rand.New(rand.NewPCG(s.random.Uint64(), 1))
-	clients.Go(func() { s.changeList(random, end) })
+	clients.Go(func() { s.changeEndpointList(random, end) })
 	for range soakUpgrades {
 		s.upgradeOnce()
 		if s.t.Failed() {
@@ -115,44 +116,45 @@
 	if s.t.Failed() {
 		return
 	}
-	require.Empty(s.t, s.silent, "submissions were not answered")
+	require.Empty(s.t, s.unanswered, "submissions without an answer")
 	for _, endpoint := range []*emulator.Endpoint{s.endpoint, s.drained} {
 		endpoint.Do(func(c emulator.Call) emulator.Reply {
 			s.checker.mu.Lock()
 			defer s.checker.mu.Unlock()
-			s.checker.run(c, true)
+			s.checker.recordRun(c, true)
 			return emulator.Reply{}
 		})
 	}
-	require.Eventually(s.t, func() bool { return s.checker.allEnded(s.accepted) }, soakAnswersIn, 10*time.Millisecond)
+	require.Eventually(s.t, func() bool { return s.checker.allEnded(s.accepted) }, soakAnswerTimeout, 10*time.Millisecond)
 	require.Empty(s.t, s.checker.violations)
 	s.process = s.current.Process
 	s.stop()
 	s.t.Logf("%d messages", len(s.accepted))
 }
 
-// listDrained lists the endpoint that drains now and then with a state.
-func (s *upgradeSoak) listDrained(state string) {
+// setDrainedState lists the endpoint that is drained sometimes with a state.
+func (s *upgradeSoak) setDrainedState(state string) {
 	entry := s.activeEntry("s2", 7)
 	entry.Endpoint, entry.State = s.drained.Addr, state
 	s.discovery.Set(entry)
 	s.checker.setDrained(s.drained.Addr, state != "active")
 }
 
-// changeList has an endpoint drain and come back until end is closed.
-func (s *upgradeSoak) changeList(random *rand.Rand, end <-chan struct{}) {
+// changeEndpointList alternates the state of the drained endpoint in the list until end is closed.
+func (s *upgradeSoak) changeEndpointList(random *rand.Rand, end <-chan struct{}) {
 	for i := 0; ; i++ {
-		s.listDrained([]string{"leaving", "active"}[i%2])
+		s.setDrainedState([]string{"leaving", "active"}[i%2])
 		select {
 		case <-end:
-			s.listDrained("active")
+			s.setDrainedState("active")
 			return
-		case <-time.After(time.Duration(random.Int64N(int64(soakDrained)))):
+		case <-time.After(time.Duration(random.Int64N(int64(soakDrainInterval)))):
 		}
 	}
 }
 
-// submitAll submits messages over one connection after another, each with a key of its own, until end is closed.
+// submitAll submits messages over one connection after another, with a new key for each connection, until end is
+// closed.
 func (s *upgradeSoak) submitAll(end <-chan struct{}) {
 	for {
 		c, err := emulator.NewClient(s.listen)
@@ -160,8 +162,8 @@
 			continue
 		}
 		s.mu.Lock()
-		s.keys++
-		key := s.keys
+		s.keysUsed++
+		key := s.keysUsed
 		s.mu.Unlock()
 		ended := s.submitOver(c, key, end)
 		_ = c.Close()
@@ -171,7 +173,7 @@
 	}
 }
 
-// submitOver submits messages until the connection ends, and reports whether end is closed.
+// submitOver submits messages until the connection ends or end is closed, and reports whether end is closed.
 func (s *upgradeSoak) submitOver(c *emulator.Client, key int, end <-chan struct{}) (ended bool) {
 	for number := 0; ; {
 		select {
@@ -179,14 +181,14 @@
 			return true
 		case <-time.After(2 * time.Millisecond):
 		}
-		id, class := fmt.Sprintf("t%d-%d", key, number), "ticket"
+		id, messageType := fmt.Sprintf("t%d-%d", key, number), "ticket"
 		if number%4 == 3 {
-			id, class = fmt.Sprintf("p%d-%d", key, number), "payment"
+			id, messageType = fmt.Sprintf("p%d-%d", key, number), "payment"
 		}
-		answer, err := c.Put(fmt.Sprintf("%x", key), id, "c="+class+",d=15000,dest=7,k="+id, "body")
+		answer, err := c.Put(fmt.Sprintf("%x", key), id, "c="+messageType+",d=15000,dest=7,k="+id, "body")
 		s.mu.Lock()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			s.silent = append(s.silent, id)
+			s.unanswered = append(s.unanswered, id)
 		}
 		if answer == "+OK" {
 			s.accepted = append(s.accepted, id)
@@ -196,7 +198,7 @@
 		if err != nil {
 			return false
 		}
-		if class == "payment" && answer == "+OK" { // it is not in order: the next ticket does not wait for it
+		if messageType == "payment" && answer == "+OK" { // not ordered: the next ticket need not wait for it
 			s.checker.mu.Lock()
 			s.checker.ended[fmt.Sprintf("t%d-%d", key, number-1)] = true
 			s.checker.mu.Unlock()
@@ -204,14 +206,14 @@
 	}
 }
 
-// pause waits for up to so long.
-func (s *upgradeSoak) pause(most time.Duration) {
-	time.Sleep(time.Duration(s.random.Int64N(int64(most))))
+// pause sleeps for a random time shorter than longest.
+func (s *upgradeSoak) pause(longest time.Duration) {
+	time.Sleep(time.Duration(s.random.Int64N(int64(longest))))
 }
 
-// upgradeOnce starts a process beside the present one and ends one of them, or both.
+// upgradeOnce starts a successor to the current process and ends one of them or both.
 func (s *upgradeSoak) upgradeOnce() {
-	if s.random.IntN(2) == 0 { // else right behind the start of the present one
+	if s.random.IntN(2) == 0 { // otherwise right after the current process started
 		s.pause(500 * time.Millisecond)
 	}
 	s.next = s.startWithAdmin(s.socket)
@@ -219,7 +221,7 @@
 		require.Eventually(s.t, s.next.isReady, readyBound, 5*time.Millisecond)
 		s.pause(200 * time.Millisecond)
 	} else {
-		s.next.Log.Await(s.t, logWaitingForFolder) // it catches signals by then
+		s.next.Log.Await(s.t, logWaitingForFolder) // it handles signals by then
 	}
 	switch s.random.IntN(8) {
 	case 0, 1:
@@ -253,7 +255,7 @@
 	}
 }
 
-// takeOver waits until the next process serves, which is the present one from then on.
+// takeOver waits until the next process serves clients and makes it the current one.
 func (s *upgradeSoak) takeOver() {
 	s.next.AwaitReady(s.t)
 	s.current, s.next = s.next, nil
@@ -263,14 +265,14 @@
 	require.NoError(s.t, p.Signal(signal))
 }
 
-// terminate sends SIGTERM and requires the end in time.
+// terminate sends SIGTERM and requires that the process ends in time.
 func (s *upgradeSoak) terminate(p *adminProcess) {
 	s.t.Helper()
 	s.signal(p, syscall.SIGTERM)
 	s.awaitEnd(p, time.Now())
 }
 
-// awaitEnd requires that a process ends by itself with status 0, in time after SIGTERM.
+// awaitEnd requires that a process exits by itself with status 0 within terminationBound after SIGTERM was sent.
 func (s *upgradeSoak) awaitEnd(p *adminProcess, signalled time.Time) {
 	s.t.Helper()
 	select {
@@ -278,7 +280,7 @@
 		require.NoError(s.t, p.Wait(), p.Log.String())
 	case <-time.After(time.Until(signalled.Add(terminationBound))):
 		p.Kill()
-		s.t.Fatalf("not ended in time after SIGTERM:\n%s", p.Log)
+		s.t.Fatalf("the process did not end in time after SIGTERM:\n%s", p.Log)
 	}
 	require.False(s.t, p.Log.Has("end forced"), p.Log.String())
 }
