--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -24,7 +24,7 @@
 	forwarder *adminProcess
 }
 
-// startFleet starts size forwarders and waits until all of them serve clients.
+// startFleet starts a number of forwarders and waits until all of them serve clients.
 func (h *harness) startFleet(size int) []*fleetMember {
 	var fleet []*fleetMember
 	for range size {
--- a/cmd/spanflow/harness_test.go
+++ b/cmd/spanflow/harness_test.go
@@ -181,7 +181,6 @@
 	return awaitNext(h, h.endpoint.Calls, "call")
 }
 
-// nextNotice waits for the next notice.
 func (h *harness) nextNotice() emulator.Notice {
 	h.t.Helper()
 	return awaitNext(h, h.discovery.Notices, "notice")
--- a/cmd/spanflow/key_order_test.go
+++ b/cmd/spanflow/key_order_test.go
@@ -31,7 +31,7 @@
 	return h.observeKey(earlier, later, emulator.Reply{Hold: make(chan struct{})})
 }
 
-// observeKey makes the endpoint give a reply to the calls with the earlier message.
+// observeKey makes the endpoint give a reply to the calls with the earlier message, and 200 to all others.
 func (h *harness) observeKey(earlier, later string, reply emulator.Reply) *keyObserver {
 	k := &keyObserver{ended: make(chan time.Time, 16), later: make(chan time.Time, 16)}
 	reply.Ended = func() { k.ended <- time.Now() }
--- a/cmd/spanflow/upgrade_soak_test.go
+++ b/cmd/spanflow/upgrade_soak_test.go
@@ -68,7 +68,7 @@
 	mu         sync.Mutex
 	accepted   []string
 	unanswered []string // ids of submissions without an answer although the connection stayed open
-	keysUsed   int      // number of keys used so far
+	keysUsed   int
 }
 
 func newUpgradeSoak(t *testing.T, seed uint64) *upgradeSoak {
@@ -132,7 +132,7 @@
 	s.t.Logf("%d messages", len(s.accepted))
 }
 
-// setDrainedState lists the endpoint that is drained sometimes with a state.
+// setDrainedState sets the state of the drained endpoint in the list and records it in the checker.
 func (s *upgradeSoak) setDrainedState(state string) {
 	entry := s.activeEntry("s2", 7)
 	entry.Endpoint, entry.State = s.drained.Addr, state
