--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -89,7 +89,7 @@
 // recoveredAttempts returns a message's earlier attempts. An attempt that was outstanding when that process ended
 // counts as ended at that time, and may have run.
 func (loop *eventLoop) recoveredAttempts(e *wal.Entry) scheduler.RecoveredState {
-	if e.AttemptBegan > 0 {
+	if e.AttemptStartedAt > 0 {
 		if err := loop.wal.RecordAttemptEnd(e.Seq, true); err != nil {
 			loop.logWALError(err)
 		}
--- a/internal/commands/wal.go
+++ b/internal/commands/wal.go
@@ -155,7 +155,7 @@
 		Attempts:        e.Attempts,
 		Expiry:          wallTime(e.Expiry),
 		MayHaveRunSince: wallTime(e.FirstRanAt),
-		CallSince:       wallTime(e.AttemptBegan),
+		CallSince:       wallTime(e.AttemptStartedAt),
 		Sequence:        e.Seq,
 		Bytes:           len(e.Body),
 		RetryAfterMs:    e.RetryAfter,
--- a/internal/dial/conn_test.go
+++ b/internal/dial/conn_test.go
@@ -92,15 +92,15 @@
 	aborted := make(chan bool, 1)
 	conn.mu.Lock()
 	go func() { aborted <- conn.Abort() }()
-	emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
+	emulator.AwaitBlockedOnLock(t, "dial.(*Conn).Abort(")
 	close(establish)
-	emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
+	emulator.AwaitBlockedOnLock(t, "dial.(*Conn).connected(")
 	time.Sleep(mutexStarvationTime)
 	conn.mu.Unlock()
 	conn.mu.Lock() // Abort usually finds it taken again; after that the lock is passed in turn
 	if inOrder = conn.state == connecting; inOrder {
-		emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
-		emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
+		emulator.AwaitBlockedOnLock(t, "dial.(*Conn).Abort(")
+		emulator.AwaitBlockedOnLock(t, "dial.(*Conn).connected(")
 	}
 	conn.mu.Unlock()
 	sent := <-aborted
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -134,7 +134,7 @@
 	conn, _ := h.peer.Accept(t)
 	h.mu.Lock()
 	conn.Write([]byte(answerUnsized + "{\"rev\":2,\"all\":true,\"targets\":[]}\n"))
-	emulator.AwaitAtLock(t, "discovery.(*watch).Data(")
+	emulator.AwaitBlockedOnLock(t, "discovery.(*watch).Data(")
 	h.watch.close() // as Watch does, with the lock held
 	h.mu.Unlock()
 	h.Watch(1)
--- a/internal/drains/drains.go
+++ b/internal/drains/drains.go
@@ -23,17 +23,17 @@
 
 // The results of Drain and Restore.
 const (
-	Accepted Result = iota // done, or it was so already
-	Unknown                // no endpoint of that id is listed or drained
-	TooMany                // the set is full
-	BadName                // the id cannot be kept
+	Accepted  Result = iota // done, or it was so already
+	Unknown                 // no endpoint of that id is listed or drained
+	TooMany                 // the set is full
+	InvalidID               // the id cannot be kept
 )
 
 var resultTexts = [...]string{
-	Accepted: "yes",
-	Unknown:  "no target of that id is listed or out",
-	TooMany:  "too many targets are out by hand",
-	BadName:  "the id holds bytes it may not",
+	Accepted:  "yes",
+	Unknown:   "no target of that id is listed or out",
+	TooMany:   "too many targets are out by hand",
+	InvalidID: "the id holds bytes it may not",
 }
 
 // String is the result as operators are answered.
@@ -77,7 +77,7 @@
 func (s *Set) Drain(id string, listed bool) (Result, Change) {
 	switch i, found := slices.BinarySearch(s.ids, id); {
 	case !validID(id):
-		return BadName, Unchanged
+		return InvalidID, Unchanged
 	case found:
 		return Accepted, Unchanged
 	case !listed:
@@ -100,7 +100,7 @@
 	case listed:
 		return Accepted, Unchanged
 	case !validID(id):
-		return BadName, Unchanged
+		return InvalidID, Unchanged
 	default:
 		return Unknown, Unchanged
 	}
--- a/internal/drains/drains_test.go
+++ b/internal/drains/drains_test.go
@@ -65,7 +65,7 @@
 	result, _ := set.Drain("one more", true)
 	require.Equal(t, TooMany, result)
 	result, _ = set.Drain("bad\nid", true)
-	require.Equal(t, BadName, result)
+	require.Equal(t, InvalidID, result)
 	require.Len(t, New(append(set.IDs(), "beyond", "bad\nid")).IDs(), MaxDrained)
 }
 
--- a/internal/emulator/lock.go
+++ b/internal/emulator/lock.go
@@ -12,9 +12,9 @@
 	waitsAtLock = "[sync.Mutex.Lock"
 )
 
-// AwaitAtLock waits until a goroutine with a call of function on its stack, such as "upstream.(*connection).Data(",
+// AwaitBlockedOnLock waits until a goroutine with a call of function on its stack, such as "upstream.(*connection).Data(",
 // waits for a mutex. A test that holds the mutex then knows that the goroutine is about to lock it.
-func AwaitAtLock(t Test, function string) {
+func AwaitBlockedOnLock(t Test, function string) {
 	t.Helper()
 	stacks := make([]byte, stackBytes)
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(lockPoll) {
--- a/internal/respserver/close_test.go
+++ b/internal/respserver/close_test.go
@@ -86,7 +86,7 @@
 			from.reading.Lock() // blocks the reader before it counts the command
 			_, err := io.WriteString(c, emulator.Command("PING"))
 			require.NoError(t, err)
-			emulator.AwaitAtLock(t, "respserver.(*Server).read(")
+			emulator.AwaitBlockedOnLock(t, "respserver.(*Server).read(")
 			closeConnections(f, from)
 			require.False(t, from.disconnected.Load())
 			from.reading.Unlock()
@@ -119,7 +119,7 @@
 	f.server.Drain()
 	_, err := io.WriteString(c, emulator.Command("PING"))
 	require.NoError(t, err)
-	emulator.AwaitAtLock(t, "respserver.(*Server).read(") // otherwise the sweep may close the connection first
+	emulator.AwaitBlockedOnLock(t, "respserver.(*Server).read(") // otherwise the sweep may close the connection first
 	from.reading.Unlock()
 	f.answerPing(c)
 	_, err = c.ReadReply()
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -72,7 +72,7 @@
 	f.requireResult(transport.ResultOK)
 	f.mu.Lock()
 	c.Write([]byte(emptyOK)) // a second answer: read from the socket, but not delivered yet
-	emulator.AwaitAtLock(t, "upstream.(*connection).Data(")
+	emulator.AwaitBlockedOnLock(t, "upstream.(*connection).Data(")
 	used := f.takeIdle(f.endpointID)
 	f.mu.Unlock()
 	require.Nil(t, used, "the second answer would be taken for that of the next call")
--- a/internal/wal/entry.go
+++ b/internal/wal/entry.go
@@ -8,24 +8,24 @@
 // Entry is a message that the forwarder has accepted and not finished. Times are in microseconds of the wall
 // clock, 0 for none.
 type Entry struct {
-	Seq            uint64 // number in the order of acceptance
-	Key            uint64
-	Destination    uint64
-	Tenant         int
-	Type           string
-	ID             string
-	IdempotencyKey string
-	Expiry         int64
-	Attempts       int   // that have begun
-	FirstRanAt     int64 // begin of the first attempt that may have run
-	FirstRanZone   int
-	AttemptBegan   int64 // begin of the attempt in flight
-	AttemptZone    int
-	Answer         Answer
-	RetryAfter     int // with Rejected: milliseconds until the client may submit it again
-	Body           []byte
-	Frontend       string // by which it came; empty for the platform's own
-	CallerWaits    bool   // its caller waited for the final answer
+	Seq              uint64 // number in the order of acceptance
+	Key              uint64
+	Destination      uint64
+	Tenant           int
+	Type             string
+	ID               string
+	IdempotencyKey   string
+	Expiry           int64
+	Attempts         int   // that have begun
+	FirstRanAt       int64 // begin of the first attempt that may have run
+	FirstRanZone     int
+	AttemptStartedAt int64 // begin of the attempt in flight
+	AttemptZone      int
+	Answer           Answer
+	RetryAfter       int // with Rejected: milliseconds until the client may submit it again
+	Body             []byte
+	Frontend         string // by which it came; empty for the platform's own
+	CallerWaits      bool   // its caller waited for the final answer
 
 	segment int // number of the segment with its record
 }
@@ -54,14 +54,14 @@
 
 func (e *Entry) attemptBegan(at int64, zone int) {
 	e.Attempts++
-	e.AttemptBegan, e.AttemptZone = at, zone
+	e.AttemptStartedAt, e.AttemptZone = at, zone
 }
 
 func (e *Entry) attemptEnded(ran bool) {
 	if ran && e.FirstRanAt == 0 {
-		e.FirstRanAt, e.FirstRanZone = e.AttemptBegan, e.AttemptZone
+		e.FirstRanAt, e.FirstRanZone = e.AttemptStartedAt, e.AttemptZone
 	}
-	e.AttemptBegan, e.AttemptZone = 0, 0
+	e.AttemptStartedAt, e.AttemptZone = 0, 0
 }
 
 // The states of an entry, as commands print them and take them in filters.
@@ -81,7 +81,7 @@
 		return stateRejected
 	case e.Answer == Failed:
 		return stateFailed
-	case e.AttemptBegan > 0:
+	case e.AttemptStartedAt > 0:
 		return stateInFlight
 	case e.FirstRanAt > 0:
 		return stateMayHaveRun
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -96,8 +96,8 @@
 	{},
 	{Attempts: 1},
 	{Attempts: 1, FirstRanAt: 2_000, FirstRanZone: 2},
-	{Attempts: 1, AttemptBegan: 3_000, AttemptZone: 3},
-	{Attempts: 2, FirstRanAt: 4_000, FirstRanZone: 1, AttemptBegan: 5_000, AttemptZone: 70_000},
+	{Attempts: 1, AttemptStartedAt: 3_000, AttemptZone: 3},
+	{Attempts: 2, FirstRanAt: 4_000, FirstRanZone: 1, AttemptStartedAt: 5_000, AttemptZone: 70_000},
 	{Answer: Rejected, RetryAfter: 1_500},
 	{Answer: Failed},
 }
@@ -109,7 +109,7 @@
 			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), kind[0], kind[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
 			e.Seq, e.Attempts, e.Answer, e.RetryAfter = uint64(k*8+s+1), state.Attempts, state.Answer, state.RetryAfter
 			e.FirstRanAt, e.FirstRanZone = state.FirstRanAt, state.FirstRanZone
-			e.AttemptBegan, e.AttemptZone = state.AttemptBegan, state.AttemptZone
+			e.AttemptStartedAt, e.AttemptZone = state.AttemptStartedAt, state.AttemptZone
 			pending = append(pending, e)
 		}
 	}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -29,8 +29,8 @@
 	require.Len(t, got, 3)
 	require.Equal(t, Entry{Seq: 1, Key: 5, Destination: 7, Type: "ticket", ID: "a", IdempotencyKey: "m", Expiry: 99,
 		Attempts: 2, FirstRanAt: 10,
-		FirstRanZone: 1, AttemptBegan: 20, AttemptZone: 2, Body: make([]byte, 3), segment: 1}, *got[0])
-	require.Equal(t, []any{1, int64(0), int64(0)}, []any{got[1].Attempts, got[1].FirstRanAt, got[1].AttemptBegan})
+		FirstRanZone: 1, AttemptStartedAt: 20, AttemptZone: 2, Body: make([]byte, 3), segment: 1}, *got[0])
+	require.Equal(t, []any{1, int64(0), int64(0)}, []any{got[1].Attempts, got[1].FirstRanAt, got[1].AttemptStartedAt})
 	require.Equal(t, []any{Rejected, 700}, []any{got[2].Answer, got[2].RetryAfter})
 	require.Equal(t, uint64(5), appendMessage(t, l, "e", 3).Seq, "numbers are not used again")
 }
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -78,7 +78,7 @@
 // encode adds the entry's payload to b.
 func (e *Entry) encode(b []byte) []byte {
 	for _, v := range []uint64{
-		e.Seq, e.Key, e.Destination, uint64(e.Expiry), uint64(e.FirstRanAt), uint64(e.AttemptBegan),
+		e.Seq, e.Key, e.Destination, uint64(e.Expiry), uint64(e.FirstRanAt), uint64(e.AttemptStartedAt),
 	} {
 		b = binary.LittleEndian.AppendUint64(b, v)
 	}
@@ -122,18 +122,18 @@
 	uint64At := func(i int) uint64 { return binary.LittleEndian.Uint64(b[8*i:]) }
 	uint32At := func(i int) int { return int(binary.LittleEndian.Uint32(b[8*entryUint64s+4*i:])) }
 	e := &Entry{
-		Seq:          uint64At(0),
-		Key:          uint64At(1),
-		Destination:  uint64At(2),
-		Expiry:       int64(uint64At(3)),
-		FirstRanAt:   int64(uint64At(4)),
-		AttemptBegan: int64(uint64At(5)),
-		Tenant:       uint32At(0),
-		Attempts:     uint32At(1),
-		FirstRanZone: uint32At(2),
-		AttemptZone:  uint32At(3),
-		Answer:       Answer(uint32At(4)),
-		RetryAfter:   uint32At(5),
+		Seq:              uint64At(0),
+		Key:              uint64At(1),
+		Destination:      uint64At(2),
+		Expiry:           int64(uint64At(3)),
+		FirstRanAt:       int64(uint64At(4)),
+		AttemptStartedAt: int64(uint64At(5)),
+		Tenant:           uint32At(0),
+		Attempts:         uint32At(1),
+		FirstRanZone:     uint32At(2),
+		AttemptZone:      uint32At(3),
+		Answer:           Answer(uint32At(4)),
+		RetryAfter:       uint32At(5),
 	}
 	lengths := [entryFieldCount]int{uint32At(6), uint32At(7), uint32At(8), uint32At(9)}
 	if lengths[0]+lengths[1]+lengths[2]+lengths[3] != len(b)-entryFixedSize {
