--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Append records a message and gives it its number. With an error it is not recorded: ErrFull if the log has no space
-// for it, or one of the filesystem.
+// Append records a message and assigns its sequence number. If Append returns an error, the message is not recorded;
+// the error is ErrFull if the message does not fit in the log, or an error of the file system.
 func (l *Log) Append(e *Entry) error {
 	if !l.hasSpace(e, 0) {
 		return ErrFull
@@ -21,8 +21,8 @@
 	return nil
 }
 
-// Restore records an entry that has a number already, with its history: one that comes back from the backlog store. It
-// may be recorded already; the latest record counts. Errors are as with Append.
+// Restore records an entry that was loaded from the backlog store and already has a sequence number and a history. If
+// the entry is in the log already, the latest record counts. The errors are those of Append.
 func (l *Log) Restore(e *Entry) error {
 	replaced := 0
 	if old := l.entries[e.Seq]; old != nil {
@@ -34,20 +34,20 @@
 	if err := l.appendEntry(e); err != nil {
 		return err
 	}
-	delete(l.unrecorded, e.Seq) // that end was before this record
+	delete(l.unrecorded, e.Seq) // the end that could not be recorded came before this record
 	l.entries[e.Seq] = e
 	l.pending += e.Size() - replaced
 	l.Reserve(e.Seq)
 	return nil
 }
 
-// hasSpace reports whether an entry may be recorded in place of one that takes replaced bytes.
+// hasSpace reports whether an entry may be recorded and replace one of the given size in bytes.
 func (l *Log) hasSpace(e *Entry, replaced int) bool {
 	size := e.Size()
 	return l.pending-replaced+size <= l.Capacity() && size <= maxPayload && len(e.Frontend) <= maxFrontendName
 }
 
-// RecordAttempt records that an attempt is about to begin. It does nothing for a message that is not pending.
+// RecordAttempt records that an attempt is about to start. It does nothing for a message that is not pending.
 func (l *Log) RecordAttempt(seq uint64, at int64, zone int) error {
 	e := l.entries[seq]
 	if e == nil {
@@ -58,7 +58,7 @@
 	if err := l.append(binary.LittleEndian.AppendUint32(b, uint32(zone))); err != nil {
 		return err
 	}
-	e.attemptBegan(at, zone)
+	e.attemptStarted(at, zone)
 	return nil
 }
 
@@ -77,8 +77,8 @@
 	return l.append(append(b, 0))
 }
 
-// RecordAnswer records the final answer before it is given; retryAfter is in milliseconds. It does nothing for a
-// message that is not pending.
+// RecordAnswer records the final answer before the client gets it. The unit of retryAfter is milliseconds. It does
+// nothing for a message that is not pending.
 func (l *Log) RecordAnswer(seq uint64, answer Answer, retryAfter int) error {
 	e := l.entries[seq]
 	if e == nil {
@@ -89,23 +89,23 @@
 	return l.append(binary.LittleEndian.AppendUint32(b, uint32(retryAfter)))
 }
 
-// RecordDone records that a message is done. It does nothing for a message that is not pending. With an error the
-// message is pending no longer, but would be after the next Open: the record is written by a further call, by RetryDone
-// or by Close.
+// RecordDone records that a message is done. It does nothing for a message that is not pending. If RecordDone returns
+// an error, the message is no longer pending now but would be pending again after the next Open. Another call,
+// RetryDone or Close then writes the record.
 func (l *Log) RecordDone(seq uint64) error {
-	segment, left := l.unrecorded[seq]
+	segment, failedBefore := l.unrecorded[seq]
 	if e := l.entries[seq]; e != nil {
 		delete(l.entries, seq)
 		l.pending -= e.Size()
 		segment = e.segment
-	} else if !left {
+	} else if !failedBefore {
 		return nil
 	}
 	if err := l.append(binary.LittleEndian.AppendUint64(l.beginRecord(kindDone), seq)); err != nil {
 		l.unrecorded[seq] = segment
 		return err
 	}
-	if left {
+	if failedBefore {
 		delete(l.unrecorded, seq)
 	}
 	return nil
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// appendEntry records an entry whole in the last segment.
+// appendEntry records an entry with all its fields in the last segment.
 func (l *Log) appendEntry(e *Entry) error {
 	if err := l.append(l.entryRecord(e)); err != nil {
 		return err
@@ -130,22 +130,22 @@
 	return nil
 }
 
-// append seals a record and writes it, after freeing the space for it.
+// append seals a record, frees space for it if necessary and writes it.
 func (l *Log) append(record []byte) error {
 	sealRecord(record)
 	l.buf = record
 	switch {
-	case l.head == nil || l.last().size >= l.segmentSize():
+	case l.active == nil || l.last().size >= l.segmentSize():
 		if err := l.rotate(); err != nil {
 			return err
 		}
-		record = slices.Clone(record) // compaction uses the buffer
-		if err := l.makeSpace(len(record), 2*l.reserve()); err != nil {
+		record = slices.Clone(record) // compaction overwrites the buffer
+		if err := l.makeSpace(len(record), 2*l.compactionReserve()); err != nil {
 			return err
 		}
-	case l.Used()+int64(len(record))+l.reserve() > l.limit: // filled by the segments of processes that wrote little
+	case l.Used()+int64(len(record))+l.compactionReserve() > l.limit: // many small segments of short-lived processes
 		record = slices.Clone(record)
-		_ = l.makeSpace(len(record), l.reserve()) // write returns ErrFull if there is none
+		_ = l.makeSpace(len(record), l.compactionReserve()) // write returns ErrFull if there is no space
 	}
 	return l.write(record)
 }
@@ -156,10 +156,10 @@
 	if diskSize(s.size+int64(len(record)))-diskSize(s.size)+l.Used() > l.limit {
 		return ErrFull
 	}
-	n, err := l.head.Write(record)
+	n, err := l.active.Write(record)
 	if err != nil {
-		if n > 0 && l.head.Truncate(s.size) != nil {
-			s.size += int64(n) // the torn record stays; what follows goes to a new segment
+		if n > 0 && l.active.Truncate(s.size) != nil {
+			s.size += int64(n) // the torn record stays; later records go to a new segment
 			_ = l.rotate()
 		}
 		return err
--- a/internal/wal/append_test.go
+++ b/internal/wal/append_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRestoreKeepsTheNumberOfAMessage(t *testing.T) {
+func TestRestoreKeepsSequenceNumbers(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
 	a := appendMessage(t, l, "a", 3)
 	require.Equal(t, uint64(2), l.NextSeq())
 	b := appendMessage(t, l, "b", 3)
 	require.Equal(t, uint64(3), b.Seq)
-	require.NoError(t, l.RecordDone(a.Seq)) // it is recorded elsewhere
+	require.NoError(t, l.RecordDone(a.Seq)) // as when it is moved to the backlog store
 	require.NoError(t, l.Restore(&Entry{Seq: a.Seq, ID: "a", Type: "ticket", Attempts: 2, FirstRanAt: 7, FirstRanZone: 1,
 		Body: []byte("x")}))
 	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket"}))
-	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket", Attempts: 1}), "twice: the latest counts")
+	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket", Attempts: 1}), "recorded twice")
 	l.Reserve(40)
 	l.Close()
 	l = openLog(t, dir)
@@ -30,7 +30,7 @@
 	require.Equal(t, uint64(4), appendMessage(t, l, "d", 3).Seq)
 }
 
-func TestRestoreWithoutRoomIsRefusedAndLeavesPendingEntries(t *testing.T) {
+func TestRestoreIntoFullLogKeepsPendingEntries(t *testing.T) {
 	l := openLog(t, t.TempDir())
 	defer l.Close()
 	entry := appendMessage(t, l, "a", 3)
@@ -60,26 +60,26 @@
 func TestFailedWriteRecordsNothing(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
-	l.head.Close() // as if the disk had failed
+	l.active.Close() // makes all writes fail
 	require.Error(t, l.Append(&Entry{ID: "a"}))
 	require.Empty(t, l.Pending())
 }
 
-func restored(seq uint64, size int) *Entry {
+func restoredEntry(seq uint64, size int) *Entry {
 	return &Entry{Seq: seq, Key: 3, Destination: 4, Tenant: 1, Type: "order", ID: "id", IdempotencyKey: "k", Expiry: 99,
 		Attempts: 2, FirstRanAt: 55, FirstRanZone: 1,
 		Body: make([]byte, size), Frontend: "web", CallerWaits: true}
 }
 
-func TestRestoreKeepsNumberAndHistory(t *testing.T) {
+func TestRestoreAcrossReopen(t *testing.T) {
 	dir := t.TempDir()
 	l, err := Open(dir, 1<<20)
 	require.NoError(t, err)
 	require.NoError(t, l.Append(&Entry{ID: "one"}))
-	require.Equal(t, uint64(2), l.NextSeq(), "given to the store")
-	require.NoError(t, l.Restore(restored(40, 10)))
-	require.NoError(t, l.Restore(restored(2, 10)))
-	require.NoError(t, l.Restore(restored(40, 100)), "again: the latest counts")
+	require.Equal(t, uint64(2), l.NextSeq(), "for a message in the backlog store")
+	require.NoError(t, l.Restore(restoredEntry(40, 10)))
+	require.NoError(t, l.Restore(restoredEntry(2, 10)))
+	require.NoError(t, l.Restore(restoredEntry(40, 100)), "recorded twice")
 	last := &Entry{ID: "last"}
 	require.NoError(t, l.Append(last))
 	require.Equal(t, uint64(41), last.Seq)
@@ -88,36 +88,36 @@
 	l.Reserve(100)
 	require.Equal(t, uint64(101), l.NextSeq())
 	require.NoError(t, l.RecordDone(2))
-	live := l.pending
+	pendingBytes := l.pending
 	require.NoError(t, l.Close())
 
 	l, err = Open(dir, 1<<20)
 	require.NoError(t, err)
 	defer l.Close()
-	require.Equal(t, live, l.pending)
+	require.Equal(t, pendingBytes, l.pending)
 	pending := l.Pending()
 	require.Len(t, pending, 3)
-	want := restored(40, 100)
+	want := restoredEntry(40, 100)
 	want.segment = pending[1].segment
 	require.Equal(t, want, pending[1])
 }
 
-func TestRestoreIsRefusedWhenFull(t *testing.T) {
+func TestRestoreFailsWhenFull(t *testing.T) {
 	l, err := Open(t.TempDir(), 2<<20)
 	require.NoError(t, err)
 	defer l.Close()
 	seq := uint64(1)
 	for ; err == nil; seq++ {
-		err = l.Restore(restored(seq, 60<<10))
+		err = l.Restore(restoredEntry(seq, 60<<10))
 	}
 	require.ErrorIs(t, err, ErrFull)
-	require.NoError(t, l.Restore(restored(1, 60<<10)), "what is there already takes no more room")
-	require.ErrorIs(t, l.Restore(restored(seq, 80<<10)), ErrFull)
+	require.NoError(t, l.Restore(restoredEntry(1, 60<<10)), "an entry that is in the log already takes no more space")
+	require.ErrorIs(t, l.Restore(restoredEntry(seq, 80<<10)), ErrFull)
 	require.NoError(t, l.RecordDone(1))
-	require.NoError(t, l.Restore(restored(seq, 60<<10)))
+	require.NoError(t, l.Restore(restoredEntry(seq, 60<<10)))
 }
 
-// failingFile is a segment's file whose writes fail while err is set.
+// failingFile is a segment file whose writes fail with err unless it is nil.
 type failingFile struct {
 	segmentFile
 	err error
@@ -130,33 +130,33 @@
 	return f.segmentFile.Write(b)
 }
 
-// failWrites has the log's writes fail until the result's err is cleared.
+// failWrites makes the log's writes fail until err of the returned file is set to nil.
 func failWrites(l *Log) *failingFile {
-	f := &failingFile{l.head, syscall.EIO}
-	l.head = f
+	f := &failingFile{l.active, syscall.EIO}
+	l.active = f
 	return f
 }
 
-// The log forgot an entry whose end could not be recorded, and took a second call for one that has nothing to do. The
-// next start found it pending: a message that was delivered was sent again, one that had its final answer got another,
-// and one that had gone to the backlog store was in both for good.
-func TestEndThatCouldNotBeRecordedIsRecordedLater(t *testing.T) {
+// The log used to drop an entry whose end could not be recorded, and a second RecordDone did nothing. The next start
+// then found the entry pending. A delivered message was sent again, a message with a final answer got another one, and
+// a message moved to the backlog store stayed in both.
+func TestFailedEndRecordIsRetried(t *testing.T) {
 	for name, later := range map[string]func(*Log) error{
-		"asked again": func(l *Log) error { return l.RecordDone(1) },
-		"retried":     (*Log).RetryDone,
-		"closed":      func(*Log) error { return nil },
+		"recorded again": func(l *Log) error { return l.RecordDone(1) },
+		"retried":        (*Log).RetryDone,
+		"closed":         func(*Log) error { return nil },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			l := openLog(t, dir)
 			appendMessage(t, l, "a", 3)
 			appendMessage(t, l, "b", 3)
-			disk := failWrites(l)
+			file := failWrites(l)
 			require.ErrorIs(t, l.RecordDone(1), syscall.EIO)
-			require.ErrorIs(t, l.RecordDone(1), syscall.EIO, "not done yet")
+			require.ErrorIs(t, l.RecordDone(1), syscall.EIO, "the end is still not recorded")
 			require.ErrorIs(t, l.RetryDone(), syscall.EIO)
 			require.Len(t, l.Pending(), 1)
-			disk.err = nil
+			file.err = nil
 			require.NoError(t, later(l))
 			require.NoError(t, l.Close())
 			l = openLog(t, dir)
@@ -167,13 +167,13 @@
 	}
 }
 
-func TestRestoredEntryIsNotEndedByAnEarlierEnd(t *testing.T) {
+func TestRetryDoneLeavesRestoredEntryPending(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
 	appendMessage(t, l, "a", 3)
-	disk := failWrites(l)
+	file := failWrites(l)
 	require.ErrorIs(t, l.RecordDone(1), syscall.EIO)
-	disk.err = nil
+	file.err = nil
 	require.NoError(t, l.Restore(&Entry{Seq: 1, ID: "a", Type: "ticket"}))
 	require.NoError(t, l.RetryDone())
 	require.NoError(t, l.Close())
@@ -182,13 +182,13 @@
 	require.Len(t, l.Pending(), 1)
 }
 
-func TestEndsLeftToRecordGoWithTheirSegment(t *testing.T) {
+func TestFreeingASegmentDropsItsUnrecordedEnds(t *testing.T) {
 	l := openLog(t, t.TempDir())
 	defer l.Close()
 	appendMessage(t, l, "a", 3)
-	disk := failWrites(l)
+	file := failWrites(l)
 	require.ErrorIs(t, l.RecordDone(1), syscall.EIO)
-	disk.err = nil
+	file.err = nil
 	require.Len(t, l.unrecorded, 1)
 	for first := l.segments[0].number; l.segments[0].number == first; {
 		m := appendMessage(t, l, "filling", 5000)
--- a/internal/wal/entry.go
+++ b/internal/wal/entry.go
@@ -1,14 +1,14 @@
 package wal
 
 const (
-	entryOverhead   = 104 // bytes that a message takes beside its body, idempotency key, id and type
+	entryOverhead   = 104 // bytes that an entry takes in addition to body, idempotency key, id and type
 	maxFrontendName = 64  // bytes
 )
 
-// Entry is a message that the forwarder has accepted and not finished. Times are in microseconds of the wall
-// clock, 0 for none.
+// Entry is a message that the forwarder has accepted and not finished. Times are in microseconds of the wall clock; 0
+// means none.
 type Entry struct {
-	Seq              uint64 // number in the order of acceptance
+	Seq              uint64 // sequence number in the order of acceptance
 	Key              uint64
 	Destination      uint64
 	Tenant           int
@@ -16,31 +16,31 @@
 	ID               string
 	IdempotencyKey   string
 	Expiry           int64
-	Attempts         int   // that have begun
-	FirstRanAt       int64 // begin of the first attempt that may have run
+	Attempts         int   // number of attempts started
+	FirstRanAt       int64 // start of the first attempt that may have run
 	FirstRanZone     int
-	AttemptStartedAt int64 // begin of the attempt in flight
+	AttemptStartedAt int64 // start of the attempt in flight
 	AttemptZone      int
 	Answer           Answer
-	RetryAfter       int // with Rejected: milliseconds until the client may submit it again
+	RetryAfter       int // for Rejected: milliseconds until the client may submit the message again
 	Body             []byte
-	Frontend         string // by which it came; empty for the platform's own
-	CallerWaits      bool   // its caller waited for the final answer
+	Frontend         string // name of the frontend that accepted it; empty for the platform's own
+	CallerWaits      bool   // the caller waits for the final answer
 
-	segment int // number of the segment with its record
+	segment int // number of the segment with the latest record
 }
 
 // Answer is the final answer of a message that is not delivered.
 type Answer uint8
 
-// The final answers, as they are recorded.
+// The final answers. Records contain these values.
 const (
-	NoAnswer Answer = iota // none is decided
+	NoAnswer Answer = iota // no final answer yet
 	Rejected
 	Failed
 )
 
-// Size is how many bytes of the log's capacity an entry takes.
+// Size is the number of bytes of the log's capacity that an entry takes.
 func (e *Entry) Size() int {
 	size := len(e.Body) + len(e.IdempotencyKey) + len(e.ID) + len(e.Type) + entryOverhead
 	if e.namesFrontend() {
@@ -49,10 +49,10 @@
 	return size
 }
 
-// namesFrontend reports whether an entry's record names the frontend by which it came.
+// namesFrontend reports whether an entry's record contains the frontend that accepted the message.
 func (e *Entry) namesFrontend() bool { return e.Frontend != "" || e.CallerWaits }
 
-func (e *Entry) attemptBegan(at int64, zone int) {
+func (e *Entry) attemptStarted(at int64, zone int) {
 	e.Attempts++
 	e.AttemptStartedAt, e.AttemptZone = at, zone
 }
@@ -64,7 +64,7 @@
 	e.AttemptStartedAt, e.AttemptZone = 0, 0
 }
 
-// The states of an entry, as commands print them and take them in filters.
+// The states of an entry, as commands print them and accept them in filters.
 const (
 	stateUntried    = "held"
 	stateTried      = "tried"
@@ -74,7 +74,7 @@
 	stateFailed     = "abandoned"
 )
 
-// State is one of States: what an entry waits for.
+// State returns the state of an entry, one of States.
 func (e *Entry) State() string {
 	switch {
 	case e.Answer == Rejected:
@@ -91,7 +91,7 @@
 	return stateUntried
 }
 
-// States are the states that an entry may be in.
+// States returns all states of entries.
 func States() []string {
 	return []string{stateUntried, stateTried, stateInFlight, stateMayHaveRun, stateRejected, stateFailed}
 }
--- a/internal/wal/filter.go
+++ b/internal/wal/filter.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Filter picks entries; empty fields pick all.
+// Filter selects entries. An empty field matches all entries.
 type Filter struct {
 	ID          string
 	Destination *uint64
@@ -10,11 +10,11 @@
 	Key         *uint64
 	Frontend    *string
 	Type        string
-	OlderThan   int64  // microseconds of the wall clock: expiry before it
-	State       string // one of States, in any case of letters
+	OlderThan   int64  // matches an expiry before this time, in microseconds of the wall clock
+	State       string // one of States, case-insensitive
 }
 
-// Matches reports whether an entry passes the filter.
+// Matches reports whether an entry meets all conditions of the filter.
 func (f *Filter) Matches(e *Entry) bool {
 	return (f.ID == "" || e.ID == f.ID) &&
 		matches(f.Destination, e.Destination) &&
@@ -26,5 +26,5 @@
 		(f.State == "" || strings.EqualFold(e.State(), f.State))
 }
 
-// matches reports whether a value is the wanted one; nil wants any.
+// matches reports whether a value equals the wanted one. A nil want matches every value.
 func matches[T comparable](want *T, value T) bool { return want == nil || *want == value }
--- a/internal/wal/golden_test.go
+++ b/internal/wal/golden_test.go
@@ -11,34 +11,34 @@
 	"spanflow/internal/golden"
 )
 
-// The files in testdata were written by version 1 of the format. A log written by an earlier release must be read, and
-// written, with the same bytes.
+// The files in testdata were written by version 1 of the format. This release must be able to read them, and must write
+// the same bytes.
 const (
 	goldenLog       = "version1"  // each kind of record
 	goldenCompacted = "compacted" // after old files were freed
 
-	smallLimit       = 350_000 // bytes, close to the least
+	smallLimit       = 350_000 // bytes, close to the smallest limit that Open accepts
 	compactedBody    = 4_000   // bytes
-	compactedPending = 50      // one in so many messages is pending at the end
-	processLock      = "owner" // holds the id of a process
+	compactedPending = 50      // one in 50 messages is pending at the end
+	ownerFile        = "owner" // contains a process id
 )
 
-// goldenMessage is a pending message with fixed content. Its idempotency shows in its type and key: messages whose
-// repeat is known by a key have one, the others none.
-func goldenMessage(id, kind, key string, body []byte) *Entry {
-	return &Entry{Key: 0x1122334455667788, Destination: 7, Tenant: 3, Type: kind, ID: id, IdempotencyKey: key,
+// goldenMessage returns a pending message with fixed content. Only messages that are idempotent by their key have an
+// idempotency key.
+func goldenMessage(id, messageType, key string, body []byte) *Entry {
+	return &Entry{Key: 0x1122334455667788, Destination: 7, Tenant: 3, Type: messageType, ID: id, IdempotencyKey: key,
 		Expiry: 1_700_000_000_123_456, Body: body}
 }
 
-// writeGoldenLog writes each kind of record, and messages in each state.
+// writeGoldenLog writes all kinds of records, and messages in all states.
 func writeGoldenLog(t *testing.T, l *Log) {
-	kinds := [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}}
+	messageTypes := [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}}
 	states := []func(seq uint64) error{
 		func(uint64) error { return nil }, // untried
 		func(seq uint64) error { return attempt(l, seq, 1_000, 1, false) },
 		func(seq uint64) error { return attempt(l, seq, 2_000, 2, true) },
 		func(seq uint64) error { return l.RecordAttempt(seq, 3_000, 3) },
-		func(seq uint64) error { // in flight after one that may have run
+		func(seq uint64) error { // an attempt in flight after one that may have run
 			if err := attempt(l, seq, 4_000, 1, true); err != nil {
 				return err
 			}
@@ -48,9 +48,9 @@
 		func(seq uint64) error { return l.RecordAnswer(seq, Failed, 0) },
 		l.RecordDone,
 	}
-	for k, kind := range kinds {
+	for k, messageType := range messageTypes {
 		for s, state := range states {
-			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), kind[0], kind[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
+			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), messageType[0], messageType[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
 			require.NoError(t, l.Append(e))
 			require.NoError(t, state(e.Seq))
 		}
@@ -65,8 +65,8 @@
 	return l.RecordAttemptEnd(seq, ran)
 }
 
-// writeGoldenFrontends writes messages that name their frontend, an empty one, and one that comes back from the backlog
-// store with its history.
+// writeGoldenFrontends writes messages with a frontend, an empty message, and one restored from the backlog store with
+// its history.
 func writeGoldenFrontends(t *testing.T, l *Log) {
 	named := goldenMessage("named", "idempotent", "", []byte("body"))
 	named.Frontend = "web"
@@ -75,23 +75,24 @@
 	waiting.CallerWaits = true
 	require.NoError(t, l.Append(waiting))
 	require.NoError(t, l.Append(&Entry{}))
-	require.Equal(t, uint64(28), l.NextSeq(), "given to a message in the backlog store")
+	require.Equal(t, uint64(28), l.NextSeq(), "for a message in the backlog store")
 	restored := goldenMessage("restored", "at-most-once", "", []byte("body"))
 	restored.Seq, restored.Attempts, restored.FirstRanAt, restored.FirstRanZone = 40, 2, 55, 1
 	restored.Frontend, restored.CallerWaits = "resp", true
 	require.NoError(t, l.Restore(restored))
-	require.NoError(t, l.Restore(goldenMessageAgain(restored)))
+	require.NoError(t, l.Restore(withSecondBody(restored)))
 }
 
-// goldenMessageAgain is the same message recorded a second time: the later record counts.
-func goldenMessageAgain(e *Entry) *Entry {
+// withSecondBody returns a copy with another body and one more attempt, for a second record of the same message. The
+// later record counts.
+func withSecondBody(e *Entry) *Entry {
 	again := *e
 	again.Attempts, again.Body = 3, []byte("second body")
 	return &again
 }
 
-// goldenStates are what must be read for each of the three types of message, in the order of acceptance; the eighth of
-// each is done.
+// goldenStates are the expected states of the pending messages of each type, in the order of acceptance. The eighth
+// message of each type is done.
 var goldenStates = []Entry{
 	{},
 	{Attempts: 1},
@@ -104,9 +105,9 @@
 
 func goldenPending() []*Entry {
 	var pending []*Entry
-	for k, kind := range [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}} {
+	for k, messageType := range [][2]string{{"idempotent", ""}, {"idempotent-with-key", "key-1"}, {"at-most-once", ""}} {
 		for s, state := range goldenStates {
-			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), kind[0], kind[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
+			e := goldenMessage(fmt.Sprintf("id-%d-%d", k, s), messageType[0], messageType[1], []byte{0, 1, 0xfe, 0xff, byte(s)})
 			e.Seq, e.Attempts, e.Answer, e.RetryAfter = uint64(k*8+s+1), state.Attempts, state.Answer, state.RetryAfter
 			e.FirstRanAt, e.FirstRanZone = state.FirstRanAt, state.FirstRanZone
 			e.AttemptStartedAt, e.AttemptZone = state.AttemptStartedAt, state.AttemptZone
@@ -123,7 +124,7 @@
 	return append(pending, named, waiting, &Entry{Seq: 27, Body: []byte{}}, restored)
 }
 
-// requirePending checks that these messages and no others are pending, whatever file they are in.
+// requirePending checks that exactly the wanted messages are pending, in any segment.
 func requirePending(t *testing.T, want, got []*Entry) {
 	t.Helper()
 	for _, e := range got {
@@ -156,11 +157,11 @@
 	l := openLog(t, dir)
 	writeGoldenLog(t, l)
 	require.NoError(t, l.Close())
-	golden.Compare(t, dir, goldenLog, processLock)
+	golden.Compare(t, dir, goldenLog, ownerFile)
 }
 
-// writeCompactedLog fills a small log until its oldest segments are freed, by which what is pending in them is recorded
-// anew. It returns the numbers that are pending at the end.
+// writeCompactedLog fills a small log until its oldest segments are freed and their pending entries recorded again. It
+// returns the sequence numbers of the entries pending at the end.
 func writeCompactedLog(t *testing.T, l *Log) (pending []uint64) {
 	for i := range 150 {
 		e := goldenMessage(fmt.Sprintf("id-%d", i), "idempotent-with-key", "k", bytes.Repeat([]byte{byte(i)}, compactedBody))
@@ -206,5 +207,5 @@
 	}
 	require.True(t, slices.Equal(pending, seqs))
 	require.NoError(t, l.Close())
-	golden.Compare(t, dir, goldenCompacted, processLock)
+	golden.Compare(t, dir, goldenCompacted, ownerFile)
 }
--- a/internal/wal/harness_test.go
+++ b/internal/wal/harness_test.go
@@ -21,7 +21,7 @@
 	return e
 }
 
-// pendingIDs are the ids of what is pending when the folder is opened anew.
+// pendingIDs opens the folder and returns the ids of the pending entries.
 func pendingIDs(t *testing.T, dir string) []string {
 	l := openLog(t, dir)
 	defer l.Close()
@@ -32,7 +32,7 @@
 	return ids
 }
 
-// lastFile is the segment that was written to.
+// lastFile returns the path of the last segment.
 func lastFile(t *testing.T, dir string) string {
 	names, err := filepath.Glob(filepath.Join(dir, "*"+segmentSuffix))
 	require.NoError(t, err)
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -8,53 +8,54 @@
 	"slices"
 )
 
-// View is what a folder holds, read without altering it or hindering the process that holds it.
+// View describes the contents of a folder. Reading them neither changes the folder nor disturbs the process that holds
+// it.
 type View struct {
 	Dir            string
-	HolderPID      int // the process that holds it, 0 if none
+	HolderPID      int // pid of the process that holds the folder, 0 if none
 	Files          []FileView
 	Pending        []*Entry // in the order of acceptance
 	DamagedRecords []DamagedRecord
-	Bytes          int64 // that the files take on disk
+	Bytes          int64 // disk space of the files
 }
 
-// FileView describes one file.
+// FileView describes one segment file.
 type FileView struct {
 	Number  int            `json:"number"`
 	Bytes   int64          `json:"bytes"`
-	Records map[string]int `json:"records"` // by kind
-	Pending int            `json:"owed"`    // entries whose latest whole record is here
+	Records map[string]int `json:"records"` // number of records by kind
+	Pending int            `json:"owed"`    // number of pending entries whose latest full record is in this file
 }
 
-// DamagedRecord is a place that cannot be read.
+// DamagedRecord is a part of a file that cannot be read.
 type DamagedRecord struct {
 	File   int    `json:"file"`
-	Offset int64  `json:"at"`    // bytes from the file's begin
-	Bytes  int64  `json:"bytes"` // that cannot be read from there on
+	Offset int64  `json:"at"`    // in bytes from the start of the file
+	Bytes  int64  `json:"bytes"` // number of unreadable bytes from there
 	Reason string `json:"what"`
-	Torn   bool   `json:"torn"` // the end of a file that was being written when its process ended, or is still: no damage
+	Torn   bool   `json:"torn"` // an incomplete write at the end, by a killed or a running process: no damage
 }
 
 // The reasons in a DamagedRecord, as commands print them.
 const (
-	reasonChecksum = "a record fails its checksum"
-	reasonNoRecord = "what follows is no record"
-	reasonTorn     = "a torn end"
-	reasonForm     = "a record of a wrong form"
-	reasonKind     = "a record of the unknown kind %d"
+	reasonChecksum    = "a record fails its checksum"
+	reasonNoRecord    = "no valid record follows"
+	reasonTorn        = "a torn end"
+	reasonMalformed   = "a malformed record"
+	reasonUnknownKind = "a record of unknown kind %d"
 )
 
-// String says what is wrong where.
+// String returns the file, the offset, the reason and the number of bytes as one line.
 func (d DamagedRecord) String() string {
 	return fmt.Sprintf("%08d%s: byte %d: %s, %d bytes", d.File, segmentSuffix, d.Offset, d.Reason, d.Bytes)
 }
 
-// Damaged reports whether anything is wrong beyond torn ends.
+// Damaged reports whether there is any damage apart from torn ends.
 func (v *View) Damaged() bool {
 	return slices.ContainsFunc(v.DamagedRecords, func(d DamagedRecord) bool { return !d.Torn })
 }
 
-// kindNames are the kinds of records as commands print them.
+// kindNames are the names of the kinds of records as commands print them.
 var kindNames = [...]string{
 	kindEntry:             "document",
 	kindAttempt:           "transmission",
@@ -64,13 +65,13 @@
 	kindEntryWithFrontend: "document with front",
 }
 
-const maxInspections = 20 // files may be freed while they are read
+const maxInspections = 20 // maximum attempts, as files may be freed while they are read
 
-// ErrFreedWhileRead is the error of Inspect if files are freed faster than they can be read.
+// ErrFreedWhileRead is returned by Inspect if files are freed faster than it can read them.
 var ErrFreedWhileRead = errors.New("files are freed faster than they can be read")
 
-// Inspect reads a folder, in use or not. If a file was freed before it was read it begins anew, as what was pending in
-// it has been recorded in later ones.
+// Inspect reads a folder, which may be in use. If a file is freed before it is read, Inspect starts again, as the
+// file's pending entries have been recorded again in later files.
 func Inspect(dir string) (*View, error) {
 	for range maxInspections {
 		v, err := inspectOnce(dir)
@@ -111,16 +112,16 @@
 	return v, nil
 }
 
-// inspection is what is found in one file.
+// inspection collects the results for one file.
 type inspection struct {
-	log     *Log // takes the records
+	log     *Log // to which the records are applied
 	number  int
-	last    bool // of the folder's files: it may be written to
+	last    bool // the folder's last file, which may be being written
 	records map[string]int
 	damaged []DamagedRecord
 }
 
-// read applies the file's records as replay does and notes what is wrong with any.
+// read applies the file's records as replay does and reports the damaged ones.
 func (f *inspection) read(text []byte) {
 	for rest := text; len(rest) > 0; {
 		offset := len(text) - len(rest)
@@ -131,47 +132,47 @@
 			continue
 		}
 		if _, _, _, follows := cutRecord(after); !follows {
-			f.noteEnd(rest, offset)
+			f.addUnreadableEnd(rest, offset)
 			return
 		}
-		f.note(DamagedRecord{Offset: int64(offset), Bytes: int64(len(rest) - len(after)), Reason: reasonChecksum})
+		f.addDamage(DamagedRecord{Offset: int64(offset), Bytes: int64(len(rest) - len(after)), Reason: reasonChecksum})
 		rest = after
 	}
 }
 
-// noteEnd notes that no record can be found in the rest of the file.
-func (f *inspection) noteEnd(rest []byte, offset int) {
+// addUnreadableEnd reports that no record can be found in the rest of the file.
+func (f *inspection) addUnreadableEnd(rest []byte, offset int) {
 	d := DamagedRecord{Offset: int64(offset), Bytes: int64(len(rest)), Reason: reasonNoRecord}
 	if f.last || !containsRecord(rest[1:]) {
 		d.Torn, d.Reason = true, reasonTorn
 	}
-	f.note(d)
+	f.addDamage(d)
 }
 
-// apply applies a record whose checksum is right.
+// apply applies a record whose checksum is valid.
 func (f *inspection) apply(kind byte, payload []byte, offset int) {
 	d := DamagedRecord{Offset: int64(offset), Bytes: int64(len(payload))}
 	if int(kind) >= len(kindNames) || kindNames[kind] == "" {
-		d.Reason = fmt.Sprintf(reasonKind, kind)
-		f.note(d)
+		d.Reason = fmt.Sprintf(reasonUnknownKind, kind)
+		f.addDamage(d)
 		return
 	}
 	f.records[kindNames[kind]]++
 	dropped := f.log.DroppedRecords
 	f.log.apply(kind, payload, f.number)
 	if f.log.DroppedRecords > dropped {
-		d.Reason = reasonForm
-		f.note(d)
+		d.Reason = reasonMalformed
+		f.addDamage(d)
 	}
 }
 
-func (f *inspection) note(d DamagedRecord) {
+func (f *inspection) addDamage(d DamagedRecord) {
 	d.File = f.number
 	f.damaged = append(f.damaged, d)
 }
 
-// containsRecord reports whether a whole record lies anywhere in b: then what comes before it is damage, not a torn
-// end.
+// containsRecord reports whether there is a complete record anywhere in b. If so, the unreadable bytes before it are
+// damage and not a torn end.
 func containsRecord(b []byte) bool {
 	for i := range min(len(b), maxPayload+frameHeader) {
 		if _, payload, _, ok := cutRecord(b[i:]); ok && len(payload) > 0 {
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -15,18 +15,18 @@
 
 const (
 	lockFile     = "owner"
-	minLockWait  = time.Second // a process that was killed may hold the folder for a moment longer
+	minLockWait  = time.Second // a killed process may hold the folder a little longer
 	lockRetry    = 20 * time.Millisecond
-	maxPIDLength = 32 // bytes read of a lock file
+	maxPIDLength = 32 // maximum number of bytes read from a lock file
 )
 
 // LockedError is the error for a folder that another running process holds.
 type LockedError struct {
 	Dir string
-	PID int // 0 if not known
+	PID int // 0 if unknown
 }
 
-// Error names the folder and, if it is known, the process that holds it.
+// Error names the folder and, if known, the process that holds it.
 func (e *LockedError) Error() string {
 	if e.PID == 0 {
 		return e.Dir + " belongs to another running process"
@@ -34,10 +34,10 @@
 	return fmt.Sprintf("%s belongs to another running process, pid %d", e.Dir, e.PID)
 }
 
-// lockFolder locks a folder for this process. It guards against two forwarders that both send what is pending in it.
-// The kernel releases the lock when the process ends, however it does, so that nothing is left to clean up. Where the
-// file cannot be made or locked (a full disk, a file system without locks) it returns nil: the forwarder runs without a
-// lock.
+// lockFolder locks a folder for this process, so that no two forwarders send the pending messages in it. The kernel
+// releases the lock when the process ends for any reason, so nothing needs to be cleaned up. lockFolder returns nil if
+// the lock file cannot be created or locked (a full disk, a file system without locks); the forwarder then runs without
+// a lock.
 func lockFolder(ctx context.Context, dir string, wait time.Duration) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, filePerm)
 	if err != nil {
@@ -56,33 +56,33 @@
 		}
 	}
 	if err != nil {
-		_ = f.Close() // it was not written to
+		_ = f.Close() // nothing was written to it
 		return nil, nil
 	}
 	if f.Truncate(0) == nil {
-		_, _ = fmt.Fprintln(f, os.Getpid()) // for people; the lock holds without it
+		_, _ = fmt.Fprintln(f, os.Getpid()) // for information only; the lock does not depend on it
 	}
 	return f, nil
 }
 
-// LockHolder is the pid of the running process that holds a folder, 0 if none is known.
+// LockHolder returns the pid of the running process that holds a folder, or 0 if none is known.
 func LockHolder(dir string) int { return LockHolderOfFile(filepath.Join(dir, lockFile)) }
 
-// LockHolderOfFile is the pid of the running process that holds a lock file, as written in it, 0 if none is known. It
-// alters nothing, and keeps the lock from others for no longer than a moment.
+// LockHolderOfFile returns the pid of the running process that holds a lock file, as written in the file, or 0 if none
+// is known. It does not change the file and holds the lock only briefly.
 func LockHolderOfFile(lockFile string) int { return lockHolder(lockFile, syscall.Flock) }
 
-// lockHolder is LockHolderOfFile with a flock of the caller's.
+// lockHolder is LockHolderOfFile with flock as a parameter, for tests.
 func lockHolder(lockFile string, flock func(fd, how int) error) int {
 	f, err := os.Open(lockFile)
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }() // it is only read
 	for err = syscall.EINTR; errors.Is(err, syscall.EINTR); {
 		err = flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	}
-	if !errors.Is(err, syscall.EWOULDBLOCK) { // free, or a lock that nobody can hold
+	if !errors.Is(err, syscall.EWOULDBLOCK) { // the file is not locked, or cannot be locked
 		return 0
 	}
 	text, err := io.ReadAll(io.LimitReader(f, maxPIDLength))
--- a/internal/wal/lock_test.go
+++ b/internal/wal/lock_test.go
@@ -9,22 +9,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFolderOfARunningProcessIsRefusedWithItsPID(t *testing.T) {
+func TestOpenLockedFolderReportsHolder(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
 	require.Equal(t, os.Getpid(), LockHolder(dir))
 	_, err := Open(dir, testLimit)
-	var owned *LockedError
-	require.ErrorAs(t, err, &owned)
-	require.Equal(t, LockedError{dir, os.Getpid()}, *owned)
+	var locked *LockedError
+	require.ErrorAs(t, err, &locked)
+	require.Equal(t, LockedError{dir, os.Getpid()}, *locked)
 	l.Close()
 	require.Zero(t, LockHolder(dir))
 	openLog(t, dir).Close()
 }
 
-// Any error of the lock was taken for a lock holder: on a file system without locks, or when a signal interrupted the
-// call, "spanflow check" named a process that may have ended long ago as the owner.
-func TestOnlyAHeldLockNamesItsHolder(t *testing.T) {
+// Any error of flock used to be taken for a held lock. On a file system without locks, or when a signal interrupted the
+// call, "spanflow check" reported a process as the owner that may have ended long ago.
+func TestLockHolderNeedsAHeldLock(t *testing.T) {
 	file := filepath.Join(t.TempDir(), lockFile)
 	require.NoError(t, os.WriteFile(file, []byte("4711\n"), filePerm))
 	for err, want := range map[error]int{syscall.EWOULDBLOCK: 4711, syscall.ENOLCK: 0, syscall.ENOSYS: 0, nil: 0} {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,7 +1,7 @@
-// Package wal is the write-ahead log of a forwarder: the messages that it has accepted, their attempts and final
-// answers, until they are done. It is a sequence of segments, files that are only appended to; the oldest is freed by
-// recording what is still pending in it anew. Writes are left to the kernel and not synced: the log outlives the end of
-// its process by any signal, and does not outlive a machine's loss of power.
+// Package wal is the write-ahead log of a forwarder. It records accepted messages, their attempts and their final
+// answers until the messages are done. The log is a sequence of append-only segment files. The oldest segment is freed
+// by recording its pending entries again in the last one. Writes are not synced to disk: the log survives the end of
+// its process by any signal, but not a power failure of the machine.
 package wal
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// ErrFull is the error for a record that the log has no space for.
+// ErrFull is the error for a record that does not fit in the log.
 var ErrFull = errors.New("the write-ahead log is full")
 
 // ErrLimitTooSmall is the error for a limit that leaves no space for messages.
@@ -25,32 +25,33 @@
 // Log is a write-ahead log that is open for appending until Close. It is not safe for concurrent use.
 type Log struct {
 	dir      string
-	limit    int64       // bytes in the folder
-	segments []segment   // oldest first; the last is written to
-	head     segmentFile // the last segment; nil if none could be made yet
+	limit    int64       // maximum size of the folder in bytes
+	segments []segment   // oldest first; records are appended to the last
+	active   segmentFile // the last segment's file; nil if none could be created yet
 	entries  map[uint64]*Entry
-	pending  int // bytes of the entries
+	pending  int // total size of entries in bytes
 	nextSeq  uint64
-	buf      []byte   // of the record that is being written
+	buf      []byte   // the record being written
 	lock     *os.File // nil where the folder cannot be locked
 
-	// unrecorded are the numbers of entries that are done and whose end could not be recorded, with the segment that has
-	// their latest record: with it they go.
+	// unrecorded has the sequence numbers of entries that are done but whose end could not be recorded, each with the
+	// number of the segment that holds its latest record. Freeing that segment removes the entry from the map.
 	unrecorded map[uint64]int
 
-	// DroppedRecords is the number of records that Open could not read.
+	// DroppedRecords is the number of unreadable records that Open skipped.
 	DroppedRecords int
 }
 
-// Open opens the log in dir and reads what is pending; limit bounds the bytes in the folder. It waits a moment for a
-// folder that another process holds, as one that was killed may hold it a little longer. Errors: a LockedError,
-// ErrLimitTooSmall, or one of the filesystem. A folder that cannot be written to is no error: each record tries again.
+// Open opens the log in dir and reads the pending entries. The size of the folder is limited to limit bytes. If another
+// process holds the folder, Open waits up to 1 s for it, because a killed process may hold the lock a little longer.
+// Open returns a LockedError, ErrLimitTooSmall or an error of the file system. A folder that cannot be written to is
+// not an error: each record tries again.
 func Open(dir string, limit int64) (*Log, error) {
 	return OpenWhenFree(context.Background(), dir, limit, minLockWait)
 }
 
-// OpenWhenFree is Open that waits longer, up to wait, for a folder that another process holds, as a process that
-// replaces another does while the other ends. It returns the error of ctx if that ends first.
+// OpenWhenFree is like Open, but waits up to wait for a folder that another process holds. The successor of an upgrade
+// waits in this way for its predecessor to end. OpenWhenFree returns the error of ctx if ctx is done first.
 func OpenWhenFree(ctx context.Context, dir string, limit int64, wait time.Duration) (*Log, error) {
 	l := &Log{dir: dir, limit: limit, entries: map[uint64]*Entry{}, nextSeq: 1, unrecorded: map[uint64]int{}}
 	if l.Capacity() <= 0 {
@@ -63,23 +64,23 @@
 	if err := l.recover(); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	_ = l.rotate() // a folder that cannot be written to now is tried again with each record
+	_ = l.rotate() // if the folder cannot be written to now, each record tries again
 	return l, nil
 }
 
-// segmentFile is the file of a segment that is written to.
+// segmentFile is the file of the segment that records are appended to.
 type segmentFile interface {
 	io.Writer
 	io.Closer
 	Truncate(size int64) error
 }
 
-// Close closes the log's files and releases the folder.
+// Close records the ends that could not be recorded before, closes the log's files and releases the folder.
 func (l *Log) Close() error {
 	var errs []error
-	if l.head != nil {
+	if l.active != nil {
 		errs = append(errs, l.RetryDone())
-		errs = append(errs, l.head.Close())
+		errs = append(errs, l.active.Close())
 	}
 	if l.lock != nil {
 		errs = append(errs, l.lock.Close())
@@ -87,11 +88,11 @@
 	return errors.Join(errs...)
 }
 
-// Capacity is how many bytes of entries the log holds at most: half of the space beside what compaction needs, so that
-// recording entries anew always frees more than it takes.
-func (l *Log) Capacity() int { return int((l.limit - 3*l.reserve()) / 2) }
+// Capacity is the maximum total size of pending entries in bytes. It is half of the space that compaction does not need
+// for itself, so that recording entries again always frees more space than it takes.
+func (l *Log) Capacity() int { return int((l.limit - 3*l.compactionReserve()) / 2) }
 
-// Used is the space that the files of the log take on disk, in bytes.
+// Used is the disk space that the log's files take, in bytes.
 func (l *Log) Used() int64 {
 	used := int64(0)
 	if l.lock != nil {
@@ -103,16 +104,16 @@
 	return used
 }
 
-// Pending are the entries that are not done, in the order of their numbers. They belong to the log.
+// Pending returns the entries that are not done, in the order of their sequence numbers. The entries belong to the log.
 func (l *Log) Pending() []*Entry { return sortedEntries(l.entries) }
 
-// Entry is the pending entry of a number, nil if there is none. It belongs to the log.
+// Entry returns the pending entry with the given sequence number, or nil if there is none. It belongs to the log.
 func (l *Log) Entry(seq uint64) *Entry { return l.entries[seq] }
 
-// Reserve makes sure that numbers given from now on are greater than seq.
+// Reserve ensures that sequence numbers assigned later are greater than seq.
 func (l *Log) Reserve(seq uint64) { l.nextSeq = max(l.nextSeq, seq+1) }
 
-// NextSeq gives the next number to a message that goes to the backlog store and not into the log.
+// NextSeq assigns the next sequence number, for a message that is stored in the backlog store instead of the log.
 func (l *Log) NextSeq() uint64 {
 	l.nextSeq++
 	return l.nextSeq - 1
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -11,7 +11,7 @@
 	require.Empty(t, pendingIDs(t, t.TempDir()))
 }
 
-func TestPendingEntriesAreReadWithTheirHistory(t *testing.T) {
+func TestReopenRestoresPendingEntries(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
 	a, b := appendMessage(t, l, "a", 3), appendMessage(t, l, "b", 3)
@@ -32,29 +32,29 @@
 		FirstRanZone: 1, AttemptStartedAt: 20, AttemptZone: 2, Body: make([]byte, 3), segment: 1}, *got[0])
 	require.Equal(t, []any{1, int64(0), int64(0)}, []any{got[1].Attempts, got[1].FirstRanAt, got[1].AttemptStartedAt})
 	require.Equal(t, []any{Rejected, 700}, []any{got[2].Answer, got[2].RetryAfter})
-	require.Equal(t, uint64(5), appendMessage(t, l, "e", 3).Seq, "numbers are not used again")
+	require.Equal(t, uint64(5), appendMessage(t, l, "e", 3).Seq, "sequence numbers are not reused")
 }
 
-func TestFullLogRefusesMessagesAndGoesOnRecordingAttempts(t *testing.T) {
+func TestFullLogStillRecordsAttempts(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
-	var held []*Entry
+	var entries []*Entry
 	for {
-		e := &Entry{Type: "ticket", ID: fmt.Sprint(len(held)), Body: make([]byte, 5000)}
+		e := &Entry{Type: "ticket", ID: fmt.Sprint(len(entries)), Body: make([]byte, 5000)}
 		if err := l.Append(e); err != nil {
 			require.ErrorIs(t, err, ErrFull)
 			break
 		}
-		held = append(held, e)
+		entries = append(entries, e)
 	}
-	require.Greater(t, len(held)*5000, l.Capacity()*9/10)
-	for _, e := range held {
+	require.Greater(t, len(entries)*5000, l.Capacity()*9/10)
+	for _, e := range entries {
 		for at := range 20 {
 			require.NoError(t, l.RecordAttempt(e.Seq, int64(at+1), 0))
 			require.NoError(t, l.RecordAttemptEnd(e.Seq, false))
 		}
 	}
-	for _, e := range held[1:] {
+	for _, e := range entries[1:] {
 		require.NoError(t, l.RecordDone(e.Seq))
 	}
 	appendMessage(t, l, "new", 5000)
@@ -62,7 +62,7 @@
 	require.Equal(t, []string{"0", "new"}, pendingIDs(t, dir))
 }
 
-func TestLimitWithoutRoomForMessagesIsRefused(t *testing.T) {
+func TestOpenWithTooSmallLimitFails(t *testing.T) {
 	_, err := Open(t.TempDir(), 100_000)
 	require.ErrorIs(t, err, ErrLimitTooSmall)
 }
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -5,35 +5,36 @@
 	"hash/crc32"
 )
 
-// A record is framed by its length, a checksum over kind and payload, and its kind. Numbers are little-endian.
+// A record starts with the length of its payload, a checksum of its kind and payload, and its kind. Numbers are
+// little-endian.
 const (
 	checksumOffset = 4
 	kindOffset     = 8
 	frameHeader    = 9        // length, checksum, kind
-	maxPayload     = 72 << 10 // bytes of the largest record
+	maxPayload     = 72 << 10 // maximum size of a payload in bytes
 )
 
 // The kinds of records.
 const (
-	kindEntry             = iota + 1 // a message with all that is known of it
-	kindAttempt                      // an attempt is about to begin
-	kindAttemptEnd                   // an attempt has ended, the message is not done
+	kindEntry             = iota + 1 // a message with all its fields
+	kindAttempt                      // an attempt is about to start
+	kindAttemptEnd                   // an attempt has ended and the message is not done
 	kindDone                         // the message is done
-	kindAnswer                       // the final answer is about to be given
-	kindEntryWithFrontend            // as kindEntry, behind the frontend by which it came
+	kindAnswer                       // the client is about to get the final answer
+	kindEntryWithFrontend            // as kindEntry, preceded by the frontend that accepted the message
 )
 
 // Sizes of the payloads, in bytes.
 const (
 	seqSize         = 8
-	attemptSize     = seqSize + 8 + 4 // begin, zone
+	attemptSize     = seqSize + 8 + 4 // start, zone
 	attemptEndSize  = seqSize + 1     // may have run
 	answerSize      = seqSize + 1 + 4 // answer, retry-after
 	entryUint64s    = 6
 	entryUint32s    = 10
 	entryFixedSize  = entryUint64s*8 + entryUint32s*4
-	frontendHeader  = 2 // caller waits, length of the name
-	entryFieldCount = 4 // fields of variable length
+	frontendHeader  = 2 // whether the caller waits, length of the name
+	entryFieldCount = 4 // number of fields of variable length
 )
 
 // beginRecord begins a record in the log's buffer; sealRecord completes it.
@@ -41,14 +42,14 @@
 	return append(l.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0, kind)
 }
 
-// sealRecord sets length and checksum of a record.
+// sealRecord sets the length and the checksum of a record.
 func sealRecord(record []byte) {
 	binary.LittleEndian.PutUint32(record, uint32(len(record)-frameHeader))
 	binary.LittleEndian.PutUint32(record[checksumOffset:], crc32.ChecksumIEEE(record[kindOffset:]))
 }
 
-// cutRecord cuts the first record off a segment's bytes; ok is false where none can be read. A record whose checksum
-// alone fails still gives the rest behind it.
+// cutRecord splits a segment's bytes after the first record. ok is false if the record cannot be read. If only its
+// checksum is wrong, rest still holds the bytes after the record; otherwise rest is nil.
 func cutRecord(b []byte) (kind byte, payload, rest []byte, ok bool) {
 	if len(b) < frameHeader {
 		return 0, nil, nil, false
@@ -58,11 +59,11 @@
 		return 0, nil, nil, false
 	}
 	end := frameHeader + int(length)
-	sound := binary.LittleEndian.Uint32(b[checksumOffset:]) == crc32.ChecksumIEEE(b[kindOffset:end])
-	return b[kindOffset], b[frameHeader:end], b[end:], sound
+	valid := binary.LittleEndian.Uint32(b[checksumOffset:]) == crc32.ChecksumIEEE(b[kindOffset:end])
+	return b[kindOffset], b[frameHeader:end], b[end:], valid
 }
 
-// entryRecord begins the record of an entry in the log's buffer.
+// entryRecord encodes an entry as a record in the log's buffer; sealRecord completes it.
 func (l *Log) entryRecord(e *Entry) []byte {
 	if !e.namesFrontend() {
 		return e.encode(l.beginRecord(kindEntry))
@@ -75,7 +76,7 @@
 	return e.encode(append(b, e.Frontend...))
 }
 
-// encode adds the entry's payload to b.
+// encode appends the payload of an entry's record, without the frontend, to b.
 func (e *Entry) encode(b []byte) []byte {
 	for _, v := range []uint64{
 		e.Seq, e.Key, e.Destination, uint64(e.Expiry), uint64(e.FirstRanAt), uint64(e.AttemptStartedAt),
@@ -94,7 +95,7 @@
 	return append(b, e.Body...)
 }
 
-// decodeEntry reads the payload of an entry's record of either kind, nil if it is malformed.
+// decodeEntry decodes the payload of an entry's record of either kind. It returns nil if the payload is malformed.
 func decodeEntry(kind byte, payload []byte) *Entry {
 	if kind == kindEntry {
 		return decodeMessage(payload)
@@ -114,7 +115,7 @@
 	return e
 }
 
-// decodeMessage reads what encode wrote, nil if it is malformed.
+// decodeMessage decodes a payload written by encode. It returns nil if the payload is malformed.
 func decodeMessage(b []byte) *Entry {
 	if len(b) < entryFixedSize {
 		return nil
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// recover reads the segments of the folder.
+// recover reads all segments of the folder and sets the pending entries.
 func (l *Log) recover() error {
 	numbers, err := segmentNumbers(l.dir)
 	if err != nil {
@@ -31,8 +31,8 @@
 
 func compareNumber(s segment, number int) int { return s.number - number }
 
-// replay applies the records of a segment. One whose checksum fails is dropped if another follows it; else the rest of
-// the segment is a torn end.
+// replay applies the records of a segment. A record that fails its checksum is dropped if a valid one follows it;
+// otherwise the rest of the segment is a torn end and is ignored.
 func (l *Log) replay(b []byte, segment int) {
 	for len(b) > 0 {
 		kind, payload, rest, ok := cutRecord(b)
@@ -61,7 +61,7 @@
 	}
 	seq := binary.LittleEndian.Uint64(payload)
 	l.Reserve(seq)
-	if e := l.entries[seq]; e != nil && !l.applyChange(e, kind, payload[seqSize:]) { // else its record has been freed
+	if e := l.entries[seq]; e != nil && !l.applyChange(e, kind, payload[seqSize:]) { // nil if the entry's record was freed
 		l.DroppedRecords++
 	}
 }
@@ -76,11 +76,12 @@
 	l.Reserve(e.Seq)
 }
 
-// applyChange applies what a record says of a pending entry behind its number. It returns false if it is malformed.
+// applyChange applies the part of a record after the sequence number to its pending entry. It returns false if the
+// record is malformed.
 func (l *Log) applyChange(e *Entry, kind byte, change []byte) bool {
 	switch size := seqSize + len(change); {
 	case kind == kindAttempt && size == attemptSize:
-		e.attemptBegan(int64(binary.LittleEndian.Uint64(change)), int(binary.LittleEndian.Uint32(change[8:])))
+		e.attemptStarted(int64(binary.LittleEndian.Uint64(change)), int(binary.LittleEndian.Uint32(change[8:])))
 	case kind == kindAttemptEnd && size == attemptEndSize:
 		e.attemptEnded(change[0] == 1)
 	case kind == kindAnswer && size == answerSize:
--- a/internal/wal/recover_test.go
+++ b/internal/wal/recover_test.go
@@ -46,7 +46,7 @@
 		require.NoError(t, os.WriteFile(filepath.Join(dir, "00000001"+segmentSuffix), text, 0o600))
 		l, err := Open(dir, testLimit)
 		require.NoError(t, err)
-		for kind := range byte(8) { // what a sound checksum lets through
+		for kind := range byte(8) { // the payload of a record with a valid checksum
 			l.apply(kind, text, 1)
 		}
 		require.NoError(t, l.Close())
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	diskBlock     = 512 // bytes; a file counts in whole blocks
-	segmentCount  = 16  // the limit is divided into so many segments
+	diskBlock     = 512 // bytes; file sizes are rounded up to whole blocks
+	segmentCount  = 16  // number of segments that the limit is divided into
 	segmentSuffix = ".ledger"
 	filePerm      = 0o600
 )
@@ -20,23 +20,23 @@
 type segment struct {
 	number   int
 	size     int64
-	recorded []uint64 // numbers of the entries recorded in it, some of them done or recorded anew since
+	recorded []uint64 // sequence numbers of the entries recorded here; some may be done or recorded again since
 }
 
-// add notes that an entry's latest record is in the segment.
+// add registers that an entry's latest record is in the segment.
 func (s *segment) add(e *Entry) {
 	e.segment = s.number
 	s.recorded = append(s.recorded, e.Seq)
 }
 
-// diskSize is the space that a file of a size takes.
+// diskSize is the disk space that a file of the given size takes.
 func diskSize(size int64) int64 { return (size + diskBlock - 1) / diskBlock * diskBlock }
 
 func segmentPath(dir string, number int) string {
 	return filepath.Join(dir, fmt.Sprintf("%08d%s", number, segmentSuffix))
 }
 
-// segmentNumbers are the numbers of a folder's segments, in order.
+// segmentNumbers returns the numbers of a folder's segments in ascending order.
 func segmentNumbers(dir string) ([]int, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -58,16 +58,16 @@
 	return numbers, nil
 }
 
-// last is the segment that is written to. It is valid until the next one begins.
+// last returns the segment that records are appended to. The pointer is valid until rotate.
 func (l *Log) last() *segment { return &l.segments[len(l.segments)-1] }
 
-// segmentSize is the size from which a segment is followed by another.
+// segmentSize is the size in bytes at which the log starts a new segment.
 func (l *Log) segmentSize() int64 { return l.limit / segmentCount }
 
-// reserve is the space in which the entries of the segment that is being freed are recorded anew.
-func (l *Log) reserve() int64 { return l.segmentSize() + maxPayload + 2*diskBlock }
+// compactionReserve is the space in bytes for recording again the pending entries of the segment being freed.
+func (l *Log) compactionReserve() int64 { return l.segmentSize() + maxPayload + 2*diskBlock }
 
-// rotate begins a new segment.
+// rotate starts a new segment.
 func (l *Log) rotate() error {
 	number := 1
 	if len(l.segments) > 0 {
@@ -77,18 +77,18 @@
 	if err != nil {
 		return err
 	}
-	if l.head != nil {
-		_ = l.head.Close() // each of its writes has returned its own error
+	if l.active != nil {
+		_ = l.active.Close() // write errors were returned by the writes
 	}
-	l.head = f
+	l.active = f
 	l.segments = append(l.segments, segment{number: number})
 	return nil
 }
 
-// makeSpace frees the oldest segments until a record of so many bytes fits, with left bytes to spare.
-func (l *Log) makeSpace(record int, left int64) error {
+// makeSpace frees the oldest segments until a record of the given size fits with spare bytes left over.
+func (l *Log) makeSpace(recordSize int, spare int64) error {
 	for range len(l.segments) {
-		if l.Used()+int64(record)+left <= l.limit {
+		if l.Used()+int64(recordSize)+spare <= l.limit {
 			return nil
 		}
 		if err := l.freeOldest(); err != nil {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// freeOldest records what is pending in the oldest segment anew and removes it. A process killed in between leaves
-// records twice, which says the same.
+// freeOldest records the pending entries of the oldest segment again and removes the segment. If the process is killed
+// in between, entries are recorded twice, which is harmless.
 func (l *Log) freeOldest() error {
 	if len(l.segments) == 1 {
 		return ErrFull
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// pendingIn are the pending entries whose latest record is in a segment, in the order of their numbers.
+// pendingIn returns the pending entries whose latest record is in a segment, in the order of their sequence numbers.
 func (l *Log) pendingIn(s *segment) []*Entry {
 	var pending []*Entry
 	for _, seq := range s.recorded {
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Months of traffic, with other entries pending all the time and the process killed now and then.
-func TestFolderStaysUnderItsLimitAndKeepsPendingEntries(t *testing.T) {
+// Simulates months of traffic with a changing set of pending entries and a reopen after every 500 messages.
+func TestFolderSizeStaysWithinLimit(t *testing.T) {
 	dir := t.TempDir()
 	random := rand.New(rand.NewPCG(1, 2))
 	l, want := openLog(t, dir), map[uint64]int{}
@@ -54,8 +54,9 @@
 	}
 }
 
-// Freeing a segment costs by what is recorded in it, not by all that is pending. It is judged by bytes allocated.
-func TestFreeingASegmentCostsByWhatItHolds(t *testing.T) {
+// The cost of freeing a segment, measured in allocated bytes, depends on the entries recorded in the segment and not on
+// the total number of pending entries.
+func TestCostOfFreeingASegment(t *testing.T) {
 	allocated := func(others int) uint64 {
 		l := openLog(t, t.TempDir())
 		defer l.Close()
@@ -69,13 +70,13 @@
 		runtime.ReadMemStats(&before)
 		require.NoError(t, l.freeOldest())
 		runtime.ReadMemStats(&after)
-		require.Equal(t, l.segments[len(l.segments)-1].number, kept.segment, "it is recorded anew")
+		require.Equal(t, l.segments[len(l.segments)-1].number, kept.segment, "recorded again in the last segment")
 		return after.TotalAlloc - before.TotalAlloc
 	}
 	require.Less(t, allocated(100_000), allocated(10)+100_000)
 }
 
-func TestSegmentOfAnEarlierProcessIsFreedWithItsPendingEntries(t *testing.T) {
+func TestFreeingSegmentOfAnEarlierProcessKeepsPendingEntries(t *testing.T) {
 	dir := t.TempDir()
 	l := openLog(t, dir)
 	appendMessage(t, l, "first", 100)
@@ -90,9 +91,9 @@
 	require.Equal(t, []string{"first", "second"}, pendingIDs(t, dir))
 }
 
-// Each process begins a segment. Those of processes that wrote less than one holds are freed too, before they fill the
-// log: it could record neither a message nor an end, however little is pending.
-func TestManyShortProcessesDoNotFillTheWriteAheadLog(t *testing.T) {
+// Each process starts a segment. Small segments of short-lived processes must be freed too. Otherwise they fill the
+// log, which can then record neither messages nor ends even if little is pending.
+func TestManyShortProcessesDoNotFillTheLog(t *testing.T) {
 	dir := t.TempDir()
 	kept := 0
 	for process := range 120 {
