--- a/internal/drains/drains.go
+++ b/internal/drains/drains.go
@@ -1,8 +1,8 @@
-// Package drains holds the endpoints that operators have drained, and the state that the scheduler sees of each. It
-// does no I/O: the event loop writes the set to the folder and updates the scheduler.
+// Package drains keeps the set of endpoints that operators have drained and derives the endpoint states for the
+// scheduler. It does no I/O; the event loop writes the set to the folder and updates the scheduler.
 //
-// An endpoint stays drained until it is restored, whatever the endpoint list says, over restarts and upgrades. Draining
-// it twice needs one restore. An id that is neither listed nor drained is refused.
+// An endpoint stays drained until it is restored, even if the endpoint list changes, and across restarts and upgrades.
+// An endpoint that is drained twice needs only one restore. An id that is neither listed nor drained is rejected.
 package drains
 
 import (
@@ -12,21 +12,21 @@
 	"spanflow/scheduler"
 )
 
-// MaxDrained is the number of endpoints that may be drained at once. It guards against a caller that drains one id
-// after another, which would grow the set and its file without bound. A fleet that needs more has its requests refused.
+// MaxDrained is the maximum number of drained endpoints. Without a limit, a caller that drains one id after another
+// would let the set and its file grow indefinitely. Requests beyond the limit are rejected.
 const MaxDrained = 1024
 
 const maxIDLength = 256 // bytes
 
-// Result is the result of Drain or Restore.
+// Result tells whether Drain or Restore accepted a request.
 type Result uint8
 
 // The results of Drain and Restore.
 const (
-	Accepted  Result = iota // done, or it was so already
-	Unknown                 // no endpoint of that id is listed or drained
+	Accepted  Result = iota // done, or nothing to do
+	Unknown                 // no endpoint with that id is listed or drained
 	TooMany                 // the set is full
-	InvalidID               // the id cannot be kept
+	InvalidID               // the id cannot be stored in the file
 )
 
 var resultTexts = [...]string{
@@ -36,17 +36,17 @@
 	InvalidID: "the id holds bytes it may not",
 }
 
-// String is the result as operators are answered.
+// String returns the text that answers the operator.
 func (r Result) String() string { return resultTexts[r] }
 
-// Change is what the event loop has to carry out after Drain or Restore.
+// Change tells the event loop which change it has to apply after Drain or Restore.
 type Change uint8
 
-// The changes by Drain and Restore.
+// The changes made by Drain and Restore.
 const (
-	Unchanged Change = iota // nothing changed
-	Drained                 // the endpoint gets no new calls from now on
-	Restored                // the endpoint is back, and warming up: operators restarted it meanwhile
+	Unchanged Change = iota // no change
+	Drained                 // the endpoint gets no more new calls
+	Restored                // the endpoint gets calls again, with a slow start, as operators may have restarted it
 )
 
 // Set is the set of drained endpoints. It is not safe for concurrent use.
@@ -54,26 +54,27 @@
 	ids []string // sorted
 }
 
-// New makes a set of the ids that were drained before, as kept; ids that cannot be kept are left out.
-func New(kept []string) *Set {
-	ids := slices.DeleteFunc(slices.Clone(kept), func(id string) bool { return !validID(id) })
-	slices.Sort(ids) // first: an id is looked for by binary search, and twice the same lie side by side
+// New returns a set of the ids that were drained before, in any order. Invalid and repeated ids, and those beyond
+// MaxDrained, are left out.
+func New(stored []string) *Set {
+	ids := slices.DeleteFunc(slices.Clone(stored), func(id string) bool { return !validID(id) })
+	slices.Sort(ids) // binary search and Compact need sorted ids
 	ids = slices.Compact(ids)
 	return &Set{ids: ids[:min(len(ids), MaxDrained)]}
 }
 
-// validID reports whether an id can be kept, one a line.
+// validID reports whether an id can be stored in a file with one id per line.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && !strings.ContainsAny(id, "\r\n\x00")
 }
 
-// Drained reports whether an endpoint is drained.
+// Drained reports whether the endpoint with the given id is drained.
 func (s *Set) Drained(id string) bool {
 	_, found := slices.BinarySearch(s.ids, id)
 	return found
 }
 
-// Drain drains an endpoint; listed says that the endpoint list has it now.
+// Drain drains an endpoint. The caller sets listed if the endpoint is in the current endpoint list.
 func (s *Set) Drain(id string, listed bool) (Result, Change) {
 	switch i, found := slices.BinarySearch(s.ids, id); {
 	case !validID(id):
@@ -90,7 +91,7 @@
 	}
 }
 
-// Restore ends the drain of an endpoint; listed says that the endpoint list has it now.
+// Restore ends the drain of an endpoint. The caller sets listed if the endpoint is in the current endpoint list.
 func (s *Set) Restore(id string, listed bool) (Result, Change) {
 	i, found := slices.BinarySearch(s.ids, id)
 	switch {
@@ -106,8 +107,8 @@
 	}
 }
 
-// State is the state for the scheduler of an endpoint that the list has as listed: Draining for a drained endpoint that
-// is listed as ready, else the listed one.
+// State returns the state that the scheduler has to use for an endpoint with the given state in the endpoint list. A
+// drained endpoint that is listed as Ready is Draining; otherwise the listed state applies.
 func (s *Set) State(id string, listed scheduler.EndpointState) scheduler.EndpointState {
 	if listed == scheduler.Ready && s.Drained(id) {
 		return scheduler.Draining
@@ -115,8 +116,8 @@
 	return listed
 }
 
-// IDs are the ids of the drained endpoints in order, for New. The slice belongs to the caller.
+// IDs returns the sorted ids of the drained endpoints. The slice belongs to the caller.
 func (s *Set) IDs() []string { return slices.Clone(s.ids) }
 
-// Len is the number of drained endpoints.
+// Len returns the number of drained endpoints.
 func (s *Set) Len() int { return len(s.ids) }
--- a/internal/drains/drains_test.go
+++ b/internal/drains/drains_test.go
@@ -9,7 +9,7 @@
 	"spanflow/scheduler"
 )
 
-func TestDrainedEndpointDrainsWhateverTheListSays(t *testing.T) {
+func TestStateOfDrainedEndpoint(t *testing.T) {
 	set := New(nil)
 	result, change := set.Drain("s1", true)
 	require.Equal(t, Accepted, result)
@@ -29,24 +29,24 @@
 	require.Equal(t, Accepted, result)
 	require.Equal(t, Restored, change)
 	require.False(t, set.Drained("s1"))
-	result, change = set.Restore("s1", true) // back already
+	result, change = set.Restore("s1", true) // not drained any more
 	require.Equal(t, Accepted, result)
 	require.Equal(t, Unchanged, change)
 }
 
-func TestUnknownIDIsRefused(t *testing.T) {
+func TestUnknownIDIsRejected(t *testing.T) {
 	set := New(nil)
 	result, _ := set.Drain("ghost", false)
 	require.Equal(t, Unknown, result)
 	result, _ = set.Restore("ghost", false)
 	require.Equal(t, Unknown, result)
 	set.Drain("s1", true)
-	result, change := set.Restore("s1", false) // drained, and gone from the list meanwhile
+	result, change := set.Restore("s1", false) // drained, and removed from the list since
 	require.Equal(t, Accepted, result)
 	require.Equal(t, Restored, change)
 }
 
-func TestDrainsOutlastARestart(t *testing.T) {
+func TestDrainsSurviveRestart(t *testing.T) {
 	set := New(nil)
 	set.Drain("s2", true)
 	set.Drain("s1", true)
@@ -69,10 +69,9 @@
 	require.Len(t, New(append(set.IDs(), "beyond", "bad\nid")).IDs(), MaxDrained)
 }
 
-// New searched a list for each id that was not sorted yet: of a file whose ids are out of order or written twice, such
-// as one that operators have edited, it kept an id twice, and a restore brought the endpoint back only until the next
-// start.
-func TestKeptIDsAreUniqueInWhateverOrder(t *testing.T) {
+// New used to search an unsorted list. From a file with unordered or repeated ids, for example one edited by operators,
+// it could keep an id twice. A restore then lasted only until the next start.
+func TestNewSortsAndDeduplicatesIDs(t *testing.T) {
 	set := New([]string{"s3", "s1", "s2", "s3", "s1", "", "s2"})
 	require.Equal(t, []string{"s1", "s2", "s3"}, set.IDs())
 	_, change := set.Restore("s3", true)
--- a/internal/statefile/drains.go
+++ b/internal/statefile/drains.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// DrainsFile is the name of the file with the drained endpoints in a forwarder's folder.
+// DrainsFile is the name of the file in a forwarder's folder that lists the drained endpoints.
 const DrainsFile = "out-by-hand"
 
-// WriteDrains replaces the file of the endpoints that operators drained, one id a line, so that a drain outlasts a
-// restart and the process that replaces this one takes it over.
+// WriteDrains replaces the file of drained endpoints, one id per line. The file keeps drains in force across restarts
+// and upgrades.
 func WriteDrains(dir string, ids []string) error {
 	content := strings.Join(ids, "\n")
 	if len(ids) > 0 {
@@ -19,7 +19,7 @@
 	return Write(dir, DrainsFile, content)
 }
 
-// ReadDrains reads the ids of drained endpoints. It returns none if the file cannot be read.
+// ReadDrains reads the ids of drained endpoints. It returns nil if the file cannot be read.
 func ReadDrains(dir string) []string {
 	text, err := os.ReadFile(filepath.Join(dir, DrainsFile))
 	if err != nil {
--- a/internal/statefile/endpoint_states.go
+++ b/internal/statefile/endpoint_states.go
@@ -8,40 +8,42 @@
 	"strings"
 )
 
-// EndpointStatesFile is the name of the file with the states of endpoints in a forwarder's folder.
+// EndpointStatesFile is the name of the file in a forwarder's folder that holds the states of endpoints.
 const EndpointStatesFile = "endpoints"
 
 const (
 	endpointStatesHeader  = "spanflow endpoints 1"
-	maxEndpointStateLines = 1 << 14 // lines read and written; one an endpoint
+	maxEndpointStateLines = 1 << 14 // maximum number of lines read and written, one per endpoint
 	listedLine            = "listed"
 	healthLine            = "health"
 	ejectedWord           = "ejected"
 	recoveringWord        = "recovering"
 )
 
-const maxHealthValue = 1e9 // seconds and calls a second beyond it are implausible
+const maxHealthValue = 1e9 // seconds, or calls per second; values from here on are implausible
 
-// EndpointStates is what one process of an upgrade knows of endpoints and the next one has to observe.
+// EndpointStates is the knowledge about endpoints that the predecessor of an upgrade hands over to its successor.
 type EndpointStates struct {
-	Revision int64             // of the endpoint list
-	Listed   map[string]string // states of the list by uid, of endpoints that get no new calls by it
-	Health   map[string]Health // by uid, of endpoints that are ejected or recovering
+	Revision int64             // revision of the endpoint list
+	Listed   map[string]string // by uid: the listed states of endpoints that must not get new calls
+	Health   map[string]Health // by uid: the health of ejected and recovering endpoints
 }
 
-// Health is the health of an endpoint that is ejected or recovering. Its times are durations: clocks do not matter.
+// Health is the health of an endpoint that is ejected or recovering. It contains durations and no points in time, so it
+// does not depend on the clocks of the two processes.
 type Health struct {
-	Ejected       bool // else it is recovering
-	RecoveringFor float64
-	UsualRate     float64 // calls a second
+	Ejected       bool    // false means recovering
+	RecoveringFor float64 // seconds
+	UsualRate     float64 // calls per second
 }
 
-// NewEndpointStates returns states without endpoints.
+// NewEndpointStates returns an EndpointStates without endpoints.
 func NewEndpointStates() *EndpointStates {
 	return &EndpointStates{Listed: map[string]string{}, Health: map[string]Health{}}
 }
 
-// Write replaces the file of endpoint states in dir. Of more endpoints than it may hold, some are left out.
+// Write replaces the file of endpoint states in dir. Endpoints beyond the maximum of 16,384 are left out, in no
+// particular order.
 func (s *EndpointStates) Write(dir string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%d\n", endpointStatesHeader, s.Revision)
@@ -67,9 +69,9 @@
 	return Write(dir, EndpointStatesFile, b.String())
 }
 
-// TakeEndpointStates reads the endpoint states that an earlier process wrote and removes the file, so that no later
-// process takes them for news. It returns no states if there is no file that can be read, and leaves malformed lines
-// out.
+// TakeEndpointStates reads the endpoint states that the predecessor wrote and removes the file, so that no later
+// process reads outdated states. It returns an EndpointStates without endpoints if there is no readable file. Malformed
+// lines are ignored.
 func TakeEndpointStates(dir string) *EndpointStates {
 	path := filepath.Join(dir, EndpointStatesFile)
 	states := NewEndpointStates()
@@ -77,7 +79,7 @@
 	if err != nil {
 		return states
 	}
-	_ = os.Remove(path) // one that stays is replaced when this process hands over
+	_ = os.Remove(path) // a file that cannot be removed is replaced at this process's own handover
 	lines := strings.Split(string(text), "\n")
 	if len(lines) < 2 || lines[0] != endpointStatesHeader {
 		return states
@@ -105,7 +107,7 @@
 	}
 }
 
-// healthValue reads a duration or a rate.
+// healthValue parses a duration in seconds or a rate in calls per second.
 func healthValue(word string) (value float64, ok bool) {
 	value, err := strconv.ParseFloat(word, 64)
 	return value, err == nil && value >= 0 && value < maxHealthValue
--- a/internal/statefile/latencies.go
+++ b/internal/statefile/latencies.go
@@ -11,39 +11,40 @@
 	"strings"
 )
 
-// LatenciesFile is the name of the file with learned latencies in a forwarder's folder.
+// LatenciesFile is the name of the file in a forwarder's folder that holds the learned latencies.
 const LatenciesFile = "learnt"
 
 const (
 	latenciesHeader     = "spanflow learnt 1"
-	latenciesParts      = 4       // header, deployment, checksum, lines
+	latenciesParts      = 4       // the header, the deployment, the checksum and the lines
 	measuredDigits      = 4       // significant digits
-	maxLatencyLines     = 1 << 12 // destinations
+	maxLatencyLines     = 1 << 12 // one per destination
 	maxLatencyFileBytes = 1 << 20
 )
 
-// The reasons for which ReadLatencies ignores a file.
+// Errors of ReadLatencies for a file that is ignored.
 var (
 	ErrLatenciesFormat     = errors.New("not a file of learned latencies")
-	ErrLatenciesDeployment = errors.New("of other message types or kinds of endpoints")
+	ErrLatenciesDeployment = errors.New("learned with other message types or kinds of endpoints")
 	ErrLatenciesChecksum   = errors.New("truncated or corrupt")
 )
 
-// LatencyTable collects the learned latencies of destinations, to be written to a file. The zero value is an empty
+// LatencyTable collects the learned latencies of destinations to be written to a file. The zero value is an empty
 // table. Destinations beyond the first 4,096 are left out.
 type LatencyTable struct {
 	lines strings.Builder
 	count int
 }
 
-// AddMeasured adds the latency counts measured for a destination, rounded to four digits. Nil counts are left out.
+// AddMeasured adds the latency counts measured for a destination, rounded to four significant digits. It does nothing
+// if counts is nil.
 func (t *LatencyTable) AddMeasured(destination uint64, counts []float64) {
 	if counts != nil {
 		t.add(destination, counts, measuredDigits)
 	}
 }
 
-// AddInherited adds counts as they were read from the file of an earlier process, unrounded.
+// AddInherited adds counts that were read from the file of an earlier process. It does not round them.
 func (t *LatencyTable) AddInherited(destination uint64, counts []float64) {
 	t.add(destination, counts, -1)
 }
@@ -60,8 +61,8 @@
 	t.lines.WriteByte('\n')
 }
 
-// Write replaces the file of learned latencies in dir. The deployment, one line of text, names what the latencies
-// depend on; only a process of the same deployment reads them back.
+// Write replaces the file of learned latencies in dir. The deployment is one line of text that identifies the
+// configuration on which the latencies depend; only a process of the same deployment reads them back.
 func (t *LatencyTable) Write(dir, deployment string) error {
 	lines := t.lines.String()
 	return Write(dir, LatenciesFile,
@@ -70,9 +71,9 @@
 
 func checksum(lines string) string { return fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(lines))) }
 
-// ReadLatencies reads the latency counts that an earlier process wrote for this deployment, by destination. It returns
-// none without an error if there is no file that can be opened, and an error, such as ErrLatenciesChecksum, if there is
-// one that cannot be used. Malformed lines are left out.
+// ReadLatencies reads the latency counts by destination that an earlier process of this deployment wrote. It returns
+// nil without an error if no file can be opened, and an error such as ErrLatenciesChecksum if the file cannot be used.
+// Malformed lines are ignored.
 func ReadLatencies(dir, deployment string) (map[uint64][]float64, error) {
 	f, err := os.Open(filepath.Join(dir, LatenciesFile))
 	if err != nil {
--- a/internal/statefile/retry_after.go
+++ b/internal/statefile/retry_after.go
@@ -8,15 +8,16 @@
 	"strings"
 )
 
-// RetryAfterFile is the name of the file with the retry-after state in a forwarder's folder.
+// RetryAfterFile is the name of the file in a forwarder's folder that holds the retry-after state.
 const RetryAfterFile = "waits"
 
-const maxRetryAfterLines = 1 << 14 // lines read; one an endpoint
+const maxRetryAfterLines = 1 << 14 // maximum number of lines read, one per endpoint
 
-// RetryAfterTable collects until when endpoints get no calls, to be written to a file. The zero value is an empty table.
+// RetryAfterTable collects the times until which endpoints get no calls, to be written to a file. The zero value is an
+// empty table.
 type RetryAfterTable struct{ lines strings.Builder }
 
-// Add adds an endpoint that gets no calls until then, in seconds of the wall clock.
+// Add adds an endpoint that gets no calls until the given time, in seconds of the wall clock.
 func (t *RetryAfterTable) Add(endpoint string, until float64) {
 	fmt.Fprintf(&t.lines, "%s %.3f\n", endpoint, until)
 }
@@ -26,8 +27,8 @@
 	return Write(dir, RetryAfterFile, t.lines.String())
 }
 
-// ReadRetryAfter reads until when endpoints get no calls, in seconds of the wall clock, as far as that is after now. It
-// returns none if the file cannot be read and leaves malformed lines out.
+// ReadRetryAfter reads the times until which endpoints get no calls, in seconds of the wall clock. It leaves out times
+// that are not after now, and malformed lines. It returns nil if the file cannot be read.
 func ReadRetryAfter(dir string, now float64) map[string]float64 {
 	text, err := os.ReadFile(filepath.Join(dir, RetryAfterFile))
 	if err != nil {
--- a/internal/statefile/spool.go
+++ b/internal/statefile/spool.go
@@ -13,29 +13,29 @@
 	drainWord   = "out"
 	undrainWord = "back"
 
-	// maxSpooledCommands bounds the spool. It guards against a caller that fills the folder while the process that holds
-	// it hangs. More commands than this between two looks of that process are refused.
+	// maxSpooledCommands limits the spool, so that a caller cannot fill the folder while the process that holds it hangs.
+	// Commands beyond the limit are rejected until that process reads the spool again.
 	maxSpooledCommands  = 64
-	maxSpooledBytes     = 512 // of a command
+	maxSpooledBytes     = 512 // maximum size of a command
 	spooledNameTemplate = "%08d"
 )
 
-// Command is an operator's command on an endpoint.
+// Command is an operator's command to drain or restore an endpoint.
 type Command struct {
 	Endpoint string // id
-	Undrain  bool   // ends the drain; else the endpoint is drained
+	Undrain  bool   // true ends the drain; false drains the endpoint
 }
 
-// Spool is the queue of operators' commands in a forwarder's folder, one file each: a process that waits for the folder
-// puts them there, and the process that holds the folder carries them out.
+// Spool is the queue of operators' commands in a forwarder's folder, with one file per command. The successor of an
+// upgrade adds commands while it waits for the folder, and the process that holds the folder executes them.
 type Spool struct{ dir string }
 
-// NewSpool is the spool of a forwarder's folder. Its own folder is made with the first command.
+// NewSpool returns the spool of a forwarder's folder. The first Put creates its subfolder.
 func NewSpool(folder string) Spool { return Spool{dir: filepath.Join(folder, spoolDir)} }
 
-// Names are the names of the commands in the spool, the oldest first.
+// Names returns the names of the commands in the spool, oldest first.
 func (s Spool) Names() []string {
-	entries, _ := os.ReadDir(s.dir) // a folder that cannot be read holds none
+	entries, _ := os.ReadDir(s.dir) // an unreadable folder counts as empty
 	var names []string
 	for _, entry := range entries {
 		if entry.Type().IsRegular() && !strings.HasSuffix(entry.Name(), temporarySuffix) {
@@ -46,7 +46,8 @@
 	return names
 }
 
-// Put adds a command at the end. It fails if the spool is full or cannot be written to.
+// Put adds a command at the end. It fails with a SpoolFullError if the spool is full, or with an error of the file
+// system.
 func (s Spool) Put(command Command) error {
 	names := s.Names()
 	if len(names) >= maxSpooledCommands {
@@ -69,14 +70,15 @@
 	return Write(s.dir, fmt.Sprintf(spooledNameTemplate, number), word+" "+command.Endpoint+"\n")
 }
 
-// Read reads the command of a name. It fails with a MalformedCommandError if the file is none.
+// Read reads the command with the given name. It returns a MalformedCommandError if the file does not contain a
+// command.
 func (s Spool) Read(name string) (Command, error) {
 	f, err := os.Open(filepath.Join(s.dir, name))
 	if err != nil {
 		return Command{}, err
 	}
 	text := make([]byte, maxSpooledBytes)
-	n, _ := f.Read(text) // what cannot be read is malformed
+	n, _ := f.Read(text) // an unreadable file counts as malformed
 	if err := f.Close(); err != nil {
 		return Command{}, err
 	}
@@ -87,21 +89,21 @@
 	return Command{Endpoint: endpoint, Undrain: word == undrainWord}, nil
 }
 
-// Remove removes the command of a name.
+// Remove removes the command with the given name.
 func (s Spool) Remove(name string) error { return os.Remove(filepath.Join(s.dir, name)) }
 
-// SpoolFullError is the error for a command that the spool has no room for.
+// SpoolFullError is the error for a command that exceeds the limit of the spool.
 type SpoolFullError struct{ Commands int }
 
-// Error says how many commands wait.
+// Error returns a text with the number of commands in the spool. Operators get it as part of an HTTP answer.
 func (e *SpoolFullError) Error() string {
 	return fmt.Sprintf("%d calls wait to be taken up", e.Commands)
 }
 
-// MalformedCommandError is the error for a file of the spool that holds no command.
+// MalformedCommandError is the error for a file in the spool that does not contain a command.
 type MalformedCommandError struct{ Name string }
 
-// Error names the file.
+// Error returns a text with the file's path in the forwarder's folder.
 func (e *MalformedCommandError) Error() string {
 	return fmt.Sprintf("%s/%s is not a command", spoolDir, e.Name)
 }
--- a/internal/statefile/statefile.go
+++ b/internal/statefile/statefile.go
@@ -1,6 +1,5 @@
-// Package statefile reads and writes the small state files of a forwarder's folder: learned latencies, retry-after
-// state, states of endpoints, drained endpoints and the spool of operators' commands. It holds no state of its own and
-// decides nothing.
+// Package statefile reads and writes the small state files in a forwarder's folder: learned latencies, retry-after
+// state, endpoint states, drained endpoints and the spool of operators' commands. The package itself keeps no state.
 package statefile
 
 import (
@@ -12,11 +11,11 @@
 	filePerm = 0o600
 	dirPerm  = 0o700
 
-	temporarySuffix = ".new" // of a file that is being written
+	temporarySuffix = ".new" // suffix of a file being written
 )
 
-// Write replaces the file name in dir by one with the given content. It writes a temporary file beside it and renames
-// that, so that a process killed meanwhile leaves the old or the new content, never a part. Nothing is synced to disk.
+// Write replaces the content of the file name in dir. It writes a temporary file in the same folder and renames it, so
+// that a process killed meanwhile leaves either the old or the new content. Nothing is synced to disk.
 func Write(dir, name, content string) error {
 	temporary := filepath.Join(dir, name+temporarySuffix)
 	if err := os.WriteFile(temporary, []byte(content), filePerm); err != nil {
--- a/internal/statefile/statefile_test.go
+++ b/internal/statefile/statefile_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWriteReplacesTheFileAndLeavesNoTemporary(t *testing.T) {
+func TestWriteReplacesFile(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, Write(dir, "state", "a long first content"))
 	require.NoError(t, Write(dir, "state", "second"))
@@ -22,7 +22,7 @@
 	require.ErrorIs(t, Write(filepath.Join(dir, "missing"), "state", ""), os.ErrNotExist)
 }
 
-func TestMissingFilesHoldNothing(t *testing.T) {
+func TestMissingFilesReadAsEmpty(t *testing.T) {
 	dir := t.TempDir()
 	latencies, err := ReadLatencies(dir, "deployment")
 	require.NoError(t, err)
@@ -47,7 +47,7 @@
 	require.NotContains(t, latencies, uint64(maxLatencyLines))
 }
 
-func TestMalformedLatencyLinesAreLeftOut(t *testing.T) {
+func TestMalformedLatencyLinesAreIgnored(t *testing.T) {
 	dir, lines := t.TempDir(), "1 2.5\n\n2\nx 1\n3 y\n4 1 2\n"
 	text := latenciesHeader + "\ndeployment\n" + checksum(lines) + "\n" + lines
 	require.NoError(t, Write(dir, LatenciesFile, text))
@@ -58,7 +58,7 @@
 	require.ErrorIs(t, err, ErrLatenciesDeployment)
 }
 
-func TestRetryAfterStateThatIsOverOrMalformedIsLeftOut(t *testing.T) {
+func TestExpiredAndMalformedRetryAfterStateIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, Write(dir, RetryAfterFile, "over 99\nnow 100\nblocked 100.5\nmalformed\nmalformed x\n"))
 	require.Equal(t, map[string]float64{"blocked": 100.5}, ReadRetryAfter(dir, 100))
@@ -81,7 +81,7 @@
 	require.Equal(t, Command{Endpoint: "last", Undrain: true}, last)
 }
 
-func TestSpoolTellsMalformedCommands(t *testing.T) {
+func TestSpoolReportsMalformedCommands(t *testing.T) {
 	folder := t.TempDir()
 	spool := NewSpool(folder)
 	require.NoError(t, spool.Put(Command{Endpoint: "e"}))
@@ -96,7 +96,7 @@
 	require.ErrorIs(t, err, os.ErrNotExist)
 }
 
-func TestEndpointStatesAreReadOnceAndMalformedLinesLeftOut(t *testing.T) {
+func TestEndpointStatesAreReadOnce(t *testing.T) {
 	dir := t.TempDir()
 	written := &EndpointStates{
 		Revision: 46,
@@ -112,7 +112,7 @@
 	require.ElementsMatch(t, health, lines[3:])
 	require.Equal(t, written, TakeEndpointStates(dir))
 	none := NewEndpointStates()
-	require.Equal(t, none, TakeEndpointStates(dir), "a file is for the next process alone")
+	require.Equal(t, none, TakeEndpointStates(dir), "the first read removes the file")
 
 	one := NewEndpointStates()
 	one.Revision, one.Listed["d"], one.Health["g"] = 3, "left", Health{true, 1, 2}
