--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter runs forwarders for the simulator: it reads batches of events on standard input and writes a reply
-// to each on standard output.
+// Command simadapter runs forwarders for the simulator. It reads batches of events from standard input and writes a
+// reply to each batch to standard output.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/transcript"
 )
 
-const runAsProgram = "RUN_AS_PROGRAM" // set in the environment: the test's binary is the program
+const runAsProgram = "RUN_AS_PROGRAM" // environment variable with which the test binary runs as the program
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgram) != "" {
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func TestProgramAnswersFramesOnStandardInputAndOutput(t *testing.T) {
+func TestProgramAnswersFrames(t *testing.T) {
 	var script transcript.Transcript
 	empty := []byte{16, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x80, 1, 0xf, 0x41}
 	for _, run := range []struct {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost is the former name of simadapter, kept as an alias for deploy files that name it.
+// Command wirehost is an alias of simadapter, kept for deployment files that use this former name.
 package main
 
 import (
--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -6,7 +6,7 @@
 	"spanflow/scheduler"
 )
 
-// listEntry is one line of a list of endpoints.
+// listEntry is one endpoint in a list of endpoints.
 type listEntry struct {
 	destination, kind, zone uint16
 	rate                    float64
@@ -14,23 +14,23 @@
 	status                  uint8 // index into endpointStates
 }
 
-// endpointStates are the states by their code.
+// endpointStates maps the status codes of the protocol to the scheduler's states.
 var endpointStates = [...]scheduler.EndpointState{scheduler.Removed, scheduler.Ready, scheduler.Draining}
 
-// listScope says what the list of an eventEndpoints is.
+// listScope tells which entries the list of an eventEndpoints contains.
 type listScope uint8
 
 const (
 	scopeChanges listScope = iota // changed entries only
 	scopeFull                     // all entries
-	scopeCached                   // all entries as this instance last held them
+	scopeCached                   // all entries that this instance last had
 	scopeFailed                   // no entries: the request failed
-	listScopes                    // how many there are
+	listScopes                    // number of scopes
 )
 
-const maxDestination = 1 << 24 // f32 has all whole numbers up to here
+const maxDestination = 1 << 24 // f32 represents all integers up to this one exactly
 
-// outcomes are the scheduler's outcomes by the reason of an eventResult.
+// outcomes maps the reason of an eventResult to the scheduler's outcome.
 var outcomes = map[uint16]scheduler.Outcome{
 	200: scheduler.Delivered,
 	502: scheduler.ServerError,
@@ -42,7 +42,7 @@
 	409: scheduler.NotSent,
 }
 
-// decode reads one complete event of the instance and returns a function that applies it to the scheduler.
+// decode reads one complete event of the instance and returns a function that applies the event to the scheduler.
 func (in *instance) decode(code eventCode, r *reader) (func(), error) {
 	switch code {
 	case eventEndpoints:
@@ -62,7 +62,7 @@
 	}
 }
 
-// skip reads an event that is not used.
+// skip reads an event of an unused kind.
 func skip(code eventCode, r *reader) {
 	switch code {
 	case eventEstablished:
@@ -92,7 +92,7 @@
 	}
 	entries, known := in.host.lists[number]
 	if !known && r.err == nil {
-		return nil, fmt.Errorf("list %d was never conveyed", number)
+		return nil, fmt.Errorf("list %d was never sent", number)
 	}
 	return func() { in.scheduler.UpdateEndpoints(scope != scopeChanges, in.endpointUpdates(entries)) }, nil
 }
@@ -125,10 +125,10 @@
 func (in *instance) decodeMessage(r *reader) (func(), error) {
 	id, kind, tenant, key := r.u32(), r.u8(), r.u16(), r.u64()
 	secondsLeft := r.f64() / msPerSecond
-	r.f64() // rough cost
+	r.f64() // estimated cost
 	destination, _ := r.f32(), r.u8()
 	if r.err == nil && !(destination >= 0 && destination <= maxDestination) {
-		return nil, fmt.Errorf("destination %v is not a destination number", destination)
+		return nil, fmt.Errorf("%v is not a valid destination number", destination)
 	}
 	if r.err == nil && !in.scheduler.HasType(int(kind)) {
 		return nil, fmt.Errorf("message type %d is not in the settings", kind)
@@ -145,7 +145,7 @@
 	r.address()
 	result := scheduler.AttemptResult{Final: r.u8() != 0, Latency: r.f64() / msPerSecond}
 	retryAfterMs := r.u32()
-	r.u16() // which attempt: there is only one at a time
+	r.u16() // the number of the attempt; a message has only one attempt at a time
 	reason := r.u16()
 	in.decodeLoadReport(r, &result)
 	outcome, known := outcomes[reason]
@@ -164,7 +164,7 @@
 	}, nil
 }
 
-// decodeLoadReport reads a load report and keeps its figures of the limit.
+// decodeLoadReport reads a load report and sets the reported limit and its remaining share in result.
 func (in *instance) decodeLoadReport(r *reader, result *scheduler.AttemptResult) {
 	for i := range int(r.u8()) {
 		switch v := r.f32(); i {
@@ -176,11 +176,11 @@
 	}
 }
 
-// storeList keeps a list of endpoints under its number for later events.
+// storeList stores a list of endpoints by its number, for later events that refer to it.
 func (h *Host) storeList(r *reader, number uint16) error {
 	n := r.u32()
 	if r.err == nil && uint64(n)*listEntryBytes > uint64(len(r.data)) {
-		return fmt.Errorf("list of %d entries overruns the frame", n)
+		return fmt.Errorf("list of %d entries exceeds the frame", n)
 	}
 	var list []listEntry
 	for range n {
--- a/internal/simproto/host.go
+++ b/internal/simproto/host.go
@@ -15,9 +15,9 @@
 // Host runs the forwarders of one process. It is not safe for concurrent use.
 type Host struct {
 	instances map[uint16]*instance
-	lists     map[uint16][]listEntry // the latest under each number
+	lists     map[uint16][]listEntry // the latest list by number
 	out       writer
-	touched   []*instance // with events in this batch
+	touched   []*instance // instances with events in this batch, in order of their first event
 }
 
 // NewHost returns a host without forwarders.
@@ -25,8 +25,8 @@
 	return &Host{instances: map[uint16]*instance{}, lists: map[uint16][]listEntry{}}
 }
 
-// Batch handles all events of a batch, lets each forwarder that had one reconcile once and returns the reply frame,
-// which is valid until the next call. After an error the host is of no more use.
+// Batch handles all events of a batch, reconciles each forwarder that had an event once and returns the reply frame,
+// which is valid until the next call. The host must not be used after an error.
 func (h *Host) Batch(records uint32, clockMs float64, body []byte) ([]byte, error) {
 	if math.IsNaN(clockMs) || math.IsInf(clockMs, 0) {
 		return nil, errClock
@@ -49,7 +49,7 @@
 	return h.out.frame(), nil
 }
 
-// reconcile lets the forwarders that had events decide, in the order of their first events.
+// reconcile reconciles the forwarders that had events, in the order of their first events.
 func (h *Host) reconcile() {
 	for _, in := range h.touched {
 		if in.dirty && h.instances[in.number] == in {
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// decodeProvision starts the forwarder that an event asks for.
+// decodeProvision decodes an eventProvision and starts the forwarder.
 func (h *Host) decodeProvision(r *reader, number uint16, now float64) error {
 	seed, n := r.u64(), r.u32()
 	text := r.take(uint64(n))
@@ -108,7 +108,7 @@
 	return h.provision(number, seed, text, now)
 }
 
-// provision starts a forwarder with a random seed and its settings as JSON, in place of one of the same number.
+// provision starts a forwarder with a random seed and settings in JSON. It replaces a forwarder with the same number.
 func (h *Host) provision(number uint16, seed uint64, text []byte, now float64) error {
 	schedulerSettings, names, err := settings.Read(text)
 	if err != nil {
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// instance is one forwarder, with the objects that the IDs of the protocol stand for. It is its scheduler's Host.
+// instance is one forwarder, with the objects that the protocol identifies by numbers. It implements scheduler.Host for
+// its scheduler.
 type instance struct {
 	host         *Host
 	number       uint16
@@ -137,12 +138,12 @@
 	messages     map[uint32]*scheduler.Message
 	destinations map[uint32]*scheduler.Destination
 	endpoints    map[uint64]*scheduler.Endpoint // by address
-	limitIndex   int                            // place of the limit in a load report
-	shareIndex   int                            // place of the limit's remaining share
-	dirty        bool                           // has had an event since it last reconciled
+	limitIndex   int                            // index of the limit in a load report
+	shareIndex   int                            // index of the limit's remaining share
+	dirty        bool                           // had an event since the last reconcile
 }
 
-// recoverPanic runs step and turns a panic of the scheduler into a record with its stack.
+// recoverPanic runs step and writes a panic of the scheduler, with its stack, as a record.
 func (in *instance) recoverPanic(step func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -153,7 +154,7 @@
 	step()
 }
 
-// markDirty has the instance reconcile at the end of the batch.
+// markDirty marks the instance to be reconciled at the end of the batch.
 func (in *instance) markDirty() {
 	if !in.dirty {
 		in.dirty = true
@@ -161,7 +162,7 @@
 	}
 }
 
-// destination returns the destination of a number; the first use makes it.
+// destination returns the destination with the given number and creates it on first use.
 func (in *instance) destination(number uint32) *scheduler.Destination {
 	d := in.destinations[number]
 	if d == nil {
@@ -171,7 +172,7 @@
 	return d
 }
 
-// endpoint returns the endpoint of an address; the first use makes it.
+// endpoint returns the endpoint with the given address and creates it on first use.
 func (in *instance) endpoint(address uint64) *scheduler.Endpoint {
 	e := in.endpoints[address]
 	if e == nil {
@@ -181,7 +182,7 @@
 	return e
 }
 
-// release forgets a message that no later event can concern.
+// release removes a finished message, as no later event can refer to it.
 func (in *instance) release(m *scheduler.Message) {
 	if m.Finished() {
 		delete(in.messages, uint32(m.ID))
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -2,15 +2,15 @@
 
 import "spanflow/scheduler"
 
-// Values of a record's further fields.
+// Constant values of fields in records.
 const (
-	noTimerID = 0 // the scheduler has one timer
-	watchOn   = 1
+	timerID = 0 // the scheduler has only one timer
+	watchOn = 1
 )
 
-// The methods below make an instance a scheduler.Host. Those that write a record do so in the order of the calls.
+// The methods below implement scheduler.Host. They write records in the order of the calls.
 
-// Send writes that a message is to be sent to an endpoint, with its timeout in seconds.
+// Send writes a request to send a message to an endpoint. The timeout is in seconds.
 func (in *instance) Send(m *scheduler.Message, e *scheduler.Endpoint, timeout float64) {
 	w := &in.host.out
 	w.record(recordSend, in.number)
@@ -19,7 +19,7 @@
 	w.ms(timeout)
 }
 
-// Reject writes that a message may be submitted again, after a time in seconds.
+// Reject writes that a message is rejected and may be submitted again after retryAfter seconds.
 func (in *instance) Reject(m *scheduler.Message, retryAfter float64) {
 	w := &in.host.out
 	w.record(recordReject, in.number)
@@ -28,7 +28,7 @@
 	in.release(m)
 }
 
-// Fail writes that a message will not be delivered.
+// Fail writes that a message has failed.
 func (in *instance) Fail(m *scheduler.Message) {
 	w := &in.host.out
 	w.record(recordFail, in.number)
@@ -36,28 +36,28 @@
 	in.release(m)
 }
 
-// CancelUnsent does nothing: in this protocol a call counts as sent when it is decided on.
+// CancelUnsent does nothing, as this protocol regards a call as sent once the scheduler decides to send it.
 func (in *instance) CancelUnsent(*scheduler.Endpoint) {}
 
-// ReleaseEndpoint forgets an endpoint.
+// ReleaseEndpoint removes an endpoint that the scheduler no longer uses.
 func (in *instance) ReleaseEndpoint(e *scheduler.Endpoint) { delete(in.endpoints, e.ID) }
 
-// CloseIdle writes that idle connections to an endpoint are to be closed.
+// CloseIdle writes a request to close the idle connections to an endpoint.
 func (in *instance) CloseIdle(e *scheduler.Endpoint) {
 	w := &in.host.out
 	w.record(recordCloseIdle, in.number)
 	w.address(e.ID)
 }
 
-// Wake writes that the instance is to be woken after a time in seconds.
+// Wake writes a request to wake the instance after the given number of seconds.
 func (in *instance) Wake(after float64) {
 	w := &in.host.out
 	w.record(recordWake, in.number)
-	w.u64(noTimerID)
+	w.u64(timerID)
 	w.ms(after)
 }
 
-// WatchEndpoints writes that the instance asks for the list of endpoints and its changes.
+// WatchEndpoints writes a request for the list of endpoints and its changes.
 func (in *instance) WatchEndpoints() {
 	w := &in.host.out
 	w.record(recordWatch, in.number)
--- a/internal/simproto/serve.go
+++ b/internal/simproto/serve.go
@@ -1,9 +1,9 @@
-// Package simproto hosts forwarders on the simulator's protocol: it reads batches of events, passes them to instances
-// of the scheduler and writes what they decide as the records of a reply. It keeps no time of its own; every batch
-// brings the clock.
+// Package simproto runs forwarders in a simulator. It reads batches of events in the simulator's binary protocol,
+// passes them to instances of the scheduler and writes the decisions of the scheduler as the records of a reply. The
+// package has no clock; every batch contains the simulator's time.
 //
-// frames.go has the codes and the encoding of fields, serve.go the frames on a stream, host.go the batch and its
-// instances, events.go the decoding of events, and records.go what an instance writes.
+// frames.go has the codes and the encoding of fields, serve.go reads and writes frames on a stream, host.go handles
+// batches and instances, events.go decodes events, and records.go writes the records of an instance.
 package simproto
 
 import (
@@ -16,12 +16,12 @@
 
 const (
 	batchHeaderBytes = 16        // length, number of records, clock
-	maxBatchBytes    = 256 << 20 // with the header
+	maxBatchBytes    = 256 << 20 // including the header
 	inputBufferBytes = 1 << 16
 )
 
-// Serve answers every batch read from in with one reply on out, until the end of input. An error says what was wrong
-// with the batch, or is that of out.
+// Serve answers each batch read from in with one reply on out, until the end of input. It returns an error that
+// describes an invalid batch, or an error of in or out.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, inputBufferBytes), bufio.NewWriter(out)
 	h := NewHost()
@@ -50,8 +50,8 @@
 	}
 }
 
-// readBody reads the remainder of a batch of so many bytes. Memory is taken as the bytes come, not by the stated
-// length.
+// readBody reads the body of a batch whose total size, with the header, is size bytes. Memory is allocated as bytes
+// arrive and not by the stated size, which may be wrong.
 func readBody(r io.Reader, size uint32) ([]byte, error) {
 	if size < batchHeaderBytes || size > maxBatchBytes {
 		return nil, fmt.Errorf("batch length %d is out of range", size)
@@ -63,10 +63,10 @@
 	return body, nil
 }
 
-// frameBody is an io.Writer that keeps what is written.
+// frameBody is an io.Writer that collects the bytes written to it.
 type frameBody []byte
 
-// Write appends p.
+// Write appends p to the collected bytes. It never fails.
 func (b *frameBody) Write(p []byte) (int, error) {
 	*b = append(*b, p...)
 	return len(p), nil
--- a/internal/simproto/transcript_test.go
+++ b/internal/simproto/transcript_test.go
@@ -14,9 +14,9 @@
 	"spanflow/internal/transcript"
 )
 
-// The frames of a batch as the simulator writes them: little-endian, without gaps.
+// The functions below encode batches as the simulator does, little-endian and without padding.
 
-// fields appends values in their order: numbers as they are wide, text as its bytes.
+// fields encodes values in the given order. Numbers take the size of their type; strings are appended as they are.
 func fields(values ...any) []byte {
 	var b []byte
 	for _, value := range values {
@@ -33,7 +33,7 @@
 	return b
 }
 
-// batch is one input frame at a time in milliseconds.
+// batch returns an input frame. The clock is in milliseconds.
 func batch(clock float64, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	return append(fields(uint32(16+len(body)), uint32(len(records)), clock), body...)
@@ -41,7 +41,8 @@
 
 const instance = uint16(3)
 
-// simulatorSettings asks for the list, holds four messages and has one class for each kind of idempotency.
+// simulatorSettings polls the list of endpoints, allows four messages at once and has one message type for each kind of
+// idempotency.
 const simulatorSettings = `{"Classes":[{"Name":"order","Idempotency":"fragile","Slo":3000,"HardLimit":24000,"Worth":1},
 {"Name":"update","Idempotency":"dedup","Group":"all","Sequential":true,"Slo":3000,"HardLimit":24000,"MemorySpan":15000},
 {"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
@@ -58,7 +59,7 @@
 	return fields(uint8(6), instance, uint64(0x0807060504030201), uint32(len(settings)), settings)
 }
 
-// manifest is a list of endpoints for one destination, each with its status: 0 left, 1 active, 2 leaving.
+// manifest encodes a list of endpoints of one destination with their statuses: 0 left, 1 active, 2 leaving.
 func manifest(number uint16, statuses map[[6]byte]uint8) []byte {
 	b := fields(uint8(7), number, uint32(len(statuses)))
 	for _, address := range [][6]byte{addressA, addressB} {
@@ -73,12 +74,12 @@
 	return fields(uint8(0), instance, uint64(41), scope, list)
 }
 
-func message(id uint32, class uint8, key uint64, leftMs float64) []byte {
-	return fields(uint8(10), instance, id, class, uint16(0), key, leftMs, float64(12), float32(57), uint8(1))
+func message(id uint32, messageType uint8, key uint64, remainingMs float64) []byte {
+	return fields(uint8(10), instance, id, messageType, uint16(0), key, remainingMs, float64(12), float32(57), uint8(1))
 }
 
-func result(id uint32, address [6]byte, over uint8, retryAfterMs uint32, reason uint16, report ...float32) []byte {
-	return append(fields(uint8(1), instance, id, address, over, float64(18.5), retryAfterMs, uint16(0), reason,
+func result(id uint32, address [6]byte, final uint8, retryAfterMs uint32, reason uint16, report ...float32) []byte {
+	return append(fields(uint8(1), instance, id, address, final, float64(18.5), retryAfterMs, uint16(0), reason,
 		uint8(len(report))), fields(report)...)
 }
 
@@ -86,7 +87,8 @@
 
 func withdrawal(id uint32) []byte { return fields(uint8(2), instance, id) }
 
-// records cuts a reply frame into its records, one line of hexadecimal digits each. The text of a log line is masked.
+// records splits a reply frame into its header and its records, one line of hexadecimal digits each. The text of a log
+// record is masked.
 func records(t *testing.T, reply []byte) []string {
 	t.Helper()
 	size := map[byte]int{0: 21, 1: 15, 2: 7, 4: 19, 6: 9, 10: 4}
@@ -102,13 +104,13 @@
 		lines = append(lines, hex.EncodeToString(b[:n]))
 		b = b[n:]
 	}
-	if strings.Contains(strings.Join(lines, "\n"), "LOG") { // the length of the text is in the frame's
+	if strings.Contains(strings.Join(lines, "\n"), "LOG") { // the frame's length depends on the masked text
 		lines[0] = "LENGTH" + lines[0][8:]
 	}
 	return lines
 }
 
-// exchange sends each batch, takes the reply before it sends the next, and adds both to the transcript.
+// exchange sends the batches one after the other, reads the reply to each and adds both to the transcript.
 func exchange(t *testing.T, script *transcript.Transcript, steps []step) {
 	t.Helper()
 	in, toServer := io.Pipe()
@@ -144,7 +146,7 @@
 	frame []byte
 }
 
-func TestFramesToAndFromTheSimulator(t *testing.T) {
+func TestFramesMatchTranscript(t *testing.T) {
 	both := map[[6]byte]uint8{addressA: 1, addressB: 1}
 	var script transcript.Transcript
 	exchange(t, &script, []step{
