--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// replyTimeout limits the wait for a forwarder's answer.
+// replyTimeout is the maximum time to wait for a forwarder's answer.
 const replyTimeout = 10 * time.Second
 
 // Client is a client's connection to a forwarder. It is not safe for concurrent use, except that one goroutine may
@@ -28,7 +28,7 @@
 	return &Client{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// Command encodes a command of RESP2, an array of bulk strings.
+// Command encodes a RESP2 command as an array of bulk strings.
 func Command(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
@@ -38,7 +38,7 @@
 	return b.String()
 }
 
-// Send writes raw as it is and returns the next line of the answer, as ReadReply does.
+// Send writes raw unchanged and returns the next line of the answer like ReadReply.
 func (c *Client) Send(raw string) (string, error) {
 	if _, err := io.WriteString(c, raw); err != nil {
 		return "", err
@@ -46,7 +46,7 @@
 	return c.ReadReply()
 }
 
-// ReadReply returns the next line that the forwarder writes, without its end. It fails if none comes within 10 s.
+// ReadReply returns the next line from the forwarder without its line end. It fails if no line arrives within 10 s.
 func (c *Client) ReadReply() (string, error) {
 	if err := c.SetReadDeadline(time.Now().Add(replyTimeout)); err != nil {
 		return "", err
@@ -55,8 +55,8 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// Put submits a message with MSG.PUT and returns the answer. The options are the command's list of names and values,
-// such as "c=status,d=8000,dest=7".
+// Put submits a message with MSG.PUT and returns the answer. The options are a list of names and values as the command
+// takes it, such as "c=status,d=8000,dest=7".
 func (c *Client) Put(key, id, options, body string) (string, error) {
 	return c.Send(Command("MSG.PUT", key, id, options, body))
 }
--- a/internal/emulator/discovery.go
+++ b/internal/emulator/discovery.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	noticesBuffered = 4096            // notices that a test need not have taken yet
-	watchInterval   = 2 * time.Second // between two empty lines of a watch on which nothing changes
+	noticeCapacity    = 4096            // maximum number of notices that a test has not received yet
+	keepAliveInterval = 2 * time.Second // between the empty lines of a watch without changes
 )
 
-// Notice is a forwarder's report that a message was accepted and not delivered.
+// Notice is a forwarder's report that an accepted message was not delivered.
 type Notice struct {
 	ID      string `json:"id"`
 	State   string `json:"state"`
 	AfterMs int    `json:"after_ms"`
 }
 
-// Entry is one endpoint in discovery's list.
+// Entry is one endpoint in the endpoint list.
 type Entry struct {
 	UID         string `json:"uid"`
 	Endpoint    string `json:"endpoint"`
@@ -29,24 +29,25 @@
 	State       string `json:"state"`
 }
 
-// Discovery serves the list of endpoints and takes notices. Its methods are safe for concurrent use.
+// Discovery is a discovery service that serves the endpoint list and receives notices. Its methods are safe for
+// concurrent use.
 type Discovery struct {
-	Addr     string       // where it listens
-	Notices  chan Notice  // each notice, before it is answered
-	OnNotice func(Notice) // if not nil, called with each notice before it goes into Notices; set before the first one
+	Addr     string       // listen address
+	Notices  chan Notice  // receives each notice before it is answered
+	OnNotice func(Notice) // if not nil, called with each notice before Notices receives it; set before the first notice
 
-	mu           sync.Mutex
-	revision     int
-	entries      []Entry
-	changed      chan struct{} // closed at the next change of the list
-	unresponsive bool
-	listDown     bool
+	mu              sync.Mutex
+	revision        int
+	entries         []Entry
+	changed         chan struct{} // closed at the next change of the list or of its availability
+	unresponsive    bool
+	listUnavailable bool
 }
 
-// NewDiscovery listens at addr, or at a free port of loopback if addr is empty, until the program ends.
+// NewDiscovery listens on addr until the program ends. An empty addr means a free loopback port.
 func NewDiscovery(addr string, entries ...Entry) (*Discovery, error) {
 	d := &Discovery{
-		Notices:  make(chan Notice, noticesBuffered),
+		Notices:  make(chan Notice, noticeCapacity),
 		revision: 1,
 		entries:  entries,
 		changed:  make(chan struct{}),
@@ -59,7 +60,7 @@
 	return d, err
 }
 
-// Set changes the entry with the same UID, or adds it. It becomes the last one of the list.
+// Set adds an entry or replaces the one with the same UID. The entry becomes the last one of the list.
 func (d *Discovery) Set(e Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -75,37 +76,37 @@
 	d.changed = make(chan struct{})
 }
 
-// SetUnresponsive makes discovery end a notice's connection without an answer, or answer notices again.
+// SetUnresponsive with true makes discovery close the connection of each notice without an answer; with false it
+// answers notices again.
 func (d *Discovery) SetUnresponsive(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.unresponsive = on
 }
 
-// SetListUnavailable makes discovery end each request for the list without an answer, open watches too, or answer
-// again.
+// SetListUnavailable with true makes discovery close the connection of each request for the list, including open
+// watches, without an answer; with false it answers again.
 func (d *Discovery) SetListUnavailable(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.listDown = on
+	d.listUnavailable = on
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// isListDown reports whether the list is unavailable.
-func (d *Discovery) isListDown() bool {
+func (d *Discovery) isListUnavailable() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.listDown
+	return d.listUnavailable
 }
 
-// Known returns the whole list as JSON, in the form in which a forwarder's configuration holds the last known one.
+// Known returns the full list as JSON, in the format of the last known list in a forwarder's configuration.
 func (d *Discovery) Known() []byte {
 	list, _ := d.snapshot()
 	return list
 }
 
-// snapshot returns the whole list as JSON and a channel that is closed when it changes.
+// snapshot returns the full list as JSON and a channel that is closed at the next change.
 func (d *Discovery) snapshot() ([]byte, chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,7 +114,7 @@
 	return list, d.changed
 }
 
-// serveEndpoints answers with the list. On a watch it writes the whole list again at each change.
+// serveEndpoints answers with the full list. For a watch it writes the full list again at each change.
 func (d *Discovery) serveEndpoints(w http.ResponseWriter, r *http.Request) {
 	list, changed := d.snapshot()
 	if r.FormValue("stream") == "" {
@@ -121,7 +122,7 @@
 		return
 	}
 	for {
-		if d.isListDown() {
+		if d.isListUnavailable() {
 			panic(http.ErrAbortHandler) // ends the connection without an answer
 		}
 		_, _ = w.Write(append(list, '\n'))
@@ -131,13 +132,13 @@
 			return
 		case <-changed:
 			list, changed = d.snapshot()
-		case <-time.After(watchInterval):
+		case <-time.After(keepAliveInterval):
 			list = nil
 		}
 	}
 }
 
-// serveNotices takes one notice a line.
+// serveNotices receives notices, one per line.
 func (d *Discovery) serveNotices(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	unresponsive := d.unresponsive
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package emulator emulates the peers of a forwarder as the protocol's description has them: the discovery service,
-// endpoints and clients. It also starts the programs under test. Tests, the laboratory and the example use it;
-// the forwarder does not.
+// Package emulator emulates the peers of a forwarder according to the protocol description: the discovery service,
+// endpoints and clients. It also starts the programs under test. It is used by tests, the laboratory and the example,
+// not by the forwarder.
 package emulator
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// patience limits how long a test waits for an event before it fails. It is no bound on how fast a program has to be.
-const patience = 15 * time.Second
+// eventTimeout is how long a test waits for an event before it fails. It is not a requirement on a program's speed.
+const eventTimeout = 15 * time.Second
 
-// Test is the part of *testing.T that a wait needs.
+// Test is the part of *testing.T that waiting functions need.
 type Test interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-// serve answers HTTP/1.1 at addr, or at a free port of loopback if addr is empty, until the program ends. It returns
-// the address.
+// serve starts an HTTP/1.1 server on addr that runs until the program ends, and returns its address. An empty addr
+// means a free loopback port.
 func serve(addr string, handler http.Handler) (string, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	batchPath     = "/hook/batch"
-	callsBuffered = 4096 // calls that a test need not have taken yet
+	batchPath    = "/hook/batch"
+	callCapacity = 4096 // maximum number of calls that a test has not received yet
 )
 
-// Call is a request as an endpoint received it.
+// Call is a request that an endpoint received.
 type Call struct {
-	Endpoint       string   // address that it came to
+	Endpoint       string   // address of the endpoint
 	ID             string   // id of the first message
 	IDs            []string // ids of all messages
 	IdempotencyKey string
@@ -24,43 +24,43 @@
 	Path           string
 }
 
-// Reply is what an endpoint does with a call. The zero value answers 200.
+// Reply describes how an endpoint answers a call. The zero value answers 200.
 type Reply struct {
-	Status int // of HTTP; 0 stands for 200
+	Status int // HTTP status; 0 means 200
 	Fields map[string]string
-	Body   string        // if empty, a call with several messages is answered "ok" for each
-	Break  bool          // end the connection without an answer
-	Hold   chan struct{} // answer once this is closed, or never if the connection ends before
-	Ended  func()        // if not nil, called if the connection ends before that
-	Raw    string        // if not empty, sent in place of an answer; the connection stays open
+	Body   string        // if empty, the answer to a call with several messages has "ok" for each
+	Break  bool          // close the connection without an answer
+	Hold   chan struct{} // answer once this is closed, or not at all if the connection ends first
+	Ended  func()        // if not nil, called if the connection ends while on Hold, or after Raw
+	Raw    string        // if not empty, sent instead of an answer; the connection stays open
 }
 
 // Endpoint serves calls. It is safe for concurrent use.
 type Endpoint struct {
-	Addr  string    // where it listens
-	Calls chan Call // each call, once its reply is decided and before it is sent
+	Addr  string    // listen address
+	Calls chan Call // receives each call after its reply is decided and before the reply is sent
 
 	mu    sync.Mutex
 	reply func(Call) Reply
 }
 
-// NewEndpoint listens at addr, or at a free port of loopback if addr is empty, until the program ends. The function
-// reply decides on each call and may be called concurrently; nil answers 200 to all.
+// NewEndpoint listens on addr until the program ends. An empty addr means a free loopback port. The function reply
+// decides how to answer each call and may be called concurrently; nil answers all calls with 200.
 func NewEndpoint(addr string, reply func(Call) Reply) (*Endpoint, error) {
-	e := &Endpoint{Calls: make(chan Call, callsBuffered), reply: reply}
+	e := &Endpoint{Calls: make(chan Call, callCapacity), reply: reply}
 	var err error
 	e.Addr, err = serve(addr, e)
 	return e, err
 }
 
-// Do replaces the reply function that NewEndpoint was given.
+// Do replaces the reply function of NewEndpoint; nil answers all calls with 200.
 func (e *Endpoint) Do(reply func(Call) Reply) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.reply = reply
 }
 
-// ServeHTTP handles one call.
+// ServeHTTP handles one call. Calls with several messages have a separate path and carry the ids in the body.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -100,7 +100,7 @@
 	reply.write(w, call)
 }
 
-// decide asks the present function for the reply to a call.
+// decide returns the current reply function's reply to a call.
 func (e *Endpoint) decide(call Call) Reply {
 	e.mu.Lock()
 	reply := e.reply
@@ -111,7 +111,8 @@
 	return reply(call)
 }
 
-// batchIDs returns the ids of the messages in the body of a call with several, nil if the body cannot be read.
+// batchIDs returns the ids of the messages in the body of a call with several messages, or nil if the body is
+// malformed.
 func batchIDs(body []byte) (ids []string) {
 	var messages []struct{ ID string }
 	if json.Unmarshal(body, &messages) != nil {
@@ -123,7 +124,7 @@
 	return ids
 }
 
-// write sends a reply, or ends the connection without one.
+// write sends a reply, or closes the connection without one.
 func (r Reply) write(w http.ResponseWriter, call Call) {
 	if r.Break {
 		panic(http.ErrAbortHandler)
@@ -141,7 +142,7 @@
 	_, _ = io.WriteString(w, body) // the forwarder may have closed the connection
 }
 
-// writeRaw sends the reply's bytes and waits for the end of the connection.
+// writeRaw sends the bytes of Raw and waits until the forwarder closes the connection.
 func (r Reply) writeRaw(w http.ResponseWriter) {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -155,7 +156,7 @@
 	}
 }
 
-// allDelivered returns the body of an answer with the state "ok" for each message.
+// allDelivered returns the body of an answer that has the state "ok" for each message.
 func allDelivered(ids []string) string {
 	var states []string
 	for _, id := range ids {
--- a/internal/emulator/log.go
+++ b/internal/emulator/log.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// countTimeout limits the wait for a further line of a kind that was logged before.
+// countTimeout is the maximum time to wait for another occurrence of a text.
 const countTimeout = 10 * time.Second
 
-// Log takes a program's log lines as an io.Writer and lets a test wait for one. It is safe for concurrent use, but only
-// one goroutine at a time may wait.
+// Log is an io.Writer that collects a program's log lines and lets a test wait for a text in them. It is safe for
+// concurrent use, but only one goroutine at a time may wait.
 type Log struct {
 	mu      sync.Mutex
 	text    strings.Builder
-	written chan struct{} // has an item if something was written since the last wait
+	written chan struct{} // has an item if there were writes since the last wait
 }
 
 // NewLog returns an empty log.
@@ -31,27 +31,27 @@
 	return l.text.Write(p)
 }
 
-// String returns all that was written.
+// String returns the whole log.
 func (l *Log) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// Has reports whether text was written.
+// Has reports whether the log contains text.
 func (l *Log) Has(text string) bool { return strings.Contains(l.String(), text) }
 
-// Count returns how often text was written.
+// Count returns the number of occurrences of text in the log.
 func (l *Log) Count(text string) int { return strings.Count(l.String(), text) }
 
-// Await waits until text was written and returns the whole log. It ends the test if text does not come within 15 s.
+// Await waits until the log contains text and returns the whole log. It fails the test after 15 s.
 func (l *Log) Await(t Test, text string) string {
 	t.Helper()
-	return l.await(t, text, 1, patience)
+	return l.await(t, text, 1, eventTimeout)
 }
 
-// AwaitCount waits until text was written count times and returns the whole log. It ends the test if that takes more
-// than 10 s.
+// AwaitCount waits until the log contains text at least count times and returns the whole log. It fails the test after
+// 10 s.
 func (l *Log) AwaitCount(t Test, text string, count int) string {
 	t.Helper()
 	return l.await(t, text, count, countTimeout)
@@ -64,7 +64,7 @@
 		select {
 		case <-l.written:
 		case <-expired:
-			t.Fatalf("%d times %q in the log, want %d:\n%s", l.Count(text), text, count, l)
+			t.Fatalf("%d occurrences of %q in the log, want %d:\n%s", l.Count(text), text, count, l)
 		}
 	}
 	return l.String()
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// ReadyLine is a part of the log line that a forwarder writes once it serves.
+// ReadyLine is a part of the log line that a forwarder writes when it is ready to serve clients.
 const ReadyLine = `"message":"ready"`
 
 // CleanupTest is the part of *testing.T that a started program needs.
@@ -19,8 +19,8 @@
 	Cleanup(func())
 }
 
-// BuildPrograms builds programs into a new temporary folder and returns the folder, which the caller removes. The
-// arguments are those of "go build" beside -o.
+// BuildPrograms builds programs into a new temporary folder and returns the folder, which the caller has to remove. The
+// arguments are passed to "go build" in addition to -o.
 func BuildPrograms(arguments ...string) (string, error) {
 	folder, err := os.MkdirTemp("", "spanflow")
 	if err != nil {
@@ -36,15 +36,15 @@
 
 // Process is a program that a test has started. Its methods are safe for concurrent use.
 type Process struct {
-	Log *Log // what it wrote to standard error
+	Log *Log // the program's standard error
 
 	process *os.Process
 	ended   chan struct{} // closed when the program has ended
-	err     error         // of its end; valid once ended is closed
+	err     error         // result of Wait; valid once ended is closed
 }
 
-// StartProcess starts a command, which may not be used any more by the caller, and kills it at the end of the test. It
-// ends the test if the command cannot be started.
+// StartProcess starts a command and kills the process at the end of the test. The caller must not use the command any
+// more. StartProcess fails the test if the command cannot be started.
 func StartProcess(t CleanupTest, command *exec.Cmd) *Process {
 	t.Helper()
 	p := &Process{Log: NewLog(), ended: make(chan struct{})}
@@ -64,10 +64,10 @@
 // Pid returns the id of the process.
 func (p *Process) Pid() int { return p.process.Pid }
 
-// Signal sends a signal.
+// Signal sends a signal to the process and does not wait for its effect.
 func (p *Process) Signal(signal syscall.Signal) error { return p.process.Signal(signal) }
 
-// Kill sends SIGKILL and waits for the end.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Process) Kill() {
 	_ = p.process.Kill()
 	<-p.ended
@@ -76,13 +76,13 @@
 // Ended returns a channel that is closed when the program has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Wait waits for the end. The error is nil if the program ended by itself with status 0.
+// Wait waits until the program has ended. The error is nil if it exited with status 0.
 func (p *Process) Wait() error {
 	<-p.ended
 	return p.err
 }
 
-// AwaitReady waits until a forwarder serves and returns the address of its first frontend.
+// AwaitReady waits until a forwarder is ready and returns the address of its first frontend.
 func (p *Process) AwaitReady(t Test) string {
 	t.Helper()
 	_, text, _ := strings.Cut(p.Log.Await(t, ReadyLine), `"listen":"`)
@@ -90,7 +90,7 @@
 	return address
 }
 
-// Reload sends SIGHUP and waits until text is in one more log line than before.
+// Reload sends SIGHUP and waits until the log contains text once more than before.
 func (p *Process) Reload(t Test, text string) {
 	t.Helper()
 	before := p.Log.Count(text)
@@ -100,15 +100,15 @@
 	p.Log.AwaitCount(t, text, before+1)
 }
 
-// addresses counts the addresses that FreeAddress has given.
-var addresses atomic.Int32
+// addressCount is the number of addresses that FreeAddress has returned.
+var addressCount atomic.Int32
 
-// FreeAddress returns an address of loopback at which nobody listens. It has a host of its own, so that neither another
-// test's listener nor an outgoing connection takes its port meanwhile.
+// FreeAddress returns a loopback address with a free port. Its IP address is derived from the pid and the number of
+// calls, so that neither another test's listener nor an outgoing connection takes the port in the meantime.
 func FreeAddress(t Test) string {
 	t.Helper()
 	pid := os.Getpid()
-	host := fmt.Sprintf("127.%d.%d.%d", 100+pid>>8&63, pid&255, 1+addresses.Add(1)%250)
+	host := fmt.Sprintf("127.%d.%d.%d", 100+pid>>8&63, pid&255, 1+addressCount.Add(1)%250)
 	listener, err := net.Listen("tcp4", host+":0")
 	if err != nil {
 		t.Fatalf("%v", err)
--- a/internal/emulator/slowfile.go
+++ b/internal/emulator/slowfile.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// SlowFile is a file that a program waits for until the test lets it go on: a FIFO in the place of a file that the
-// program reads.
+// SlowFile is a FIFO that replaces a file, so that a program that reads the file is blocked until the test provides the
+// content.
 type SlowFile struct {
 	t    CleanupTest
 	path string
 }
 
-// NewSlowFile makes a slow file. It ends the test if there is a file of that name.
+// NewSlowFile creates the FIFO. It fails the test if a file with that path exists.
 func NewSlowFile(t CleanupTest, path string) *SlowFile {
 	t.Helper()
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
@@ -23,19 +23,20 @@
 	return &SlowFile{t, path}
 }
 
-// AwaitReader waits until a program reads the file. The program waits until the result is given to Finish, or closed.
+// AwaitReader waits until a program opens the file for reading. The program is blocked until the caller passes the
+// result to Finish or closes it.
 func (f *SlowFile) AwaitReader() *os.File {
 	f.t.Helper()
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(eventTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if writer := f.Reader(); writer != nil {
 			return writer
 		}
 	}
-	f.t.Fatalf("nobody reads %s", f.path)
+	f.t.Fatalf("no program has opened %s for reading", f.path)
 	return nil
 }
 
-// Reader returns what AwaitReader does if a program reads the file now, else nil.
+// Reader is like AwaitReader, but returns nil at once if no program has the file open for reading.
 func (f *SlowFile) Reader() *os.File {
 	writer, err := os.OpenFile(f.path, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 	if errors.Is(err, syscall.ENXIO) {
@@ -47,7 +48,7 @@
 	return writer
 }
 
-// Finish writes the file's content for its reader, unless that has just closed the file.
+// Finish writes the content for the reader and closes the file. A reader that has already closed it is not an error.
 func (f *SlowFile) Finish(writer *os.File, content string) {
 	f.t.Helper()
 	_, err := writer.WriteString(content)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
-// Package golden compares the files that a test writes with those in its package's testdata, byte for byte. Only
-// tests import it. The files in testdata show a format as it is on operators' disks; they are written anew by
-// `go test -update`, which is right only together with a new version of the format.
+// Package golden compares the files that a test writes with those in its package's testdata folder, byte for byte. Only
+// tests import it. The files in testdata have the formats that are stored on operators' disks. Rewrite them with
+// `go test -update` only together with a new version of the format.
 package golden
 
 import (
@@ -13,10 +13,10 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the files in testdata anew")
+var update = flag.Bool("update", false, "rewrite the files in testdata")
 
-// Updating reports whether the test runs with -update: then files in testdata are written in place of being compared.
-// All packages that compare with files use it, as a test binary can define a flag only once.
+// Updating reports whether the test runs with -update, which writes the files in testdata instead of comparing them.
+// All packages that compare with files use this function, as a test binary can define a flag only once.
 func Updating() bool { return *update }
 
 const (
@@ -24,8 +24,8 @@
 	filePerm = 0o644
 )
 
-// Copy copies the folder testdata/name, with its subfolders, to a temporary folder of the test and returns its path.
-// It ends the test if it cannot.
+// Copy copies the folder testdata/name with its subfolders to a temporary folder of the test and returns the copy's
+// path. It fails the test if the folder cannot be copied.
 func Copy(t testing.TB, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -35,9 +35,9 @@
 	return dir
 }
 
-// Compare fails the test unless dir holds the same files as testdata/name, with the same bytes. Subfolders are compared
-// too. Files whose base name is in ignored are left out, such as locks with the id of a process. With -update it writes
-// testdata/name instead.
+// Compare fails the test unless dir and testdata/name, with their subfolders, contain the same files with the same
+// bytes. It ignores files in dir whose base name is in ignored, such as lock files with a process id. With -update it
+// replaces testdata/name instead.
 func Compare(t testing.TB, dir, name string, ignored ...string) {
 	t.Helper()
 	want := filepath.Join("testdata", name)
@@ -58,7 +58,7 @@
 	}
 }
 
-// readFiles reads all regular files under dir, by their paths within it.
+// readFiles returns the contents of all regular files under dir by their path relative to dir.
 func readFiles(t testing.TB, dir string, ignored []string) map[string][]byte {
 	t.Helper()
 	files := map[string][]byte{}
@@ -79,7 +79,7 @@
 	return files
 }
 
-// replaceFiles makes dir hold these files and no others.
+// replaceFiles replaces the contents of dir with the given files.
 func replaceFiles(t testing.TB, dir string, files map[string][]byte) {
 	t.Helper()
 	if err := os.RemoveAll(dir); err != nil {
@@ -98,7 +98,7 @@
 
 func sortedNames(files map[string][]byte) []string { return slices.Sorted(maps.Keys(files)) }
 
-// firstDifference returns the offset of the first byte that differs, -1 if there is none.
+// firstDifference returns the offset of the first byte that differs, or -1 if there is none.
 func firstDifference(a, b []byte) int {
 	if bytes.Equal(a, b) {
 		return -1
--- a/internal/peertest/peertest.go
+++ b/internal/peertest/peertest.go
@@ -1,4 +1,5 @@
-// Package peertest lets a test be the other end of a client's connections, and its clock. Only tests import it.
+// Package peertest lets a test act as the peer of a client's connections and control the client's timers. Only tests
+// import it.
 package peertest
 
 import (
@@ -9,36 +10,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Patience limits waits that would otherwise hang; no test measures against it.
-const Patience = 15 * time.Second
+// Timeout limits waits that would otherwise block forever. Tests do not use it to check how fast something is.
+const Timeout = 15 * time.Second
 
-// Next waits for the next value.
+// Next waits for the next value from a channel. It fails the test after Timeout.
 func Next[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case got := <-from:
 		return got
-	case <-time.After(Patience):
-		require.FailNow(t, "nothing came")
+	case <-time.After(Timeout):
+		require.FailNow(t, "timed out waiting for the next value")
 		panic("unreachable")
 	}
 }
 
-// Timer is a timer that fires when the test calls Fire, and at no time of its own.
+// Timer is a timer that fires only when the test calls Fire.
 type Timer struct {
 	Wait time.Duration
 	Fire func()
 }
 
-const maxTimers = 99 // started and not yet taken by the test
+const maxTimers = 99 // maximum number of started timers that the test has not received yet
 
-// Timers are the timers that a client started, in their order.
+// Timers collects the timers that a client starts, in the order in which they are started.
 type Timers struct{ started chan Timer }
 
-// NewTimers returns an empty Timers.
+// NewTimers returns Timers without any started timer.
 func NewTimers() *Timers { return &Timers{make(chan Timer, maxTimers)} }
 
-// AfterFunc takes the place of time.AfterFunc.
+// AfterFunc replaces time.AfterFunc. The timer that it returns never fires.
 func (s *Timers) AfterFunc(wait time.Duration, fire func()) *time.Timer {
 	s.started <- Timer{wait, fire}
 	unused := time.NewTimer(time.Hour)
@@ -46,23 +47,23 @@
 	return unused
 }
 
-// Next waits for the next timer to be started.
+// Next waits until the client starts the next timer.
 func (s *Timers) Next(t *testing.T) Timer {
 	t.Helper()
 	return Next(t, s.started)
 }
 
-// Peer accepts connections. It holds all of them until the test is over: one that a test lets go of would be closed by
-// the garbage collector, and the client would see its end in place of silence.
+// Peer accepts connections and references all of them until the end of the test. The garbage collector would close an
+// unreferenced connection, and the client would see the close instead of a silent peer.
 type Peer struct {
 	Addr     string
 	listener *net.TCPListener
 	accepted []net.Conn
 }
 
-const maxRequest = 4000 // bytes
+const maxRequest = 4000 // bytes returned by one Read
 
-// NewPeer listens at a free port of an address until the test is over.
+// NewPeer listens on a free port of host until the end of the test.
 func NewPeer(t *testing.T, host string) *Peer {
 	t.Helper()
 	l, err := net.Listen("tcp", host+":0")
@@ -80,14 +81,14 @@
 // Accept waits for the next connection and returns it with the first bytes of its request.
 func (p *Peer) Accept(t *testing.T) (conn net.Conn, request string) {
 	t.Helper()
-	require.NoError(t, p.listener.SetDeadline(time.Now().Add(Patience)))
+	require.NoError(t, p.listener.SetDeadline(time.Now().Add(Timeout)))
 	conn, err := p.listener.Accept()
 	require.NoError(t, err)
 	p.accepted = append(p.accepted, conn)
 	return conn, Read(t, conn)
 }
 
-// Read returns the bytes that come next on a connection.
+// Read returns the next bytes that arrive on a connection, at most 4,000.
 func Read(t *testing.T, conn net.Conn) string {
 	t.Helper()
 	b := make([]byte, maxRequest)
--- a/internal/transcript/server.go
+++ b/internal/transcript/server.go
@@ -12,39 +12,40 @@
 	"time"
 )
 
-// patience limits how long a test waits for an event before it fails.
-const patience = 15 * time.Second
+// eventTimeout is how long a test waits for an event before it fails.
+const eventTimeout = 15 * time.Second
 
 const (
-	buffered        = 99 // requests and ended connections that a test need not have taken yet
+	channelCapacity = 99 // maximum number of requests, or of ended connections, that a test has not received yet
 	firstConnection = 1
 )
 
-// Server is an HTTP/1.1 server that keeps each request byte for byte as it came and answers only when the test calls
+// Server is an HTTP/1.1 server that records the exact bytes of each request and answers only when the test calls
 // Answer.
 type Server struct {
-	Addr     string // where it listens
+	Addr     string // listen address
 	tb       testing.TB
 	requests chan *Request
-	ended    chan int // numbers of the connections that the other side has ended
+	ended    chan int // numbers of the connections that the peer has closed
 }
 
-// Request is one request as it came.
+// Request is one request with its exact bytes.
 type Request struct {
-	Connection int    // its number, from 1 in the order in which connections came
+	Connection int    // number of the connection, counted from 1 in the order of acceptance
 	Raw        []byte // head and body
 	conn       net.Conn
 }
 
-// NewServer listens at a free port of host, a loopback address, until the test ends. It ends the test if it cannot.
+// NewServer listens on a free port of host, a loopback address, until the test ends. It fails the test if it cannot
+// listen.
 func NewServer(tb testing.TB, host string) *Server {
 	tb.Helper()
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
 		tb.Fatal(err)
 	}
-	s := &Server{Addr: listener.Addr().String(), tb: tb, requests: make(chan *Request, buffered),
-		ended: make(chan int, buffered)}
+	s := &Server{Addr: listener.Addr().String(), tb: tb, requests: make(chan *Request, channelCapacity),
+		ended: make(chan int, channelCapacity)}
 	tb.Cleanup(func() { listener.Close() })
 	go func() {
 		for connection := firstConnection; ; connection++ {
@@ -63,7 +64,7 @@
 func (s *Server) read(connection int, conn net.Conn) {
 	for {
 		var raw bytes.Buffer
-		err := readRequest(bufio.NewReader(io.TeeReader(oneByte{conn}, &raw)))
+		err := readRequest(bufio.NewReader(io.TeeReader(oneByteReader{conn}, &raw)))
 		if err != nil {
 			s.ended <- connection
 			return
@@ -72,13 +73,13 @@
 	}
 }
 
-// oneByte reads one byte at a time, so that a buffered reader on it never holds a part of the next request.
-type oneByte struct{ io.Reader }
+// oneByteReader reads one byte at a time, so that a buffered reader on top of it never reads bytes of the next request.
+type oneByteReader struct{ io.Reader }
 
-// Read reads at most one byte.
-func (r oneByte) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
+// Read reads one byte, or none if b is empty.
+func (r oneByteReader) Read(b []byte) (int, error) { return r.Reader.Read(b[:min(1, len(b))]) }
 
-// readRequest reads one request, whose body is as long as Content-Length says.
+// readRequest reads one request with a body of the length given by Content-Length.
 func readRequest(r *bufio.Reader) error {
 	text := textproto.NewReader(r)
 	if _, err := text.ReadLine(); err != nil {
@@ -93,14 +94,14 @@
 	return err
 }
 
-// Next waits for the next request on any connection. It ends the test if none comes within 15 s.
+// Next waits for the next request on any connection. It fails the test if none arrives within 15 s.
 func (s *Server) Next() *Request {
 	s.tb.Helper()
 	return await(s.tb, s.requests, "request")
 }
 
-// Ended waits for the next end of a connection and returns its number. It ends the test if none comes within 15 s. Ends
-// and the requests on other connections have no order among them.
+// Ended waits until the peer closes a connection and returns the connection's number. It fails the test if none is
+// closed within 15 s. The order relative to requests on other connections is undefined.
 func (s *Server) Ended() int {
 	s.tb.Helper()
 	return await(s.tb, s.ended, "end of a connection")
@@ -111,16 +112,16 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
-		tb.Fatalf("no %s came", what)
+	case <-time.After(eventTimeout):
+		tb.Fatalf("timed out waiting for the next %s", what)
 		panic("unreachable")
 	}
 }
 
-// Answer writes raw as it is on the connection by which the request came.
+// Answer writes raw unchanged to the connection of the request.
 func (r *Request) Answer(raw string) {
-	_, _ = io.WriteString(r.conn, raw) // that the peer has closed the connection shows in Ended
+	_, _ = io.WriteString(r.conn, raw) // Server.Ended reports a connection closed by the peer
 }
 
-// Close closes the connection by which the request came.
+// Close closes the connection of the request.
 func (r *Request) Close() { r.conn.Close() }
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -1,7 +1,8 @@
-// Package transcript records the bytes on a wire in tests and compares them with a file of the package's testdata.
+// Package transcript records the bytes sent over connections in tests and compares them with files in the testdata
+// folder of the package under test.
 //
-// Run the tests of a package with -update to write its files anew. The files are part of what is tested: a change of
-// one is a change of bytes on a wire.
+// Run the tests of a package with -update to rewrite its files. A changed file means that the bytes of a protocol have
+// changed.
 package transcript
 
 import (
@@ -16,33 +17,33 @@
 	"spanflow/internal/golden"
 )
 
-// Transcript holds what went over a wire, in order. It is not safe for concurrent use.
+// Transcript contains the bytes sent over a connection, in order, and notes. It is not safe for concurrent use.
 type Transcript struct {
 	text  strings.Builder
 	masks []mask
 }
 
 type mask struct {
-	pattern *regexp.Regexp
-	with    string
+	pattern     *regexp.Regexp
+	replacement string
 }
 
-// Mask has whatever matches pattern replaced by with, in everything that is added from then on. It is for values
-// that differ from run to run: ports, times.
-func (t *Transcript) Mask(pattern, with string) {
-	t.masks = append(t.masks, mask{regexp.MustCompile(pattern), with})
+// Mask replaces all matches of pattern in the bytes added later. It is for values that differ between runs, such as
+// ports and times.
+func (t *Transcript) Mask(pattern, replacement string) {
+	t.masks = append(t.masks, mask{regexp.MustCompile(pattern), replacement})
 }
 
-// Note adds a line that says what happens next.
+// Note adds a comment line that describes the next step.
 func (t *Transcript) Note(format string, args ...any) {
 	fmt.Fprintf(&t.text, "# "+format+"\n", args...)
 }
 
-// Bytes adds bytes, one quoted line for each line of theirs, after the name of their sender.
+// Bytes adds one quoted line for each line of b, preceded by the name of the sender.
 func (t *Transcript) Bytes(sender string, b []byte) {
 	text := string(b)
 	for _, m := range t.masks {
-		text = m.pattern.ReplaceAllString(text, m.with)
+		text = m.pattern.ReplaceAllString(text, m.replacement)
 	}
 	if text == "" {
 		fmt.Fprintf(&t.text, "%s: %q\n", sender, text)
@@ -52,13 +53,13 @@
 	}
 }
 
-// Line adds a line as it is, after the name of its sender.
+// Line adds a line unchanged, preceded by the name of the sender.
 func (t *Transcript) Line(sender, line string) {
 	fmt.Fprintf(&t.text, "%s: %s\n", sender, line)
 }
 
-// Compare ends the test if the transcript differs from testdata/name by as much as a byte. With -update it writes that
-// file instead.
+// Compare fails the test if the transcript differs from testdata/name in any byte. With -update it writes the file
+// instead.
 func (t *Transcript) Compare(tb testing.TB, name string) {
 	tb.Helper()
 	path := filepath.Join("testdata", name)
@@ -94,7 +95,7 @@
 	return "(nothing)"
 }
 
-// Command encodes a command of RESP2, an array of bulk strings.
+// Command encodes a RESP2 command as an array of bulk strings.
 func Command(args ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "*%d\r\n", len(args))
