--- a/internal/statefile/endpoint_states.go
+++ b/internal/statefile/endpoint_states.go
@@ -42,8 +42,8 @@
 	return &EndpointStates{Listed: map[string]string{}, Health: map[string]Health{}}
 }
 
-// Write replaces the file of endpoint states in dir. Endpoints beyond the maximum of 16,384 are left out, in no
-// particular order.
+// Write replaces the file of endpoint states in dir. The file has at most 16,384 states, listed states first; others
+// are left out.
 func (s *EndpointStates) Write(dir string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%d\n", endpointStatesHeader, s.Revision)
--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// hasSpace reports whether an entry may be recorded and replace one of the given size in bytes.
+// hasSpace reports whether an entry fits in the log if it replaces one of the given size in bytes, 0 if none.
 func (l *Log) hasSpace(e *Entry, replaced int) bool {
 	size := e.Size()
 	return l.pending-replaced+size <= l.Capacity() && size <= maxPayload && len(e.Frontend) <= maxFrontendName
@@ -77,7 +77,7 @@
 	return l.append(append(b, 0))
 }
 
-// RecordAnswer records the final answer before the client gets it. The unit of retryAfter is milliseconds. It does
+// RecordAnswer records the final answer before it is sent. The unit of retryAfter is milliseconds. RecordAnswer does
 // nothing for a message that is not pending.
 func (l *Log) RecordAnswer(seq uint64, answer Answer, retryAfter int) error {
 	e := l.entries[seq]
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -20,7 +20,7 @@
 	kindAttempt                      // an attempt is about to start
 	kindAttemptEnd                   // an attempt has ended and the message is not done
 	kindDone                         // the message is done
-	kindAnswer                       // the client is about to get the final answer
+	kindAnswer                       // the final answer is about to be sent
 	kindEntryWithFrontend            // as kindEntry, preceded by the frontend that accepted the message
 )
 
