--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -39,7 +39,7 @@
 // The reasons in a DamagedRecord, as commands print them.
 const (
 	reasonChecksum    = "a record fails its checksum"
-	reasonNoRecord    = "no valid record follows"
+	reasonNoRecord    = "not a valid record"
 	reasonTorn        = "a torn end"
 	reasonMalformed   = "a malformed record"
 	reasonUnknownKind = "a record of unknown kind %d"
