--- a/internal/wal/entry.go
+++ b/internal/wal/entry.go
@@ -1,46 +1,46 @@
 package wal
 
 const (
-	entryOverhead   = 104 // bytes that a message takes beside its body, idempotency key, id and type
+	entryOverhead   = 104 // bytes that an entry takes in addition to body, idempotency key, id and type
 	maxFrontendName = 64  // bytes
 )
 
-// Entry is a message that the forwarder has accepted and not finished. Times are in microseconds of the wall
-// clock, 0 for none.
+// Entry is a message that the forwarder has accepted and not finished. Times are in microseconds of the wall clock; 0
+// means none.
 type Entry struct {
-	Seq            uint64 // number in the order of acceptance
-	Key            uint64
-	Destination    uint64
-	Tenant         int
-	Type           string
-	ID             string
-	IdempotencyKey string
-	Expiry         int64
-	Attempts       int   // that have begun
-	FirstRanAt     int64 // begin of the first attempt that may have run
-	FirstRanZone   int
-	AttemptBegan   int64 // begin of the attempt in flight
-	AttemptZone    int
-	Answer         Answer
-	RetryAfter     int // with Rejected: milliseconds until the client may submit it again
-	Body           []byte
-	Frontend       string // by which it came; empty for the platform's own
-	CallerWaits    bool   // its caller waited for the final answer
+	Seq              uint64 // sequence number in the order of acceptance
+	Key              uint64
+	Destination      uint64
+	Tenant           int
+	Type             string
+	ID               string
+	IdempotencyKey   string
+	Expiry           int64
+	Attempts         int   // number of attempts started
+	FirstRanAt       int64 // start of the first attempt that may have run
+	FirstRanZone     int
+	AttemptStartedAt int64 // start of the attempt in flight
+	AttemptZone      int
+	Answer           Answer
+	RetryAfter       int // for Rejected: milliseconds until the client may submit the message again
+	Body             []byte
+	Frontend         string // name of the frontend that accepted it; empty for the platform's own
+	CallerWaits      bool   // the caller waits for the final answer
 
-	segment int // number of the segment with its record
+	segment int // number of the segment with the latest record
 }
 
 // Answer is the final answer of a message that is not delivered.
 type Answer uint8
 
-// The final answers, as they are recorded.
+// The final answers. Records contain these values.
 const (
-	NoAnswer Answer = iota // none is decided
+	NoAnswer Answer = iota // no final answer yet
 	Rejected
 	Failed
 )
 
-// Size is how many bytes of the log's capacity an entry takes.
+// Size is the number of bytes of the log's capacity that an entry takes.
 func (e *Entry) Size() int {
 	size := len(e.Body) + len(e.IdempotencyKey) + len(e.ID) + len(e.Type) + entryOverhead
 	if e.namesFrontend() {
@@ -49,22 +49,22 @@
 	return size
 }
 
-// namesFrontend reports whether an entry's record names the frontend by which it came.
+// namesFrontend reports whether an entry's record contains the frontend that accepted the message.
 func (e *Entry) namesFrontend() bool { return e.Frontend != "" || e.CallerWaits }
 
-func (e *Entry) attemptBegan(at int64, zone int) {
+func (e *Entry) attemptStarted(at int64, zone int) {
 	e.Attempts++
-	e.AttemptBegan, e.AttemptZone = at, zone
+	e.AttemptStartedAt, e.AttemptZone = at, zone
 }
 
 func (e *Entry) attemptEnded(ran bool) {
 	if ran && e.FirstRanAt == 0 {
-		e.FirstRanAt, e.FirstRanZone = e.AttemptBegan, e.AttemptZone
+		e.FirstRanAt, e.FirstRanZone = e.AttemptStartedAt, e.AttemptZone
 	}
-	e.AttemptBegan, e.AttemptZone = 0, 0
+	e.AttemptStartedAt, e.AttemptZone = 0, 0
 }
 
-// The states of an entry, as commands print them and take them in filters.
+// The states of an entry, as commands print them and accept them in filters.
 const (
 	stateUntried    = "held"
 	stateTried      = "tried"
@@ -74,14 +74,14 @@
 	stateFailed     = "abandoned"
 )
 
-// State is one of States: what an entry waits for.
+// State returns the state of an entry, one of States.
 func (e *Entry) State() string {
 	switch {
 	case e.Answer == Rejected:
 		return stateRejected
 	case e.Answer == Failed:
 		return stateFailed
-	case e.AttemptBegan > 0:
+	case e.AttemptStartedAt > 0:
 		return stateInFlight
 	case e.FirstRanAt > 0:
 		return stateMayHaveRun
@@ -91,7 +91,7 @@
 	return stateUntried
 }
 
-// States are the states that an entry may be in.
+// States returns all states of entries.
 func States() []string {
 	return []string{stateUntried, stateTried, stateInFlight, stateMayHaveRun, stateRejected, stateFailed}
 }
