--- a/lab/sim/arrivals.go
+++ b/lab/sim/arrivals.go
@@ -19,7 +19,7 @@
 	effects      []*effect
 }
 
-// planArrivals draws the effects that clients want in a run, in order of time. Arrivals do not depend on the events of
+// planArrivals draws the effects that clients want in a run and sorts them by time. They do not depend on the events of
 // the run.
 func planArrivals(s *scenario.Scenario, random *rand.Rand) []*effect {
 	p := newArrivalPlan(s, random)
@@ -101,7 +101,7 @@
 	return p.tenants.Pick(p.random)
 }
 
-// add adds an effect of a randomly drawn type. If the type has ordering keys and key is 0, the key is drawn, too. An
+// add adds an effect of a randomly drawn type. If the type has ordering keys and key is 0, the key is also drawn. An
 // ordering key is used for one destination only.
 func (p *arrivalPlan) add(at float64, destination, tenant int, key uint64) {
 	e := &effect{submittedAt: at, destination: destination, tenant: tenant}
--- a/lab/sim/baseline.go
+++ b/lab/sim/baseline.go
@@ -17,7 +17,7 @@
 	"least-loaded": baselineFactory(func(b *baseline) { b.backoff, b.leastLoaded = true, true }),
 }
 
-// baselineFactory returns a factory of baselines that configure has changed.
+// baselineFactory returns a factory that creates baselines and passes each to configure.
 func baselineFactory(configure func(*baseline)) PolicyFactory {
 	return func(settings scheduler.Settings, _ uint64, now float64, host scheduler.Host) Policy {
 		b := newBaseline(settings, now, host)
@@ -26,21 +26,21 @@
 	}
 }
 
-// Times in seconds, rates per second.
+// Constants of the baselines. Times are in seconds, rates per second.
 const (
-	baselineTimeout     = 2.0  // of an attempt
-	baselineRetryDelay  = 0.1  // after a failed attempt; doubles with each attempt with backoff
+	baselineTimeout     = 2.0  // time-out of an attempt
+	baselineRetryDelay  = 0.1  // delay after a failed attempt; with backoff, it doubles with each attempt
 	baselineTick        = 0.02 // timer interval while there are unanswered messages
-	minAdmissionTime    = 0.1  // before expiry, for a message to be admitted
-	minAttemptTime      = 0.05 // before expiry, for a message to be sent again
+	minAdmissionTime    = 0.1  // minimum time to expiry for a message to be admitted
+	minAttemptTime      = 0.05 // minimum time to expiry for a message to be sent again
 	maxBackoffDoublings = 5
-	initialAnswerRate   = 5.0  // assumed rate of a destination's successful answers, for bucket
+	initialAnswerRate   = 5.0  // initial estimate of a destination's rate of successful answers, used by bucket
 	bucketBurst         = 4.0  // size of the token bucket
-	bucketGrowth        = 1.25 // factor of the bucket's refill rate over the rate of successful answers
+	bucketGrowth        = 1.25 // ratio of the bucket's refill rate to the rate of successful answers
 )
 
 // baseline sends messages in the order of their arrival and retries those that may be retried. It respects Retry-After
-// answers, drains, the order of keys and the rule that no effect takes place twice. It ignores slow starts and limits.
+// answers, drains, ordering keys and the rule that no effect takes place twice. It ignores slow starts and limits.
 type baseline struct {
 	settings     scheduler.Settings
 	host         scheduler.Host
@@ -51,7 +51,7 @@
 	openCalls    int
 	timerSet     bool
 	backoff      bool // exponential backoff between attempts
-	bucket       bool // limits calls to a destination to 1.25 times its recent rate of successful answers
+	bucket       bool // limits calls to a destination to bucketGrowth times its recent rate of successful answers
 	leastLoaded  bool // picks the endpoint with the fewest open calls; otherwise endpoints take turns
 	oracle       bool // sends only calls that would be executed immediately and answered successfully
 	// inspect returns the true state of an endpoint, for the oracle.
@@ -88,11 +88,11 @@
 	state        scheduler.EndpointState
 	openCalls    int
 	zone         int
-	blockedUntil float64 // end of a Retry-After
+	blockedUntil float64 // end of the endpoint's Retry-After
 	ownLimits    bool    // does not share its limits with the destination's other endpoints
-	batchSize    int     // maximum number of messages of a call
+	batchSize    int     // maximum number of messages in a call
 	callStarted  float64 // start of the latest call; messages sent at the same time join it
-	callMessages int     // number of messages of that call
+	callMessages int     // number of messages in that call
 }
 
 type baselineMessage struct {
@@ -105,8 +105,8 @@
 	zone            int     // zone of that execution
 	notBefore       float64 // earliest time of the next attempt
 	done            bool
-	endpoint        *baselineEndpoint // of the open attempt
-	keyBlockedUntil float64           // earliest time of the next message of its ordering key
+	endpoint        *baselineEndpoint // endpoint of the open attempt
+	keyBlockedUntil float64           // earliest time at which the next message of its ordering key may be sent
 }
 
 func newBaseline(settings scheduler.Settings, now float64, host scheduler.Host) *baseline {
@@ -244,7 +244,7 @@
 	queue[0].notBefore = math.Max(queue[0].notBefore, m.keyBlockedUntil)
 }
 
-// withoutMessage returns a list without a message. It does not modify the original list.
+// withoutMessage returns a list without the given message. It does not modify the original list.
 func withoutMessage(list []*baselineMessage, m *baselineMessage) []*baselineMessage {
 	i := slices.Index(list, m)
 	if i < 0 {
--- a/lab/sim/call.go
+++ b/lab/sim/call.go
@@ -10,15 +10,15 @@
 // call is one call of a forwarder to an endpoint.
 type call struct {
 	forwarder   *forwarder
-	incarnation int // of the forwarder's process
+	incarnation int // number of the forwarder's process that sent the call
 	endpoint    *knownEndpoint
 	submissions []*submission
 	timeout     float64
 	startedAt   float64
 	received    *receiver.Call // nil until the call arrives
-	arrived     bool           // false while the forwarder can tell that the call has not arrived
+	arrived     bool           // the call may have arrived, as far as the forwarder can tell
 	done        bool
-	cancelled   bool // before its first byte arrived
+	cancelled   bool // the forwarder cancelled the call before it arrived
 }
 
 // begin sends the call on the most recently used idle connection, or on a new one.
@@ -47,7 +47,7 @@
 }
 
 // connect selects a connection and returns the time after which the call arrives on it. dead means that the connection
-// was closed without the forwarder's notice.
+// was closed without the forwarder noticing.
 func (c *call) connect() (delay float64, dead bool) {
 	f, run, e := c.forwarder, c.forwarder.run, c.endpoint
 	oneWay := float64(run.scenario.NetworkDelay)
@@ -65,7 +65,7 @@
 	return 3 * oneWay, false // a new connection takes a round trip before the call
 }
 
-// endAfter ends the call with a result code, after a delay, on the forwarder's side only.
+// endAfter ends the call with a result code after a delay in seconds, on the forwarder's side only.
 func (c *call) endAfter(seconds float64, code transport.ResultCode) {
 	f := c.forwarder
 	f.run.After(seconds, func() { f.do(func() { f.callEnded(c, receiver.Answer{Code: code}) }) })
@@ -104,7 +104,7 @@
 	}
 }
 
-// outcomeKnown reports whether a result code excludes that the message may still be executing.
+// outcomeKnown reports whether a result code rules out that the message is still being executed.
 func outcomeKnown(code transport.ResultCode) bool {
 	outcome, _ := code.Outcome()
 	return outcome != scheduler.Reset && outcome != scheduler.TimedOut && outcome != scheduler.Malformed
--- a/lab/sim/clients.go
+++ b/lab/sim/clients.go
@@ -22,7 +22,7 @@
 func (run *simRun) submit(e *effect, expiry float64, n int) {
 	run.After(float64(run.scenario.NetworkDelay), func() {
 		f := run.forwarders[n]
-		if !f.up { // connection refused: the client tries the next forwarder after a delay
+		if !f.up { // the connection is refused, and the client tries the next forwarder after a delay
 			run.After(failoverDelay, func() {
 				if run.Now() < expiry {
 					run.submit(e, expiry, nextForwarder(e, n, len(run.forwarders)))
--- a/lab/sim/effect.go
+++ b/lab/sim/effect.go
@@ -7,7 +7,8 @@
 	"spanflow/scheduler"
 )
 
-// effect is one effect that a client wants. It may take several messages, as the client resubmits rejected ones.
+// effect is one effect that a client wants to cause at a receiver. This may take several messages, as the client
+// resubmits rejected ones.
 type effect struct {
 	id             uint64 // ID of its first message; 0 until that is submitted
 	messageType    *scenario.Type
@@ -21,7 +22,7 @@
 	done           bool // the effect has taken place
 }
 
-// submission is one message, a single submission of an effect.
+// submission is one submission of an effect, as a message.
 type submission struct {
 	id           uint64
 	effect       *effect
--- a/lab/sim/faults.go
+++ b/lab/sim/faults.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// affectedForwarders returns the first forwarders up to the given fraction, rounded up.
+// affectedForwarders returns the given fraction of the forwarders, rounded up, in the order of their numbers.
 func (run *simRun) affectedForwarders(fraction float64) []*forwarder {
 	n := int(fraction*float64(len(run.forwarders)) + roundUpOffset)
 	return run.forwarders[:min(n, len(run.forwarders))]
@@ -125,7 +125,7 @@
 	f := &e.Fault
 	if f.MostlyFails() {
 		defer func() {
-			if !f.MostlyFails() { // most calls failed, which counts as an outage, so a slow start follows
+			if !f.MostlyFails() { // most calls failed, which counted as an outage, so a slow start follows
 				e.Recover()
 			}
 		}()
@@ -187,13 +187,13 @@
 	})
 }
 
-// listRetry is the delay in seconds before a change is announced again while the endpoint list is not delivered.
+// listRetry is the delay in seconds after which announce tries again while the endpoint list is not delivered.
 const listRetry = 1
 
 // announce informs all forwarders of changed endpoints, after the endpoint list's lag.
 func (run *simRun) announce(endpoints []*receiver.Endpoint) {
 	run.After(float64(run.scenario.ListLag)+float64(run.scenario.NetworkDelay), func() {
-		if run.activeListFaults > 0 { // the list is not delivered during the fault: try again later
+		if run.activeListFaults > 0 { // the list is not delivered during the fault, so try again later
 			run.After(listRetry, func() { run.announce(endpoints) })
 			return
 		}
--- a/lab/sim/forwarder.go
+++ b/lab/sim/forwarder.go
@@ -143,7 +143,7 @@
 	})
 }
 
-// compactionThreshold is the length of forwarder.unanswered up to which finished submissions are not removed.
+// compactionThreshold is the length of forwarder.unanswered above which track may remove finished submissions.
 const compactionThreshold = 64
 
 // track adds a submission to those of the current process.
@@ -213,7 +213,7 @@
 	}
 }
 
-// callEnded handles the end of a call. Calls that end without an answer have an Answer with the result code for that.
+// callEnded handles the end of a call. If the call ended without an answer, a contains only the result code.
 func (f *forwarder) callEnded(c *call, a receiver.Answer) {
 	if c.done || c.incarnation != f.incarnation {
 		return
@@ -245,7 +245,7 @@
 	s.attemptStart = 0
 	outcome, final := a.Code.Outcome()
 	if final {
-		if outcome == scheduler.Delivered && !s.finished { // finished ones have been answered, for example at their expiry
+		if outcome == scheduler.Delivered && !s.finished { // a finished message has been answered, e.g. at its expiry
 			f.run.log.FinalAnswer(s.id, answerDelivered)
 		}
 		s.finished = true
--- a/lab/sim/lifecycle.go
+++ b/lab/sim/lifecycle.go
@@ -9,8 +9,8 @@
 func (f *forwarder) isStalled() bool { return f.run.Now() < f.stalledUntil }
 
 // do handles an event in the current process, or drops it if no process is running. Events during a stall are deferred
-// to its end. Like the event loop with a filled event queue, the process then handles all of them before it reconciles
-// once.
+// to its end. The process then handles all of them before it reconciles once, as the event loop does with a full event
+// queue.
 func (f *forwarder) do(handle func()) {
 	switch {
 	case !f.up:
@@ -27,7 +27,7 @@
 func (f *forwarder) resumeAfterStall(incarnation int) {
 	f.run.At(f.stalledUntil, func() {
 		switch {
-		case f.incarnation != incarnation: // the process has ended, and its deferred events with it
+		case f.incarnation != incarnation: // the process has ended, and its deferred events are dropped
 		case f.isStalled(): // the stall was extended
 			f.resumeAfterStall(incarnation)
 		default:
--- a/lab/sim/real.go
+++ b/lab/sim/real.go
@@ -35,19 +35,19 @@
 	epoch     time.Time // start of the run's clock, when Now returns startTime
 	discovery *emulator.Discovery
 	processes []*process
-	wg        sync.WaitGroup // for the goroutines of clients
+	wg        sync.WaitGroup // counts the goroutines of clients
 
 	mu                   sync.Mutex
 	random               *rand.Rand
 	destinations         []*receiver.Destination
-	group                []int // by destination: index of its scenario.Receiver
+	group                []int // index of the scenario.Receiver, by destination
 	endpoints            map[*receiver.Endpoint]*endpointServer
 	log                  *audit.Log
 	result               *Result
 	effects              map[uint64]*effect       // by message ID; an effect may have several
 	keyTails             map[uint64]chan struct{} // by ordering key; closed when its latest submission has been answered
-	deliveredToForwarder map[uint64]bool          // by message ID: the receiver has sent a successful answer
-	submittedTo          map[uint64]int           // by message ID: number of the forwarder
+	deliveredToForwarder map[uint64]bool          // by message ID; true if the receiver has sent a successful answer
+	submittedTo          map[uint64]int           // number of the forwarder, by message ID
 	lastID               uint64
 	restartErrors        error // joined errors of forwarders that could not be restarted
 }
@@ -64,7 +64,7 @@
 	})
 }
 
-// Play plays a scenario with a seed, in real time. It returns an error if ctx is cancelled, or if a forwarder cannot be
+// Play plays a scenario with a seed in real time. It returns an error if ctx is cancelled, or if a forwarder cannot be
 // started or restarted.
 func (r Real) Play(ctx context.Context, s *scenario.Scenario, seed uint64) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// stopProcesses kills the forwarders, in the reverse order of their start.
+// stopProcesses kills the forwarders in the reverse order of their start.
 func (run *realRun) stopProcesses() {
 	for i := len(run.processes) - 1; i >= 0; i-- {
 		run.processes[i].stop()
--- a/lab/sim/real_calls.go
+++ b/lab/sim/real_calls.go
@@ -20,7 +20,7 @@
 	maxCallBytes = 16 << 20
 )
 
-// calledMessage is a message of a call as it is sent on the wire.
+// calledMessage is one message of a call in the format of the wire.
 type calledMessage struct {
 	ID   string
 	Key  string // idempotency key
@@ -62,7 +62,7 @@
 	}
 }
 
-// parseMessages returns the messages of a call: a single one identified by headers, or those of a batch.
+// parseMessages returns the messages of a call, which has either a single message identified by headers or a batch.
 func parseMessages(r *http.Request, body []byte) ([]calledMessage, error) {
 	if r.URL.Path != batchPath {
 		return []calledMessage{{ID: r.Header.Get("X-Txn"), Key: r.Header.Get("Idempotency-Key")}}, nil
@@ -79,7 +79,8 @@
 	return batch, nil
 }
 
-// addMessages adds messages to a call and fills in what the run recorded at their submission. The lock must be held.
+// addMessages adds messages to a call, with the details that the run recorded at their submission. The lock must be
+// held.
 func (run *realRun) addMessages(call *receiver.Call, called []calledMessage) {
 	for _, m := range called {
 		id, _ := strconv.ParseUint(m.ID, 16, 64)
--- a/lab/sim/real_endpoint.go
+++ b/lab/sim/real_endpoint.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// serve starts to serve connections of a listener, and keeps track of them for setRefusing.
+// serve starts serving the connections of a listener and keeps track of them for setRefusing.
 func (s *endpointServer) serve(listener net.Listener) {
 	s.listener = listener
 	server := &http.Server{Handler: s, ConnState: func(c net.Conn, state http.ConnState) {
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -14,8 +14,7 @@
 	"spanflow/internal/emulator"
 )
 
-// process is one forwarder on real sockets. It stays the same when the forwarder's operating system process is
-// restarted.
+// process is one forwarder on real sockets. It outlives restarts of the forwarder's operating system process.
 type process struct {
 	run    *realRun
 	number int
@@ -31,7 +30,7 @@
 	// Guarded by the run's lock:
 	stalledUntil float64 // time of the run's clock
 	killed       bool    // cmd was killed and has not been restarted
-	runEnded     bool    // no further process is started
+	runEnded     bool    // no further process may be started
 }
 
 const (
--- a/lab/sim/real_stall_test.go
+++ b/lab/sim/real_stall_test.go
@@ -30,7 +30,7 @@
 	return p
 }
 
-// processState returns the letter of a process's state in /proc: "T" if it is stopped, "" if it has ended.
+// processState returns the letter of a process's state in /proc ("T" means stopped), or "" if the process has ended.
 func processState(pid int) string {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -107,8 +107,8 @@
 	}
 }
 
-// The finding of stallScenario, shortened, on real sockets. The stall must delay messages there, too, and no rule may
-// be violated.
+// Plays a shortened stallScenario on real sockets. The stall must also delay messages there, and no rule may be
+// violated.
 func TestRestartDuringStallOnRealSockets(t *testing.T) {
 	t.Parallel()
 	program := filepath.Join(t.TempDir(), "spanflow")
--- a/lab/sim/result.go
+++ b/lab/sim/result.go
@@ -44,7 +44,7 @@
 // Second is one second of a run.
 type Second struct {
 	Offered           float64 `json:"offered"`   // value of the effects that clients wanted in this second
-	Delivered         float64 `json:"delivered"` // value of these effects when they took place, also if that was later
+	Delivered         float64 `json:"delivered"` // value of these effects when they took place, even after this second
 	Held              int     `json:"held"`      // unanswered messages at the end of the second
 	OpenCalls         int     `json:"out"`       // open calls at the end of the second
 	HeldByDestination []int   `json:"held_by_destination,omitempty"`
--- a/lab/sim/sim.go
+++ b/lab/sim/sim.go
@@ -34,14 +34,14 @@
 	return scheduler.New(settings, seed, now, host)
 }
 
-// Times in seconds, and other constants of the simulation.
+// Constants of the simulation. Times are in seconds.
 const (
 	startTime      = 1000.0 // start of the clock; not 0, because 0 means never in many places
-	restartDelay   = 0.8    // between the kill and the restart of a forwarder
-	recoveryGrace  = 1.5    // after a restart, in which a forwarder may answer late
-	failoverDelay  = 0.4    // until a client tries another forwarder if one does not answer
-	drainTime      = 2.0    // between the start of an endpoint's drain and its removal
-	reapedIdleTime = 0.5    // connections idle for longer are dead during FaultReap
+	restartDelay   = 0.8    // time between the kill and the restart of a forwarder
+	recoveryGrace  = 1.5    // time after a restart during which a forwarder may answer late
+	failoverDelay  = 0.4    // time after which a client tries another forwarder if one does not answer
+	drainTime      = 2.0    // time between the start of an endpoint's drain and its removal
+	reapedIdleTime = 0.5    // connections that are idle for longer are dead during FaultReap
 	messageSize    = 500    // bytes, as the scheduler counts them
 	roundUpOffset  = 0.999999
 	clockTolerance = 1e-9
@@ -52,7 +52,7 @@
 	loadStream      = 1
 	networkStream   = 2
 	receiverStream  = 3
-	forwarderStream = 100 // plus the forwarder's number
+	forwarderStream = 100 // the forwarder's number is added
 )
 
 func newRandom(seed, stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
@@ -66,7 +66,7 @@
 	networkRandom    *rand.Rand // for clients and the network
 	log              *audit.Log
 	destinations     []*receiver.Destination
-	group            []int // by destination: index of its scenario.Receiver
+	group            []int // index of the scenario.Receiver, by destination
 	forwarders       []*forwarder
 	effects          map[uint64]*effect     // by message ID; an effect may have several
 	submissions      map[uint64]*submission // by message ID
--- a/lab/sim/sim_test.go
+++ b/lab/sim/sim_test.go
@@ -61,7 +61,7 @@
 	require.NotEqual(t, want, Play(s, 8, SchedulerPolicy).JSON())
 }
 
-// The audit must report a forwarder that violates one rule, as a violation of that rule.
+// If a forwarder violates a rule, the audit must report a violation of that rule.
 func TestAuditDetectsEachViolation(t *testing.T) {
 	for _, c := range []struct {
 		misbehavior misbehavior
@@ -92,8 +92,8 @@
 	}
 }
 
-// In no built-in scenario may the scheduler deliver noticeably more value than the oracle. The fifo baseline is logged
-// for comparison.
+// The scheduler must not deliver noticeably more value than the oracle in any built-in scenario. The fifo baseline is
+// logged for comparison.
 func TestOracleIsAnUpperBound(t *testing.T) {
 	for _, name := range scenario.Builtin() {
 		s := readScenario(t, name)
--- a/lab/sim/stall_test.go
+++ b/lab/sim/stall_test.go
@@ -50,7 +50,7 @@
 	return SchedulerPolicy(settings, seed, now, host)
 }
 
-// A stall applies to the forwarder rather than to one of its processes, so no process may start during a stall.
+// A stall applies to the forwarder and not only to its current process, so no process may start during a stall.
 func TestRestartDuringStallIsDelayedToItsEnd(t *testing.T) {
 	c := &startsDuringStall{from: 10, until: 20}
 	r := Play(stallScenario(t), 1, c.newPolicy)
