--- a/lab/audit/audit.go
+++ b/lab/audit/audit.go
@@ -1,5 +1,5 @@
-// Package audit checks the six rules against the records of receivers and clients. It never relies on what a forwarder
-// reports.
+// Package audit checks whether forwarders keep the six rules. It uses the records of receivers and clients and never
+// relies on reports of the forwarders themselves.
 package audit
 
 import (
@@ -17,16 +17,16 @@
 	Key            uint64 // ordering key; 0 means none
 	Type           int
 	AtMostOnce     bool
-	Keyed          bool // has an idempotency key
+	Keyed          bool // the message has an idempotency key
 	Destination    int
-	Forwarder      int // the forwarder that it was submitted to
+	Forwarder      int // number of the forwarder that the message was submitted to
 	SubmittedAt    float64
 	Expiry         float64
 	Accepted       bool
 	FinalAnswers   []FinalAnswer
 }
 
-// FinalAnswer is a final answer as a client received it.
+// FinalAnswer is a final answer that a client received.
 type FinalAnswer struct {
 	At     float64
 	Answer string // "delivered", "returned" (rejected) or "abandoned" (failed)
@@ -64,10 +64,10 @@
 	drainingSince     map[endpointKey]float64
 	retryAfters       map[retryAfterKey]retryAfter
 	limitsPerEndpoint func(destination int) bool
-	openAttempts      map[uint64]bool    // by message ID, as seen at the receiver's end of the network
-	unknownOutcomes   map[uint64]float64 // by message ID: end of the latest attempt that may still be executing
+	openAttempts      map[uint64]bool    // by message ID, as seen by the receiver
+	unknownOutcomes   map[uint64]float64 // end of the latest attempt that may still be executing, by message ID
 	keyCooldown       float64            // seconds
-	unavailableUntil  map[int]float64    // by forwarder: end of the time in which it could not answer
+	unavailableUntil  map[int]float64    // end of the time during which a forwarder could not answer, by forwarder
 }
 
 // New returns an empty log. limitsPerEndpoint reports whether each endpoint of a destination has its own limits.
@@ -100,7 +100,7 @@
 	l.order = append(l.order, m)
 }
 
-// MessageAccepted records that a client was answered that its message is accepted.
+// MessageAccepted records that a client received the answer that its message is accepted.
 func (l *Log) MessageAccepted(id uint64) { l.messages[id].Accepted = true }
 
 // FinalAnswer records that a client received a final answer: "delivered", "returned" or "abandoned". It reports a
@@ -192,14 +192,14 @@
 // MessageExecuted records that a receiver executed a message.
 func (l *Log) MessageExecuted(e receiver.Execution) { l.executions = append(l.executions, e) }
 
-// maxInformedFraction is the fraction of calls from forwarders that knew of the outage at and above which the overload
-// of an endpoint in slow start counts as a violation by the forwarders.
-const maxInformedFraction = 2.0 / 3
+// violationFraction is the threshold for a violation. The overload of an endpoint in slow start counts as one if at
+// least this fraction of the calls came from forwarders that knew of the outage.
+const violationFraction = 2.0 / 3
 
 // EndpointOverloaded records that an endpoint failed because it received too many calls in its slow start. informed is
 // the fraction of these calls that came from forwarders that had seen the outage.
 func (l *Log) EndpointOverloaded(destination, _ int, informed float64) {
-	if informed >= maxInformedFraction {
+	if informed >= violationFraction {
 		l.report(RuleRecoveryNotOverloaded, 0,
 			"destination %d was overloaded in its slow start, with %.0f%% of the calls from forwarders that knew of the outage", destination, 100*informed)
 	}
--- a/lab/audit/judge.go
+++ b/lab/audit/judge.go
@@ -44,9 +44,9 @@
 
 // checkKeyOrder reports messages of an ordering key that were sent while an earlier message still blocked the key. A
 // message blocks its key until its final answer and, if one of its attempts ended with an unknown outcome (a time-out,
-// a reset, a malformed answer or a broken connection), until the key's cooldown has passed since. A forwarder has no
-// control over what such an attempt does after that, as the operators' page states ("the attempt may still be
-// executing; later requests for that key shall therefore wait a further KeyCooldown").
+// a reset, a malformed answer or a broken connection), until the key's cooldown after that attempt has passed. A
+// forwarder cannot control what such an attempt does afterwards, as the operators' page states ("the attempt may still
+// be executing; later requests for that key shall therefore wait a further KeyCooldown").
 func (l *Log) checkKeyOrder() {
 	byKey := map[uint64][]*Message{}
 	var keys []uint64
@@ -69,7 +69,7 @@
 	}
 }
 
-// checkOrderOf checks the messages of one key, which are given in the order of their submission.
+// checkOrderOf checks the messages of one key. They must be in the order of their submission.
 func (l *Log) checkOrderOf(messages []*Message, firstArrival map[uint64]float64) {
 	keyBlockedUntil, blockingID := 0.0, uint64(0)
 	for _, m := range messages {
--- a/lab/audit/rules.go
+++ b/lab/audit/rules.go
@@ -25,9 +25,9 @@
 
 // Slack contains the tolerances of the audit, in seconds.
 type Slack struct {
-	Answer float64 // after a message's expiry
-	Wait   float64 // for a call that was sent before the Retry-After arrived
-	Drain  float64 // after the endpoint list reported that an endpoint drains
+	Answer float64 // allowed delay of a final answer after the message's expiry
+	Wait   float64 // time after a Retry-After in which calls are allowed, as they may have been sent before it arrived
+	Drain  float64 // time in which calls are allowed after the endpoint list reported that an endpoint drains
 }
 
 // DefaultSlack allows for the delays of the network and of a forwarder.
