--- a/lab/receiver/call.go
+++ b/lab/receiver/call.go
@@ -7,7 +7,7 @@
 	ID                  uint64
 	IdempotencyKey      uint64  // 0 means none
 	DeduplicationWindow float64 // seconds for which the key is remembered after the execution
-	DeduplicatedPerZone bool    // the key is remembered only in the zone of the execution
+	DeduplicatedPerZone bool    // the key is remembered only in the zone where the message was executed
 	Tenant              int
 }
 
@@ -27,7 +27,7 @@
 type Answer struct {
 	Code              transport.ResultCode
 	RetryAfter        float64 // seconds, with transport.ResultRetryAfter
-	ReportedLimit     float64 // calls per second; negative means reported as unlimited, 0 not reported
+	ReportedLimit     float64 // calls per second; negative means reported as unlimited, 0 means not reported
 	ReportedRemaining float64 // remaining share of the limit, encoded as in scheduler.AttemptResult
 }
 
--- a/lab/receiver/endpoint.go
+++ b/lab/receiver/endpoint.go
@@ -15,7 +15,7 @@
 	Fault       Fault
 	Approaching int // calls sent to the endpoint that have not arrived; set by the simulator, used by Ready
 
-	// With Behavior.EndpointLimits; otherwise those of the Destination are used.
+	// With Behavior.EndpointLimits, the endpoint uses these fields, otherwise those of its Destination.
 	limit    rateLimiter
 	recent   recentCalls
 	informed map[int]bool
@@ -28,8 +28,8 @@
 	recoveredAt float64 // start of the slow start; 0 means not in slow start
 }
 
-// Connectivity reports what prevents a connection to the endpoint from being established: refused means that it is
-// refused immediately, silent that there is no answer at all.
+// Connectivity reports whether a connection to the endpoint is refused immediately (refused), and whether there is no
+// answer at all (silent). If neither is true, the connection can be established.
 func (e *Endpoint) Connectivity() (refused, silent bool) {
 	return e.outages > 0 || e.Fault.Removed, e.Fault.Silences > 0
 }
@@ -37,8 +37,8 @@
 // InService returns the number of calls that the endpoint is executing, including hung ones.
 func (e *Endpoint) InService() int { return e.inService }
 
-// Accept receives a call, after its last byte has arrived. The caller must first check by Connectivity that the
-// connection could be established.
+// Accept receives a call whose last byte has arrived. The caller must first check with Connectivity that the connection
+// can be established.
 func (e *Endpoint) Accept(c *Call) {
 	d := e.Destination
 	now := d.clock.Now()
@@ -46,7 +46,7 @@
 	d.recorder.CallReceived(d.Number, e.Number, c.Forwarder, c.Messages)
 	switch refused, silent := e.Connectivity(); {
 	case silent:
-		return // as if the call had never arrived
+		return // the call is lost as if it had never arrived
 	case refused:
 		c.finish(Answer{Code: transport.ResultClosed})
 		return
--- a/lab/receiver/fault.go
+++ b/lab/receiver/fault.go
@@ -7,8 +7,8 @@
 
 // Fault describes the faults of an endpoint that are currently in effect. Several can be in effect at once.
 type Fault struct {
-	Hangs             int     // hangs in effect: calls that arrive during a hang are executed after its end
-	Silences          int     // silences in effect: nothing is received or sent
+	Hangs             int     // number of hangs in effect; calls that arrive during a hang are executed after its end
+	Silences          int     // number of silences in effect, during which nothing is received or sent
 	SlowFactor        float64 // multiplies service times; 0 means not slow
 	SlowTenant        int     // number plus 1 of the only tenant with slow service; 0 means all tenants
 	ErrorFraction     float64 // fraction of calls that end with an error, half of them after their execution
@@ -16,8 +16,8 @@
 	LostFraction      float64 // fraction of calls whose answer is lost after the execution
 	MalformedFraction float64 // fraction of calls whose answer is malformed
 	LimitFraction     float64 // fraction of the usual limit that remains in force; 0 means all of it
-	EveryNth          int     // gray failure: the four fractions above affect every n-th call only; 0 means all calls
-	OddForwarders     bool    // gray failure: the same fractions affect calls of odd-numbered forwarders only
+	EveryNth          int     // gray failure; ErrorFraction to MalformedFraction affect only every n-th call; 0 means all
+	OddForwarders     bool    // gray failure; the same fractions affect only calls of odd-numbered forwarders
 	Draining          bool
 	Removed           bool
 
--- a/lab/receiver/outage.go
+++ b/lab/receiver/outage.go
@@ -85,8 +85,8 @@
 	(*informed)[forwarder] = true
 }
 
-// overloadState returns the forwarders that have seen the latest outage (informed), the recent calls since then, and
-// the number of endpoints that share both.
+// overloadState returns the forwarders that have seen the latest outage (informed), the recent calls since the outage,
+// and the number of endpoints that share both.
 func (e *Endpoint) overloadState() (informed *map[int]bool, recent *recentCalls, endpoints int) {
 	d := e.Destination
 	if d.Behavior.EndpointLimits {
--- a/lab/receiver/ratelimiter.go
+++ b/lab/receiver/ratelimiter.go
@@ -38,7 +38,7 @@
 	return math.Max(0, remaining)
 }
 
-// admit admits a call, or returns full and the number of seconds until a call would be admitted. fraction is the
+// admit admits a call, or returns full = true and the number of seconds until a call would be admitted. fraction is the
 // fraction of the usual limit that is in force; 0 means all of it.
 func (l *rateLimiter) admit(b *Behavior, fraction, now float64) (wait float64, full bool) {
 	if fraction == 0 {
--- a/lab/receiver/receiver.go
+++ b/lab/receiver/receiver.go
@@ -9,8 +9,8 @@
 // Behavior describes how the endpoints of a destination behave without faults.
 type Behavior struct {
 	Service     Distribution // service time of a call
-	Concurrency int          // calls that an endpoint executes at once
-	Queue       int          // further calls that an endpoint queues before it answers that it is overloaded
+	Concurrency int          // number of calls that an endpoint executes at the same time
+	Queue       int          // number of calls that an endpoint queues; it rejects further ones as overloaded
 
 	Rate              float64 // rate limit in calls per second; 0 means none
 	Burst             float64 // size of the rate limit's token bucket; 0 means 1
@@ -41,7 +41,7 @@
 	Message     Message
 	Destination int
 	Endpoint    int
-	Forwarder   int     // the forwarder that sent the call
+	Forwarder   int     // number of the forwarder that sent the call
 	ReceivedAt  float64 // arrival of the call's last byte
 	StartedAt   float64
 	EndedAt     float64
@@ -75,7 +75,7 @@
 	random        *rand.Rand
 	limit         rateLimiter
 	recent        recentCalls
-	deduplicators [2]deduplicator // by zone; the first also holds the keys that are known in all zones
+	deduplicators [2]deduplicator // by zone; the first one also holds the keys that are known in all zones
 	informed      map[int]bool    // numbers of the forwarders that saw a call fail in the latest outage
 }
 
