--- a/lab/scenario/check.go
+++ b/lab/scenario/check.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	maxSeconds   = 86400 // length of a scenario, and of its drain
+	maxSeconds   = 86400 // maximum length of a scenario and of its drain
 	maxZones     = 2
 	maxRate      = 1e6 // messages per second
 	maxEndpoints = 1_000_000
@@ -18,8 +18,8 @@
 type checker struct {
 	*Scenario
 	problems     config.Problems
-	tenants      []string // names of tenants; includes "", as a reference may be empty
-	receivers    []string // names of receivers, likewise
+	tenants      []string // names of tenants, and "" because a reference may be empty
+	receivers    []string // names of receivers, and "" for the same reason
 	destinations int
 }
 
@@ -62,7 +62,7 @@
 		c.add("length", "%s is not a duration above 0 and up to a day", c.Length)
 	}
 	if !(c.Floor >= 0 && c.Floor <= 1) {
-		c.add("floor", "%v is not a share", c.Floor)
+		c.add("floor", "%v is not a share from 0 to 1", c.Floor)
 	}
 	if c.Zones < 1 || c.Zones > maxZones {
 		c.add("zones", "%d is not 1 or 2", c.Zones)
@@ -100,7 +100,7 @@
 func (c *checker) checkReceiver(at string, r *Receiver) {
 	c.oneOf(at+"service", r.Service, ServiceFixed, ServiceExponential, ServiceLognormal)
 	if r.Count < 1 || r.Endpoints < 1 || r.Count*r.Endpoints > maxEndpoints || r.Batch < 1 || r.Concurrency < 1 || r.Queue < 0 {
-		c.add(at+"count", "count, targets, batch and places must be at least 1, queue at least 0")
+		c.add(at+"count", "count, targets, batch and places must be at least 1, and queue at least 0")
 	}
 	if r.Mean <= 0 {
 		c.add(at+"mean", "is missing")
@@ -144,7 +144,7 @@
 		c.add(at+"for", "is missing")
 	}
 	if !(f.Fraction >= 0 && f.Fraction <= 1) {
-		c.add(at+"share", "%v is not a share", f.Fraction)
+		c.add(at+"share", "%v is not a share from 0 to 1", f.Fraction)
 	}
 	if slices.Contains(fractionFaults, f.Kind) && f.Fraction == 0 {
 		c.add(at+"share", "is missing")
--- a/lab/scenario/fault.go
+++ b/lab/scenario/fault.go
@@ -52,9 +52,9 @@
 	Receiver      string          `toml:"partner"`        // name of the affected receiver; empty means all
 	Endpoints     []int           `toml:"target"`         // affected endpoint numbers; empty means all
 	Zone          int             `toml:"zone"`           // number plus 1 of the only affected zone; 0 means all
-	Fraction      float64         `toml:"share"`          // of calls or forwarders; FaultCut: remaining part of limit
+	Fraction      float64         `toml:"share"`          // of calls or forwarders affected; for FaultCut, of limit left
 	By            float64         `toml:"by"`             // factor of service times, for FaultSlow
-	Every         int             `toml:"every"`          // gray failure: only every n-th call; 0 means all
-	OddForwarders bool            `toml:"odd_forwarders"` // gray failure: only calls of odd-numbered forwarders
+	Every         int             `toml:"every"`          // gray failure that affects only every n-th call; 0 means all
+	OddForwarders bool            `toml:"odd_forwarders"` // gray failure that affects only odd-numbered forwarders
 	Tenant        string          `toml:"tenant"`         // the only affected tenant, for FaultSlow; empty means all
 }
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenarios. A scenario describes the receivers, the forwarders, the load, and the faults with
-// their times. It is written in TOML and checked completely before a run, like a configuration.
+// Package scenario reads scenarios. A scenario describes the receivers, the forwarders, the load, and the faults and their
+// times. It is written in TOML and checked completely before a run, like a configuration.
 package scenario
 
 import (
@@ -10,10 +10,10 @@
 // Scenario describes one run: a fleet of forwarders, their destinations, the load and the faults.
 type Scenario struct {
 	Name         string          `toml:"name"`
-	About        string          `toml:"about"` // its purpose in a sentence
+	About        string          `toml:"about"` // the scenario's purpose in one sentence
 	Seed         uint64          `toml:"seed"`
-	Length       config.Duration `toml:"length"` // time in which clients submit messages
-	Drain        config.Duration `toml:"drain"`  // time after Length in which the accepted messages may end
+	Length       config.Duration `toml:"length"` // time during which clients submit messages
+	Drain        config.Duration `toml:"drain"`  // time after Length for accepted messages to end
 	Zones        int             `toml:"zones"`
 	NetworkDelay config.Duration `toml:"network"` // one-way delay
 	Dispatch     config.Dispatch `toml:"dispatch"`
@@ -24,7 +24,7 @@
 	Faults       []Fault         `toml:"troubles"`
 	ListLag      config.Duration `toml:"list_lag"`    // delay until forwarders learn of a change of the endpoint list
 	Resubmit     bool            `toml:"comes_again"` // clients submit rejected messages again until their expiry
-	Floor        float64         `toml:"floor"`       // lowest acceptable share of the value delivered, for findings
+	Floor        float64         `toml:"floor"`       // lowest acceptable delivered share of the value, for findings
 }
 
 // The values of Type.Idempotency.
@@ -50,7 +50,7 @@
 	TimeToLive          config.Duration `toml:"life"`
 	DeduplicationWindow config.Duration `toml:"memory"`
 	LoadWeight          float64         `toml:"part"`  // relative number of messages, compared with the other types
-	Value               float64         `toml:"value"` // within the objective; then half of it, falling to 0 at expiry
+	Value               float64         `toml:"value"` // halved after the objective, then falls linearly to 0 at expiry
 	Keys                int             `toml:"keys"`  // number of ordering keys in use
 }
 
@@ -73,12 +73,12 @@
 	Name              string          `toml:"name"`
 	Count             int             `toml:"count"`        // number of destinations
 	Endpoints         int             `toml:"targets"`      // number of endpoints of each destination
-	Batch             int             `toml:"batch"`        // maximum number of messages of a call
+	Batch             int             `toml:"batch"`        // maximum number of messages in a call
 	EndpointLimits    bool            `toml:"routes_apart"` // limits and overload are per endpoint, not per destination
 	Service           string          `toml:"service"`      // form of the distribution of service times
 	Mean              config.Duration `toml:"mean"`         // mean service time
 	Sigma             float64         `toml:"wide"`         // standard deviation of the logarithm, if lognormal
-	Concurrency       int             `toml:"places"`       // calls that an endpoint executes at once
+	Concurrency       int             `toml:"places"`       // calls that an endpoint executes at the same time
 	Queue             int             `toml:"queue"`        // calls that an endpoint queues
 	Rate              float64         `toml:"rate"`         // rate limit in calls per second; 0 means none
 	Burst             float64         `toml:"burst"`        // size of the rate limit's token bucket, in calls
