--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -25,7 +25,7 @@
 const (
 	fleetForwarders     = 500
 	downDestinations    = 10 // destinations of the stored messages, to which no connection can be established
-	downWindow          = 10 // messages of each destination that are in memory
+	downWindow          = 10 // messages of each destination that are kept in memory
 	freshRate           = 1000
 	freshRounds         = 7
 	quickRounds         = 1
@@ -33,10 +33,10 @@
 	maxDownWindow       = 64
 	storedBeyondWindow  = 16 // messages of each destination in the store beyond its head window
 	downQueueCapacity   = 600_000
-	idleDuration        = 3 * time.Second // of the measurement without load; long enough that the head windows are checked again
+	idleDuration        = 3 * time.Second // time without load; long enough for another check of the head windows
 	windowsTimeout      = time.Minute
 	storeBytesEach      = 650     // bytes of the store's limit for each message, a quarter of which is for compaction
-	minStoreDisk        = 8 << 20 // bytes of the store's limit in addition to those
+	minStoreDisk        = 8 << 20 // bytes added to the store's limit, regardless of the number of messages
 	walBytesEach        = 1500    // bytes of the write-ahead log's limit for each message of a head window
 )
 
@@ -62,9 +62,9 @@
 // stored describes the messages that a store is filled with.
 type stored struct {
 	messages     int
-	destinations int                   // destinations of the messages in turn, numbered from first
+	destinations int                   // number of destinations, to which the messages go in turn
 	first        int                   // number of the first destination
-	expiry       func(n int) time.Time // of message n; nil means in a day
+	expiry       func(n int) time.Time // expiry of message n; nil means in a day
 
 }
 
@@ -146,7 +146,7 @@
 	if _, _, err = t.fillStore(folder, content); err == nil {
 		var p *process
 		p, err = t.start(&configuration{destinations: pathEndpoints, endpoints: endpoints.addresses, queueCapacity: queueCapacity, descriptors: 4 * defaultDescriptors,
-			forwarders: fleetForwarders, // the whole fleet shares the calls to a destination that is down
+			forwarders: fleetForwarders, // the forwarders of a fleet share the calls to a destination that is down
 			disk:       pathDisk + walBytesEach*int64(window*content.destinations),
 			settings:   backlogSection(folder, content.messages, window) + downEndpoints(content.first, content.destinations)})
 		if err == nil {
@@ -187,7 +187,7 @@
 	})
 }
 
-// awaitWindows waits until the head windows are full, that is until at most left messages are in the store.
+// awaitWindows waits until the head windows are full, which means that at most left messages remain in the store.
 func (t *trial) awaitWindows(l *loadedForwarder, left int) error {
 	for deadline := time.Now().Add(windowsTimeout); ; {
 		messages, err := storedIn(l.files)
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -27,11 +27,11 @@
 	drainQueueCapacity = 60_000
 	drainTimeout       = 3 * time.Minute
 	expiryRate         = 200                   // fresh messages a second during the expiries
-	expiryAfter        = 10 * time.Second      // from before the store is filled to the first expiry
+	expiryAfter        = 10 * time.Second      // time from the start of filling the store to the first expiry
 	expiryAfterEach    = 50 * time.Microsecond // added to expiryAfter for each message
-	expiryLoadLead     = 4 * time.Second       // start of the load before the first expiry
-	expiryLoadTail     = time.Second           // end of the load after the last expiry
-	expirySpan         = time.Second           // from the first expiry to the last
+	expiryLoadLead     = 4 * time.Second       // time from the start of the load to the first expiry
+	expiryLoadTail     = time.Second           // time from the last expiry to the end of the load
+	expirySpan         = time.Second           // time from the first expiry to the last
 	noticesTimeout     = 10 * time.Second
 	quickExpiryAfter   = 5 * time.Second
 )
@@ -113,8 +113,8 @@
 	return written, err
 }
 
-// measureBacklogExpiry measures the answers to stored messages that all expire within one second, and to fresh
-// messages.
+// measureBacklogExpiry measures how timely stored messages that all expire within one second are answered, and how fast
+// fresh messages are answered meanwhile.
 func measureBacklogExpiry(t *trial) error {
 	return t.sweep("expiries", 1, constantTime, sizes(t.Largest), t.expireStored)
 }
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -13,7 +13,7 @@
 const (
 	endpointsPerObject = 10_000          // endpoints in one object of a watch; the client rejects much longer objects
 	blankInterval      = time.Second     // interval of the empty lines that are sent while nothing changes
-	listPath           = "/v1/endpoints" // with stream=1: a watch of the list
+	listPath           = "/v1/endpoints" // with stream=1, a watch of the list
 )
 
 // discoveryServer serves a list of destinations that never changes. A long list is split: the first part is sent as the
--- a/lab/capacity/measure/down_destination.go
+++ b/lab/capacity/measure/down_destination.go
@@ -22,9 +22,9 @@
 var outageScenario []byte
 
 const (
-	outageRuns      = 5 // runs that the mean is taken over
+	outageRuns      = 5 // number of runs that are averaged
 	quickOutageRuns = 2
-	recoveryWindow  = 1.0 // seconds after the end of the outage
+	recoveryWindow  = 1.0 // seconds after the end of the outage in which calls are counted
 )
 
 // measureDownDestination simulates fleets of several sizes, with the real scheduler. All forwarders of a fleet serve
@@ -72,8 +72,8 @@
 	return sc.Dispatch.OverloadMultiple * sc.Dispatch.SlowStartShare * capacity * recoveryWindow
 }
 
-// budget returns the most calls that a recovering destination may get if it can take the allowed number. The margin for
-// chance is the one that the operators' pages state.
+// budget returns the maximum number of calls that a recovering destination may get if it can take the allowed number.
+// The margin for random variation is the one that the operators' pages state.
 func budget(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
 // outageCount counts the calls of all forwarders during an outage and in the second after it.
@@ -93,7 +93,7 @@
 	return &countingScheduler{Scheduler: scheduler.New(settings, seed, now, counting), host: counting}
 }
 
-// sent counts a call by the simulated time at which it is sent.
+// sent counts a call that is sent at a simulated time.
 func (o *outageCount) sent(now float64) {
 	switch at := now - o.runStart; {
 	case at >= o.from && at < o.to:
--- a/lab/capacity/measure/held_message.go
+++ b/lab/capacity/measure/held_message.go
@@ -24,7 +24,7 @@
 
 const (
 	bodyBytes        = 300  // length of a message body
-	maxFreshMessages = 2000 // most fresh messages that the mean is taken over
+	maxFreshMessages = 2000 // maximum number of fresh messages that are averaged
 	minFreshMessages = 16
 	drainedFraction  = 0.05 // largest fraction of the held messages that drains during a measurement
 	maxFreshTime     = 0.1  // seconds of processor time after which no more messages are measured
@@ -89,8 +89,8 @@
 	return err
 }
 
-// hold starts a scheduler with two destinations. The second one has sent a Retry-After and gets the messages to hold.
-// The returned processor time in seconds is that of accepting these messages in one round.
+// hold starts a scheduler with two destinations. The second one has sent a Retry-After and receives the messages to
+// hold. The returned processor time in seconds is that of accepting these messages in one round.
 func (t *trial) hold(size int) (*measuredScheduler, float64) {
 	s := newScheduler(2*size+100, t.Seed)
 	s.addDestinations(2)
@@ -120,8 +120,8 @@
 	return took / float64(n), t.ctx.Err()
 }
 
-// drainHeld measures the decisions of held messages that are sent after their destination's Retry-After is over, one
-// for each call that ends.
+// drainHeld measures the processor time of the decisions to send held messages after their destination's Retry-After
+// has ended. Each call that ends makes the scheduler send another message.
 func (t *trial) drainHeld(size int) error {
 	perMessage, err := t.bestOf(func() (float64, error) {
 		t.heapBytes()
@@ -137,8 +137,8 @@
 		}
 		s.advance(blockedTime + 1)
 		s.Reconcile()
-		// Only a small fraction drains, so that the number of held messages stays about the same and each call that
-		// ends is followed by another.
+		// Only a small fraction of the messages drains. The number of held messages thus stays about the same, and
+		// the scheduler can send another message after each call.
 		left := min(size-len(s.host.inFlight), max(minFreshMessages, int(drainedFraction*float64(size))))
 		perMessage, err := t.meanFreshTime(func() bool { return s.endFirst(&left) })
 		if err == nil && s.host.ended > 0 {
--- a/lab/capacity/measure/idle_client.go
+++ b/lab/capacity/measure/idle_client.go
@@ -35,7 +35,7 @@
 			}
 		}()
 		if err == nil {
-			err = forEach(clients, ping) // again, as the server may have closed early connections in favor of later ones
+			err = forEach(clients, ping) // the server may have closed early connections in favor of later ones
 		}
 		if err != nil {
 			return err
@@ -54,7 +54,7 @@
 	})
 }
 
-// connect opens connections and sends PING on each. On an error it also returns those that were opened.
+// connect opens connections and sends PING on each. In case of an error it also returns the connections opened so far.
 func connect(address string, number int) ([]*emulator.Client, error) {
 	clients := make([]*emulator.Client, number)
 	indexes := make([]int, number)
--- a/lab/capacity/measure/known_destination.go
+++ b/lab/capacity/measure/known_destination.go
@@ -16,9 +16,9 @@
 	forwarderCPU  = quantity{"processor time until a started forwarder knows all", "destinations", "s"}
 )
 
-const listChanges = 2000 // changes of the list that the mean is taken over
+const listChanges = 2000 // number of changes of the list that are averaged
 
-// measureKnownDestination measures what a destination costs that is on the list and has no messages.
+// measureKnownDestination measures the cost of a destination that is on the list but has no messages.
 func measureKnownDestination(t *trial) error {
 	if err := t.sweep("the scheduler", 0.3, linearTime, sizes(t.Largest), t.knownInScheduler); err != nil {
 		return err
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -24,7 +24,7 @@
 }
 
 // withoutCollection runs a function with garbage collection off and returns its processor time in seconds. The time of
-// a collection depends on how the heap has grown before, which would make equal work cost more at some sizes than
+// a collection depends on the earlier growth of the heap, so the same work would cost more at some sizes than at
 // others.
 func withoutCollection(do func()) float64 {
 	defer debug.SetGCPercent(debug.SetGCPercent(-1))
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -1,7 +1,7 @@
-// Package measure measures what each role costs at several sizes: memory, processor time, bytes and calls. A role is
-// one thing whose cost grows with a number, such as a known destination or a held message. Its function records curves,
-// and package capacity fits a line to each. The scheduler is called only through its exported interface, so that
-// different versions of it can be compared.
+// Package measure measures the cost of each role at several sizes, in memory, processor time, bytes and calls. A role
+// is one thing whose cost grows with its number, such as a known destination or a held message. The function of a role
+// records curves, and package capacity fits a line to each. The scheduler is called only through its exported
+// interface, so that different versions of it can be compared.
 package measure
 
 import (
@@ -48,7 +48,7 @@
 type Role struct {
 	Name    string
 	About   string
-	Unit    string // of the sizes
+	Unit    string // unit of the sizes
 	Largest int    // the default largest size
 	measure func(t *trial) error
 }
@@ -120,8 +120,8 @@
 	cancel func()
 	role   *Role
 	curves []capacity.Curve
-	quick  bool  // few tries and short loads, for tests
-	peak   int64 // the most memory seen in use at the current size, in bytes
+	quick  bool  // only few tries and short loads, for tests
+	peak   int64 // highest memory use seen at the current size, in bytes
 }
 
 func newTrial(ctx context.Context, r *Role, options Options) *trial {
@@ -145,7 +145,7 @@
 	}
 }
 
-// quantity is what a curve shows. All three texts are written into the results.
+// quantity describes the axes of a curve. All three texts are written into the results.
 type quantity struct{ name, sizeUnit, unit string }
 
 // record adds a point to a quantity's curve.
@@ -208,16 +208,16 @@
 	return nil
 }
 
-// How often a measurement is tried. Short measurements get more tries because other load on the machine distorts them
-// more.
+// Limits of the number of tries of a measurement. Short measurements get more tries because other load on the machine
+// distorts them more.
 const (
 	minTries      = 3
 	maxTries      = 1000
-	maxTryTime    = 3 * time.Second        // no further try starts after this time
-	minTriesAfter = 300 * time.Millisecond // only the least number of tries is made after this time
+	maxTryTime    = 3 * time.Second        // after this time, no further try starts
+	minTriesAfter = 300 * time.Millisecond // after this time, no tries beyond minTries are made
 )
 
-// bestOf returns the least result of several tries, which is the one least distorted by other load on the machine.
+// bestOf returns the lowest result of several tries, as it is the one least distorted by other load on the machine.
 func (t *trial) bestOf(measureOnce func() (float64, error)) (float64, error) {
 	least, began := math.Inf(1), time.Now()
 	for i := range maxTries {
@@ -239,7 +239,7 @@
 // heapBytes returns the bytes taken by live objects and updates the peak.
 func (t *trial) heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // the second run frees what finalizers kept alive
+	runtime.GC() // the second run frees objects that finalizers kept alive
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	t.peak = max(t.peak, int64(m.HeapSys-m.HeapReleased))
--- a/lab/capacity/measure/measure_test.go
+++ b/lab/capacity/measure/measure_test.go
@@ -21,7 +21,7 @@
 // Processor time is checked only by the ratio of the best tries at sizes far apart, with a margin for other load on the
 // machine.
 
-var forwarderProgram string // path of the forwarder's program
+var forwarderProgram string // path of the built forwarder
 
 func TestMain(m *testing.M) {
 	folder, err := os.MkdirTemp("", "measure")
--- a/lab/capacity/measure/message_path.go
+++ b/lab/capacity/measure/message_path.go
@@ -23,18 +23,18 @@
 const (
 	pathEndpoints     = 8
 	pathClients       = 32
-	pathSeconds       = 2.0 // duration of each rate
+	pathSeconds       = 2.0 // duration of the load in seconds
 	quickSeconds      = 0.1
 	pathDisk          = 512_000_000
-	pathBody          = 400  // bytes of a body while rates are measured
-	pathRate          = 300  // messages a second while body sizes are measured
-	deliveredFraction = 0.98 // of the submitted messages that have to be delivered
+	pathBody          = 400  // bytes of a body while rates are varied
+	pathRate          = 300  // messages a second while body sizes are varied
+	deliveredFraction = 0.98 // minimum fraction of the submitted messages that must be delivered
 	answerTimeout     = 5 * time.Second
 	deliveryTimeout   = 10 * time.Second
 )
 
-// measureMessagePath measures the path of a message through a forwarder: from a client, through the write-ahead log,
-// to an endpoint that answers at once.
+// measureMessagePath measures the path of a message through a forwarder, from a client through the write-ahead log to
+// an endpoint that answers at once.
 func measureMessagePath(t *trial) error {
 	err := t.sweep("rates", 0.5, constantTime, sizes(t.Largest), func(rate int) error { return t.path(rate, pathBody, t.recordRate) })
 	if err != nil {
@@ -43,10 +43,10 @@
 	return t.sweep("bodies", 0.5, constantTime, pathBodySizes, func(body int) error { return t.path(pathRate, body, t.recordBody) })
 }
 
-// traffic is what passed through a forwarder during one load.
+// traffic describes the messages of one load and what they cost the forwarder.
 type traffic struct {
 	body      int     // bytes of each message's body
-	delivered float64 // messages
+	delivered float64 // number of messages
 	seconds   float64
 	cpu       float64 // the forwarder's processor time in seconds
 	in, out   float64 // bytes between clients and forwarder, and between forwarder and endpoints
--- a/lab/capacity/measure/process.go
+++ b/lab/capacity/measure/process.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	startTimeout = 2 * time.Minute // until a started forwarder has to be ready
+	startTimeout = 2 * time.Minute // time within which a started forwarder must be ready
 	pollInterval = time.Millisecond
-	settlingTime = 300 * time.Millisecond // before the memory or processor time of a forwarder is read
-	discardPort  = "127.0.0.1:9"          // nothing listens on it
+	settlingTime = 300 * time.Millisecond // wait before the memory or processor time of a forwarder is read
+	discardPort  = "127.0.0.1:9"          // address on which nothing listens
 )
 
 // configuration holds the settings in which measured forwarders differ.
 type configuration struct {
-	destinations  int      // in the list, numbered from 1, each with one endpoint
+	destinations  int      // number of destinations in the list; they are numbered from 1 and have one endpoint each
 	unlisted      int      // number of a destination to leave out of the list; 0 means none
 	endpoints     []string // addresses of the endpoints, used in turn; if empty, nothing listens on any endpoint
-	folder        string   // with the write-ahead log; empty means a new one
+	folder        string   // folder of the write-ahead log; empty means a new one
 	disk          int64    // limit of the write-ahead log in bytes; 0 means enough for a few messages
-	descriptors   int      // limit; 0 means enough for a few clients
+	descriptors   int      // limit of descriptors; 0 means enough for a few clients
 	queueCapacity int      // 0 means a few thousand messages
-	forwarders    int      // in the fleet that it belongs to; 0 means it is the only one
+	forwarders    int      // number of forwarders in the fleet; 0 means 1
 	metrics       bool
 	discovery     string // address of discovery; empty means the list is part of the configuration
 	settings      string // further lines of TOML
@@ -87,13 +87,13 @@
 	command    *exec.Cmd
 	log        *emulator.Log
 	ended      chan struct{}
-	folder     string // of the configuration; kill removes it
+	folder     string // folder of the configuration; kill removes it
 	file       string // path of the configuration
 	state      string // folder of the write-ahead log
 	listen     string // address for clients
 	metrics    string // address of the metrics
 	began      time.Time
-	readyAfter time.Duration // from the start until clients are served or, with discovery, until the whole list is known
+	readyAfter time.Duration // time until clients are served or, with discovery, until the whole list is known
 }
 
 // start starts a forwarder and waits until it is ready.
--- a/lab/capacity/measure/reload.go
+++ b/lab/capacity/measure/reload.go
@@ -19,7 +19,7 @@
 	loggingSection  = "[log]\nids = [\"%d\"]\n"
 )
 
-const maxConfigured = 10_000 // most destinations in the configuration's own list; larger fleets use discovery
+const maxConfigured = 10_000 // maximum number of destinations in the configuration's list; larger fleets use discovery
 
 // measureReload measures reloads of the configuration by SIGHUP, with the list in discovery and in the configuration.
 func measureReload(t *trial) error {
@@ -29,7 +29,8 @@
 	return t.sweep("a list of the configuration", 0.7, quadraticTime, sizes(min(t.Largest, maxConfigured)), t.reloadList)
 }
 
-// reloadOther measures the time until a reload is in force that changes the log settings, with a list from discovery.
+// reloadOther measures the time until a reload that changes only the log settings is in force, with a list from
+// discovery.
 func (t *trial) reloadOther(size int) error {
 	c := &configuration{destinations: size}
 	p, server, err := t.startListed(c)
@@ -64,8 +65,8 @@
 	return err
 }
 
-// reloadList measures a reload that adds a destination to the configuration's list, until a message for that
-// destination is accepted.
+// reloadList measures a reload that adds a destination to the configuration's list. The reload is in force when a
+// message for that destination is accepted.
 func (t *trial) reloadList(size int) error {
 	c := &configuration{destinations: size}
 	p, err := t.start(c)
@@ -99,7 +100,7 @@
 }
 
 // reload adds a destination to the process's configuration. It returns the time until the destination is known and the
-// process's processor time during it, both in seconds.
+// processor time that the process used meanwhile, both in seconds.
 func (t *trial) reload(p *process, c *configuration) (took, cpu float64, err error) {
 	if err := t.pause(settlingTime); err != nil {
 		return 0, 0, err
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -3,9 +3,9 @@
 import "spanflow/scheduler"
 
 const (
-	startTime         = 100.0 // the scheduler's clock at its start; not 0, which means never
+	startTime         = 100.0 // time of the clock when the scheduler starts; not 0, which means never
 	messageTimeToLive = 1e6   // seconds
-	blockedTime       = 1e5   // seconds; under the time to live, so that blocked messages do not expire
+	blockedTime       = 1e5   // seconds; shorter than the time to live, so that blocked messages do not expire
 	callLatency       = 0.05  // seconds
 	typicalSize       = 500   // size of a message in bytes
 )
@@ -76,7 +76,7 @@
 	return scheduler.EndpointUpdate{Endpoint: t, Destination: d, State: scheduler.Ready}
 }
 
-// addDestinations adds destinations to the scheduler by a full list of them, and returns the list.
+// addDestinations adds destinations to the scheduler in the form of a full list, and returns the list.
 func (s *measuredScheduler) addDestinations(destinations int) []scheduler.EndpointUpdate {
 	lines := make([]scheduler.EndpointUpdate, 0, destinations)
 	for range destinations {
--- a/lab/capacity/measure/scrape.go
+++ b/lab/capacity/measure/scrape.go
@@ -14,7 +14,7 @@
 	scrapeCPU   = quantity{"processor time of a scrape", "destinations", "s"}
 )
 
-// measureScrape measures what it costs a forwarder to serve its metrics once.
+// measureScrape measures the cost of serving a forwarder's metrics once.
 func measureScrape(t *trial) error {
 	return t.sweep("the forwarder", 1, linearTime, sizes(t.Largest), func(size int) error {
 		p, server, err := t.startListed(&configuration{destinations: size, metrics: true})
--- a/lab/scenario/scenario.go
+++ b/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads scenarios. A scenario describes the receivers, the forwarders, the load, and the faults and their
-// times. It is written in TOML and checked completely before a run, like a configuration.
+// Package scenario reads scenarios. A scenario describes the receivers, the forwarders, the load, and the faults and
+// their times. It is written in TOML and checked completely before a run, like a configuration.
 package scenario
 
 import (
