--- a/lab/capacity/hollow/endpoint_list.go
+++ b/lab/capacity/hollow/endpoint_list.go
@@ -32,7 +32,7 @@
 	stateLeaving = "leaving"
 )
 
-// object is one line of a watch: the full list if All is set, otherwise changes.
+// object is one line of a watch. It contains the full list if All is set, and otherwise changes.
 type object struct {
 	Revision int64   `json:"rev"`
 	All      bool    `json:"all"`
--- a/lab/capacity/hollow/fleet.go
+++ b/lab/capacity/hollow/fleet.go
@@ -22,7 +22,8 @@
 	memoryWatch sync.WaitGroup
 }
 
-// newFleet starts the processes without forwarders. The caller has to call end. The environment is that of the workers.
+// newFleet starts the processes without forwarders. The caller must call end. environment contains additional
+// environment variables of the workers.
 func newFleet(ctx context.Context, config Config, size fleetSize, environment ...string) (*fleet, error) {
 	f := &fleet{config: config, size: size}
 	f.ctx, f.cancel = context.WithCancelCause(ctx)
@@ -69,8 +70,8 @@
 	return append([]*process{f.server}, f.workers...)
 }
 
-// cancelCause returns why the fleet was cancelled, or err if it was not. Calls fail once the processes are killed, so
-// the cause says more than their errors.
+// cancelCause returns the reason why the fleet was cancelled, or err if it was not. Calls fail once the processes are
+// killed, so the reason is more informative than their errors.
 func (f *fleet) cancelCause(err error) error {
 	if cause := context.Cause(f.ctx); cause != nil {
 		return cause
@@ -110,7 +111,7 @@
 	return answers, errors.Join(errs...)
 }
 
-// launch starts the forwarders and returns when the first worker began to start them, as Unix time in nanoseconds.
+// launch starts the forwarders and returns the Unix time in nanoseconds at which the first worker began to start them.
 func (f *fleet) launch(knowsList bool) (at int64, err error) {
 	n, processes := f.size.forwarders, f.size.processes
 	answers, err := f.requestAll(func(worker int) request {
@@ -135,12 +136,12 @@
 
 // outcome is the result of waiting for an expected revision.
 type outcome struct {
-	inForce   []int64        // when it came into force, by forwarder, as Unix time in nanoseconds; 0 means not in time
+	inForce   []int64        // Unix time in nanoseconds at which it came into force, by forwarder; 0 means not in time
 	endings   map[string]int // number of watches that ended since the expectation, by reason
-	slowTurns int            // turns of event loops that took over 100 ms or waited as long; at most one a second each
+	slowTurns int            // event loop turns that took or waited over 100 ms; each loop reports at most one a second
 }
 
-// await waits until the expected revision is in force at all forwarders, or until the time is over.
+// await waits until the expected revision is in force at all forwarders, or until it times out.
 func (f *fleet) await(within time.Duration) (outcome, error) {
 	answers, err := f.requestAll(func(int) request { return request{Await: &awaitRequest{Within: within}} })
 	result := outcome{endings: map[string]int{}}
@@ -160,13 +161,13 @@
 	return answer.At, err
 }
 
-// setReach changes who can reach discovery and returns the Unix time of the change in nanoseconds.
+// setReach changes which forwarders can reach discovery and returns the Unix time of the change in nanoseconds.
 func (f *fleet) setReach(r reach, zone int) (at int64, err error) {
 	answer, err := f.server.call(request{Reach: &reachRequest{Reach: r, Zone: zone}})
 	return answer.At, err
 }
 
-// snapshot is what the processes have used up to a time.
+// snapshot contains the resources that the processes have used up to a time.
 type snapshot struct {
 	at      time.Time
 	server  usage
@@ -191,7 +192,7 @@
 	return s, nil
 }
 
-// memory returns the memory that all forwarders take together.
+// memory returns the total memory of all forwarders.
 func (f *fleet) memory() (memoryUsage, error) {
 	answers, err := f.requestAll(func(int) request { return request{Memory: &memoryRequest{}} })
 	if err != nil {
@@ -207,7 +208,7 @@
 	return sum, nil
 }
 
-// measureFootprint starts the single forwarder of a pilot and returns the memory that the parts of a trial need.
+// measureFootprint starts the single forwarder of a pilot fleet and returns the memory that the parts of a trial need.
 func (f *fleet) measureFootprint(knowsList bool) (footprint, error) {
 	if _, err := f.launch(knowsList); err != nil {
 		return footprint{}, err
--- a/lab/capacity/hollow/gate.go
+++ b/lab/capacity/hollow/gate.go
@@ -11,8 +11,8 @@
 	received, sent atomic.Int64
 }
 
-// gate carries the connections between discovery and the forwarders of one zone. While it is cut, connections stay open
-// but nothing is sent on them. When it is restored, all connections that are open are reset.
+// gate controls the connections between discovery and the forwarders of one zone. While it is cut, connections stay
+// open but nothing is sent on them. When it is restored, all connections that are open are reset.
 type gate struct {
 	traffic *traffic
 	mu      sync.Mutex
--- a/lab/capacity/hollow/hollow.go
+++ b/lab/capacity/hollow/hollow.go
@@ -1,4 +1,5 @@
-// Package hollow measures how fast a change of discovery's list comes into force in a large fleet, and what it costs.
+// Package hollow measures how fast a change of discovery's list comes into force in a large fleet, and the cost of
+// this.
 //
 // A hollow forwarder is a lightweight simulated forwarder that holds one endpoint list. It has the real discovery
 // client, event queue, scheduler and sockets, but no clients, no calls to endpoints and no write-ahead log, so that
@@ -42,9 +43,9 @@
 	maxProcesses    = 100
 	maxDestinations = 1_000_000
 	maxChanges      = 100
-	memoryDivisor   = 2                // the memory limit is at most the machine's memory divided by this
-	trialTimeout    = 4 * time.Minute  // a trial that takes longer fails
-	inForceTimeout  = 60 * time.Second // a forwarder in which a list is not in force after this time counts as missed
+	memoryDivisor   = 2                // the memory limit must be at most the machine's memory divided by this
+	trialTimeout    = 4 * time.Minute  // time after which a trial fails
+	inForceTimeout  = 60 * time.Second // a forwarder without the list in force after this time counts as missed
 	restartEveryNth = 3
 	cutZone         = 0
 )
@@ -58,8 +59,8 @@
 	Forwarders   int
 	Processes    int // worker processes that share the forwarders
 	Destinations int
-	Changes      int           // number of successive changes in the scenario Change
-	Duration     time.Duration // of each trial's idle window, and of an outage of discovery or a zone
+	Changes      int           // number of successive changes in scenario Change
+	Duration     time.Duration // duration of each trial's idle window, and of an outage of discovery or a zone
 	MemoryBytes  int64         // limit for all processes together; 0 means a quarter of the machine's memory
 	ListBytes    int           // limit for one object of a watch; 0 means the forwarder's default
 	Seed         uint64
--- a/lab/capacity/hollow/hollow_test.go
+++ b/lab/capacity/hollow/hollow_test.go
@@ -16,8 +16,8 @@
 	"spanflow/lab/capacity"
 )
 
-// The test binary is also the program of the processes that trials start, and of a coordinator that is killed. The
-// argument after processArgument or coordinatorArgument marks the processes of one test.
+// The test binary also serves as the program of the processes that trials start, and of a coordinator that a test
+// kills. The argument after processArgument or coordinatorArgument marks the processes of one test.
 const (
 	processArgument     = "hollow-test-process"
 	coordinatorArgument = "hollow-test-coordinator"
@@ -96,7 +96,7 @@
 
 func TestOnlyChangedEntriesAreSent(t *testing.T) {
 	t.Parallel()
-	const maxBytes = 400 // of an entry with its frame; the full list has about 130 bytes for each destination
+	const maxBytes = 400 // bytes of an entry with its frame; the full list has about 130 bytes for each destination
 	config := smallConfig(marker(t), Change)
 	config.Destinations = 2000
 	trials, err := Run(t.Context(), config)
--- a/lab/capacity/hollow/message.go
+++ b/lab/capacity/hollow/message.go
@@ -35,17 +35,17 @@
 // publishRequest changes the list.
 type publishRequest struct{}
 
-// reach is a change of who can reach discovery.
+// reach is a change of which forwarders can reach discovery.
 type reach string
 
 const (
-	reachDown     reach = "down"     // nobody can reach discovery; all connections are closed
+	reachDown     reach = "down"     // no forwarder can reach discovery; all connections are closed
 	reachUp       reach = "up"       // discovery can be reached again
 	reachCut      reach = "cut"      // one zone cannot reach discovery; nothing is sent on its connections
 	reachRestored reach = "restored" // that zone can reach discovery again; its open connections are reset
 )
 
-// reachRequest changes who can reach discovery.
+// reachRequest changes which forwarders can reach discovery.
 type reachRequest struct {
 	Reach reach `json:"reach"`
 	Zone  int   `json:"zone"` // used with reachCut and reachRestored
@@ -55,7 +55,7 @@
 // otherwise without a list.
 type startRequest struct {
 	Addresses    []string `json:"addresses"`   // addresses of discovery, by zone
-	Fleet        int      `json:"fleet"`       // forwarders of all workers
+	Fleet        int      `json:"fleet"`       // number of forwarders of all workers
 	FirstIndex   int      `json:"first_index"` // index of the first forwarder within the fleet
 	Forwarders   int      `json:"forwarders"`
 	Destinations int      `json:"destinations"`
@@ -70,7 +70,7 @@
 	Revision int64 `json:"revision"`
 }
 
-// restartRequest stops forwarders without a drain and starts them again as startRequest did, that is with the first
+// restartRequest stops forwarders without a drain and starts them again as startRequest did, which means with the first
 // revision of the list if KnowsList was set.
 type restartRequest struct {
 	EveryNth int `json:"every_nth"` // every nth forwarder of the fleet restarts
@@ -91,11 +91,11 @@
 type response struct {
 	Error     string       `json:"error,omitempty"`
 	Addresses []string     `json:"addresses,omitempty"` // answers serveRequest
-	At        int64        `json:"at,omitempty"`        // when the request was carried out, as Unix time in nanoseconds
+	At        int64        `json:"at,omitempty"`        // Unix time in nanoseconds at which the request was carried out
 	Revision  int64        `json:"revision,omitempty"`  // answers publishRequest
-	InForce   []int64      `json:"in_force,omitempty"`  // answers awaitRequest: when, by forwarder; 0 means not yet
-	Endings   []ending     `json:"endings,omitempty"`   // answers awaitRequest: watches that ended since expectRequest
-	SlowTurns int          `json:"late,omitempty"`      // answers awaitRequest: slow turns since expectRequest
+	InForce   []int64      `json:"in_force,omitempty"`  // answers awaitRequest; times by forwarder; 0 means not yet
+	Endings   []ending     `json:"endings,omitempty"`   // answers awaitRequest; watches that ended since expectRequest
+	SlowTurns int          `json:"late,omitempty"`      // answers awaitRequest; slow turns since expectRequest
 	Usage     *usage       `json:"usage,omitempty"`
 	Memory    *memoryUsage `json:"memory,omitempty"`
 }
@@ -106,8 +106,8 @@
 	Count int    `json:"count"`
 }
 
-// memoryUsage is memory in bytes. Live, Resident and Peak exclude what the process took before its forwarders
-// started.
+// memoryUsage is memory in bytes. Live, Resident and Peak do not include the memory of the process before its
+// forwarders started.
 type memoryUsage struct {
 	Live     int64 `json:"live"`     // heap and stacks after a collection
 	Resident int64 `json:"resident"` // resident memory of the process
--- a/lab/capacity/hollow/plan.go
+++ b/lab/capacity/hollow/plan.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	pilotGC            = "GOGC=25" // collects often, so that the pilot's memory contains little garbage
-	memoryReserve      = 1.15      // memory planned for each forwarder, as a multiple of what the pilot's took
-	minForwarderMemory = 256 << 10 // least bytes planned for a forwarder, as smaller amounts are not measured reliably
+	pilotGC            = "GOGC=25" // frequent collections, so that the pilot's memory contains little garbage
+	memoryReserve      = 1.15      // memory planned for each forwarder, relative to the pilot's
+	minForwarderMemory = 256 << 10 // minimum bytes planned for a forwarder, as smaller amounts are not measured reliably
 	unlimitedMemory    = int64(1) << 50
 )
 
@@ -22,11 +22,11 @@
 // footprint is the memory in bytes that the parts of a trial need.
 type footprint struct {
 	server    int64
-	worker    int64 // without forwarders
-	forwarder int64 // peak from its start until its first list is in force
+	worker    int64 // memory of a worker without forwarders
+	forwarder int64 // peak memory of a forwarder from its start until its first list is in force
 }
 
-// planFleet measures the memory that one forwarder needs and fits the fleet into the memory limit.
+// planFleet measures the memory of one forwarder in a pilot fleet and fits the fleet into the memory limit.
 func planFleet(ctx context.Context, config Config, scenario Scenario) (fleetSize, error) {
 	f, err := newFleet(ctx, config, fleetSize{forwarders: 1, processes: 1, memoryLimit: unlimitedMemory}, pilotGC)
 	if err != nil {
--- a/lab/capacity/hollow/process.go
+++ b/lab/capacity/hollow/process.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	exitTimeout = 2 * time.Second // from the end of its input until a process is killed or exits by force
-	maxStderr   = 4 << 10         // bytes kept of a process's standard error
+	exitTimeout = 2 * time.Second // time after the end of its input at which a process is killed or forces its own exit
+	maxStderr   = 4 << 10         // number of bytes kept of a process's standard error
 )
 
-// process is a process that the coordinator has started. It answers requests one after another and exits when its input
-// ends.
+// process is an operating system process that the coordinator has started. It answers requests one after another and
+// exits when its input ends.
 type process struct {
 	name    string
 	command *exec.Cmd
@@ -67,7 +67,7 @@
 	return answer, nil
 }
 
-// end closes the process's input and waits until it has exited. After a time it kills the process.
+// end closes the process's input and waits until it has exited. After exitTimeout it kills the process.
 func (p *process) end() {
 	p.input.Close()
 	kill := time.AfterFunc(exitTimeout, func() { p.command.Process.Kill() })
--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -7,7 +7,7 @@
 // historyLength is the number of changes that are kept. A watch that has missed more gets the full list.
 const historyLength = 256
 
-// change is what one revision changed.
+// change describes what one revision changed.
 type change struct {
 	revision int64
 	index    int    // index of the changed entry in the list
@@ -18,7 +18,7 @@
 type registry struct {
 	list             []entry
 	revision         int64
-	history          []change // oldest first, without gaps, up to the current revision
+	history          []change // the oldest first, without gaps up to the current revision
 	random           *rand.Rand
 	fullList         []byte // the full list as it was last encoded
 	fullListRevision int64  // revision of fullList; 0 means none
--- a/lab/capacity/hollow/server.go
+++ b/lab/capacity/hollow/server.go
@@ -12,8 +12,8 @@
 
 const blankInterval = 2 * time.Second // interval of the empty lines that a watch gets while nothing changes
 
-// server emulates discovery according to the published protocol: it serves the full list, and watches that get the
-// changes after the revision that they have. Each zone has a separate address. Requests are served immediately; the
+// server emulates discovery according to the published protocol. It serves the full list, and watches that get the
+// changes after their own revision. Each zone has a separate address. Requests are served immediately; the
 // response times of the real service are not emulated.
 type server struct {
 	traffic traffic
@@ -36,7 +36,7 @@
 	return s, s.listen()
 }
 
-// listen serves on the addresses. Ports that the system chooses the first time are used again later.
+// listen serves on the addresses. The system chooses the ports in the first call, and later calls reuse them.
 func (s *server) listen() error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/endpoints", s.endpoints)
@@ -86,8 +86,8 @@
 	return revision, nil
 }
 
-// since returns the line for a watch that has a revision, the revision that it has after it, and a channel that is
-// closed at the next change.
+// since returns the next line for a watch that has the given revision, the revision that the watch has after that line,
+// and a channel that is closed at the next change.
 func (s *server) since(revision int64) (encoded []byte, newRevision int64, changed <-chan struct{}, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/capacity/hollow/store.go
+++ b/lab/capacity/hollow/store.go
@@ -15,7 +15,7 @@
 
 // SaveTrials merges trials into a file of results. A trial replaces the one with the same scenario and the same numbers
 // of forwarders and destinations; everything else in the file stays. The file is created if it is missing, and is
-// replaced as a whole, so that it is never left half written.
+// replaced atomically, so that it is never left half written.
 func SaveTrials(path string, trials []capacity.FleetTrial) error {
 	results, err := readResults(path)
 	if err != nil {
--- a/lab/capacity/hollow/trial.go
+++ b/lab/capacity/hollow/trial.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	warmUpDivisor = 10                     // Config.Duration divided by this passes before anything is measured
+	warmUpDivisor = 10                     // a trial warms up for Config.Duration divided by this before it measures
 	changePause   = 250 * time.Millisecond // pause between two changes
-	maxEndings    = 3                      // most reasons for ended watches that a note lists
+	maxEndings    = 3                      // maximum number of reasons for ended watches in the notes
 )
 
 // titles are the names of the scenarios in results.
 var titles = map[Scenario]string{Idle: "idle", Change: "change", Restart: "restart of a third", Outage: "discovery away",
 	Zone: "zone cut off", FullList: "whole list"}
 
-// trial is one scenario with one fleet.
+// trial runs one scenario with one fleet.
 type trial struct {
 	config    Config
 	scenario  Scenario
 	fleet     *fleet
-	revision  int64 // the latest
+	revision  int64 // latest revision of the list
 	delays    []time.Duration
 	missed    int
 	endings   map[string]int
@@ -90,7 +90,7 @@
 		return err
 	}
 	t.result.Changes = 1
-	if t.missed == 0 { // otherwise forwarders keep asking for the list and are not idle
+	if t.missed == 0 { // forwarders that missed the list would keep asking for it and not be idle
 		if err := t.pause(t.config.Duration / warmUpDivisor); err != nil {
 			return err
 		}
@@ -249,7 +249,7 @@
 	return t.awaitInForce(func(int) int64 { return restoredAt })
 }
 
-// cutOff cuts a zone off and changes the list. Delays are measured from the change, and in the cut-off zone from the
+// cutOff cuts a zone off and changes the list. Delays are measured from the change, but in the cut-off zone from the
 // end of the cut.
 func (t *trial) cutOff() error {
 	if err := t.fleet.expect(t.revision + 1); err != nil {
@@ -297,7 +297,7 @@
 	return nil
 }
 
-// summarise completes the result with the delays and notes those that were too long.
+// summarise adds the delays to the result, and notes about delays that were too long.
 func (t *trial) summarise() {
 	slices.Sort(t.delays)
 	total := len(t.delays) + t.missed
@@ -324,8 +324,8 @@
 	}
 }
 
-// percentile returns the nearest-rank percentile in seconds for a share of all forwarders, of which those without an
-// entry in sorted have no time. It returns 0 if the rank falls on one of these.
+// percentile returns the nearest-rank percentile of the delays of all forwarders in seconds. Forwarders that missed the
+// revision have no entry in sorted and rank last; percentile returns 0 if the rank falls on one of them.
 func percentile(sorted []time.Duration, total int, share float64) float64 {
 	rank := int(math.Ceil(share * float64(total)))
 	if rank < 1 || rank > len(sorted) {
--- a/lab/capacity/hollow/usage.go
+++ b/lab/capacity/hollow/usage.go
@@ -84,7 +84,7 @@
 	return fmt.Sprintf("%d cores, %s", cores, model)
 }
 
-// machineTime is the processor time in ticks of the whole machine since its boot.
+// machineTime is the processor time of the whole machine since its boot, in ticks.
 type machineTime struct{ busy, all int64 }
 
 // Indexes of fields in the first line of /proc/stat. The fields of idle and I/O wait time count as idle.
@@ -94,7 +94,7 @@
 	firstGuestField = 9 // this and later fields are already included in earlier ones
 )
 
-// readMachineTime returns zero times if they cannot be read.
+// readMachineTime reads /proc/stat and returns zero times if it cannot be read.
 func readMachineTime() machineTime {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -115,7 +115,7 @@
 	return t
 }
 
-// busyFraction returns the fraction of the machine's processor time that was busy between two times, by all processes.
+// busyFraction returns the fraction of the machine's processor time that all processes used between two readings.
 func busyFraction(from, to machineTime) float64 {
 	if to.all <= from.all {
 		return 0
--- a/lab/capacity/hollow/worker.go
+++ b/lab/capacity/hollow/worker.go
@@ -22,15 +22,16 @@
 )
 
 const (
-	descriptorsEach  = 16   // limit for a hollow forwarder, which needs three, and one more while it connects
+	descriptorsEach  = 16   // limit for a hollow forwarder, which needs three, or four while it connects
 	spareDescriptors = 1024 // descriptors of a worker for everything else
 	connectionsEach  = 4    // connection limit of a hollow forwarder
 	maxReasons       = 16   // reasons for the end of a watch that are counted separately
 	otherReasons     = "other reasons"
 )
 
-// schedulerSettings are the operators' settings of a hollow forwarder, a format for its zone's number and the number of
-// forwarders. Discovery is polled at least every ten seconds, as in the example of the protocol.
+// schedulerSettings is a format string for the operators' settings of a hollow forwarder. Its arguments are the number
+// of the forwarder's zone and the number of forwarders. Discovery is polled at least every ten seconds, as in the
+// example of the protocol.
 const schedulerSettings = `{"Azs":["zone-1","zone-2","zone-3","zone-4","zone-5","zone-6"],"MyZone":%d,"Kinds":["partner"],
 "Classes":[{"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
 "Extra":{"CallsOut":64,"KindBatch":[1]},"Guarantees":{"AskWithin":10000,"Cold":10000,"ColdFrom":0.2,"FallMultiple":2,
@@ -55,12 +56,12 @@
 }
 
 type hollowForwarder struct {
-	index     int // within the fleet
+	index     int // index within the fleet
 	dialer    *dial.Dialer
 	cancel    context.CancelFunc
 	ended     chan struct{}
 	err       error // valid once ended is closed
-	inForceAt int64 // when the expected revision came into force, as Unix time in nanoseconds; guarded by the worker's mu
+	inForceAt int64 // Unix time in nanoseconds at which the expected revision came into force; guarded by the worker's mu
 	revision  int64 // revision in force, 0 before the first; guarded by the worker's mu
 }
 
@@ -88,8 +89,8 @@
 	return answer, err
 }
 
-// startForwarders starts the forwarders and expects the first revision. It returns the Unix time in nanoseconds just
-// before the first start.
+// startForwarders starts the forwarders and sets the first revision as the expected one. It returns the Unix time in
+// nanoseconds just before the first start.
 func (w *worker) startForwarders(s startRequest) (at int64, err error) {
 	if len(w.forwarders) > 0 {
 		return 0, errors.New("the forwarders have already been started")
@@ -118,7 +119,7 @@
 	return at, nil
 }
 
-// launch starts the forwarder with an index within the fleet.
+// launch starts the forwarder with the given index within the fleet.
 func (w *worker) launch(index int) (*hollowForwarder, error) {
 	zone := index % zoneCount
 	parsed, names, err := settings.Read(fmt.Appendf(nil, schedulerSettings, zone, w.start.Fleet))
@@ -167,8 +168,8 @@
 	w.markInForce(m, now)
 }
 
-// markInForce records when the expected revision came into force at a forwarder, unless it has not or is recorded
-// already. The caller holds mu.
+// markInForce records that the expected revision came into force at a forwarder. It does nothing if the forwarder has
+// an older revision or the time is already recorded. The caller must hold mu.
 func (w *worker) markInForce(m *hollowForwarder, now int64) {
 	if m.revision < w.expected || m.inForceAt > 0 {
 		return
@@ -179,8 +180,8 @@
 	}
 }
 
-// expect resets the records and sets the revision that is expected next. Forwarders that already have it count as of
-// now.
+// expect resets the records and sets the revision that is expected next. Forwarders that already have it are
+// recorded with the current time.
 func (w *worker) expect(revision int64) {
 	now := time.Now().UnixNano()
 	w.mu.Lock()
@@ -195,7 +196,7 @@
 	}
 }
 
-// isRestarted reports whether a forwarder belongs to every nth of the fleet. These are spread evenly over the zones.
+// isRestarted reports whether a forwarder is among every nth of the fleet, which are spread evenly over the zones.
 func isRestarted(index, everyNth int) bool { return (index+index/zoneCount)%everyNth == 0 }
 
 // restart restarts every nth forwarder of the fleet. All of them are stopped before the first one starts again.
@@ -227,7 +228,7 @@
 	return nil
 }
 
-// unmarkInForce counts a forwarder that was stopped as one without the expected revision.
+// unmarkInForce counts a stopped forwarder as one without the expected revision.
 func (w *worker) unmarkInForce(m *hollowForwarder) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -240,7 +241,7 @@
 	w.missing++
 }
 
-// await waits until the expected revision is in force at all forwarders or the time is over. It returns an error if a
+// await waits until the expected revision is in force at all forwarders or it times out. It returns an error if a
 // forwarder has ended by then.
 func (w *worker) await(within time.Duration) (answer response, err error) {
 	w.mu.Lock()
@@ -285,7 +286,7 @@
 	return &used, err
 }
 
-// memory returns the memory that the process takes in addition to what it took before the forwarders started.
+// memory returns the memory of the process in excess of its memory before the forwarders started.
 func (w *worker) memory() *memoryUsage {
 	now := processMemory()
 	return &memoryUsage{Live: now.Live - w.before.Live, Peak: now.Peak - w.before.Resident,
@@ -301,16 +302,16 @@
 	return memoryUsage{Live: int64(m.HeapAlloc + m.StackInuse), Peak: residentMemory(pid, residentPeak), Resident: residentMemory(pid, residentNow)}
 }
 
-// logLine holds the fields that are read from a forwarder's log lines. Why is the older name of Reason.
+// logLine contains the fields that are read from a forwarder's log lines. Why is the older name of Reason.
 type logLine struct {
 	Message string
 	Reason  string
 	Why     string
 }
 
-// reason returns why a watch ended. The address in dial errors is removed, as it differs from zone to zone.
+// reason returns the reason for the end of a watch. It removes the address in dial errors, as that differs by zone.
 func (l *logLine) reason() string {
-	reason := l.Reason + l.Why // a line has one of them
+	reason := l.Reason + l.Why // a line has only one of them
 	if strings.HasPrefix(reason, "dial ") {
 		_, reason, _ = strings.Cut(reason, ": ")
 	}
