--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -49,8 +49,8 @@
 	return r.revision, nil
 }
 
-// since returns the line for a watch that has a revision: the changes after that revision, or the full list if the
-// history does not reach back to it.
+// since returns the next line for a watch that has the given revision. The line contains the changes after that
+// revision, or the full list if the history does not reach back to it.
 func (r *registry) since(revision int64) ([]byte, error) {
 	missed := r.revision - revision
 	switch {
--- a/lab/capacity/hollow/usage.go
+++ b/lab/capacity/hollow/usage.go
@@ -26,7 +26,7 @@
 	return usage{u.CPU - other.CPU, u.Received - other.Received, u.Sent - other.Sent}
 }
 
-// processorTime returns the processor time of this process in user and system mode.
+// processorTime returns the user and system processor time of this process.
 func processorTime() (seconds float64, err error) {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
--- a/lab/capacity/measure/backlog.go
+++ b/lab/capacity/measure/backlog.go
@@ -68,7 +68,7 @@
 
 }
 
-// storeLimit returns a limit in bytes that is large enough for a store with a number of messages.
+// storeLimit returns a limit in bytes that is large enough for a store with the given number of messages.
 func storeLimit(messages int) int64 { return minStoreDisk + storeBytesEach*int64(messages) }
 
 // fillStore writes messages to a new store and closes it. It returns the bytes written for the messages and the store's
--- a/lab/capacity/measure/backlog_drain.go
+++ b/lab/capacity/measure/backlog_drain.go
@@ -113,8 +113,8 @@
 	return written, err
 }
 
-// measureBacklogExpiry measures how timely stored messages that all expire within one second are answered, and how fast
-// fresh messages are answered meanwhile.
+// measureBacklogExpiry measures whether stored messages that all expire within one second are answered in time, and how
+// fast fresh messages are answered meanwhile.
 func measureBacklogExpiry(t *trial) error {
 	return t.sweep("expiries", 1, constantTime, sizes(t.Largest), t.expireStored)
 }
--- a/lab/capacity/measure/discovery.go
+++ b/lab/capacity/measure/discovery.go
@@ -16,7 +16,7 @@
 	listPath           = "/v1/endpoints" // with stream=1, a watch of the list
 )
 
-// discoveryServer serves a list of destinations that never changes. A long list is split: the first part is sent as the
+// discoveryServer serves a list of destinations that never changes. A long list is split. The first part is sent as the
 // full list and the others as changes to it.
 type discoveryServer struct {
 	address string
--- a/lab/capacity/measure/down_destination.go
+++ b/lab/capacity/measure/down_destination.go
@@ -93,7 +93,7 @@
 	return &countingScheduler{Scheduler: scheduler.New(settings, seed, now, counting), host: counting}
 }
 
-// sent counts a call that is sent at a simulated time.
+// sent counts a call that is sent at the given simulated time.
 func (o *outageCount) sent(now float64) {
 	switch at := now - o.runStart; {
 	case at >= o.from && at < o.to:
--- a/lab/capacity/measure/held_message.go
+++ b/lab/capacity/measure/held_message.go
@@ -104,8 +104,8 @@
 	return s, took
 }
 
-// meanFreshTime returns the mean processor time in seconds of deliver, which makes all decisions of one message and
-// returns false once there are no more messages.
+// meanFreshTime returns the mean processor time in seconds of deliver. Each call of deliver makes the scheduler take
+// all decisions about one message. It returns false once there are no more messages.
 func (t *trial) meanFreshTime(deliver func() bool) (float64, error) {
 	n := 0
 	took := withoutCollection(func() {
@@ -191,8 +191,8 @@
 	heldDestination = 1
 )
 
-// logLimit returns a limit in bytes that is large enough for a write-ahead log with a number of messages. Half of it is
-// for compaction.
+// logLimit returns a limit in bytes that is large enough for a write-ahead log with the given number of messages. Half
+// of it is for compaction.
 func logLimit(size int) int64 { return 1<<21 + int64(size)*(bodyBytes+200)*5/2 }
 
 // fillLog writes messages that expire in a day to a write-ahead log in a folder.
--- a/lab/capacity/measure/machine.go
+++ b/lab/capacity/measure/machine.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// processorTime returns the processor time of this process in seconds, in user and system mode.
+// processorTime returns the user and system processor time of this process in seconds.
 func processorTime() float64 {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/lab/capacity/measure/measure.go
+++ b/lab/capacity/measure/measure.go
@@ -69,7 +69,7 @@
 	{"reload", "a reload of the configuration, by number of destinations in the list", "destinations", 170_000, measureReload},
 }
 
-// Find returns the role with a name. The error for an unknown name suggests the closest known one.
+// Find returns the role with the given name. The error for an unknown name suggests the closest known one.
 func Find(name string) (*Role, error) {
 	closest, leastDistance := "", math.MaxInt
 	for i := range Roles {
--- a/lab/capacity/measure/message_path.go
+++ b/lab/capacity/measure/message_path.go
@@ -43,7 +43,7 @@
 	return t.sweep("bodies", 0.5, constantTime, pathBodySizes, func(body int) error { return t.path(pathRate, body, t.recordBody) })
 }
 
-// traffic describes the messages of one load and what they cost the forwarder.
+// traffic describes the messages of one load and their cost for the forwarder.
 type traffic struct {
 	body      int     // bytes of each message's body
 	delivered float64 // number of messages
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -68,7 +68,7 @@
 	return s
 }
 
-// addDestination creates a destination with one endpoint and returns its entry of the list.
+// addDestination creates a destination with one endpoint and returns its entry in the list.
 func (s *measuredScheduler) addDestination() scheduler.EndpointUpdate {
 	number := uint64(len(s.destinations))
 	d, t := s.NewDestination(number), &scheduler.Endpoint{ID: number}
@@ -97,7 +97,7 @@
 	s.Accept(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageTimeToLive)
 }
 
-// deliver accepts a message and ends its call successfully, so that the scheduler makes all decisions of one message.
+// deliver accepts a message and ends its call successfully, so that the scheduler takes all decisions about it.
 func (s *measuredScheduler) deliver(to *scheduler.Destination) {
 	s.advance(0.001)
 	s.accept(to, 0)
--- a/lab/receiver/receiver_test.go
+++ b/lab/receiver/receiver_test.go
@@ -114,7 +114,8 @@
 	require.InDelta(t, 2-0.07, recorder.retryAfters[0], 1e-6, "the Retry-After ends when the first of the seven calls is two seconds old")
 }
 
-// slowStartBehavior describes an endpoint that executes 40 calls a second, and a quarter of that right after an outage.
+// slowStartBehavior returns the behavior of an endpoint that executes 40 calls a second, and a quarter of that right
+// after an outage.
 func slowStartBehavior() receiver.Behavior {
 	return receiver.Behavior{
 		Service:           receiver.Distribution{Form: "fixed", Mean: 0.1},
--- a/lab/sim/effect.go
+++ b/lab/sim/effect.go
@@ -48,7 +48,7 @@
 	return expiry, wait, s.Resubmit && !e.done && now+wait+resubmissionSlack < expiry
 }
 
-// forwarderFor returns the number of the forwarder that a client submits an effect to: always the same one for an
+// forwarderFor returns the number of the forwarder that a client submits an effect to. It is always the same one for an
 // ordering key, as forwarders share no state, and otherwise a random one.
 func forwarderFor(e *effect, random *rand.Rand, forwarders int) int {
 	if e.key != 0 {
--- a/lab/sim/real_faults.go
+++ b/lab/sim/real_faults.go
@@ -29,8 +29,8 @@
 }
 
 // injectFaults schedules the scenario's faults. The lock must be held. Some network faults cannot be produced on
-// loopback without privileges: FaultReap has no effect, and during FaultSilent endpoints accept calls but never answer
-// them. FaultList has no effect either.
+// loopback without privileges, so FaultReap has no effect, and during FaultSilent endpoints accept calls but never
+// answer them. FaultList has no effect either.
 func (run *realRun) injectFaults() {
 	for i := range run.scenario.Faults {
 		run.injectFault(&run.scenario.Faults[i])
--- a/lab/sim/real_process.go
+++ b/lab/sim/real_process.go
@@ -28,7 +28,7 @@
 	conns  chan net.Conn // idle connections of clients
 
 	// Guarded by the run's lock:
-	stalledUntil float64 // time of the run's clock
+	stalledUntil float64 // end of the longest stall, on the run's clock
 	killed       bool    // cmd was killed and has not been restarted
 	runEnded     bool    // no further process may be started
 }
