--- a/lab/capacity/hollow/registry.go
+++ b/lab/capacity/hollow/registry.go
@@ -7,7 +7,7 @@
 // historyLength is the number of changes that are kept. A watch that has missed more gets the full list.
 const historyLength = 256
 
-// change is what one revision changed.
+// change describes what one revision changed.
 type change struct {
 	revision int64
 	index    int    // index of the changed entry in the list
@@ -18,7 +18,7 @@
 type registry struct {
 	list             []entry
 	revision         int64
-	history          []change // oldest first, without gaps, up to the current revision
+	history          []change // the oldest first, without gaps up to the current revision
 	random           *rand.Rand
 	fullList         []byte // the full list as it was last encoded
 	fullListRevision int64  // revision of fullList; 0 means none
@@ -49,8 +49,8 @@
 	return r.revision, nil
 }
 
-// since returns the line for a watch that has a revision: the changes after that revision, or the full list if the
-// history does not reach back to it.
+// since returns the next line for a watch that has the given revision. The line contains the changes after that
+// revision, or the full list if the history does not reach back to it.
 func (r *registry) since(revision int64) ([]byte, error) {
 	missed := r.revision - revision
 	switch {
--- a/lab/capacity/measure/scheduler.go
+++ b/lab/capacity/measure/scheduler.go
@@ -3,9 +3,9 @@
 import "spanflow/scheduler"
 
 const (
-	startTime         = 100.0 // the scheduler's clock at its start; not 0, which means never
+	startTime         = 100.0 // time of the clock when the scheduler starts; not 0, which means never
 	messageTimeToLive = 1e6   // seconds
-	blockedTime       = 1e5   // seconds; under the time to live, so that blocked messages do not expire
+	blockedTime       = 1e5   // seconds; shorter than the time to live, so that blocked messages do not expire
 	callLatency       = 0.05  // seconds
 	typicalSize       = 500   // size of a message in bytes
 )
@@ -68,7 +68,7 @@
 	return s
 }
 
-// addDestination creates a destination with one endpoint and returns its entry of the list.
+// addDestination creates a destination with one endpoint and returns its entry in the list.
 func (s *measuredScheduler) addDestination() scheduler.EndpointUpdate {
 	number := uint64(len(s.destinations))
 	d, t := s.NewDestination(number), &scheduler.Endpoint{ID: number}
@@ -76,7 +76,7 @@
 	return scheduler.EndpointUpdate{Endpoint: t, Destination: d, State: scheduler.Ready}
 }
 
-// addDestinations adds destinations to the scheduler by a full list of them, and returns the list.
+// addDestinations adds destinations to the scheduler in the form of a full list, and returns the list.
 func (s *measuredScheduler) addDestinations(destinations int) []scheduler.EndpointUpdate {
 	lines := make([]scheduler.EndpointUpdate, 0, destinations)
 	for range destinations {
@@ -97,7 +97,7 @@
 	s.Accept(&scheduler.Message{ID: uint64(number), Dest: d, Size: typicalSize}, 0, messageTimeToLive)
 }
 
-// deliver accepts a message and ends its call successfully, so that the scheduler makes all decisions of one message.
+// deliver accepts a message and ends its call successfully, so that the scheduler takes all decisions about it.
 func (s *measuredScheduler) deliver(to *scheduler.Destination) {
 	s.advance(0.001)
 	s.accept(to, 0)
