--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -25,8 +25,8 @@
 	zeroFraction = 1e-4
 )
 
-// ErrNotStraight says that a curve says nothing beyond its points.
-var ErrNotStraight = errors.New("the curve is not straight")
+// ErrNotLinear says that a curve says nothing beyond its points.
+var ErrNotLinear = errors.New("the curve is not straight")
 
 // FitLine fits a straight line to the points, which are in order of size, by least squares of the relative errors, so
 // that small sizes count as much as large ones. A line that fits only the points up to some size is a curve that
@@ -40,14 +40,14 @@
 func shapeOf(points []Point) Fit {
 	fit := bestLine(points)
 	if len(points) < leastPoints || points[len(points)-1].Size < leastSpan*points[0].Size {
-		fit.Shape = NotStraight
+		fit.Shape = NotLinear
 		return fit
 	}
-	if fit.Shape != NotStraight {
+	if fit.Shape != NotLinear {
 		return fit
 	}
 	for n := len(points) - 1; n >= prefixPoints; n-- {
-		if part := bestLine(points[:n]); part.Shape != NotStraight && part.Residual <= straightPart {
+		if part := bestLine(points[:n]); part.Shape != NotLinear && part.Residual <= straightPart {
 			part.Shape, part.BendAt = Bends, points[n-1].Size
 			return part
 		}
@@ -59,17 +59,17 @@
 // for: any of a curve that is not straight, or one beyond a bend.
 func (c *Curve) At(size float64) (float64, error) {
 	switch {
-	case c.Fit.Shape == NotStraight:
-		return 0, fmt.Errorf("%s, %s: %w", c.Role, c.Quantity, ErrNotStraight)
+	case c.Fit.Shape == NotLinear:
+		return 0, fmt.Errorf("%s, %s: %w", c.Role, c.Quantity, ErrNotLinear)
 	case c.Fit.Shape == Bends && size > c.Fit.BendAt:
-		return 0, fmt.Errorf("%s, %s: %w beyond %g %s", c.Role, c.Quantity, ErrNotStraight, c.Fit.BendAt, c.SizeUnit)
+		return 0, fmt.Errorf("%s, %s: %w beyond %g %s", c.Role, c.Quantity, ErrNotLinear, c.Fit.BendAt, c.SizeUnit)
 	}
 	return c.Fit.Intercept + c.Fit.Slope*size, nil
 }
 
-// Between is the curve's value at a size between measured ones, drawn straight from the one below to the one above,
+// Interpolate is the curve's value at a size between measured ones, drawn straight from the one below to the one above,
 // whatever the curve's shape. It is an error to ask for a size that is smaller or larger than all that were measured.
-func (c *Curve) Between(size float64) (float64, error) {
+func (c *Curve) Interpolate(size float64) (float64, error) {
 	for i := 1; i < len(c.Points); i++ {
 		if a, b := c.Points[i-1], c.Points[i]; size >= a.Size && size <= b.Size && a.Size < b.Size {
 			return a.Value + (b.Value-a.Value)*(size-a.Size)/(b.Size-a.Size), nil
@@ -82,7 +82,7 @@
 // fits.
 func bestLine(points []Point) Fit {
 	if len(points) == 0 {
-		return Fit{Shape: NotStraight}
+		return Fit{Shape: NotLinear}
 	}
 	level := Fit{Shape: Flat, Intercept: levelLine(points)}
 	if level.holds(points) {
@@ -91,7 +91,7 @@
 	fit := Fit{Shape: Linear}
 	fit.Intercept, fit.Slope = slopingLine(points)
 	if !fit.holds(points) {
-		fit.Shape = NotStraight
+		fit.Shape = NotLinear
 	}
 	return fit
 }
--- a/lab/capacity/fit_test.go
+++ b/lab/capacity/fit_test.go
@@ -34,10 +34,10 @@
 		"linear from above 0": {curve(0, func(x float64) float64 { return 500 + 2*x }), Linear},
 		"linear, noise":       {curve(0.1, func(x float64) float64 { return 50 + 2*x }), Linear},
 		"falling":             {curve(0, func(x float64) float64 { return 30_000 - 2*x }), Linear},
-		"quadratic":           {curve(0, func(x float64) float64 { return x * x }), NotStraight},
-		"quadratic, noise":    {curve(0.1, func(x float64) float64 { return x * x }), NotStraight},
-		"root":                {curve(0, math.Sqrt), NotStraight},
-		"wild":                {curve(0.9, func(x float64) float64 { return x }), NotStraight},
+		"quadratic":           {curve(0, func(x float64) float64 { return x * x }), NotLinear},
+		"quadratic, noise":    {curve(0.1, func(x float64) float64 { return x * x }), NotLinear},
+		"root":                {curve(0, math.Sqrt), NotLinear},
+		"wild":                {curve(0.9, func(x float64) float64 { return x }), NotLinear},
 		"knee":                {curve(0, knee), Bends},
 		"flat, then steep":    {curve(0, func(x float64) float64 { return math.Max(1, x/1000) }), Bends},
 		"then flat":           {curve(0, func(x float64) float64 { return math.Min(x, 1000) }), Bends},
@@ -79,10 +79,10 @@
 
 func TestTooFewSizesGiveNoShape(t *testing.T) {
 	line := curve(0, func(x float64) float64 { return x })
-	require.Equal(t, NotStraight, FitLine(nil).Shape)
-	require.Equal(t, NotStraight, FitLine(line[:3]).Shape)
-	require.Equal(t, NotStraight, FitLine([]Point{{1, 1}, {2, 2}, {3, 3}, {4, 4}}).Shape)
-	require.Equal(t, NotStraight, FitLine([]Point{{1, 1}, {1, 2}, {1, 3}, {1, 4}}).Shape)
+	require.Equal(t, NotLinear, FitLine(nil).Shape)
+	require.Equal(t, NotLinear, FitLine(line[:3]).Shape)
+	require.Equal(t, NotLinear, FitLine([]Point{{1, 1}, {2, 2}, {3, 3}, {4, 4}}).Shape)
+	require.Equal(t, NotLinear, FitLine([]Point{{1, 1}, {1, 2}, {1, 3}, {1, 4}}).Shape)
 }
 
 func TestACurveIsNotDrawnOutBeyondWhatItHolds(t *testing.T) {
@@ -97,24 +97,24 @@
 	require.NoError(t, err)
 	require.InDelta(t, 10, value, 1e-6)
 	_, err = c.At(2000)
-	require.ErrorIs(t, err, ErrNotStraight)
+	require.ErrorIs(t, err, ErrNotLinear)
 	c.Fit = FitLine(curve(0, func(x float64) float64 { return x * x }))
 	_, err = c.At(500)
-	require.ErrorIs(t, err, ErrNotStraight)
+	require.ErrorIs(t, err, ErrNotLinear)
 }
 
 func TestBetweenMeasuredSizesAnyCurveHasAValue(t *testing.T) {
 	c := Curve{Points: []Point{{1, 10}, {10, 100}, {100, 10}}}
 	for size, want := range map[float64]float64{1: 10, 5.5: 55, 10: 100, 55: 55, 100: 10} {
-		value, err := c.Between(size)
+		value, err := c.Interpolate(size)
 		require.NoError(t, err)
 		require.InDelta(t, want, value, 1e-9)
 	}
 	for _, size := range []float64{0.9, 101} {
-		_, err := c.Between(size)
+		_, err := c.Interpolate(size)
 		require.Error(t, err)
 	}
-	_, err := (&Curve{}).Between(1)
+	_, err := (&Curve{}).Interpolate(1)
 	require.Error(t, err)
 }
 
--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -62,8 +62,8 @@
 	LargestWithin float64 // with Measured: the largest measured size below it, where the budget is kept; 0: none
 }
 
-// LeavesAt returns at which size a curve, nil if there is none, exceeds a budget, looking up to a size.
-func LeavesAt(curve *capacity.Curve, budget, upTo float64) Limit {
+// ExceededAt returns at which size a curve, nil if there is none, exceeds a budget, looking up to a size.
+func ExceededAt(curve *capacity.Curve, budget, upTo float64) Limit {
 	if curve == nil {
 		return Limit{}
 	}
--- a/lab/capacity/page/estimate_test.go
+++ b/lab/capacity/page/estimate_test.go
@@ -30,7 +30,7 @@
 }
 
 func TestNeverExtrapolatesACurveThatIsNotStraight(t *testing.T) {
-	curve := square(capacity.NotStraight, 0)
+	curve := square(capacity.NotLinear, 0)
 	require.Equal(t, Estimate{Basis: NotExtrapolated}, ValueAt(curve, 1001))
 	require.Equal(t, Estimate{Basis: NotExtrapolated}, ValueAt(curve, 9))
 	require.Equal(t, Estimate{Basis: Measured, Value: 10_000}, ValueAt(curve, 1000))
@@ -54,33 +54,33 @@
 
 func TestWithoutACurveNothingIsKnown(t *testing.T) {
 	require.Equal(t, Estimate{Basis: NotMeasured}, ValueAt(nil, 10))
-	require.Equal(t, Limit{Basis: NotMeasured}, LeavesAt(nil, 1, 10))
+	require.Equal(t, Limit{Basis: NotMeasured}, ExceededAt(nil, 1, 10))
 }
 
 func TestAStraightCurveLeavesItsBudgetWhereTheLineDoes(t *testing.T) {
-	require.Equal(t, Limit{Basis: Fitted, Size: 5000}, LeavesAt(straight(), 10_100, 100_000))
-	require.Equal(t, Limit{Basis: Fitted, Never: true}, LeavesAt(straight(), 10_100, 4999))
-	require.Equal(t, Limit{Basis: Fitted, Size: 0}, LeavesAt(straight(), 99, 4999), "more than the budget at none")
+	require.Equal(t, Limit{Basis: Fitted, Size: 5000}, ExceededAt(straight(), 10_100, 100_000))
+	require.Equal(t, Limit{Basis: Fitted, Never: true}, ExceededAt(straight(), 10_100, 4999))
+	require.Equal(t, Limit{Basis: Fitted, Size: 0}, ExceededAt(straight(), 99, 4999), "more than the budget at none")
 	falling := straight()
 	falling.Fit.Slope = -0.001
-	require.Equal(t, Limit{Basis: Fitted, Never: true}, LeavesAt(falling, 200, 1e9))
+	require.Equal(t, Limit{Basis: Fitted, Never: true}, ExceededAt(falling, 200, 1e9))
 }
 
 func TestACurveThatIsNotStraightLeavesItsBudgetAtAMeasuredSize(t *testing.T) {
-	curve := square(capacity.NotStraight, 0)
-	require.Equal(t, Limit{Basis: Measured, Size: 100, LargestWithin: 10}, LeavesAt(curve, 50, 1e6), "the first measured size beyond")
-	require.Equal(t, Limit{Basis: Measured, Size: 10}, LeavesAt(curve, 0.5, 1e6), "left at all measured sizes")
-	require.Equal(t, Limit{Basis: NotExtrapolated}, LeavesAt(curve, 20_000, 1e6), "kept as far as measured")
-	require.Equal(t, Limit{Basis: Measured, Never: true, Size: 1000}, LeavesAt(curve, 20_000, 1000))
-	require.Equal(t, Limit{Basis: Interpolated, Size: 550}, LeavesAt(curve, 200, 550), "over it between two measured sizes")
-	require.Equal(t, Limit{Basis: NotExtrapolated}, LeavesAt(curve, 0.5, 5), "smaller than all measured sizes")
+	curve := square(capacity.NotLinear, 0)
+	require.Equal(t, Limit{Basis: Measured, Size: 100, LargestWithin: 10}, ExceededAt(curve, 50, 1e6), "the first measured size beyond")
+	require.Equal(t, Limit{Basis: Measured, Size: 10}, ExceededAt(curve, 0.5, 1e6), "left at all measured sizes")
+	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 20_000, 1e6), "kept as far as measured")
+	require.Equal(t, Limit{Basis: Measured, Never: true, Size: 1000}, ExceededAt(curve, 20_000, 1000))
+	require.Equal(t, Limit{Basis: Interpolated, Size: 550}, ExceededAt(curve, 200, 550), "over it between two measured sizes")
+	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 0.5, 5), "smaller than all measured sizes")
 }
 
 func TestACurveThatBendsLeavesItsBudgetOnTheLineOrAtAMeasuredSize(t *testing.T) {
 	curve := square(capacity.Bends, 100)
-	require.Equal(t, Limit{Basis: Fitted, Size: 50}, LeavesAt(curve, 5, 1e6))
-	require.Equal(t, Limit{Basis: Measured, Size: 1000, LargestWithin: 100}, LeavesAt(curve, 150, 1e6))
-	require.Equal(t, Limit{Basis: NotExtrapolated}, LeavesAt(curve, 20_000, 1e6))
+	require.Equal(t, Limit{Basis: Fitted, Size: 50}, ExceededAt(curve, 5, 1e6))
+	require.Equal(t, Limit{Basis: Measured, Size: 1000, LargestWithin: 100}, ExceededAt(curve, 150, 1e6))
+	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 20_000, 1e6))
 }
 
 func TestConvertsUnits(t *testing.T) {
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -153,7 +153,7 @@
 	r.estimate = ValueAt(curve, size)
 	r.estimate.Value *= times
 	if r.budgeted {
-		r.limit = LeavesAt(curve, r.budget/times, size)
+		r.limit = ExceededAt(curve, r.budget/times, size)
 		r.fraction = r.limit.Size / size
 	}
 	r.from += "; at " + use.sizeIs + " (" + digits(size) + ")"
--- a/lab/capacity/page/page.go
+++ b/lab/capacity/page/page.go
@@ -20,7 +20,7 @@
 type Page struct {
 	Text    string
 	Tables  []string // names, in the page's order
-	Differs []string // those that the given text did not have as they are now
+	Outdated []string // those that the given text did not have as they are now
 }
 
 // Update renders the generated tables of a page's text anew. A table that is not known, not closed, there twice or not
@@ -77,7 +77,7 @@
 	}
 	p.Tables = append(p.Tables, name)
 	if present != text {
-		p.Differs = append(p.Differs, name)
+		p.Outdated = append(p.Outdated, name)
 	}
 	return nil
 }
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -35,7 +35,7 @@
 	require.NoError(t, err)
 	page, err := Update(string(text), readTarget(t), results)
 	require.NoError(t, err)
-	require.Empty(t, page.Differs, "run 'spanflow-lab capacity page'")
+	require.Empty(t, page.Outdated, "run 'spanflow-lab capacity page'")
 	require.Equal(t, page.Text, string(text))
 }
 
@@ -128,19 +128,19 @@
 	target, prose := readTarget(t), "# A page\n\nProse with | bars |.\n\n"
 	first, err := Update(prose+skeleton(t)+"The end without a line's end", target, &capacity.Results{})
 	require.NoError(t, err)
-	require.Len(t, first.Differs, len(first.Tables))
+	require.Len(t, first.Outdated, len(first.Tables))
 	require.True(t, strings.HasPrefix(first.Text, prose))
 	require.True(t, strings.HasSuffix(first.Text, "The end without a line's end"))
 
 	second, err := Update(first.Text, target, &capacity.Results{})
 	require.NoError(t, err)
-	require.Empty(t, second.Differs)
+	require.Empty(t, second.Outdated)
 	require.Equal(t, first.Text, second.Text)
 
 	spoilt := strings.Replace(first.Text, "| forwarders | 500 |", "| forwarders | 501 |", 1)
 	third, err := Update(spoilt, target, &capacity.Results{})
 	require.NoError(t, err)
-	require.Equal(t, []string{"target"}, third.Differs)
+	require.Equal(t, []string{"target"}, third.Outdated)
 	require.Equal(t, first.Text, third.Text)
 }
 
@@ -184,13 +184,13 @@
 			Fit:    capacity.Fit{Shape: capacity.Linear, Slope: 1000}},
 		{Role: "held-message", Quantity: "processor time of a fresh message beside them", SizeUnit: "messages held", Unit: "ms",
 			Points: []capacity.Point{{Size: 1000, Value: 0.1}, {Size: 10_000, Value: 0.5}, {Size: 100_000, Value: 50}},
-			Fit:    capacity.Fit{Shape: capacity.NotStraight, Power: 1.3494}},
+			Fit:    capacity.Fit{Shape: capacity.NotLinear, Power: 1.3494}},
 		{Role: "message-path", Quantity: "processor time in a second", SizeUnit: "messages a second", Unit: "s",
 			Points: []capacity.Point{{Size: 30, Value: 0.01}, {Size: 3000, Value: 0.3}},
 			Fit:    capacity.Fit{Shape: capacity.Linear, Slope: 0.0001}},
 		{Role: "restart", Quantity: "time to the forwarder's readiness", SizeUnit: "messages owed", Unit: "s",
 			Points: []capacity.Point{{Size: 1000, Value: 0.1}, {Size: 1_000_000, Value: 2}},
-			Fit:    capacity.Fit{Shape: capacity.NotStraight}},
+			Fit:    capacity.Fit{Shape: capacity.NotLinear}},
 	}
 	rendered, err := tables(readTarget(t), results)
 	require.NoError(t, err)
@@ -297,7 +297,7 @@
 	results := made()
 	outage := func(quantity string, at500 float64) capacity.Curve {
 		return capacity.Curve{Role: "down-destination", Quantity: quantity, SizeUnit: "forwarders", Unit: "calls",
-			Points: []capacity.Point{{Size: 5, Value: 6}, {Size: 50, Value: 8}, {Size: 500, Value: at500}}, Fit: capacity.Fit{Shape: capacity.NotStraight}}
+			Points: []capacity.Point{{Size: 5, Value: 6}, {Size: 50, Value: 8}, {Size: 500, Value: at500}}, Fit: capacity.Fit{Shape: capacity.NotLinear}}
 	}
 	results.Curves = []capacity.Curve{outage("calls in the first second of its return", 20), outage("budget of the first second of its return", 7)}
 	rendered, err := tables(readTarget(t), results)
--- a/lab/capacity/page/results.go
+++ b/lab/capacity/page/results.go
@@ -79,7 +79,7 @@
 	}
 	fit := curve.Fit
 	switch fit.Shape {
-	case capacity.Flat, capacity.Linear, capacity.NotStraight:
+	case capacity.Flat, capacity.Linear, capacity.NotLinear:
 	case capacity.Bends:
 		if !(fit.BendAt > 0) {
 			return fmt.Errorf("fit.bend_at: %v is no size at which a curve bends", fit.BendAt)
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -149,7 +149,7 @@
 	var rows [][]string
 	for _, estimate := range t.Estimates {
 		measured := repeated(&estimate, curveOf(results, curveRef{estimate.Role, estimate.Quantity}))
-		rows = append(rows, []string{estimate.What, estimate.Value, measured, estimate.Role + ": " + estimate.Quantity})
+		rows = append(rows, []string{estimate.Name, estimate.Value, measured, estimate.Role + ": " + estimate.Quantity})
 	}
 	return table([]string{"what", "the operators' estimate", "measured here", "curve"}, rows)
 }
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -81,7 +81,7 @@
 
 // OperatorEstimate is a figure that the operators measured once, with the curve that repeats it.
 type OperatorEstimate struct {
-	What     string `toml:"what"`
+	Name     string `toml:"what"`
 	Value    string `toml:"value"`
 	Role     string `toml:"role"`
 	Quantity string `toml:"quantity"`
@@ -214,7 +214,7 @@
 
 func (t *Target) checkEstimates(c *targetChecker) {
 	for i, e := range t.Estimates {
-		for _, field := range []struct{ name, value string }{{"what", e.What}, {"value", e.Value}, {"role", e.Role}, {"quantity", e.Quantity}} {
+		for _, field := range []struct{ name, value string }{{"what", e.Name}, {"value", e.Value}, {"role", e.Role}, {"quantity", e.Quantity}} {
 			if field.value == "" {
 				c.add(fmt.Sprintf("estimates[%d].%s", i, field.name), "is missing")
 			}
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -34,7 +34,7 @@
 	Flat        Shape = "flat"         // the value does not depend on the size
 	Linear      Shape = "linear"       // one straight line fits all points
 	Bends       Shape = "bends"        // straight up to Fit.BendAt, steeper or flatter beyond
-	NotStraight Shape = "not straight" // must not be extrapolated
+	NotLinear Shape = "not straight" // must not be extrapolated
 )
 
 // Fit is the straight line through a curve's points: Value = Intercept + Slope * Size.
--- a/lab/commands/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -118,7 +118,7 @@
 	fmt.Fprintln(t, "ROLE\tQUANTITY\tUNIT\tSIZES\tVALUES\tSHAPE\tAT 0\tSLOPE\tRESIDUAL\tBENDS AT\tPOWER")
 	for _, c := range curves {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t", c.Role, c.Quantity, c.Unit, span(c.Points, pointSize), span(c.Points, pointValue), c.Fit.Shape)
-		if c.Fit.Shape == capacity.NotStraight {
+		if c.Fit.Shape == capacity.NotLinear {
 			fmt.Fprintf(t, "-\t-\t%.3f\t-\t%.2f\n", c.Fit.Residual, c.Fit.Power)
 			continue
 		}
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -22,7 +22,7 @@
 type pageReport struct {
 	File    string   `json:"file"`
 	Tables  []string `json:"tables"`
-	Differs []string `json:"differs"` // that were not as they are now; without --check they are written
+	Outdated []string `json:"differs"` // that were not as they are now; without --check they are written
 }
 
 func pageCommand() *cobra.Command {
@@ -66,8 +66,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
-	report := &pageReport{File: file, Tables: updated.Tables, Differs: updated.Differs}
-	if check || len(updated.Differs) == 0 {
+	report := &pageReport{File: file, Tables: updated.Tables, Outdated: updated.Outdated}
+	if check || len(updated.Outdated) == 0 {
 		return report, nil
 	}
 	return report, replaceFile(file, updated.Text)
@@ -94,7 +94,7 @@
 			return err
 		}
 	}
-	differing := strings.Join(report.Differs, ", ")
+	differing := strings.Join(report.Outdated, ", ")
 	switch {
 	case check && differing != "":
 		return fmt.Errorf("%s: not current: %s; run 'spanflow-lab capacity page'", report.File, differing)
--- a/lab/commands/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -82,7 +82,7 @@
 	require.Equal(t, cli.ExitError, code)
 	var report pageReport
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
-	require.Equal(t, []string{"target"}, report.Differs)
+	require.Equal(t, []string{"target"}, report.Outdated)
 	require.Contains(t, report.Tables, "ranking")
 }
 
--- a/lab/commands/load.go
+++ b/lab/commands/load.go
@@ -144,7 +144,7 @@
 	if l.json {
 		return cli.PrintJSON(l.out, r)
 	}
-	fmt.Fprintf(l.out, "\n%d sent in %.1f s: %v; the tool itself late by %.3f s at most\n", r.Sent, r.Lasted, r.Answers, r.MostLate)
+	fmt.Fprintf(l.out, "\n%d sent in %.1f s: %v; the tool itself late by %.3f s at most\n", r.Sent, r.Seconds, r.Answers, r.MaxLateness)
 	t := tabwriter.NewWriter(l.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "COUNTED\tP50\tP90\tP99\tP99.9\tMOST")
 	for _, row := range []struct {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -47,8 +47,8 @@
 type Report struct {
 	Sent      int            `json:"sent"`
 	Answers   map[string]int `json:"answers"` // ok, busy, error, none, expired
-	Lasted    float64        `json:"seconds"`
-	MostLate  float64        `json:"most_late_s"` // by which the tool was late in sending, with a connection at hand
+	Seconds    float64        `json:"seconds"`
+	MaxLateness  float64        `json:"most_late_s"` // by which the tool was late in sending, with a connection at hand
 	Intended  Latencies      `json:"intended"`    // from the intended moment to the answer
 	Naive     Latencies      `json:"naive"`       // from the sending, as a closed loop would count: hides a stall
 	OpenAtEnd int            `json:"without_answer"`
@@ -128,7 +128,7 @@
 	g.play(ctx, src, began)
 	close(g.jobs)
 	g.wg.Wait()
-	g.report.Lasted = time.Since(began).Seconds()
+	g.report.Seconds = time.Since(began).Seconds()
 	g.report.OpenAtEnd = g.open
 	g.report.Intended, g.report.Naive = latenciesOf(g.intended), latenciesOf(g.naive)
 	return g.report, ctx.Err()
@@ -169,7 +169,7 @@
 		g.wg.Go(g.work)
 	}
 	if g.idle > len(g.jobs) {
-		g.report.MostLate = max(g.report.MostLate, time.Since(at).Seconds())
+		g.report.MaxLateness = max(g.report.MaxLateness, time.Since(at).Seconds())
 	}
 	if g.Progress != nil && g.report.Sent%progressEvery == 0 {
 		g.Progress(g.report.Sent, g.open)
