--- a/lab/capacity/page/page.go
+++ b/lab/capacity/page/page.go
@@ -18,8 +18,8 @@
 
 // Page is a page with its generated tables rendered anew.
 type Page struct {
-	Text    string
-	Tables  []string // names, in the page's order
+	Text     string
+	Tables   []string // names, in the page's order
 	Outdated []string // those that the given text did not have as they are now
 }
 
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -31,9 +31,9 @@
 
 // The shapes of a curve.
 const (
-	Flat        Shape = "flat"         // the value does not depend on the size
-	Linear      Shape = "linear"       // one straight line fits all points
-	Bends       Shape = "bends"        // straight up to Fit.BendAt, steeper or flatter beyond
+	Flat      Shape = "flat"         // the value does not depend on the size
+	Linear    Shape = "linear"       // one straight line fits all points
+	Bends     Shape = "bends"        // straight up to Fit.BendAt, steeper or flatter beyond
 	NotLinear Shape = "not straight" // must not be extrapolated
 )
 
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -20,8 +20,8 @@
 
 // pageReport is what the page command did, for programs.
 type pageReport struct {
-	File    string   `json:"file"`
-	Tables  []string `json:"tables"`
+	File     string   `json:"file"`
+	Tables   []string `json:"tables"`
 	Outdated []string `json:"differs"` // that were not as they are now; without --check they are written
 }
 
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -45,13 +45,13 @@
 
 // Report is what a run saw.
 type Report struct {
-	Sent      int            `json:"sent"`
-	Answers   map[string]int `json:"answers"` // ok, busy, error, none, expired
-	Seconds    float64        `json:"seconds"`
-	MaxLateness  float64        `json:"most_late_s"` // by which the tool was late in sending, with a connection at hand
-	Intended  Latencies      `json:"intended"`    // from the intended moment to the answer
-	Naive     Latencies      `json:"naive"`       // from the sending, as a closed loop would count: hides a stall
-	OpenAtEnd int            `json:"without_answer"`
+	Sent        int            `json:"sent"`
+	Answers     map[string]int `json:"answers"` // ok, busy, error, none, expired
+	Seconds     float64        `json:"seconds"`
+	MaxLateness float64        `json:"most_late_s"` // by which the tool was late in sending, with a connection at hand
+	Intended    Latencies      `json:"intended"`    // from the intended moment to the answer
+	Naive       Latencies      `json:"naive"`       // from the sending, as a closed loop would count: hides a stall
+	OpenAtEnd   int            `json:"without_answer"`
 }
 
 // Latencies are percentiles in seconds.
