--- a/lab/experiment/coverage.go
+++ b/lab/experiment/coverage.go
@@ -6,7 +6,7 @@
 	"spanflow/lab/scenario"
 )
 
-// countCoverage counts what a scenario covers.
+// countCoverage counts a scenario's kinds of faults, pairs of kinds that overlap in time, and size classes.
 func (v *ViolationSearch) countCoverage(s *scenario.Scenario) {
 	kinds, pairs := map[string]bool{}, map[string]bool{}
 	for i, a := range s.Faults {
@@ -31,7 +31,7 @@
 	v.Sizes[sizeClass("targets", endpoints)]++
 }
 
-// sizeClass is the class of a number, in steps of about three.
+// sizeClass returns the name of the range that n falls into. Each range ends at about three times its start.
 func sizeClass(of string, n int) string {
 	low := 1
 	for _, next := range []int{2, 4, 11, 31, 101} {
--- a/lab/experiment/draw.go
+++ b/lab/experiment/draw.go
@@ -11,13 +11,13 @@
 	"spanflow/lab/scenario"
 )
 
-// The streams of random numbers that scenarios are drawn from.
+// Random number streams for generating scenarios.
 const (
 	drawStream     = 17
 	drawWideStream = 29
 )
 
-// faultKinds are the kinds of faults, sorted.
+// faultKinds returns the kinds of faults, sorted.
 func faultKinds() []string {
 	var kinds []string
 	for kind := range scenario.FaultKinds {
@@ -27,12 +27,13 @@
 	return kinds
 }
 
-// roundToMillis is a time in whole milliseconds, as a file has it.
+// roundToMillis rounds a time to whole milliseconds, the precision used in scenario files.
 func roundToMillis(seconds float64) config.Duration {
 	return config.Duration(math.Round(seconds*1000) / 1000)
 }
 
-// Draw draws a scenario from a base: size, load and faults.
+// Draw generates a scenario from a base by drawing its size, load and faults at random. The same seed gives the same
+// scenario.
 func Draw(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	random := rand.New(rand.NewPCG(seed, drawStream))
 	s := *base
--- a/lab/experiment/draw_wide.go
+++ b/lab/experiment/draw_wide.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	maxSize     = 300    // forwarders, and endpoints
-	maxMessages = 5000.0 // of a scenario, so that many can be played
-	maxGroups   = 5      // of destinations
-	// minOutage is in seconds. Shorter ones the scheduler takes for losses on the way, after which no endpoint is in
-	// slow start (docs/design.md); the operators' outages last five and more.
+	maxSize     = 300    // forwarders, and also endpoints
+	maxMessages = 5000.0 // per scenario, so that many scenarios can be simulated
+	maxGroups   = 5      // groups of destinations
+	// minOutage is in seconds. The scheduler treats shorter outages as network losses, after which no endpoint enters
+	// slow start (docs/design.md). The operators' outages last five seconds or more.
 	minOutage = 3.5
 )
 
-// wideDraw draws one scenario. The order of its draws is fixed: the same seed gives the same scenario.
+// wideDraw generates one scenario. It draws in a fixed order, so that the same seed gives the same scenario.
 type wideDraw struct {
 	random   *rand.Rand
 	scenario *scenario.Scenario
 }
 
-// between draws evenly between two numbers.
+// between draws from a uniform distribution.
 func (w *wideDraw) between(low, high float64) float64 { return low + (high-low)*w.random.Float64() }
 
-// logarithmic draws between two numbers, evenly by their logarithms.
+// logarithmic draws from a log-uniform distribution.
 func (w *wideDraw) logarithmic(low, high float64) float64 {
 	return low * math.Pow(high/low, w.random.Float64())
 }
 
-// chance is true with a probability.
+// chance returns true with the given probability.
 func (w *wideDraw) chance(probability float64) bool { return w.random.Float64() < probability }
 
-// DrawWide draws a scenario in all its dimensions: 1 to 300 forwarders and endpoints, limits, message types, one to
-// four faults that mostly overlap.
+// DrawWide generates a scenario in which every dimension is random: 1 to 300 forwarders and endpoints, limits, message
+// types, and one to four faults that mostly overlap. The same seed gives the same scenario.
 func DrawWide(seed uint64) *scenario.Scenario {
 	w := &wideDraw{random: rand.New(rand.NewPCG(seed, drawWideStream))}
 	w.drawScenario(seed)
@@ -106,8 +106,8 @@
 	w.scenario.Types = append(w.scenario.Types, t)
 }
 
-// drawReceivers draws groups of destinations, and returns how many destinations there are and how many messages a
-// second all of them take.
+// drawReceivers draws groups of destinations. It returns the number of destinations and their total capacity in
+// messages per second.
 func (w *wideDraw) drawReceivers() (destinations int, capacity float64) {
 	left := int(w.logarithmic(1, maxSize+0.99))
 	for i := 0; left > 0 && i < maxGroups; i++ {
@@ -116,7 +116,7 @@
 		if w.chance(0.25) {
 			r.Batch = 2 + w.random.IntN(9)
 		}
-		limit := w.drawLimit(&r) // the load follows the calls admitted: a group that gets many has capacity for many
+		limit := w.drawLimit(&r) // the load is proportional to the calls admitted, so that it goes to groups with capacity
 		r.LoadWeight = float64(r.Count) * limit * w.between(0.5, 1.1)
 		destinations, capacity = destinations+r.Count, capacity+float64(r.Count)*limit
 		w.scenario.Receivers = append(w.scenario.Receivers, r)
@@ -124,7 +124,7 @@
 	return destinations, capacity
 }
 
-// drawReceiver draws a group of destinations with at most so many endpoints.
+// drawReceiver draws a group of destinations with at most maxEndpoints endpoints in total.
 func (w *wideDraw) drawReceiver(index, maxEndpoints int) scenario.Receiver {
 	services := []string{scenario.ServiceFixed, scenario.ServiceExponential, scenario.ServiceLognormal, scenario.ServiceLognormal}
 	r := scenario.Receiver{
@@ -151,7 +151,7 @@
 	return r
 }
 
-// drawLimit draws a limit for a group, or none, and returns how many calls a second a destination takes.
+// drawLimit draws a rate limit for a group, or none, and returns how many calls per second one destination accepts.
 func (w *wideDraw) drawLimit(r *scenario.Receiver) float64 {
 	capacity := float64(r.Endpoints*r.Concurrency) / float64(r.Mean)
 	limit := capacity
@@ -205,7 +205,7 @@
 	}
 }
 
-// drawAffected draws which destinations and zones a fault affects.
+// drawAffected draws the destinations and the zone that a fault affects.
 func (w *wideDraw) drawAffected(f *scenario.Fault, destinations int) {
 	switch w.random.IntN(4) {
 	case 0: // all
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays scenarios many times and says what differs: pairs by seed, axes, and searches for scenarios
-// in which a policy does badly or breaks a rule.
+// Package experiment simulates scenarios many times: paired comparisons by seed, sweeps along an axis, and searches for
+// scenarios in which a policy performs badly or breaks a rule.
 package experiment
 
 import (
@@ -15,15 +15,15 @@
 	"spanflow/lab/sim"
 )
 
-// Arm is one side of a comparison: a scenario and the policy that plays it.
+// Arm is one side of a comparison: a scenario and the policy that is simulated on it.
 type Arm struct {
 	Name      string
 	Scenario  *scenario.Scenario
 	NewPolicy sim.Maker
 }
 
-// Play plays an arm with each seed, as many at once as there are cores. The results are in the order of the seeds. done
-// is called after each; it may be nil and is called from several goroutines.
+// Play simulates an arm once with each seed, one run per core at a time. The results are in the order of the seeds.
+// done is called after each run, from several goroutines; it may be nil.
 func Play(a Arm, seeds []uint64, done func()) []*sim.Result {
 	all := make([]*sim.Result, len(seeds))
 	parallel(len(seeds), func(i int) {
@@ -35,7 +35,7 @@
 	return all
 }
 
-// parallel runs a function for each of n numbers, as many at once as there are cores.
+// parallel calls do for each of 0 to n-1, on one goroutine per core.
 func parallel(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
@@ -53,7 +53,7 @@
 	wg.Wait()
 }
 
-// Seeds are n seeds from one on.
+// Seeds returns n consecutive seeds, starting with from.
 func Seeds(from uint64, n int) []uint64 {
 	seeds := make([]uint64, n)
 	for i := range seeds {
@@ -62,17 +62,17 @@
 	return seeds
 }
 
-// Summary sums up the results of an arm.
+// Summary aggregates the results of an arm over its seeds. G is the share of the value that was delivered.
 type Summary struct {
 	Name       string         `json:"name"`
-	G          []float64      `json:"g"` // by seed
+	G          []float64      `json:"g"` // in the order of the seeds
 	Mean       float64        `json:"mean_g"`
 	Worst      float64        `json:"worst_g"`
 	P99        float64        `json:"mean_p99_s"`
 	Violations map[string]int `json:"breaches"`
 }
 
-// Summarize sums up the results of an arm.
+// Summarize aggregates the results of an arm; P99 is the mean of the runs' 99th percentiles.
 func Summarize(name string, results []*sim.Result) Summary {
 	s := Summary{Name: name, Worst: math.Inf(1), Violations: map[string]int{}}
 	for _, r := range results {
@@ -87,22 +87,23 @@
 	return s
 }
 
-// Comparison is a pair of arms, played with the same seeds.
+// Comparison is the outcome of two arms that were simulated with the same seeds.
 type Comparison struct {
 	A       Summary `json:"a"`
 	B       Summary `json:"b"`
-	Mean    float64 `json:"mean_difference"` // of the share of value delivered, B less A
-	Low     float64 `json:"low"`             // the middle 95% of resampled means
+	Mean    float64 `json:"mean_difference"` // of the share of value delivered, B minus A
+	Low     float64 `json:"low"`             // Low to High is the middle 95% of the resampled means
 	High    float64 `json:"high"`
 	Verdict string  `json:"verdict"`
 }
 
 const resamples = 4000
 
-// Compare plays both arms, one pair for each seed, and resamples the differences of the pairs.
+// Compare simulates both arms with each seed and estimates the mean difference of the pairs by resampling. done is
+// called after each run, from several goroutines; it may be nil.
 func Compare(a, b Arm, seeds []uint64, done func()) Comparison {
 	ra, rb := make([]*sim.Result, len(seeds)), make([]*sim.Result, len(seeds))
-	parallel(2*len(seeds), func(i int) { // interleaved
+	parallel(2*len(seeds), func(i int) { // interleaves the arms
 		if i%2 == 0 {
 			ra[i/2] = sim.Play(a.Scenario, seeds[i/2], a.NewPolicy)
 		} else {
@@ -129,7 +130,7 @@
 	return c
 }
 
-// bootstrap is the mean of values and the middle 95% of the means of resamples, always the same for the same values.
+// bootstrap returns the mean of the values and the middle 95% of the means of resamples. It is deterministic.
 func bootstrap(values []float64) (mean, low, high float64) {
 	for _, v := range values {
 		mean += v / float64(len(values))
@@ -145,12 +146,12 @@
 	return mean, means[resamples*25/1000], means[resamples*975/1000]
 }
 
-// Axes are what a sweep can vary, by name: each sets one figure of a scenario.
+// Axes are the axes of a sweep, by name. Each function changes one figure of a scenario.
 var Axes = map[string]func(s *scenario.Scenario, x float64){
 	"forwarders": func(s *scenario.Scenario, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
 	"slots":      func(s *scenario.Scenario, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
 	"load":       func(s *scenario.Scenario, x float64) { s.Load.PerSecond *= x },
-	"trouble": func(s *scenario.Scenario, x float64) { // how long each lasts
+	"trouble": func(s *scenario.Scenario, x float64) { // scales the duration of each fault
 		s.Faults = slices.Clone(s.Faults)
 		for i := range s.Faults {
 			s.Faults[i].For *= config.Duration(x)
@@ -165,8 +166,7 @@
 	},
 }
 
-// Vary returns a copy of a scenario with the figure of an axis set, or an error if there is no such axis or the copy is
-// not sound.
+// Vary returns a copy of a scenario that is changed along an axis. An unknown axis or an invalid copy is an error.
 func Vary(s *scenario.Scenario, axis string, x float64) (*scenario.Scenario, error) {
 	set := Axes[axis]
 	if set == nil {
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -22,7 +22,7 @@
 	return Arm{name, s, make}
 }
 
-func TestAnArmAgainstItselfShowsNoDifferenceAndAWorseOneDoes(t *testing.T) {
+func TestCompareTellsAWorsePolicyFromAnEqualOne(t *testing.T) {
 	a := arm(t, "several-at-once", sim.SchedulerPolicy)
 	c := Compare(a, a, Seeds(1, 6), nil)
 	require.Equal(t, []any{0.0, 0.0, 0.0, "no difference seen"}, []any{c.Mean, c.Low, c.High, c.Verdict})
@@ -35,7 +35,7 @@
 	require.True(t, mean == 0 && low < 0 && high > 0)
 }
 
-func TestAnAxisVariesOneFigureOfACopy(t *testing.T) {
+func TestVaryChangesOneFigureOfACopy(t *testing.T) {
 	a := arm(t, "one-partner-hangs", nil)
 	v, err := Vary(a.Scenario, "trouble", 2)
 	require.NoError(t, err)
@@ -48,35 +48,35 @@
 	require.ErrorContains(t, err, "unknown axis")
 }
 
-// rejecting is the scheduler but for one receiver, whose messages it rejects.
-type rejecting struct {
+// rejectingPolicy is the scheduler, except that it rejects every message from 15 seconds after the start.
+type rejectingPolicy struct {
 	sim.Policy
 	now, began float64
 }
 
-func (s *rejecting) SetTime(now float64) {
+func (s *rejectingPolicy) SetTime(now float64) {
 	s.now = now
 	s.Policy.SetTime(now)
 }
 
-func (s *rejecting) Admit(size int, left float64) (bool, float64) {
+func (s *rejectingPolicy) Admit(size int, left float64) (bool, float64) {
 	if s.now > s.began+15 {
 		return false, 1
 	}
 	return s.Policy.Admit(size, left)
 }
 
-func TestASearchFindsWhereAPolicyDoesBadlyAndShrinksIt(t *testing.T) {
+func TestSearchFindsAndShrinksBadScenarios(t *testing.T) {
 	a := arm(t, "calm", nil)
 	bad := func(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
-		return &rejecting{Policy: sim.SchedulerPolicy(settings, seed, now, h), began: now}
+		return &rejectingPolicy{Policy: sim.SchedulerPolicy(settings, seed, now, h), began: now}
 	}
 	found := Search(context.Background(), a.Scenario, bad, 1, 16, 1, nil)
 	require.Len(t, found, 1)
 	f := found[0]
 	require.Greater(t, f.Loss(), 0.3)
 	require.NotZero(t, f.Steps)
-	require.Less(t, len(f.Scenario.Faults), 2, "it needs no fault to do badly")
+	require.Less(t, len(f.Scenario.Faults), 2, "the policy performs badly without any fault")
 	text, err := f.Text()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "f.toml")
@@ -84,10 +84,10 @@
 	s, err := scenario.Read(path)
 	require.NoError(t, err, string(text))
 	again := judge(s, f.Seed, bad)
-	require.Equal(t, []any{f.G, f.Rules}, []any{again.G, again.Rules}, "the kept scenario still shows it")
+	require.Equal(t, []any{f.G, f.Rules}, []any{again.G, again.Rules}, "the kept scenario still reproduces the finding")
 }
 
-func TestAReportIsOnePageWithItsNumbers(t *testing.T) {
+func TestReportIsOneSelfContainedPage(t *testing.T) {
 	a := arm(t, "returns-cold", sim.Baselines["fifo"])
 	var b bytes.Buffer
 	require.NoError(t, report.Write(&b, a.Scenario, Play(a, Seeds(1, 1), nil)))
@@ -96,6 +96,6 @@
 		require.Contains(t, text, part)
 	}
 	for _, part := range []string{"<link", "src=", "@import"} {
-		require.NotContains(t, text, part, "nothing is fetched from elsewhere")
+		require.NotContains(t, text, part, "the page loads no other files")
 	}
 }
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -14,23 +14,24 @@
 	"spanflow/lab/sim"
 )
 
-// Finding is a scenario in which a policy does badly.
+// Finding is a scenario in which a policy performs badly.
 type Finding struct {
 	Scenario *scenario.Scenario
 	Seed     uint64
 	G        float64  // share of the value that the policy delivers
-	Best     float64  // the best baseline's that keeps the rules there
-	Rules    []string // that the policy breaks
-	Steps    int      // by which the scenario was shrunk
+	Best     float64  // highest share among the baselines that keep the rules in this scenario
+	Rules    []string // rules that the policy breaks
+	Steps    int      // number of steps by which the scenario was shrunk
 }
 
-// brokenRuleLoss is how much a broken rule counts against shares of value.
+// brokenRuleLoss is the loss of one broken rule. It outweighs any share of the value, which is at most 1.
 const brokenRuleLoss = 10
 
-// Loss is how badly the policy does: a broken rule counts most, then what a baseline delivers more.
+// Loss rates how badly the policy performs. Broken rules count most, then the share of the value by which the best
+// baseline delivers more.
 func (f *Finding) Loss() float64 { return float64(brokenRuleLoss*len(f.Rules)) + f.Best - f.G }
 
-// Text is the finding as a scenario file to keep.
+// Text returns the finding as a scenario file.
 func (f *Finding) Text() ([]byte, error) {
 	s := *f.Scenario
 	s.Seed = f.Seed
@@ -38,7 +39,7 @@
 	return toml.Marshal(&s)
 }
 
-// judge plays a scenario with a policy and the baselines.
+// judge simulates a scenario with a policy and with the baselines.
 func judge(s *scenario.Scenario, seed uint64, newPolicy sim.Maker) *Finding {
 	r := sim.Play(s, seed, newPolicy)
 	f := &Finding{Scenario: s, Seed: seed, G: r.G}
@@ -48,7 +49,7 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sim.Baselines)) {
-		if name == "oracle" { // it knows what no forwarder can: no fair comparison
+		if name == "oracle" { // it has information that no forwarder can have
 			continue
 		}
 		if r := sim.Play(s, seed, sim.Baselines[name]); len(r.Violations) == 0 {
@@ -58,10 +59,11 @@
 	return f
 }
 
-const findingsBatch = 16 // scenarios
+const findingsBatch = 16 // scenarios simulated between two progress reports
 
-// Search draws scenarios until ctx ends or limit scenarios were drawn, and returns the worst, shrunk; keep is how many.
-// progress, which may be nil, gets how many were drawn and the worst loss.
+// Search generates scenarios until ctx is done or it has reached the limit, rounded up to whole batches. It returns the
+// worst findings, shrunk, at most keep of them. progress, which may be nil, is called with the number of scenarios so
+// far and the worst loss.
 func Search(ctx context.Context, base *scenario.Scenario, newPolicy sim.Maker, from uint64, limit, keep int, progress func(n int, worst float64)) []*Finding {
 	var found []*Finding
 	for n := 0; n < limit && ctx.Err() == nil; n += findingsBatch {
--- a/lab/experiment/shrink.go
+++ b/lab/experiment/shrink.go
@@ -9,10 +9,10 @@
 
 const (
 	maxShrinkSteps = 60
-	shrunkLoss     = 0.75 // of the loss stays at least
+	shrunkLoss     = 0.75 // share of the loss that a shrunk scenario must keep
 )
 
-// Shrink makes a finding's scenario smaller as long as three quarters of the loss stay.
+// Shrink simplifies a finding's scenario as long as it keeps three quarters of the loss.
 func Shrink(f *Finding, newPolicy sim.Maker) *Finding {
 	floor := f.Loss() * shrunkLoss
 	s, steps := shrink(f.Scenario, func(s *scenario.Scenario) bool { return judge(s, f.Seed, newPolicy).Loss() >= floor })
@@ -24,14 +24,14 @@
 	return smallest
 }
 
-// shrink takes one thing after the other from a scenario as long as it still shows what it showed: of those that may
-// go, the first, whichever is tried first.
-func shrink(s *scenario.Scenario, still func(*scenario.Scenario) bool) (smallest *scenario.Scenario, steps int) {
+// shrink simplifies a scenario step by step as long as it still reproduces the finding. Each step takes the first
+// candidate in order that reproduces it, so that the result does not depend on which simulation ends first.
+func shrink(s *scenario.Scenario, reproduces func(*scenario.Scenario) bool) (smallest *scenario.Scenario, steps int) {
 	for ; steps < maxShrinkSteps; steps++ {
 		candidates := slices.DeleteFunc(simplerScenarios(s), func(c *scenario.Scenario) bool { return len(c.Check()) > 0 })
-		shows := make([]bool, len(candidates))
-		parallel(len(candidates), func(i int) { shows[i] = still(candidates[i]) })
-		i := slices.Index(shows, true)
+		reproduced := make([]bool, len(candidates))
+		parallel(len(candidates), func(i int) { reproduced[i] = reproduces(candidates[i]) })
+		i := slices.Index(reproduced, true)
 		if i < 0 {
 			break
 		}
@@ -46,7 +46,7 @@
 	all  []*scenario.Scenario
 }
 
-// simplerScenarios are scenarios with one thing less.
+// simplerScenarios returns copies of a scenario that are each simplified in one way.
 func simplerScenarios(s *scenario.Scenario) []*scenario.Scenario {
 	m := &simplifier{base: s}
 	m.simplifyFaults()
@@ -72,7 +72,7 @@
 	return m.all
 }
 
-// add adds a copy with a change; the lists that changes touch are copied too.
+// add adds a changed copy of the base. The lists that changes modify are copied too.
 func (m *simplifier) add(change func(*scenario.Scenario)) {
 	c := *m.base
 	c.Faults, c.Receivers, c.Types = slices.Clone(c.Faults), slices.Clone(c.Receivers), slices.Clone(c.Types)
@@ -107,8 +107,8 @@
 	}
 }
 
-// removeReceivers removes half of a group's destinations, or a group. The load of those that go goes with them: the
-// others are to get no more than before.
+// removeReceivers removes half of a group's destinations, or a whole group, together with their load, so that the
+// remaining destinations get no more load than before.
 func (m *simplifier) removeReceivers() {
 	weights := 0.0
 	for i := range m.base.Receivers {
--- a/lab/experiment/violation_search.go
+++ b/lab/experiment/violation_search.go
@@ -15,38 +15,38 @@
 	"spanflow/lab/sim"
 )
 
-// ViolationSearch is a search for broken rules that continues where it stopped: which seeds were tried, what their
-// scenarios covered, and the violations found. It is the same for the same seeds on any number of cores.
+// ViolationSearch is the resumable state of a search for broken rules: the seeds tried, what their scenarios covered,
+// and the violations found. The same seeds give the same state on any number of cores.
 type ViolationSearch struct {
 	Version    int              `toml:"version"`
-	Tried      [][2]uint64      `toml:"tried"` // ranges of seeds, first and last, in order
+	Tried      [][2]uint64      `toml:"tried"` // ranges of seeds (first and last, inclusive), in ascending order
 	Scenarios  int              `toml:"scenes" json:"Scenes"`
-	Kinds      map[string]int   `toml:"kinds"` // scenarios by kind of fault
-	Pairs      map[string]int   `toml:"pairs"` // scenarios in which faults of two kinds overlapped in time
-	Sizes      map[string]int   `toml:"sizes"` // scenarios by forwarders and endpoints
+	Kinds      map[string]int   `toml:"kinds"` // number of scenarios by kind of fault
+	Pairs      map[string]int   `toml:"pairs"` // number of scenarios in which faults of two kinds overlapped in time
+	Sizes      map[string]int   `toml:"sizes"` // number of scenarios by class of forwarders and of endpoints
 	Violations []FoundViolation `toml:"breaks" json:"Breaks"`
-	Unshrunk   int              `toml:"unshrunk"` // violations beyond the most that are kept
+	Unshrunk   int              `toml:"unshrunk"` // number of violations beyond maxViolations, which are not kept
 }
 
-// FoundViolation is a rule broken in a drawn scenario.
+// FoundViolation is a rule that was broken in a generated scenario.
 type FoundViolation struct {
 	Seed   uint64 `toml:"seed"`
 	Rule   string `toml:"rule"`
 	Reason string `toml:"what" json:"What"`
-	File   string `toml:"file"`  // the scenario, shrunk
-	Steps  int    `toml:"steps"` // by which it was shrunk
+	File   string `toml:"file"`  // name of the file with the shrunk scenario
+	Steps  int    `toml:"steps"` // number of steps by which the scenario was shrunk
 }
 
 const (
 	searchVersion = 1
-	searchBatch   = 32  // scenarios
-	maxViolations = 100 // kept; a scheduler that breaks more is to be mended first
+	searchBatch   = 32  // scenarios between two saves
+	maxViolations = 100 // violations kept; a scheduler with more needs fixing before the search goes on
 	searchFile    = "hunt.toml"
 	scenarioFile  = ".toml"
 )
 
-// OpenViolationSearch reads the search in a folder, or begins one; the folder is made. A folder that cannot be written
-// is an error.
+// OpenViolationSearch reads the search stored in a folder, or starts a new one, and creates the folder if necessary. It
+// returns an error if the folder is not writable.
 func OpenViolationSearch(folder string) (*ViolationSearch, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
@@ -67,10 +67,10 @@
 			*counts = map[string]int{}
 		}
 	}
-	return v, v.Save(folder) // a folder that cannot be written is refused before the work
+	return v, v.Save(folder) // fails before the search starts if the folder is not writable
 }
 
-// parse reads a search's file; path is for errors.
+// parse decodes and checks the text of a search file; path is used in errors only.
 func (v *ViolationSearch) parse(path string, text []byte) error {
 	v.Version = 0
 	if err := config.Decode(path, text, v); err != nil {
@@ -87,24 +87,24 @@
 
 func (v *ViolationSearch) check() (problems config.Problems) {
 	if v.Version != searchVersion {
-		problems = append(problems, config.Problem{Field: "version", Reason: fmt.Sprintf("%d is not this program's, %d", v.Version, searchVersion)})
+		problems = append(problems, config.Problem{Field: "version", Reason: fmt.Sprintf("%d is not supported; this program needs %d", v.Version, searchVersion)})
 	}
 	seeds := uint64(0)
 	for i, t := range v.Tried {
 		if t[0] > t[1] || i > 0 && t[0] <= v.Tried[i-1][1] {
 			problems = append(problems,
-				config.Problem{Field: fmt.Sprintf("tried[%d]", i), Reason: "seeds are not in order: the file was changed or cut"})
+				config.Problem{Field: fmt.Sprintf("tried[%d]", i), Reason: "seeds are out of order: the file was modified or truncated"})
 		}
 		seeds += t[1] - t[0] + 1
 	}
 	if len(problems) == 0 && seeds != uint64(v.Scenarios) {
 		problems = append(problems,
-			config.Problem{Field: "scenes", Reason: fmt.Sprintf("%d, while %d seeds are tried: the file was changed or cut", v.Scenarios, seeds)})
+			config.Problem{Field: "scenes", Reason: fmt.Sprintf("%d does not match the %d seeds tried: the file was modified or truncated", v.Scenarios, seeds)})
 	}
 	return problems
 }
 
-// Save writes the search's file in place of the old one.
+// Save replaces the search file in the folder atomically.
 func (v *ViolationSearch) Save(folder string) error {
 	text, err := toml.Marshal(v)
 	if err != nil {
@@ -117,7 +117,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// nextUntried is the first seed from one on that was not tried.
+// nextUntried returns the first seed at or after from that was not tried.
 func (v *ViolationSearch) nextUntried(from uint64) uint64 {
 	for _, t := range v.Tried {
 		if from >= t[0] && from <= t[1] {
@@ -127,7 +127,7 @@
 	return from
 }
 
-// markTried adds a range of seeds and joins ranges that touch.
+// markTried adds a range of seeds and merges adjacent ranges.
 func (v *ViolationSearch) markTried(first, last uint64) {
 	v.Tried = append(v.Tried, [2]uint64{first, last})
 	slices.SortFunc(v.Tried, func(a, b [2]uint64) int { return cmp.Compare(a[0], b[0]) })
@@ -142,9 +142,9 @@
 	v.Tried = joined
 }
 
-// Run plays drawn scenarios from a seed on until ctx ends or so many were played, writing to the folder after each
-// batch. A batch that is begun is finished, so that an interrupted search has kept all that it found. progress may be
-// nil.
+// Run simulates the scenarios of untried seeds, starting at from, until ctx is done or it has simulated limit
+// scenarios. It saves its state to the folder after each batch. A batch that has started is always finished, so that an
+// interrupted search keeps everything it found. progress is called after each batch; it may be nil.
 func (v *ViolationSearch) Run(ctx context.Context, folder string, newPolicy sim.Maker, from uint64, limit int, progress func(*ViolationSearch)) error {
 	for played := 0; played < limit && ctx.Err() == nil; {
 		from = v.nextUntried(from)
@@ -172,7 +172,8 @@
 	return nil
 }
 
-// batchSize is how many seeds from one on are tried at once: only as many as were not tried before.
+// batchSize returns the number of seeds in the batch that starts at from. The batch ends before the next seed that was
+// already tried.
 func (v *ViolationSearch) batchSize(from uint64, limit int) int {
 	size := min(searchBatch, limit)
 	for _, t := range v.Tried {
@@ -183,19 +184,19 @@
 	return size
 }
 
-// playedScenario is a drawn scenario and what became of it.
-type playedScenario struct {
+// simulatedScenario is a generated scenario with its seed and result.
+type simulatedScenario struct {
 	scenario *scenario.Scenario
 	seed     uint64
 	result   *sim.Result
 }
 
-func playBatch(from uint64, size int, newPolicy sim.Maker) []playedScenario {
-	batch := make([]playedScenario, size)
+func playBatch(from uint64, size int, newPolicy sim.Maker) []simulatedScenario {
+	batch := make([]simulatedScenario, size)
 	parallel(size, func(i int) {
 		seed := from + uint64(i)
 		s := DrawWide(seed)
-		batch[i] = playedScenario{s, seed, sim.Play(s, seed, newPolicy)}
+		batch[i] = simulatedScenario{s, seed, sim.Play(s, seed, newPolicy)}
 	})
 	return batch
 }
@@ -206,8 +207,9 @@
 	scenario *scenario.Scenario
 }
 
-// violationsOf is the first violation of each rule in each scenario; those beyond the most that are kept are counted.
-func (v *ViolationSearch) violationsOf(batch []playedScenario) []unshrunkViolation {
+// violationsOf returns the first violation of each rule in each scenario. Violations beyond maxViolations are only
+// counted.
+func (v *ViolationSearch) violationsOf(batch []simulatedScenario) []unshrunkViolation {
 	var found []unshrunkViolation
 	for _, p := range batch {
 		rules := map[string]bool{}
@@ -249,7 +251,7 @@
 	return nil
 }
 
-// violationOf is how a rule is broken in a scenario, empty if it is kept.
+// violationOf returns how a scenario breaks a rule, or "" if it keeps the rule.
 func violationOf(s *scenario.Scenario, seed uint64, rule string, newPolicy sim.Maker) string {
 	for _, violation := range sim.Play(s, seed, newPolicy).Violations {
 		if string(violation.Rule) == rule {
--- a/lab/experiment/violation_search_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -15,22 +15,21 @@
 	"spanflow/scheduler"
 )
 
-// withoutSlowStart is the scheduler without its slow start after an outage: it takes a recovering destination to bear
-// any load.
+// withoutSlowStart is the scheduler without slow start after an outage: it sends any load to a recovering destination.
 func withoutSlowStart(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	settings.OverloadMultiple, settings.SlowStartShare = 1e6, 1
 	return sim.SchedulerPolicy(settings, seed, now, h)
 }
 
-func searchViolations(t *testing.T, dir string, make sim.Maker, from uint64, most int) *ViolationSearch {
+func searchViolations(t *testing.T, dir string, make sim.Maker, from uint64, limit int) *ViolationSearch {
 	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
-	require.NoError(t, h.Run(context.Background(), dir, make, from, most, nil))
+	require.NoError(t, h.Run(context.Background(), dir, make, from, limit, nil))
 	return h
 }
 
-// files are the texts of a folder by their names.
-func files(t *testing.T, dir string) map[string]string {
+// readFiles returns the contents of a folder's files by name.
+func readFiles(t *testing.T, dir string) map[string]string {
 	entries, err := os.ReadDir(dir)
 	require.NoError(t, err)
 	all := map[string]string{}
@@ -42,7 +41,7 @@
 	return all
 }
 
-func TestViolationSearchFindsASchedulerWithoutSlowStartAndKeepsTheScenario(t *testing.T) {
+func TestViolationSearchFindsMissingSlowStart(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "when missing")
 	h := searchViolations(t, dir, withoutSlowStart, 1, 16)
 	require.NotEmpty(t, h.Violations)
@@ -50,22 +49,22 @@
 	require.Contains(t, b.Rule, "returns not pushed over")
 	s, err := scenario.Read(filepath.Join(dir, b.File))
 	require.NoError(t, err)
-	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, withoutSlowStart), "the kept scenario still shows it")
+	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, withoutSlowStart), "the kept scenario still reproduces the violation")
 	require.NotZero(t, b.Steps)
 }
 
-func TestViolationSearchContinuesWhereItStoppedAndIsTheSameOnAnyNumberOfCores(t *testing.T) {
+func TestViolationSearchIsDeterministicAcrossRunsAndCores(t *testing.T) {
 	atOnce, inParts := t.TempDir(), t.TempDir()
 	h := searchViolations(t, atOnce, withoutSlowStart, 1, 12)
 	require.Equal(t, 12, h.Scenarios)
 	was := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(was)
-	searchViolations(t, inParts, withoutSlowStart, 5, 8) // the later seeds first
+	searchViolations(t, inParts, withoutSlowStart, 5, 8) // later seeds first
 	searchViolations(t, inParts, withoutSlowStart, 1, 4)
-	require.Equal(t, files(t, atOnce), files(t, inParts))
+	require.Equal(t, readFiles(t, atOnce), readFiles(t, inParts))
 }
 
-func TestInterruptedViolationSearchKeepsWhatItFound(t *testing.T) {
+func TestInterruptedViolationSearchKeepsItsFindings(t *testing.T) {
 	dir := t.TempDir()
 	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
@@ -77,30 +76,31 @@
 	require.Equal(t, [][2]uint64{{1, searchBatch}}, again.Tried)
 }
 
-func TestViolationSearchRejectsADamagedOrForeignFile(t *testing.T) {
+func TestViolationSearchRejectsInvalidFiles(t *testing.T) {
 	dir := t.TempDir()
 	searchViolations(t, dir, sim.SchedulerPolicy, 1, 8)
 	path := filepath.Join(dir, searchFile)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
-	for _, c := range []struct{ old, new, says string }{
-		{"version = 1", "version = 9", "hunt.toml: version: 9 is not this program's, 1"},
+	for _, c := range []struct{ old, new, want string }{
+		{"version = 1", "version = 9", "hunt.toml: version: 9 is not supported; this program needs 1"},
 		{"version = 1", "version = 1\ncolour = 2", "hunt.toml:2: colour: unknown key"},
-		{"scenes = 8", "scenes = 9", "hunt.toml: scenes: 9, while 8 seeds are tried"},
-		{"tried = [[1, 8]]", "tried = [[8, 1]]", "hunt.toml: tried[0]: seeds are not in order"},
+		{"scenes = 8", "scenes = 9", "hunt.toml: scenes: 9 does not match the 8 seeds tried"},
+		{"tried = [[1, 8]]", "tried = [[8, 1]]", "hunt.toml: tried[0]: seeds are out of order"},
 		{string(text[20:]), "", "hunt.toml"}} {
 		changed := strings.Replace(string(text), c.old, c.new, 1)
 		require.NotEqual(t, string(text), changed, c.old)
 		require.NoError(t, os.WriteFile(path, []byte(changed), 0o600))
 		_, err := OpenViolationSearch(dir)
-		require.ErrorContains(t, err, c.says)
+		require.ErrorContains(t, err, c.want)
 	}
 	_, err = OpenViolationSearch(path)
-	require.Error(t, err, "a file is no folder")
+	require.Error(t, err, "a file in place of the folder is an error")
 }
 
-// In each scenario that a search has found the rules hold, and it delivers the share that it states.
-func TestKeptFindingsHold(t *testing.T) {
+// TestKeptFindingsMeetTheirFloor checks that the scheduler keeps the rules in every scenario that earlier searches
+// found, and that it delivers at least the share of value that the scenario states as its floor.
+func TestKeptFindingsMeetTheirFloor(t *testing.T) {
 	require.NotEmpty(t, scenario.Findings())
 	for _, name := range scenario.Findings() {
 		s, err := scenario.Read(name)
