--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -21,20 +21,21 @@
 func (s *session) hollowCommand() *cobra.Command {
 	config := hollow.Config{Forwarders: 500, Processes: 4, Destinations: 1700, Changes: 5, Lasts: 10 * time.Second, Seed: 1}
 	memoryMB, listMB, into := 0, 0, ""
-	c := &cobra.Command{Use: "hollow [SCENARIO...]", Short: "Bring list changes into force in a fleet of hollow forwarders",
-		Long: `Starts forwarders without clients and without calls to targets, many in a process, with the real discovery client, module
-and sockets, and a stand-in for discovery in a process of its own, all on 127.0.0.1. Measures how long a change of the
-list takes until it is in force at all of them, and what it costs. Without a scenario all are run:
+	c := &cobra.Command{Use: "hollow [SCENARIO...]", Short: "Measure list changes in a fleet of hollow (lightweight simulated) forwarders",
+		Long: `Starts hollow forwarders on 127.0.0.1: lightweight simulated forwarders, many per process, with the real discovery client,
+scheduler and sockets, but without clients and without calls to endpoints. An emulated discovery server runs in a separate
+process. Measures how long a change of the endpoint list takes until it is in force at all forwarders, and what it costs.
+If no scenario is named, all of them are run:
 
   idle     nothing happens
-  change   the list changes, several times
-  restart  a third is restarted at once, and the list changes
-  outage   discovery is away, and the list changes meanwhile; times count from its return
-  zone     a zone is cut off from discovery, and the list changes meanwhile; its times count from its end
-  whole    all start at once without a list and are told the whole of it
+  change   the list changes several times
+  restart  a third of the forwarders restart at the same time, and the list changes
+  outage   the list changes while discovery is down; times count from its return
+  zone     the list changes while a zone is cut off from discovery; times of that zone count from the end of the cut
+  whole    all forwarders start at the same time without a list and receive the full list
 
-The number of forwarders is reduced, and the note says so, where the memory that one was measured to need does not allow
-them all. Interrupted, it ends all processes and prints what was finished.`,
+If the measured memory of one forwarder does not allow for all of them, fewer are started, and the note says so. When
+interrupted, the command ends all processes and prints the finished trials.`,
 		Example: "  spanflow-lab capacity hollow change --forwarders 500 --processes 4 --destinations 1700 --into docs/capacity/measured.json",
 		RunE: cli.Run(func(args []string) error {
 			self, err := os.Executable()
@@ -63,15 +64,15 @@
 			return errors.Join(err, s.printFleets(trials))
 		})}
 	f := c.Flags()
-	f.IntVar(&config.Forwarders, "forwarders", config.Forwarders, "hollow forwarders in all")
-	f.IntVar(&config.Processes, "processes", config.Processes, "processes that they are spread over")
-	f.IntVar(&config.Destinations, "destinations", config.Destinations, "destinations on the list, with one target each")
-	f.IntVar(&config.Changes, "changes", config.Changes, "changes of the scenario 'change', one after another")
-	f.DurationVar(&config.Lasts, "lasts", config.Lasts, "of the idle window, and of an outage or a cut")
-	f.IntVar(&memoryMB, "memory", 0, "MB for all processes together; 0: a quarter of the machine's, at most half")
-	f.IntVar(&listMB, "list-limit", 0, "MB that a forwarder takes as one object of the watch; 0: its own limit")
-	f.Uint64Var(&config.Seed, "seed", config.Seed, "of what changes and of each forwarder's chance")
-	f.StringVar(&into, "into", "", "file of results that takes the trials in, in place of earlier ones of the same size")
+	f.IntVar(&config.Forwarders, "forwarders", config.Forwarders, "total number of hollow forwarders")
+	f.IntVar(&config.Processes, "processes", config.Processes, "number of processes that share the forwarders")
+	f.IntVar(&config.Destinations, "destinations", config.Destinations, "number of destinations on the list, with one endpoint each")
+	f.IntVar(&config.Changes, "changes", config.Changes, "number of successive list changes in the scenario 'change'")
+	f.DurationVar(&config.Lasts, "lasts", config.Lasts, "duration of the idle period, the outage or the zone cut")
+	f.IntVar(&memoryMB, "memory", 0, "memory for all processes together, in MB, at most half of the machine's; 0 means a quarter of it")
+	f.IntVar(&listMB, "list-limit", 0, "largest object that a forwarder accepts on a watch, in MB; 0 means the built-in limit")
+	f.Uint64Var(&config.Seed, "seed", config.Seed, "random seed for the list changes and for each forwarder")
+	f.StringVar(&into, "into", "", "results file to store the trials in; replaces earlier trials of the same size")
 	return c
 }
 
@@ -98,9 +99,9 @@
 	return nil
 }
 
-// hollowProcessCommand is what 'spanflow-lab capacity hollow' starts.
+// hollowProcessCommand is the hidden command of the processes that 'spanflow-lab capacity hollow' starts.
 func (s *session) hollowProcessCommand() *cobra.Command {
-	return &cobra.Command{Use: hollowProcess + " ROLE", Hidden: true, Args: cobra.ExactArgs(1), Short: "A process of 'hollow'",
+	return &cobra.Command{Use: hollowProcess + " ROLE", Hidden: true, Args: cobra.ExactArgs(1), Short: "Process started by 'capacity hollow'",
 		RunE: cli.Run(func(args []string) error {
 			return hollow.Serve(s.ctx, hollow.Role(args[0]), os.Stdin, s.out)
 		})}
--- a/lab/commands/capacity_measure.go
+++ b/lab/commands/capacity_measure.go
@@ -16,20 +16,20 @@
 	"spanflow/lab/capacity/measure"
 )
 
-// measureCommand is what the flags of 'capacity measure' say.
+// measureCommand holds the flags of 'capacity measure'.
 type measureCommand struct {
 	*session
 	options measure.Options
 	memory  string
-	into    string // empty: the curves are not merged
+	into    string // empty if the curves are only printed
 }
 
 func (s *session) capacityMeasure() *cobra.Command {
 	m := &measureCommand{session: s, options: measure.Options{Lasts: measure.DefaultLasts}}
-	c := &cobra.Command{Use: "measure [ROLE...]", Short: "Measure what each role costs at several sizes, and fit lines",
-		Long: `Measures each role, or those named, at five sizes over two decades and fits a straight line to each quantity. A curve
-that is not straight is said to be so. Sizes that would not fit into --lasts or --memory are left out, which is told on
-standard error with the progress.
+	c := &cobra.Command{Use: "measure [ROLE...]", Short: "Measure the cost of each role at several sizes, and fit lines",
+		Long: `Measures the named roles, or all roles, at five sizes over two decades and fits a straight line to each quantity. Curves
+that are not linear are marked as such. Sizes that do not fit into --lasts or --memory are skipped and reported on standard
+error with the progress.
 
 ` + measure.Describe(),
 		Example: "  spanflow-lab capacity measure held-message restart\n  spanflow-lab capacity measure --into docs/capacity/measured.json",
@@ -43,17 +43,17 @@
 		},
 		RunE: cli.Run(m.measure)}
 	f := c.Flags()
-	f.Uint64Var(&m.options.Seed, "seed", 1, "of what is drawn")
-	f.IntVar(&m.options.Largest, "largest", 0, "the largest size, in the unit of each role; 0: the role's own")
-	f.DurationVar(&m.options.Lasts, "lasts", m.options.Lasts, "time for each role")
-	f.StringVar(&m.memory, "memory", humanize.Bytes(uint64(measure.DefaultMemory())), "memory that the measurement and the forwarders it starts may take")
-	f.StringVar(&m.options.Program, "program", "bin/spanflow", "the built forwarder, with spanflowctl beside it")
-	f.StringVar(&m.options.Folder, "folder", "", "where write-ahead logs and configurations lie meanwhile (default: the system's temporary folder)")
-	f.StringVar(&m.into, "into", "", "merge the curves into this file of results, by role and quantity")
+	f.Uint64Var(&m.options.Seed, "seed", 1, "random seed")
+	f.IntVar(&m.options.Largest, "largest", 0, "largest size, in the unit of each role; 0 means the role's default")
+	f.DurationVar(&m.options.Lasts, "lasts", m.options.Lasts, "time limit for each role")
+	f.StringVar(&m.memory, "memory", humanize.Bytes(uint64(measure.DefaultMemory())), "memory limit for the measurement and the forwarders it starts")
+	f.StringVar(&m.options.Program, "program", "bin/spanflow", "path of the forwarder binary; spanflowctl must be in the same folder")
+	f.StringVar(&m.options.Folder, "folder", "", "folder for temporary write-ahead logs and configurations (default: the system's temporary folder)")
+	f.StringVar(&m.into, "into", "", "results file to merge the curves into, by role and quantity")
 	return c
 }
 
-// measure measures roles, all if none is named, and prints their curves.
+// measure measures the named roles, or all roles if names is empty, and prints their curves.
 func (m *measureCommand) measure(names []string) error {
 	if err := m.checkOptions(); err != nil {
 		return err
@@ -79,14 +79,14 @@
 	return m.printCurves(curves)
 }
 
-// checkOptions checks the flags and fills in the options that they say.
+// checkOptions checks the flags and completes the options.
 func (m *measureCommand) checkOptions() error {
 	bytes, err := humanize.ParseBytes(m.memory)
 	if err != nil {
 		return fmt.Errorf("--memory: %w", err)
 	}
 	if m.options.Memory = int64(bytes); m.options.Lasts <= 0 || m.options.Largest < 0 {
-		return errors.New("--lasts has to be over 0, --largest 0 or more")
+		return errors.New("--lasts must be greater than 0, and --largest must not be negative")
 	}
 	if err := measure.CheckMemory(m.options.Memory); err != nil {
 		return fmt.Errorf("--%w", err)
@@ -95,7 +95,6 @@
 	return err
 }
 
-// measureRoles measures roles one after another.
 func measureRoles(ctx context.Context, names []string, options measure.Options) ([]capacity.Curve, error) {
 	var all []capacity.Curve
 	for _, name := range names {
@@ -112,12 +111,12 @@
 	return all, nil
 }
 
-// printCurves prints curves with their lines.
+// printCurves prints each curve with its fitted line.
 func (s *session) printCurves(curves []capacity.Curve) error {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "ROLE\tQUANTITY\tUNIT\tSIZES\tVALUES\tSHAPE\tAT 0\tSLOPE\tRESIDUAL\tBENDS AT\tPOWER")
 	for _, c := range curves {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t", c.Role, c.Quantity, c.Unit, span(c.Points, pointSize), span(c.Points, pointValue), c.Fit.Shape)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t", c.Role, c.Quantity, c.Unit, formatRange(c.Points, pointSize), formatRange(c.Points, pointValue), c.Fit.Shape)
 		if c.Fit.Shape == capacity.NotLinear {
 			fmt.Fprintf(t, "-\t-\t%.3f\t-\t%.2f\n", c.Fit.Residual, c.Fit.Power)
 			continue
@@ -134,8 +133,8 @@
 func pointSize(p capacity.Point) float64  { return p.Size }
 func pointValue(p capacity.Point) float64 { return p.Value }
 
-// span is the first and the last of the points' sizes or values.
-func span(points []capacity.Point, of func(capacity.Point) float64) string {
+// formatRange formats the first and the last of the points' sizes or values.
+func formatRange(points []capacity.Point, of func(capacity.Point) float64) string {
 	if len(points) == 0 {
 		return "-"
 	}
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -11,27 +11,27 @@
 	"spanflow/lab/capacity/page"
 )
 
-// The files of the capacity page, in the repository.
+// The files of the capacity page, relative to the repository's root.
 const (
 	capacityPage     = "docs/CAPACITY.md"
 	capacityTarget   = "docs/capacity/target.toml"
 	capacityMeasured = "docs/capacity/measured.json"
 )
 
-// pageReport is what the page command did, for programs.
+// pageReport is the JSON output of the page command.
 type pageReport struct {
 	File     string   `json:"file"`
 	Tables   []string `json:"tables"`
-	Outdated []string `json:"differs"` // that were not as they are now; without --check they are written
+	Outdated []string `json:"differs"` // tables that were not current; without --check they have been updated
 }
 
 func pageCommand() *cobra.Command {
 	check, target, measured := false, capacityTarget, capacityMeasured
-	c := &cobra.Command{Use: "page [FILE]", Short: "Render the tables of " + capacityPage + " anew, in place", Args: cobra.MaximumNArgs(1),
-		Long: `Renders every table of the page from the size that is built towards and from what was measured. Straight curves are worked
-out to the size; a curve that is not straight never is. What stands outside the generated tables is left as it is.
+	c := &cobra.Command{Use: "page [FILE]", Short: "Update the generated tables of " + capacityPage + " in place", Args: cobra.MaximumNArgs(1),
+		Long: `Renders every table of the page from the target size and the measured results. Linear curves are extrapolated to the
+target size; other curves never are. Text outside the generated tables is left unchanged.
 
-With --check nothing is written: it ends with 1 and names the tables that are not current.`,
+With --check nothing is written. If a table is not current, the command names it and exits with 1.`,
 		Example: "  spanflow-lab capacity page --check"}
 	c.RunE = cli.Run(func(args []string) error {
 		file := append(args, capacityPage)[0]
@@ -42,13 +42,13 @@
 		return printPage(c, report, check)
 	})
 	f := c.Flags()
-	f.BoolVar(&check, "check", false, "write nothing, and fail if a table is not current")
-	f.StringVar(&target, "target", target, "the file with the target size and the budgets")
-	f.StringVar(&measured, "measured", measured, "the file with the measured results")
+	f.BoolVar(&check, "check", false, "write nothing; fail if a table is not current")
+	f.StringVar(&target, "target", target, "file with the target size and the budgets")
+	f.StringVar(&measured, "measured", measured, "file with the measured results")
 	return c
 }
 
-// renderPage renders a page's tables anew and, unless it is only checked, writes the page if it differs.
+// renderPage renders the tables of a page and writes the page if a table changed, unless check is set.
 func renderPage(file, target, measured string, check bool) (*pageReport, error) {
 	size, err := page.ReadTarget(target)
 	if err != nil {
@@ -73,20 +73,20 @@
 	return report, replaceFile(file, updated.Text)
 }
 
-// replaceFile writes a file whole or not at all.
+// replaceFile replaces a file atomically and keeps its permissions.
 func replaceFile(path, text string) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
 	}
-	fresh := path + ".new"
-	if err := os.WriteFile(fresh, []byte(text), info.Mode().Perm()); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, []byte(text), info.Mode().Perm()); err != nil {
 		return err
 	}
-	return os.Rename(fresh, path)
+	return os.Rename(temporary, path)
 }
 
-// printPage prints what was done. A check that found something is an error that names it.
+// printPage prints the report. If check is set, tables that are not current are an error that names them.
 func printPage(c *cobra.Command, report *pageReport, check bool) error {
 	asJSON, _ := c.Flags().GetBool("json")
 	if asJSON {
@@ -94,15 +94,15 @@
 			return err
 		}
 	}
-	differing := strings.Join(report.Outdated, ", ")
+	outdated := strings.Join(report.Outdated, ", ")
 	switch {
-	case check && differing != "":
-		return fmt.Errorf("%s: not current: %s; run 'spanflow-lab capacity page'", report.File, differing)
+	case check && outdated != "":
+		return fmt.Errorf("%s: not current: %s; run 'spanflow-lab capacity page'", report.File, outdated)
 	case asJSON:
-	case differing == "":
+	case outdated == "":
 		fmt.Fprintf(c.OutOrStdout(), "%s: %d tables are current\n", report.File, len(report.Tables))
 	default:
-		fmt.Fprintf(c.OutOrStdout(), "%s: written anew: %s\n", report.File, differing)
+		fmt.Fprintf(c.OutOrStdout(), "%s: updated: %s\n", report.File, outdated)
 	}
 	return nil
 }
--- a/lab/commands/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -14,14 +14,14 @@
 	"spanflow/internal/cli"
 )
 
-// The capacity page's files, from this folder.
+// The files of the capacity page, relative to this folder.
 const (
 	repositoryPage     = "../../" + capacityPage
 	repositoryTarget   = "../../" + capacityTarget
 	repositoryMeasured = "../../" + capacityMeasured
 )
 
-// runPage runs the page command with the repository's files unless told otherwise.
+// runPage runs the page command on the repository's target and results; args may override them.
 func runPage(args ...string) (code int, out, errOut string) {
 	var stdout, stderr bytes.Buffer
 	all := append([]string{"capacity", "page", "--target", repositoryTarget, "--measured", repositoryMeasured}, args...)
@@ -29,8 +29,8 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// spoiltPage is a copy of the repository's page with a figure in a table put wrong.
-func spoiltPage(t *testing.T) (file, spoilt, current string) {
+// outdatedPage writes a copy of the repository's page with a wrong figure in the table target.
+func outdatedPage(t *testing.T) (file, spoilt, current string) {
 	t.Helper()
 	text, err := os.ReadFile(repositoryPage)
 	require.NoError(t, err)
@@ -42,8 +42,8 @@
 	return file, spoilt, current
 }
 
-func TestPageCheckNamesTheTableThatDiffersAndWritesNothing(t *testing.T) {
-	file, spoilt, _ := spoiltPage(t)
+func TestPageCheckReportsOutdatedTables(t *testing.T) {
+	file, spoilt, _ := outdatedPage(t)
 	code, _, errOut := runPage("--check", file)
 	require.Equal(t, cli.ExitError, code)
 	require.Contains(t, errOut, "not current: target;")
@@ -56,28 +56,28 @@
 	require.Contains(t, out, "tables are current")
 }
 
-func TestPageWritesTheTablesAnewInPlace(t *testing.T) {
-	file, _, current := spoiltPage(t)
+func TestPageUpdatesTablesInPlace(t *testing.T) {
+	file, _, current := outdatedPage(t)
 	code, out, errOut := runPage(file)
 	require.Equal(t, cli.ExitOK, code, errOut)
-	require.Contains(t, out, "written anew: target\n")
+	require.Contains(t, out, "updated: target\n")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
 	require.Equal(t, current, string(text))
 	info, err := os.Stat(file)
 	require.NoError(t, err)
 	require.Equal(t, os.FileMode(0o640), info.Mode().Perm())
-	beside, err := os.ReadDir(filepath.Dir(file))
+	entries, err := os.ReadDir(filepath.Dir(file))
 	require.NoError(t, err)
-	require.Len(t, beside, 1, "nothing is left beside the page")
+	require.Len(t, entries, 1, "a temporary file is left next to the page")
 
 	code, out, _ = runPage(file)
 	require.Equal(t, cli.ExitOK, code)
 	require.Contains(t, out, "tables are current")
 }
 
-func TestPagePrintsJSONForPrograms(t *testing.T) {
-	file, _, _ := spoiltPage(t)
+func TestPagePrintsJSON(t *testing.T) {
+	file, _, _ := outdatedPage(t)
 	code, out, _ := runPage("--check", "--json", file)
 	require.Equal(t, cli.ExitError, code)
 	var report pageReport
@@ -86,13 +86,13 @@
 	require.Contains(t, report.Tables, "ranking")
 }
 
-func TestPageNamesTheFileThatIsWrong(t *testing.T) {
+func TestPageErrorsNameTheFile(t *testing.T) {
 	broken := filepath.Join(t.TempDir(), "broken")
 	require.NoError(t, os.WriteFile(broken, []byte("colour = 1\n"), 0o600))
 	for _, c := range []struct {
 		args []string
 		code int
-		says string
+		want string
 	}{
 		{[]string{"no-such-page.md"}, cli.ExitError, "no-such-page.md"},
 		{[]string{"--target", "no-such-target.toml", repositoryPage}, cli.ExitError, "no-such-target.toml"},
@@ -105,6 +105,6 @@
 	} {
 		code, _, errOut := runPage(c.args...)
 		require.Equal(t, c.code, code, "%v: %s", c.args, errOut)
-		require.Contains(t, errOut, c.says)
+		require.Contains(t, errOut, c.want)
 	}
 }
--- a/lab/commands/compare.go
+++ b/lab/commands/compare.go
@@ -18,9 +18,10 @@
 func (s *session) compare() *cobra.Command {
 	other := ""
 	c := s.policyFlags(&cobra.Command{Use: "compare SCENARIO [SCENARIO]", Args: cobra.RangeArgs(1, 2),
-		Short: "Play two arms in pairs by seed and tell what differs",
-		Long: `Plays two scenarios with one policy, or one scenario with --policy and --with, each pair with the same seed. The
-differences of the pairs are resampled; where the middle 95% hold 0 it says that no difference is seen.`,
+		Short: "Simulate two arms with the same seeds and compare them",
+		Long: `Simulates two scenarios with one policy, or one scenario with the two policies --policy and --with. Both runs of a pair
+have the same seed. The differences of the pairs are resampled; if the middle 95% of the means include 0, the verdict is
+that no difference is seen.`,
 		Example: "  spanflow-lab compare returns-cold --policy backoff --with module --seeds 32",
 		RunE: cli.Run(func(args []string) error {
 			a, b, err := s.arms(args, other)
@@ -34,11 +35,11 @@
 			}
 			return s.printComparison(&r, len(seeds))
 		})})
-	c.Flags().StringVar(&other, "with", "", "the other arm's policy")
+	c.Flags().StringVar(&other, "with", "", "policy of the second arm")
 	return c
 }
 
-// arms are the two sides of a comparison: two scenarios, or one with two policies.
+// arms returns the two sides of a comparison: two scenarios, or one scenario with two policies.
 func (s *session) arms(names []string, otherPolicy string) (a, b experiment.Arm, err error) {
 	if a, err = s.arm(names[0]); err != nil {
 		return a, b, err
@@ -49,7 +50,7 @@
 			return a, b, err
 		}
 	} else if otherPolicy == "" {
-		return a, b, errors.New("one scenario needs --with POLICY")
+		return a, b, errors.New("a comparison on one scenario needs --with POLICY")
 	}
 	if otherPolicy != "" {
 		a.Name, b.Name = s.policy, otherPolicy
@@ -65,11 +66,11 @@
 		fmt.Fprintf(t, "%s\t%.3f\t%.3f\t%.3f s\t%v\n", arm.Name, arm.Mean, arm.Worst, arm.P99, arm.Violations)
 	}
 	t.Flush()
-	_, err := fmt.Fprintf(s.out, "difference %+.4f, 95%% between %+.4f and %+.4f, of %d pairs: %s\n", r.Mean, r.Low, r.High, pairs, r.Verdict)
+	_, err := fmt.Fprintf(s.out, "mean difference %+.4f, 95%% between %+.4f and %+.4f, from %d pairs: %s\n", r.Mean, r.Low, r.High, pairs, r.Verdict)
 	return err
 }
 
-// sweepStep is the summary at one value of the axis.
+// sweepStep is the summary at one value of a sweep's axis.
 type sweepStep struct {
 	X float64 `json:"x"`
 	experiment.Summary
@@ -77,14 +78,14 @@
 
 func (s *session) sweep() *cobra.Command {
 	axis, values := "", ""
-	c := s.policyFlags(&cobra.Command{Use: "sweep SCENARIO", Short: "Play a scenario along an axis", Args: cobra.ExactArgs(1),
+	c := s.policyFlags(&cobra.Command{Use: "sweep SCENARIO", Short: "Simulate a scenario at several values along an axis", Args: cobra.ExactArgs(1),
 		Example: "  spanflow-lab sweep monday-morning --axis load --values 0.5,1,2,4 --seeds 4",
 		RunE: cli.Run(func(args []string) error {
 			arm, err := s.arm(args[0])
 			if err != nil {
 				return err
 			}
-			steps, err := s.playAlong(arm, axis, values)
+			steps, err := s.runSweep(arm, axis, values)
 			if err != nil {
 				return err
 			}
@@ -98,13 +99,13 @@
 			}
 			return t.Flush()
 		})})
-	c.Flags().StringVar(&axis, "axis", "load", strings.Join(slices.Sorted(maps.Keys(experiment.Axes)), ", "))
-	c.Flags().StringVar(&values, "values", "0.5,1,2", "values of the axis; load, trouble and destinations: times what the scenario has")
+	c.Flags().StringVar(&axis, "axis", "load", "figure to vary: "+strings.Join(slices.Sorted(maps.Keys(experiment.Axes)), ", "))
+	c.Flags().StringVar(&values, "values", "0.5,1,2", "comma-separated values of the axis; for load, trouble and destinations, factors of the scenario's own values")
 	return c
 }
 
-// playAlong plays an arm at each value of an axis.
-func (s *session) playAlong(arm experiment.Arm, axis, values string) ([]sweepStep, error) {
+// runSweep simulates an arm at each of the comma-separated values of an axis.
+func (s *session) runSweep(arm experiment.Arm, axis, values string) ([]sweepStep, error) {
 	var steps []sweepStep
 	for _, value := range strings.Split(values, ",") {
 		x, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
--- a/lab/commands/load.go
+++ b/lab/commands/load.go
@@ -15,13 +15,13 @@
 	"spanflow/lab/load"
 )
 
-// The streams of random numbers that a load draws from its seed.
+// Random number streams that are derived from the seed of a load.
 const (
 	messageStream = 5
 	arrivalStream = 6
 )
 
-// loadCommand is what the flags of 'load' say.
+// loadCommand holds the flags of 'load'.
 type loadCommand struct {
 	*session
 	run                         load.Run
@@ -38,47 +38,48 @@
 
 func (s *session) load() *cobra.Command {
 	l := &loadCommand{session: s, run: load.Run{Prefix: fmt.Sprintf("%x-", time.Now().UnixNano())}}
-	c := &cobra.Command{Use: "load ADDRESS", Short: "Load a real forwarder's RESP frontend, open loop", Args: cobra.ExactArgs(1),
-		Long: `Submits messages when they are due, whatever becomes of earlier ones. Latencies count from the intended moment: a
-forwarder that stalls is charged for every arrival that met the stall. What a closed loop would have told is printed
-beside it.
+	c := &cobra.Command{Use: "load ADDRESS", Short: "Send open-loop load to a real forwarder's RESP frontend", Args: cobra.ExactArgs(1),
+		Long: `Submits each message at its intended time, regardless of the answers to earlier ones. Latencies count from the intended
+time, so that a stall of the forwarder shows in the latency of every message that arrives during it. The latencies that a
+closed loop would have reported are printed for comparison.
 
-A shape is a list of SECOND:SHARE points of --rate, joined by straight lines: 0:1,10:1,20:4. A trace is JSON lines
-(.jsonl) or CSV with a head (.csv): at (seconds), dest, type, and optionally tenant, key, number, life, bytes.`,
+A shape is a list of SECOND:SHARE points of --rate, joined by straight lines, such as 0:1,10:1,20:4. A trace is a file of
+JSON lines (.jsonl) or CSV with a header (.csv) with the fields at (seconds), dest, type, and optionally tenant, key,
+number, life, bytes.`,
 		Example: "  spanflow-lab load 127.0.0.1:6379 --rate 200 --for 30 --shape 0:1,10:3 --types status-update\n" +
 			"  spanflow-lab load 127.0.0.1:6379 --trace monday.jsonl --speed 10",
 		RunE: cli.Run(func(args []string) error {
 			l.run.Addr = args[0]
-			return l.play()
+			return l.runLoad()
 		})}
 	f := c.Flags()
-	f.Float64Var(&l.rate, "rate", 50, "messages a second")
-	f.Float64Var(&l.seconds, "for", 10, "seconds")
-	f.StringVar(&l.shape, "shape", "", "the rate over time")
-	f.BoolVar(&l.even, "even", false, "at even distances, not at random")
-	f.StringVar(&l.trace, "trace", "", "a recorded load to play")
-	f.Float64Var(&l.speed, "speed", 1, "how many times as fast a trace is played")
-	f.IntVar(&l.run.Connections, "connections", 100, "connections at most")
-	f.DurationVar(&l.run.Timeout, "timeout", 400*time.Millisecond, "an answer that takes longer is none")
-	f.Float64Var(&l.run.TimeToLive, "life", 10, "seconds that a message may take")
-	f.IntVar(&l.run.Bytes, "bytes", 400, "of a body")
-	f.IntVar(&l.destinations, "dests", 1, "destinations, numbered from 1")
-	f.Float64Var(&l.skew, "skew", 0, "heavy tail: the i-th destination gets 1/i^skew")
-	f.IntVar(&l.tenants, "tenants", 0, "tenants, named store-1 and so on, with a heavy tail")
-	f.StringVar(&l.types, "types", "status-update", "message types, a,b,c")
-	f.IntVar(&l.keys, "keys", 0, "ordering keys of each destination; 0: none")
-	f.BoolVar(&l.idempotencyKeys, "numbers", false, "each message gets an idempotency key")
-	f.Uint64Var(&s.seed, "seed", 0, "of what is drawn")
+	f.Float64Var(&l.rate, "rate", 50, "messages per second")
+	f.Float64Var(&l.seconds, "for", 10, "duration in seconds")
+	f.StringVar(&l.shape, "shape", "", "rate over time, as SECOND:SHARE points")
+	f.BoolVar(&l.even, "even", false, "send at even intervals instead of random ones")
+	f.StringVar(&l.trace, "trace", "", "file with a recorded load to replay")
+	f.Float64Var(&l.speed, "speed", 1, "factor by which a trace is sped up")
+	f.IntVar(&l.run.Connections, "connections", 100, "maximum number of connections")
+	f.DurationVar(&l.run.Timeout, "timeout", 400*time.Millisecond, "time after which a message counts as unanswered")
+	f.Float64Var(&l.run.TimeToLive, "life", 10, "time to live of messages, in seconds")
+	f.IntVar(&l.run.Bytes, "bytes", 400, "size of message bodies, in bytes")
+	f.IntVar(&l.destinations, "dests", 1, "number of destinations; their ids start at 1")
+	f.Float64Var(&l.skew, "skew", 0, "skew of the destinations; the i-th one has the weight 1/i^skew")
+	f.IntVar(&l.tenants, "tenants", 0, "number of tenants, named store-1 and so on; the i-th one has the weight 1/i")
+	f.StringVar(&l.types, "types", "status-update", "comma-separated message types")
+	f.IntVar(&l.keys, "keys", 0, "ordering keys per destination; 0 means none")
+	f.BoolVar(&l.idempotencyKeys, "numbers", false, "add an idempotency key to each message")
+	f.Uint64Var(&s.seed, "seed", 0, "random seed")
 	return c
 }
 
-// play plays the load and prints what it saw.
-func (l *loadCommand) play() error {
+// runLoad sends the load and prints its report.
+func (l *loadCommand) runLoad() error {
 	if !l.quiet && !l.json {
 		l.run.Progress = func(sent, open int) { fmt.Fprintf(l.err, "\r%d sent, %d open   ", sent, open) }
 	}
 	if l.trace != "" {
-		return l.playTrace()
+		return l.runTrace()
 	}
 	generator, err := l.generator()
 	if err != nil {
@@ -91,7 +92,7 @@
 	return l.printReport(report)
 }
 
-func (l *loadCommand) playTrace() error {
+func (l *loadCommand) runTrace() error {
 	trace, err := load.Open(l.trace, l.speed)
 	if err != nil {
 		return err
@@ -107,14 +108,14 @@
 	return l.printReport(report)
 }
 
-// generator draws messages as the flags say.
+// generator returns the message generator for the flags.
 func (l *loadCommand) generator() (*load.Generator, error) {
 	shape, err := parseShape(l.shape, l.rate)
 	if err != nil {
 		return nil, err
 	}
 	if l.destinations < 1 || l.seconds <= 0 {
-		return nil, errors.New("--dests and --for have to be over 0")
+		return nil, errors.New("--dests and --for must be greater than 0")
 	}
 	seed := max(1, l.seed)
 	g := &load.Generator{
@@ -144,19 +145,19 @@
 	if l.json {
 		return cli.PrintJSON(l.out, r)
 	}
-	fmt.Fprintf(l.out, "\n%d sent in %.1f s: %v; the tool itself late by %.3f s at most\n", r.Sent, r.Seconds, r.Answers, r.MaxLateness)
+	fmt.Fprintf(l.out, "\n%d sent in %.1f s: %v; sent at most %.3f s late by this tool\n", r.Sent, r.Seconds, r.Answers, r.MaxLateness)
 	t := tabwriter.NewWriter(l.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "COUNTED\tP50\tP90\tP99\tP99.9\tMOST")
+	fmt.Fprintln(t, "LATENCY\tP50\tP90\tP99\tP99.9\tMAX")
 	for _, row := range []struct {
 		name string
 		load.Latencies
-	}{{"from the intended moment", r.Intended}, {"from the sending, as a closed loop", r.Naive}} {
+	}{{"from the intended time", r.Intended}, {"from sending, as in a closed loop", r.Naive}} {
 		fmt.Fprintf(t, "%s\t%.4f s\t%.4f s\t%.4f s\t%.4f s\t%.4f s\n", row.name, row.P50, row.P90, row.P99, row.P999, row.Max)
 	}
 	return t.Flush()
 }
 
-// parseShape reads a shape: SECOND:SHARE points of a rate; empty: the rate stays.
+// parseShape parses a shape given as comma-separated SECOND:SHARE points of a rate. An empty text is a constant rate.
 func parseShape(text string, rate float64) (load.Shape, error) {
 	if text == "" {
 		shape := load.Shape{{Rate: rate}}
--- a/lab/commands/real.go
+++ b/lab/commands/real.go
@@ -15,24 +15,24 @@
 func (s *session) real() *cobra.Command {
 	r, html := sim.Real{Memory: 192, Sockets: 1024}, ""
 	c := &cobra.Command{Use: "real SCENARIO", Args: cobra.ExactArgs(1),
-		Short: "Play a scenario with forwarder processes and sockets, in real time",
-		Long: `Starts a built forwarder for each of the scenario's, with destinations, discovery and clients on loopback, and plays the
-scenario in real time; then the same seed simulated. Beyond loopback without privileges, and left out: reap and list;
-silence is a destination that takes calls and says nothing.`,
+		Short: "Run a scenario with forwarder processes and sockets, in real time",
+		Long: `Starts a forwarder process for each forwarder of the scenario, with destinations, discovery and clients on loopback, and
+runs the scenario in real time. Then it simulates the same seed for comparison. The faults reap and list are left out, as
+they cannot be reproduced on loopback without privileges; silent is a destination that accepts calls and never answers.`,
 		Example: "  spanflow-lab real forwarders-restart-in-a-wave --program bin/spanflow --logs logs",
-		RunE:    cli.Run(func(args []string) error { return s.playReal(r, args[0], html) })}
+		RunE:    cli.Run(func(args []string) error { return s.runReal(r, args[0], html) })}
 	f := c.Flags()
-	f.StringVar(&r.Program, "program", "bin/spanflow", "the built forwarder")
-	f.StringVar(&r.Folder, "logs", "", "folder for logs, write-ahead logs and configurations (default: none is kept)")
-	f.IntVar(&r.Memory, "memory-mb", r.Memory, "memory that each forwarder may use")
-	f.IntVar(&r.Sockets, "sockets", r.Sockets, "descriptors that each forwarder may open")
-	f.Uint64Var(&s.seed, "seed", 0, "the seed; 0: the scenario's")
-	f.StringVar(&html, "html", "", "write a page with plots to this file")
+	f.StringVar(&r.Program, "program", "bin/spanflow", "path of the forwarder binary")
+	f.StringVar(&r.Folder, "logs", "", "folder for logs, write-ahead logs and configurations (default: a temporary folder that is deleted)")
+	f.IntVar(&r.Memory, "memory-mb", r.Memory, "memory limit of each forwarder, in MB")
+	f.IntVar(&r.Sockets, "sockets", r.Sockets, "file descriptor limit of each forwarder")
+	f.Uint64Var(&s.seed, "seed", 0, "random seed; 0 means the scenario's seed")
+	f.StringVar(&html, "html", "", "file to write an HTML report with plots to")
 	return c
 }
 
-// playReal plays a scenario on real sockets, then simulated, and prints both; a broken rule on sockets is an error.
-func (s *session) playReal(r sim.Real, name, html string) error {
+// runReal runs a scenario on real sockets, simulates it, and prints both results. A rule broken on sockets is an error.
+func (s *session) runReal(r sim.Real, name, html string) error {
 	sc, err := scenario.Read(name)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 		s.seed = sc.Seed
 	}
 	if !s.quiet && !s.json {
-		fmt.Fprintf(s.err, "playing for %s\n", sc.Length+sc.Drain)
+		fmt.Fprintf(s.err, "running for %s\n", sc.Length+sc.Drain)
 	}
 	result, err := r.Play(s.ctx, sc, s.seed)
 	if err != nil {
--- a/lab/commands/root.go
+++ b/lab/commands/root.go
@@ -19,48 +19,48 @@
 	"spanflow/lab/sim"
 )
 
-// session is what the commands work with.
+// session holds the streams and the flags that commands share.
 type session struct {
 	ctx      context.Context
 	out, err io.Writer
 	json     bool
 	quiet    bool
 	policy   string
-	seed     uint64 // 0: the scenario's
+	seed     uint64 // 0 means the scenario's seed
 	seeds    int
 }
 
-// Main runs a command line and returns the exit code.
+// Main runs a command line, without the program's name, and returns the exit code.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	s := &session{ctx: ctx, out: out, err: errOut}
 	return cli.Main(s.root(), args, out, errOut)
 }
 
 func (s *session) root() *cobra.Command {
-	root := &cobra.Command{Use: "spanflow-lab", Short: "The laboratory of spanflow", Args: cobra.NoArgs,
-		Long: `Plays scenarios: destinations with concurrency, queues, limits and faults, forwarders with the real scheduler, and
-open-loop load. Simulated runs give the same result for the same scenario and seed. 'spanflow-lab load' loads a real
-forwarder.
+	root := &cobra.Command{Use: "spanflow-lab", Short: "Simulation and load testing for spanflow", Args: cobra.NoArgs,
+		Long: `Simulates scenarios: destinations with concurrency, queues, limits and faults, forwarders with the real scheduler, and
+open-loop load. Simulated runs give the same result for the same scenario and seed. 'spanflow-lab load' sends load to a
+real forwarder.
 
-Exit codes: 0 fine; 1 a rule was broken, or it could not be done; 2 the command line cannot be understood.`,
+Exit codes: 0 success; 1 a rule was broken or the command failed; 2 the command line is invalid.`,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	root.PersistentFlags().BoolVar(&s.json, "json", false, "output for programs, as JSON")
-	root.PersistentFlags().BoolVarP(&s.quiet, "quiet", "q", false, "no progress")
+	root.PersistentFlags().BoolVar(&s.json, "json", false, "print JSON")
+	root.PersistentFlags().BoolVarP(&s.quiet, "quiet", "q", false, "do not print progress")
 	root.AddCommand(s.scenarios(), s.run(), s.compare(), s.sweep(), s.search(), s.hunt(), s.findings(), s.real(), s.load(),
 		s.capacityCommand())
 	return root
 }
 
-// policyFlags adds the flags that say who decides and which seeds are played.
+// policyFlags adds the flags for the policy and the seeds.
 func (s *session) policyFlags(c *cobra.Command) *cobra.Command {
 	names := strings.Join(slices.Sorted(maps.Keys(sim.Baselines)), ", ")
-	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "who decides: "+schedulerPolicy+", "+names)
-	c.Flags().Uint64Var(&s.seed, "seed", 0, "the first seed; 0: the scenario's")
-	c.Flags().IntVar(&s.seeds, "seeds", 1, "how many seeds")
+	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "dispatch policy: "+schedulerPolicy+", "+names)
+	c.Flags().Uint64Var(&s.seed, "seed", 0, "first seed; 0 means the scenario's seed")
+	c.Flags().IntVar(&s.seeds, "seeds", 1, "number of seeds")
 	return c
 }
 
-// schedulerPolicy is the scheduler's name among the policies.
+// schedulerPolicy is the name of the real scheduler among the policies.
 const schedulerPolicy = "module"
 
 func policy(name string) (sim.Maker, error) {
@@ -73,7 +73,7 @@
 	return nil, fmt.Errorf("unknown policy %q", name)
 }
 
-// arm is a scenario by its name or file, with the policy that the flags say.
+// arm reads a scenario by its name or file and combines it with the policy of the flags.
 func (s *session) arm(name string) (experiment.Arm, error) {
 	sc, err := scenario.Read(name)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return experiment.Arm{Name: sc.Name, Scenario: sc, NewPolicy: m}, err
 }
 
-// seedsFor are the seeds that the flags say.
+// seedsFor returns the seeds to simulate a scenario with, according to the flags.
 func (s *session) seedsFor(sc *scenario.Scenario) []uint64 {
 	from := s.seed
 	if from == 0 {
@@ -92,8 +92,8 @@
 	return experiment.Seeds(from, max(1, s.seeds))
 }
 
-// progress returns a function that counts what is done and tells how many of all, and the time left; nil without
-// progress.
+// progress returns a function to be called after each run, which prints the number of finished runs and the estimated
+// time left. It is nil if progress is not printed.
 func (s *session) progress(all int) func() {
 	if s.quiet || s.json {
 		return nil
--- a/lab/commands/run.go
+++ b/lab/commands/run.go
@@ -19,7 +19,7 @@
 
 func (s *session) scenarios() *cobra.Command {
 	return &cobra.Command{Use: "scenes", Args: cobra.NoArgs,
-		Short: "List the scenarios that come with the laboratory, and the kinds of faults",
+		Short: "List the built-in scenarios and the kinds of faults",
 		RunE: cli.Run(func([]string) error {
 			t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 			for _, name := range scenario.Builtin() {
@@ -39,15 +39,15 @@
 
 func (s *session) run() *cobra.Command {
 	html := ""
-	c := s.policyFlags(&cobra.Command{Use: "run SCENARIO", Short: "Play a scenario, simulated", Args: cobra.ExactArgs(1),
+	c := s.policyFlags(&cobra.Command{Use: "run SCENARIO", Short: "Simulate a scenario", Args: cobra.ExactArgs(1),
 		Example: "  spanflow-lab run one-partner-hangs --seeds 8\n  spanflow-lab run my.toml --html report.html",
-		RunE:    cli.Run(func(args []string) error { return s.playSimulated(args[0], html) })})
-	c.Flags().StringVar(&html, "html", "", "write a page with plots to this file")
+		RunE:    cli.Run(func(args []string) error { return s.runSimulated(args[0], html) })})
+	c.Flags().StringVar(&html, "html", "", "file to write an HTML report with plots to")
 	return c
 }
 
-// playSimulated plays a scenario and prints what became of it; a broken rule is an error.
-func (s *session) playSimulated(name, html string) error {
+// runSimulated simulates a scenario and prints the results. A broken rule is an error.
+func (s *session) runSimulated(name, html string) error {
 	arm, err := s.arm(name)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// writeReport writes a page with plots.
+// writeReport writes an HTML page with plots.
 func writeReport(path string, sc *scenario.Scenario, results []*sim.Result) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -83,7 +83,6 @@
 	return errors.Join(report.Write(f, sc, results), f.Close())
 }
 
-// printResults prints a line for each result.
 func (s *session) printResults(results []*sim.Result) {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "SEED\tG\tDOCUMENTS\tSERVED\tLATE\tTURNED AWAY\tRETURNED\tABANDONED\tP50\tP99\tRULES")
--- a/lab/commands/search.go
+++ b/lab/commands/search.go
@@ -13,38 +13,38 @@
 	"spanflow/lab/experiment"
 )
 
-// manyScenarios is as good as no limit.
-const manyScenarios = 1 << 30
+// unlimitedScenarios is the default of --most. No search gets this far in practice.
+const unlimitedScenarios = 1 << 30
 
-// searchOptions are what the flags of 'search' say.
+// searchOptions holds the flags of 'search'.
 type searchOptions struct {
 	lasts       time.Duration
 	limit, keep int
-	folder      string // empty: findings are not written
+	folder      string // empty if findings are only printed
 }
 
 func (s *session) search() *cobra.Command {
-	o := searchOptions{lasts: time.Minute, limit: manyScenarios, keep: 3}
+	o := searchOptions{lasts: time.Minute, limit: unlimitedScenarios, keep: 3}
 	c := s.policyFlags(&cobra.Command{Use: "search [SCENARIO]", Args: cobra.MaximumNArgs(1),
-		Short: "Draw scenarios in which the policy does badly, and shrink the worst",
-		Long: `Draws sizes, load and faults on the destinations of a scenario (calm, if none is named). A broken rule counts most, then
-what the best baseline that keeps the rules delivers more. The worst are shrunk as long as three quarters of the loss
-stay.`,
-		RunE: cli.Run(func(args []string) error { return s.playSearch(append(args, "calm")[0], &o) })})
-	c.Flags().DurationVar(&o.lasts, "lasts", o.lasts, "time for drawing")
-	c.Flags().IntVar(&o.limit, "most", o.limit, "scenarios at most")
-	c.Flags().IntVar(&o.keep, "keep", o.keep, "how many to keep")
-	c.Flags().StringVar(&o.folder, "out", "", "folder for the findings, as scenarios")
+		Short: "Search random scenarios in which the policy performs badly, and shrink the worst",
+		Long: `Generates scenarios with random sizes, load and faults from the destinations of a scenario (calm by default). The loss of
+a scenario counts broken rules most, then the value by which the best baseline that keeps the rules delivers more. The
+worst scenarios are shrunk as long as they keep three quarters of their loss.`,
+		RunE: cli.Run(func(args []string) error { return s.runSearch(append(args, "calm")[0], &o) })})
+	c.Flags().DurationVar(&o.lasts, "lasts", o.lasts, "time limit for generating scenarios")
+	c.Flags().IntVar(&o.limit, "most", o.limit, "maximum number of scenarios")
+	c.Flags().IntVar(&o.keep, "keep", o.keep, "number of findings to keep")
+	c.Flags().StringVar(&o.folder, "out", "", "folder to write the findings to, as scenario files")
 	return c
 }
 
-func (s *session) playSearch(name string, o *searchOptions) error {
+func (s *session) runSearch(name string, o *searchOptions) error {
 	arm, err := s.arm(name)
 	if err != nil {
 		return err
 	}
-	if o.folder != "" { // made, or refused, before the work
-		if err := makeWritable(o.folder); err != nil {
+	if o.folder != "" { // fails before the search starts if the folder is not writable
+		if err := ensureWritable(o.folder); err != nil {
 			return fmt.Errorf("--out: %w", err)
 		}
 	}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// makeWritable makes a folder and tells whether files can be written there.
-func makeWritable(folder string) error {
+// ensureWritable creates a folder and returns an error if no files can be created in it.
+func ensureWritable(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// printFinding prints a finding and writes it to a folder, if there is one.
+// printFinding prints a finding and writes it to the folder, unless that is empty.
 func (s *session) printFinding(f *experiment.Finding, folder string) error {
 	fmt.Fprintf(s.out, "\n%s: G %.3f, best baseline %.3f, rules broken %v, shrunk by %d steps\n", f.Scenario.Name, f.G, f.Best, f.Rules, f.Steps)
 	text, err := f.Text()
--- a/lab/commands/violations.go
+++ b/lab/commands/violations.go
@@ -16,7 +16,7 @@
 	"spanflow/lab/scenario"
 )
 
-// huntOptions are what the flags of 'hunt' say.
+// huntOptions holds the flags of 'hunt'.
 type huntOptions struct {
 	lasts  time.Duration
 	limit  int
@@ -24,27 +24,28 @@
 }
 
 func (s *session) hunt() *cobra.Command {
-	o := huntOptions{lasts: time.Minute, limit: manyScenarios}
+	o := huntOptions{lasts: time.Minute, limit: unlimitedScenarios}
 	c := &cobra.Command{Use: "hunt --out FOLDER", Args: cobra.NoArgs,
-		Short: "Search for broken rules in scenarios drawn in all dimensions; continues where it stopped",
-		Long: `Draws 1 to 300 forwarders and endpoints, limits, message types, and one to four faults that mostly overlap, and plays
-each scenario once. The folder keeps hunt.toml (seeds tried, what they covered, violations found) and each violation as a
-scenario, shrunk as long as the same rule breaks. Started again with the folder it continues with seeds not tried. The
-files are the same for the same seeds on any number of cores. Interrupted, it finishes what it has begun and keeps it.`,
+		Short: "Search for broken rules in fully random scenarios; can be continued",
+		Long: `Generates scenarios with 1 to 300 forwarders and endpoints, limits, message types, and one to four faults that mostly
+overlap, and simulates each scenario once. The folder contains hunt.toml (seeds tried, what they covered, violations
+found) and a scenario file for each violation, shrunk as long as it breaks the same rule. When started again with the same
+folder, the search continues with untried seeds. The same seeds give the same files on any number of cores. When
+interrupted, the search finishes and saves the current batch.`,
 		Example: "  spanflow-lab hunt --out hunted --lasts 10m\n  spanflow-lab hunt --out hunted --from 1 --most 5000 --lasts 1h",
 		RunE:    cli.Run(func([]string) error { return s.searchViolations(&o) })}
-	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "who decides")
-	c.Flags().Uint64Var(&s.seed, "from", 1, "the first seed")
-	c.Flags().DurationVar(&o.lasts, "lasts", o.lasts, "time for the search")
-	c.Flags().IntVar(&o.limit, "most", o.limit, "scenarios at most")
-	c.Flags().StringVar(&o.folder, "out", "", "folder that keeps the search and its findings; made if missing")
+	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "dispatch policy")
+	c.Flags().Uint64Var(&s.seed, "from", 1, "first seed")
+	c.Flags().DurationVar(&o.lasts, "lasts", o.lasts, "time limit for the search")
+	c.Flags().IntVar(&o.limit, "most", o.limit, "maximum number of scenarios")
+	c.Flags().StringVar(&o.folder, "out", "", "folder for the state of the search and its findings; created if missing")
 	return c
 }
 
-// searchViolations continues the search of a folder; violations, also earlier ones, are an error.
+// searchViolations starts or continues the search stored in a folder. Violations, including earlier ones, are an error.
 func (s *session) searchViolations(o *huntOptions) error {
 	if o.folder == "" {
-		return errors.New("--out: a folder is needed, that keeps which seeds were tried")
+		return errors.New("--out: a folder is required to save the state of the search")
 	}
 	newPolicy, err := policy(s.policy)
 	if err != nil {
@@ -77,15 +78,15 @@
 	return err
 }
 
-// printViolationSearch prints what a search covers and has found.
+// printViolationSearch prints the coverage and the violations of a search.
 func (s *session) printViolationSearch(v *experiment.ViolationSearch) error {
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(t, "\n%d scenes, seeds %v\n", v.Scenarios, v.Tried)
+	fmt.Fprintf(t, "\n%d scenarios, seeds %v\n", v.Scenarios, v.Tried)
 	for _, part := range []struct {
 		name   string
 		counts map[string]int
 	}{{"SIZE", v.Sizes}, {"TROUBLE", v.Kinds}} {
-		fmt.Fprintf(t, "%s\tSCENES\n", part.name)
+		fmt.Fprintf(t, "%s\tSCENARIOS\n", part.name)
 		for _, k := range slices.Sorted(maps.Keys(part.counts)) {
 			fmt.Fprintf(t, "%s\t%d\n", k, part.counts[k])
 		}
@@ -97,26 +98,27 @@
 			count, rarest = v.Pairs[pair], pair
 		}
 	}
-	fmt.Fprintf(t, "pairs that overlapped\t%d of %d, the rarest %s in %d\n", len(v.Pairs), all, rarest, count)
+	fmt.Fprintf(t, "overlapping pairs\t%d of %d; the rarest is %s, in %d scenarios\n", len(v.Pairs), all, rarest, count)
 	for _, found := range v.Violations {
 		fmt.Fprintf(t, "%s\t%s: %s\n", found.File, found.Rule, found.Reason)
 	}
 	return t.Flush()
 }
 
-// findings plays the scenarios that earlier searches found, and says which does not hold.
+// findings simulates the scenarios that earlier searches found, and reports those in which a rule is broken or the
+// share of value delivered is below the scenario's floor.
 func (s *session) findings() *cobra.Command {
 	seeds := 1
 	c := &cobra.Command{Use: "findings [SCENARIO...]", Args: cobra.ArbitraryArgs,
-		Short:   "Play kept findings: rules hold and each delivers at least its floor",
+		Short:   "Check that kept findings break no rule and deliver at least their floor",
 		Example: "  spanflow-lab findings\n  spanflow-lab findings hunted/*.toml --seeds 8",
-		RunE:    cli.Run(func(names []string) error { return s.playFindings(names, seeds) })}
-	c.Flags().IntVar(&seeds, "seeds", seeds, "seeds of each, from its own on; the floor is for its own")
-	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "who decides")
+		RunE:    cli.Run(func(names []string) error { return s.runFindings(names, seeds) })}
+	c.Flags().IntVar(&seeds, "seeds", seeds, "seeds per scenario, starting with its own; the floor was set for its own seed")
+	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "dispatch policy")
 	return c
 }
 
-func (s *session) playFindings(names []string, seeds int) error {
+func (s *session) runFindings(names []string, seeds int) error {
 	if len(names) == 0 {
 		names = scenario.Findings()
 	}
@@ -130,7 +132,7 @@
 	}
 	failed := 0
 	t := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "SCENE\tWORST G\tFLOOR\tRULES")
+	fmt.Fprintln(t, "SCENARIO\tWORST G\tFLOOR\tRULES")
 	for _, arm := range arms {
 		sum := experiment.Summarize(arm.Name, experiment.Play(arm, experiment.Seeds(arm.Scenario.Seed, seeds), nil))
 		verdict := "kept"
@@ -147,7 +149,7 @@
 		return err
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d findings do not hold", failed, len(arms))
+		return fmt.Errorf("%d of %d findings broke a rule or fell below their floor", failed, len(arms))
 	}
 	return nil
 }
