--- a/lab/capacity/file.go
+++ b/lab/capacity/file.go
@@ -11,7 +11,7 @@
 	"slices"
 )
 
-// ReadResults reads a file of measured results. Unknown fields are an error that names the file.
+// ReadResults reads a file of measured results. It rejects unknown fields; errors name the file.
 func ReadResults(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return r, nil
 }
 
-// Write writes the results to a file, whole or not at all; its folder is made if it is missing.
+// Write replaces a results file atomically, and creates its folder if it is missing.
 func (r *Results) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -35,14 +35,14 @@
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return err
 	}
-	fresh := path + ".new"
-	if err := os.WriteFile(fresh, append(text, '\n'), 0o644); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, append(text, '\n'), 0o644); err != nil {
 		return err
 	}
-	return os.Rename(fresh, path)
+	return os.Rename(temporary, path)
 }
 
-// Merge puts curves in the place of those with the same role and quantity, and adds the others at the end.
+// Merge replaces the curves that have the same role and quantity as a given one, and appends the other given curves.
 func (r *Results) Merge(curves []Curve) {
 	for _, c := range curves {
 		same := func(o Curve) bool { return o.Role == c.Role && o.Quantity == c.Quantity }
@@ -54,7 +54,7 @@
 	}
 }
 
-// MergeInto merges curves into a results file, which is begun if it is missing, and dates it.
+// MergeInto merges curves into a results file, which it creates if it is missing, and sets its machine and date.
 func MergeInto(path, machine, date string, curves []Curve) error {
 	r, err := ReadResults(path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -7,47 +7,48 @@
 )
 
 const (
-	// leastPoints is the number of sizes under which no shape is given.
-	leastPoints = 4
-	// leastSpan is the ratio of the largest size to the smallest under which no shape is given.
-	leastSpan = 10.0
-	// prefixPoints is the number of sizes that the part before a bend has at least.
-	prefixPoints = 3
-	// straight is the residual (root mean square of the relative errors) up to which a line fits.
-	straight = 0.10
-	// farOff is the relative error of a single point from which a line does not fit it.
-	farOff = 0.25
-	// straightPart is the residual up to which a line fits the part before a bend: its few points fit a line too
-	// easily.
-	straightPart = straight / 2
-	// zeroFraction is the share of the largest value that stands for smaller values where errors are weighed, so that
-	// a value of zero does not outweigh all others.
+	// minPoints is the minimum number of sizes for a curve to count as linear.
+	minPoints = 4
+	// minSizeRatio is the minimum ratio of the largest size to the smallest for a curve to count as linear.
+	minSizeRatio = 10.0
+	// minPointsBeforeBend is the minimum number of sizes up to a bend.
+	minPointsBeforeBend = 3
+	// maxResidual is the largest residual (root mean square of the relative errors) at which a line fits.
+	maxResidual = 0.10
+	// maxPointError is the largest relative error of a single point at which a line fits.
+	maxPointError = 0.25
+	// maxResidualBeforeBend is the largest residual at which a line fits the part before a bend. It is stricter, as a
+	// line fits few points too easily.
+	maxResidualBeforeBend = maxResidual / 2
+	// zeroFraction limits the weights of small values: values below this share of the largest value are weighted as if
+	// they had this share, so that a value of zero does not outweigh all others.
 	zeroFraction = 1e-4
 )
 
-// ErrNotLinear says that a curve says nothing beyond its points.
-var ErrNotLinear = errors.New("the curve is not straight")
+// ErrNotLinear means that a curve cannot be extrapolated to the requested size.
+var ErrNotLinear = errors.New("the curve is not linear")
 
-// FitLine fits a straight line to the points, which are in order of size, by least squares of the relative errors, so
-// that small sizes count as much as large ones. A line that fits only the points up to some size is a curve that
-// bends there; with fewer than four points, or with sizes less than ten times apart, the curve counts as not straight.
+// FitLine fits a straight line to the points, which must be in order of size, by least squares of the relative errors,
+// so that small sizes count as much as large ones. If a line fits only the points up to some size, the curve bends
+// there. With fewer than four points, or if the largest size is less than ten times the smallest, the curve counts as
+// not linear.
 func FitLine(points []Point) Fit {
 	fit := shapeOf(points)
-	fit.Power = power(points)
+	fit.Power = growthPower(points)
 	return fit
 }
 
 func shapeOf(points []Point) Fit {
 	fit := bestLine(points)
-	if len(points) < leastPoints || points[len(points)-1].Size < leastSpan*points[0].Size {
+	if len(points) < minPoints || points[len(points)-1].Size < minSizeRatio*points[0].Size {
 		fit.Shape = NotLinear
 		return fit
 	}
 	if fit.Shape != NotLinear {
 		return fit
 	}
-	for n := len(points) - 1; n >= prefixPoints; n-- {
-		if part := bestLine(points[:n]); part.Shape != NotLinear && part.Residual <= straightPart {
+	for n := len(points) - 1; n >= minPointsBeforeBend; n-- {
+		if part := bestLine(points[:n]); part.Shape != NotLinear && part.Residual <= maxResidualBeforeBend {
 			part.Shape, part.BendAt = Bends, points[n-1].Size
 			return part
 		}
@@ -55,8 +56,8 @@
 	return fit
 }
 
-// At is the curve's value at a size by its line. It is an error to ask for a size that the line is not known to hold
-// for: any of a curve that is not straight, or one beyond a bend.
+// At returns the value of the fitted line at a size. It returns ErrNotLinear, wrapped, if the curve is not linear or
+// the size is beyond its bend.
 func (c *Curve) At(size float64) (float64, error) {
 	switch {
 	case c.Fit.Shape == NotLinear:
@@ -67,66 +68,67 @@
 	return c.Fit.Intercept + c.Fit.Slope*size, nil
 }
 
-// Interpolate is the curve's value at a size between measured ones, drawn straight from the one below to the one above,
-// whatever the curve's shape. It is an error to ask for a size that is smaller or larger than all that were measured.
+// Interpolate returns the curve's value at a size, linearly interpolated between the two nearest measured sizes. It
+// works for any shape, and returns an error if the size is outside the measured range.
 func (c *Curve) Interpolate(size float64) (float64, error) {
 	for i := 1; i < len(c.Points); i++ {
 		if a, b := c.Points[i-1], c.Points[i]; size >= a.Size && size <= b.Size && a.Size < b.Size {
 			return a.Value + (b.Value-a.Value)*(size-a.Size)/(b.Size-a.Size), nil
 		}
 	}
-	return 0, fmt.Errorf("%s, %s: %g %s are not between measured sizes", c.Role, c.Quantity, size, c.SizeUnit)
+	return 0, fmt.Errorf("%s, %s: %g %s is outside the measured sizes", c.Role, c.Quantity, size, c.SizeUnit)
 }
 
-// bestLine is a level line if that fits all points, else the best sloping one. Its shape is NotStraight if neither
-// fits.
+// bestLine returns a horizontal line if that fits all points, otherwise the best sloping line. Its shape is NotLinear
+// if neither fits.
 func bestLine(points []Point) Fit {
 	if len(points) == 0 {
 		return Fit{Shape: NotLinear}
 	}
 	level := Fit{Shape: Flat, Intercept: levelLine(points)}
-	if level.holds(points) {
+	if level.fits(points) {
 		return level
 	}
 	fit := Fit{Shape: Linear}
 	fit.Intercept, fit.Slope = slopingLine(points)
-	if !fit.holds(points) {
+	if !fit.fits(points) {
 		fit.Shape = NotLinear
 	}
 	return fit
 }
 
-// holds computes the line's residual and tells whether the line fits all points.
-func (f *Fit) holds(points []Point) bool {
-	sum, most := 0.0, 0.0
+// fits sets the line's residual and returns whether the line fits all points.
+func (f *Fit) fits(points []Point) bool {
+	sum, largest := 0.0, 0.0
 	weights := weights(points)
 	for i, p := range points {
-		off := math.Abs(f.Intercept+f.Slope*p.Size-p.Value) * weights[i]
-		sum += off * off
-		most = math.Max(most, off)
+		relativeError := math.Abs(f.Intercept+f.Slope*p.Size-p.Value) * weights[i]
+		sum += relativeError * relativeError
+		largest = math.Max(largest, relativeError)
 	}
 	f.Residual = math.Sqrt(sum / float64(len(points)))
-	return f.Residual <= straight && most <= farOff
+	return f.Residual <= maxResidual && largest <= maxPointError
 }
 
-// weights are what turns each point's error into a relative one.
+// weights returns the factors that turn each point's absolute error into a relative one.
 func weights(points []Point) []float64 {
-	most := 0.0
+	largest := 0.0
 	for _, p := range points {
-		most = math.Max(most, math.Abs(p.Value))
+		largest = math.Max(largest, math.Abs(p.Value))
 	}
 	all := make([]float64, len(points))
 	for i, p := range points {
-		if all[i] = 1; most > 0 {
-			all[i] = 1 / math.Max(math.Abs(p.Value), zeroFraction*most)
+		if all[i] = 1; largest > 0 {
+			all[i] = 1 / math.Max(math.Abs(p.Value), zeroFraction*largest)
 		}
 	}
 	return all
 }
 
-// power is the slope of the line through the logarithms of sizes and values, 0 if one is not over 0. It says by how
-// much a curve that is not straight grows; a little over 1 may be the machine's caches.
-func power(points []Point) float64 {
+// growthPower returns the slope of the line through the logarithms of sizes and values: the exponent with which the
+// value grows. It is 0 if any size or value is not positive. A power slightly over 1 may be an effect of the machine's
+// caches.
+func growthPower(points []Point) float64 {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
 		if p.Size <= 0 || p.Value <= 0 {
@@ -141,17 +143,17 @@
 	return 0
 }
 
-// levelLine is the value from which the points' relative errors are least.
+// levelLine returns the constant that minimizes the squares of the points' relative errors.
 func levelLine(points []Point) float64 {
-	above, below := 0.0, 0.0
+	numerator, denominator := 0.0, 0.0
 	for i, w := range weights(points) {
-		above += w * w * points[i].Value
-		below += w * w
+		numerator += w * w * points[i].Value
+		denominator += w * w
 	}
-	return above / below
+	return numerator / denominator
 }
 
-// slopingLine solves the two normal equations of the weighted least squares.
+// slopingLine returns the least-squares line of the relative errors, by solving the two normal equations.
 func slopingLine(points []Point) (intercept, slope float64) {
 	var sw, swx, swy, swxx, swxy float64
 	for i, weight := range weights(points) {
@@ -163,7 +165,7 @@
 		swxy += w * x * y
 	}
 	spread := sw*swxx - swx*swx
-	if spread <= 0 { // all points have one size
+	if spread <= 0 { // all points have the same size
 		return swy / sw, 0
 	}
 	slope = (sw*swxy - swx*swy) / spread
--- a/lab/capacity/fit_test.go
+++ b/lab/capacity/fit_test.go
@@ -11,8 +11,8 @@
 
 var sizes = []float64{100, 300, 1000, 3000, 10_000}
 
-// curve makes points of a function, each moved by up to a share of its value.
-func curve(noise float64, value func(x float64) float64) []Point {
+// pointsOf returns points of a function at the test's sizes. Each value is changed by up to the share noise of itself.
+func pointsOf(noise float64, value func(x float64) float64) []Point {
 	random := rand.New(rand.NewPCG(1, 2))
 	var points []Point
 	for _, x := range sizes {
@@ -21,89 +21,89 @@
 	return points
 }
 
-func TestFitFindsTheShapeOfMadeCurves(t *testing.T) {
+func TestFitFindsTheShape(t *testing.T) {
 	knee := func(x float64) float64 { return 5 + x/100 + 3*math.Max(0, x-1000) }
 	for name, c := range map[string]struct {
 		points []Point
 		want   Shape
 	}{
-		"flat":                {curve(0, func(float64) float64 { return 7 }), Flat},
-		"flat, noise":         {curve(0.1, func(float64) float64 { return 7 }), Flat},
-		"zero":                {curve(0, func(float64) float64 { return 0 }), Flat},
-		"linear":              {curve(0, func(x float64) float64 { return 2 * x }), Linear},
-		"linear from above 0": {curve(0, func(x float64) float64 { return 500 + 2*x }), Linear},
-		"linear, noise":       {curve(0.1, func(x float64) float64 { return 50 + 2*x }), Linear},
-		"falling":             {curve(0, func(x float64) float64 { return 30_000 - 2*x }), Linear},
-		"quadratic":           {curve(0, func(x float64) float64 { return x * x }), NotLinear},
-		"quadratic, noise":    {curve(0.1, func(x float64) float64 { return x * x }), NotLinear},
-		"root":                {curve(0, math.Sqrt), NotLinear},
-		"wild":                {curve(0.9, func(x float64) float64 { return x }), NotLinear},
-		"knee":                {curve(0, knee), Bends},
-		"flat, then steep":    {curve(0, func(x float64) float64 { return math.Max(1, x/1000) }), Bends},
-		"then flat":           {curve(0, func(x float64) float64 { return math.Min(x, 1000) }), Bends},
+		"flat":                {pointsOf(0, func(float64) float64 { return 7 }), Flat},
+		"flat, noise":         {pointsOf(0.1, func(float64) float64 { return 7 }), Flat},
+		"zero":                {pointsOf(0, func(float64) float64 { return 0 }), Flat},
+		"linear":              {pointsOf(0, func(x float64) float64 { return 2 * x }), Linear},
+		"linear from above 0": {pointsOf(0, func(x float64) float64 { return 500 + 2*x }), Linear},
+		"linear, noise":       {pointsOf(0.1, func(x float64) float64 { return 50 + 2*x }), Linear},
+		"falling":             {pointsOf(0, func(x float64) float64 { return 30_000 - 2*x }), Linear},
+		"quadratic":           {pointsOf(0, func(x float64) float64 { return x * x }), NotLinear},
+		"quadratic, noise":    {pointsOf(0.1, func(x float64) float64 { return x * x }), NotLinear},
+		"root":                {pointsOf(0, math.Sqrt), NotLinear},
+		"wild":                {pointsOf(0.9, func(x float64) float64 { return x }), NotLinear},
+		"knee":                {pointsOf(0, knee), Bends},
+		"flat, then steep":    {pointsOf(0, func(x float64) float64 { return math.Max(1, x/1000) }), Bends},
+		"then flat":           {pointsOf(0, func(x float64) float64 { return math.Min(x, 1000) }), Bends},
 	} {
 		require.Equal(t, c.want, FitLine(c.points).Shape, "%s: %+v", name, FitLine(c.points))
 	}
 }
 
 func TestFitFindsInterceptSlopeAndResidual(t *testing.T) {
-	exact := FitLine(curve(0, func(x float64) float64 { return 500 + 2*x }))
+	exact := FitLine(pointsOf(0, func(x float64) float64 { return 500 + 2*x }))
 	require.InDelta(t, 500, exact.Intercept, 1e-6)
 	require.InDelta(t, 2, exact.Slope, 1e-9)
 	require.InDelta(t, 0, exact.Residual, 1e-9)
-	noisy := FitLine(curve(0.1, func(x float64) float64 { return 500 + 2*x }))
+	noisy := FitLine(pointsOf(0.1, func(x float64) float64 { return 500 + 2*x }))
 	require.InDelta(t, 2, noisy.Slope, 0.2)
 	require.Greater(t, noisy.Residual, 0.01)
 	require.Less(t, noisy.Residual, 0.1)
-	flat := FitLine(curve(0, func(float64) float64 { return 7 }))
+	flat := FitLine(pointsOf(0, func(float64) float64 { return 7 }))
 	require.InDelta(t, 7, flat.Intercept, 1e-9)
 	require.Zero(t, flat.Slope)
 }
 
-func TestFitFindsThePowerWithWhichACurveGrows(t *testing.T) {
+func TestFitFindsTheGrowthPower(t *testing.T) {
 	for _, power := range []float64{0, 0.5, 1, 1.3, 2} {
-		require.InDelta(t, power, FitLine(curve(0, func(x float64) float64 { return 3 * math.Pow(x, power) })).Power, 1e-9)
+		require.InDelta(t, power, FitLine(pointsOf(0, func(x float64) float64 { return 3 * math.Pow(x, power) })).Power, 1e-9)
 	}
-	require.InDelta(t, 2, FitLine(curve(0.1, func(x float64) float64 { return x * x })).Power, 0.1)
-	require.Zero(t, FitLine(curve(0, func(float64) float64 { return 0 })).Power)
+	require.InDelta(t, 2, FitLine(pointsOf(0.1, func(x float64) float64 { return x * x })).Power, 0.1)
+	require.Zero(t, FitLine(pointsOf(0, func(float64) float64 { return 0 })).Power)
 	require.Zero(t, FitLine(nil).Power)
 	require.Zero(t, FitLine([]Point{{1, 1}, {1, 2}}).Power)
 }
 
-func TestFitFindsWhereACurveBends(t *testing.T) {
-	fit := FitLine(curve(0, func(x float64) float64 { return 5 + x/100 + 3*math.Max(0, x-1000) }))
+func TestFitFindsTheBend(t *testing.T) {
+	fit := FitLine(pointsOf(0, func(x float64) float64 { return 5 + x/100 + 3*math.Max(0, x-1000) }))
 	require.Equal(t, 1000.0, fit.BendAt)
 	require.InDelta(t, 0.01, fit.Slope, 1e-9)
-	require.Zero(t, FitLine(curve(0, func(x float64) float64 { return x })).BendAt)
+	require.Zero(t, FitLine(pointsOf(0, func(x float64) float64 { return x })).BendAt)
 }
 
-func TestTooFewSizesGiveNoShape(t *testing.T) {
-	line := curve(0, func(x float64) float64 { return x })
+func TestTooFewSizesAreNotLinear(t *testing.T) {
+	line := pointsOf(0, func(x float64) float64 { return x })
 	require.Equal(t, NotLinear, FitLine(nil).Shape)
 	require.Equal(t, NotLinear, FitLine(line[:3]).Shape)
 	require.Equal(t, NotLinear, FitLine([]Point{{1, 1}, {2, 2}, {3, 3}, {4, 4}}).Shape)
 	require.Equal(t, NotLinear, FitLine([]Point{{1, 1}, {1, 2}, {1, 3}, {1, 4}}).Shape)
 }
 
-func TestACurveIsNotDrawnOutBeyondWhatItHolds(t *testing.T) {
-	c := Curve{Points: curve(0, func(x float64) float64 { return 500 + 2*x })}
+func TestAtDoesNotExtrapolateBeyondTheLine(t *testing.T) {
+	c := Curve{Points: pointsOf(0, func(x float64) float64 { return 500 + 2*x })}
 	c.Fit = FitLine(c.Points)
 	value, err := c.At(1e6)
 	require.NoError(t, err)
 	require.InDelta(t, 2_000_500, value, 1)
-	c.Points = curve(0, func(x float64) float64 { return 5 + x/100 + 3*math.Max(0, x-1000) })
+	c.Points = pointsOf(0, func(x float64) float64 { return 5 + x/100 + 3*math.Max(0, x-1000) })
 	c.Fit = FitLine(c.Points)
 	value, err = c.At(500)
 	require.NoError(t, err)
 	require.InDelta(t, 10, value, 1e-6)
 	_, err = c.At(2000)
 	require.ErrorIs(t, err, ErrNotLinear)
-	c.Fit = FitLine(curve(0, func(x float64) float64 { return x * x }))
+	c.Fit = FitLine(pointsOf(0, func(x float64) float64 { return x * x }))
 	_, err = c.At(500)
 	require.ErrorIs(t, err, ErrNotLinear)
 }
 
-func TestBetweenMeasuredSizesAnyCurveHasAValue(t *testing.T) {
+func TestInterpolateWorksForAnyShape(t *testing.T) {
 	c := Curve{Points: []Point{{1, 10}, {10, 100}, {100, 10}}}
 	for size, want := range map[float64]float64{1: 10, 5.5: 55, 10: 100, 55: 55, 100: 10} {
 		value, err := c.Interpolate(size)
--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -1,5 +1,5 @@
-// Package load generates open-loop load: when messages arrive is drawn beforehand and depends on no answer. A forwarder
-// that stalls is charged for every arrival that it did not serve.
+// Package load generates open-loop load: arrival times do not depend on the answers to earlier messages. A stall of the
+// forwarder therefore shows in the latency of every message that arrives during it.
 package load
 
 import (
@@ -9,13 +9,13 @@
 	"slices"
 )
 
-// Point is a rate, per second, at a moment in seconds; between two points the rate is interpolated linearly.
+// Point is a rate per second at a time in seconds. Between two points the rate is interpolated linearly.
 type Point struct{ At, Rate float64 }
 
 // Shape is a rate over time. Before the first point and after the last it is constant.
 type Shape []Point
 
-// Rate is the rate at a moment; 0 for an empty shape.
+// Rate returns the rate at a time, 0 for an empty shape. Where two points have the same time, the later one counts.
 func (s Shape) Rate(at float64) float64 {
 	if len(s) == 0 {
 		return 0
@@ -39,40 +39,40 @@
 	return a.Rate + (b.Rate-a.Rate)*(at-a.At)/(b.At-a.At)
 }
 
-// Check returns an error that names what is wrong with a shape, nil if it is sound.
+// Check returns an error that describes the first invalid point, nil if the shape is valid.
 func (s Shape) Check() error {
 	for i, p := range s {
 		switch {
 		case !(p.Rate >= 0) || math.IsInf(p.Rate, 0) || !(p.At >= 0) || math.IsInf(p.At, 0):
-			return fmt.Errorf("point %d: %v at %v is not a rate at a time", i, p.Rate, p.At)
+			return fmt.Errorf("point %d: rate %v at time %v: both must be finite and not negative", i, p.Rate, p.At)
 		case i > 0 && p.At < s[i-1].At:
-			return fmt.Errorf("point %d comes before the one in front of it", i)
+			return fmt.Errorf("point %d is earlier than the previous one", i)
 		}
 	}
 	return nil
 }
 
-// Arrivals are moments drawn from a shape.
+// Arrivals generates arrival times, in seconds, whose rate follows a shape.
 type Arrivals struct {
 	shape  Shape
-	random *rand.Rand // nil: at even distances
+	random *rand.Rand // nil for even intervals
 	at     float64
 	end    float64
 }
 
-// Even makes arrivals at even distances, up to a moment.
+// Even returns arrivals at even intervals up to the time end.
 func Even(s Shape, end float64) *Arrivals { return &Arrivals{shape: s, end: end} }
 
-// Poisson makes arrivals at random, up to a moment.
+// Poisson returns arrivals of a Poisson process up to the time end.
 func Poisson(s Shape, end float64, random *rand.Rand) *Arrivals {
 	return &Arrivals{shape: s, end: end, random: random}
 }
 
-// StartAt begins at a moment other than 0.
+// StartAt sets the time at which arrivals start, instead of 0.
 func (a *Arrivals) StartAt(at float64) { a.at = at }
 
-// Next is the next moment, false after the end. It is exact: the area under the shape up to it is drawn, and no steps
-// of time are taken.
+// Next returns the next arrival time, and false after the end. It is exact: it draws the area under the shape between
+// two arrivals and solves for the time, without time steps.
 func (a *Arrivals) Next() (float64, bool) {
 	area := 1.0
 	if a.random != nil {
@@ -86,7 +86,7 @@
 				break
 			}
 		}
-		r0, r1 := a.shape.Rate(a.at), a.shape.before(next)
+		r0, r1 := a.shape.Rate(a.at), a.shape.rateBefore(next)
 		width := next - a.at
 		if segment := (r0 + r1) / 2 * width; segment < area {
 			area -= segment
@@ -104,11 +104,11 @@
 	return a.end, false
 }
 
-// before is the rate just before a moment, where a step may stand at it.
-func (s Shape) before(at float64) float64 {
+// rateBefore returns the rate just before a time, which differs from Rate at a step of the shape.
+func (s Shape) rateBefore(at float64) float64 {
 	for i, p := range s {
 		if p.At == at {
-			return p.Rate // of the first point at that moment
+			return p.Rate // the first point at that time
 		}
 		if p.At > at {
 			if i == 0 {
--- a/lab/load/connection.go
+++ b/lab/load/connection.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// connection is one connection to a forwarder, made when it is needed.
+// connection is one connection to a forwarder, established when it is first needed.
 type connection struct {
 	dial    func() (net.Conn, error)
 	timeout time.Duration
-	conn    net.Conn // nil: none is open
+	conn    net.Conn // nil while none is open
 	reader  *bufio.Reader
 }
 
@@ -25,25 +25,26 @@
 	}
 }
 
-// submit submits one message and returns how it was answered. A connection that the forwarder closed between requests
-// is made anew once.
+// submit submits one message and returns the kind of answer. If the forwarder closed the connection between two
+// requests, submit reconnects once.
 func (c *connection) submit(r Run, j job, body string) string {
-	left := or(j.message.TimeToLive, r.TimeToLive) - time.Since(j.intended).Seconds()
+	left := orDefault(j.message.TimeToLive, r.TimeToLive) - time.Since(j.intended).Seconds()
 	if left <= 0 {
 		return answerExpired
 	}
-	request := requestOf(j, left, body[:min(or(j.message.Bytes, r.Bytes), len(body))])
+	request := formatRequest(j, left, body[:min(orDefault(j.message.Bytes, r.Bytes), len(body))])
 	for range 2 {
-		answer, again := c.exchange(request)
-		if !again {
+		answer, retry := c.exchange(request)
+		if !retry {
 			return answer
 		}
 	}
 	return answerNone
 }
 
-// exchange sends a request and reads its answer; again tells that the connection had been closed before.
-func (c *connection) exchange(request string) (answer string, again bool) {
+// exchange sends a request and reads its answer. retry is true if the forwarder had closed a connection that was used
+// before.
+func (c *connection) exchange(request string) (answer string, retry bool) {
 	fresh := c.conn == nil
 	if fresh {
 		conn, err := c.dial()
@@ -73,8 +74,8 @@
 	return answerError, false
 }
 
-// requestOf is a message as a RESP command; left is how many seconds it has.
-func requestOf(j job, left float64, body string) string {
+// formatRequest returns a message as a RESP command; left is the rest of its time to live in seconds.
+func formatRequest(j job, left float64, body string) string {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", j.message.Type, int(left*1000), j.message.Destination)
 	if j.message.IdempotencyKey != "" {
 		fields += ",k=" + j.message.IdempotencyKey
@@ -84,16 +85,16 @@
 	}
 	var b strings.Builder
 	b.WriteString("*5\r\n")
-	for _, argument := range []string{"MSG.PUT", or(j.message.Key, "0"), j.id, fields, body} {
+	for _, argument := range []string{"MSG.PUT", orDefault(j.message.Key, "0"), j.id, fields, body} {
 		fmt.Fprintf(&b, "$%d\r\n%s\r\n", len(argument), argument)
 	}
 	return b.String()
 }
 
-// or is a value, or another if it is the zero value.
-func or[T comparable](value, other T) T {
+// orDefault returns a value, or the fallback if it is the zero value.
+func orDefault[T comparable](value, fallback T) T {
 	if value == *new(T) {
-		return other
+		return fallback
 	}
 	return value
 }
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -47,7 +47,7 @@
 	require.Error(t, Shape{{0, math.NaN()}}.Check())
 }
 
-func TestPoissonArrivalsHaveTheRightDistances(t *testing.T) {
+func TestPoissonIntervalsAreExponential(t *testing.T) {
 	a := Poisson(Shape{{0, 100}}, math.Inf(1), rand.New(rand.NewPCG(1, 2)))
 	n, sum, squares, last := 200_000, 0.0, 0.0, 0.0
 	for range n {
@@ -57,10 +57,10 @@
 	}
 	mean := sum / float64(n)
 	require.InEpsilon(t, 0.01, mean, 0.01)
-	require.InEpsilon(t, mean*mean, squares/float64(n)-mean*mean, 0.02, "as wide as their mean")
+	require.InEpsilon(t, mean*mean, squares/float64(n)-mean*mean, 0.02, "the standard deviation equals the mean")
 }
 
-func TestPicksFollowTheirWeights(t *testing.T) {
+func TestPickerFollowsItsWeights(t *testing.T) {
 	p, random := Zipf(3, 1), rand.New(rand.NewPCG(1, 2))
 	var n [3]float64
 	for range 110_000 {
@@ -72,13 +72,14 @@
 	}
 }
 
-// server answers each command after a delay; while it stalls, it answers nothing. It tells how to connect to it.
-// Called within a bubble: the clock is the test's own, so that no other work on the machine counts as delay.
-func server(delay time.Duration, stall func(since time.Duration) time.Duration) func() (net.Conn, error) {
+// dialServer returns a function that connects to a server, which answers each command after a delay plus a stall; stall
+// gets the time since the first connection. It must be called in a synctest bubble, whose fake clock keeps other work
+// on the machine from counting as delay.
+func dialServer(delay time.Duration, stall func(since time.Duration) time.Duration) func() (net.Conn, error) {
 	var once sync.Once
 	var began time.Time
 	return func() (net.Conn, error) {
-		here, c := net.Pipe()
+		client, c := net.Pipe()
 		once.Do(func() { began = time.Now() })
 		go func() {
 			defer c.Close()
@@ -106,23 +107,23 @@
 				io.WriteString(c, "+OK\r\n")
 			}
 		}()
-		return here, nil
+		return client, nil
 	}
 }
 
-func drawn(rate, seconds float64) *Generator {
+func newGenerator(rate, seconds float64) *Generator {
 	return &Generator{Arrivals: Even(Shape{{0, rate}}, seconds), Random: rand.New(rand.NewPCG(1, 2)), Destinations: []uint64{1}, DestinationPicker: Zipf(1, 0), Types: []string{"status"}}
 }
 
-// The figures reported are those injected: a delay, and of a stall of two seconds what each arrival met of it.
-func TestReportedLatenciesAreThoseInjected(t *testing.T) {
-	synctest.Test(t, theTimesToldAreThoseInjected)
+// TestReportedLatenciesMatchInjectedDelays checks reported latencies for a fixed delay and for a stall of two seconds.
+func TestReportedLatenciesMatchInjectedDelays(t *testing.T) {
+	synctest.Test(t, testReportedLatencies)
 }
 
-func theTimesToldAreThoseInjected(t *testing.T) {
+func testReportedLatencies(t *testing.T) {
 	run := Run{Connections: 400, Timeout: 10 * time.Second, TimeToLive: 20, Bytes: 100}
-	run.Dial = server(400*time.Millisecond, nil)
-	r, err := run.Do(context.Background(), drawn(100, 2))
+	run.Dial = dialServer(400*time.Millisecond, nil)
+	r, err := run.Do(context.Background(), newGenerator(100, 2))
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"ok": r.Sent}, r.Answers)
 	for _, p := range []float64{r.Intended.P50, r.Intended.P90, r.Intended.P99} {
@@ -130,56 +131,57 @@
 	}
 
 	const from, to = 1.0, 3.0
-	run.Dial = server(100*time.Millisecond, func(since time.Duration) time.Duration {
+	run.Dial = dialServer(100*time.Millisecond, func(since time.Duration) time.Duration {
 		if s := since.Seconds(); s > from && s < to {
 			return time.Duration((to - s) * float64(time.Second))
 		}
 		return 0
 	})
-	run.Connections = 4 // as a real tool's: they are all in the stall, and what arrives waits for them
-	r, err = run.Do(context.Background(), drawn(20, 4))
+	run.Connections = 4 // like a real load tool: the stall blocks all of them, and new arrivals queue
+	r, err = run.Do(context.Background(), newGenerator(20, 4))
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"ok": r.Sent}, r.Answers)
 	require.InDelta(t, 2.1, r.Intended.Max, 0.15)
-	require.Greater(t, r.Intended.P50, 0.5, "half of all that arrived met the stall or what it left behind")
-	require.Less(t, r.Naive.P90, 0.2, "a closed loop would have seen four slow answers")
+	require.Greater(t, r.Intended.P50, 0.5, "half of the arrivals are delayed by the stall or by the queue it left")
+	require.Less(t, r.Naive.P90, 0.2, "a closed loop sees only four slow answers")
 	t.Logf("intended %+v, naive %+v", r.Intended, r.Naive)
 }
 
-func TestAStallIsChargedToEachArrivalThatMeetsIt(t *testing.T) {
-	synctest.Test(t, aStallIsChargedToEachArrivalThatMeetsIt)
+func TestStallCountsForEveryArrivalDuringIt(t *testing.T) {
+	synctest.Test(t, testStall)
 }
 
-func aStallIsChargedToEachArrivalThatMeetsIt(t *testing.T) {
+func testStall(t *testing.T) {
 	run := Run{Connections: 400, Timeout: 10 * time.Second, TimeToLive: 20}
-	run.Dial = server(100*time.Millisecond, func(since time.Duration) time.Duration {
+	run.Dial = dialServer(100*time.Millisecond, func(since time.Duration) time.Duration {
 		if s := since.Seconds(); s > 1 && s < 3 {
 			return time.Duration((3 - s) * float64(time.Second))
 		}
 		return 0
 	})
-	r, err := run.Do(context.Background(), drawn(100, 5)) // 300 meet 0.1 s, of 200 each what is left of two seconds when it would be answered
+	// 300 messages take 0.1 s; the other 200 also wait for the rest of the two-second stall.
+	r, err := run.Do(context.Background(), newGenerator(100, 5))
 	require.NoError(t, err)
 	require.InDelta(t, 500, r.Sent, 1)
 	require.Equal(t, map[string]int{"ok": r.Sent}, r.Answers)
 	require.InDelta(t, 0.1, r.Intended.P50, 0.02)
-	require.InEpsilon(t, 1.6, r.Intended.P90, 0.05) // the tenth of all that waited longest came within half a second
+	require.InEpsilon(t, 1.6, r.Intended.P90, 0.05) // the slowest tenth arrived within half a second
 	require.InEpsilon(t, 2.05, r.Intended.P99, 0.05)
 }
 
-func TestAMissingForwarderGivesNoAnswer(t *testing.T) {
+func TestMissingForwarderGivesNoAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := ln.Addr().String()
 	ln.Close()
-	r, err := Run{Addr: addr, Connections: 2, Timeout: time.Second, TimeToLive: 5}.Do(context.Background(), drawn(100, 0.2))
+	r, err := Run{Addr: addr, Connections: 2, Timeout: time.Second, TimeToLive: 5}.Do(context.Background(), newGenerator(100, 0.2))
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"none": r.Sent}, r.Answers)
-	_, err = Run{Addr: addr}.Do(context.Background(), drawn(1, 1))
+	_, err = Run{Addr: addr}.Do(context.Background(), newGenerator(1, 1))
 	require.Error(t, err)
 }
 
-func TestATraceIsReadAndPlayedTenTimesAsFast(t *testing.T) {
+func TestTraceIsReadAndSpedUp(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -199,14 +201,14 @@
 		require.True(t, !more && tr.Err == nil)
 		tr.Close()
 	}
-	for text, says := range map[string]string{`{"at":1,"type":"x"}` + "\n" + `{"at":0,"type":"x"}`: "line 2: at: 0 comes before", `{"at":1}`: "line 1: type",
+	for text, want := range map[string]string{`{"at":1,"type":"x"}` + "\n" + `{"at":0,"type":"x"}`: "line 2: at: 0 is earlier than", `{"at":1}`: "line 1: type",
 		`{"at":1,"type":"x","colour":1}`: `line 1: json: unknown field "colour"`, `{"at":1,"type":"x","key":"z"}`: "line 1: key", `{`: "line 1: "} {
 		tr, err := Open(write("b.jsonl", text), 1)
 		require.NoError(t, err)
 		for more := true; more; {
 			_, more = tr.Next()
 		}
-		require.ErrorContains(t, tr.Err, says)
+		require.ErrorContains(t, tr.Err, want)
 		tr.Close()
 	}
 	_, err := Open(write("b.csv", "at,colour\n"), 1)
--- a/lab/load/picker.go
+++ b/lab/load/picker.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// Picker picks one of many numbers by weight.
+// Picker draws one of the numbers 0 to n-1 by weight.
 type Picker struct{ sums []float64 }
 
-// Zipf weighs the i-th of n as 1/(i+1)^s; s of 0 weighs all alike.
+// Zipf returns a picker of 0 to n-1 that gives i the weight 1/(i+1)^s. An s of 0 gives all the same weight.
 func Zipf(n int, s float64) Picker {
 	w := make([]float64, n)
 	for i := range w {
@@ -18,7 +18,7 @@
 	return Weighted(w)
 }
 
-// Weighted picks by given weights; their sum is over 0.
+// Weighted returns a picker with the given weights, whose sum must be greater than 0.
 func Weighted(w []float64) Picker {
 	p := Picker{make([]float64, len(w))}
 	sum := 0.0
@@ -29,7 +29,7 @@
 	return p
 }
 
-// Weights are the weights of all numbers; their sum is one.
+// Weights returns the weights of all numbers, normalized to a sum of 1.
 func (p Picker) Weights() []float64 {
 	w, before := make([]float64, len(p.sums)), 0.0
 	for i, s := range p.sums {
@@ -38,7 +38,7 @@
 	return w
 }
 
-// Pick draws a number, from 0 on.
+// Pick draws a number with the given generator.
 func (p Picker) Pick(random *rand.Rand) int {
 	x := random.Float64() * p.sums[len(p.sums)-1]
 	i, found := slices.BinarySearch(p.sums, x)
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -12,46 +12,46 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Message is a message to be submitted.
+// Message is a message to submit.
 type Message struct {
-	At             float64 `json:"at"` // seconds from the beginning
+	At             float64 `json:"at"` // seconds from the start of the run
 	Destination    uint64  `json:"dest"`
 	Type           string  `json:"type"`
 	Tenant         string  `json:"tenant,omitempty"`
 	Key            string  `json:"key,omitempty"`    // ordering key, up to 16 hexadecimal digits
 	IdempotencyKey string  `json:"number,omitempty"` // up to 16 hexadecimal digits
-	TimeToLive     float64 `json:"life,omitempty"`   // seconds; 0: the run's
-	Bytes          int     `json:"bytes,omitempty"`  // of its body; 0: the run's
+	TimeToLive     float64 `json:"life,omitempty"`   // seconds; 0 means the run's default
+	Bytes          int     `json:"bytes,omitempty"`  // size of the body; 0 means the run's default
 }
 
-// Source tells what arrives, in order of time.
+// Source provides the messages of a run in order of time.
 type Source interface {
-	// Next is the next message, false after the last.
+	// Next returns the next message, and false after the last one.
 	Next() (Message, bool)
 }
 
-// Run is a load on a forwarder's RESP frontend. Arrivals wait for nobody: where all connections are busy a message
-// waits here, and its latency counts from the intended moment all the same.
+// Run configures a load on a forwarder's RESP frontend. If all connections are busy, messages are queued in this
+// process, and their latencies still count from the intended time.
 type Run struct {
 	Addr        string
-	Connections int                      // at most
-	Timeout     time.Duration            // an answer that takes longer, from the sending on, counts as none
-	TimeToLive  float64                  // seconds, of messages that have none of their own
-	Bytes       int                      // of a body, of messages that have no size of their own
-	Prefix      string                   // of ids
-	Progress    func(sent, open int)     // called now and then; may be nil
-	Dial        func() (net.Conn, error) // makes a connection; nil: TCP to Addr
+	Connections int                      // maximum number
+	Timeout     time.Duration            // from sending; a message without an answer by then counts as unanswered
+	TimeToLive  float64                  // seconds; default for messages without one
+	Bytes       int                      // default body size for messages without one
+	Prefix      string                   // prefix of message ids
+	Progress    func(sent, open int)     // called every progressEvery messages; may be nil
+	Dial        func() (net.Conn, error) // nil means TCP to Addr
 }
 
-// Report is what a run saw.
+// Report is the outcome of a run.
 type Report struct {
 	Sent        int            `json:"sent"`
-	Answers     map[string]int `json:"answers"` // ok, busy, error, none, expired
+	Answers     map[string]int `json:"answers"` // number of messages by kind of answer: ok, busy, error, none, expired
 	Seconds     float64        `json:"seconds"`
-	MaxLateness float64        `json:"most_late_s"` // by which the tool was late in sending, with a connection at hand
-	Intended    Latencies      `json:"intended"`    // from the intended moment to the answer
-	Naive       Latencies      `json:"naive"`       // from the sending, as a closed loop would count: hides a stall
-	OpenAtEnd   int            `json:"without_answer"`
+	MaxLateness float64        `json:"most_late_s"`    // seconds that messages were sent late although a connection was free
+	Intended    Latencies      `json:"intended"`       // from the intended time to the answer
+	Naive       Latencies      `json:"naive"`          // from sending, as a closed loop would measure; hides stalls
+	OpenAtEnd   int            `json:"without_answer"` // messages still without an answer when the run ended
 }
 
 // Latencies are percentiles in seconds.
@@ -64,26 +64,26 @@
 	Mean float64 `json:"mean"`
 }
 
-func latenciesOf(h *hdrhistogram.Histogram) Latencies {
+func newLatencies(h *hdrhistogram.Histogram) Latencies {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1e6 }
 	return Latencies{at(50), at(90), at(99), at(99.9), float64(h.Max()) / 1e6, h.Mean() / 1e6}
 }
 
 const (
-	maxLatencyMicros  = 3_600_000_000 // in a histogram
-	latencyDigits     = 3             // significant, in a histogram
-	maxQueuedMessages = 1 << 20       // that wait for a connection
+	maxLatencyMicros  = 3_600_000_000 // highest value of the histograms
+	latencyDigits     = 3             // significant digits of the histograms
+	maxQueuedMessages = 1 << 20       // messages that wait for a connection
 	maxBodyBytes      = 64 << 10
 	progressEvery     = 100 // messages
 )
 
-// The answers that a run counts.
+// The kinds of answers that a run counts.
 const (
 	answerOK      = "ok"
 	answerBusy    = "busy"
 	answerError   = "error"
 	answerNone    = "none"
-	answerExpired = "expired" // it never left the tool: no connection was free in time
+	answerExpired = "expired" // not sent, as no connection was free within the time to live
 )
 
 type job struct {
@@ -92,14 +92,14 @@
 	intended time.Time
 }
 
-// runner is a run that goes on.
-type runner struct {
+// activeRun is the state of a run in progress.
+type activeRun struct {
 	Run
 	body string
 	jobs chan job
 	wg   sync.WaitGroup
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	report          *Report
 	intended, naive *hdrhistogram.Histogram
 	idle            int // workers without a job
@@ -107,16 +107,16 @@
 	open            int // messages without an answer
 }
 
-// Do plays a source and returns once each message has its answer or is given up. The report is also returned beside an
-// error of ctx.
+// Do submits the messages of a source at their times, and returns when each one was answered or timed out. If ctx ends
+// early, Do returns the report together with the error of ctx.
 func (r Run) Do(ctx context.Context, src Source) (*Report, error) {
 	if r.Connections < 1 || r.Timeout <= 0 || r.TimeToLive <= 0 {
-		return nil, errors.New("connections, timeout and life have to be over 0")
+		return nil, errors.New("connections, timeout and life must be greater than 0")
 	}
 	if r.Dial == nil {
 		r.Dial = func() (net.Conn, error) { return net.DialTimeout("tcp", r.Addr, r.Timeout) }
 	}
-	g := &runner{
+	g := &activeRun{
 		Run:      r,
 		body:     strings.Repeat("x", maxBodyBytes),
 		jobs:     make(chan job, maxQueuedMessages),
@@ -130,12 +130,12 @@
 	g.wg.Wait()
 	g.report.Seconds = time.Since(began).Seconds()
 	g.report.OpenAtEnd = g.open
-	g.report.Intended, g.report.Naive = latenciesOf(g.intended), latenciesOf(g.naive)
+	g.report.Intended, g.report.Naive = newLatencies(g.intended), newLatencies(g.naive)
 	return g.report, ctx.Err()
 }
 
-// play submits each message of a source at its moment, until ctx ends.
-func (g *runner) play(ctx context.Context, src Source, began time.Time) {
+// play dispatches each message of a source at its intended time, until ctx is done.
+func (g *activeRun) play(ctx context.Context, src Source, began time.Time) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -158,8 +158,8 @@
 	}
 }
 
-// dispatch hands a message to a worker, and starts a further one if all are busy.
-func (g *runner) dispatch(message Message, at time.Time) {
+// dispatch queues a message for the workers, and starts another worker if all are busy.
+func (g *activeRun) dispatch(message Message, at time.Time) {
 	g.report.Sent++
 	g.mu.Lock()
 	g.open++
@@ -177,7 +177,7 @@
 	g.mu.Unlock()
 	select {
 	case g.jobs <- job{message, fmt.Sprintf("%s%x", g.Prefix, g.report.Sent), at}:
-	default: // charged for the whole timeout
+	default: // the queue is full; the message counts as timed out
 		g.mu.Lock()
 		g.report.Answers[answerNone]++
 		g.intended.RecordValue(micros(g.Timeout))
@@ -186,8 +186,8 @@
 	}
 }
 
-// work submits jobs on a connection of its own, one after another.
-func (g *runner) work() {
+// work submits jobs one after another on one connection.
+func (g *activeRun) work() {
 	c := &connection{dial: g.Dial, timeout: g.Timeout}
 	defer c.close()
 	for j := range g.jobs {
@@ -207,5 +207,5 @@
 	}
 }
 
-// micros is a duration as a value of a histogram.
+// micros converts a duration to a histogram value.
 func micros(d time.Duration) int64 { return min(max(1, d.Microseconds()), maxLatencyMicros) }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -14,7 +14,7 @@
 	"strings"
 )
 
-// Generator makes messages at drawn moments, for destinations and tenants drawn by weight. It is a Source.
+// Generator is a Source of random messages. It draws destinations and tenants by weight, and types uniformly.
 type Generator struct {
 	Arrivals          *Arrivals
 	Random            *rand.Rand
@@ -23,47 +23,47 @@
 	Tenants           []string
 	TenantPicker      Picker
 	Types             []string
-	Keys              int  // ordering keys in use at once; 0: none
-	IdempotencyKeys   bool // each message gets an idempotency key of its own
+	Keys              int  // number of ordering keys per destination; 0 means none
+	IdempotencyKeys   bool // whether each message gets a unique idempotency key
 }
 
-// Next makes the next message, false after the last arrival.
-func (d *Generator) Next() (Message, bool) {
-	at, more := d.Arrivals.Next()
+// Next returns the next message, and false after the last arrival.
+func (g *Generator) Next() (Message, bool) {
+	at, more := g.Arrivals.Next()
 	if !more {
 		return Message{}, false
 	}
-	message := Message{At: at, Destination: d.Destinations[d.DestinationPicker.Pick(d.Random)], Type: d.Types[d.Random.IntN(len(d.Types))]}
-	if len(d.Tenants) > 0 {
-		message.Tenant = d.Tenants[d.TenantPicker.Pick(d.Random)]
+	message := Message{At: at, Destination: g.Destinations[g.DestinationPicker.Pick(g.Random)], Type: g.Types[g.Random.IntN(len(g.Types))]}
+	if len(g.Tenants) > 0 {
+		message.Tenant = g.Tenants[g.TenantPicker.Pick(g.Random)]
 	}
-	if d.Keys > 0 {
-		message.Key = fmt.Sprintf("%x", message.Destination<<32|uint64(d.Random.IntN(d.Keys)+1))
+	if g.Keys > 0 {
+		message.Key = fmt.Sprintf("%x", message.Destination<<32|uint64(g.Random.IntN(g.Keys)+1))
 	}
-	if d.IdempotencyKeys {
-		message.IdempotencyKey = fmt.Sprintf("%016x", d.Random.Uint64())
+	if g.IdempotencyKeys {
+		message.IdempotencyKey = fmt.Sprintf("%016x", g.Random.Uint64())
 	}
 	return message, true
 }
 
-// Trace is a recorded load, read as it is played. Its times are divided by Speed. It is a Source.
+// Trace is a Source of recorded messages, which it reads from a file as they are needed. Times are divided by Speed.
 type Trace struct {
 	Speed float64
-	Err   error // what ended the trace, nil for its end
+	Err   error // the error that ended the trace, nil at the end of the file
 
-	next  func() (Message, error)
-	first float64
-	began bool
-	last  float64
-	line  int
-	file  io.Closer
+	readMessage func() (Message, error)
+	firstAt     float64
+	began       bool
+	lastAt      float64
+	line        int
+	file        io.Closer
 }
 
-// Open opens a trace: CSV with a head (.csv), else JSON lines, with the fields of Message. Times are in seconds, in
-// order, from any beginning. speed is how many times as fast it is played. The caller closes the trace.
+// Open opens a trace with the fields of Message: CSV with a header (.csv), otherwise JSON lines. Times are in seconds,
+// in ascending order, from any start. speed is the factor by which the trace is sped up. The caller closes the trace.
 func Open(path string, speed float64) (*Trace, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
-		return nil, fmt.Errorf("speed: %v is not over 0", speed)
+		return nil, fmt.Errorf("speed: %v must be finite and greater than 0", speed)
 	}
 	f, err := os.Open(path)
 	if err != nil {
@@ -84,21 +84,21 @@
 func newTrace(r io.Reader, isCSV bool, speed float64) (*Trace, error) {
 	t := &Trace{Speed: speed}
 	if !isCSV {
-		t.next = t.jsonLines(r)
+		t.readMessage = t.jsonLines(r)
 		return t, nil
 	}
 	next, err := t.csvRows(r)
 	if err != nil {
 		return nil, err
 	}
-	t.next = next
+	t.readMessage = next
 	return t, nil
 }
 
-// maxLineBytes is how long a line of JSON may be.
+// maxLineBytes is the maximum length of a line of JSON.
 const maxLineBytes = 1 << 20
 
-// jsonLines reads a message from each line.
+// jsonLines returns a function that reads the message of the next line.
 func (t *Trace) jsonLines(r io.Reader) func() (Message, error) {
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, maxLineBytes)
@@ -120,7 +120,7 @@
 	}
 }
 
-// columns set a message's fields from CSV.
+// columns maps the name of a CSV column to the function that sets its field.
 var columns = map[string]func(m *Message, v string) error{
 	"at":     func(m *Message, v string) (err error) { m.At, err = strconv.ParseFloat(v, 64); return },
 	"dest":   func(m *Message, v string) (err error) { m.Destination, err = strconv.ParseUint(v, 10, 32); return },
@@ -132,7 +132,7 @@
 	"number": func(m *Message, v string) error { m.IdempotencyKey = v; return nil },
 }
 
-// csvRows reads the head and then a message from each row.
+// csvRows reads the header and returns a function that reads the message of the next row.
 func (t *Trace) csvRows(r io.Reader) (func() (Message, error), error) {
 	in := csv.NewReader(r)
 	head, err := in.Read()
@@ -163,14 +163,14 @@
 	}, nil
 }
 
-// Next is the next message of the trace, false after its end or an error, which Err tells.
+// Next returns the next message of the trace, and false at the end or after an error, which it stores in Err.
 func (t *Trace) Next() (Message, bool) {
 	if t.Err != nil {
 		return Message{}, false
 	}
-	d, err := t.next()
+	m, err := t.readMessage()
 	if err == nil {
-		err = t.check(&d)
+		err = t.check(&m)
 	}
 	if err != nil {
 		if !errors.Is(err, io.EOF) {
@@ -179,28 +179,28 @@
 		return Message{}, false
 	}
 	if !t.began {
-		t.began, t.first = true, d.At
+		t.began, t.firstAt = true, m.At
 	}
-	d.At = (d.At - t.first) / t.Speed
-	return d, true
+	m.At = (m.At - t.firstAt) / t.Speed
+	return m, true
 }
 
-func (t *Trace) check(d *Message) error {
+func (t *Trace) check(m *Message) error {
 	switch {
-	case !(d.At >= 0) || math.IsInf(d.At, 0):
-		return fmt.Errorf("at: %v is not a time", d.At)
-	case t.began && d.At < t.last:
-		return fmt.Errorf("at: %v comes before the one in front of it", d.At)
-	case d.Type == "":
-		return errors.New("type: is missing")
-	case d.Bytes < 0 || d.Bytes > 64<<10:
-		return fmt.Errorf("bytes: %d is not between 0 and 65536", d.Bytes)
-	case !(d.TimeToLive >= 0):
-		return fmt.Errorf("life: %v is not a time", d.TimeToLive)
-	}
-	if _, err := strconv.ParseUint(d.Key, 16, 64); d.Key != "" && err != nil {
-		return fmt.Errorf("key: %q is not a hexadecimal number", d.Key)
-	}
-	t.last = d.At
+	case !(m.At >= 0) || math.IsInf(m.At, 0):
+		return fmt.Errorf("at: %v must be finite and not negative", m.At)
+	case t.began && m.At < t.lastAt:
+		return fmt.Errorf("at: %v is earlier than the previous message", m.At)
+	case m.Type == "":
+		return errors.New("type: missing")
+	case m.Bytes < 0 || m.Bytes > 64<<10:
+		return fmt.Errorf("bytes: %d is not between 0 and 65536", m.Bytes)
+	case !(m.TimeToLive >= 0):
+		return fmt.Errorf("life: %v must not be negative", m.TimeToLive)
+	}
+	if _, err := strconv.ParseUint(m.Key, 16, 64); m.Key != "" && err != nil {
+		return fmt.Errorf("key: %q is not a hexadecimal number", m.Key)
+	}
+	t.lastAt = m.At
 	return nil
 }
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -1,4 +1,4 @@
-// Package report makes one page of the results of a run: plots, tables and the numbers, in a single HTML file.
+// Package report renders the results of simulated runs as a single HTML file with plots, tables and the raw numbers.
 package report
 
 import (
@@ -29,26 +29,26 @@
 	red    = color.RGBA{R: 0xc0, G: 0x30, B: 0x30, A: 0xff}
 )
 
-// reportedRun is a result with the scenario that was played.
+// reportedRun is a result with its scenario.
 type reportedRun struct {
-	Scene  *scenario.Scenario
-	Result *sim.Result
+	Scenario *scenario.Scenario
+	Result   *sim.Result
 }
 
-// Write writes a page for the results of one scenario, one for each seed. The page needs no other files.
+// Write writes an HTML page for the results of one scenario, one result per seed. The page needs no other files.
 func Write(w io.Writer, s *scenario.Scenario, results []*sim.Result) error {
-	type shown struct {
+	type runView struct {
 		Result                  *sim.Result
 		Value, Held, Heat, Ends template.HTML
 	}
 	page := struct {
 		Scene *scenario.Scenario
-		Days  []shown
+		Days  []runView
 		JSON  template.JS
 	}{Scene: s}
 	for _, r := range results {
 		d := reportedRun{s, r}
-		one := shown{Result: r}
+		one := runView{Result: r}
 		for _, p := range []struct {
 			into *template.HTML
 			draw func() (*plot.Plot, error)
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// marks draws where faults begin and end.
-func (d *reportedRun) marks(p *plot.Plot, top float64) error {
-	for _, t := range d.Scene.Faults {
+// markFaults draws dashed lines where faults begin (red) and end (grey).
+func (d *reportedRun) markFaults(p *plot.Plot, top float64) error {
+	for _, t := range d.Scenario.Faults {
 		for i, at := range []float64{float64(t.At), float64(t.At + t.For)} {
 			l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
 			if err != nil {
@@ -129,52 +129,53 @@
 }
 
 func (d *reportedRun) valuePlot() (*plot.Plot, error) {
-	p := d.plot("Value of the documents that came in each second", "value")
+	p := d.plot("Value of the messages that arrived in each second", "value")
 	if err := d.line(p, "offered", grey, func(s *sim.Second) float64 { return s.Offered }); err != nil {
 		return nil, err
 	}
 	if err := d.line(p, "delivered", blue, func(s *sim.Second) float64 { return s.Delivered }); err != nil {
 		return nil, err
 	}
-	return p, d.marks(p, p.Y.Max)
+	return p, d.markFaults(p, p.Y.Max)
 }
 
 func (d *reportedRun) heldPlot() (*plot.Plot, error) {
-	p := d.plot("Held, and calls in flight", "documents, calls")
+	p := d.plot("Messages held and calls in flight", "messages, calls")
 	if err := d.line(p, "held", orange, func(s *sim.Second) float64 { return float64(s.Held) }); err != nil {
 		return nil, err
 	}
 	if err := d.line(p, "in flight", blue, func(s *sim.Second) float64 { return float64(s.Out) }); err != nil {
 		return nil, err
 	}
-	return p, d.marks(p, math.Max(1, p.Y.Max))
+	return p, d.markFaults(p, math.Max(1, p.Y.Max))
 }
 
-// heat is the messages held by destination and second; it is a plotter.GridXYZ.
-type heat struct{ seconds []sim.Second }
+// heatGrid is the number of messages held by destination and second, as a plotter.GridXYZ.
+type heatGrid struct{ seconds []sim.Second }
 
-// Dims returns the numbers of seconds and of destinations.
-func (h heat) Dims() (c, r int) { return len(h.seconds), len(h.seconds[0].HeldByDestination) }
+// Dims returns the number of seconds and the number of destinations.
+func (h heatGrid) Dims() (c, r int) { return len(h.seconds), len(h.seconds[0].HeldByDestination) }
 
-// Z returns the colour value of a cell: the logarithm of the messages held, plus one.
-func (h heat) Z(c, r int) float64 { return math.Log1p(float64(h.seconds[c].HeldByDestination[r])) }
+// Z returns the colour value of a cell: the logarithm of one plus the messages held.
+func (h heatGrid) Z(c, r int) float64 { return math.Log1p(float64(h.seconds[c].HeldByDestination[r])) }
 
 // X returns the middle of a second.
-func (h heat) X(c int) float64 { return float64(c) + 0.5 }
+func (h heatGrid) X(c int) float64 { return float64(c) + 0.5 }
 
 // Y returns the number of a destination.
-func (h heat) Y(r int) float64 { return float64(r) }
+func (h heatGrid) Y(r int) float64 { return float64(r) }
 
 func (d *reportedRun) heatPlot() (*plot.Plot, error) {
 	if len(d.Result.Seconds) < 2 || len(d.Result.Seconds[0].HeldByDestination) < 2 {
 		return nil, nil
 	}
-	p := d.plot("Held by destination (darker: fewer; logarithmic)", "destination")
-	p.Add(plotter.NewHeatMap(heat{d.Result.Seconds}, moreland.ExtendedBlackBody().Palette(64)))
+	p := d.plot("Messages held by destination (logarithmic; darker means fewer)", "destination")
+	p.Add(plotter.NewHeatMap(heatGrid{d.Result.Seconds}, moreland.ExtendedBlackBody().Palette(64)))
 	return p, nil
 }
 
-// pageTemplate names fields of scenario.Scenario and sim.Result: a rename there has to be made here too.
+// pageTemplate refers to fields of scenario.Scenario and sim.Result by name. Renaming one of them breaks the template
+// when it is executed, not when it is compiled.
 //
 //go:embed page.html.tmpl
 var pageTemplate string
