--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -6,28 +6,28 @@
 	"spanflow/lab/capacity"
 )
 
-// Basis says how an estimate came about.
+// Basis tells how a value at a size was obtained.
 type Basis uint8
 
-// The ways in which a value at a size is known.
+// The bases of estimates and limits.
 const (
 	NotMeasured     Basis = iota // there is no curve
-	NoSize                       // the target states no size to read the curve at
-	NotExtrapolated              // the curve is not straight and was not measured at the size
-	Measured                     // at this very size
+	NoSize                       // the target does not state the size
+	NotExtrapolated              // the size is outside the range in which the curve is known
+	Measured                     // at exactly this size
 	Interpolated                 // between two measured sizes
-	Fitted                       // by the straight line, within the measured sizes
-	Extrapolated                 // by the straight line, beyond the largest measured size
+	Fitted                       // by the fitted line, within the measured sizes
+	Extrapolated                 // by the fitted line, beyond the largest measured size
 )
 
-// Estimate is what a curve says of a size.
+// Estimate is the value of a curve at a size.
 type Estimate struct {
 	Basis  Basis
 	Value  float64 // in the curve's unit
-	Beyond float64 // Extrapolated: the size over the largest measured size
+	Beyond float64 // with Extrapolated: the ratio of the size to the largest measured size
 }
 
-// ValueAt is what a curve, nil if there is none, says of a size.
+// ValueAt estimates the value of a curve at a size. curve is nil if it was not measured.
 func ValueAt(curve *capacity.Curve, size float64) Estimate {
 	if curve == nil {
 		return Estimate{}
@@ -39,10 +39,10 @@
 	switch {
 	case curve.Fit.Shape == capacity.Flat:
 		return fitted(mean(curve.Points), size, largest)
-	case straightUpTo(curve) >= size:
+	case linearUpTo(curve) >= size:
 		return fitted(line(curve, size), size, largest)
 	case size <= largest && size >= curve.Points[0].Size:
-		return Estimate{Basis: Interpolated, Value: between(curve.Points, size)}
+		return Estimate{Basis: Interpolated, Value: interpolate(curve.Points, size)}
 	}
 	return Estimate{Basis: NotExtrapolated}
 }
@@ -54,15 +54,16 @@
 	return Estimate{Basis: Fitted, Value: value}
 }
 
-// Limit says where a budget is exceeded.
+// Limit is the smallest known size at which a budget is exceeded.
 type Limit struct {
-	Basis         Basis   // NotMeasured, NotExtrapolated: not known; Measured: at a measured size; else by the line
-	Never         bool    // the budget is kept at every size up to the one that was asked for
-	Size          float64 // from which on the budget is exceeded; with Measured the first measured size at which it is
-	LargestWithin float64 // with Measured: the largest measured size below it, where the budget is kept; 0: none
+	Basis         Basis   // how Size was obtained; with NotMeasured, NoSize and NotExtrapolated it is not known
+	Never         bool    // the budget is kept at every size up to the requested one
+	Size          float64 // from which the budget is exceeded; with Measured, the first measured size that exceeds it
+	LargestWithin float64 // with Measured: the largest known size below Size that keeps the budget; 0 means none
 }
 
-// ExceededAt returns at which size a curve, nil if there is none, exceeds a budget, looking up to a size.
+// ExceededAt returns the size at which a curve exceeds a budget, considering sizes up to upTo. curve is nil if it was
+// not measured.
 func ExceededAt(curve *capacity.Curve, budget, upTo float64) Limit {
 	if curve == nil {
 		return Limit{}
@@ -73,24 +74,24 @@
 		}
 		return Limit{Basis: Fitted, Never: true}
 	}
-	straight := straightUpTo(curve)
-	if straight > 0 {
-		if size := crossing(curve, budget); size <= math.Min(straight, upTo) {
+	linear := linearUpTo(curve)
+	if linear > 0 {
+		if size := crossing(curve, budget); size <= math.Min(linear, upTo) {
 			return Limit{Basis: Fitted, Size: size}
 		}
-		if straight >= upTo {
+		if linear >= upTo {
 			return Limit{Basis: Fitted, Never: true}
 		}
 	}
-	kept := straight
+	largestWithin := linear
 	for _, point := range curve.Points {
-		if point.Size <= straight || point.Size > upTo {
+		if point.Size <= linear || point.Size > upTo {
 			continue
 		}
 		if point.Value > budget {
-			return Limit{Basis: Measured, Size: point.Size, LargestWithin: kept}
+			return Limit{Basis: Measured, Size: point.Size, LargestWithin: largestWithin}
 		}
-		kept = point.Size
+		largestWithin = point.Size
 	}
 	if at := ValueAt(curve, upTo); at.Basis != NotExtrapolated {
 		return Limit{Basis: at.Basis, Never: at.Value <= budget, Size: upTo}
@@ -98,8 +99,8 @@
 	return Limit{Basis: NotExtrapolated}
 }
 
-// straightUpTo is the size up to which the line of a curve holds.
-func straightUpTo(curve *capacity.Curve) float64 {
+// linearUpTo returns the size up to which a curve follows its fitted line.
+func linearUpTo(curve *capacity.Curve) float64 {
 	switch curve.Fit.Shape {
 	case capacity.Linear:
 		return math.Inf(1)
@@ -109,7 +110,8 @@
 	return 0
 }
 
-// crossing is the size at which the line of a curve passes a value; infinite if it never does, 0 if it begins beyond.
+// crossing returns the size at which a curve's fitted line reaches a value: infinity if it never does, 0 if it starts
+// above the value.
 func crossing(curve *capacity.Curve, value float64) float64 {
 	fit := curve.Fit
 	switch {
@@ -142,8 +144,8 @@
 	return capacity.Point{}, false
 }
 
-// between is the value on the straight line between the two measured sizes around a size.
-func between(points []capacity.Point, size float64) float64 {
+// interpolate returns the value at a size, linearly interpolated between the two nearest measured sizes.
+func interpolate(points []capacity.Point, size float64) float64 {
 	for i := 1; i < len(points); i++ {
 		low, high := points[i-1], points[i]
 		if size <= high.Size {
--- a/lab/capacity/page/estimate_test.go
+++ b/lab/capacity/page/estimate_test.go
@@ -9,88 +9,88 @@
 	"spanflow/lab/capacity"
 )
 
-// straight is a curve of 100 at none and 2 for each, measured up to 1,000.
-func straight() *capacity.Curve {
+// linearCurve returns a curve with the intercept 100 and the slope 2, measured up to a size of 1,000.
+func linearCurve() *capacity.Curve {
 	return &capacity.Curve{Role: "known-destination", Quantity: "memory in the scheduler", SizeUnit: "destinations", Unit: "bytes",
 		Points: []capacity.Point{{Size: 10, Value: 120}, {Size: 100, Value: 300}, {Size: 1000, Value: 2100}},
 		Fit:    capacity.Fit{Shape: capacity.Linear, Intercept: 100, Slope: 2}}
 }
 
-// square is a curve that grows with the square of the size, measured up to 1,000.
-func square(shape capacity.Shape, bendAt float64) *capacity.Curve {
+// quadraticCurve returns a curve that grows with the square of the size, measured up to a size of 1,000.
+func quadraticCurve(shape capacity.Shape, bendAt float64) *capacity.Curve {
 	return &capacity.Curve{Role: "held-message", Quantity: "giving up", SizeUnit: "messages", Unit: "s",
 		Points: []capacity.Point{{Size: 10, Value: 1}, {Size: 100, Value: 100}, {Size: 1000, Value: 10_000}},
 		Fit:    capacity.Fit{Shape: shape, Intercept: 0, Slope: 0.1, BendAt: bendAt}}
 }
 
-func TestExtrapolatesAStraightCurve(t *testing.T) {
-	require.Equal(t, Estimate{Basis: Extrapolated, Value: 20_100, Beyond: 10}, ValueAt(straight(), 10_000))
-	require.Equal(t, Estimate{Basis: Fitted, Value: 1100}, ValueAt(straight(), 500))
-	require.Equal(t, Estimate{Basis: Measured, Value: 300}, ValueAt(straight(), 100))
+func TestLinearCurvesAreExtrapolated(t *testing.T) {
+	require.Equal(t, Estimate{Basis: Extrapolated, Value: 20_100, Beyond: 10}, ValueAt(linearCurve(), 10_000))
+	require.Equal(t, Estimate{Basis: Fitted, Value: 1100}, ValueAt(linearCurve(), 500))
+	require.Equal(t, Estimate{Basis: Measured, Value: 300}, ValueAt(linearCurve(), 100))
 }
 
-func TestNeverExtrapolatesACurveThatIsNotStraight(t *testing.T) {
-	curve := square(capacity.NotLinear, 0)
+func TestNonLinearCurvesAreNotExtrapolated(t *testing.T) {
+	curve := quadraticCurve(capacity.NotLinear, 0)
 	require.Equal(t, Estimate{Basis: NotExtrapolated}, ValueAt(curve, 1001))
 	require.Equal(t, Estimate{Basis: NotExtrapolated}, ValueAt(curve, 9))
 	require.Equal(t, Estimate{Basis: Measured, Value: 10_000}, ValueAt(curve, 1000))
 	require.Equal(t, Estimate{Basis: Interpolated, Value: 5050}, ValueAt(curve, 550))
 }
 
-func TestExtrapolatesUpToABendOnly(t *testing.T) {
-	curve := square(capacity.Bends, 100)
+func TestBentCurvesAreNotExtrapolatedBeyondTheBend(t *testing.T) {
+	curve := quadraticCurve(capacity.Bends, 100)
 	require.Equal(t, Estimate{Basis: Fitted, Value: 5}, ValueAt(curve, 50))
 	require.Equal(t, Estimate{Basis: Interpolated, Value: 5050}, ValueAt(curve, 550))
 	require.Equal(t, Estimate{Basis: NotExtrapolated}, ValueAt(curve, 2000))
 }
 
-func TestAFlatCurveIsItsMeanAtAnySize(t *testing.T) {
-	curve := straight()
+func TestFlatCurvesHaveTheirMeanAtAnySize(t *testing.T) {
+	curve := linearCurve()
 	curve.Points = []capacity.Point{{Size: 10, Value: 9}, {Size: 100, Value: 11}}
 	curve.Fit = capacity.Fit{Shape: capacity.Flat, Intercept: 10}
 	require.Equal(t, Estimate{Basis: Extrapolated, Value: 10, Beyond: 10}, ValueAt(curve, 1000))
 	require.Equal(t, Estimate{Basis: Fitted, Value: 10}, ValueAt(curve, 100))
 }
 
-func TestWithoutACurveNothingIsKnown(t *testing.T) {
+func TestMissingCurvesAreNotMeasured(t *testing.T) {
 	require.Equal(t, Estimate{Basis: NotMeasured}, ValueAt(nil, 10))
 	require.Equal(t, Limit{Basis: NotMeasured}, ExceededAt(nil, 1, 10))
 }
 
-func TestAStraightCurveLeavesItsBudgetWhereTheLineDoes(t *testing.T) {
-	require.Equal(t, Limit{Basis: Fitted, Size: 5000}, ExceededAt(straight(), 10_100, 100_000))
-	require.Equal(t, Limit{Basis: Fitted, Never: true}, ExceededAt(straight(), 10_100, 4999))
-	require.Equal(t, Limit{Basis: Fitted, Size: 0}, ExceededAt(straight(), 99, 4999), "more than the budget at none")
-	falling := straight()
+func TestLinearCurveExceedsItsBudgetOnTheLine(t *testing.T) {
+	require.Equal(t, Limit{Basis: Fitted, Size: 5000}, ExceededAt(linearCurve(), 10_100, 100_000))
+	require.Equal(t, Limit{Basis: Fitted, Never: true}, ExceededAt(linearCurve(), 10_100, 4999))
+	require.Equal(t, Limit{Basis: Fitted, Size: 0}, ExceededAt(linearCurve(), 99, 4999), "the intercept exceeds the budget")
+	falling := linearCurve()
 	falling.Fit.Slope = -0.001
 	require.Equal(t, Limit{Basis: Fitted, Never: true}, ExceededAt(falling, 200, 1e9))
 }
 
-func TestACurveThatIsNotStraightLeavesItsBudgetAtAMeasuredSize(t *testing.T) {
-	curve := square(capacity.NotLinear, 0)
-	require.Equal(t, Limit{Basis: Measured, Size: 100, LargestWithin: 10}, ExceededAt(curve, 50, 1e6), "the first measured size beyond")
-	require.Equal(t, Limit{Basis: Measured, Size: 10}, ExceededAt(curve, 0.5, 1e6), "left at all measured sizes")
-	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 20_000, 1e6), "kept as far as measured")
+func TestNonLinearCurveExceedsItsBudgetAtAMeasuredSize(t *testing.T) {
+	curve := quadraticCurve(capacity.NotLinear, 0)
+	require.Equal(t, Limit{Basis: Measured, Size: 100, LargestWithin: 10}, ExceededAt(curve, 50, 1e6), "first measured size that exceeds the budget")
+	require.Equal(t, Limit{Basis: Measured, Size: 10}, ExceededAt(curve, 0.5, 1e6), "exceeded at all measured sizes")
+	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 20_000, 1e6), "kept at all measured sizes")
 	require.Equal(t, Limit{Basis: Measured, Never: true, Size: 1000}, ExceededAt(curve, 20_000, 1000))
-	require.Equal(t, Limit{Basis: Interpolated, Size: 550}, ExceededAt(curve, 200, 550), "over it between two measured sizes")
+	require.Equal(t, Limit{Basis: Interpolated, Size: 550}, ExceededAt(curve, 200, 550), "exceeded between two measured sizes")
 	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 0.5, 5), "smaller than all measured sizes")
 }
 
-func TestACurveThatBendsLeavesItsBudgetOnTheLineOrAtAMeasuredSize(t *testing.T) {
-	curve := square(capacity.Bends, 100)
+func TestBentCurveExceedsItsBudgetOnTheLineOrAtAMeasuredSize(t *testing.T) {
+	curve := quadraticCurve(capacity.Bends, 100)
 	require.Equal(t, Limit{Basis: Fitted, Size: 50}, ExceededAt(curve, 5, 1e6))
 	require.Equal(t, Limit{Basis: Measured, Size: 1000, LargestWithin: 100}, ExceededAt(curve, 150, 1e6))
 	require.Equal(t, Limit{Basis: NotExtrapolated}, ExceededAt(curve, 20_000, 1e6))
 }
 
 func TestConvertsUnits(t *testing.T) {
-	curve := straight()
+	curve := linearCurve()
 	curve.Unit = "µs"
 	scaled, unit := converted(curve)
 	require.Equal(t, Seconds, unit)
 	require.InEpsilon(t, 2e-6, scaled.Fit.Slope, 1e-9)
 	require.InEpsilon(t, 2100e-6, scaled.Points[2].Value, 1e-9)
-	require.Equal(t, 2.0, curve.Fit.Slope, "the given curve stays as it is")
+	require.Equal(t, 2.0, curve.Fit.Slope, "the given curve must not change")
 	curve.Unit = "descriptors"
 	_, unit = converted(curve)
 	require.Equal(t, Unit("descriptors"), unit)
--- a/lab/capacity/page/failures.go
+++ b/lab/capacity/page/failures.go
@@ -2,10 +2,10 @@
 
 import "spanflow/lab/capacity"
 
-// failure is something that breaks, with what becomes of it in the present code.
+// failure is one row of the failures table: a kind of failure and its consequences with the current code.
 type failure struct {
-	what, expected string
-	lost           string // or waits
+	name, expected string
+	lost           string // what is lost or delayed
 	noticedBy      string
 	within         string
 	takesOver      string
@@ -20,9 +20,9 @@
 		failedRack(t),
 		failedZone(t),
 		regionsApart(t),
-		discoveryAway(),
+		discoveryDown(),
 	} {
-		rows = append(rows, []string{f.what, f.expected, f.lost, f.noticedBy, f.within, f.takesOver})
+		rows = append(rows, []string{f.name, f.expected, f.lost, f.noticedBy, f.within, f.takesOver})
 	}
 	head := []string{"failure", "how often", "what is lost or waits", "who notices", "in what time", "what takes over"}
 	return table(head, rows)
@@ -30,7 +30,7 @@
 
 func processRestart(t *Target, results *capacity.Results) failure {
 	return failure{
-		what:     "restart of a process",
+		name:     "restart of a process",
 		expected: Count.Format(t.Failures.RestartsPerDay) + " a day, replaced machines among them",
 		lost: "Nothing that was accepted: it is in the folder before the client is told so. What was in flight counts as may " +
 			"have run: messages that must not run twice are failed, others are sent again while a repeat is known. Lost are " +
@@ -42,7 +42,8 @@
 	}
 }
 
-// readyAfterRestart is the time until a forwarder with its whole backlog is ready, as the restart curve has it.
+// readyAfterRestart returns the time until a restarted forwarder with its full backlog is ready, from the restart
+// curve.
 func readyAfterRestart(t *Target, results *capacity.Results) string {
 	curve := curveOf(results, restartCurve)
 	if curve == nil {
@@ -58,7 +59,7 @@
 
 func replacedMachine(t *Target) failure {
 	return failure{
-		what:     "replaced machine",
+		name:     "replaced machine",
 		expected: Count.Format(t.Failures.RestartsPerDay) + " a day, restarts among them",
 		lost: "Nothing if the folder moves with the forwarder (docs/migration.md). Up to " +
 			Count.Format(t.Load.BacklogPerForwarder) + " messages wait until it has; those whose time is up meanwhile get " +
@@ -70,10 +71,10 @@
 }
 
 func failedMachine(t *Target) failure {
-	owedADay := t.Failures.MachinesPerDay * t.Load.BacklogPerForwarder
+	heldPerDay := t.Failures.MachinesPerDay * t.Load.BacklogPerForwarder
 	return failure{
-		what:     "failed machine",
-		expected: Count.Format(t.Failures.MachinesPerDay) + " a day: up to " + Count.Format(owedADay) + " messages held there",
+		name:     "failed machine",
+		expected: Count.Format(t.Failures.MachinesPerDay) + " a day: up to " + Count.Format(heldPerDay) + " messages held there",
 		lost: "The " + Count.Format(t.Load.BacklogPerForwarder) + " messages held there are on its disk alone. If the disk comes back " +
 			"they wait, and their time runs on; what the kernel had not written yet is lost even then, as the write-ahead log does not sync. " +
 			"If it does not come back all are lost, with no notice to anybody: only clients that keep what they submitted can submit " +
@@ -86,7 +87,7 @@
 
 func failedRack(t *Target) failure {
 	return failure{
-		what:     "rack or switch",
+		name:     "rack or switch",
 		expected: "up to " + Count.Format(t.Failures.RacksPerYear) + " a year",
 		lost: "As many failed machines as the rack holds, with a return in most cases: what they hold waits for it. How many " +
 			"forwarders share a rack, and whether control machines do, is unknown.",
@@ -99,13 +100,13 @@
 
 func failedZone(t *Target) failure {
 	lost := t.Fleet.Forwarders / t.Fleet.Zones
-	more := t.Fleet.Zones / (t.Fleet.Zones - 1)
+	loadFactor := t.Fleet.Zones / (t.Fleet.Zones - 1)
 	return failure{
-		what:     "zone",
+		name:     "zone",
 		expected: "up to " + Count.Format(t.Failures.ZonesPerYear) + " a year",
 		lost: digits(lost) + " forwarders with up to " + Count.Format(lost*t.Load.BacklogPerForwarder) + " messages held, which wait for " +
-			"the zone's return or are lost with its disks. The rest take " + digits(more) + " times their load if clients spread: " +
-			PerSecond.Format(t.eventsPerForwarder()*more) + " each.",
+			"the zone's return or are lost with its disks. The rest take " + digits(loadFactor) + " times their load if clients spread: " +
+			PerSecond.Format(t.eventsPerForwarder()*loadFactor) + " each.",
 		noticedBy: "clients; each forwarder for itself by its failing calls; watches within 3 s if discovery was there",
 		within:    "a few calls to each endpoint; the list when discovery sends it",
 		takesOver: "endpoints in other zones (`scheduler` prefers near ones, then takes others). No forwarder is told " +
@@ -118,7 +119,7 @@
 	across := t.eventsPerForwarder() * apart / 2
 	inRegion := t.Fleet.Forwarders / t.Fleet.Regions
 	return failure{
-		what:     "regions apart",
+		name:     "regions apart",
 		expected: "now and then, for " + Seconds.Format(apart),
 		lost: "Nothing is lost within the messages' lives. What goes across waits: if half of all did, " + Count.Format(across) +
 			" more at each forwarder in the time; which share does is unknown. At 97% of `dispatch.room` the longest queues are cut " +
@@ -131,9 +132,9 @@
 	}
 }
 
-func discoveryAway() failure {
+func discoveryDown() failure {
 	return failure{
-		what:     "discovery or a control machine away",
+		name:     "discovery or a control machine away",
 		expected: "unknown",
 		lost: "No message that can be delivered. Changes wait. Notices of messages that were not delivered are sent again until one " +
 			"is answered, and their messages stay held; by the platform's rule one without a notice 300 ms after its time is lost.",
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -9,87 +9,87 @@
 	"spanflow/lab/capacity"
 )
 
-// figure is one line of a role's table: a quantity at the target size. At most one of given, curve and trial says what
-// it is worked out from; with none of them nothing measures it.
+// figure is one row of a role's table: a quantity at the target size. At most one of target, curve and trial is set and
+// is its source. A figure without a source is not measured.
 type figure struct {
-	what      string
-	unit      Unit
-	given     *given
-	curve     *curveUse
-	trial     *trialUse
-	budget    *budget
-	carriedBy string // packages; empty: nothing carries it yet
+	name          string
+	unit          Unit
+	target        *targetUse
+	curve         *curveUse
+	trial         *trialUse
+	budget        *budget
+	implementedBy string // packages; empty if not implemented
 }
 
-// given is worked out from the target alone.
-type given struct {
+// targetUse computes a figure from the target alone.
+type targetUse struct {
 	value func(*Target) float64
 	from  string
 }
 
-// curveUse is a curve at the target size, times a factor.
+// curveUse computes a figure as the value of a curve at the target size, times a factor.
 type curveUse struct {
-	ref     curveRef
-	unit    Unit                  // of the curve; the factor makes the figure's unit of it
-	size    func(*Target) float64 // nil: the target states none
-	sizeIs  string
-	times   func(*Target) float64 // nil: once
-	timesIs string
+	ref        curveRef
+	unit       Unit                  // required unit of the curve, before the factor
+	size       func(*Target) float64 // nil if the target does not state the size
+	sizeName   string
+	factor     func(*Target) float64 // nil means 1
+	factorName string
 }
 
-// trialUse is a figure of the largest trial of a scenario.
+// trialUse computes a figure from the largest trial of a scenario.
 type trialUse struct {
 	scenario string
 	value    func(*Target, *capacity.FleetTrial) float64
 	from     string
-	reached  func(*Target, *capacity.FleetTrial) reach
-	counts   func(*capacity.FleetTrial) bool // which trials count; nil: all
+	coverage func(*Target, *capacity.FleetTrial) coverage
+	accept   func(*capacity.FleetTrial) bool // selects trials; nil means all
 }
 
-// nobodyMissed counts trials in which every forwarder had what it should have. What others cost says nothing.
-func nobodyMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
+// noneMissed selects trials in which no forwarder missed a change. The costs of other trials are not meaningful.
+func noneMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
 
-// reach is how far a trial went towards the target size, as shares of it. With forwarders and destinations at the same
-// share, a budget that a trial kept is kept at the least of its shares, and one that it exceeded is exceeded at the
-// most of them.
-type reach struct{ least, most float64 }
+// coverage is the size of a trial as shares of the target size: the smaller and the larger of its shares of forwarders
+// and destinations. For an installation with the same share of both, a budget that the trial kept is kept at the
+// smaller share, and a budget that the trial exceeded is exceeded at the larger share.
+type coverage struct{ min, max float64 }
 
-// destinationsReached is the reach for figures of one forwarder, which do not depend on how many there are.
-func destinationsReached(t *Target, trial *capacity.FleetTrial) reach {
+// destinationCoverage is the coverage for figures of one forwarder, which do not depend on the number of forwarders.
+func destinationCoverage(t *Target, trial *capacity.FleetTrial) coverage {
 	share := float64(trial.Destinations) / t.Load.Destinations
-	return reach{share, share}
+	return coverage{share, share}
 }
 
-// fleetReached is the reach for figures of a whole fleet.
-func fleetReached(t *Target, trial *capacity.FleetTrial) reach {
+// fleetCoverage is the coverage for figures of a whole fleet.
+func fleetCoverage(t *Target, trial *capacity.FleetTrial) coverage {
 	forwarders, destinations := float64(trial.Forwarders)/t.Fleet.Forwarders, float64(trial.Destinations)/t.Load.Destinations
-	return reach{math.Min(forwarders, destinations), math.Max(forwarders, destinations)}
+	return coverage{math.Min(forwarders, destinations), math.Max(forwarders, destinations)}
 }
 
-// budget is what a figure may come to.
+// budget is the maximum value of a figure.
 type budget struct {
 	name  string
 	value func(*Target) float64
-	curve *curveUse // in place of value: the budget was measured beside what it bounds
+	curve *curveUse // set instead of value if the budget itself was measured
 }
 
-// missing stands where nothing carries a figure.
+// missing is the cell text for figures that are not implemented.
 const missing = "**missing**"
 
-// computedFigure is a figure worked out for a target and results.
+// computedFigure is a figure computed for a target and results.
 type computedFigure struct {
 	*figure
-	role     string
-	estimate Estimate
-	limit    Limit
-	fraction float64 // of the target size at which the budget is exceeded, if limit has one
-	from     string
-	command  string
-	budget   float64
-	budgeted bool
+	role      string
+	estimate  Estimate
+	limit     Limit
+	fraction  float64 // share of the target size at which the budget is exceeded, if limit has a size
+	from      string
+	command   string
+	budget    float64
+	hasBudget bool
 }
 
-// at is the budget for a target, if it is known.
+// at returns the budget for a target, and false if it is not known.
 func (b *budget) at(target *Target, results *capacity.Results) (float64, bool) {
 	if b.curve == nil {
 		return b.value(target), true
@@ -103,15 +103,15 @@
 	return estimate.Value, unit == b.curve.unit && estimate.Basis != NotExtrapolated
 }
 
-// compute works a figure out.
+// compute computes a figure. A curve with another unit than the figure expects is an error.
 func (f *figure) compute(role string, target *Target, results *capacity.Results) (computedFigure, error) {
 	r := computedFigure{figure: f, role: role}
 	if f.budget != nil {
-		r.budget, r.budgeted = f.budget.at(target, results)
+		r.budget, r.hasBudget = f.budget.at(target, results)
 	}
 	var err error
 	switch {
-	case f.given != nil:
+	case f.target != nil:
 		r.fromTarget(target)
 	case f.curve != nil:
 		err = r.fromCurve(target, results)
@@ -124,9 +124,9 @@
 }
 
 func (r *computedFigure) fromTarget(target *Target) {
-	r.estimate = Estimate{Basis: Fitted, Value: r.given.value(target)}
+	r.estimate = Estimate{Basis: Fitted, Value: r.target.value(target)}
 	r.limit = Limit{Basis: Fitted, Never: r.estimate.Value <= r.budget}
-	r.from, r.command = r.given.from, "target.toml"
+	r.from, r.command = r.target.from, "target.toml"
 }
 
 func (r *computedFigure) fromCurve(target *Target, results *capacity.Results) error {
@@ -139,31 +139,31 @@
 	}
 	curve, unit := converted(curve)
 	if unit != use.unit {
-		return fmt.Errorf("%s, %s: the curve (%s, %s) is in %q, not in %q", r.role, r.what, use.ref.role, use.ref.quantity, curve.Unit, use.unit)
+		return fmt.Errorf("%s, %s: the curve (%s, %s) is in %q, not in %q", r.role, r.name, use.ref.role, use.ref.quantity, curve.Unit, use.unit)
 	}
 	r.from = describe(curve, unit)
 	if use.size == nil {
 		r.estimate, r.limit = Estimate{Basis: NoSize}, Limit{Basis: NoSize}
 		return nil
 	}
-	size, times := use.size(target), 1.0
-	if use.times != nil {
-		times = use.times(target)
+	size, factor := use.size(target), 1.0
+	if use.factor != nil {
+		factor = use.factor(target)
 	}
 	r.estimate = ValueAt(curve, size)
-	r.estimate.Value *= times
-	if r.budgeted {
-		r.limit = ExceededAt(curve, r.budget/times, size)
+	r.estimate.Value *= factor
+	if r.hasBudget {
+		r.limit = ExceededAt(curve, r.budget/factor, size)
 		r.fraction = r.limit.Size / size
 	}
-	r.from += "; at " + use.sizeIs + " (" + digits(size) + ")"
-	if use.times != nil {
-		r.from += ", × " + use.timesIs
+	r.from += "; at " + use.sizeName + " (" + digits(size) + ")"
+	if use.factor != nil {
+		r.from += ", × " + use.factorName
 	}
 	return nil
 }
 
-// describe says what a curve's value is worked out from.
+// describe describes the line or the growth from which a curve's values are computed.
 func describe(curve *capacity.Curve, unit Unit) string {
 	fit := curve.Fit
 	slope := unit.Format(fit.Slope) + " each of " + curve.SizeUnit
@@ -182,40 +182,40 @@
 }
 
 func (r *computedFigure) fromTrial(target *Target, results *capacity.Results) {
-	r.command = "`spanflow-lab capacity hollow " + hollowArgument[r.trial.scenario] + "`"
-	trials := r.trial.of(results)
+	r.command = "`spanflow-lab capacity hollow " + scenarioArgument[r.trial.scenario] + "`"
+	trials := r.trial.matching(results)
 	if len(trials) == 0 {
-		r.from = r.trial.none()
+		r.from = r.trial.missingTrial()
 		return
 	}
 	largest := slices.MaxFunc(trials, func(a, b *capacity.FleetTrial) int {
-		return cmp.Or(cmp.Compare(r.trial.reached(target, a).least, r.trial.reached(target, b).least), cmp.Compare(a.Forwarders, b.Forwarders))
+		return cmp.Or(cmp.Compare(r.trial.coverage(target, a).min, r.trial.coverage(target, b).min), cmp.Compare(a.Forwarders, b.Forwarders))
 	})
 	r.from = fmt.Sprintf("%s; trial (%s) of %s forwarders with %s destinations", r.trial.from, r.trial.scenario,
 		digits(float64(largest.Forwarders)), digits(float64(largest.Destinations)))
 	r.estimate = Estimate{Basis: NotExtrapolated, Value: r.trial.value(target, largest)}
-	if r.trial.reached(target, largest).least >= 1 {
+	if r.trial.coverage(target, largest).min >= 1 {
 		r.estimate.Basis = Measured
 	}
-	if r.budgeted {
-		r.limit = r.trial.leavesAt(target, trials, r.budget)
+	if r.hasBudget {
+		r.limit = r.trial.exceededAt(target, trials, r.budget)
 		r.fraction = r.limit.Size
 	}
 }
 
-// leavesAt is at which share of the target size trials exceed a budget: the smallest that did, and the largest below
-// it that did not.
-func (u *trialUse) leavesAt(target *Target, trials []*capacity.FleetTrial, budget float64) Limit {
+// exceededAt returns the smallest share of the target size at which a trial exceeded a budget, and the largest share
+// below it at which a trial kept the budget.
+func (u *trialUse) exceededAt(target *Target, trials []*capacity.FleetTrial, budget float64) Limit {
 	limit, kept := Limit{Basis: NotExtrapolated}, 0.0
 	for _, trial := range trials {
-		if most := u.reached(target, trial).most; u.value(target, trial) > budget && (limit.Size == 0 || most < limit.Size) {
-			limit = Limit{Basis: Measured, Size: most}
+		if share := u.coverage(target, trial).max; u.value(target, trial) > budget && (limit.Size == 0 || share < limit.Size) {
+			limit = Limit{Basis: Measured, Size: share}
 		}
 	}
 	for _, trial := range trials {
-		least := u.reached(target, trial).least
-		if u.value(target, trial) <= budget && (limit.Size == 0 || least < limit.Size) {
-			kept = math.Max(kept, least)
+		share := u.coverage(target, trial).min
+		if u.value(target, trial) <= budget && (limit.Size == 0 || share < limit.Size) {
+			kept = math.Max(kept, share)
 		}
 	}
 	if limit.Size == 0 && kept >= 1 {
@@ -227,28 +227,28 @@
 	return limit
 }
 
-// none says which trial there is none of.
-func (u *trialUse) none() string {
-	if u.counts != nil {
+// missingTrial describes the trial that is missing from the results.
+func (u *trialUse) missingTrial() string {
+	if u.accept != nil {
 		return "no trial (" + u.scenario + ") in which all had it"
 	}
 	return "no trial (" + u.scenario + ")"
 }
 
-// of are the trials that count.
-func (u *trialUse) of(results *capacity.Results) []*capacity.FleetTrial {
+// matching returns the trials of the scenario that accept selects.
+func (u *trialUse) matching(results *capacity.Results) []*capacity.FleetTrial {
 	var trials []*capacity.FleetTrial
 	for i := range results.Fleets {
 		trial := &results.Fleets[i]
-		if trial.Scenario == u.scenario && (u.counts == nil || u.counts(trial)) {
+		if trial.Scenario == u.scenario && (u.accept == nil || u.accept(trial)) {
 			trials = append(trials, trial)
 		}
 	}
 	return trials
 }
 
-// atSize is the cell with the value at the target size.
-func (r *computedFigure) atSize() string {
+// valueCell returns the cell with the value at the target size.
+func (r *computedFigure) valueCell() string {
 	value := r.unit.Format(r.estimate.Value)
 	switch r.estimate.Basis {
 	case NotMeasured:
@@ -259,7 +259,7 @@
 		if r.trial != nil {
 			return value + " in the trial; not extrapolated"
 		}
-		return "not extrapolated" + r.leftBefore()
+		return "not extrapolated" + r.exceededNote()
 	case Extrapolated:
 		return fmt.Sprintf("%s (extrapolated to %s times the largest measured size)", value, digits(r.estimate.Beyond))
 	case Measured:
@@ -270,21 +270,21 @@
 	return value
 }
 
-// leftBefore says of a curve that is not extrapolated where it exceeds its budget, if that is known.
-func (r *computedFigure) leftBefore() string {
+// exceededNote states where a curve that is not extrapolated exceeds its budget, if that is known.
+func (r *computedFigure) exceededNote() string {
 	switch {
-	case !r.budgeted || r.limit.Never:
+	case !r.hasBudget || r.limit.Never:
 		return ""
 	case r.limit.Basis == Measured:
-		return "; the budget is " + r.leftAtMeasured()
+		return "; the budget is " + r.exceededAtMeasured()
 	case r.limit.Basis == Fitted:
 		return "; the budget is left at " + digits(r.limit.Size)
 	}
 	return ""
 }
 
-// leftAtMeasured says between which measured sizes a curve that is not straight exceeds its budget.
-func (r *computedFigure) leftAtMeasured() string {
+// exceededAtMeasured states between which measured sizes a curve that is not linear exceeds its budget.
+func (r *computedFigure) exceededAtMeasured() string {
 	left := "left at the measured size " + digits(r.limit.Size)
 	if r.limit.LargestWithin == 0 {
 		return left
@@ -292,26 +292,26 @@
 	return "kept at " + digits(r.limit.LargestWithin) + ", " + left
 }
 
-// allowed is the cell with the budget.
-func (r *computedFigure) allowed() string {
+// budgetCell returns the cell with the budget.
+func (r *computedFigure) budgetCell() string {
 	switch {
 	case r.figure.budget == nil:
 		return "none stated"
-	case !r.budgeted:
+	case !r.hasBudget:
 		return r.figure.budget.name + ": not measured"
 	}
 	return r.unit.Format(r.budget) + ", " + r.figure.budget.name
 }
 
-func (r *computedFigure) carrier() string {
-	if r.carriedBy == "" {
+func (r *computedFigure) implementedByCell() string {
+	if r.implementedBy == "" {
 		return missing
 	}
-	return r.carriedBy
+	return r.implementedBy
 }
 
-// leaves is the cell that says where a budget is exceeded.
-func (r *computedFigure) leaves() string {
+// exceededCell returns the cell that states where a budget is exceeded.
+func (r *computedFigure) exceededCell() string {
 	switch {
 	case r.limit.Basis == NotMeasured:
 		return "not measured"
@@ -323,7 +323,7 @@
 		return "kept at the measured sizes; not extrapolated"
 	case r.limit.Never:
 		return "kept"
-	case r.given != nil:
+	case r.target != nil:
 		return "left by the letter's own figures"
 	case r.trial != nil:
 		if r.limit.LargestWithin > 0 {
@@ -333,7 +333,7 @@
 	case r.limit.Size == 0:
 		return "at any size"
 	case r.limit.Basis == Measured:
-		return "at the latest " + percent(r.fraction) + ": " + r.leftAtMeasured()
+		return "at the latest " + percent(r.fraction) + ": " + r.exceededAtMeasured()
 	}
 	return fmt.Sprintf("%s, at %s", percent(r.fraction), digits(r.limit.Size))
 }
--- a/lab/capacity/page/format.go
+++ b/lab/capacity/page/format.go
@@ -11,21 +11,21 @@
 	"spanflow/lab/capacity"
 )
 
-// Unit is what a figure counts. Curves in other units of the same dimension are converted.
+// Unit is the unit of a figure. Curves in other units of the same dimension are converted.
 type Unit string
 
-// The units in which figures are worked out.
+// The units of figures.
 const (
 	Bytes          Unit = "bytes"
 	BytesPerSecond Unit = "bytes a second"
 	Seconds        Unit = "s"
-	Cores          Unit = "cores" // seconds of processor time a second
+	Cores          Unit = "cores" // seconds of processor time per second
 	Calls          Unit = "calls"
 	Count          Unit = ""
 	PerSecond      Unit = "a second"
 )
 
-// conversion brings a unit as measurements name it to one of the units above.
+// conversion converts a unit used by measurements to one of the units above.
 type conversion struct {
 	unit   Unit
 	factor float64
@@ -41,7 +41,7 @@
 	"calls": {Calls, 1},
 }
 
-// converted is a curve in one of the units above; a unit that is unknown stays as it is.
+// converted returns a curve in one of the units above. A curve with an unknown unit is returned unchanged.
 func converted(curve *capacity.Curve) (*capacity.Curve, Unit) {
 	by, known := conversions[curve.Unit]
 	if !known {
@@ -57,7 +57,7 @@
 	return &scaled, by.unit
 }
 
-// Format writes a value with its unit, to three digits.
+// Format returns a value with its unit, rounded to three significant digits.
 func (u Unit) Format(value float64) string {
 	switch u {
 	case Bytes:
@@ -104,7 +104,7 @@
 	return digits(seconds/60/60) + " h"
 }
 
-// cores are written as a share of one core below one.
+// cores formats a number of cores, as a percentage of a core if it is less than one.
 func cores(value float64) string {
 	if math.Abs(value) < 1 {
 		return digits(value*100) + "% of a core"
@@ -115,7 +115,8 @@
 	return digits(value) + " cores"
 }
 
-// digits writes a number to three digits, whole thousands in groups.
+// digits formats a number with three significant digits, or exactly if it is an integer below 10,000. Thousands are
+// separated by commas.
 func digits(value float64) string {
 	if value == math.Trunc(value) && math.Abs(value) < 1e4 {
 		return humanize.Comma(int64(value))
@@ -130,7 +131,7 @@
 	return text
 }
 
-// rounded keeps three digits.
+// rounded rounds to three significant digits.
 func rounded(value float64) float64 {
 	if value == 0 {
 		return 0
@@ -143,7 +144,7 @@
 	return number
 }
 
-// percent writes a share as percent, with two digits. Under a millionth of a percent it is none.
+// percent formats a share as a percentage with two significant digits. Shares below a millionth of a percent are 0%.
 func percent(value float64) string {
 	if math.Abs(value) < 1e-8 {
 		return "0%"
@@ -155,17 +156,17 @@
 	return strconv.FormatFloat(percent, 'f', -1, 64) + "%"
 }
 
-// cell makes a text safe within a table of Markdown.
+// cell escapes a text for a cell of a Markdown table.
 func cell(text string) string {
 	text = strings.ReplaceAll(text, "|", `\|`)
 	return strings.ReplaceAll(text, "\n", " ")
 }
 
-// table writes a Markdown table.
-func table(head []string, rows [][]string) string {
+// table returns a Markdown table.
+func table(header []string, rows [][]string) string {
 	var b strings.Builder
-	writeRow(&b, head)
-	rule := make([]string, len(head))
+	writeRow(&b, header)
+	rule := make([]string, len(header))
 	for i := range rule {
 		rule[i] = "---"
 	}
--- a/lab/capacity/page/page.go
+++ b/lab/capacity/page/page.go
@@ -9,22 +9,22 @@
 	"spanflow/lab/capacity"
 )
 
-// Generated tables stand between two lines: each of these with the table's name and the end of a comment.
+// A generated table is enclosed by two marker lines. Each is an HTML comment with the table's name.
 const (
 	beginPrefix = "<!-- begin generated:"
 	endPrefix   = "<!-- end generated:"
 	markerEnd   = "-->"
 )
 
-// Page is a page with its generated tables rendered anew.
+// Page is a page with updated generated tables.
 type Page struct {
 	Text     string
-	Tables   []string // names, in the page's order
-	Outdated []string // those that the given text did not have as they are now
+	Tables   []string // names of all generated tables, in the page's order
+	Outdated []string // names of the tables that differed in the given text
 }
 
-// Update renders the generated tables of a page's text anew. A table that is not known, not closed, there twice or not
-// there at all is an error that names it.
+// Update replaces the generated tables in a page's text. A table that is unknown, not closed, duplicate or missing is
+// an error that names it.
 func Update(text string, target *Target, results *capacity.Results) (*Page, error) {
 	rendered, err := tables(target, results)
 	if err != nil {
@@ -40,7 +40,7 @@
 		}
 		if !begins {
 			if name, ends, _ := marker(lines[at], endPrefix); ends {
-				return nil, fmt.Errorf("line %d: table %q ends and has not begun", at+1, name)
+				return nil, fmt.Errorf("line %d: table %q ends without a begin marker", at+1, name)
 			}
 			out.WriteString(lines[at])
 			continue
@@ -66,23 +66,24 @@
 	return page, nil
 }
 
-// add notes a table of the page and whether it differs from what is rendered.
-func (p *Page) add(name, present string, rendered map[string]string) error {
+// add records a table of the page and whether it differs from the rendered one.
+func (p *Page) add(name, current string, rendered map[string]string) error {
 	text, known := rendered[name]
 	if !known {
-		return fmt.Errorf("table %q is unknown; known are %s", name, strings.Join(slices.Sorted(maps.Keys(rendered)), ", "))
+		return fmt.Errorf("table %q is unknown; known tables are %s", name, strings.Join(slices.Sorted(maps.Keys(rendered)), ", "))
 	}
 	if slices.Contains(p.Tables, name) {
-		return fmt.Errorf("table %q is there twice", name)
+		return fmt.Errorf("table %q occurs twice", name)
 	}
 	p.Tables = append(p.Tables, name)
-	if present != text {
+	if current != text {
 		p.Outdated = append(p.Outdated, name)
 	}
 	return nil
 }
 
-// marker reads the name out of a marker's line.
+// marker returns the table's name if a line is a marker with the given prefix. A marker without a name or without an
+// end is an error.
 func marker(text, prefix string) (name string, is bool, err error) {
 	text = strings.TrimSpace(text)
 	rest, is := strings.CutPrefix(text, prefix)
@@ -91,12 +92,12 @@
 	}
 	name, closed := strings.CutSuffix(rest, markerEnd)
 	if name = strings.TrimSpace(name); !closed || name == "" {
-		return "", true, fmt.Errorf("%q is no whole marker", text)
+		return "", true, fmt.Errorf("%q is not a complete marker", text)
 	}
 	return name, true, nil
 }
 
-// endOf finds the line that ends the table which begins at a line.
+// endOf returns the index of the line that ends the table which begins at a line.
 func endOf(lines []string, begin int, name string) (int, error) {
 	for at := begin + 1; at < len(lines); at++ {
 		ended, is, err := marker(lines[at], endPrefix)
@@ -108,8 +109,8 @@
 		}
 		other, begins, _ := marker(lines[at], beginPrefix)
 		if is || begins {
-			return 0, fmt.Errorf("line %d: table %q is not ended before table %q", at+1, name, ended+other)
+			return 0, fmt.Errorf("line %d: table %q is not closed before table %q", at+1, name, ended+other)
 		}
 	}
-	return 0, fmt.Errorf("line %d: table %q has no end", begin+1, name)
+	return 0, fmt.Errorf("line %d: table %q has no end marker", begin+1, name)
 }
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -14,8 +14,8 @@
 	"spanflow/lab/capacity"
 )
 
-// skeleton is a page with the markers of all tables and nothing between them.
-func skeleton(t *testing.T) string {
+// emptyPage returns a page with the markers of all tables and no content.
+func emptyPage(t *testing.T) string {
 	t.Helper()
 	rendered, err := tables(readTarget(t), &capacity.Results{})
 	require.NoError(t, err)
@@ -26,9 +26,9 @@
 	return b.String()
 }
 
-// TestThePageOfTheRepositoryIsCurrent holds docs/CAPACITY.md against the target size and the measured results. Where it
-// fails: bin/spanflow-lab capacity page.
-func TestThePageOfTheRepositoryIsCurrent(t *testing.T) {
+// TestRepositoryPageIsCurrent checks that docs/CAPACITY.md matches the target size and the measured results. If it
+// fails, run bin/spanflow-lab capacity page.
+func TestRepositoryPageIsCurrent(t *testing.T) {
 	text, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
 	results, err := ReadResults(measuredFile)
@@ -44,17 +44,18 @@
 	digit  = regexp.MustCompile(`\d`)
 )
 
-// TestTheProseClaimsNoFigure keeps figures within the generated tables, where they are held against what was measured.
-func TestTheProseClaimsNoFigure(t *testing.T) {
+// TestProseContainsNoFigures checks that figures occur only in generated tables, where they are compared with the
+// measured results.
+func TestProseContainsNoFigures(t *testing.T) {
 	text, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
-	require.Empty(t, claims(string(text)))
-	require.Equal(t, []string{"it takes 5 s"}, claims("it takes 5 s\n    bin/x --seconds 5\n`seconds = 5`\n"+
+	require.Empty(t, proseWithDigits(string(text)))
+	require.Equal(t, []string{"it takes 5 s"}, proseWithDigits("it takes 5 s\n    bin/x --seconds 5\n`seconds = 5`\n"+
 		beginPrefix+" a "+markerEnd+"\n| 7 |\n"+endPrefix+" a "+markerEnd+"\n"))
 }
 
-// claims are the lines of a page's prose that hold a digit, code left out.
-func claims(text string) []string {
+// proseWithDigits returns the lines of a page's prose that contain a digit outside of code.
+func proseWithDigits(text string) []string {
 	var found []string
 	generated := false
 	for _, line := range strings.Split(text, "\n") {
@@ -70,13 +71,13 @@
 	return found
 }
 
-// TestQuotedBoundsAreThoseOfTheSource holds the bounds that the tables quote against the present code.
-func TestQuotedBoundsAreThoseOfTheSource(t *testing.T) {
+// TestQuotedLimitsMatchTheSource checks that the limits quoted in the tables match the constants in the source.
+func TestQuotedLimitsMatchTheSource(t *testing.T) {
 	for _, quoted := range []struct{ folder, constant, value string }{
-		{"internal/discovery", "maxLineBytes", "4 << 20"},              // mostWatchLine
-		{"internal/discovery", "heartbeatInterval", "2 * time.Second"}, // a watch is silent after one and a half of it: 3 s
+		{"internal/discovery", "maxLineBytes", "4 << 20"},              // maxWatchLine
+		{"internal/discovery", "heartbeatInterval", "2 * time.Second"}, // a watch counts as silent after 1.5 intervals: 3 s
 		{"internal/statefile", "maxLatencyLines", "1 << 12"},           // 4,096 destinations
-		{"forwarder", "killAfter", "3700 * time.Millisecond"},          // 3.2 s to end, with killMargin
+		{"forwarder", "killAfter", "3700 * time.Millisecond"},          // minus killMargin: 3.2 s to end
 		{"forwarder", "killMargin", "500 * time.Millisecond"},
 		{"scheduler", "sheddingThreshold", "0.97"},
 	} {
@@ -86,27 +87,26 @@
 		require.True(t, slices.ContainsFunc(files, func(file string) bool {
 			text, err := os.ReadFile(file)
 			return err == nil && declared.Match(text)
-		}), "%s of %s is no longer %s: put the page's tables right", quoted.constant, quoted.folder, quoted.value)
+		}), "%s of %s is no longer %s; correct the page's tables", quoted.constant, quoted.folder, quoted.value)
 	}
 }
 
-// TestCurvesAreNamedAsTheyAreMeasured finds a figure that asks for a curve by a name which its measurement does not
-// use.
-func TestCurvesAreNamedAsTheyAreMeasured(t *testing.T) {
+// TestReferencedCurvesAreMeasured checks that figures refer to curves by the names that the measurements use.
+func TestReferencedCurvesAreMeasured(t *testing.T) {
 	results, err := ReadResults(measuredFile)
 	require.NoError(t, err)
 	measured := func(role string) bool {
 		return slices.ContainsFunc(results.Curves, func(c capacity.Curve) bool { return c.Role == role })
 	}
-	for _, ref := range used(readTarget(t)) {
+	for _, ref := range referencedCurves(readTarget(t)) {
 		if measured(ref.role) {
-			require.NotNil(t, curveOf(results, ref), "%s is measured, and has no curve %q", ref.role, ref.quantity)
+			require.NotNil(t, curveOf(results, ref), "%s is measured but has no curve %q", ref.role, ref.quantity)
 		}
 	}
 }
 
-// used are the curves that the page asks for.
-func used(target *Target) []curveRef {
+// referencedCurves returns the curves that figures, budgets and estimates refer to.
+func referencedCurves(target *Target) []curveRef {
 	var refs []curveRef
 	for _, role := range roles() {
 		for _, figure := range role.figures {
@@ -124,9 +124,9 @@
 	return refs
 }
 
-func TestUpdateLeavesTheProseAndNamesWhatDiffers(t *testing.T) {
+func TestUpdateKeepsProseAndNamesOutdatedTables(t *testing.T) {
 	target, prose := readTarget(t), "# A page\n\nProse with | bars |.\n\n"
-	first, err := Update(prose+skeleton(t)+"The end without a line's end", target, &capacity.Results{})
+	first, err := Update(prose+emptyPage(t)+"The end without a line's end", target, &capacity.Results{})
 	require.NoError(t, err)
 	require.Len(t, first.Outdated, len(first.Tables))
 	require.True(t, strings.HasPrefix(first.Text, prose))
@@ -144,27 +144,27 @@
 	require.Equal(t, first.Text, third.Text)
 }
 
-func TestUpdateNamesTheMarkerThatIsWrong(t *testing.T) {
-	target, whole := readTarget(t), skeleton(t)
+func TestUpdateRejectsInvalidMarkers(t *testing.T) {
+	target, whole := readTarget(t), emptyPage(t)
 	begin := func(name string) string { return beginPrefix + " " + name + " " + markerEnd + "\n" }
 	end := func(name string) string { return endPrefix + " " + name + " " + markerEnd + "\n" }
 	without := func(text string) string { return strings.Replace(whole, text, "", 1) }
-	for _, c := range []struct{ text, says string }{
+	for _, c := range []struct{ text, want string }{
 		{without(begin("ranking") + end("ranking")), `table "ranking" is not on the page`},
-		{without(end("ranking")), `table "ranking" is not ended before table`},
-		{without(begin("ranking")), `table "ranking" ends and has not begun`},
-		{whole + begin("ranking") + end("ranking"), `table "ranking" is there twice`},
-		{whole + begin("figures") + end("figures"), `table "figures" is unknown; known are assumptions, client,`},
-		{whole + begin("figures"), `table "figures" has no end`},
-		{whole + beginPrefix + " x\n", "is no whole marker"},
-		{whole + beginPrefix + " " + markerEnd + "\n", "is no whole marker"},
+		{without(end("ranking")), `table "ranking" is not closed before table`},
+		{without(begin("ranking")), `table "ranking" ends without a begin marker`},
+		{whole + begin("ranking") + end("ranking"), `table "ranking" occurs twice`},
+		{whole + begin("figures") + end("figures"), `table "figures" is unknown; known tables are assumptions, client,`},
+		{whole + begin("figures"), `table "figures" has no end marker`},
+		{whole + beginPrefix + " x\n", "is not a complete marker"},
+		{whole + beginPrefix + " " + markerEnd + "\n", "is not a complete marker"},
 	} {
 		_, err := Update(c.text, target, &capacity.Results{})
-		require.ErrorContains(t, err, c.says)
+		require.ErrorContains(t, err, c.want)
 	}
 }
 
-// row is the line of a rendered table that begins with a text.
+// row returns the row of a rendered table whose first cell begins with a text.
 func row(t *testing.T, text, begins string) string {
 	t.Helper()
 	for _, line := range strings.Split(text, "\n") {
@@ -176,8 +176,8 @@
 	return ""
 }
 
-func TestWorksOutTheTablesFromMadeCurves(t *testing.T) {
-	results := made()
+func TestTablesAreComputedFromCurves(t *testing.T) {
+	results := exampleResults()
 	results.Curves = []capacity.Curve{
 		{Role: "known-destination", Quantity: "memory in the scheduler", SizeUnit: "destinations", Unit: "bytes",
 			Points: []capacity.Point{{Size: 1000, Value: 1e6}, {Size: 17_000, Value: 17e6}},
@@ -225,8 +225,8 @@
 	require.Contains(t, change, "trial (change) of 50 forwarders with 1,700 destinations")
 }
 
-func TestRanksByTheShareOfTheTargetSize(t *testing.T) {
-	results := made()
+func TestRankingIsByShareOfTheTargetSize(t *testing.T) {
+	results := exampleResults()
 	line := func(role, quantity, unit string, slope float64) capacity.Curve {
 		return capacity.Curve{Role: role, Quantity: quantity, SizeUnit: "pieces", Unit: unit,
 			Points: []capacity.Point{{Size: 1, Value: slope}, {Size: 100, Value: 100 * slope}}, Fit: capacity.Fit{Shape: capacity.Linear, Slope: slope}}
@@ -244,15 +244,15 @@
 	require.True(t, strings.HasPrefix(lines[0], "| 1 | 1%, at 54,000 | forwarder: message path: memory of the backlog in the scheduler |"), lines[0])
 	require.True(t, strings.HasPrefix(lines[1], "| 2 | 14%, at 769,000 | forwarder: message path: processor time of fresh messages"), lines[1])
 	require.True(t, strings.HasPrefix(lines[2], "| 3 | 19%, at 32,000 | forwarder: control: memory of the known destinations"), lines[2])
-	require.Contains(t, lines[1], "| 7.02 cores (extrapolated to 54,000 times the largest measured size) |", "5,400,000 held, 1,300 messages a second")
-	require.True(t, strings.HasPrefix(lines[3], "|  | "), "what is not known has no place: %s", lines[3])
+	require.Contains(t, lines[1], "| 7.02 cores (extrapolated to 54,000 times the largest measured size) |", "5,400,000 messages held, 1,300 messages per second")
+	require.True(t, strings.HasPrefix(lines[3], "|  | "), "unknown limits have no rank: %s", lines[3])
 	require.Contains(t, rendered["ranking"], "|  | kept | forwarder: message path: processor time, nothing held |")
 	require.Contains(t, rendered["ranking"], "|  | kept | forwarder: control: processor time of changes in the scheduler |")
 	require.Contains(t, rendered["ranking"], "|  | kept in the trials; not extrapolated | forwarder: control: a change in force everywhere |")
 }
 
-func TestATrialShowsWhereABudgetIsLeftAndNeverThatItIsKeptBeyondItself(t *testing.T) {
-	results := made()
+func TestTrialsShowNoBudgetKeptBeyondTheirSize(t *testing.T) {
+	results := exampleResults()
 	trial := results.Fleets[0]
 	smaller, whole := trial, trial
 	smaller.Forwarders, smaller.Destinations, smaller.Missed = 250, 17_000, 3
@@ -264,7 +264,7 @@
 	require.Contains(t, row(t, rendered["control"], "a change in force everywhere"), "| 12 s (measured) |")
 	require.Contains(t, rendered["ranking"], "|  | kept | forwarder: control: bytes of changes |")
 	kept := trial
-	kept.Forwarders, kept.Destinations = 100, 170_000 // tells that it is kept at a fifth of both alone
+	kept.Forwarders, kept.Destinations = 100, 170_000 // shows only that the budget is kept at a fifth of both
 	results.Fleets = append(results.Fleets, kept)
 	again, err := tables(readTarget(t), results)
 	require.NoError(t, err)
@@ -275,8 +275,8 @@
 	require.Contains(t, fleets[4], "| 10 ms, 20 ms, never | 3 | no |")
 }
 
-func TestATrialThatForwardersMissedGivesNoCost(t *testing.T) {
-	results := made()
+func TestTrialsWithMissesGiveNoCost(t *testing.T) {
+	results := exampleResults()
 	had, missed := results.Fleets[0], results.Fleets[0]
 	had.Scenario, had.Forwarders, had.Destinations, had.ForwarderMemory, had.ForwarderBytesPerChange = "whole list", 34, 170_000, 270e6, 30e6
 	missed = had
@@ -293,8 +293,8 @@
 	require.Contains(t, row(t, rendered["control"], "a full list: bytes"), "| not measured | no trial (whole list)")
 }
 
-func TestABudgetThatWasMeasuredStandsBesideWhatItBounds(t *testing.T) {
-	results := made()
+func TestMeasuredBudgetIsComparedWithItsFigure(t *testing.T) {
+	results := exampleResults()
 	outage := func(quantity string, at500 float64) capacity.Curve {
 		return capacity.Curve{Role: "down-destination", Quantity: quantity, SizeUnit: "forwarders", Unit: "calls",
 			Points: []capacity.Point{{Size: 5, Value: 6}, {Size: 50, Value: 8}, {Size: 500, Value: at500}}, Fit: capacity.Fit{Shape: capacity.NotLinear}}
@@ -306,8 +306,8 @@
 	require.Contains(t, rendered["ranking"], "| 1 | at the latest 10%: kept at 5, left at the measured size 50 | a destination: calls in the first second of a return |")
 }
 
-func TestACurveInAnotherUnitIsAnError(t *testing.T) {
-	results := made()
+func TestCurveInAnotherUnitIsAnError(t *testing.T) {
+	results := exampleResults()
 	results.Curves[0].Unit = "calls"
 	_, err := tables(readTarget(t), results)
 	require.ErrorContains(t, err, `the curve (known-destination, memory in the scheduler) is in "calls", not in "bytes"`)
@@ -318,14 +318,14 @@
 		require.NotEmpty(t, role.figures, role.title)
 		for _, figure := range role.figures {
 			sources := 0
-			for _, is := range []bool{figure.given != nil, figure.curve != nil, figure.trial != nil} {
+			for _, is := range []bool{figure.target != nil, figure.curve != nil, figure.trial != nil} {
 				if is {
 					sources++
 				}
 			}
-			require.LessOrEqual(t, sources, 1, "%s, %s", role.title, figure.what)
+			require.LessOrEqual(t, sources, 1, "%s, %s", role.title, figure.name)
 			if figure.trial != nil {
-				require.NotEmpty(t, hollowArgument[figure.trial.scenario], "%s has no command", figure.what)
+				require.NotEmpty(t, scenarioArgument[figure.trial.scenario], "%s has no command", figure.name)
 			}
 		}
 	}
--- a/lab/capacity/page/results.go
+++ b/lab/capacity/page/results.go
@@ -12,7 +12,7 @@
 	"spanflow/lab/capacity"
 )
 
-// ReadResults reads and checks the file of measured results. Errors name the file and the curve or trial at fault.
+// ReadResults reads and checks the file of measured results. Errors name the file and the invalid curve or trial.
 func ReadResults(path string) (*capacity.Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -21,7 +21,7 @@
 	return ParseResults(path, text)
 }
 
-// ParseResults is ReadResults for a text that was read; path is for errors alone.
+// ParseResults is like ReadResults for a text that is already in memory. path is only used in errors.
 func ParseResults(path string, text []byte) (*capacity.Results, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -51,7 +51,7 @@
 			return fmt.Errorf("curves[%d] (%s, %s): %w", i, curve.Role, curve.Quantity, err)
 		}
 		if known[ref] {
-			return fmt.Errorf("curves[%d] (%s, %s): is there twice", i, curve.Role, curve.Quantity)
+			return fmt.Errorf("curves[%d] (%s, %s): duplicate curve", i, curve.Role, curve.Quantity)
 		}
 		known[ref] = true
 	}
@@ -65,15 +65,15 @@
 
 func checkCurve(curve *capacity.Curve) error {
 	if curve.Role == "" || curve.Quantity == "" || curve.Unit == "" || curve.SizeUnit == "" {
-		return errors.New("role, quantity, unit and size_unit have to be set")
+		return errors.New("role, quantity, unit and size_unit must be set")
 	}
 	if len(curve.Points) == 0 {
-		return errors.New("points: there is none")
+		return errors.New("points: must not be empty")
 	}
 	last := 0.0
 	for i, point := range curve.Points {
 		if !(point.Size > last) || !finite(point.Value) || math.IsInf(point.Size, 0) {
-			return fmt.Errorf("points[%d]: sizes have to grow from over 0, values have to be numbers", i)
+			return fmt.Errorf("points[%d]: sizes must be positive and ascending, values must be numbers", i)
 		}
 		last = point.Size
 	}
@@ -82,13 +82,13 @@
 	case capacity.Flat, capacity.Linear, capacity.NotLinear:
 	case capacity.Bends:
 		if !(fit.BendAt > 0) {
-			return fmt.Errorf("fit.bend_at: %v is no size at which a curve bends", fit.BendAt)
+			return fmt.Errorf("fit.bend_at: %v must be greater than 0", fit.BendAt)
 		}
 	default:
 		return fmt.Errorf("fit.shape: %q is unknown", fit.Shape)
 	}
 	if !finite(fit.Intercept) || !finite(fit.Slope) || !finite(fit.Power) || !finite(fit.Residual) || fit.Residual < 0 {
-		return errors.New("fit: intercept, slope, power and residual have to be numbers, the residual from 0 on")
+		return errors.New("fit: intercept, slope, power and residual must be numbers, and the residual must not be negative")
 	}
 	return nil
 }
@@ -98,13 +98,13 @@
 		return errors.New("scenario: is missing")
 	}
 	if trial.Forwarders < 1 || trial.Destinations < 1 {
-		return errors.New("forwarders and destinations have to be over 0")
+		return errors.New("forwarders and destinations must be greater than 0")
 	}
 	for _, value := range []float64{trial.InForce50, trial.InForce99, trial.InForceLast, trial.ForwarderBytesPerChange,
 		trial.ForwarderCPUPerChange, trial.ForwarderIdleBytes, trial.ForwarderIdleCPU, trial.ForwarderMemory, trial.ServerBytes,
 		trial.ServerCPU, float64(trial.Missed), float64(trial.Changes)} {
 		if !finite(value) || value < 0 {
-			return errors.New("a figure is under 0 or no number")
+			return errors.New("a figure is negative or not a number")
 		}
 	}
 	return nil
@@ -112,10 +112,10 @@
 
 func finite(value float64) bool { return !math.IsNaN(value) && !math.IsInf(value, 0) }
 
-// curveRef names a curve.
+// curveRef identifies a curve.
 type curveRef struct{ role, quantity string }
 
-// curveOf finds a measured curve, nil if it was not measured.
+// curveOf returns a measured curve, or nil if it was not measured.
 func curveOf(results *capacity.Results, ref curveRef) *capacity.Curve {
 	for i := range results.Curves {
 		if curve := &results.Curves[i]; curve.Role == ref.role && curve.Quantity == ref.quantity {
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -2,14 +2,14 @@
 
 import "spanflow/lab/capacity"
 
-// role is a part of an installation with its figures at the target size.
+// role is a part of an installation, such as a forwarder's control, with its figures.
 type role struct {
 	table   string // name of the generated table
 	title   string
 	figures []*figure
 }
 
-// roles are all parts that docs/CAPACITY.md is about, in its order.
+// roles returns all roles of docs/CAPACITY.md, in the order of the page.
 func roles() []role {
 	return []role{
 		{"message-path", "forwarder: message path", messagePath()},
@@ -22,7 +22,7 @@
 	}
 }
 
-// The budgets.
+// The budgets of figures.
 var (
 	forwarderCores = &budget{name: "a forwarder's cores", value: func(t *Target) float64 { return t.Budget.Forwarder.Cores }}
 	forwarderBytes = &budget{name: "a forwarder's memory", value: func(t *Target) float64 { return float64(t.Budget.Forwarder.Memory) }}
@@ -32,14 +32,14 @@
 	controlBytes   = &budget{name: "control's bytes", value: func(t *Target) float64 { return float64(t.Budget.Control.BytesPerSecond) }}
 	inForceWithin  = &budget{name: "in force within", value: func(t *Target) float64 { return float64(t.Changes.InForceWithin) }}
 
-	// watchLine is a bound of the present code, not one that the operators set.
-	watchLine = &budget{name: "the bound of `internal/discovery` on a line", value: func(*Target) float64 { return mostWatchLine }}
+	// watchLineBudget is a constant of the current code, not a limit that operators set.
+	watchLineBudget = &budget{name: "the bound of `internal/discovery` on a line", value: func(*Target) float64 { return maxWatchLine }}
 )
 
-// mostWatchLine is maxLineBytes of internal/discovery, in bytes.
-const mostWatchLine = 4 << 20
+// maxWatchLine equals maxLineBytes of internal/discovery, in bytes. TestQuotedLimitsMatchTheSource compares them.
+const maxWatchLine = 4 << 20
 
-// restartCurve is the time until a forwarder that holds so many messages is ready.
+// restartCurve is the time until a restarted forwarder is ready, by the number of messages it holds.
 var restartCurve = curveRef{"restart", "time to the forwarder's readiness"}
 
 // The scenarios of fleet trials.
@@ -52,11 +52,11 @@
 	zoneScenario     = "zone cut off"
 )
 
-// hollowArgument is how the command line names a scenario.
-var hollowArgument = map[string]string{idleScenario: "idle", changeScenario: "change", fullListScenario: "whole",
+// scenarioArgument maps a scenario to its argument of 'spanflow-lab capacity hollow'.
+var scenarioArgument = map[string]string{idleScenario: "idle", changeScenario: "change", fullListScenario: "whole",
 	thirdScenario: "restart", awayScenario: "outage", zoneScenario: "zone"}
 
-// The sizes at which curves are read.
+// The sizes at which curves are evaluated.
 func destinationsAtTarget(t *Target) float64 { return t.Load.Destinations }
 func heldAtTarget(t *Target) float64         { return t.Load.BacklogPerForwarder }
 func forwardersAtTarget(t *Target) float64   { return t.Fleet.Forwarders }
@@ -72,135 +72,136 @@
 	allChanges      = "changes a second, as a mean of the day"
 )
 
-// ofTarget makes a figure of the target alone.
-func ofTarget(what string, unit Unit, value func(*Target) float64, from, carriedBy string) *figure {
-	return &figure{what: what, unit: unit, given: &given{value, from}, carriedBy: carriedBy}
+// targetFigure returns a figure that is computed from the target alone.
+func targetFigure(what string, unit Unit, value func(*Target) float64, from, carriedBy string) *figure {
+	return &figure{name: what, unit: unit, target: &targetUse{value, from}, implementedBy: carriedBy}
 }
 
-// ofCurve makes a figure of a curve at the target size.
-func ofCurve(what string, unit Unit, use curveUse, within *budget, carriedBy string) *figure {
-	return &figure{what: what, unit: unit, curve: &use, budget: within, carriedBy: carriedBy}
+// curveFigure returns a figure that is computed from a curve at the target size.
+func curveFigure(what string, unit Unit, use curveUse, within *budget, carriedBy string) *figure {
+	return &figure{name: what, unit: unit, curve: &use, budget: within, implementedBy: carriedBy}
 }
 
-// ofTrial makes a figure of the largest trial of a scenario.
-func ofTrial(what string, unit Unit, use trialUse, within *budget, carriedBy string) *figure {
-	return &figure{what: what, unit: unit, trial: &use, budget: within, carriedBy: carriedBy}
+// trialFigure returns a figure that is computed from the largest trial of a scenario.
+func trialFigure(what string, unit Unit, use trialUse, within *budget, carriedBy string) *figure {
+	return &figure{name: what, unit: unit, trial: &use, budget: within, implementedBy: carriedBy}
 }
 
-// unmeasured makes a figure that nothing measures.
-func unmeasured(what, carriedBy string) *figure { return &figure{what: what, carriedBy: carriedBy} }
+// unmeasured returns a figure that is not measured.
+func unmeasured(what, carriedBy string) *figure { return &figure{name: what, implementedBy: carriedBy} }
 
 func messagePath() []*figure {
 	held := func(quantity string, unit Unit) curveUse {
-		return curveUse{ref: curveRef{"held-message", quantity}, unit: unit, size: heldAtTarget, sizeIs: allHeld}
+		return curveUse{ref: curveRef{"held-message", quantity}, unit: unit, size: heldAtTarget, sizeName: allHeld}
 	}
 	beside := held("processor time of a fresh message beside them", Seconds)
-	beside.times, beside.timesIs = eventsAtTarget, allEvents
+	beside.factor, beside.factorName = eventsAtTarget, allEvents
 	draining := held("processor time of each message that drains of them", Seconds)
-	draining.times, draining.timesIs = func(t *Target) float64 { return t.Budget.Forwarder.DrainPerSecond }, "`budget.forwarder.drain_per_second`"
-	storedBeside := ofStored("backlog", "processor time of a fresh message beside stored ones", Seconds)
-	storedBeside.times, storedBeside.timesIs = beside.times, beside.timesIs
-	storedDraining := ofStored("backlog-drain", "processor time of a message that drains", Seconds)
-	storedDraining.times, storedDraining.timesIs = draining.times, draining.timesIs
-	path := curveUse{ref: curveRef{"message-path", "processor time in a second"}, unit: Seconds, size: eventsAtTarget, sizeIs: allEvents}
+	draining.factor, draining.factorName = func(t *Target) float64 { return t.Budget.Forwarder.DrainPerSecond }, "`budget.forwarder.drain_per_second`"
+	storedBeside := storedCurve("backlog", "processor time of a fresh message beside stored ones", Seconds)
+	storedBeside.factor, storedBeside.factorName = beside.factor, beside.factorName
+	storedDraining := storedCurve("backlog-drain", "processor time of a message that drains", Seconds)
+	storedDraining.factor, storedDraining.factorName = draining.factor, draining.factorName
+	path := curveUse{ref: curveRef{"message-path", "processor time in a second"}, unit: Seconds, size: eventsAtTarget, sizeName: allEvents}
 	carried := func(quantity string) curveUse {
-		return curveUse{ref: curveRef{"message-path", quantity}, unit: Bytes, size: bodyAtTarget, sizeIs: "the body of an event",
-			times: eventsAtTarget, timesIs: allEvents}
+		return curveUse{ref: curveRef{"message-path", quantity}, unit: Bytes, size: bodyAtTarget, sizeName: "the body of an event",
+			factor: eventsAtTarget, factorName: allEvents}
 	}
 	return []*figure{
-		ofTarget("state: messages held", Count, heldAtTarget, "`load.backlog_per_forwarder`",
+		targetFigure("state: messages held", Count, heldAtTarget, "`load.backlog_per_forwarder`",
 			"`scheduler`, `forwarder`, `internal/wal`; beyond memory `internal/backlog`, where `[backlog]` is set"),
-		ofTarget("messages accepted a second", PerSecond, eventsAtTarget,
+		targetFigure("messages accepted a second", PerSecond, eventsAtTarget,
 			"`load.events_per_second` over `fleet.forwarders`, × `load.forwarder_skew`", "`internal/resp`, `internal/respserver`, `forwarder`"),
-		ofTarget("messages a second for destinations that are down", PerSecond,
+		targetFigure("messages a second for destinations that are down", PerSecond,
 			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownFraction }, "× `load.down_share`", "`scheduler`, `internal/wal`"),
-		ofCurve("bytes between clients and a forwarder", BytesPerSecond, carried("bytes between client and forwarder for a message"), nil,
+		curveFigure("bytes between clients and a forwarder", BytesPerSecond, carried("bytes between client and forwarder for a message"), nil,
 			"`internal/resp`, `internal/respserver`"),
-		ofCurve("bytes between a forwarder and destinations", BytesPerSecond, carried("bytes between forwarder and target for a message"), nil,
+		curveFigure("bytes between a forwarder and destinations", BytesPerSecond, carried("bytes between forwarder and target for a message"), nil,
 			"`internal/http1`, `internal/upstream`"),
-		ofCurve("processor time, nothing held", Cores, path, forwarderCores, "`forwarder`, `scheduler`, `internal/wal`, `internal/upstream`"),
-		ofCurve("processor time of fresh messages beside the backlog", Cores, beside, forwarderCores, "`scheduler`"),
-		ofCurve("processor time of draining the backlog at the stated rate", Cores, draining, forwarderCores, "`scheduler`"),
-		ofCurve("processor time of a backlog that is given up in one round", Seconds, held("processor time of giving all up in one turn", Seconds), nil, "`scheduler`"),
-		ofCurve("memory of the backlog in the scheduler", Bytes, held("memory in the scheduler", Bytes), forwarderBytes, "`scheduler`"),
-		ofCurve("memory of the backlog in the write-ahead log", Bytes, held("memory in the write-ahead log", Bytes), forwarderBytes, "`internal/wal`"),
-		ofCurve("disk of the backlog", Bytes, held("bytes on disk", Bytes), nil, "`internal/wal`"),
-		ofCurve("restart: time until ready", Seconds,
-			curveUse{ref: restartCurve, unit: Seconds, size: heldAtTarget, sizeIs: allHeld}, readyWithin,
+		curveFigure("processor time, nothing held", Cores, path, forwarderCores, "`forwarder`, `scheduler`, `internal/wal`, `internal/upstream`"),
+		curveFigure("processor time of fresh messages beside the backlog", Cores, beside, forwarderCores, "`scheduler`"),
+		curveFigure("processor time of draining the backlog at the stated rate", Cores, draining, forwarderCores, "`scheduler`"),
+		curveFigure("processor time of a backlog that is given up in one round", Seconds, held("processor time of giving all up in one turn", Seconds), nil, "`scheduler`"),
+		curveFigure("memory of the backlog in the scheduler", Bytes, held("memory in the scheduler", Bytes), forwarderBytes, "`scheduler`"),
+		curveFigure("memory of the backlog in the write-ahead log", Bytes, held("memory in the write-ahead log", Bytes), forwarderBytes, "`internal/wal`"),
+		curveFigure("disk of the backlog", Bytes, held("bytes on disk", Bytes), nil, "`internal/wal`"),
+		curveFigure("restart: time until ready", Seconds,
+			curveUse{ref: restartCurve, unit: Seconds, size: heldAtTarget, sizeName: allHeld}, readyWithin,
 			"`internal/wal`, `forwarder`"),
-		ofCurve("memory of a forwarder that is ready with its backlog", Bytes,
-			curveUse{ref: curveRef{"restart", "memory of the forwarder when ready"}, unit: Bytes, size: heldAtTarget, sizeIs: allHeld},
+		curveFigure("memory of a forwarder that is ready with its backlog", Bytes,
+			curveUse{ref: curveRef{"restart", "memory of the forwarder when ready"}, unit: Bytes, size: heldAtTarget, sizeName: allHeld},
 			forwarderBytes, "`internal/wal`, `forwarder`, `scheduler`"),
-		ofCurve("stored backlog: processor time of fresh messages beside it", Cores, storedBeside, forwarderCores, storedBy),
-		ofCurve("stored backlog: processor time of draining it at the stated rate", Cores, storedDraining, forwarderCores, storedBy),
-		ofCurve("stored backlog: disk", Bytes, ofStored("backlog-restart", "bytes of the store on disk", Bytes), nil, "`internal/backlog`"),
-		ofCurve("stored backlog: restart: time until ready", Seconds,
-			ofStored("backlog-restart", "time to the forwarder's readiness", Seconds), readyWithin, storedBy),
-		ofCurve("stored backlog: memory of a forwarder that is ready with it", Bytes,
-			ofStored("backlog-restart", "memory of the forwarder when ready", Bytes), forwarderBytes, storedBy),
+		curveFigure("stored backlog: processor time of fresh messages beside it", Cores, storedBeside, forwarderCores, storedBy),
+		curveFigure("stored backlog: processor time of draining it at the stated rate", Cores, storedDraining, forwarderCores, storedBy),
+		curveFigure("stored backlog: disk", Bytes, storedCurve("backlog-restart", "bytes of the store on disk", Bytes), nil, "`internal/backlog`"),
+		curveFigure("stored backlog: restart: time until ready", Seconds,
+			storedCurve("backlog-restart", "time to the forwarder's readiness", Seconds), readyWithin, storedBy),
+		curveFigure("stored backlog: memory of a forwarder that is ready with it", Bytes,
+			storedCurve("backlog-restart", "memory of the forwarder when ready", Bytes), forwarderBytes, storedBy),
 	}
 }
 
-// storedBy is what carries a backlog in the store.
+// storedBy names the packages that implement a backlog in the store.
 const storedBy = "`internal/backlog`, `forwarder`, where `[backlog]` is set"
 
-// ofStored is the use of a curve over the messages in the backlog store.
-func ofStored(role, quantity string, unit Unit) curveUse {
-	return curveUse{ref: curveRef{role, quantity}, unit: unit, size: heldAtTarget, sizeIs: allHeld}
+// storedCurve uses a curve over the number of messages in the backlog store.
+func storedCurve(role, quantity string, unit Unit) curveUse {
+	return curveUse{ref: curveRef{role, quantity}, unit: unit, size: heldAtTarget, sizeName: allHeld}
 }
 
 func control() []*figure {
 	known := func(quantity string, unit Unit) curveUse {
-		return curveUse{ref: curveRef{"known-destination", quantity}, unit: unit, size: destinationsAtTarget, sizeIs: allDestinations}
+		return curveUse{ref: curveRef{"known-destination", quantity}, unit: unit, size: destinationsAtTarget, sizeName: allDestinations}
 	}
 	change := known("processor time of a list change", Seconds)
-	change.times, change.timesIs = changesAtTarget, allChanges
+	change.factor, change.factorName = changesAtTarget, allChanges
 	return []*figure{
-		ofTarget("state: destinations known", Count, destinationsAtTarget, "`load.destinations`", "`scheduler`, `forwarder`, `internal/discovery`"),
-		ofTarget("changes a second", PerSecond, changesAtTarget, "`changes.per_day`",
+		targetFigure("state: destinations known", Count, destinationsAtTarget, "`load.destinations`", "`scheduler`, `forwarder`, `internal/discovery`"),
+		targetFigure("changes a second", PerSecond, changesAtTarget, "`changes.per_day`",
 			"`internal/discovery` (changes of the list); of settings, without a restart: "+missing),
-		ofCurve("memory of the known destinations in the scheduler", Bytes, known("memory in the scheduler", Bytes), controlMemory,
+		curveFigure("memory of the known destinations in the scheduler", Bytes, known("memory in the scheduler", Bytes), controlMemory,
 			"`scheduler`, `forwarder`; destinations that nobody sends to, kept cheaper: "+missing),
-		ofCurve("memory of a forwarder without messages", Bytes, known("memory of the forwarder", Bytes), forwarderBytes, "`forwarder`"),
-		ofCurve("processor time of a full list, in one round", Seconds, known("processor time of a whole list", Seconds), nil, "`scheduler`"),
-		ofCurve("processor time of changes in the scheduler", Cores, change, controlCores, "`scheduler`"),
-		ofCurve("start without a list: time until all is known", Seconds, known("time until a started forwarder knows all", Seconds), readyWithin,
+		curveFigure("memory of a forwarder without messages", Bytes, known("memory of the forwarder", Bytes), forwarderBytes, "`forwarder`"),
+		curveFigure("processor time of a full list, in one round", Seconds, known("processor time of a whole list", Seconds), nil, "`scheduler`"),
+		curveFigure("processor time of changes in the scheduler", Cores, change, controlCores, "`scheduler`"),
+		curveFigure("start without a list: time until all is known", Seconds, known("time until a started forwarder knows all", Seconds), readyWithin,
 			"`internal/config`, `forwarder`"),
-		ofTrial("a change in force everywhere", Seconds, trialUse{changeScenario, lastInForce, "the last forwarder", fleetReached, nil}, inForceWithin,
+		trialFigure("a change in force everywhere", Seconds, trialUse{changeScenario, lastInForce, "the last forwarder", fleetCoverage, nil}, inForceWithin,
 			"`internal/discovery`, `forwarder`"),
-		ofTrial("a change in force everywhere, a third restarted beside it", Seconds,
-			trialUse{thirdScenario, lastInForce, "the last forwarder", fleetReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
-		ofTrial("a change in force everywhere, after discovery was away", Seconds,
-			trialUse{awayScenario, lastInForce, "the last forwarder, from the return", fleetReached, nil}, inForceWithin, "`internal/discovery`, `scheduler`"),
-		ofTrial("a change in force everywhere, after a zone was cut off", Seconds,
-			trialUse{zoneScenario, lastInForce, "the last forwarder, from the return", fleetReached, nil}, inForceWithin, "`internal/discovery`, `scheduler`"),
-		ofTrial("processor time, idle", Cores, trialUse{idleScenario, idleCores, "of one forwarder", destinationsReached, nil}, controlCores,
+		trialFigure("a change in force everywhere, a third restarted beside it", Seconds,
+			trialUse{thirdScenario, lastInForce, "the last forwarder", fleetCoverage, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
+		trialFigure("a change in force everywhere, after discovery was away", Seconds,
+			trialUse{awayScenario, lastInForce, "the last forwarder, from the return", fleetCoverage, nil}, inForceWithin, "`internal/discovery`, `scheduler`"),
+		trialFigure("a change in force everywhere, after a zone was cut off", Seconds,
+			trialUse{zoneScenario, lastInForce, "the last forwarder, from the return", fleetCoverage, nil}, inForceWithin, "`internal/discovery`, `scheduler`"),
+		trialFigure("processor time, idle", Cores, trialUse{idleScenario, idleCores, "of one forwarder", destinationCoverage, nil}, controlCores,
 			"`internal/discovery`"),
-		ofTrial("processor time of changes", Cores, trialUse{changeScenario, changeCores, "a change × " + allChanges, destinationsReached, nil},
+		trialFigure("processor time of changes", Cores, trialUse{changeScenario, changeCores, "a change × " + allChanges, destinationCoverage, nil},
 			controlCores, "`internal/discovery`, `forwarder`, `scheduler`"),
-		ofTrial("bytes, idle", BytesPerSecond, trialUse{idleScenario, idleBytes, "of one forwarder", destinationsReached, nil}, controlBytes,
+		trialFigure("bytes, idle", BytesPerSecond, trialUse{idleScenario, idleBytes, "of one forwarder", destinationCoverage, nil}, controlBytes,
 			"`internal/discovery`"),
-		ofTrial("bytes of changes", BytesPerSecond, trialUse{changeScenario, changeBytes, "a change × " + allChanges, destinationsReached, nil},
+		trialFigure("bytes of changes", BytesPerSecond, trialUse{changeScenario, changeBytes, "a change × " + allChanges, destinationCoverage, nil},
 			controlBytes, "`internal/discovery`"),
-		ofTrial("memory of a hollow forwarder", Bytes, trialUse{idleScenario, hollowMemory, "live, of one forwarder", destinationsReached, nil},
+		trialFigure("memory of a hollow forwarder", Bytes, trialUse{idleScenario, hollowMemory, "live, of one forwarder", destinationCoverage, nil},
 			controlMemory, "`forwarder`, `scheduler`"),
-		ofTrial("memory of a hollow forwarder that got a full list", Bytes,
-			trialUse{fullListScenario, hollowMemory, "live, of one forwarder", destinationsReached, nobodyMissed}, controlMemory, "`forwarder`, `scheduler`"),
-		ofTrial("a full list: bytes until it is in force", Bytes,
-			trialUse{fullListScenario, bytesPerChange, perForwarderWithAttempts, destinationsReached, nobodyMissed}, watchLine,
+		trialFigure("memory of a hollow forwarder that got a full list", Bytes,
+			trialUse{fullListScenario, hollowMemory, "live, of one forwarder", destinationCoverage, noneMissed}, controlMemory, "`forwarder`, `scheduler`"),
+		trialFigure("a full list: bytes until it is in force", Bytes,
+			trialUse{fullListScenario, bytesPerChange, perForwarderWithAttempts, destinationCoverage, noneMissed}, watchLineBudget,
 			"`internal/discovery`; a list in parts: "+missing),
-		ofTrial("a full list: processor time until it is in force", Seconds,
-			trialUse{fullListScenario, secondsPerChange, perForwarderWithAttempts, destinationsReached, nobodyMissed}, nil,
+		trialFigure("a full list: processor time until it is in force", Seconds,
+			trialUse{fullListScenario, secondsPerChange, perForwarderWithAttempts, destinationCoverage, noneMissed}, nil,
 			"`internal/discovery`, `forwarder`, `scheduler`"),
-		ofTrial("a full list in force at forwarders that start without one", Seconds,
-			trialUse{fullListScenario, lastInForce, "the last forwarder", destinationsReached, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
+		trialFigure("a full list in force at forwarders that start without one", Seconds,
+			trialUse{fullListScenario, lastInForce, "the last forwarder", destinationCoverage, nil}, inForceWithin, "`internal/discovery`, `forwarder`"),
 	}
 }
 
-// perForwarderWithAttempts is what the cost of a full list is of: a forwarder whose watch ended begins another.
+// perForwarderWithAttempts describes the cost of a full list. It includes all attempts, as a forwarder opens another
+// watch when one ends.
 const perForwarderWithAttempts = "of one forwarder, with all attempts"
 
-// never stands for a time after which some forwarders still did not have what they should.
+// never is the time in force if some forwarders missed a change.
 const never = 1e9 // seconds
 
 func lastInForce(_ *Target, trial *capacity.FleetTrial) float64 {
@@ -230,13 +231,13 @@
 
 func controlMachines() []*figure {
 	return []*figure{
-		ofTarget("state: destinations, each machine", Count, destinationsAtTarget, "`load.destinations`, if each has the whole", ""),
-		ofTarget("forwarders, each machine", Count, func(t *Target) float64 { return t.Fleet.Forwarders / t.Fleet.ControlMachines },
+		targetFigure("state: destinations, each machine", Count, destinationsAtTarget, "`load.destinations`, if each has the whole", ""),
+		targetFigure("forwarders, each machine", Count, func(t *Target) float64 { return t.Fleet.Forwarders / t.Fleet.ControlMachines },
 			"`fleet.forwarders` over `fleet.control_machines`", ""),
-		ofTarget("lines of changes a second, each machine", PerSecond, func(t *Target) float64 {
+		targetFigure("lines of changes a second, each machine", PerSecond, func(t *Target) float64 {
 			return t.changesPerSecond() * t.Fleet.Forwarders / t.Fleet.ControlMachines
 		}, "`changes.per_day` × forwarders", ""),
-		ofTarget("bytes a second that control allows, each machine", BytesPerSecond, func(t *Target) float64 {
+		targetFigure("bytes a second that control allows, each machine", BytesPerSecond, func(t *Target) float64 {
 			return float64(t.Budget.Control.BytesPerSecond) * t.Fleet.Forwarders / t.Fleet.ControlMachines
 		}, "`budget.control.bytes_per_second` × forwarders", ""),
 		unmeasured("processor time", ""),
@@ -251,37 +252,37 @@
 		}
 	}
 	server := trialUse{changeScenario, perChange(func(trial *capacity.FleetTrial) float64 { return trial.ServerCPU }),
-		"the whole trial over its changes, idle time included", fleetReached, nil}
+		"the whole trial over its changes, idle time included", fleetCoverage, nil}
 	sent := trialUse{changeScenario, perChange(func(trial *capacity.FleetTrial) float64 { return trial.ServerBytes }),
-		"the whole trial over its changes, idle time included", fleetReached, nil}
+		"the whole trial over its changes, idle time included", fleetCoverage, nil}
 	return []*figure{
-		ofTarget("state: watches open", Count, forwardersAtTarget, "`fleet.forwarders`", "the operators' own service; here emulators alone"),
-		ofTarget("changes sent a second", PerSecond, func(t *Target) float64 { return t.changesPerSecond() * t.Fleet.Forwarders },
+		targetFigure("state: watches open", Count, forwardersAtTarget, "`fleet.forwarders`", "the operators' own service; here emulators alone"),
+		targetFigure("changes sent a second", PerSecond, func(t *Target) float64 { return t.changesPerSecond() * t.Fleet.Forwarders },
 			"`changes.per_day` × `fleet.forwarders`", "the operators' own service; here emulators alone"),
-		ofTrial("processor time of a change", Seconds, server, nil, "the emulator of `lab/capacity/hollow`"),
-		ofTrial("bytes of a change", Bytes, sent, nil, "the emulator of `lab/capacity/hollow`"),
+		trialFigure("processor time of a change", Seconds, server, nil, "the emulator of `lab/capacity/hollow`"),
+		trialFigure("bytes of a change", Bytes, sent, nil, "the emulator of `lab/capacity/hollow`"),
 		unmeasured("memory", "the operators' own service"),
 	}
 }
 
-// ofOutage is a curve of a destination that is down, by forwarders.
-func ofOutage(quantity string) curveUse {
-	return curveUse{ref: curveRef{"down-destination", quantity}, unit: Calls, size: forwardersAtTarget, sizeIs: allForwarders}
+// outageCurve uses a curve of a destination that is down, over the number of forwarders.
+func outageCurve(quantity string) curveUse {
+	return curveUse{ref: curveRef{"down-destination", quantity}, unit: Calls, size: forwardersAtTarget, sizeName: allForwarders}
 }
 
 func destination() []*figure {
-	returnBudget := ofOutage("budget of the first second of its return")
+	returnBudget := outageCurve("budget of the first second of its return")
 	returnCalls := &budget{name: "a cold destination's", curve: &returnBudget}
 	return []*figure{
-		ofTarget("messages a second", PerSecond, func(t *Target) float64 { return t.eventsPerDestination() },
+		targetFigure("messages a second", PerSecond, func(t *Target) float64 { return t.eventsPerDestination() },
 			"`load.events_per_second` over `load.destinations`, × `load.destination_skew`", "`scheduler`, `internal/upstream`"),
-		ofTarget("bytes of bodies a second", BytesPerSecond, func(t *Target) float64 { return t.eventsPerDestination() * float64(t.Load.Body) },
+		targetFigure("bytes of bodies a second", BytesPerSecond, func(t *Target) float64 { return t.eventsPerDestination() * float64(t.Load.Body) },
 			"× `load.body`", "`internal/upstream`"),
-		ofTarget("state: messages that wait for one that is down", Count, func(t *Target) float64 { return t.Load.BacklogEvents / t.destinationsDown() },
+		targetFigure("state: messages that wait for one that is down", Count, func(t *Target) float64 { return t.Load.BacklogEvents / t.destinationsDown() },
 			"`load.backlog_events` over `load.destinations` × `load.down_share`", "`scheduler`, `internal/wal`"),
-		ofCurve("calls in a minute of an outage, all in vain", Calls, ofOutage("calls to a destination that is down for a minute"), nil,
+		curveFigure("calls in a minute of an outage, all in vain", Calls, outageCurve("calls to a destination that is down for a minute"), nil,
 			"`scheduler` at each forwarder; knowledge shared among forwarders: "+missing),
-		ofCurve("calls in the first second of a return", Calls, ofOutage("calls in the first second of its return"), returnCalls,
+		curveFigure("calls in the first second of a return", Calls, outageCurve("calls in the first second of its return"), returnCalls,
 			"`scheduler` at each forwarder; knowledge shared among forwarders: "+missing),
 	}
 }
@@ -291,29 +292,29 @@
 		return curveUse{ref: curveRef{"idle-client", quantity}, unit: unit}
 	}
 	return []*figure{
-		ofTarget("messages a second, all clients of a forwarder", PerSecond, eventsAtTarget, "as the message path", "`internal/resp`, `internal/respserver`"),
-		ofCurve("memory of a forwarder with idle connections", Bytes, idle("memory of the forwarder", Bytes), forwarderBytes, "`internal/respserver`"),
-		ofCurve("descriptors of a forwarder with idle connections", "descriptors", idle("descriptors of the forwarder", "descriptors"), nil, "`internal/respserver`"),
+		targetFigure("messages a second, all clients of a forwarder", PerSecond, eventsAtTarget, "as the message path", "`internal/resp`, `internal/respserver`"),
+		curveFigure("memory of a forwarder with idle connections", Bytes, idle("memory of the forwarder", Bytes), forwarderBytes, "`internal/respserver`"),
+		curveFigure("descriptors of a forwarder with idle connections", "descriptors", idle("descriptors of the forwarder", "descriptors"), nil, "`internal/respserver`"),
 	}
 }
 
 func tools() []*figure {
 	scrape := func(quantity string, unit Unit) curveUse {
-		return curveUse{ref: curveRef{"scrape", quantity}, unit: unit, size: destinationsAtTarget, sizeIs: allDestinations}
+		return curveUse{ref: curveRef{"scrape", quantity}, unit: unit, size: destinationsAtTarget, sizeName: allDestinations}
 	}
 	reload := func(quantity string) curveUse {
-		return curveUse{ref: curveRef{"reload", quantity}, unit: Seconds, size: destinationsAtTarget, sizeIs: allDestinations}
+		return curveUse{ref: curveRef{"reload", quantity}, unit: Seconds, size: destinationsAtTarget, sizeName: allDestinations}
 	}
 	return []*figure{
-		ofCurve("a scrape of the metrics: time", Seconds, scrape("time of a scrape", Seconds), nil, "`internal/metrics`"),
-		ofCurve("a scrape of the metrics: processor time", Seconds, scrape("processor time of a scrape", Seconds), nil, "`internal/metrics`"),
-		ofCurve("a scrape of the metrics: bytes", Bytes, scrape("bytes of a scrape", Bytes), nil, "`internal/metrics`"),
-		ofCurve("a reload (SIGHUP): until a changed list of the configuration is in force", Seconds,
+		curveFigure("a scrape of the metrics: time", Seconds, scrape("time of a scrape", Seconds), nil, "`internal/metrics`"),
+		curveFigure("a scrape of the metrics: processor time", Seconds, scrape("processor time of a scrape", Seconds), nil, "`internal/metrics`"),
+		curveFigure("a scrape of the metrics: bytes", Bytes, scrape("bytes of a scrape", Bytes), nil, "`internal/metrics`"),
+		curveFigure("a reload (SIGHUP): until a changed list of the configuration is in force", Seconds,
 			reload("time until a changed list of the configuration is in force"), inForceWithin,
 			"`internal/config`, `forwarder`"),
-		ofCurve("a reload (SIGHUP): processor time of a changed list of the configuration", Seconds,
+		curveFigure("a reload (SIGHUP): processor time of a changed list of the configuration", Seconds,
 			reload("processor time of a reload that changes the configuration's list"), nil, "`internal/config`, `forwarder`"),
-		ofCurve("a reload (SIGHUP): time, the list left to discovery", Seconds, reload("time of a reload that leaves the list to discovery"), nil,
+		curveFigure("a reload (SIGHUP): time, the list left to discovery", Seconds, reload("time of a reload that leaves the list to discovery"), nil,
 			"`internal/config`, `forwarder`"),
 		unmeasured("`spanflow ledger list` or `stat` of a whole backlog: time and memory (it reads the folder whole)", "`internal/wal`, `internal/commands`"),
 	}
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -9,7 +9,7 @@
 	"spanflow/lab/capacity"
 )
 
-// tables renders every generated table, by name.
+// tables renders all generated tables and returns them by name.
 func tables(target *Target, results *capacity.Results) (map[string]string, error) {
 	rendered := map[string]string{
 		"target":      targetTable(target),
@@ -47,17 +47,17 @@
 func roleTable(figures []computedFigure) string {
 	var rows [][]string
 	for _, r := range figures {
-		rows = append(rows, []string{r.what, r.atSize(), r.from, r.allowed(), r.command, r.carrier()})
+		rows = append(rows, []string{r.name, r.valueCell(), r.from, r.budgetCell(), r.command, r.implementedByCell()})
 	}
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
 
-// rankingTable orders all figures with a budget by the share of the target size at which they exceed it. What is not
-// known comes last.
+// rankingTable orders all figures with a budget by the share of the target size at which they exceed it. Figures with
+// an unknown share come next, then figures that keep their budget.
 func rankingTable(figures []computedFigure) string {
 	var ranked []computedFigure
 	for _, r := range figures {
-		if r.budgeted {
+		if r.hasBudget {
 			ranked = append(ranked, r)
 		}
 	}
@@ -68,30 +68,30 @@
 	place := 0
 	for _, r := range ranked {
 		rank := ""
-		if rankClass(&r) == leftBefore {
+		if rankClass(&r) == exceeded {
 			place++
 			rank = fmt.Sprint(place)
 		}
-		rows = append(rows, []string{rank, r.leaves(), r.role + ": " + r.what, r.allowed(), r.atSize(), r.carrier()})
+		rows = append(rows, []string{rank, r.exceededCell(), r.role + ": " + r.name, r.budgetCell(), r.valueCell(), r.implementedByCell()})
 	}
 	return table([]string{"place", "share of the target size at which the budget is left", "figure", "budget", "at the target size", "carried by"}, rows)
 }
 
-// The classes of a ranking, in its order.
+// The classes of the ranking, in order.
 const (
-	leftBefore = iota // the budget is exceeded before the target size
-	unknown
+	exceeded = iota // the budget is exceeded before the target size
+	notKnown
 	withinBudget
 )
 
 func rankClass(r *computedFigure) int {
 	switch {
 	case r.limit.Basis == NotMeasured, r.limit.Basis == NoSize, r.limit.Basis == NotExtrapolated:
-		return unknown
+		return notKnown
 	case r.limit.Never:
 		return withinBudget
 	}
-	return leftBefore
+	return exceeded
 }
 
 func targetTable(t *Target) string {
@@ -148,14 +148,14 @@
 func estimatesTable(t *Target, results *capacity.Results) string {
 	var rows [][]string
 	for _, estimate := range t.Estimates {
-		measured := repeated(&estimate, curveOf(results, curveRef{estimate.Role, estimate.Quantity}))
+		measured := measuredEstimate(&estimate, curveOf(results, curveRef{estimate.Role, estimate.Quantity}))
 		rows = append(rows, []string{estimate.Name, estimate.Value, measured, estimate.Role + ": " + estimate.Quantity})
 	}
 	return table([]string{"what", "the operators' estimate", "measured here", "curve"}, rows)
 }
 
-// repeated is what a curve, nil if there is none, says of an operators' estimate.
-func repeated(estimate *OperatorEstimate, curve *capacity.Curve) string {
+// measuredEstimate formats the measured value for an operators' estimate. curve is nil if it was not measured.
+func measuredEstimate(estimate *OperatorEstimate, curve *capacity.Curve) string {
 	if curve == nil {
 		return "not measured"
 	}
@@ -171,7 +171,7 @@
 	return unit.Format(at.Value)
 }
 
-// pointsOf lists what was measured, size by size.
+// pointsOf lists the measured values by size.
 func pointsOf(curve *capacity.Curve, unit Unit) string {
 	var points []string
 	for _, point := range curve.Points {
@@ -217,14 +217,14 @@
 		"a forwarder idle", "memory of a forwarder", "stand-in: bytes, processor time", "note"}, rows)
 }
 
-// timesInForce are the times by which the middle forwarder, all but one in a hundred, and the last had a change in
+// timesInForce returns the times until the median forwarder, 99% of the forwarders, and the last one had a change in
 // force.
 func timesInForce(trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
 	}
 	reached := func(seconds float64) string {
-		if seconds == 0 && trial.Missed > 0 { // so many did not get it
+		if seconds == 0 && trial.Missed > 0 { // too many forwarders missed the change for this percentile
 			return "never"
 		}
 		return Seconds.Format(seconds)
@@ -232,7 +232,8 @@
 	return reached(trial.InForce50) + ", " + reached(trial.InForce99) + ", " + Seconds.Format(lastInForce(nil, trial))
 }
 
-// inTime tells whether a trial's changes were in force everywhere within the time that the target allows.
+// inTime returns whether a trial's changes were in force everywhere within the target's time: "yes", "no", or ""
+// without changes.
 func inTime(t *Target, trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -1,6 +1,5 @@
-// Package page renders the tables of docs/CAPACITY.md from the size that is built towards (docs/capacity/target.toml)
-// and from what was measured (docs/capacity/measured.json). Straight curves are worked out to the size; curves that are
-// not straight never are.
+// Package page renders the tables of docs/CAPACITY.md from the target size (docs/capacity/target.toml) and the measured
+// results (docs/capacity/measured.json). Linear curves are extrapolated to the target size; other curves never are.
 package page
 
 import (
@@ -11,7 +10,7 @@
 	"spanflow/internal/config"
 )
 
-// Target is the size that is built towards and what may be spent on it.
+// Target is the size of the installation to build for, with its budgets.
 type Target struct {
 	Fleet     Fleet              `toml:"fleet"`
 	Load      Load               `toml:"load"`
@@ -21,15 +20,15 @@
 	Estimates []OperatorEstimate `toml:"estimates"`
 }
 
-// Fleet is how many processes and machines there are.
+// Fleet is the number of processes and machines.
 type Fleet struct {
 	Forwarders      float64 `toml:"forwarders"`
 	Regions         float64 `toml:"regions"`
-	Zones           float64 `toml:"zones"` // of all regions
+	Zones           float64 `toml:"zones"` // in all regions together
 	ControlMachines float64 `toml:"control_machines"`
 }
 
-// Load is what the forwarders accept and hold. Rates are a second.
+// Load is the load that the forwarders accept and hold. Rates are per second.
 type Load struct {
 	EventsPerSecond     float64         `toml:"events_per_second"` // all forwarders together
 	Destinations        float64         `toml:"destinations"`
@@ -38,17 +37,17 @@
 	BacklogPerForwarder float64         `toml:"backlog_per_forwarder"`
 	BacklogFor          config.Duration `toml:"backlog_for"`
 	Body                config.Size     `toml:"body"`
-	ForwarderSkew       float64         `toml:"forwarder_skew"`   // the busiest beside the mean
-	DestinationSkew     float64         `toml:"destination_skew"` // the busiest beside the mean
+	ForwarderSkew       float64         `toml:"forwarder_skew"`   // ratio of the busiest to the mean
+	DestinationSkew     float64         `toml:"destination_skew"` // ratio of the busiest to the mean
 }
 
-// Changes are changes of the configuration.
+// Changes is the rate of configuration changes, and the time within which each must be in force.
 type Changes struct {
 	PerDay        float64         `toml:"per_day"`
 	InForceWithin config.Duration `toml:"in_force_within"`
 }
 
-// Failures are what is to be expected.
+// Failures are the failures to expect.
 type Failures struct {
 	MachinesPerDay float64         `toml:"machines_per_day"`
 	RestartsPerDay float64         `toml:"restarts_per_day"`
@@ -57,42 +56,42 @@
 	RegionsApart   config.Duration `toml:"regions_apart"`
 }
 
-// Budget is what may be spent at one forwarder.
+// Budget limits the resources of one forwarder.
 type Budget struct {
 	Control   ControlBudget   `toml:"control"`
 	Forwarder ForwarderBudget `toml:"forwarder"`
 }
 
-// ControlBudget is for control alone.
+// ControlBudget is the part of a forwarder's resources for control: discovery and configuration changes.
 type ControlBudget struct {
 	CoreFraction   float64     `toml:"core_share"` // of one core
 	Memory         config.Size `toml:"memory"`
 	BytesPerSecond config.Size `toml:"bytes_per_second"`
 }
 
-// ForwarderBudget is for everything else.
+// ForwarderBudget is the budget for everything else at a forwarder.
 type ForwarderBudget struct {
 	Cores       float64         `toml:"cores"`
 	Memory      config.Size     `toml:"memory"`
 	ReadyWithin config.Duration `toml:"ready_within"` // after a restart
 
-	DrainPerSecond float64 `toml:"drain_per_second"` // messages of a backlog, beside which nothing comes
+	DrainPerSecond float64 `toml:"drain_per_second"` // messages of a backlog, while no new messages arrive
 }
 
-// OperatorEstimate is a figure that the operators measured once, with the curve that repeats it.
+// OperatorEstimate is a figure that the operators measured once, with the curve that measures it again.
 type OperatorEstimate struct {
 	Name     string `toml:"what"`
 	Value    string `toml:"value"`
 	Role     string `toml:"role"`
 	Quantity string `toml:"quantity"`
 
-	Size float64 `toml:"size"` // at which the estimate holds; 0: it is of each piece, as the curve's line
+	Size float64 `toml:"size"` // at which the estimate holds; 0 means that it is a cost per piece, like the slope of the curve's line
 }
 
-// consistent is the relative difference up to which figures that follow from each other agree.
-const consistent = 0.1
+// consistencyTolerance is the largest relative difference between a figure and its value derived from other figures.
+const consistencyTolerance = 0.1
 
-// ReadTarget reads and checks the file of the target size. Errors name file, line and field.
+// ReadTarget reads and checks the file of the target size. Errors name the file, the line and the field.
 func ReadTarget(path string) (*Target, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -101,7 +100,7 @@
 	return ParseTarget(path, text)
 }
 
-// ParseTarget is ReadTarget for a text that was read; path is for errors alone.
+// ParseTarget is like ReadTarget for a text that is already in memory. path is only used in errors.
 func ParseTarget(path string, text []byte) (*Target, error) {
 	target := &Target{}
 	if err := config.Decode(path, text, target); err != nil {
@@ -116,7 +115,7 @@
 	return target, nil
 }
 
-// targetChecker collects what is wrong with a target.
+// targetChecker collects the problems of a target.
 type targetChecker struct{ problems config.Problems }
 
 func (c *targetChecker) add(field, format string, values ...any) {
@@ -125,7 +124,7 @@
 
 func (c *targetChecker) positive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
-		c.add(field, "%v is not a number over 0, or it is missing", value)
+		c.add(field, "%v is not a positive number, or it is missing", value)
 	}
 }
 
@@ -137,18 +136,18 @@
 
 func (c *targetChecker) fraction(field string, value float64) {
 	if c.positive(field, value); value > 1 {
-		c.add(field, "%v is over 1, the whole", value)
+		c.add(field, "%v is greater than 1", value)
 	}
 }
 
 func (c *targetChecker) skew(field string, value float64) {
 	if c.positive(field, value); value < 1 {
-		c.add(field, "%v is under 1: the busiest cannot be under the mean", value)
+		c.add(field, "%v is less than 1, but the busiest cannot be below the mean", value)
 	}
 }
 
 func (c *targetChecker) agrees(field string, value, other float64, otherIs string) {
-	if math.Abs(value-other) > consistent*other {
+	if math.Abs(value-other) > consistencyTolerance*other {
 		c.add(field, "%v does not agree with %v, which is %s", value, other, otherIs)
 	}
 }
@@ -220,30 +219,30 @@
 			}
 		}
 		if !(e.Size >= 0) || math.IsInf(e.Size, 0) {
-			c.add(fmt.Sprintf("estimates[%d].size", i), "%v is no size", e.Size)
+			c.add(fmt.Sprintf("estimates[%d].size", i), "%v is not a valid size", e.Size)
 		}
 	}
 }
 
-// The figures that follow from the file.
+// Figures derived from the file.
 
 const secondsPerDay = 24 * 60 * 60
 
-// eventsPerForwarder are the events a second of the busiest forwarder.
+// eventsPerForwarder returns the events per second of the busiest forwarder.
 func (t *Target) eventsPerForwarder() float64 {
 	return t.Load.EventsPerSecond / t.Fleet.Forwarders * t.Load.ForwarderSkew
 }
 
-// eventsPerDestination are the events a second of the busiest destination.
+// eventsPerDestination returns the events per second of the busiest destination.
 func (t *Target) eventsPerDestination() float64 {
 	return t.Load.EventsPerSecond / t.Load.Destinations * t.Load.DestinationSkew
 }
 
-// eventsPerSecondDown are the events a second for the destinations that are down, at even parts.
+// eventsPerSecondDown returns the events per second for destinations that are down, if all destinations get the same.
 func (t *Target) eventsPerSecondDown() float64 { return t.Load.EventsPerSecond * t.Load.DownFraction }
 
-// destinationsDown are those that are down at any time.
+// destinationsDown returns the number of destinations that are down at any time.
 func (t *Target) destinationsDown() float64 { return t.Load.Destinations * t.Load.DownFraction }
 
-// changesPerSecond is the mean rate of changes.
+// changesPerSecond returns the mean rate of changes.
 func (t *Target) changesPerSecond() float64 { return t.Changes.PerDay / secondsPerDay }
