--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -23,8 +23,8 @@
 
 // targetUse computes a figure from the target alone.
 type targetUse struct {
-	value func(*Target) float64
-	from  string
+	value  func(*Target) float64
+	source string
 }
 
 // curveUse computes a figure as the value of a curve at the target size, times a factor.
@@ -41,7 +41,7 @@
 type trialUse struct {
 	scenario string
 	value    func(*Target, *capacity.FleetTrial) float64
-	from     string
+	source   string
 	coverage func(*Target, *capacity.FleetTrial) coverage
 	accept   func(*capacity.FleetTrial) bool // selects trials; nil means all
 }
@@ -83,7 +83,7 @@
 	estimate  Estimate
 	limit     Limit
 	fraction  float64 // share of the target size at which the budget is exceeded, if limit has a size
-	from      string
+	source    string
 	command   string
 	budget    float64
 	hasBudget bool
@@ -118,7 +118,7 @@
 	case f.trial != nil:
 		r.fromTrial(target, results)
 	default:
-		r.from, r.command = "nothing measures it", "no command"
+		r.source, r.command = "nothing measures it", "no command"
 	}
 	return r, err
 }
@@ -126,7 +126,7 @@
 func (r *computedFigure) fromTarget(target *Target) {
 	r.estimate = Estimate{Basis: Fitted, Value: r.target.value(target)}
 	r.limit = Limit{Basis: Fitted, Never: r.estimate.Value <= r.budget}
-	r.from, r.command = r.target.from, "target.toml"
+	r.source, r.command = r.target.source, "target.toml"
 }
 
 func (r *computedFigure) fromCurve(target *Target, results *capacity.Results) error {
@@ -134,14 +134,14 @@
 	r.command = "`spanflow-lab capacity measure " + use.ref.role + "`"
 	curve := curveOf(results, use.ref)
 	if curve == nil {
-		r.from = "no curve (" + use.ref.quantity + ")"
+		r.source = "no curve (" + use.ref.quantity + ")"
 		return nil
 	}
 	curve, unit := converted(curve)
 	if unit != use.unit {
 		return fmt.Errorf("%s, %s: the curve (%s, %s) is in %q, not in %q", r.role, r.name, use.ref.role, use.ref.quantity, curve.Unit, use.unit)
 	}
-	r.from = describe(curve, unit)
+	r.source = describe(curve, unit)
 	if use.size == nil {
 		r.estimate, r.limit = Estimate{Basis: NoSize}, Limit{Basis: NoSize}
 		return nil
@@ -156,9 +156,9 @@
 		r.limit = ExceededAt(curve, r.budget/factor, size)
 		r.fraction = r.limit.Size / size
 	}
-	r.from += "; at " + use.sizeName + " (" + digits(size) + ")"
+	r.source += "; at " + use.sizeName + " (" + digits(size) + ")"
 	if use.factor != nil {
-		r.from += ", × " + use.factorName
+		r.source += ", × " + use.factorName
 	}
 	return nil
 }
@@ -185,13 +185,13 @@
 	r.command = "`spanflow-lab capacity hollow " + scenarioArgument[r.trial.scenario] + "`"
 	trials := r.trial.matching(results)
 	if len(trials) == 0 {
-		r.from = r.trial.missingTrial()
+		r.source = r.trial.missingTrial()
 		return
 	}
 	largest := slices.MaxFunc(trials, func(a, b *capacity.FleetTrial) int {
 		return cmp.Or(cmp.Compare(r.trial.coverage(target, a).min, r.trial.coverage(target, b).min), cmp.Compare(a.Forwarders, b.Forwarders))
 	})
-	r.from = fmt.Sprintf("%s; trial (%s) of %s forwarders with %s destinations", r.trial.from, r.trial.scenario,
+	r.source = fmt.Sprintf("%s; trial (%s) of %s forwarders with %s destinations", r.trial.source, r.trial.scenario,
 		digits(float64(largest.Forwarders)), digits(float64(largest.Destinations)))
 	r.estimate = Estimate{Basis: NotExtrapolated, Value: r.trial.value(target, largest)}
 	if r.trial.coverage(target, largest).min >= 1 {
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -137,8 +137,8 @@
 	require.Empty(t, second.Outdated)
 	require.Equal(t, first.Text, second.Text)
 
-	spoilt := strings.Replace(first.Text, "| forwarders | 500 |", "| forwarders | 501 |", 1)
-	third, err := Update(spoilt, target, &capacity.Results{})
+	modified := strings.Replace(first.Text, "| forwarders | 500 |", "| forwarders | 501 |", 1)
+	third, err := Update(modified, target, &capacity.Results{})
 	require.NoError(t, err)
 	require.Equal(t, []string{"target"}, third.Outdated)
 	require.Equal(t, first.Text, third.Text)
@@ -251,7 +251,7 @@
 	require.Contains(t, rendered["ranking"], "|  | kept in the trials; not extrapolated | forwarder: control: a change in force everywhere |")
 }
 
-func TestTrialsShowNoBudgetKeptBeyondTheirSize(t *testing.T) {
+func TestTrialBudgetsAreNotExtrapolated(t *testing.T) {
 	results := exampleResults()
 	trial := results.Fleets[0]
 	smaller, whole := trial, trial
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -103,7 +103,7 @@
 	storedDraining := storedCurve("backlog-drain", "processor time of a message that drains", Seconds)
 	storedDraining.factor, storedDraining.factorName = draining.factor, draining.factorName
 	path := curveUse{ref: curveRef{"message-path", "processor time in a second"}, unit: Seconds, size: eventsAtTarget, sizeName: allEvents}
-	carried := func(quantity string) curveUse {
+	bytesCarried := func(quantity string) curveUse {
 		return curveUse{ref: curveRef{"message-path", quantity}, unit: Bytes, size: bodyAtTarget, sizeName: "the body of an event",
 			factor: eventsAtTarget, factorName: allEvents}
 	}
@@ -114,9 +114,9 @@
 			"`load.events_per_second` over `fleet.forwarders`, × `load.forwarder_skew`", "`internal/resp`, `internal/respserver`, `forwarder`"),
 		targetFigure("messages a second for destinations that are down", PerSecond,
 			func(t *Target) float64 { return t.eventsPerForwarder() * t.Load.DownFraction }, "× `load.down_share`", "`scheduler`, `internal/wal`"),
-		curveFigure("bytes between clients and a forwarder", BytesPerSecond, carried("bytes between client and forwarder for a message"), nil,
+		curveFigure("bytes between clients and a forwarder", BytesPerSecond, bytesCarried("bytes between client and forwarder for a message"), nil,
 			"`internal/resp`, `internal/respserver`"),
-		curveFigure("bytes between a forwarder and destinations", BytesPerSecond, carried("bytes between forwarder and target for a message"), nil,
+		curveFigure("bytes between a forwarder and destinations", BytesPerSecond, bytesCarried("bytes between forwarder and target for a message"), nil,
 			"`internal/http1`, `internal/upstream`"),
 		curveFigure("processor time, nothing held", Cores, path, forwarderCores, "`forwarder`, `scheduler`, `internal/wal`, `internal/upstream`"),
 		curveFigure("processor time of fresh messages beside the backlog", Cores, beside, forwarderCores, "`scheduler`"),
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -47,7 +47,7 @@
 func roleTable(figures []computedFigure) string {
 	var rows [][]string
 	for _, r := range figures {
-		rows = append(rows, []string{r.name, r.valueCell(), r.from, r.budgetCell(), r.command, r.implementedByCell()})
+		rows = append(rows, []string{r.name, r.valueCell(), r.source, r.budgetCell(), r.command, r.implementedByCell()})
 	}
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
--- a/lab/commands/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -30,26 +30,26 @@
 }
 
 // outdatedPage writes a copy of the repository's page with a wrong figure in the table target.
-func outdatedPage(t *testing.T) (file, spoilt, current string) {
+func outdatedPage(t *testing.T) (file, modified, current string) {
 	t.Helper()
 	text, err := os.ReadFile(repositoryPage)
 	require.NoError(t, err)
 	current = string(text)
-	spoilt = strings.Replace(current, "| forwarders | 500 |", "| forwarders | 501 |", 1)
-	require.NotEqual(t, current, spoilt)
+	modified = strings.Replace(current, "| forwarders | 500 |", "| forwarders | 501 |", 1)
+	require.NotEqual(t, current, modified)
 	file = filepath.Join(t.TempDir(), "CAPACITY.md")
-	require.NoError(t, os.WriteFile(file, []byte(spoilt), 0o640))
-	return file, spoilt, current
+	require.NoError(t, os.WriteFile(file, []byte(modified), 0o640))
+	return file, modified, current
 }
 
 func TestPageCheckReportsOutdatedTables(t *testing.T) {
-	file, spoilt, _ := outdatedPage(t)
+	file, modified, _ := outdatedPage(t)
 	code, _, errOut := runPage("--check", file)
 	require.Equal(t, cli.ExitError, code)
 	require.Contains(t, errOut, "not current: target;")
 	text, err := os.ReadFile(file)
 	require.NoError(t, err)
-	require.Equal(t, spoilt, string(text))
+	require.Equal(t, modified, string(text))
 
 	code, out, errOut := runPage("--check", repositoryPage)
 	require.Equal(t, cli.ExitOK, code, errOut)
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -15,11 +15,11 @@
 	"spanflow/scheduler"
 )
 
-func arm(t *testing.T, name string, make sim.Maker) Arm {
+func arm(t *testing.T, name string, newPolicy sim.Maker) Arm {
 	s, err := scenario.Read(name)
 	require.NoError(t, err)
 	s.Length, s.Drain = 30, 20
-	return Arm{name, s, make}
+	return Arm{name, s, newPolicy}
 }
 
 func TestCompareTellsAWorsePolicyFromAnEqualOne(t *testing.T) {
--- a/lab/experiment/violation_search_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -21,10 +21,10 @@
 	return sim.SchedulerPolicy(settings, seed, now, h)
 }
 
-func searchViolations(t *testing.T, dir string, make sim.Maker, from uint64, limit int) *ViolationSearch {
+func searchViolations(t *testing.T, dir string, newPolicy sim.Maker, from uint64, limit int) *ViolationSearch {
 	h, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
-	require.NoError(t, h.Run(context.Background(), dir, make, from, limit, nil))
+	require.NoError(t, h.Run(context.Background(), dir, newPolicy, from, limit, nil))
 	return h
 }
 
@@ -57,8 +57,8 @@
 	atOnce, inParts := t.TempDir(), t.TempDir()
 	h := searchViolations(t, atOnce, withoutSlowStart, 1, 12)
 	require.Equal(t, 12, h.Scenarios)
-	was := runtime.GOMAXPROCS(1)
-	defer runtime.GOMAXPROCS(was)
+	previous := runtime.GOMAXPROCS(1)
+	defer runtime.GOMAXPROCS(previous)
 	searchViolations(t, inParts, withoutSlowStart, 5, 8) // later seeds first
 	searchViolations(t, inParts, withoutSlowStart, 1, 4)
 	require.Equal(t, readFiles(t, atOnce), readFiles(t, inParts))
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -188,9 +188,9 @@
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	lines := write("a.jsonl", `{"at":100,"dest":7,"type":"status","bytes":10}`+"\n\n"+`{"at":101.5,"dest":8,"type":"ticket","key":"5","number":"n1","tenant":"x"}`+"\n")
-	commas := write("a.csv", "at,dest,type,key,number,tenant,bytes\n100,7,status,,,,10\n101.5,8,ticket,5,n1,x,\n")
-	for _, path := range []string{lines, commas} {
+	jsonPath := write("a.jsonl", `{"at":100,"dest":7,"type":"status","bytes":10}`+"\n\n"+`{"at":101.5,"dest":8,"type":"ticket","key":"5","number":"n1","tenant":"x"}`+"\n")
+	csvPath := write("a.csv", "at,dest,type,key,number,tenant,bytes\n100,7,status,,,,10\n101.5,8,ticket,5,n1,x,\n")
+	for _, path := range []string{jsonPath, csvPath} {
 		tr, err := Open(path, 10)
 		require.NoError(t, err)
 		a, _ := tr.Next()
@@ -213,6 +213,6 @@
 	}
 	_, err := Open(write("b.csv", "at,colour\n"), 1)
 	require.ErrorContains(t, err, `unknown column "colour"`)
-	_, err = Open(lines, 0)
+	_, err = Open(jsonPath, 0)
 	require.ErrorContains(t, err, "speed")
 }
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -135,12 +135,12 @@
 // csvRows reads the header and returns a function that reads the message of the next row.
 func (t *Trace) csvRows(r io.Reader) (func() (Message, error), error) {
 	in := csv.NewReader(r)
-	head, err := in.Read()
+	header, err := in.Read()
 	t.line = 1
 	if err != nil {
 		return nil, fmt.Errorf("line 1: %w", err)
 	}
-	for _, name := range head {
+	for _, name := range header {
 		if columns[name] == nil {
 			return nil, fmt.Errorf("line 1: unknown column %q", name)
 		}
@@ -155,8 +155,8 @@
 			if v == "" {
 				continue
 			}
-			if err := columns[head[i]](&m, v); err != nil {
-				return m, fmt.Errorf("%s: %w", head[i], err)
+			if err := columns[header[i]](&m, v); err != nil {
+				return m, fmt.Errorf("%s: %w", header[i], err)
 			}
 		}
 		return m, nil
