--- a/internal/backlog/ballast.go
+++ b/internal/backlog/ballast.go
@@ -20,7 +20,7 @@
 		return
 	}
 	size, err := f.Size()
-	_ = f.Close() // it was only read
+	_ = f.Close() // opened only for reading, so errors do not matter
 	s.ballast = err == nil && size == s.bounds.SegmentBytes
 	if !s.ballast {
 		_ = s.fs.Remove(s.ballastFile())
--- a/internal/backlog/bench_test.go
+++ b/internal/backlog/bench_test.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// BenchmarkChurn measures the bytes written per byte of message records, in a store with much room and in a nearly full
-// one. Each step stores a message and then releases messages of random lanes, so that the number of stored messages
-// stays the same. A tenth of the lanes gets no new messages and is never drained.
+// BenchmarkChurn measures the bytes written per byte of message records, in a store with ample room and in a nearly
+// full one. Each step stores a message and then releases messages of random lanes, so that the number of stored
+// messages stays the same. A tenth of the lanes gets no new messages and is never drained.
 func BenchmarkChurn(b *testing.B) {
 	const live = 100_000
 	for name, bounds := range map[string]Bounds{"roomy": benchBounds, "nearly-full": {Bytes: 66 << 20}} {
--- a/internal/backlog/crash_test.go
+++ b/internal/backlog/crash_test.go
@@ -101,8 +101,8 @@
 	require.GreaterOrEqual(t, kills, 100)
 }
 
-// After any one call to the filesystem fails or writes only a part, the store stays usable and the next process can
-// read it. An interrupted move is completed later.
+// After any single call to the filesystem fails or writes only part of the data, the store stays usable and the next
+// process can read it. An interrupted move is completed later.
 func TestFaultAtEveryCall(t *testing.T) {
 	faults := 0
 	for _, left := range []leftover{leavesNothing, leavesHalf, leavesAll, shortWrite} {
@@ -159,7 +159,7 @@
 	require.Equal(t, 1, files.open, "the test log")
 }
 
-// The store knows the greatest number used even if no messages are stored any more.
+// The store keeps the greatest message number used even after all messages were released.
 func TestLastSeqSurvivesReleaseAndReopen(t *testing.T) {
 	files := newMemFS()
 	s := openStore(t, files, smallBounds)
--- a/internal/backlog/errors.go
+++ b/internal/backlog/errors.go
@@ -13,7 +13,7 @@
 	ErrStored = errors.New("a message with this number is already in the backlog store")
 	// ErrOrder is returned for a message whose number lies between those of stored messages of its lane.
 	ErrOrder = errors.New("the message's number lies between those of stored messages of its lane")
-	// ErrTooLarge is returned for a message whose body or one of whose strings is too large for a record.
+	// ErrTooLarge is returned for a message with a body or a string that is too large for a record.
 	ErrTooLarge = errors.New("the message is too large for the backlog store")
 	// ErrClosed is returned if the store is closed or was opened read-only.
 	ErrClosed = errors.New("the backlog store is not open for writing")
@@ -26,7 +26,7 @@
 	Err   error // the error of the disk; nil if the limit was reached
 }
 
-// Error includes the error of the disk or, if the limit was reached, the numbers of bytes.
+// Error includes the error of the disk or, if the limit was reached, the size of the stored messages and the limit.
 func (e *FullError) Error() string {
 	if e.Err != nil {
 		return fmt.Sprintf("%v: %v", ErrFull, e.Err)
@@ -44,7 +44,7 @@
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// DamageError is returned if a file of the store is missing or its content is not what was written.
+// DamageError is returned if a file of the store is missing or its content differs from what was written.
 type DamageError struct {
 	File   string
 	Offset int64 // bytes from the start of the file
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -39,8 +39,8 @@
 	return refs
 }
 
-// harness is a minimal forwarder that accepts messages, moves them, and delivers them in the order of their lane. It
-// also records what clients and destinations have observed, which is kept when the simulated process is killed.
+// harness is a minimal forwarder that accepts messages, moves them, and delivers them in the order of their lane. Its
+// records of what clients and destinations have observed are kept when the simulated process is killed.
 type harness struct {
 	fs       *memFS
 	bounds   Bounds
@@ -50,8 +50,8 @@
 	inMemory map[Lane][]*Message
 	next     uint64
 
-	accepted         map[uint64]*Message // messages whose clients were told that they are accepted
-	acceptUnanswered uint64              // number of the message whose client waits for that answer; 0 means none
+	accepted         map[uint64]*Message // messages whose clients were answered that they are accepted
+	acceptUnanswered uint64              // number of the message whose client has no such answer yet; 0 means none
 	done             map[uint64]bool     // delivered messages
 	doneUnrecorded   uint64              // number of the message whose delivery is being recorded; 0 means none
 	doneByLane       map[Lane][]uint64   // in the order of delivery
@@ -343,7 +343,7 @@
 	return h.loadExpired(int64(1000+rng.IntN(200)), 1+rng.IntN(4))
 }
 
-// drain delivers all that is pending.
+// drain delivers all pending messages.
 func (h *harness) drain() error {
 	for _, lane := range testLanes {
 		for {
--- a/internal/backlog/keytable_test.go
+++ b/internal/backlog/keytable_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keyInLane is a key of the counts in keyModel.check.
+// keyInLane identifies an ordering key and a lane for the counts in keyModel.check.
 type keyInLane struct {
 	key  uint64
 	lane Lane
--- a/internal/backlog/lane.go
+++ b/internal/backlog/lane.go
@@ -16,8 +16,8 @@
 	bytes     int64    // of live records
 	states    [stateCount]int
 	heapIndex int // index in the store's heap of lanes
-	// outOfOrder has entries that replay found out of order, by number: copies of records in segments that were removed.
-	// It is nil after the replay.
+	// outOfOrder has the entries, by number, that replay found after those of newer messages. They were copied by
+	// compaction from segments that were removed since. It is nil after the replay.
 	outOfOrder map[uint64]entry
 }
 
@@ -101,7 +101,7 @@
 	l.buildHeap()
 }
 
-// buildHeap builds the heap anew. All entries must be live.
+// buildHeap rebuilds the heap. All entries must be live.
 func (l *lane) buildHeap() {
 	l.heap = make([]uint32, 0, l.end-l.begin)
 	for ordinal := l.begin; ordinal != l.end; ordinal++ {
--- a/internal/backlog/memfs_test.go
+++ b/internal/backlog/memfs_test.go
@@ -14,7 +14,7 @@
 	errFault  = errors.New("injected fault")
 )
 
-// leftover is the effect that a failing call has nevertheless.
+// leftover is the effect that a failing call still has.
 type leftover int
 
 const (
--- a/internal/backlog/move_wal_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -46,7 +46,7 @@
 		Frontend: e.Frontend, CallerWaits: e.CallerWaits}
 }
 
-// walMessage is a test message with a random client's id and without the fields that the write-ahead log does not keep.
+// walMessage is a test message with a random id and without the fields that the write-ahead log does not keep.
 func walMessage(lane Lane, seq uint64) *Message {
 	m := testMessage(lane, seq)
 	m.AcceptedAt, m.DeduplicationEnd, m.ID = 0, 0, fmt.Sprintf("client-%016x", rand.Uint64())
@@ -162,7 +162,7 @@
 	}
 }
 
-// observations has what clients and destinations have observed of all processes of a forwarder.
+// observations has what clients and destinations have observed from all processes of a forwarder.
 type observations struct {
 	pending    map[uint64]Lane
 	done       map[Lane][]uint64
@@ -193,7 +193,7 @@
 	o.done[lane] = append(o.done[lane], seq)
 }
 
-// compare checks the messages that a new process has against the observations.
+// compare checks the messages that a new process finds against the observations.
 func (o *observations) compare(t *testing.T, f *forwarder) {
 	require.Empty(t, f.overtaking)
 	locations := map[uint64]int{}
--- a/internal/backlog/policy/drain_rate.go
+++ b/internal/backlog/policy/drain_rate.go
@@ -36,8 +36,8 @@
 	d.since, d.bytes = now, 0
 }
 
-// retryAfter estimates when there will be room for the given number of bytes. The result is between minRetryAfter and
-// maxRetryAfter, which it is also if nothing is being loaded.
+// retryAfter estimates how long it takes until there is room for the given number of bytes. The result is at least
+// minRetryAfter and at most maxRetryAfter. If nothing is being loaded, it is maxRetryAfter.
 func (d *drainRate) retryAfter(bytes int64, now time.Time) time.Duration {
 	d.roll(now)
 	rate := max(d.previousRate, float64(d.bytes)/rateWindow.Seconds())
--- a/internal/backlog/policy/policy_test.go
+++ b/internal/backlog/policy/policy_test.go
@@ -323,8 +323,8 @@
 	}
 }
 
-// Lanes that fill memory do not crowd out the new or stored messages of a lane with few, unless its destination is
-// unavailable.
+// Lanes that fill memory do not crowd out the new or stored messages of a lane with few messages in memory, unless the
+// destination of that lane is unavailable.
 func TestLaneWithFewMessagesUsesTheReserve(t *testing.T) {
 	const memory = 120
 	p, err := New(Bounds{Bytes: 1000, DestinationBytes: 1000, TenantBytes: 1000, Window: memory, Behind: memory,
--- a/internal/backlog/record.go
+++ b/internal/backlog/record.go
@@ -40,7 +40,7 @@
 const (
 	releaseFixedSize = 1 + 8 + 4 // bytes: kind, destination, tenant
 	releaseRefSize   = 8 + 8 + 8 // bytes: number, hash of the id, hash of the ordering key
-	// singleReleaseSize is the size of a release record for one message, and so the most that a release takes per message.
+	// singleReleaseSize is the size of a release record for one message. Larger release records use less per message.
 	singleReleaseSize = recordHeaderSize + releaseFixedSize + releaseRefSize
 	maxReleased       = 512 // maximum number of messages in one release record
 )
--- a/internal/backlog/replay.go
+++ b/internal/backlog/replay.go
@@ -70,7 +70,7 @@
 	var current *openedSegment
 	defer func() {
 		if current != nil {
-			_ = current.file.Close() // it was only read
+			_ = current.file.Close() // opened only for reading, so errors do not matter
 		}
 	}()
 	for i, number := range numbers {
@@ -82,7 +82,7 @@
 			if err := s.replaySegment(current, next.header, &buf); err != nil {
 				return errors.Join(err, next.file.Close())
 			}
-			_ = current.file.Close() // it was only read
+			_ = current.file.Close() // opened only for reading, so errors do not matter
 		}
 		current = next
 	}
--- a/internal/backlog/segments.go
+++ b/internal/backlog/segments.go
@@ -89,7 +89,7 @@
 // closeReaders closes the least recently used readers until at most left are open.
 func (s *Store) closeReaders(left int) {
 	for len(s.readers) > left {
-		_ = s.readers[0].file.Close() // it was only read
+		_ = s.readers[0].file.Close() // opened only for reading, so errors do not matter
 		s.readers = append(s.readers[:0], s.readers[1:]...)
 	}
 }
@@ -98,7 +98,7 @@
 func (s *Store) closeReader(number uint32) {
 	for i, r := range s.readers {
 		if r.number == number {
-			_ = r.file.Close() // it was only read
+			_ = r.file.Close() // opened only for reading, so errors do not matter
 			s.readers = append(s.readers[:i], s.readers[i+1:]...)
 			return
 		}
--- a/internal/backlog/sigkill_test.go
+++ b/internal/backlog/sigkill_test.go
@@ -100,7 +100,7 @@
 		for seq := range stored {
 			require.True(t, found[seq] || releasing[seq], "message %d", seq)
 		}
-		for seq := range releasing { // an interrupted release took effect or did not
+		for seq := range releasing { // an interrupted release may or may not have taken effect
 			if !found[seq] {
 				delete(stored, seq)
 			}
--- a/internal/backlog/verify.go
+++ b/internal/backlog/verify.go
@@ -34,7 +34,7 @@
 		r.Fault = err
 		return nil
 	}
-	defer func() { _ = o.file.Close() }() // it is only read
+	defer func() { _ = o.file.Close() }() // opened only for reading, so errors do not matter
 	r.Bytes = o.size
 	if o.header == nil {
 		r.Torn = o.size
--- a/internal/backlog/write.go
+++ b/internal/backlog/write.go
@@ -107,7 +107,7 @@
 	name := segmentName(s.dir, h.number)
 	f, err := s.fs.Create(name)
 	if err != nil {
-		_ = s.fs.Remove(name) // an earlier attempt may have left it
+		_ = s.fs.Remove(name) // an earlier failed attempt may have left it
 		return err
 	}
 	n, err := f.Write(h.encode())
@@ -120,7 +120,7 @@
 		return err
 	}
 	if s.active != nil {
-		_ = s.active.Close() // errors were returned by its writes
+		_ = s.active.Close() // write errors were returned by the earlier writes
 	}
 	s.active = f
 	s.written += segmentHeaderSize
