--- a/internal/respserver/client.go
+++ b/internal/respserver/client.go
@@ -75,7 +75,8 @@
 	defer c.reading.Unlock()
 }
 
-// refuse submits a malformed request that gives the connection its last answer. Input received after it is discarded.
+// refuse submits a malformed request, whose answer is the last one on the connection. Input received after it is
+// discarded.
 func (c *Client) refuse(reason string) {
 	if c.refused.CompareAndSwap(false, true) {
 		c.unanswered.Add(1)
--- a/internal/respserver/close_test.go
+++ b/internal/respserver/close_test.go
@@ -74,7 +74,7 @@
 			other, err := net.Dial("tcp", f.server.Addr())
 			require.NoError(f.t, err)
 			f.t.Cleanup(func() { other.Close() })
-			// The server counts the new connection after the attempt to evict the other one, which failed.
+			// The server counts the new connection only after its attempt to evict the other one has failed.
 			opened := func() bool { return f.server.Clients() == 2 }
 			require.Eventually(f.t, opened, 5*time.Second, time.Millisecond)
 			require.Zero(f.t, f.server.Stats().Evicted)
--- a/internal/respserver/eviction.go
+++ b/internal/respserver/eviction.go
@@ -39,12 +39,12 @@
 	evicted, rank := s.evictionCandidate()
 	if evicted != nil && evicted.refused.Load() {
 		evicted.conn.Close()
-	} else if evicted != nil && !evicted.closeIfIdle() { // a command has just arrived: it stays open over the limit
+	} else if evicted != nil && !evicted.closeIfIdle() { // a command has just arrived, so both stay open
 		evicted = nil
 	}
 	s.mu.Lock()
 	if evicted != nil {
-		s.stats.Evicted[rank]++ // only now is it known that the connection was closed
+		s.stats.Evicted[rank]++ // not counted before the connection is known to be closed
 	}
 	delete(s.clients, evicted) // only after the close, as StopReading waits for every connection that may still be read
 	s.clients[c] = struct{}{}
--- a/internal/respserver/server.go
+++ b/internal/respserver/server.go
@@ -51,8 +51,8 @@
 	closeDelay           = 200 * time.Millisecond // after the last answer, to let the client read it before the close
 	maxDiscardedBytes    = 1 << 20                // limit of the input discarded after a connection's last answer
 	readBufferBytes      = 72 << 10
-	maxWriteQueueBytes   = 256 << 10 // of one connection
-	maxReadsInARow       = 8         // of one connection, before others get their turn
+	maxWriteQueueBytes   = 256 << 10 // per connection
+	maxReadsInARow       = 8         // consecutive reads of one connection before others get their turn
 	stoppedReadPause     = 5 * time.Millisecond
 )
 
--- a/internal/respserver/sweep.go
+++ b/internal/respserver/sweep.go
@@ -43,7 +43,7 @@
 			}
 		case c.refused.Load() || c.unanswered.Load() > 0:
 		case s.draining && c.hadCommand && !c.partial.Load():
-			// Answer and the reader may each have left the close to the other.
+			// Answer and the reader may each have relied on the other to close the connection.
 			overdue = append(overdue, c)
 		case c.partial.Load():
 			if s.incomplete(c, now) {
