--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -33,7 +33,7 @@
 	retryAfter float64 // seconds, 0 if not given
 	noSlot     bool    // the 503 means only that this forwarder's slots are in use
 	loadReport string
-	keepBody   bool // the body has a result for each message, as for a batch
+	keepBody   bool // the call is a batch, so the body has a result for each message
 	body       []byte
 }
 
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -44,7 +44,7 @@
 
 	mu   sync.Mutex
 	idle map[uint64][]*connection // by endpoint ID, most recently used last
-	// maybeUnsent is the set of connections with a call of which possibly no byte has been written.
+	// maybeUnsent is the set of connections whose call may still be completely unwritten.
 	maybeUnsent map[*connection]struct{}
 }
 
@@ -75,8 +75,8 @@
 	conn.begin(call)
 }
 
-// CancelUnsent ends with ResultCancelled the calls to an endpoint of which no byte has been written, because their
-// connection is not established yet or still has to stay silent for ReuseDelay.
+// CancelUnsent ends the calls to an endpoint that are completely unwritten, with ResultCancelled. The connection of
+// such a call is not established yet or still has to stay silent for ReuseDelay.
 func (cl *Client) CancelUnsent(endpointID uint64) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -116,8 +116,8 @@
 	c.finish(c.incompleteCodes(code), reason)
 }
 
-// takeUnreadAnswer handles an answer that is still unread in the socket, and reports whether the call has ended by it
-// or is about to. It prevents a call from timing out although its answer has arrived, as can happen after the process
+// takeUnreadAnswer handles an answer that is still unread in the socket, and reports whether it has ended the call or
+// is about to. It prevents a call from timing out although its answer has arrived, as can happen after the process
 // was suspended, when its timers and sockets are due at the same moment. It costs one read of the socket for each call
 // that times out. The client's lock is held.
 func (c *connection) takeUnreadAnswer(generation int) bool {
