--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -90,7 +90,7 @@
 	w.client.listener.WatchEnded(reason, how)
 }
 
-// failure returns the kind of end for a watch that ended for another reason than silence: WatchTimeout if its request
+// failure returns the kind of end for a watch that ended for a reason other than silence: WatchTimeout if its request
 // was not answered promptly, else WatchBroken.
 func (w *watch) failure(cause error) transport.WatchEnd {
 	if w.received || w.status == http.StatusOK || errors.Is(cause, dial.ErrConnectTimeout) ||
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -162,11 +162,11 @@
 		answer string        // sent before the connection is closed
 		want   transport.WatchEnd
 	}{
-		"rejected at once":       {0, answerBusy, transport.WatchBroken},
-		"rejected after a wait":  {2 * time.Second, answerBusy, transport.WatchTimeout},
-		"reset at once":          {0, "", transport.WatchBroken},
-		"reset after a wait":     {2 * time.Second, "", transport.WatchTimeout},
-		"ended behind an update": {2 * time.Second, list, transport.WatchBroken},
+		"rejected at once":      {0, answerBusy, transport.WatchBroken},
+		"rejected after a wait": {2 * time.Second, answerBusy, transport.WatchTimeout},
+		"reset at once":         {0, "", transport.WatchBroken},
+		"reset after a wait":    {2 * time.Second, "", transport.WatchTimeout},
+		"ended after an update": {2 * time.Second, list, transport.WatchBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t)
