--- a/internal/notify/client.go
+++ b/internal/notify/client.go
@@ -14,9 +14,10 @@
 const (
 	maxNoticesPerCall = 512
 	maxAnswerBytes    = 64 << 10
-	answerTimeout     = 120 * time.Millisecond // normally answered at once; on timeout resent on a new connection
-	maxDoublings      = 4                      // of answerTimeout while calls time out: the round trip may be long
-	retryDelay        = 50 * time.Millisecond  // after a failed call
+	// answerTimeout ends a call, which is then repeated on a new connection. Calls are normally answered at once.
+	answerTimeout = 120 * time.Millisecond
+	maxDoublings  = 4                     // of answerTimeout while calls time out, as the round trip may be long
+	retryDelay    = 50 * time.Millisecond // after a failed call
 )
 
 // Client sends notices to one address, with one call at a time. It is safe for concurrent use.
