--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -34,7 +34,7 @@
 	queued int64      // bytes passed to Write
 
 	reading     sync.Mutex // held while the socket is read
-	undelivered bool       // bytes read are not delivered to the handler yet; guarded by reading
+	undelivered bool       // bytes were read but not delivered to the handler yet; guarded by reading
 }
 
 // establish connects to addr. If room is false, the connection limit is reached and the connection fails.
--- a/internal/dial/conn_test.go
+++ b/internal/dial/conn_test.go
@@ -97,7 +97,7 @@
 	emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
 	time.Sleep(mutexStarvationTime)
 	conn.mu.Unlock()
-	conn.mu.Lock() // Abort usually finds it taken again; after that the lock is passed in turn
+	conn.mu.Lock() // Abort usually finds the lock taken again; after that, waiters get it in turn
 	if inOrder = conn.state == connecting; inOrder {
 		emulator.AwaitAtLock(t, "dial.(*Conn).Abort(")
 		emulator.AwaitAtLock(t, "dial.(*Conn).connected(")
--- a/internal/dial/dialer.go
+++ b/internal/dial/dialer.go
@@ -28,7 +28,7 @@
 const (
 	stopTimeout     = 200 * time.Millisecond
 	readBufferBytes = 32 << 10
-	maxReadsInARow  = 64 // of one connection, before others get their turn
+	maxReadsInARow  = 64 // consecutive reads of one connection before others get their turn
 )
 
 // Handler receives the events of a connection. Its methods are called by the engine's goroutines or the dialing one.
@@ -39,7 +39,7 @@
 	Closed(cause error)
 }
 
-// Dialer opens connections, a limited number at once. It is safe for concurrent use.
+// Dialer opens connections and limits how many are open at once. It is safe for concurrent use.
 type Dialer struct {
 	// Connect establishes a connection; nil means net.Dialer with TCP. Tests set it before the first Dial to produce
 	// network conditions that are hard to cause otherwise.
