--- a/internal/signals/signals.go
+++ b/internal/signals/signals.go
@@ -16,7 +16,7 @@
 	exitTimeout        = 3600 * time.Millisecond // after a stop signal; the process may be killed after 3.7 s
 	startupExitTimeout = time.Second             // the same for a process that is not serving yet
 	interruptTimeout   = 200 * time.Millisecond  // time for a cancelled startup step to return
-	logTimeout         = 10 * time.Millisecond   // time to log a forced exit, as the log may not be read
+	logTimeout         = 10 * time.Millisecond   // limit for logging a forced exit, as nobody may be reading the log
 
 	forcedExitLine = `{"level":"error","message":"end forced: the process did not end in time after SIGTERM"}`
 )
@@ -29,8 +29,8 @@
 }
 
 // Catch starts to handle signals. After SIGTERM or SIGINT it forces an exit with status 0 if the process is still
-// running shortly before it may be killed, or after one second if it is not serving yet. A forced exit is like a kill
-// at that moment, for which the write-ahead log is designed.
+// running shortly before it may be killed, or after one second if it is not serving yet. A forced exit has the same
+// effect as a kill at that moment, which the write-ahead log is designed to survive.
 func Catch() *Signals {
 	s := &Signals{reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.reloads, syscall.SIGHUP)
@@ -49,8 +49,8 @@
 // Stop returns a context that is cancelled by the first SIGTERM or SIGINT.
 func (s *Signals) Stop() context.Context { return s.stop }
 
-// Reloads returns a channel that receives SIGHUP. It buffers one signal, so that several signals while nobody receives
-// cause one reload.
+// Reloads returns a channel that receives SIGHUP. It buffers one signal, so that several signals that arrive before the
+// next receive cause one reload.
 func (s *Signals) Reloads() <-chan os.Signal { return s.reloads }
 
 // SetServing records that the process has started to serve clients.
