--- a/internal/admin/bounded_listener.go
+++ b/internal/admin/bounded_listener.go
@@ -55,7 +55,7 @@
 	b.conns[conn] = &connState{since: time.Now()}
 	b.mu.Unlock()
 	if oldest != nil {
-		oldest.Close() // without the lock, as the server calls track for it
+		oldest.Close() // after unlocking, because the server then calls track, which locks
 	}
 	return true
 }
