--- a/cmd/spanflow/admin_test.go
+++ b/cmd/spanflow/admin_test.go
@@ -59,7 +59,7 @@
 	idle, midway := h.client(), h.client()
 	raw := emulator.Command("MSG.PUT", noKey, "d1", "c=status,d=8000,dest=7", "body")
 	midway.Write([]byte(raw[:25]))
-	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // afterwards the fragment has been read
+	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // the answer shows that the fragment has been read
 	code, text := callAdmin(t, p.admin, "POST", "/_lameduck/on")
 	require.Equal(t, http.StatusOK, code, text)
 	pinging, err := emulator.NewClient(h.listen)
@@ -78,8 +78,8 @@
 	h.requireReply(c, emulator.Command("PING"), "+PONG") // the client stays connected
 }
 
-// The counters and gauges match the numbers of messages that were delivered, rejected at submission, sent to the
-// endpoint or have no final answer, and of endpoints that are listed or drained.
+// The counters and gauges match the numbers of messages that were delivered, rejected at submission or sent to the
+// endpoint, of messages that have no final answer yet, and of endpoints that are listed or drained.
 func TestAdminCountersMatchTraffic(t *testing.T) {
 	h := newHarness(t, "single")
 	p := h.startWithAdmin(nil)
--- a/cmd/spanflow/clients_test.go
+++ b/cmd/spanflow/clients_test.go
@@ -28,7 +28,7 @@
 	c := h.start()
 	raw := emulator.Command("MSG.PUT", noKey, "d1", "c=status,d=8000,dest=7", "b")
 	c.Write([]byte(raw[:20]))
-	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // afterwards the fragment has been read
+	h.requireReply(h.client(), emulator.Command("PING"), "+PONG") // the answer shows that the fragment has been read
 	h.requireReply(c, raw[20:]+emulator.Command("PING")+emulator.Command("NONSENSE"), "+OK")
 	for _, want := range []string{"+PONG", "-ERR unknown command"} {
 		got, err := c.ReadReply()
@@ -65,7 +65,7 @@
 }
 
 // Clients that have sent one command and stay connected use up the limit on connections. Three other clients, which
-// connected among them and send their first command late, must not be evicted.
+// connect at the same time and send their first command late, must not be evicted.
 func TestClientSlowToSendFirstCommandIsNotEvicted(t *testing.T) {
 	h := newHarness(t, "single")
 	h.sockets = 64 // a third of them for clients
@@ -118,7 +118,7 @@
 
 func TestIdleClientsAreEvictedForNewOnes(t *testing.T) {
 	h := newHarness(t, "single")
-	h.sockets = 64 // two thirds of those left by the program's own files are for clients
+	h.sockets = 64 // two thirds of those that the program's own files leave free are for clients
 	first := h.start()
 	var last *emulator.Client
 	for range 40 {
--- a/cmd/spanflow/delivery_test.go
+++ b/cmd/spanflow/delivery_test.go
@@ -52,7 +52,7 @@
 }
 
 // The client's clock for the time to live starts before the forwarder reads the message. To the client, a delivery just
-// before the forwarder's deadline may therefore be late, that is, no delivery, so the forwarder also sends a notice.
+// before the forwarder's deadline may therefore be too late to count, so the forwarder also sends a notice.
 func TestDeliveryJustBeforeDeadlineAlsoSendsNotice(t *testing.T) {
 	h := newHarness(t, "single")
 	c := h.start()
--- a/cmd/spanflow/fleet_test.go
+++ b/cmd/spanflow/fleet_test.go
@@ -14,7 +14,7 @@
 
 const (
 	fleetSize     = 10
-	killedMembers = 7 // the members with the lowest numbers
+	killedMembers = 7 // the killed members are those with the lowest numbers
 )
 
 // fleetMember is one forwarder of a fleet. Members share the endpoint and discovery of the harness, and each has its
@@ -74,7 +74,7 @@
 		f.delivered[c.ID]++
 		return emulator.Reply{}
 	default:
-		return emulator.Reply{Hold: f.release} // the caller gets the answer unless it is killed before the release
+		return emulator.Reply{Hold: f.release} // the forwarder gets the answer unless it is killed before the release
 	}
 }
 
@@ -90,7 +90,7 @@
 }
 
 // allEnded reports whether each message was delivered or has a notice. A call of a surviving forwarder that was in
-// progress at the kill is answered by the release, so its message needs neither.
+// progress at the kill is answered after the release, so its message needs neither.
 func (f *fleetCalls) allEnded(ids []string, noticed map[string]int, inProgressAtKill map[string]bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cmd/spanflow/harness_test.go
+++ b/cmd/spanflow/harness_test.go
@@ -75,7 +75,7 @@
 	queueCapacity int
 	diskMB        int
 	sockets       int
-	replacements  []string          // pairs of a text of the settings and its replacement
+	replacements  []string          // pairs of a text in the settings and its replacement
 	listenSocket  *os.File          // the clients' socket if forwarders inherit it
 	process       *emulator.Process // the process started last
 }
@@ -186,8 +186,8 @@
 	return awaitNext(h, h.discovery.Notices, "notice")
 }
 
-// awaitNext takes the next arrival from a channel. It fails the test, with a message that names what, if none comes
-// within arrivalTimeout.
+// awaitNext takes the next arrival from a channel. If nothing arrives within arrivalTimeout, it fails the test with a
+// message that names what was expected.
 func awaitNext[T any](h *harness, arrivals <-chan T, what string) T {
 	h.t.Helper()
 	select {
--- a/cmd/spanflow/key_order_test.go
+++ b/cmd/spanflow/key_order_test.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// requireCooldownAfter makes the endpoint give a reply to the first message of a key that makes the forwarder abandon
-// the call. It requires that the second message is sent only after the cooldown.
+// requireCooldownAfter makes the endpoint answer the first message of a key with a reply that makes the forwarder
+// abandon the call. It requires that the second message is sent only after the cooldown.
 func (h *harness) requireCooldownAfter(reply emulator.Reply) {
 	h.t.Helper()
 	k := h.observeKey("a", "b", reply)
@@ -88,8 +88,8 @@
 	require.GreaterOrEqual(h.t, k.gap(h), keyCooldown)
 }
 
-// Guards against report 54762d: after a handover or a restart, the next message of a key was sent before the key's
-// cooldown was over.
+// Guards against a fault (report 54762d) in which, after a handover or a restart, the next message of a key was sent
+// before the key's cooldown was over.
 func TestKeyCooldownIsKeptAcrossUpgradeAndRestart(t *testing.T) {
 	const long = 20 * time.Second
 	for _, c := range []struct {
--- a/cmd/spanflow/main.go
+++ b/cmd/spanflow/main.go
@@ -1,6 +1,7 @@
 // Command spanflow runs one forwarder, configured by environment variables. With arguments it executes spanflowctl, a
 // program in the same folder that contains the commands, the operators' configuration and the metrics. They are in a
-// separate program because their libraries would increase the memory of a forwarder that does not use them by half.
+// separate program because their libraries would increase the memory of a forwarder by half, even if it does not use
+// them.
 package main
 
 import (
--- a/cmd/spanflow/repeated_kills_test.go
+++ b/cmd/spanflow/repeated_kills_test.go
@@ -21,7 +21,7 @@
 	// TestKeyCooldownIsKept* check the full cooldown.
 	observationSlack = 50 * time.Millisecond
 
-	drainGrace = time.Second // after the list marks an endpoint as leaving, in which it may still get calls
+	drainGrace = time.Second // how long an endpoint may still get calls after the list marks it as leaving
 )
 
 // ruleChecker provides the replies of endpoints that answer at random, and records calls that a forwarder must not
@@ -36,7 +36,7 @@
 	mayHaveRun map[string]bool
 	unanswered map[string]time.Time // when the latest unanswered call ended
 	inProgress map[string]int       // unanswered calls that the forwarder has not abandoned yet
-	sentAgain  map[string]time.Time // when a message was sent while such a call with it seemed to be in progress
+	sentAgain  map[string]time.Time // when a message was sent while an unanswered call with it seemed to be in progress
 	drained    map[string]time.Time // when the list marked an endpoint as leaving, by address
 	violations []string
 }
@@ -166,7 +166,7 @@
 	return true
 }
 
-// putRounds submits roundsPerProcess rounds of messages to the process with a number and returns their ids.
+// putRounds submits roundsPerProcess rounds of messages to the process with the given number and returns their ids.
 func (h *harness) putRounds(c *emulator.Client, process int) (ids []string) {
 	for n := range roundsPerProcess {
 		number := process*roundsPerProcess + n
--- a/cmd/spanflow/upgrade_soak_test.go
+++ b/cmd/spanflow/upgrade_soak_test.go
@@ -213,7 +213,7 @@
 
 // upgradeOnce starts a successor to the current process and ends one of them or both.
 func (s *upgradeSoak) upgradeOnce() {
-	if s.random.IntN(2) == 0 { // otherwise right after the current process started
+	if s.random.IntN(2) == 0 { // otherwise the upgrade begins right after the current process started
 		s.pause(500 * time.Millisecond)
 	}
 	s.next = s.startWithAdmin(s.socket)
--- a/cmd/spanflow/upgrade_state_test.go
+++ b/cmd/spanflow/upgrade_state_test.go
@@ -61,13 +61,13 @@
 const (
 	capacity          = 5.0                     // calls per second that the endpoint accepts after its slow start
 	submitInterval    = 200 * time.Millisecond  // between two messages, at the endpoint's capacity
-	slowStartObserved = 1500 * time.Millisecond // from the moment when the successor owns the folder
+	slowStartObserved = 1500 * time.Millisecond // period observed, from the moment when the successor owns the folder
 	outageDuration    = 4 * time.Second         // the scheduler does not treat less than 3 s as an outage
 )
 
 // slowStartBudget returns the maximum number of calls that an endpoint may get within slowStartObserved after its
-// recovery. This is N, which follows from the settings of the harness, and a margin for chance of 3 * sqrt(N) + 3, as N
-// is below 30.
+// recovery. This is the number N that follows from the settings of the harness, plus a margin for random variation of
+// 3 * sqrt(N) + 3; the constant is added because N is below 30.
 func slowStartBudget() int {
 	const overloadMultiple, slowStartShare, slowStartSeconds = 2, 0.2, 10
 	share := slowStartShare + (1-slowStartShare)*slowStartObserved.Seconds()/2/slowStartSeconds // on average
--- a/cmd/spanflow/upgrade_test.go
+++ b/cmd/spanflow/upgrade_test.go
@@ -74,7 +74,7 @@
 	predecessor := h.startWithAdmin(socket)
 	predecessor.AwaitReady(t)
 	require.NoError(t, syscall.SetNonblock(int(socket.Fd()), false))
-	c := h.client() // afterwards the process blocks in accept
+	c := h.client() // once the client is connected, the process blocks in accept
 	defer c.Close()
 	h.put(c, noKey, "d1", "c=status,d=8000,dest=7", "+OK")
 	h.nextCall()
@@ -83,8 +83,8 @@
 	require.True(t, predecessor.Log.Has(`"message":"end"`), predecessor.Log.String())
 }
 
-// An endpoint drained by an operator gets no new calls, from the successor either, until it is restored. A command with
-// an unknown endpoint id is answered with an error.
+// An endpoint drained by an operator gets no new calls, not even from the successor, until it is restored. A command
+// with an unknown endpoint id is answered with an error.
 func TestDrainedEndpointStaysDrainedAcrossUpgrade(t *testing.T) {
 	h := newHarness(t, "single")
 	socket := h.inheritedSocket()
