--- a/cmd/spanflowctl/backlog_corruption_test.go
+++ b/cmd/spanflowctl/backlog_corruption_test.go
@@ -82,7 +82,7 @@
 	return lines
 }
 
-func TestBacklogTornTailIsSkippedAndCorruptionFailsStartup(t *testing.T) {
+func TestBacklogTornEndIsSkippedAndCorruptionFailsStartup(t *testing.T) {
 	const count, keys = 1500, 7
 	t.Parallel()
 	h := newBacklogHarness(t, 1).writeConfig("disk = \"4MiB\"\nwindow = 8\nbehind = 16")
--- a/cmd/spanflowctl/backlog_harness_test.go
+++ b/cmd/spanflowctl/backlog_harness_test.go
@@ -231,7 +231,7 @@
 	return all
 }
 
-var body300 = strings.Repeat("x", 300) // 300 bytes
+var body300 = strings.Repeat("x", 300)
 
 // sizeFromEnvironment returns the number in an environment variable, or a default value if the variable is not set.
 func sizeFromEnvironment(t *testing.T, variable string, defaultValue int) int {
--- a/cmd/spanflowctl/backlog_kills_test.go
+++ b/cmd/spanflowctl/backlog_kills_test.go
@@ -17,7 +17,7 @@
 	"spanflow/internal/emulator"
 )
 
-// loadClient submits messages for one destination. It connects again when the forwarder was killed.
+// loadClient submits messages for one destination. It reconnects after the forwarder was killed.
 type loadClient struct {
 	h    *backlogHarness
 	conn *emulator.Client // nil if not connected
@@ -223,7 +223,7 @@
 	return ids
 }
 
-// The backlog stores with a message that it may have run, so that after a kill the message does not run again once its
+// The backlog stores whether a message may have run, so that after a kill the message does not run again once its
 // deduplication window is over.
 //
 // All messages are attempted before the forwarder observes the first failure, so that all stored messages have run.
--- a/cmd/spanflowctl/commands_test.go
+++ b/cmd/spanflowctl/commands_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestWALVerifyDistinguishesCorruptionFromTornTail(t *testing.T) {
+func TestWALVerifyDistinguishesCorruptionFromTornEnd(t *testing.T) {
 	h := startSingle(t)
 	hold := make(chan struct{})
 	defer close(hold)
--- a/cmd/spanflowctl/history_test.go
+++ b/cmd/spanflowctl/history_test.go
@@ -31,7 +31,7 @@
 type messageHistory struct {
 	submission
 	accepted  bool // answered +OK
-	runs      int  // calls that the endpoint ran, including repeats, which are not dropped here
+	runs      int  // calls that the endpoint ran, including repeats, as it does not deduplicate
 	firstRun  time.Time
 	lastRun   time.Time
 	delivered []time.Time // runs answered 200
@@ -144,8 +144,8 @@
 	}
 }
 
-// recordRun records that an endpoint runs a call, and checks that the earlier messages of its key, as far as their
-// client has read +OK, have ended. The caller holds the lock.
+// recordRun records that an endpoint runs a call, and checks that those earlier messages of its key for which the
+// client has read +OK have ended. The caller holds the lock.
 func (h *history) recordRun(c emulator.Call, delivered bool) {
 	h.calls++
 	h.checkOrder(c.ID)
--- a/cmd/spanflowctl/soak_test.go
+++ b/cmd/spanflowctl/soak_test.go
@@ -35,7 +35,7 @@
 	soakAnswerTimeout = 40 * time.Second // after the last signals, for the final answers of all pending messages
 	soakFDMargin      = 64               // descriptors that a later process may use in addition to the first ones
 	soakMemoryFactor  = 1.5              // maximum peak memory of a later process, as a multiple of the first ones
-	soakMemoryKB      = 16 << 10         // and in addition to that
+	soakMemoryKB      = 16 << 10         // added to that maximum
 	soakKeyCooldown   = 200 * time.Millisecond
 )
 
--- a/cmd/spanflowctl/state_files_test.go
+++ b/cmd/spanflowctl/state_files_test.go
@@ -14,10 +14,10 @@
 // Guards against a fault in which the event loop itself wrote the learned latencies (every 3 s and at shutdown) and the
 // Retry-After state (at shutdown), each by creating and renaming a file. On a disk to which other programs write
 // heavily, each of these writes took 0.12 to 0.87 s, as the file system delayed them, and everything else took less
-// than 0.1 s. The forwarder ended up to 5.1 s after SIGTERM, all but 25 to 230 ms of it between its log lines
-// "stopping" and "end". The time left for shutdown did not account for these writes, and clients were not answered
-// meanwhile. In this test, writes of these two files block forever: a FIFO lies at the path where each file is created,
-// and opening it waits for a reader.
+// than 0.1 s. The forwarder ended up to 5.1 s after SIGTERM, and all but 25 to 230 ms of that time passed between its
+// log lines "stopping" and "end". The time left for shutdown did not account for these writes, and clients were not
+// answered meanwhile. In this test, writes of these two files block forever: a FIFO lies at the path where each file is
+// created, and opening it waits for a reader.
 func TestBlockedStateFilesDelayNeitherAnswersNorShutdown(t *testing.T) {
 	const (
 		endWithin    = 3700 * time.Millisecond // then the platform may kill it
