--- a/example/demo/main.go
+++ b/example/demo/main.go
@@ -1,6 +1,6 @@
 // Command demo emulates the peers of one forwarder: two endpoints, the receiver of notices and a client. Without
-// arguments it serves as endpoints and receiver; "demo DEST BODY" submits one message; "demo demo" serves, starts a
-// forwarder, submits two messages and prints their outcomes.
+// arguments it runs the endpoints and the receiver; "demo DEST BODY" submits one message; "demo demo" runs the
+// endpoints and the receiver, starts a forwarder, submits two messages and prints their outcomes.
 package main
 
 import (
