--- a/internal/backlog/bounds_test.go
+++ b/internal/backlog/bounds_test.go
@@ -165,7 +165,8 @@
 	require.Zero(t, s.Messages())
 }
 
-// A few messages that stay stored must not keep the space of the many released messages around them from being freed.
+// A few messages that stay stored must not prevent the store from freeing the space of the many released ones around
+// them.
 func TestDeadRecordsAreCompacted(t *testing.T) {
 	files := newMemFS()
 	bounds := Bounds{Bytes: 64 << 20, SegmentBytes: 1 << 10}
--- a/internal/backlog/harness_test.go
+++ b/internal/backlog/harness_test.go
@@ -237,7 +237,7 @@
 // order.
 func (h *harness) check(t *testing.T) {
 	locations := h.locations(t)
-	if h.acceptUnanswered != 0 { // its client had no answer, so it may be accepted or not
+	if h.acceptUnanswered != 0 { // its client had no answer, so it may or may not have been accepted
 		if locations[h.acceptUnanswered] > 0 {
 			h.accepted[h.acceptUnanswered] = testMessage(h.find(h.acceptUnanswered).Lane, h.acceptUnanswered)
 		}
--- a/internal/backlog/hashtable.go
+++ b/internal/backlog/hashtable.go
@@ -99,7 +99,7 @@
 	return i
 }
 
-// remove frees a slot and moves back the elements after it that could otherwise not be found any more.
+// remove frees a slot and moves back the elements after it that could otherwise no longer be found.
 func (t *hashShard[S]) remove(place int) {
 	var free S
 	n := len(t.slots)
--- a/internal/backlog/lane.go
+++ b/internal/backlog/lane.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// rebuild lays out the live entries anew and merges extra entries, which are ordered by number, into them.
+// rebuild copies the live entries to new blocks and merges extra entries, which are ordered by number, into them.
 func (l *lane) rebuild(extra []entry) {
 	old := *l
 	l.blocks, l.base, l.begin, l.end, l.heap = nil, 0, 0, 0, nil
--- a/internal/backlog/move_wal_test.go
+++ b/internal/backlog/move_wal_test.go
@@ -89,8 +89,8 @@
 
 func (f *forwarder) close() error { return errors.Join(f.store.Close(), f.log.Close()) }
 
-// randomOperation does one operation chosen at random and prints what clients and destinations observe: "+" means that
-// a message was accepted, "?" that it is about to be delivered, and "!" that its delivery was recorded.
+// randomOperation does one operation chosen at random and prints observations of clients and destinations: "+" means
+// that a message was accepted, "?" that it is about to be delivered, and "!" that its delivery was recorded.
 func (f *forwarder) randomOperation(rng *rand.Rand) error {
 	lane := testLanes[rng.IntN(len(testLanes))]
 	switch rng.IntN(10) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// observations has what clients and destinations have observed from all processes of a forwarder.
+// observations holds the observations of clients and destinations across all processes of a forwarder.
 type observations struct {
 	pending    map[uint64]Lane
 	done       map[Lane][]uint64
--- a/internal/backlog/sigkill_test.go
+++ b/internal/backlog/sigkill_test.go
@@ -92,7 +92,7 @@
 		unreported := 0
 		for seq := range found {
 			if !stored[seq] && !releasing[seq] {
-				unreported++ // stored, but killed before it could report that
+				unreported++ // it was stored, but the process was killed before it could report that
 			}
 			stored[seq] = true
 		}
