--- a/internal/respserver/eviction.go
+++ b/internal/respserver/eviction.go
@@ -7,8 +7,9 @@
 )
 
 // evictionRank is the order in which connections are closed to make room, lowest first. It is also an index into
-// transport.ConnectionStats.Evicted. A connection that has sent a command is closed before one that has not: its client
-// expects that an idle connection may be closed, whereas the other's first command may be on its way and would be lost.
+// transport.ConnectionStats.Evicted. A connection that has sent a command is closed before one that has not. Its client
+// expects that idle connections may be closed, whereas the first command on an unused connection may already have been
+// sent and would be lost.
 type evictionRank int
 
 const (
