--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -13,7 +13,7 @@
 )
 
 // The only reading goroutine is blocked at the lock with the answer to another call, so that this call's answer stays
-// in the socket until the call times out, as after the process was suspended.
+// in the socket until the call times out. The same happens when the process was suspended.
 func TestUnreadAnswerEndsCallAtTimeout(t *testing.T) {
 	f := newFixture(t)
 	f.send(time.Minute, "other")
