--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// connected passes the established connection to nbio and writes the bytes buffered by Write until now.
+// connected passes the established connection to nbio and writes the bytes that Write has buffered.
 func (c *Conn) connected(std net.Conn) error {
 	socket, err := nbio.NBConn(std)
 	if err != nil {
--- a/internal/dial/dialer.go
+++ b/internal/dial/dialer.go
@@ -46,7 +46,7 @@
 	Connect func(ctx context.Context, addr string) (net.Conn, error)
 
 	stopping sync.RWMutex // read-locked while a connection is added to the engine
-	stopped  bool         // no connection is added any more; guarded by stopping
+	stopped  bool         // no more connections are added; guarded by stopping
 
 	engine  *nbio.Engine
 	maxOpen int64
