--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -9,7 +9,7 @@
 //	POST /_lameduck/off            200 once they are no longer being drained
 //
 // The status is 404 for any other path, 405 for another method, 400 if the name is missing, and 503 if the event loop
-// does not answer in time. Each response is plain text with a reason.
+// does not answer in time. The body of each of these responses is plain text that states the reason.
 package admin
 
 // Operation is the action that a request asks for.
