--- a/cmd/spanflow/upgrade_soak_test.go
+++ b/cmd/spanflow/upgrade_soak_test.go
@@ -19,8 +19,8 @@
 // The soak of upgrades runs a series of upgrades with the same socket and folder under load. The seed determines which
 // signals the two processes of an upgrade get and when. Two endpoints sometimes leave calls unanswered, and the list
 // sometimes marks one of them as leaving. The test checks final answers, that messages run no more often than allowed,
-// the order and the cooldown of keys, and that draining endpoints get no calls. Clients use their connections until
-// these end. A process that runs for longer after SIGTERM than the platform guarantees is killed and fails the test.
+// the order and the cooldown of keys, and that draining endpoints get no calls. Clients use each connection until it
+// ends. A process that runs for longer after SIGTERM than the platform guarantees is killed and fails the test.
 //
 //	TEST_SOAK_SEEDS=50 go test ./cmd/spanflow -run SoakOfUpgrades -timeout 60m     # seeds 1 to 50
 //	TEST_SOAK_FIRST=17 TEST_SOAK_SEEDS=1 go test ./cmd/spanflow -run SoakOfUpgrades # one seed
--- a/cmd/spanflow/upgrade_state_test.go
+++ b/cmd/spanflow/upgrade_state_test.go
@@ -13,9 +13,9 @@
 	"spanflow/internal/emulator"
 )
 
-// To endpoints, discovery and operators, the two processes of an upgrade are one forwarder. What the predecessor has
-// received from them applies to the successor too, although the successor starts with the endpoint list in its
-// configuration, which may be out of date.
+// To endpoints, discovery and operators, the two processes of an upgrade are one forwarder. The answers, lists and
+// commands that the predecessor has received from them apply to the successor too, although the successor starts with
+// the endpoint list in its configuration, which may be out of date.
 
 // Guards against an upgrade after which an endpoint gets calls although the predecessor's list marked it as leaving.
 func TestEndpointDrainedDuringUpgradeGetsNoCall(t *testing.T) {
