--- a/cmd/spanflowctl/slow_reload_test.go
+++ b/cmd/spanflowctl/slow_reload_test.go
@@ -14,7 +14,7 @@
 // slowToken is a slow file that holds the metrics token of a configuration.
 type slowToken struct{ *emulator.SlowFile }
 
-// addSlowToken writes a configuration that names a slow file, which takes effect at the next start or reload.
+// addSlowToken writes a configuration that names a slow file. It takes effect at the next start or reload.
 func (h *singleHarness) addSlowToken() slowToken {
 	h.t.Helper()
 	f := emulator.NewSlowFile(h.t, filepath.Join(h.folder, "token"))
--- a/cmd/spanflowctl/soak_test.go
+++ b/cmd/spanflowctl/soak_test.go
@@ -18,10 +18,9 @@
 
 // The soak starts forwarders and ends them by signals under load. The seed determines the number of forwarders, whether
 // they have many idle clients, the outages, the changes of the endpoint list, and for each process which signals it
-// gets and when. Clients use their connections until these end. A process that is still running at the earliest time
-// when the platform may kill it after SIGTERM is killed and fails the test. The test checks the history of all
-// messages, the time that each start and end takes, and that descriptors and memory do not grow from process to
-// process.
+// gets and when. Clients use each connection until it ends. A process that is still running at the earliest time when
+// the platform may kill it after SIGTERM is killed and fails the test. The test checks the history of all messages, the
+// time that each start and end takes, and that descriptors and memory do not grow from process to process.
 //
 //	TEST_SOAK_SEEDS=50 go test ./cmd/spanflowctl -run Soak -timeout 60m     # seeds 1 to 50, four at a time
 //	TEST_SOAK_FIRST=17 TEST_SOAK_SEEDS=1 go test ./cmd/spanflowctl -run Soak # one seed
--- a/cmd/spanflowctl/start_signals_test.go
+++ b/cmd/spanflowctl/start_signals_test.go
@@ -25,8 +25,7 @@
 	h.process = emulator.StartProcess(h.t, command)
 }
 
-// slowRecovery puts a slow file in the place of the file of learned latencies, so that the forwarder waits during
-// recovery.
+// slowRecovery replaces the file of learned latencies with a slow file, so that the forwarder waits during recovery.
 func (h *harness) slowRecovery() *emulator.SlowFile {
 	h.t.Helper()
 	path := filepath.Join(h.folder, "state", statefile.LatenciesFile)
