--- a/cmd/spanflowctl/soak_test.go
+++ b/cmd/spanflowctl/soak_test.go
@@ -18,10 +18,9 @@
 
 // The soak starts forwarders and ends them by signals under load. The seed determines the number of forwarders, whether
 // they have many idle clients, the outages, the changes of the endpoint list, and for each process which signals it
-// gets and when. Clients use their connections until these end. A process that is still running at the earliest time
-// when the platform may kill it after SIGTERM is killed and fails the test. The test checks the history of all
-// messages, the time that each start and end takes, and that descriptors and memory do not grow from process to
-// process.
+// gets and when. Clients use each connection until it ends. A process that is still running at the earliest time when
+// the platform may kill it after SIGTERM is killed and fails the test. The test checks the history of all messages, the
+// time that each start and end takes, and that descriptors and memory do not grow from process to process.
 //
 //	TEST_SOAK_SEEDS=50 go test ./cmd/spanflowctl -run Soak -timeout 60m     # seeds 1 to 50, four at a time
 //	TEST_SOAK_FIRST=17 TEST_SOAK_SEEDS=1 go test ./cmd/spanflowctl -run Soak # one seed
@@ -35,7 +34,7 @@
 	soakAnswerTimeout = 40 * time.Second // after the last signals, for the final answers of all pending messages
 	soakFDMargin      = 64               // descriptors that a later process may use in addition to the first ones
 	soakMemoryFactor  = 1.5              // maximum peak memory of a later process, as a multiple of the first ones
-	soakMemoryKB      = 16 << 10         // and in addition to that
+	soakMemoryKB      = 16 << 10         // added to that maximum
 	soakKeyCooldown   = 200 * time.Millisecond
 )
 
--- a/internal/dial/conn.go
+++ b/internal/dial/conn.go
@@ -34,7 +34,7 @@
 	queued int64      // bytes passed to Write
 
 	reading     sync.Mutex // held while the socket is read
-	undelivered bool       // bytes read are not delivered to the handler yet; guarded by reading
+	undelivered bool       // bytes were read but not delivered to the handler yet; guarded by reading
 }
 
 // establish connects to addr. If room is false, the connection limit is reached and the connection fails.
@@ -55,7 +55,7 @@
 	}
 }
 
-// connected passes the established connection to nbio and writes the bytes buffered by Write until now.
+// connected passes the established connection to nbio and writes the bytes that Write has buffered.
 func (c *Conn) connected(std net.Conn) error {
 	socket, err := nbio.NBConn(std)
 	if err != nil {
--- a/internal/respserver/eviction.go
+++ b/internal/respserver/eviction.go
@@ -7,8 +7,9 @@
 )
 
 // evictionRank is the order in which connections are closed to make room, lowest first. It is also an index into
-// transport.ConnectionStats.Evicted. A connection that has sent a command is closed before one that has not: its client
-// expects that an idle connection may be closed, whereas the other's first command may be on its way and would be lost.
+// transport.ConnectionStats.Evicted. A connection that has sent a command is closed before one that has not. Its client
+// expects that idle connections may be closed, whereas the first command on an unused connection may already have been
+// sent and would be lost.
 type evictionRank int
 
 const (
@@ -39,12 +40,12 @@
 	evicted, rank := s.evictionCandidate()
 	if evicted != nil && evicted.refused.Load() {
 		evicted.conn.Close()
-	} else if evicted != nil && !evicted.closeIfIdle() { // a command has just arrived: it stays open over the limit
+	} else if evicted != nil && !evicted.closeIfIdle() { // a command has just arrived, so both stay open
 		evicted = nil
 	}
 	s.mu.Lock()
 	if evicted != nil {
-		s.stats.Evicted[rank]++ // only now is it known that the connection was closed
+		s.stats.Evicted[rank]++ // not counted before the connection is known to be closed
 	}
 	delete(s.clients, evicted) // only after the close, as StopReading waits for every connection that may still be read
 	s.clients[c] = struct{}{}
