--- a/scheduler/admission.go
+++ b/scheduler/admission.go
@@ -68,8 +68,9 @@
 	s.Accept(message, messageType, timeLeft)
 	switch {
 	case recovered.CallerGone:
-		// The caller may have submitted another message for the same effect. Trade-off: the effect does not happen
-		// twice, but a caller that relied on this message loses it. If it may still run, its ordering key pauses.
+		// The caller may have submitted another message for the same effect. Trade-off: the effect cannot happen twice,
+		// but it does not happen at all if the caller relied on this message. If the message may still run, its
+		// ordering key pauses.
 		if recovered.Attempts > 0 && message.keyQueue != nil {
 			s.pauseKey(message.keyQueue)
 		}
--- a/scheduler/coldreturn_test.go
+++ b/scheduler/coldreturn_test.go
@@ -27,7 +27,7 @@
 	forwarders []*harness
 	credit     []float64 // per forwarder: messages that are due but not accepted yet
 	scheduled  []int     // per forwarder: attempts whose result is scheduled
-	failed     []bool    // per forwarder: whether it has seen a failure
+	failed     []bool    // whether each forwarder has seen a failure
 	pending    []scheduledResult
 	calls      []coldCall // calls after the return
 }
@@ -86,9 +86,9 @@
 	r.pending = append(r.pending, scheduledResult{now + 0.1, r.forwarders[forwarder], message, result})
 }
 
-// excess returns by how many calls the worst window before the destination is warm exceeds the calls that the settings
-// allow plus a tolerance for chance. If it is negative, no window exceeds them. Windows do not count if a third of
-// their calls or more came from forwarders that had seen no failure.
+// excess returns how far the calls of the worst window, before the destination is warm, exceed the calls that the
+// settings allow plus a tolerance for chance. It is negative if no window exceeds them. Windows do not count if a third
+// of their calls or more came from forwarders that had seen no failure.
 func (r *coldRun) excess() float64 {
 	returnedAt := coldStart + healthyFor + downFor
 	worst := math.Inf(-1)
--- a/scheduler/connections.go
+++ b/scheduler/connections.go
@@ -3,14 +3,14 @@
 import "math"
 
 const (
-	// Idle connections are no longer kept if the calls lost on reused ones are more than idleLossLimit and more than
-	// the successful ones divided by idleLossDivisor.
+	// No idle connection is kept once the calls lost on reused idle connections exceed both idleLossLimit and the
+	// successful calls on them divided by idleLossDivisor.
 	idleLossLimit   = 2.0
 	idleLossDivisor = 4
 
 	idleReuseDecayTime = 8   // seconds in which the counts of these calls decay to 1/e
 	noIdleDuration     = 20  // seconds for which no idle connection is kept after such losses
-	failedConnectPause = 30  // seconds for which destinations of a kind keep none after a failed connect
+	failedConnectPause = 30  // seconds after a failed connect without idle connections to that kind of destination
 	minReusedIdle      = 0.5 // seconds without a call after which a connection counts as idle
 
 	// An idle connection is closed maxIdleCloseMargin seconds before the other side's timeout, or the timeout divided
@@ -19,8 +19,8 @@
 	idleCloseMarginDivisor = 10.0
 )
 
-// KeepIdle returns for how many seconds an idle connection is kept. That is shorter than the idle timeout, so that the
-// other side does not close a connection on which a call is just being sent.
+// KeepIdle returns the time in seconds for which an idle connection is kept. It is shorter than the idle timeout, so
+// that the other side does not close a connection while a call is being sent on it.
 func (s *Settings) KeepIdle() float64 {
 	return s.IdleTimeout - math.Min(maxIdleCloseMargin, s.IdleTimeout/idleCloseMarginDivisor)
 }
@@ -35,7 +35,7 @@
 // between the latest calls suggests that it would be closed before the next call, or if a connect to a destination of
 // the same kind failed recently.
 //
-// Trade-off: the idle connections of many forwarders do not fill connection tables with room for a dozen, but more
+// Trade-off: the idle connections of many forwarders do not fill connection tables that hold only a dozen, but more
 // handshakes are needed.
 func (s *Scheduler) keepsIdle(endpoint *Endpoint) bool {
 	if s.now < s.noIdleUntil {
--- a/scheduler/connections_test.go
+++ b/scheduler/connections_test.go
@@ -46,7 +46,7 @@
 	h.log = nil
 	h.endAttempts(other, Delivered)
 	h.reconcile()
-	require.Equal(t, []string{"close 0"}, h.log) // after a single call, an idle connection would hardly be used again
+	require.Equal(t, []string{"close 0"}, h.log) // after a single call, an idle connection is unlikely to be used again
 }
 
 func TestForwardersSpreadOverEndpointsAndReuseConnections(t *testing.T) {
--- a/scheduler/deadline.go
+++ b/scheduler/deadline.go
@@ -13,10 +13,10 @@
 // tooLate reports whether a message has less time left than most calls to its destination take, or whether its
 // endpoints are blocked until its deadline.
 //
-// Trade-off: a long queue is not sent just too late, where each message would time out and make its endpoint look
-// unhealthy, and messages that can no longer be sent are not kept; but a fast call could still have been in time. A
-// recovered message that was not attempted yet is held as long as there is time, even if its endpoints are blocked. If
-// it were sent too late, it would take a slot from other messages.
+// Trade-off: the messages of a long queue are not sent just too late, when each of them would time out and make a
+// healthy endpoint look unhealthy, and messages that can no longer be sent are not kept. But a fast call might still
+// have been in time. A recovered message that was not attempted yet is held as long as there is time, even if its
+// endpoints are blocked. If it were sent too late, it would take a slot from other messages.
 func (s *Scheduler) tooLate(message *Message) bool {
 	destination := message.Dest
 	enough := math.Max(minTimeLeft, math.Min(destination.latency.p90, message.lifetime/lateLifetimeDivisor))
--- a/scheduler/deadline_test.go
+++ b/scheduler/deadline_test.go
@@ -36,7 +36,7 @@
 	}
 	d.endpoints[0].state = Draining
 	late := h.accept(d, status, 0)
-	h.advance(19.2) // of 20
+	h.advance(19.2) // the time to live is 20 s
 	d.endpoints[0].state = Ready
 	sent := len(h.sent)
 	h.advance(0.1)
--- a/scheduler/destination.go
+++ b/scheduler/destination.go
@@ -10,7 +10,7 @@
 	ID uint64 // the adapter's identifier
 
 	endpoints     []*Endpoint
-	sharedRoute   *Route // for all endpoints without their own route
+	sharedRoute   *Route // route of all endpoints that have no separate one
 	kind          int
 	batchSize     int     // maximum number of messages in one call
 	listedRate    float64 // calls per second according to the endpoint list
@@ -21,7 +21,7 @@
 	shedClasses   []*shedClass   // groups of held messages for load shedding
 	deadlines     *deadlineHeaps // queued messages by deadline; nil while not needed
 	lateAt        float64        // when the first of them is too late
-	latePosition  int32          // in the heap by lateAt
+	latePosition  int32          // position in the heap by lateAt
 	touched       bool           // the next deadline check examines the destination
 	inRing        bool
 	updated       bool      // the destination is in Scheduler.updatedDestinations
@@ -31,7 +31,7 @@
 	callsInFlight int
 
 	accepted, attempts, calls float64 // since the start: messages accepted, attempts made, calls made
-	inheritedRate             float64 // usual calls per second, handed over by an earlier process; 0 if it was not
+	inheritedRate             float64 // usual calls per second, handed over by an earlier process; 0 if none was
 	healthyDeliveries         float64 // messages delivered while the destination was not degraded
 	healthySeconds            float64 // total time in which the destination was not degraded
 	healthyCountedAt          float64 // time until which healthySeconds is counted
--- a/scheduler/discovery.go
+++ b/scheduler/discovery.go
@@ -16,15 +16,15 @@
 // PollTimedOut reports that a poll for the endpoint list failed or that the list stopped arriving. Each consecutive
 // failure doubles the time to the next poll.
 //
-// Trade-off: the polls of all forwarders do not keep discovery's queue so long that no forwarder is served in time;
-// but when discovery was down, its return is noticed later.
+// Trade-off: the polls of a fleet do not make discovery's queue so long that no forwarder is served in time, but the
+// return of discovery after an outage is noticed later.
 func (s *Scheduler) PollTimedOut() { s.schedulePoll(&s.failedPolls, s.settings.PollWithin) }
 
-// WatchBroken reports that the watch of the list ended, or that discovery is down or unreachable. In this case there is
-// no queue of polls to keep short. A change counts as known to the forwarder six seconds after discovery could be
-// reached again, and the next poll must not wait longer than that.
+// WatchBroken reports that the watch of the list ended, or that discovery is down or unreachable. In these cases,
+// discovery has no queue of polls that must be kept short. A change counts as known to the forwarder six seconds after
+// discovery could be reached again, and the next poll must not wait longer than that.
 //
-// Trade-off: an endpoint that began to drain during an outage gets no calls, but some polls are in vain.
+// Trade-off: an endpoint that began to drain during an outage gets no calls, but some polls fail.
 func (s *Scheduler) WatchBroken() {
 	s.schedulePoll(&s.failedWatches, math.Min(s.settings.PollWithin, unreachablePollInterval))
 }
@@ -38,7 +38,7 @@
 }
 
 // WatchSilent reports that nothing more arrives on the watch of the endpoint list. Changes that the forwarder missed
-// soon count as known to it, so that the next poll must not wait long.
+// soon count as known to it, so the next poll must come soon.
 func (s *Scheduler) WatchSilent() {
 	s.nextPoll = s.now + math.Min(minPollWait, s.pollSpread())*s.random.uniform()
 }
@@ -53,8 +53,8 @@
 }
 
 // ContinueWatch reports, before the first list, that the predecessor of this process watched the list until now.
-// Changes count as known to the forwarder two seconds after this process was ready, so that the first poll must not
-// wait longer.
+// Changes count as known to the forwarder two seconds after this process was ready, so the first poll must not wait
+// longer.
 //
 // Trade-off: an endpoint that drains during an upgrade gets no calls; but if a large fleet is upgraded at once,
 // discovery has to answer more polls at the same time.
--- a/scheduler/discovery_test.go
+++ b/scheduler/discovery_test.go
@@ -18,8 +18,8 @@
 }
 
 // Guards against an overload of discovery by the polls of a fleet. Thirty-six forwarders start at once. Discovery
-// serves six polls per second in the order of arrival, but each poll times out after two seconds, so that the work on
-// it is wasted. If forwarders poll again within a second, most are never served. As they wait longer after each
+// serves six polls per second in the order of arrival, but each poll times out after two seconds, so the work on it is
+// wasted. If forwarders polled again within a second, most would never be served. As they wait longer after each
 // failure, each is served within half a minute.
 func TestFleetOfPollingForwardersIsServed(t *testing.T) {
 	settings := testSettings
--- a/scheduler/due.go
+++ b/scheduler/due.go
@@ -14,14 +14,14 @@
 const (
 	timerSlack       = 1e-6 // seconds by which a message is checked early, because sums of times are rounded
 	maxScratch       = 4096 // largest capacity of the candidates' array that is reused by later checks
-	keyExpiredMargin = 0.05 // seconds before the end of a message's deduplication window when its repeats end
+	keyExpiredMargin = 0.05 // repeats of a message end this many seconds before its deduplication window
 
 	// While no endpoint answers, a message's repeats already end after this fraction of its deduplication window.
 	keyExpiringFactor  = 2
 	keyExpiringDivisor = 3
 )
 
-// stage tells which structure keeps a held message until the message is due.
+// stage identifies the structure that holds a message until it is due.
 type stage uint8
 
 const (
@@ -48,8 +48,8 @@
 type deadlineHeaps struct {
 	queued, atRisk, recoveredAtRisk []*Message
 
-	// keyExpiring lists the messages whose idempotency keys are soon forgotten. Messages that are no longer queued are
-	// removed at the next examination of the destination.
+	// keyExpiring lists the messages whose idempotency keys the destination will soon forget. Messages that are no
+	// longer queued are removed at the next examination of the destination.
 	keyExpiring []*Message
 }
 
@@ -68,17 +68,17 @@
 	}
 )
 
-// atRiskAt returns the earliest time at which a message can be too late for the slowest destination; see tooLate.
+// atRiskAt returns the earliest time at which a message can be too late for even the slowest destination; see tooLate.
 func (m *Message) atRiskAt() float64 {
 	return m.deadline - math.Max(minTimeLeft, m.lifetime/lateLifetimeDivisor)
 }
 
-// keyExpiringAt returns when a message is no longer repeated if no endpoint answers.
+// keyExpiringAt returns the time after which a message is not repeated while no endpoint answers.
 func (m *Message) keyExpiringAt() float64 {
 	return m.firstRanAt + m.messageType.DeduplicationWindow*keyExpiringFactor/keyExpiringDivisor
 }
 
-// keyExpiredAt returns when a message is no longer repeated in any case.
+// keyExpiredAt returns the time after which a message is not repeated in any case.
 func (m *Message) keyExpiredAt() float64 {
 	return m.firstRanAt + m.messageType.DeduplicationWindow - keyExpiredMargin
 }
--- a/scheduler/due_test.go
+++ b/scheduler/due_test.go
@@ -35,8 +35,7 @@
 	return nil, ""
 }
 
-// inconsistent returns the first held message or destination that is not in exactly the structures that its state
-// requires.
+// inconsistent returns the first held message or destination whose structures do not match its state.
 func inconsistent(s *Scheduler) (where any, reason string) {
 	queued := map[*Destination]int{}
 	for message := range s.held.all() {
@@ -145,7 +144,7 @@
 	if blocked == removed {
 		blocked = d.endpoints[1]
 	}
-	h.updateState(removed, Removed) // a call is in flight, so that the endpoint is not released yet
+	h.updateState(removed, Removed) // a call is in flight, so the endpoint is not released yet
 	h.reconcile()
 	h.BlockUntil(blocked, h.now+100)
 	queued := h.accept(d, status, 0)
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -8,14 +8,14 @@
 const (
 	healthyFraction       = 0.75 // maximum share of all slots for one healthy destination
 	impairedFraction      = 0.5  // maximum share of all slots for one impaired destination
-	impairedTotalFraction = 0.85 // share of all slots in use above which an impaired destination gets no further ones
+	impairedTotalFraction = 0.85 // share of all slots in use above which an impaired destination gets no further slots
 	restoringStreak       = 3    // consecutive timely answers after which healthyFraction applies again
 	initialConcurrency    = 2    // concurrency limit of a new endpoint
 	newEndpointSpread     = 0.3  // seconds by which first calls are spread, as all forwarders learn of an endpoint at once
 	failureDecayTime      = 8.0  // seconds in which the weight of a failure in Scheduler.cost decays to 1/e
 	otherZoneCost         = 0.5  // cost of an endpoint in another zone; an endpoint at its concurrency limit costs 1
 	newConnectionCost     = 0.01 // cost of a new connection, so that a few calls do not open one to each endpoint
-	silenceMin            = 0.4  // seconds that a call must have no answer, at least, for its endpoint to count as silent
+	silenceMin            = 0.4  // minimum time in seconds that a call has no answer before its endpoint counts as silent
 	silenceMultiple       = 3    // the same as a multiple of the 90th percentile latency; the longer time applies
 	unknownRate           = 1e9  // a listed or reported rate of this or more is ignored
 	slowObjectiveDivisor  = 2    // a destination is slow if its latency exceeds the shortest objective divided by this
@@ -36,8 +36,8 @@
 	idleConnection   bool    // a connection was left open after a call
 
 	lastSuccess         float64 // when the endpoint last delivered a message
-	consecutiveTimeouts int     // since the last delivery
-	lastSuccessBegan    float64 // start of the latest of the calls that delivered a message
+	consecutiveTimeouts int     // number of timeouts since the last delivery
+	lastSuccessBegan    float64 // latest start of a call that delivered a message
 	health              health
 	failureRate         float64 // exponentially weighted share of failed calls
 	lastFailure         float64
@@ -45,8 +45,8 @@
 	notBefore           float64 // time before which the endpoint gets no call
 }
 
-// UpdateEndpoints applies a change of the endpoint list. If complete, updates names all endpoints, and those that it
-// does not name were removed.
+// UpdateEndpoints applies a change of the endpoint list. If complete is true, updates lists all endpoints, and any
+// endpoint missing from it was removed.
 func (s *Scheduler) UpdateEndpoints(complete bool, updates []EndpointUpdate) {
 	named := map[*Endpoint]bool{}
 	s.recordListArrival(len(updates) > 0)
@@ -203,8 +203,8 @@
 
 // cost ranks the endpoints that can take a call. The one with the lowest cost is chosen.
 //
-// Trade-off: an endpoint that failed recently is chosen after the other endpoints, so that an endpoint which fails some
-// messages (for example, all of one type) does not get half of them; but the other endpoints get more calls even if
+// Trade-off: an endpoint that failed recently is chosen after the other endpoints, so that an endpoint that fails some
+// messages (for example, all of one type) does not get half of them. But the other endpoints get more calls even if
 // they are nearly full.
 func (s *Scheduler) cost(endpoint *Endpoint) float64 {
 	cost := float64(len(endpoint.calls))/endpoint.concurrencyLimit +
--- a/scheduler/fleet_test.go
+++ b/scheduler/fleet_test.go
@@ -7,13 +7,13 @@
 )
 
 // fleet simulates many forwarders that share one destination. The destination accepts a limited number of calls per
-// second, where rejected calls count, too. It reports its limit and the unused share of it.
+// second, and rejected calls count towards the limit. It reports the limit and its unused share.
 type fleet struct {
 	forwarders      []*harness
 	now             float64
 	limit           float64
 	capacity        float64 // calls that the limit still allows
-	hung            bool    // the destination's queue is full, so that it rejects all calls
+	hung            bool    // the destination's queue is full, so it rejects all calls
 	silentReports   bool    // the destination reports nothing
 	debt            float64 // maximum number of rejected calls that are counted beyond the limit
 	scheduled       []int   // per forwarder: attempts whose result is scheduled
@@ -88,19 +88,19 @@
 	f.pending = append(f.pending, scheduledResult{f.now + 0.1, h, message, e})
 }
 
-// The forwarders of this fleet have few messages each, apart from some with far more. The listed limit is exact, and
-// rejected calls use it up. After a burst, all calls together must fall below the limit, so that later ones are
+// The forwarders of this fleet have few messages each, except for some that have far more. The listed limit is exact,
+// and rejected calls use it up. After a burst, all calls together must fall below the limit, so that later ones are
 // accepted.
 func TestUnevenFleetStaysBelowExactLimitAfterBurst(t *testing.T) {
 	f := newFleet(100, 10)
 	f.silentReports, f.debt = true, 5
 	for i, h := range f.forwarders {
 		h.settings.ListedRateTolerance, h.destinations[0].listedRate = 1, 10
-		if i%4 == 0 { // in total the calls that the limit allows in two and a half seconds, all at once
+		if i%4 == 0 { // the total of all bursts is what the limit allows in two and a half seconds
 			h.flood(h.destinations[0], status, 1+i%8/4*2)
 		}
 	}
-	f.advance(4, 20) // messages at half of the limit
+	f.advance(4, 20) // messages arrive at half the limit
 	before := len(f.delivered)
 	calls, rejected := f.advance(10, 20)
 	t.Logf("%d calls, %d rejected, %d delivered", calls, rejected, len(f.delivered)-before)
@@ -110,7 +110,7 @@
 
 func TestFleetFollowsLoweredLimit(t *testing.T) {
 	f := newFleet(60, 30)
-	_, rejected := f.advance(10, 4) // messages at half of the limit
+	_, rejected := f.advance(10, 4) // messages arrive at half the limit
 	require.Less(t, rejected, 30)
 	f.limit = 8
 	f.advance(5, 4)
@@ -128,7 +128,7 @@
 	f := newFleet(200, 6)
 	f.advance(10, 40)
 	f.hung = true
-	f.advance(20, 20) // each forwarder has one or two messages, which are rejected with nothing left of the limit
+	f.advance(20, 20) // each forwarder has one or two messages, which are rejected because nothing is left of the limit
 	calls, _ := f.advance(4, 0)
 	require.Less(t, calls, 4*6, "the calls that the limit allows, not one for each held message")
 }
@@ -145,7 +145,7 @@
 			successor.Recover(message, status, 15, RecoveredState{Attempts: earlier.attempts, FirstRanAt: earlier.firstRanAt})
 			pending[message] = true
 		}
-		for range 3 { // messages that were submitted in the meantime
+		for range 3 { // new messages, submitted to the successor
 			pending[restarted.forwarders[i].accept(restarted.forwarders[i].destinations[0], status, 0)] = true
 		}
 	}
--- a/scheduler/host.go
+++ b/scheduler/host.go
@@ -11,13 +11,13 @@
 	Reject(message *Message, retryAfter float64)
 	// Fail gives a message the final answer "failed": it may or may not have run, and must not be repeated.
 	Fail(message *Message)
-	// CancelUnsent ends those calls to an endpoint of which nothing has been sent yet. Their outcome is NotSent.
+	// CancelUnsent cancels those calls to an endpoint whose first byte has not been sent yet. Their outcome is NotSent.
 	CancelUnsent(endpoint *Endpoint)
 	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(endpoint *Endpoint)
 	// ReleaseEndpoint frees an endpoint that was removed from the list. The scheduler no longer uses it.
 	ReleaseEndpoint(endpoint *Endpoint)
-	// Wake requests a call of Scheduler.TimerFired after that many seconds.
+	// Wake requests a call of Scheduler.TimerFired after the given number of seconds.
 	Wake(in float64)
 	// WatchEndpoints requests the endpoint list and its changes.
 	WatchEndpoints()
--- a/scheduler/idempotency_test.go
+++ b/scheduler/idempotency_test.go
@@ -30,7 +30,7 @@
 	h.advance(3.9)
 	require.Empty(t, h.answers)
 	h.advance(0.3)
-	// The key is known in one zone only, so that a rejection would not be harmless.
+	// The key is known in one zone only, so a rejection would not be harmless.
 	require.Equal(t, "abandoned", h.answers[message])
 	require.Len(t, h.sent, 1)
 }
--- a/scheduler/keyqueue.go
+++ b/scheduler/keyqueue.go
@@ -15,7 +15,7 @@
 // be called before the first message is accepted.
 //
 // Trade-off: the next message of a key is not sent while the previous one may still run; but messages with a key that
-// are recovered, or accepted within a cooldown after the start, are sent later by up to that time.
+// are recovered, or accepted within a cooldown after the start, are delayed by up to that cooldown.
 func (s *Scheduler) PauseKeys() { s.keysPausedUntil = s.cooldownEnd() }
 
 // cooldownEnd returns the end of a cooldown of an ordering key that begins now.
--- a/scheduler/message.go
+++ b/scheduler/message.go
@@ -37,10 +37,10 @@
 	shedClass                *shedClass
 	shedPrevious, shedNext   *Message // neighbors in shedClass
 	keyPrevious, keyNext     *Message // neighbors in keyQueue
-	queuePosition            int32    // in the heap of its lane or of the retries
-	urgencyPosition          int32    // in the heap of urgent retries
-	deadlinePosition         int32    // in the heap of its stage
-	timerPosition            int32    // in the heap of timers
+	queuePosition            int32    // position in the heap of its lane or of the retries
+	urgencyPosition          int32    // position in the heap of urgent retries
+	deadlinePosition         int32    // position in the heap of its stage
+	timerPosition            int32    // position in the heap of timers
 	timer                    float64  // time of the next deadline check of the message
 	stage                    stage
 	keyExpiring, isCandidate bool // whether listed in deadlineHeaps.keyExpiring, and in dueMessages.candidates
@@ -61,7 +61,7 @@
 // Queued reports whether the message is queued for a call. As it is not in a call then, Withdraw removes it completely.
 func (m *Message) Queued() bool { return m.queued }
 
-// AnswerReason returns why the message got a final answer without a delivery that is certain to be in time.
+// AnswerReason returns the reason for a final answer other than a delivery that is certain to be in time.
 func (m *Message) AnswerReason() AnswerReason { return m.reason }
 
 // NextOfKey returns the next unfinished message with the same ordering key in the order of admission. It returns nil if
--- a/scheduler/outlier.go
+++ b/scheduler/outlier.go
@@ -10,7 +10,7 @@
 	ejectionThreshold  = 0.6 // failure rate above which an endpoint is ejected
 	failureStreak      = 3   // consecutive failures that eject a route's endpoints
 	lowVolumeStreak    = 2   // the same at low volume
-	shortOutage        = 3.0 // seconds since the last delivery that do not count as an outage yet
+	shortOutage        = 3.0 // seconds without a delivery that do not count as an outage yet
 	timelyMultiple     = 4   // an answer is not timely if it took longer than the 90th percentile latency times this
 	connectRetryMin    = 0.2 // seconds before the call after a failed connect; a full connection table is not free at once
 	connectRetrySpread = 0.8 // maximum random delay in seconds, which is added to that
@@ -141,7 +141,7 @@
 	}
 	route.consecutiveFailures++
 	if result.Outcome == NoConnection && result.Latency > initialLatency {
-		route.consecutiveFailures++ // not refused but unanswered, which counts twice
+		route.consecutiveFailures++ // a connect that was not answered, rather than refused, counts twice
 	}
 	route.fastFailure = route.fastFailure || result.Outcome.isError() || result.Outcome == NoConnection
 	if endpoint.failureRate > ejectionThreshold || weight > failureWeight && endpoint.routeHasEjected() {
@@ -165,7 +165,7 @@
 func (s *Scheduler) failureWeight(endpoint *Endpoint, call *call, outcome Outcome) float64 {
 	weight := failureWeight
 	if endpoint.lastSuccessBegan >= call.began {
-		return weight / 2 // the endpoint answered a call that began later, so that only this one was lost
+		return weight / 2 // the endpoint answered a call that began later, so only this one was lost
 	}
 	if outcome == TimedOut || outcome == NoConnection && s.now-endpoint.route.lastSuccess > shortOutage {
 		return weight * 2
@@ -180,12 +180,12 @@
 	})
 }
 
-// ejectOnStreak ejects a route's endpoints after three consecutive failures, or two at low volume. Rejections count
-// after the first failure. One of the failures must be an error or a failed connect, and the route must have delivered
-// nothing for longer than shortOutage.
+// ejectOnStreak ejects a route's endpoints after three consecutive failures, or two at low volume. After the first
+// failure, rejections count as failures, too. One of the failures must be an error or a failed connect, and the route
+// must have delivered nothing for longer than shortOutage.
 //
-// Trade-off: many forwarders with few calls each do not continue to call until each of them is certain, and thus do not
-// overload a returning destination together; but chance failures can cause an ejection, too.
+// Trade-off: many forwarders with few calls each do not keep calling until each of them is certain of the outage, which
+// would overload a returning destination. But chance failures can cause an ejection, too.
 func (s *Scheduler) ejectOnStreak(endpoint *Endpoint) {
 	route, streak := endpoint.route, failureStreak
 	if s.lowVolume(endpoint.destination) {
@@ -209,7 +209,7 @@
 // eject begins or prolongs the ejection of an endpoint.
 //
 // Trade-off: a destination that returns cold is not overloaded, and one that is down, hung, closed or failing is not
-// called in vain; but chance failures can cause an ejection, too.
+// called needlessly; but chance failures can cause an ejection, too.
 func (s *Scheduler) eject(endpoint *Endpoint) {
 	endpoint.health, endpoint.concurrencyLimit = ejected, 1
 	from := math.Max(s.now, endpoint.route.blockedUntil)
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -10,9 +10,9 @@
 	balancedFraction    = 0.5  // reported share of a limit at which the learned rate does not change
 	scarceFraction      = 0.25 // reported share below which a rate is learned
 	reportSilence       = 2    // seconds without a report after which the learned rate depends on rejections alone
-	fairShareMargin     = 1.5  // this many times the equal share of a limit is likely to be accepted
+	fairShareMargin     = 1.5  // multiple of the equal share of a limit that is likely to be accepted
 	minRateDivisor      = 10   // the learned rate is at least the guaranteed rate divided by this
-	burstDuration       = 0.3  // calls of this many seconds at the learned rate may be made at once
+	burstDuration       = 0.3  // the calls of this many seconds at the learned rate may be made at once
 	firstBackoff        = 0.1  // seconds; doubled by each consecutive rejection
 	maxBackoffDoublings = 4
 	slowBackoff         = 6   // seconds; firstBackoff at low volume
@@ -77,8 +77,8 @@
 // refill adds the tokens of the elapsed seconds to a route. It also raises the learned rate, unless the destination's
 // reports determine it.
 //
-// Trade-off: the longer nothing was rejected, the faster the rate grows, so that a rate that was learned from a full
-// queue during a burst has no long effect; but limits that rarely reject are exceeded more often.
+// Trade-off: the longer nothing was rejected, the faster the rate grows, so that a rate learned from a full queue
+// during a burst has no lasting effect; but limits that rarely reject are exceeded more often.
 func (s *Scheduler) refill(route *Route, elapsed float64) {
 	burst := math.Max(1, route.learnedRate*burstDuration)
 	route.tokens = math.Min(route.tokens+route.learnedRate*elapsed, burst)
@@ -87,8 +87,8 @@
 	}
 	acceleration := (s.now - route.lastRejection) / growthDoubling
 	if route.consecutiveRejections > 0 && route.reportedLimit > 0 {
-		// Nothing was accepted since the rejection, because other forwarders use up the limit. That nothing more was
-		// rejected does not mean that there is capacity.
+		// Nothing was accepted since the rejection, because other forwarders use up the limit. The absence of further
+		// rejections does not mean that there is capacity.
 		acceleration = 0
 	}
 	route.learnedRate *= 1 + learnedRateGrowth*elapsed*(1+acceleration)
@@ -119,8 +119,8 @@
 // recordRemaining adjusts a route's learned rate to the reported unused share of its limit, which all forwarders use up
 // together.
 //
-// Trade-off: forwarders learn that nothing is left without a rejection for each of them, which would use up the limit,
-// too, and those with little to send do not reserve an equal share for themselves; but late reports mislead.
+// Trade-off: forwarders learn that nothing is left without a rejection for each of them, which would also use up the
+// limit, and forwarders with little to send do not reserve an equal share. But late reports mislead.
 func (s *Scheduler) recordRemaining(endpoint *Endpoint, share float64) {
 	route := endpoint.route
 	elapsed := math.Min(1, s.now-route.remainingReportedAt)
@@ -168,8 +168,8 @@
 		s.learnRate(endpoint, result)
 	}
 	s.coolDownAfterRejections(endpoint, lowVolume)
-	// The destination is considered closed, rather than above its limit, if nothing was accepted for long without a
-	// short Retry-After, or if there is a long Retry-After.
+	// The destination is considered closed, rather than above its limit, if its calls have been rejected without a
+	// short Retry-After for long enough, or if its Retry-After is long.
 	closed := route.consecutiveRejections >= closedRejections && s.now-route.noShortWaitSince > longRetryAfter
 	if closed || result.RetryAfter > longRetryAfter {
 		s.ejectRoute(endpoint)
@@ -197,7 +197,7 @@
 	} else {
 		rate = math.Max(rate, throughput(endpoint))
 	}
-	if result.ReportedShare < 0 { // all forwarders together use up the limit, so that an equal share is likely accepted
+	if result.ReportedShare < 0 { // all forwarders together use up the limit, so an equal share is likely to be accepted
 		rate = math.Min(rate, fairShareMargin*s.guaranteedRate(endpoint))
 	}
 	route.learnedRate = math.Max(learnedRateCut*rate, s.guaranteedRate(endpoint))
@@ -219,8 +219,8 @@
 }
 
 // coolDownAfterRejections blocks a route for its cooldown after consecutive rejections: if the latest one comes more
-// than persistentAfter seconds after the first (except at low volume), or already at the second one if the destination
-// reports that it has no limit.
+// than persistentAfter seconds after the first (except at low volume), or at the second one if the destination reports
+// that it has no limit.
 //
 // Trade-off: many forwarders with one message each do not continue to call a hung destination and overload it; but a
 // limit that soon has capacity again is used later.
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -23,7 +23,8 @@
 	require.Positive(t, d.sharedRoute.learnedRate)
 }
 
-// An endpoint that hangs rejects calls because its queue is full. No limit must be learned from that for its return.
+// An endpoint that hangs rejects calls because its queue is full. These rejections must not lower the rate at which it
+// is called after its return.
 func TestLearnsNoRateFromEjectedEndpoint(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
@@ -144,7 +145,7 @@
 		}
 	}
 	report(0.9)
-	require.Zero(t, r.learnedRate, "no limit was met, so that no rate is learned")
+	require.Zero(t, r.learnedRate, "no limit was met, so no rate is learned")
 	report(-1)
 	require.InDelta(t, 4, r.learnedRate, 0.1, "the equal share of this forwarder, although no call was rejected")
 	for range 4 {
@@ -153,7 +154,7 @@
 	low := r.learnedRate
 	require.Less(t, low, 2.0)
 	for range 4 {
-		report(1) // other forwarders do not use their shares, so that the rate grows faster than by time alone
+		report(1) // other forwarders do not use their shares, so the rate grows faster than by time alone
 	}
 	require.Greater(t, r.learnedRate, 2.5*low)
 }
--- a/scheduler/reconcile.go
+++ b/scheduler/reconcile.go
@@ -54,7 +54,7 @@
 	message.action = actionNone
 }
 
-// nextWake returns the time at which Reconcile has to be called if there is no event before.
+// nextWake returns the time at which Reconcile has to be called if no event comes first.
 func (s *Scheduler) nextWake() float64 {
 	next := s.nextPoll
 	for message := range s.held.all() {
--- a/scheduler/restart_test.go
+++ b/scheduler/restart_test.go
@@ -84,7 +84,7 @@
 	settings := durableSettings()
 	settings.PollEndpoints, settings.LocalAgent, settings.Forwarders = true, true, 300
 	h := newHarness(settings)
-	d := h.addDestination(0, 0) // the last known state; the endpoint may be draining by now
+	d := h.addDestination(0, 0) // from the last known list; the endpoint may be draining by now
 	h.accept(d, status, 0)
 	h.reconcile()
 	require.Equal(t, 1, h.polls, "polls of a local agent are not spread, as no other forwarder polls it")
--- a/scheduler/retry.go
+++ b/scheduler/retry.go
@@ -56,7 +56,7 @@
 	return len(r.urgent) > 0 && now > r.urgent[0].urgentAt()
 }
 
-// urgentAt returns the time after which a retry goes before fresh messages, because it soon cannot be sent any more.
+// urgentAt returns the time after which a retry goes before fresh messages, because it soon can no longer be sent.
 func (m *Message) urgentAt() float64 {
 	at := m.deadline - m.messageType.TimeToLive/urgentLifetimeDivisor
 	if m.hasUsedKey() {
--- a/scheduler/ring.go
+++ b/scheduler/ring.go
@@ -19,9 +19,9 @@
 	left, right, parent *ringNode
 	destination         *Destination
 	priority            uint32
-	size, active        int32   // in the subtree: number of all members, and of members that are not parked
+	size, active        int32   // number of all members, and of members that are not parked, in the subtree
 	until               float64 // end of the parking
-	heapPosition        int32   // in the heap of parked members
+	heapPosition        int32   // position in the heap of parked members
 	isParked            bool
 }
 
--- a/scheduler/ring_test.go
+++ b/scheduler/ring_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// plainRing is a simple implementation of ring by a slice. The round of its first member is next.
+// plainRing is a simple implementation of ring with a slice. Its first member is the one whose round is next.
 type plainRing []*Destination
 
 // next skips members, at most limit, until one is not parked.
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -44,7 +44,7 @@
 
 	ring                ring // destinations with queued messages
 	keyQueues           map[uint64]*keyQueue
-	keysPausedUntil     float64        // before this time no message of an ordering key gets its first attempt
+	keysPausedUntil     float64        // time before which no message with an ordering key gets its first attempt
 	held                heldList       // messages without a final answer, in the order of admission
 	lastRank            uint64         // the latest Message.rank
 	updatedDestinations []*Destination // destinations with events since the last Reconcile
@@ -102,8 +102,8 @@
 // TimerFired reports that the time requested with Host.Wake has passed.
 func (s *Scheduler) TimerFired() { s.wakeAt = math.Inf(1) }
 
-// Stop reports that the process ends after that many seconds. From now on, no call begins that is likely to be in
-// flight by then. Held messages are left to the next process.
+// Stop reports that the process ends after the given number of seconds. After that, no call begins that is likely to
+// still be in flight at the end. Held messages are left to the next process.
 //
 // Trade-off: calls are not cut off, but held messages are lost if there is no next process.
 func (s *Scheduler) Stop(in float64) { s.stopAt = s.now + in }
--- a/scheduler/scheduling.go
+++ b/scheduler/scheduling.go
@@ -8,7 +8,7 @@
 const (
 	quantum              = 2    // messages per round; more only if a single call carries more
 	knownKeyMargin       = 0.01 // seconds before the end of a deduplication window after which no repeat begins
-	probeAttemptsDivisor = 2    // probes may use MaxAttempts divided by this of a message of which no attempt ran
+	probeAttemptsDivisor = 2    // MaxAttempts divided by this is the maximum for probes with a message that never ran
 )
 
 // serveRounds gives each destination with queued messages its round in turn, until none can send any more messages. It
@@ -95,9 +95,9 @@
 // selectMessages returns the messages of a call to an endpoint: fresh messages from the tenants' lanes, with retries
 // where they go first or fill the call, or only retries.
 //
-// An endpoint that is ejected or recovering gets all retries first, because they have the least to lose. Any other
-// endpoint gets only urgent retries first, those that soon cannot be sent any more. Trade-off: messages that may have
-// run are not lost, but fresh messages are delayed.
+// An endpoint that is ejected or recovering gets all retries first, because retries lose the least if that call fails.
+// Any other endpoint first gets only the urgent retries, which soon can no longer be sent. Trade-off: messages that may
+// have run are not lost, but fresh messages are delayed.
 func (s *Scheduler) selectMessages(destination *Destination, endpoint *Endpoint, retries bool) []*Message {
 	batch := selection{scheduler: s, endpoint: endpoint, size: destination.batchSize,
 		allRetries: retries || endpoint.health != healthy}
--- a/scheduler/settings.go
+++ b/scheduler/settings.go
@@ -16,7 +16,7 @@
 	DeduplicatedPerZone          bool // with IdempotentWithKey: only the endpoints of one zone know the key
 	InOrder                      bool // messages with the same ordering key are sent one after the other
 	LatencyObjective, TimeToLive float64
-	Value                        float64 // of one message; all types without a stated value have the same value
+	Value                        float64 // value of one message; all types without a stated value have the same value
 	LateValueShare               float64 // share of the value that is left at the deadline
 	DeduplicationWindow          float64 // with IdempotentWithKey: how long a key is known after the attempt began
 }
@@ -29,7 +29,7 @@
 	KindEndpointLimits              []bool    // per kind: whether each endpoint has its own route, hence its own limit
 	Forwarders                      int       // number of forwarders that share the destinations
 	ConcurrencyLimit, QueueCapacity int       // maximum number of calls in flight, and of messages held
-	MaxAttempts                     int       // per message; 0 means unlimited
+	MaxAttempts                     int       // maximum number of attempts per message; 0 means unlimited
 	Zone                            int       // zone of this forwarder; endpoints in the same zone are preferred
 	KeyCooldown                     float64   // pause of an ordering key after an attempt that may still run
 	SlowStartShare                  float64   // minimum share of its capacity that a recovering destination has
@@ -37,7 +37,7 @@
 	IdleTimeout                     float64 // how long an idle connection stays open
 	OverloadMultiple                float64 // load that a recovering destination may get, as a multiple of its capacity
 	HalvingValue                    bool    // value halves with each further LatencyObjective, down to LateValueShare
-	MaxRetryAfter                   float64 // longest Retry-After of a rejection; 0 means that it has none
+	MaxRetryAfter                   float64 // longest Retry-After of a rejection; 0 means no Retry-After
 	PollEndpoints                   bool    // the endpoint list has to be requested; it does not arrive unasked
 	LocalAgent                      bool    // a local agent has the list, which counts as known from the start
 	PollWithin                      float64 // longest time between polls while no list arrives; 0 means not stated
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -30,8 +30,8 @@
 	return longest
 }
 
-// backlogTime returns for how many seconds a destination's queued messages would occupy one slot. It is not the queue's
-// length that counts, because calls with many messages each clear a long queue quickly.
+// backlogTime returns the time in seconds that a destination's queued messages would occupy one slot. The length of the
+// queue would mislead, because calls with many messages each clear a long queue quickly.
 func backlogTime(destination *Destination) float64 {
 	return float64(destination.queued) * destination.latency.p90 / float64(max(1, destination.batchSize))
 }
--- a/scheduler/slowstart.go
+++ b/scheduler/slowstart.go
@@ -12,11 +12,11 @@
 	minGuaranteedRate     = 1    // calls per second, from all forwarders together, that a route is assumed to accept
 	healthyCallsAssumed   = 1    // added to the messages that were delivered while a destination was healthy
 	healthySecondsAssumed = 2    // added to the healthy time, so that the first calls do not result in an extreme rate
-	inheritedWindow       = 30   // seconds of measuring in this process that an inherited usual rate counts as
+	inheritedWindow       = 30   // an inherited usual rate counts as this many seconds of measuring
 )
 
-// beginSlowStart makes an endpoint recover as if it had done so since the given time. At first, it gets one call at a
-// time.
+// beginSlowStart makes an endpoint recover as if its recovery had begun at the given time. At first, it gets one call
+// at a time.
 func (s *Scheduler) beginSlowStart(endpoint *Endpoint, since float64) {
 	endpoint.health, endpoint.recoveringSince, endpoint.concurrencyLimit = recovering, since, 1
 	endpoint.notBefore = math.Max(endpoint.notBefore, s.now+s.probeInterval(endpoint)*s.random.uniform())
@@ -38,7 +38,7 @@
 	}
 	settings := &s.settings
 	ceiling := recoveryMargin * settings.OverloadMultiple * s.usualRate(endpoint)
-	if endpoint.health == ejected { // no division by peers: the probes are for all ejected endpoints of a route together
+	if endpoint.health == ejected { // not divided among peers: the probes are for all ejected endpoints of a route
 		return math.Max(ceiling*settings.SlowStartShare, 1/float64(settings.Forwarders))
 	}
 	duration := math.Max(minSlowStartDuration, settings.SlowStartDuration)
@@ -72,8 +72,8 @@
 	return (destination.accepted + destination.inheritedRate*inheritedWindow) / (window + inheritedWindow)
 }
 
-// cooldown returns for how many seconds a route is blocked after repeated failures or rejections: the time in which
-// this forwarder usually makes two calls, but at most half of the shortest time to live.
+// cooldown returns the time in seconds for which a route is blocked after repeated failures or rejections: the time in
+// which this forwarder usually makes two calls, but at most half of the shortest time to live.
 func (s *Scheduler) cooldown(endpoint *Endpoint) float64 {
 	return math.Min(cooldownCalls/s.usualRate(endpoint), s.shortestTimeToLive/2)
 }
--- a/scheduler/slowstart_test.go
+++ b/scheduler/slowstart_test.go
@@ -48,7 +48,7 @@
 		h.advance(0.5)
 		require.Empty(t, h.sent)
 		h.UpdateEndpoints(false, []EndpointUpdate{{Endpoint: endpoint, Destination: d, State: Ready, WarmingUp: cold}})
-		for range 25 { // one second in which each call is answered quickly
+		for range 25 { // for one second, each call is answered quickly
 			h.advance(0.04)
 			h.endAttempts(d, Delivered)
 		}
--- a/scheduler/timeout.go
+++ b/scheduler/timeout.go
@@ -12,11 +12,11 @@
 )
 
 // timeout returns the timeout in seconds of a call to an endpoint. It is well above the latency of the slow calls to
-// the destination. It is shorter for the last slots, and longer while calls to the endpoint time out or few calls were
-// measured.
+// the destination. It is shorter for the last slots, and longer while calls to the endpoint time out or while few calls
+// have been measured.
 //
-// Trade-off: calls whose answer is lost do not occupy all slots for long; and a few fast answers do not make normal
-// calls time out, each of which may have run.
+// Trade-off: calls whose answer is lost do not occupy all slots for long. A few fast answers do not make normal calls
+// time out, as a call that times out may have run.
 func (s *Scheduler) timeout(endpoint *Endpoint) float64 {
 	latency := &endpoint.destination.latency
 	multiple := timeoutMultiple + fewCallsMultiple*fewCalls/(fewCalls+latency.total)
