--- a/forwarder/admission.go
+++ b/forwarder/admission.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// logRefusal logs the answer to a submission that was not accepted, with the figures behind a refusal for lack of
-// space.
+// logRefusal logs the answer to a submission that was not accepted, and, if space was lacking, the figures that led to
+// the refusal.
 func (loop *eventLoop) logRefusal(s *transport.Submission, reply transport.Reply) {
 	line := loop.telemetry.log.Info().Str("id", s.ID).Uint64("destination", s.Destination).
 		Float64("left_s", s.SecondsLeft).Int("refused", loop.telemetry.counts.refused).
--- a/forwarder/admission_queue.go
+++ b/forwarder/admission_queue.go
@@ -11,7 +11,7 @@
 // requests are taken.
 const (
 	defaultMaxWaitingRequests = 4096
-	defaultMaxWaitingBytes    = 4 << 20 // of message bodies
+	defaultMaxWaitingBytes    = 4 << 20 // total size of message bodies
 )
 
 // admissionQueue is the part of the event queue that belongs to one frontend, with its own limits. It implements
--- a/forwarder/attempts.go
+++ b/forwarder/attempts.go
@@ -75,7 +75,7 @@
 		ReportedShare: result.ReportedShare,
 	})
 	switch {
-	case final && m.scheduled.AwaitingAcknowledgement(): // stays recorded as pending until its notice is acknowledged
+	case final && m.scheduled.AwaitingAcknowledgement(): // it stays recorded as pending until its notice is acknowledged
 	case final:
 		loop.completeMessage(m, outcome)
 	default:
--- a/forwarder/backlog.go
+++ b/forwarder/backlog.go
@@ -52,8 +52,8 @@
 	policy     *policy.Policy
 	lanes      map[backlog.Lane]*list.List // of *trackedMessage in memory, in the order of admission
 	firstSeq   uint64                      // lower numbers were assigned by earlier processes
-	inBoth     int                         // messages both in the write-ahead log and in the store at the start
-	overtaking []backlog.Ref               // in the write-ahead log though older ones of their lane are stored
+	inBoth     int                         // number of messages both in the write-ahead log and in the store at the start
+	overtaking []backlog.Ref               // messages in the log although older ones of their lane are stored
 	wakeAt     time.Time                   // when to check for moves again; zero means with the next event
 	counts     backlogCounts
 	gauges     backlogGauges
--- a/forwarder/backlog_admission.go
+++ b/forwarder/backlog_admission.go
@@ -40,7 +40,7 @@
 	e *wal.Entry, m *backlog.Message, secondsLeft float64, now time.Time,
 ) policy.Decision {
 	decisions, size := loop.backlog.policy, int64(m.Size())
-	if loop.keyInOtherLane(e) { // in memory or in its own lane it could be sent first
+	if loop.keyInOtherLane(e) { // if placed in memory or in its own lane, it could be sent first
 		return decisions.Refuse(policy.KeyBound, size, now)
 	}
 	fits, _ := loop.scheduler.Admit(e.Size(), secondsLeft)
--- a/forwarder/backlog_faults_test.go
+++ b/forwarder/backlog_faults_test.go
@@ -57,8 +57,8 @@
 	f.requireEachOnceInOrder(count)
 }
 
-// Messages that were answered on expiry, and whose notices are not acknowledged, must not keep new messages out of
-// memory.
+// Guards against messages that were answered on expiry, and whose notices are not acknowledged, keeping new messages
+// out of memory.
 func TestUnacknowledgedNoticesDoNotBlockNewMessages(t *testing.T) {
 	const count = 2500 // more than are held in memory
 	f := newBacklogFixture(t)
@@ -87,7 +87,7 @@
 	}
 }
 
-// The same with messages that expire in memory, none of them stored.
+// Like TestUnacknowledgedNoticesDoNotBlockNewMessages, but the messages expire in memory and none is stored.
 func TestUnacknowledgedNoticesInMemoryDoNotBlockNewMessages(t *testing.T) {
 	const count = 1900
 	f := newBacklogFixture(t)
--- a/forwarder/backlog_fixture_test.go
+++ b/forwarder/backlog_fixture_test.go
@@ -160,7 +160,8 @@
 	return stats
 }
 
-// requireEachOnceInOrder checks that each message was delivered once and those of a key in the order of admission.
+// requireEachOnceInOrder checks that each message was delivered once, and that messages of one key were delivered in
+// the order of admission.
 func (f *backlogFixture) requireEachOnceInOrder(count int) {
 	require.Eventually(f.t, func() bool { return f.delivered() >= count }, time.Minute, 10*time.Millisecond)
 	f.mu.Lock()
--- a/forwarder/backlog_gauges.go
+++ b/forwarder/backlog_gauges.go
@@ -12,10 +12,10 @@
 
 // backlogCounts counts events of the backlog since the start, for the log.
 type backlogCounts struct {
-	stored  int // at admission, behind other messages of their lane
-	spilled int // from memory to the store
-	loaded  int // from the store to memory
-	expired int // loaded to be answered without a call
+	stored  int // messages stored at admission, behind others of their lane
+	spilled int // messages moved from memory to the store
+	loaded  int // messages moved from the store to memory
+	expired int // messages loaded to be answered without a call
 	refused int
 }
 
--- a/forwarder/backlog_keys_test.go
+++ b/forwarder/backlog_keys_test.go
@@ -71,8 +71,8 @@
 	require.Less(t, slices.Index(order, messageID(first)), slices.Index(order, messageID(second)))
 }
 
-// The same with a message between the two, in the lane of the earlier one, that has been answered and whose notice is
-// not acknowledged.
+// Like TestSpillKeepsKeyOrderAcrossDestinations, but with a third message between the two, in the lane of the earlier
+// one. It has been answered, and its notice is not acknowledged.
 func TestSpillKeepsKeyOrderPastAnsweredMessage(t *testing.T) {
 	const key, first, expiring, second, count = 50, 12, 13, 14, 19
 	f := newBacklogFixture(t)
@@ -111,7 +111,8 @@
 	require.Less(t, slices.Index(order, messageID(first)), slices.Index(order, messageID(second)))
 }
 
-// The same with the later message stored, for a destination that becomes reachable first.
+// Like TestSpillKeepsKeyOrderAcrossDestinations, but the later message is stored, and its destination becomes reachable
+// first.
 func TestSpillKeepsKeyOrderWithLaterMessageStored(t *testing.T) {
 	const key, first, second, count, others = 50, 12, 13, 18, 40
 	f := newBacklogFixture(t)
--- a/forwarder/backlog_moves.go
+++ b/forwarder/backlog_moves.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	nextMoveDelay  = time.Millisecond      // between batches of moves while more are due
-	moveRetryDelay = 50 * time.Millisecond // before a failed move is retried
+	nextMoveDelay  = time.Millisecond      // pause between batches of moves while more are due
+	moveRetryDelay = 50 * time.Millisecond // pause before a failed move is retried
 )
 
 // moveBacklog carries out the due moves between memory and the store, one batch per turn so that new messages are
--- a/forwarder/backlog_test.go
+++ b/forwarder/backlog_test.go
@@ -93,7 +93,7 @@
 }
 
 // Messages for unreachable destinations that a start recovers into memory must not count as demand of its first
-// seconds. Otherwise it would try these destinations many times a second.
+// seconds. Otherwise it would call these destinations many times a second.
 func TestRecoveredWindowsDoNotCountAsDemand(t *testing.T) {
 	const count = 400
 	f := newBacklogFixture(t)
@@ -110,5 +110,5 @@
 	f.start()
 	time.Sleep(4 * time.Second)
 	require.Positive(t, tries.Load())
-	require.Less(t, tries.Load(), int64(20), "about one a second")
+	require.Less(t, tries.Load(), int64(20), "about one call per second")
 }
--- a/forwarder/callers_test.go
+++ b/forwarder/callers_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, []any{"a", transport.Delivered}, []any{answer.ID, answer.Outcome})
 	c = f.submit(transport.Submission{ID: "b", Type: "payment", Key: 5, Destination: 7})
 	<-c.reply
-	f.finishNext(transport.ResultClosed) // may have run, and must not run twice
+	f.finishNext(transport.ResultClosed) // the message may have run, and must not run twice
 	require.Equal(t, transport.Failed, (<-c.final).Outcome)
 	c = f.submit(transport.Submission{ID: "b", Type: "payment", Destination: 7})
 	require.Equal(t, transport.StatusInvalid, (<-c.reply).Status, "an id that was accepted before")
@@ -38,7 +38,7 @@
 	f := newFixture(t).start()
 	frontend := f.frontends[innerFrontend]
 	first := f.submit(transport.Submission{ID: "a", Type: "payment", Key: 5, Destination: 7})
-	second := f.submit(transport.Submission{ID: "b", Type: "payment", Key: 5, Destination: 7}) // waits for the first
+	second := f.submit(transport.Submission{ID: "b", Type: "payment", Key: 5, Destination: 7}) // queued behind first
 	third := f.submit(transport.Submission{ID: "c", Type: "payment", Key: 5, Destination: 7})
 	<-first.reply
 	<-second.reply
--- a/forwarder/calls.go
+++ b/forwarder/calls.go
@@ -11,11 +11,11 @@
 
 // callBatch holds the upstreams, and the calls of the current turn until they are sent.
 type callBatch struct {
-	upstreams map[string]transport.Upstream // by name
+	upstreams map[string]transport.Upstream // upstreams by name
 	pending   []pendingCall
 }
 
-// pendingCall is a call that has not been sent yet, so that messages can still be added to it.
+// pendingCall is a call that has not been sent yet, so messages can still be added to it.
 type pendingCall struct {
 	upstream transport.Upstream
 	call     *transport.Call
--- a/forwarder/config.go
+++ b/forwarder/config.go
@@ -11,16 +11,16 @@
 
 // Config is the whole configuration of a forwarder. Run works on a copy, so a Config can be used again.
 type Config struct {
-	Name       string // of the forwarder in its log lines, metrics and calls
+	Name       string // name of the forwarder in its log lines, metrics and calls
 	Folder     string // holds the write-ahead log and other state that outlives the process
-	Seed       uint64 // of the scheduler's random source
+	Seed       uint64 // seed of the scheduler's random source
 	RandomSeed bool   // Seed was drawn at random, not configured
 
 	Frontends         []Frontend
 	FrontendProtocols map[string]FrontendProtocol // added by an embedding program to those of this package
 	InheritedListener int                         // descriptor used instead of Frontends[0].Listen; 0 means none
 
-	Upstreams         []Upstream                  // in addition to the default one, named "http"
+	Upstreams         []Upstream                  // upstreams in addition to the default one, named "http"
 	UpstreamProtocols map[string]UpstreamProtocol // added by an embedding program to those of this package
 	KindUpstream      map[string]string           // names of upstreams by kind of endpoint; other kinds use the default
 
@@ -36,7 +36,7 @@
 	Cores       float64 // processors that the process may keep busy
 
 	Scheduler scheduler.Settings
-	Names     settings.Names // of the types, tenants, kinds and zones in Scheduler
+	Names     settings.Names // names of the types, tenants, kinds and zones in Scheduler
 	Backlog   *Backlog       // store for messages on disk; nil means they are queued in memory only
 
 	Log       Log
--- a/forwarder/control_plane.go
+++ b/forwarder/control_plane.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// Watch implements transport.EndpointSource.
+// Watch requests the changes since a revision from discovery.
 func (c *controlPlane) Watch(revision int64) { c.endpoints.Watch(revision) }
 
-// Notify implements transport.Notifier.
+// Notify queues a final answer to be sent as a notice.
 func (c *controlPlane) Notify(notice transport.FinalAnswer) { c.notices.Notify(notice) }
 
 // Reconfigure switches to another address. Unacknowledged notices are sent there, and the list is watched there from
--- a/forwarder/discovery.go
+++ b/forwarder/discovery.go
@@ -14,7 +14,7 @@
 	source         transport.EndpointSource
 	reconfigurable transport.Reconfigurable // the source, if it is a discovery service
 	static         *staticEndpoints         // the source, if it is a list in the configuration
-	revision       int64                    // of the current list
+	revision       int64                    // revision of the current list
 	listReceived   bool                     // the source has sent a list since the start
 }
 
--- a/forwarder/endpoint_states_test.go
+++ b/forwarder/endpoint_states_test.go
@@ -65,7 +65,7 @@
 	states := statefile.NewEndpointStates()
 	states.Revision, states.Listed["a"] = 5, "leaving"
 	for _, c := range []struct {
-		revision int64 // of the list in the configuration
+		revision int64 // revision of the list in the configuration
 		want     string
 	}{{4, "leaving"}, {5, "leaving"}, {6, "active"}} {
 		loop := newListLoop(t, t.TempDir())
--- a/forwarder/endpoints.go
+++ b/forwarder/endpoints.go
@@ -11,14 +11,14 @@
 type endpointTable struct {
 	byNumber         map[uint64]*trackedEndpoint
 	byUID            map[string]*trackedEndpoint
-	lastNumber       uint64                            // of the endpoint added last
+	lastNumber       uint64                            // number of the endpoint added last
 	destinations     map[uint64]*scheduler.Destination // by the numbers that clients use
 	cleanupThreshold int                               // number of destinations at which unused ones are removed
-	removedUIDs      []string                          // of the endpoints removed most recently, oldest first
+	removedUIDs      []string                          // uids of the endpoints removed most recently, oldest first
 
-	restoredRetryAfter map[string]float64          // until when endpoints that are not listed yet are blocked, by uid
-	restoredHealth     map[string]statefile.Health // of endpoints that are not listed yet, by uid
-	restoredLatencies  map[uint64][]float64        // of destinations that are not known yet, by number
+	restoredRetryAfter map[string]float64          // when the block of each endpoint that is not listed yet ends, by uid
+	restoredHealth     map[string]statefile.Health // health of endpoints that are not listed yet, by uid
+	restoredLatencies  map[uint64][]float64        // latencies of destinations that are not known yet, by number
 }
 
 func newEndpointTable() endpointTable {
@@ -71,7 +71,7 @@
 	}
 }
 
-// updateEndpoints passes an endpoint list to the scheduler, which is either complete or contains only changes.
+// updateEndpoints passes an endpoint list to the scheduler. The list is either complete or contains only changes.
 func (loop *eventLoop) updateEndpoints(list *transport.EndpointList, complete bool) {
 	loop.discovery.revision = list.Revision
 	updates := make([]scheduler.EndpointUpdate, 0, len(list.Endpoints))
--- a/forwarder/event_loop.go
+++ b/forwarder/event_loop.go
@@ -13,7 +13,7 @@
 // defined in the file named after it. Code that involves several parts is a method of eventLoop.
 type eventLoop struct {
 	config              *Config
-	configuredScheduler scheduler.Settings // as configured, without the settings added at the start
+	configuredScheduler scheduler.Settings // settings as configured, without those added at the start
 	queue               *eventQueue
 	wal                 *wal.Log
 	scheduler           *scheduler.Scheduler
--- a/forwarder/event_queue_test.go
+++ b/forwarder/event_queue_test.go
@@ -24,7 +24,7 @@
 	other.Submit(transport.Request{Submission: fillsBytes})
 	queue.CallEnded(transport.CallResult{})
 	events, _ := queue.take()
-	require.Len(t, events, 1+requestsPerTurn+1, "the call result, some requests of the flood, all of the other frontend")
+	require.Len(t, events, 1+requestsPerTurn+1, "the call result, some requests of the flooding frontend, and all of the other one")
 	require.Same(t, other, events[len(events)-1].(*request).from)
 	<-submitted // the queue is no longer full
 	other.Submit(transport.Request{Ping: true})
@@ -83,7 +83,7 @@
 			n[ev.(*request).from]++
 		}
 		require.LessOrEqual(t, n[few], 3)
-		require.LessOrEqual(t, n[small], 2, "the second exceeds the limit of bytes, so a third has to wait")
+		require.LessOrEqual(t, n[small], 2, "the second exceeds the byte limit, so a third has to wait")
 		left -= len(events)
 	}
 }
--- a/forwarder/fixture_test.go
+++ b/forwarder/fixture_test.go
@@ -60,7 +60,7 @@
 	upstream  *manualUpstream
 	reload    chan os.Signal
 	log       *emulator.Log
-	addr      string // of the RESP frontend
+	addr      string // address of the RESP frontend
 	stop      func()
 }
 
--- a/forwarder/forwarder.go
+++ b/forwarder/forwarder.go
@@ -89,8 +89,8 @@
 	return loop.serve(ctx, stop, reload, dialer, ready)
 }
 
-// serve opens everything except the state folder and the operators' address, serves until the process ends, and closes
-// it again.
+// serve opens everything except the state folder and the operators' address, serves until the process ends, and then
+// closes everything.
 func (loop *eventLoop) serve(
 	ctx context.Context, stop *stopSignal, reload <-chan os.Signal, dialer *dial.Dialer, ready func(addr string),
 ) error {
@@ -145,7 +145,7 @@
 func openWAL(ctx context.Context, config *Config, log zerolog.Logger) (*wal.Log, error) {
 	wait := time.Duration(0)
 	if config.upgradesInPlace() {
-		wait = handOverTimeout
+		wait = handoverTimeout
 		if pid := wal.LockHolder(config.Folder); pid != 0 {
 			log.Info().Int("pid", pid).Msg("waiting for the folder")
 		}
--- a/forwarder/frontends.go
+++ b/forwarder/frontends.go
@@ -11,7 +11,7 @@
 
 // Frontend configures one frontend: an address where clients are served.
 type Frontend struct {
-	Name               string // in the write-ahead log and log lines; "resp" and "" are the platform's own frontend
+	Name               string // name in the write-ahead log and log lines; "resp" and "" are the platform's own frontend
 	Protocol           string // see Config.FrontendProtocols
 	Listen             string
 	Listener           net.Listener // used instead of Listen; if nil, Listen is opened
@@ -49,8 +49,8 @@
 }
 
 const (
-	reservedDescriptors = 32 // for files, pollers and the like
-	spareConnections    = 4  // of a frontend, kept free for new clients by closing old connections
+	reservedDescriptors = 32 // descriptors for files, pollers and the like
+	spareConnections    = 4  // connections per frontend that are kept free for new clients by closing old ones
 )
 
 // MaxClients returns the limit on client connections of all frontends together for a number of descriptors: two thirds
--- a/forwarder/golden_test.go
+++ b/forwarder/golden_test.go
@@ -24,8 +24,8 @@
 const (
 	goldenLatencies         = "latencies"           // learned at one destination
 	goldenLatenciesSeveral  = "latencies-3"         // of three destinations; written by hand, as their order in the file varies
-	goldenRetryAfter        = "retry-after"         // of one endpoint
-	goldenRetryAfterSeveral = "retry-after-several" // of several endpoints; written by hand for the same reason
+	goldenRetryAfter        = "retry-after"         // state of one endpoint
+	goldenRetryAfterSeveral = "retry-after-several" // state of several endpoints; written by hand for the same reason
 	goldenDrains            = "drains"
 	goldenNoDrains          = "drains-none"
 	goldenSpool             = "command-spool"
--- a/forwarder/host.go
+++ b/forwarder/host.go
@@ -43,7 +43,7 @@
 	loop.giveFinalAnswer(loop.messages.byNumber[message.ID], wal.Failed, 0)
 }
 
-// CancelUnsent cancels the calls to an endpoint of which nothing has been sent yet.
+// CancelUnsent cancels those calls to an endpoint whose first byte has not been sent yet.
 func (loop *eventLoop) CancelUnsent(e *scheduler.Endpoint) {
 	if known := loop.endpoints.byNumber[e.ID]; known != nil {
 		known.upstream.CancelUnsent(e.ID)
@@ -72,7 +72,7 @@
 // WatchEndpoints requests the changes to the endpoint list since the current revision.
 func (loop *eventLoop) WatchEndpoints() { loop.discovery.source.Watch(loop.discovery.revision) }
 
-// Log logs a line from the scheduler, which reports changes of a destination's mode.
+// Log logs a line from the scheduler, which reports a change of a destination's mode.
 func (loop *eventLoop) Log(line string) {
 	loop.telemetry.log.Info().Str("mode", line).Msg("mode of a destination changed")
 }
--- a/forwarder/inherited_listener.go
+++ b/forwarder/inherited_listener.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// handOverTimeout is how long a process with an inherited listener waits for its predecessor to release the folder: the
-// 6 s that the platform allows until the new process is ready, 3.7 s from SIGTERM to SIGKILL, and some time for the
+// handoverTimeout is how long a process with an inherited listener waits for its predecessor to release the folder: the
+// 6 s that the platform allows until the successor is ready, 3.7 s from SIGTERM to SIGKILL, and some time for the
 // kernel.
-const handOverTimeout = 15 * time.Second
+const handoverTimeout = 15 * time.Second
 
 // upgradesInPlace reports whether processes replace each other on the same socket and folder while they run, so that
 // this process may have a predecessor and a successor. Endpoints, discovery and operators see them as one forwarder.
--- a/forwarder/learned_latencies.go
+++ b/forwarder/learned_latencies.go
@@ -14,7 +14,7 @@
 // deployment with other message types or kinds of endpoints is logged and ignored.
 
 // latencyDeployment identifies the kinds of endpoints and the message types that learned latencies depend on. Latencies
-// learned with others are not comparable.
+// learned with other kinds or types are not comparable.
 func (c *Config) latencyDeployment() string {
 	return strconv.Quote(fmt.Sprint(c.Names.Kinds, c.Names.Types))
 }
--- a/forwarder/messages.go
+++ b/forwarder/messages.go
@@ -40,7 +40,7 @@
 	scheduled     *scheduler.Message
 	typ           int // number of its type
 	lane          backlog.Lane
-	laneElement   *list.Element           // in the list of its lane; nil without a backlog store
+	laneElement   *list.Element           // element in the list of its lane; nil without a backlog store
 	waitingCaller transport.WaitingCaller // gets the final answer; if nil, the notifier gets it
 	receivedAt    time.Time
 	traced        bool
--- a/forwarder/operator_figures.go
+++ b/forwarder/operator_figures.go
@@ -12,10 +12,10 @@
 // figures holds the counters that operators read at /_vars. They start from 0 in each process, and the event loop
 // updates them as events occur.
 type figures struct {
-	fulfilled, throttled, faulted []int // by number of the message type
+	fulfilled, throttled, faulted []int // counts by number of the message type
 	relayed                       int   // messages completely written to endpoints
 	accepted, invalid             int   // configuration reloads that succeeded, and that failed
-	untried, called, expired      int   // messages recovered without any call: all, called since, expired at the start
+	untried, called, expired      int   // messages recovered without a call: all, called since, expired at the start
 }
 
 // count increments the counter of a message type.
--- a/forwarder/operators.go
+++ b/forwarder/operators.go
@@ -32,7 +32,7 @@
 	return a
 }
 
-// takeOver routes requests to the event loop from now on. It reports whether lame duck mode was switched on before.
+// takeOver routes all later requests to the event loop. It reports whether lame duck mode was already switched on.
 func (a *adminRequests) takeOver() (lameDuck bool) {
 	if s := a.standby.Load(); s != nil {
 		return s.takeOver()
--- a/forwarder/recovery.go
+++ b/forwarder/recovery.go
@@ -79,7 +79,7 @@
 
 // excludeFromDemand excludes a recovered message from its destination's demand if a backlog store is used or if that
 // demand was handed over. Otherwise a start that recovers the messages in memory for many unreachable destinations
-// would count them as demand and try each of these destinations often.
+// would count them as demand and call each of these destinations often.
 func (loop *eventLoop) excludeFromDemand(m *trackedMessage) {
 	if loop.backlog != nil || m.scheduled.Dest.InheritsDemand() {
 		loop.scheduler.UncountDemand(m.scheduled.Dest)
--- a/forwarder/reload.go
+++ b/forwarder/reload.go
@@ -16,8 +16,8 @@
 
 // Times at which a change can take effect.
 const (
-	OnReload  ReloadBehavior = iota // in the running forwarder, when it reloads
-	OnRestart                       // at the next start
+	OnReload  ReloadBehavior = iota // the change takes effect in the running forwarder, when it reloads
+	OnRestart                       // the change takes effect at the next start
 )
 
 // String returns the name that commands print.
@@ -37,7 +37,7 @@
 // change use ConfigParts.
 type ConfigPart struct {
 	Name   string
-	Keys   []string // of the configuration file: whole sections or single keys
+	Keys   []string // keys of the configuration file: whole sections or single keys
 	When   ReloadBehavior
 	values func(c *Config) any
 }
@@ -83,8 +83,8 @@
 	return b.Folder
 }
 
-// bounds returns what a running forwarder can change of the store's configuration: all but the folder. Without a store
-// it returns the zero value.
+// bounds returns the part of the store's configuration that a running forwarder can change: everything except the
+// folder. Without a store it returns the zero value.
 func (b *Backlog) bounds() Backlog {
 	if b == nil {
 		return Backlog{}
@@ -105,7 +105,7 @@
 // reloadState is the progress of a reload.
 type reloadState struct {
 	reading   bool // a goroutine is reading the configuration
-	readAgain bool // read once more afterwards, as the file may have changed meanwhile
+	readAgain bool // read once more afterwards, as the file may have changed during the read
 }
 
 // reload starts a goroutine that reads the configuration again and pushes it as a configRead event. The event loop does
@@ -182,7 +182,7 @@
 // names of those that change with a restart.
 func (loop *eventLoop) changedParts(next *Config) (now map[string]bool, onRestart []string) {
 	present := *loop.config
-	present.Scheduler = loop.configuredScheduler // as configured, since settings added at the start are not a change
+	present.Scheduler = loop.configuredScheduler // settings added at the start are not a change
 	now = map[string]bool{}
 	for _, part := range ConfigParts {
 		if reflect.DeepEqual(part.values(&present), part.values(next)) {
--- a/forwarder/retry_after.go
+++ b/forwarder/retry_after.go
@@ -6,13 +6,13 @@
 	"spanflow/internal/statefile"
 )
 
-// The retry-after state records until when each endpoint gets no calls, because of a Retry-After from it or as a
-// backoff after rejections. A process writes it when it hands over, and its successor observes it. Otherwise an upgrade
-// would send calls to an endpoint that has asked the predecessor to wait: to the endpoint the two processes are one
-// forwarder.
+// The retry-after state records the time until which each endpoint gets no calls, because of a Retry-After from it or
+// as a backoff after rejections. A process writes it at a handover, and its successor observes it. Otherwise the
+// successor would call an endpoint that has asked the predecessor to wait, although both processes are one forwarder to
+// the endpoint.
 
-// writeRetryAfter has the state writer save which endpoints are blocked beyond now, a time in seconds of the wall
-// clock.
+// writeRetryAfter passes the endpoints that are still blocked at the given time to the state writer. The time is in
+// seconds of the wall clock.
 func (loop *eventLoop) writeRetryAfter(now float64) {
 	var table statefile.RetryAfterTable
 	for _, t := range loop.endpoints.byNumber {
--- a/forwarder/shutdown.go
+++ b/forwarder/shutdown.go
@@ -61,7 +61,7 @@
 		log.Info().Int("held", held).Int("in_flight", loop.scheduler.CallsInFlight()).Msg("handing over")
 		loop.queue.push(stopRequested(0))
 		shutdown.poll = time.Tick(clientPollInterval)
-		loop.writeStateFiles() // written again once the calls have ended, but the process may be killed before
+		loop.writeStateFiles() // written again once the calls have ended, but the process may be killed before that
 		return
 	}
 	log.Info().Int("held", held).Msg("stopping")
--- a/forwarder/standby.go
+++ b/forwarder/standby.go
@@ -8,16 +8,16 @@
 	"spanflow/internal/statefile"
 )
 
-// standby answers operators while the new process of an upgrade waits for the folder. It puts their requests to drain
-// or restore endpoints into the command spool, for the process that holds the folder to carry out. When this process
-// takes over the folder, it carries out the remaining commands before its first decision.
+// standby answers operators while the successor in an upgrade waits for the folder. It puts their requests to drain or
+// restore endpoints into the command spool, for the process that holds the folder to carry out. When this process takes
+// over the folder, it carries out the remaining commands before its first decision.
 type standby struct {
 	mu        sync.Mutex
 	folder    string
 	types     []string
 	active    map[string]bool // whether each endpoint of the last known list may get calls, by uid
 	lameDuck  bool
-	takenOver bool // the event loop answers from now on
+	takenOver bool // the event loop answers instead
 }
 
 func newStandby(c *Config) *standby {
@@ -30,7 +30,7 @@
 	return s
 }
 
-// takeOver ends the standby: requests are passed to the event loop from now on. It reports whether lame duck mode is
+// takeOver ends the standby, so that later requests are passed to the event loop. It reports whether lame duck mode is
 // on.
 func (s *standby) takeOver() (lameDuck bool) {
 	s.mu.Lock()
--- a/forwarder/state_writer.go
+++ b/forwarder/state_writer.go
@@ -16,8 +16,9 @@
 
 // stateWriter writes small files of the state folder from its own goroutine, only the newest version of each. The event
 // loop does not wait for it: a file system that other programs keep busy can delay the creation and the renaming of a
-// file by up to a second each. Meanwhile no client would be answered and, after SIGTERM, the process would be killed. A
-// file may be missing at the next start. stateWriter is safe for concurrent use.
+// file by up to a second each. If the event loop waited, no client would be answered meanwhile, and after SIGTERM the
+// process would be killed. In exchange, a file may be missing at the next start. stateWriter is safe for concurrent
+// use.
 type stateWriter struct {
 	onError func(file string, err error)
 
@@ -55,7 +56,8 @@
 	close(idle)
 }
 
-// next removes and returns a queued file. If there is none, write is nil and the calling goroutine counts as ended.
+// next removes and returns a queued file. If there is none, write is nil, and the caller must end, because the next put
+// starts a new goroutine.
 func (w *stateWriter) next() (file string, write func() error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/forwarder/static_endpoints.go
+++ b/forwarder/static_endpoints.go
@@ -14,5 +14,4 @@
 	s.listener.EndpointsUpdated(&list)
 }
 
-// Stop does nothing.
 func (s *staticEndpoints) Stop() {}
--- a/forwarder/upstreams.go
+++ b/forwarder/upstreams.go
@@ -12,7 +12,7 @@
 type Upstream struct {
 	Name           string
 	Protocol       string  // see Config.UpstreamProtocols
-	ConnectTimeout float64 // in seconds; 0 means the default
+	ConnectTimeout float64 // seconds; 0 means the default
 }
 
 // UpstreamProtocol creates an upstream that reports the results of calls to the listener.
