--- a/transport/frontend.go
+++ b/transport/frontend.go
@@ -9,7 +9,7 @@
 	Type           string
 	IdempotencyKey string
 	Destination    uint64
-	SecondsLeft    float64 // from ReceivedAt until the message expires
+	SecondsLeft    float64 // seconds from ReceivedAt until the message expires
 	ReceivedAt     time.Time
 	Body           []byte
 	Tenant         string // empty if not given
@@ -31,7 +31,7 @@
 
 // The statuses of replies.
 const (
-	StatusAccepted   Status = iota // the forwarder is responsible for the message from now on
+	StatusAccepted   Status = iota // the forwarder has taken responsibility for the message
 	StatusOverloaded               // the message was not accepted; submitting it again is harmless
 	StatusInvalid                  // the message was not accepted; Reply.Reason says why
 	StatusAlive                    // answer to a ping: the event loop runs
@@ -56,8 +56,8 @@
 }
 
 // WaitingCaller is a caller that receives the final answer itself, because its request stays open until then. If the
-// caller disconnects, nobody can receive the final answer of its message, so that the message is withdrawn: the
-// frontend calls Submitter.Withdraw, and the next process withdraws all messages of such callers at its start.
+// caller disconnects, nobody can receive the final answer of its message, so the message is withdrawn: the frontend
+// calls Submitter.Withdraw, and the next process withdraws all messages of such callers at its start.
 type WaitingCaller interface {
 	Caller
 	// Complete sends the final answer to the caller.
@@ -65,7 +65,7 @@
 }
 
 // Submitter receives the requests of a frontend's callers. The requests of one caller must be submitted in their order.
-// Submit may block while too many requests of that frontend are pending.
+// Submit may block while too many requests of that frontend are queued.
 type Submitter interface {
 	// Submit passes a request to the event loop.
 	Submit(Request)
--- a/transport/result_test.go
+++ b/transport/result_test.go
@@ -38,7 +38,7 @@
 	require.Len(t, resultNames, int(ResultCancelled)+1)
 }
 
-// Dashboards use these names as label values, so that they must not change.
+// Dashboards use these names as label values, so they must not change.
 func TestOutcomeNamesInMetricsAreStable(t *testing.T) {
 	var names []string
 	for code := ResultOK; code <= ResultCancelled; code++ {
--- a/transport/upstream.go
+++ b/transport/upstream.go
@@ -6,7 +6,7 @@
 type Message struct {
 	MessageID      uint64 // number of the message in the event loop
 	ID             string // the client's identifier of the message
-	IdempotencyKey string // by which the endpoint recognizes a repeat; empty if there is none
+	IdempotencyKey string // key by which the endpoint recognizes a repeat; empty if there is none
 	Body           []byte
 }
 
@@ -15,7 +15,7 @@
 	EndpointID uint64 // number of the endpoint in the event loop; connections belong to it, as an address may be reused
 	Address    string
 	Messages   []Message
-	Timeout    time.Duration // after which the call is aborted
+	Timeout    time.Duration // time after which the call is aborted
 }
 
 // CallResult is the end of a call.
@@ -39,7 +39,8 @@
 type Upstream interface {
 	// Send begins a call.
 	Send(*Call)
-	// CancelUnsent ends those calls to an endpoint of which nothing has been sent yet, with ResultCancelled.
+	// CancelUnsent cancels those calls to an endpoint whose first byte has not been sent yet. They end with
+	// ResultCancelled.
 	CancelUnsent(endpointID uint64)
 	// CloseIdle closes the connections to an endpoint that carry no call.
 	CloseIdle(endpointID uint64)
