--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -24,7 +24,7 @@
 	maxTypes       = 64
 	maxEndpoints   = 1 << 20
 	maxBatch       = 1000
-	minConnections = 8 // per frontend
+	minConnections = 8 // minimum number of connections per frontend
 )
 
 var plainName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
--- a/internal/config/check_backlog.go
+++ b/internal/config/check_backlog.go
@@ -7,7 +7,7 @@
 
 const (
 	minBacklog         = 2 << 20 // bytes on disk; eight segments of the smallest size
-	backlogDescriptors = 10      // that the store keeps open: eight segments to read, one to write and the lock file
+	backlogDescriptors = 10      // kept open by the store: eight segments to read, one to write and the lock file
 	storedMessageBytes = 400     // on disk, for a message of about 300 bytes; used only to check memory
 	indexEntryBytes    = 64      // upper bound of the memory for each stored message
 	minLanes           = 16      // minimum number of lanes whose windows dispatch.room should hold
--- a/internal/config/decode.go
+++ b/internal/config/decode.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	maxEditDistance = 3 // letters by which a suggested name may differ
+	maxEditDistance = 3 // maximum number of letters by which a suggested name differs
 	tomlErrorPrefix = "toml: "
 )
 
@@ -89,7 +89,7 @@
 // from the start of the text each time, which would take quadratic time for a file with many tables.
 type lineCounter struct {
 	text         []byte
-	offset, line int // of the latest call of lineAt
+	offset, line int // offset and line of the latest call of lineAt
 }
 
 // lineAt returns the line of an offset, which must not be before that of the previous call.
--- a/internal/config/decode_bench_test.go
+++ b/internal/config/decode_bench_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Loading takes the same time per endpoint for any number of endpoints.
+// BenchmarkManyEndpoints measures the loading of a configuration. The time per endpoint must not depend on the number
+// of endpoints.
 func BenchmarkManyEndpoints(b *testing.B) {
 	for _, endpoints := range []int{500, 2_000, 8_000, 32_000} {
 		b.Run(fmt.Sprint(endpoints), func(b *testing.B) {
--- a/internal/config/fields.go
+++ b/internal/config/fields.go
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// elementIndex returns the index of an element of a list of tables, which is given by index or name.
+// elementIndex returns the index of an element, given by index or name, in a list of tables.
 func elementIndex(list reflect.Value, name string) (int, error) {
 	if list.Type().Elem().Kind() != reflect.Struct {
 		return 0, errors.New("must be set as a whole, as in a,b,c")
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -19,8 +19,8 @@
 // Source is the origin of a value.
 type Source struct {
 	Layer Layer
-	Name  string // of the variable or flag
-	Line  int    // of the field in the file, even if a variable or flag overrides it; 0 if the file does not set it
+	Name  string // name of the variable or flag
+	Line  int    // line of the field in the file, even if a variable or flag overrides it; 0 if the file does not set it
 }
 
 // Loaded is a configuration as read, with its defaults applied.
@@ -28,7 +28,7 @@
 	File
 	Path    string
 	Sources map[string]Source // by field; fields with default values have no entry
-	lines   map[string]int    // in the file, by field or table
+	lines   map[string]int    // lines in the file, by field or table
 }
 
 // Load reads a file, or none if path is empty, and applies environment variables (NAME=VALUE) and then flags
--- a/internal/config/readfile.go
+++ b/internal/config/readfile.go
@@ -9,7 +9,7 @@
 
 const (
 	maxFileBytes = 16 << 20
-	maxReads     = 10 // of a file that keeps changing
+	maxReads     = 10 // maximum number of reads of a file that keeps changing
 )
 
 // errChanging is the error of a file that was replaced or written to during each of maxReads reads.
@@ -47,7 +47,7 @@
 		return nil, false, fmt.Errorf("is larger than %s", Size(maxFileBytes))
 	}
 	after, err := stat(path)
-	if err != nil { // removed, probably to be replaced
+	if err != nil { // the file was removed, probably to be replaced
 		return nil, false, nil
 	}
 	stable = os.SameFile(before, after) && before.ModTime().Equal(after.ModTime()) && int64(len(text)) == after.Size()
