--- a/cmd/spanflowctl/commands_test.go
+++ b/cmd/spanflowctl/commands_test.go
@@ -36,7 +36,7 @@
 		{[]string{"ledger", "list"}, 1, "no folder"},
 		{[]string{"ledger", "list", "-f", ".", "--dest", "x"}, 1, `--dest: "x" is not a number`},
 		{[]string{"ledger", "list", "-f", ".", "--state", "x"}, 1, `--state: "x" is none of`},
-		{[]string{"ledger", "show", "x", "-f", "."}, 1, "owes no document"},
+		{[]string{"ledger", "show", "x", "-f", "."}, 1, "has no pending message with the id"},
 		{[]string{"version", "--json"}, 0, `"go"`},
 		{[]string{"completion", "bash"}, 0, "spanflow"},
 		{[]string{"completion", "zsh"}, 0, "compdef"},
--- a/internal/commands/backlog.go
+++ b/internal/commands/backlog.go
@@ -184,7 +184,7 @@
 	case err != nil:
 		return err
 	default:
-		return fmt.Errorf("%s stores no document with the id %q", folder, id)
+		return fmt.Errorf("%s stores no message with the id %q", folder, id)
 	}
 	report := backlogReport(found, tenants)
 	report.Body = found.Body
--- a/internal/commands/backlog_read.go
+++ b/internal/commands/backlog_read.go
@@ -11,7 +11,7 @@
 	"spanflow/internal/backlog"
 )
 
-// maxStoreReads limits how often the reading of a store that keeps changing is started over without progress.
+// maxStoreReads limits how often a read of a store that keeps changing starts over without progress.
 const maxStoreReads = 20
 
 // backlogFilter selects stored messages; zero fields select all.
--- a/internal/commands/backlog_read_test.go
+++ b/internal/commands/backlog_read_test.go
@@ -46,8 +46,8 @@
 	require.NoError(t, w.err)
 }
 
-// While a process writes to a store and frees segments, each read must return every message that stays stored once and
-// in order, and the writer must not fail.
+// While a process writes to a store and frees segments, each read must return every message that stays stored exactly
+// once and in order, and the writer must not fail.
 func TestStoreIsReadWhileItIsWritten(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "backlog")
 	store := openStore(t, folder, storeBounds)
@@ -108,7 +108,7 @@
 	require.NoError(t, err)
 	require.Greater(t, len(names), 3)
 	free := func() error {
-		for i := 20; i < messages/2; i += 10 { // except the first 20
+		for i := 20; i < messages/2; i += 10 { // the first 20 messages stay
 			if err := store.Release(refs[i : i+10]); err != nil {
 				return err
 			}
--- a/internal/commands/backlog_test.go
+++ b/internal/commands/backlog_test.go
@@ -81,7 +81,7 @@
 	require.Equal(t, []any{"id-3", "body of 3", uint64(3), true}, []any{r.ID, string(r.Body), r.Sequence, r.CallerWaits})
 	out, code = run("backlog", "show", "id-3", "-f", folder, "--dest", "9")
 	require.Equal(t, 1, code)
-	require.Contains(t, out, folder+` stores no document with the id "id-3"`)
+	require.Contains(t, out, folder+` stores no message with the id "id-3"`)
 }
 
 func TestBacklogStatCountsMessages(t *testing.T) {
@@ -224,7 +224,7 @@
 		{[]string{"list", "-f", folder, "--expires-within", "-1s"}, 1, "--expires-within: -1s is negative"},
 		{[]string{"list", "-f", folder, "--expires-within", "soon"}, 2, "expires-within"},
 		{[]string{"show", "-f", folder}, 2, "accepts 1 arg"},
-		{[]string{"show", "none", "-f", folder}, 1, `stores no document with the id "none"`},
+		{[]string{"show", "none", "-f", folder}, 1, `stores no message with the id "none"`},
 		{[]string{"lst"}, 2, `unknown command "lst"`},
 		{nil, 0, "verify"},
 	} {
--- a/internal/commands/messages.go
+++ b/internal/commands/messages.go
@@ -29,7 +29,7 @@
 	Taken           time.Time `json:"taken,omitzero"`
 	Expiry          time.Time `json:"expiry"`
 	MayHaveRunSince time.Time `json:"may_have_run_since,omitzero"`
-	CallSince       time.Time `json:"out_since,omitzero"` // of the attempt in progress
+	CallSince       time.Time `json:"out_since,omitzero"` // start of the attempt in progress
 	Sequence        uint64    `json:"sequence"`
 	Bytes           int       `json:"bytes"`
 	Body            []byte    `json:"body,omitempty"`
--- a/internal/commands/wal.go
+++ b/internal/commands/wal.go
@@ -193,7 +193,7 @@
 	}
 	i := slices.IndexFunc(view.Pending, func(e *wal.Entry) bool { return e.ID == id })
 	if i < 0 {
-		return fmt.Errorf("%s owes no document with the id %q", view.Dir, id)
+		return fmt.Errorf("%s has no pending message with the id %q", view.Dir, id)
 	}
 	report := walReport(view.Pending[i], tenants)
 	report.Body = view.Pending[i].Body
