--- a/internal/settings/platform_settings.go
+++ b/internal/settings/platform_settings.go
@@ -41,7 +41,7 @@
 
 type extra struct {
 	ConcurrencyLimit int   `json:"CallsOut"`
-	BatchSizes       []int `json:"KindBatch"` // by kind
+	BatchSizes       []int `json:"KindBatch"` // one for each kind
 	SeparateRoutes   []bool
 	Decay            string
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -107,7 +107,7 @@
 	return names
 }
 
-// idempotency returns the effect that a second attempt of a message of the class may have. index is the place of the
+// idempotency returns how destinations treat a second attempt of a message of the class. index is the position of the
 // class in Classes.
 func (c *class) idempotency(index int) (scheduler.Idempotency, error) {
 	switch c.Idempotency {
