--- a/internal/metrics/server.go
+++ b/internal/metrics/server.go
@@ -51,7 +51,8 @@
 }
 
 // New returns a recorder for the given frontends and gauges, and serves its metrics under /metrics at a TCP address. If
-// token is not empty, readers must present it as their bearer token. The error is that of listening.
+// token is not empty, readers must present it as their bearer token. New returns an error if it cannot listen at the
+// address.
 func New(addr, token, forwarder string, frontends []string, gauges []transport.Gauge) (transport.Recorder, error) {
 	s := &Server{
 		set:            metrics.NewSet(),
