--- a/scheduler/attempts.go
+++ b/scheduler/attempts.go
@@ -9,7 +9,7 @@
 
 const (
 	retryAfterMargin = 0.002 // seconds added to a Retry-After before the next call
-	retryAfterSpread = 0.05  // maximum of the random delay, in seconds, that is added as well
+	retryAfterSpread = 0.05  // maximum of a random delay in seconds, which is added as well
 	cooldownMargin   = 0.001 // seconds added to the cooldown of an ordering key
 	rateAverageTime  = 2     // seconds over which the recent rate of a route is averaged
 )
--- a/scheduler/endpoints.go
+++ b/scheduler/endpoints.go
@@ -16,7 +16,7 @@
 	otherZoneCost         = 0.5  // cost of an endpoint in another zone; an endpoint at its concurrency limit costs 1
 	newConnectionCost     = 0.01 // cost of a new connection, so that a few calls do not open one to each endpoint
 	silenceMin            = 0.4  // minimum time in seconds that a call has no answer before its endpoint counts as silent
-	silenceMultiple       = 3    // the same as a multiple of the 90th percentile latency; the longer time applies
+	silenceMultiple       = 3    // the minimum as a multiple of the 90th percentile latency; the longer time applies
 	unknownRate           = 1e9  // a listed or reported rate of this or more is ignored
 	slowObjectiveDivisor  = 2    // a destination is slow if its latency exceeds the shortest objective divided by this
 )
--- a/scheduler/lane.go
+++ b/scheduler/lane.go
@@ -116,7 +116,7 @@
 	return next
 }
 
-// mostValuable returns the accepted message of a lane with the highest current value, the earliest one on a tie. If
+// mostValuable returns the accepted message of a lane with the highest current value or, on a tie, the earliest one. If
 // value does not change with age, only the first message of each type is compared; otherwise all messages of the lane
 // that are first of their ordering key.
 func (s *Scheduler) mostValuable(lane *lane, accept func(*Message) bool) *Message {
--- a/scheduler/ratelimit.go
+++ b/scheduler/ratelimit.go
@@ -168,8 +168,8 @@
 		s.learnRate(endpoint, result)
 	}
 	s.coolDownAfterRejections(endpoint, lowVolume)
-	// The destination is considered closed, rather than above its limit, if its calls have been rejected without a
-	// short Retry-After for long enough, or if its Retry-After is long.
+	// The destination is considered closed, rather than above its limit, if its calls have been rejected for long
+	// enough without a short Retry-After, or if its Retry-After is long.
 	closed := route.consecutiveRejections >= closedRejections && s.now-route.noShortWaitSince > longRetryAfter
 	if closed || result.RetryAfter > longRetryAfter {
 		s.ejectRoute(endpoint)
--- a/scheduler/ratelimit_test.go
+++ b/scheduler/ratelimit_test.go
@@ -23,8 +23,8 @@
 	require.Positive(t, d.sharedRoute.learnedRate)
 }
 
-// An endpoint that hangs rejects calls because its queue is full. These rejections must not lower the rate at which it
-// is called after its return.
+// An endpoint that hangs rejects calls because its queue is full. No rate must be learned from these rejections,
+// because it would limit the calls after its return.
 func TestLearnsNoRateFromEjectedEndpoint(t *testing.T) {
 	h := newHarness(testSettings)
 	d := h.addDestination(0, 0)
--- a/scheduler/scheduler.go
+++ b/scheduler/scheduler.go
@@ -102,8 +102,8 @@
 // TimerFired reports that the time requested with Host.Wake has passed.
 func (s *Scheduler) TimerFired() { s.wakeAt = math.Inf(1) }
 
-// Stop reports that the process ends after the given number of seconds. After that, no call begins that is likely to
-// still be in flight at the end. Held messages are left to the next process.
+// Stop reports that the process ends after the given number of seconds. Once Stop has been called, no call begins that
+// is likely to still be in flight at the end. Held messages are left to the next process.
 //
 // Trade-off: calls are not cut off, but held messages are lost if there is no next process.
 func (s *Scheduler) Stop(in float64) { s.stopAt = s.now + in }
--- a/scheduler/shedding.go
+++ b/scheduler/shedding.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// longestBacklog returns the destination whose queued messages take the most time, on a tie the one whose round is
+// longestBacklog returns the destination whose queued messages take the most time or, on a tie, the one whose round is
 // first. It returns nil if no message is queued.
 func (s *Scheduler) longestBacklog() *Destination {
 	var longest *Destination
@@ -116,8 +116,8 @@
 	return message
 }
 
-// leastValuable returns the queued message of a class with the lowest current value of those that have not run, on a
-// tie the latest one. If value does not change with age, that is the last such message of the class.
+// leastValuable returns the queued message of a class with the lowest current value of those that have not run or, on a
+// tie, the latest one. If value does not change with age, that is the last such message of the class.
 func (s *Scheduler) leastValuable(class *shedClass) *Message {
 	var least *Message
 	for message := class.last; message != nil; message = message.shedPrevious {
@@ -135,8 +135,8 @@
 }
 
 // shedCandidate returns the queued message of a destination that is to be shed. Normally that is, of the messages that
-// have not run, the one with the lowest value, on a tie the latest. It is the oldest queued message instead if that one
-// has a lower value or if all queued messages may have run. It returns nil if no message is queued.
+// have not run, the one with the lowest value or, on a tie, the latest. It is the oldest queued message instead if that
+// one has a lower value or if all queued messages may have run. It returns nil if no message is queued.
 func (s *Scheduler) shedCandidate(destination *Destination) *Message {
 	if destination == nil {
 		return nil
