--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -6,7 +6,7 @@
 )
 
 // Append records a message and assigns its sequence number. If Append returns an error, the message is not recorded;
-// the error is ErrFull if the message does not fit in the log, or an error of the file system.
+// the error is ErrFull if the message does not fit in the log, or a file system error.
 func (l *Log) Append(e *Entry) error {
 	if !l.hasSpace(e, 0) {
 		return ErrFull
@@ -34,14 +34,15 @@
 	if err := l.appendEntry(e); err != nil {
 		return err
 	}
-	delete(l.unrecorded, e.Seq) // the end that could not be recorded came before this record
+	delete(l.unrecorded, e.Seq) // this record supersedes the end that could not be recorded
 	l.entries[e.Seq] = e
 	l.pending += e.Size() - replaced
 	l.Reserve(e.Seq)
 	return nil
 }
 
-// hasSpace reports whether an entry fits in the log if it replaces one of the given size in bytes, 0 if none.
+// hasSpace reports whether an entry fits in the log. If the entry replaces another one, replaced is the size of that
+// one in bytes; otherwise it is 0.
 func (l *Log) hasSpace(e *Entry, replaced int) bool {
 	size := e.Size()
 	return l.pending-replaced+size <= l.Capacity() && size <= maxPayload && len(e.Frontend) <= maxFrontendName
@@ -77,7 +78,7 @@
 	return l.append(append(b, 0))
 }
 
-// RecordAnswer records the final answer before it is sent. The unit of retryAfter is milliseconds. RecordAnswer does
+// RecordAnswer records the final answer before it is sent. The time retryAfter is in milliseconds. RecordAnswer does
 // nothing for a message that is not pending.
 func (l *Log) RecordAnswer(seq uint64, answer Answer, retryAfter int) error {
 	e := l.entries[seq]
@@ -90,8 +91,8 @@
 }
 
 // RecordDone records that a message is done. It does nothing for a message that is not pending. If RecordDone returns
-// an error, the message is no longer pending now but would be pending again after the next Open. Another call,
-// RetryDone or Close then writes the record.
+// an error, the message is no longer pending now but would be pending again after the next Open. A later RecordDone,
+// RetryDone or Close tries again to write the record.
 func (l *Log) RecordDone(seq uint64) error {
 	segment, failedBefore := l.unrecorded[seq]
 	if e := l.entries[seq]; e != nil {
@@ -143,7 +144,7 @@
 		if err := l.makeSpace(len(record), 2*l.compactionReserve()); err != nil {
 			return err
 		}
-	case l.Used()+int64(len(record))+l.compactionReserve() > l.limit: // many small segments of short-lived processes
+	case l.Used()+int64(len(record))+l.compactionReserve() > l.limit: // short-lived processes have left many small segments
 		record = slices.Clone(record)
 		_ = l.makeSpace(len(record), l.compactionReserve()) // write returns ErrFull if there is no space
 	}
--- a/internal/wal/append_test.go
+++ b/internal/wal/append_test.go
@@ -14,7 +14,7 @@
 	require.Equal(t, uint64(2), l.NextSeq())
 	b := appendMessage(t, l, "b", 3)
 	require.Equal(t, uint64(3), b.Seq)
-	require.NoError(t, l.RecordDone(a.Seq)) // as when it is moved to the backlog store
+	require.NoError(t, l.RecordDone(a.Seq)) // as for a message moved to the backlog store
 	require.NoError(t, l.Restore(&Entry{Seq: a.Seq, ID: "a", Type: "ticket", Attempts: 2, FirstRanAt: 7, FirstRanZone: 1,
 		Body: []byte("x")}))
 	require.NoError(t, l.Restore(&Entry{Seq: 2, ID: "c", Type: "ticket"}))
@@ -117,7 +117,7 @@
 	require.NoError(t, l.Restore(restoredEntry(seq, 60<<10)))
 }
 
-// failingFile is a segment file whose writes fail with err unless it is nil.
+// failingFile is a segment file whose writes fail with err unless err is nil.
 type failingFile struct {
 	segmentFile
 	err error
--- a/internal/wal/entry.go
+++ b/internal/wal/entry.go
@@ -24,7 +24,7 @@
 	Answer           Answer
 	RetryAfter       int // for Rejected: milliseconds until the client may submit the message again
 	Body             []byte
-	Frontend         string // name of the frontend that accepted it; empty for the platform's own
+	Frontend         string // name of the frontend that accepted the message; empty for the platform's own frontend
 	CallerWaits      bool   // the caller waits for the final answer
 
 	segment int // number of the segment with the latest record
--- a/internal/wal/inspect.go
+++ b/internal/wal/inspect.go
@@ -33,7 +33,7 @@
 	Offset int64  `json:"at"`    // in bytes from the start of the file
 	Bytes  int64  `json:"bytes"` // number of unreadable bytes from there
 	Reason string `json:"what"`
-	Torn   bool   `json:"torn"` // an incomplete write at the end, by a killed or a running process: no damage
+	Torn   bool   `json:"torn"` // an incomplete write at the end by a killed or running process, not damage
 }
 
 // The reasons in a DamagedRecord, as commands print them.
@@ -65,7 +65,7 @@
 	kindEntryWithFrontend: "document with front",
 }
 
-const maxInspections = 20 // maximum attempts, as files may be freed while they are read
+const maxInspections = 20 // maximum number of attempts, as files may be freed while they are read
 
 // ErrFreedWhileRead is returned by Inspect if files are freed faster than it can read them.
 var ErrFreedWhileRead = errors.New("files are freed faster than they can be read")
@@ -114,9 +114,9 @@
 
 // inspection collects the results for one file.
 type inspection struct {
-	log     *Log // to which the records are applied
+	log     *Log // receives the records
 	number  int
-	last    bool // the folder's last file, which may be being written
+	last    bool // whether this is the folder's last file, which a process may be writing
 	records map[string]int
 	damaged []DamagedRecord
 }
--- a/internal/wal/inspect_test.go
+++ b/internal/wal/inspect_test.go
@@ -35,7 +35,7 @@
 	v = inspect(intact[:len(intact)-40])
 	require.True(t, len(v.DamagedRecords) == 1 && v.DamagedRecords[0].Torn && !v.Damaged(), v.DamagedRecords)
 	damaged := bytes.Clone(intact)
-	damaged[60] ^= 1 // the first message
+	damaged[60] ^= 1 // in the first message
 	v = inspect(damaged)
 	require.True(t, v.Damaged(), v.DamagedRecords)
 	require.Equal(t, []any{1, int64(0), 2}, []any{len(v.DamagedRecords), v.DamagedRecords[0].Offset, len(v.Pending)})
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -15,7 +15,7 @@
 
 const (
 	lockFile     = "owner"
-	minLockWait  = time.Second // a killed process may hold the folder a little longer
+	minLockWait  = time.Second // a killed process may still hold the folder for a moment
 	lockRetry    = 20 * time.Millisecond
 	maxPIDLength = 32 // maximum number of bytes read from a lock file
 )
@@ -78,7 +78,7 @@
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = f.Close() }() // it is only read
+	defer func() { _ = f.Close() }() // the file is only read
 	for err = syscall.EINTR; errors.Is(err, syscall.EINTR); {
 		err = flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	}
--- a/internal/wal/lock_test.go
+++ b/internal/wal/lock_test.go
@@ -23,7 +23,7 @@
 }
 
 // Any error of flock used to be taken for a held lock. On a file system without locks, or when a signal interrupted the
-// call, "spanflow check" reported a process as the owner that may have ended long ago.
+// call, "spanflow check" reported as the owner a process that might have ended long before.
 func TestLockHolderNeedsAHeldLock(t *testing.T) {
 	file := filepath.Join(t.TempDir(), lockFile)
 	require.NoError(t, os.WriteFile(file, []byte("4711\n"), filePerm))
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,7 +1,7 @@
 // Package wal is the write-ahead log of a forwarder. It records accepted messages, their attempts and their final
 // answers until the messages are done. The log is a sequence of append-only segment files. The oldest segment is freed
-// by recording its pending entries again in the last one. Writes are not synced to disk: the log survives the end of
-// its process by any signal, but not a power failure of the machine.
+// by recording its pending entries again in the last one. Writes are not synced to disk, so the log survives a kill of
+// its process but not a power failure of the machine.
 package wal
 
 import (
@@ -34,8 +34,8 @@
 	buf      []byte   // the record being written
 	lock     *os.File // nil where the folder cannot be locked
 
-	// unrecorded has the sequence numbers of entries that are done but whose end could not be recorded, each with the
-	// number of the segment that holds its latest record. Freeing that segment removes the entry from the map.
+	// unrecorded maps the sequence number of each entry that is done but whose end could not be recorded to the number of
+	// the segment that holds the entry's latest record. Freeing that segment removes the entry from the map.
 	unrecorded map[uint64]int
 
 	// DroppedRecords is the number of unreadable records that Open skipped.
@@ -44,14 +44,15 @@
 
 // Open opens the log in dir and reads the pending entries. The size of the folder is limited to limit bytes. If another
 // process holds the folder, Open waits up to 1 s for it, because a killed process may hold the lock a little longer.
-// Open returns a LockedError, ErrLimitTooSmall or an error of the file system. A folder that cannot be written to is
-// not an error: each record tries again.
+// Open returns a LockedError, ErrLimitTooSmall or a file system error. A folder that cannot be written to is not an
+// error, as each later record tries again to create a segment.
 func Open(dir string, limit int64) (*Log, error) {
 	return OpenWhenFree(context.Background(), dir, limit, minLockWait)
 }
 
-// OpenWhenFree is like Open, but waits up to wait for a folder that another process holds. The successor of an upgrade
-// waits in this way for its predecessor to end. OpenWhenFree returns the error of ctx if ctx is done first.
+// OpenWhenFree is like Open, but takes the maximum time to wait for a folder that another process holds. A time below
+// 1 s counts as 1 s. In an upgrade, the successor uses OpenWhenFree to wait for its predecessor to end. OpenWhenFree
+// returns the error of ctx if ctx is done first.
 func OpenWhenFree(ctx context.Context, dir string, limit int64, wait time.Duration) (*Log, error) {
 	l := &Log{dir: dir, limit: limit, entries: map[uint64]*Entry{}, nextSeq: 1, unrecorded: map[uint64]int{}}
 	if l.Capacity() <= 0 {
@@ -64,7 +65,7 @@
 	if err := l.recover(); err != nil {
 		return nil, errors.Join(err, l.Close())
 	}
-	_ = l.rotate() // if the folder cannot be written to now, each record tries again
+	_ = l.rotate() // if this fails, the next record tries again
 	return l, nil
 }
 
@@ -88,11 +89,11 @@
 	return errors.Join(errs...)
 }
 
-// Capacity is the maximum total size of pending entries in bytes. It is half of the space that compaction does not need
-// for itself, so that recording entries again always frees more space than it takes.
+// Capacity returns the maximum total size of pending entries in bytes. It is half of the space that compaction does not
+// need for itself, so that recording entries again always frees more space than it takes.
 func (l *Log) Capacity() int { return int((l.limit - 3*l.compactionReserve()) / 2) }
 
-// Used is the disk space that the log's files take, in bytes.
+// Used returns the disk space that the log's files take up, in bytes.
 func (l *Log) Used() int64 {
 	used := int64(0)
 	if l.lock != nil {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -21,7 +21,7 @@
 	kindAttemptEnd                   // an attempt has ended and the message is not done
 	kindDone                         // the message is done
 	kindAnswer                       // the final answer is about to be sent
-	kindEntryWithFrontend            // as kindEntry, preceded by the frontend that accepted the message
+	kindEntryWithFrontend            // like kindEntry, but preceded by the frontend that accepted the message
 )
 
 // Sizes of the payloads, in bytes.
@@ -29,7 +29,7 @@
 	seqSize         = 8
 	attemptSize     = seqSize + 8 + 4 // start, zone
 	attemptEndSize  = seqSize + 1     // may have run
-	answerSize      = seqSize + 1 + 4 // answer, retry-after
+	answerSize      = seqSize + 1 + 4 // answer, Retry-After
 	entryUint64s    = 6
 	entryUint32s    = 10
 	entryFixedSize  = entryUint64s*8 + entryUint32s*4
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// recover reads all segments of the folder and sets the pending entries.
+// recover reads all segments of the folder and rebuilds the pending entries.
 func (l *Log) recover() error {
 	numbers, err := segmentNumbers(l.dir)
 	if err != nil {
--- a/internal/wal/segments.go
+++ b/internal/wal/segments.go
@@ -20,7 +20,7 @@
 type segment struct {
 	number   int
 	size     int64
-	recorded []uint64 // sequence numbers of the entries recorded here; some may be done or recorded again since
+	recorded []uint64 // sequence numbers of the entries recorded here; some may since be done or recorded again
 }
 
 // add registers that an entry's latest record is in the segment.
@@ -29,7 +29,7 @@
 	s.recorded = append(s.recorded, e.Seq)
 }
 
-// diskSize is the disk space that a file of the given size takes.
+// diskSize returns the disk space that a file of the given size takes up.
 func diskSize(size int64) int64 { return (size + diskBlock - 1) / diskBlock * diskBlock }
 
 func segmentPath(dir string, number int) string {
--- a/internal/wal/segments_test.go
+++ b/internal/wal/segments_test.go
@@ -91,8 +91,8 @@
 	require.Equal(t, []string{"first", "second"}, pendingIDs(t, dir))
 }
 
-// Each process starts a segment. Small segments of short-lived processes must be freed too. Otherwise they fill the
-// log, which can then record neither messages nor ends even if little is pending.
+// Each process starts a new segment. Small segments of short-lived processes must be freed too. Otherwise they fill the
+// log, which can then record neither messages nor ends even if few messages are pending.
 func TestManyShortProcessesDoNotFillTheLog(t *testing.T) {
 	dir := t.TempDir()
 	kept := 0
