--- a/internal/statefile/endpoint_states.go
+++ b/internal/statefile/endpoint_states.go
@@ -20,13 +20,13 @@
 	recoveringWord        = "recovering"
 )
 
-const maxHealthValue = 1e9 // seconds, or calls per second; values from here on are implausible
+const maxHealthValue = 1e9 // seconds, or calls per second; this and larger values are implausible
 
-// EndpointStates is the knowledge about endpoints that the predecessor of an upgrade hands over to its successor.
+// EndpointStates holds the states of endpoints that the predecessor of an upgrade hands over to its successor.
 type EndpointStates struct {
 	Revision int64             // revision of the endpoint list
-	Listed   map[string]string // by uid: the listed states of endpoints that must not get new calls
-	Health   map[string]Health // by uid: the health of ejected and recovering endpoints
+	Listed   map[string]string // listed states by uid, for endpoints that must not get new calls
+	Health   map[string]Health // by uid, for ejected and recovering endpoints
 }
 
 // Health is the health of an endpoint that is ejected or recovering. It contains durations and no points in time, so it
@@ -42,8 +42,8 @@
 	return &EndpointStates{Listed: map[string]string{}, Health: map[string]Health{}}
 }
 
-// Write replaces the file of endpoint states in dir. The file has at most 16,384 states, listed states first; others
-// are left out.
+// Write replaces the file of endpoint states in dir. It writes at most 16,384 states, listed states first, and leaves
+// out the rest.
 func (s *EndpointStates) Write(dir string) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n%d\n", endpointStatesHeader, s.Revision)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return states
 	}
-	_ = os.Remove(path) // a file that cannot be removed is replaced at this process's own handover
+	_ = os.Remove(path) // if this fails, the file is replaced when this process hands over
 	lines := strings.Split(string(text), "\n")
 	if len(lines) < 2 || lines[0] != endpointStatesHeader {
 		return states
--- a/internal/statefile/retry_after.go
+++ b/internal/statefile/retry_after.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// RetryAfterFile is the name of the file in a forwarder's folder that holds the retry-after state.
+// RetryAfterFile is the name of the file in a forwarder's folder that holds the Retry-After state.
 const RetryAfterFile = "waits"
 
 const maxRetryAfterLines = 1 << 14 // maximum number of lines read, one per endpoint
@@ -22,7 +22,7 @@
 	fmt.Fprintf(&t.lines, "%s %.3f\n", endpoint, until)
 }
 
-// Write replaces the file of the retry-after state in dir.
+// Write replaces the file of the Retry-After state in dir.
 func (t *RetryAfterTable) Write(dir string) error {
 	return Write(dir, RetryAfterFile, t.lines.String())
 }
--- a/internal/statefile/spool.go
+++ b/internal/statefile/spool.go
@@ -46,8 +46,7 @@
 	return names
 }
 
-// Put adds a command at the end. It fails with a SpoolFullError if the spool is full, or with an error of the file
-// system.
+// Put adds a command at the end. It fails with a SpoolFullError if the spool is full, or with a file system error.
 func (s Spool) Put(command Command) error {
 	names := s.Names()
 	if len(names) >= maxSpooledCommands {
