--- a/internal/drains/drains.go
+++ b/internal/drains/drains.go
@@ -36,7 +36,7 @@
 	InvalidID: "the id holds bytes it may not",
 }
 
-// String returns the text that answers the operator.
+// String returns the text of the answer to the operator.
 func (r Result) String() string { return resultTexts[r] }
 
 // Change tells the event loop which change it has to apply after Drain or Restore.
--- a/internal/drains/drains_test.go
+++ b/internal/drains/drains_test.go
@@ -41,7 +41,7 @@
 	result, _ = set.Restore("ghost", false)
 	require.Equal(t, Unknown, result)
 	set.Drain("s1", true)
-	result, change := set.Restore("s1", false) // drained, and removed from the list since
+	result, change := set.Restore("s1", false) // removed from the list while it was drained
 	require.Equal(t, Accepted, result)
 	require.Equal(t, Restored, change)
 }
