--- a/internal/simproto/events.go
+++ b/internal/simproto/events.go
@@ -23,12 +23,12 @@
 const (
 	scopeChanges listScope = iota // changed entries only
 	scopeFull                     // all entries
-	scopeCached                   // all entries that this instance last had
-	scopeFailed                   // no entries: the request failed
+	scopeCached                   // all entries of the last list that this instance had
+	scopeFailed                   // no entries, as the request failed
 	listScopes                    // number of scopes
 )
 
-const maxDestination = 1 << 24 // f32 represents all integers up to this one exactly
+const maxDestination = 1 << 24 // f32 represents every integer up to this one exactly
 
 // outcomes maps the reason of an eventResult to the scheduler's outcome.
 var outcomes = map[uint16]scheduler.Outcome{
@@ -145,7 +145,7 @@
 	r.address()
 	result := scheduler.AttemptResult{Final: r.u8() != 0, Latency: r.f64() / msPerSecond}
 	retryAfterMs := r.u32()
-	r.u16() // the number of the attempt; a message has only one attempt at a time
+	r.u16() // number of the attempt; not needed, as a message has only one attempt at a time
 	reason := r.u16()
 	in.decodeLoadReport(r, &result)
 	outcome, known := outcomes[reason]
@@ -176,7 +176,7 @@
 	}
 }
 
-// storeList stores a list of endpoints by its number, for later events that refer to it.
+// storeList stores a list of endpoints under its number, for later events that refer to it.
 func (h *Host) storeList(r *reader, number uint16) error {
 	n := r.u32()
 	if r.err == nil && uint64(n)*listEntryBytes > uint64(len(r.data)) {
--- a/internal/simproto/host.go
+++ b/internal/simproto/host.go
@@ -25,8 +25,8 @@
 	return &Host{instances: map[uint16]*instance{}, lists: map[uint16][]listEntry{}}
 }
 
-// Batch handles all events of a batch, reconciles each forwarder that had an event once and returns the reply frame,
-// which is valid until the next call. The host must not be used after an error.
+// Batch handles all events of a batch, then reconciles once each forwarder that had any event. It returns the reply
+// frame, which is valid until the next call. The host must not be used after an error.
 func (h *Host) Batch(records uint32, clockMs float64, body []byte) ([]byte, error) {
 	if math.IsNaN(clockMs) || math.IsInf(clockMs, 0) {
 		return nil, errClock
--- a/internal/simproto/records.go
+++ b/internal/simproto/records.go
@@ -19,7 +19,7 @@
 	w.ms(timeout)
 }
 
-// Reject writes that a message is rejected and may be submitted again after retryAfter seconds.
+// Reject writes a record that a message is rejected and may be submitted again after retryAfter seconds.
 func (in *instance) Reject(m *scheduler.Message, retryAfter float64) {
 	w := &in.host.out
 	w.record(recordReject, in.number)
@@ -28,7 +28,7 @@
 	in.release(m)
 }
 
-// Fail writes that a message has failed.
+// Fail writes a record that a message has failed.
 func (in *instance) Fail(m *scheduler.Message) {
 	w := &in.host.out
 	w.record(recordFail, in.number)
--- a/internal/simproto/serve.go
+++ b/internal/simproto/serve.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// readBody reads the body of a batch whose total size, with the header, is size bytes. Memory is allocated as bytes
-// arrive and not by the stated size, which may be wrong.
+// readBody reads the body of a batch whose total size, with the header, is size bytes. It allocates memory as bytes
+// arrive instead of allocating size bytes at once, as the stated size may be wrong.
 func readBody(r io.Reader, size uint32) ([]byte, error) {
 	if size < batchHeaderBytes || size > maxBatchBytes {
 		return nil, fmt.Errorf("batch length %d is out of range", size)
--- a/internal/simproto/transcript_test.go
+++ b/internal/simproto/transcript_test.go
@@ -41,8 +41,8 @@
 
 const instance = uint16(3)
 
-// simulatorSettings polls the list of endpoints, allows four messages at once and has one message type for each kind of
-// idempotency.
+// simulatorSettings are the settings of a forwarder that polls the list of endpoints and holds up to four messages at
+// once, with one message type for each kind of idempotency.
 const simulatorSettings = `{"Classes":[{"Name":"order","Idempotency":"fragile","Slo":3000,"HardLimit":24000,"Worth":1},
 {"Name":"update","Idempotency":"dedup","Group":"all","Sequential":true,"Slo":3000,"HardLimit":24000,"MemorySpan":15000},
 {"Name":"status","Idempotency":"retryable","Slo":3000,"HardLimit":20000}],
@@ -59,7 +59,8 @@
 	return fields(uint8(6), instance, uint64(0x0807060504030201), uint32(len(settings)), settings)
 }
 
-// manifest encodes a list of endpoints of one destination with their statuses: 0 left, 1 active, 2 leaving.
+// manifest encodes a list of endpoints of one destination. A status is 0 for an endpoint that has left, 1 for an active
+// one and 2 for one that is leaving.
 func manifest(number uint16, statuses map[[6]byte]uint8) []byte {
 	b := fields(uint8(7), number, uint32(len(statuses)))
 	for _, address := range [][6]byte{addressA, addressB} {
