--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -12,7 +12,7 @@
 	"spanflow/internal/transcript"
 )
 
-const runAsProgram = "RUN_AS_PROGRAM" // environment variable with which the test binary runs as the program
+const runAsProgram = "RUN_AS_PROGRAM" // environment variable that makes the test binary run as the program
 
 func TestMain(m *testing.M) {
 	if os.Getenv(runAsProgram) != "" {
