--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -55,8 +55,8 @@
 	return strings.TrimRight(line, "\r\n"), err
 }
 
-// Put submits a message with MSG.PUT and returns the answer. The options are a list of names and values as the command
-// takes it, such as "c=status,d=8000,dest=7".
+// Put submits a message with MSG.PUT and returns the answer. The options are names and values in the command's format,
+// such as "c=status,d=8000,dest=7".
 func (c *Client) Put(key, id, options, body string) (string, error) {
 	return c.Send(Command("MSG.PUT", key, id, options, body))
 }
--- a/internal/emulator/endpoint.go
+++ b/internal/emulator/endpoint.go
@@ -31,7 +31,7 @@
 	Body   string        // if empty, the answer to a call with several messages has "ok" for each
 	Break  bool          // close the connection without an answer
 	Hold   chan struct{} // answer once this is closed, or not at all if the connection ends first
-	Ended  func()        // if not nil, called if the connection ends while on Hold, or after Raw
+	Ended  func()        // if not nil, called if the connection ends during Hold or after Raw was sent
 	Raw    string        // if not empty, sent instead of an answer; the connection stays open
 }
 
--- a/internal/emulator/process.go
+++ b/internal/emulator/process.go
@@ -13,7 +13,7 @@
 // ReadyLine is a part of the log line that a forwarder writes when it is ready to serve clients.
 const ReadyLine = `"message":"ready"`
 
-// CleanupTest is the part of *testing.T that a started program needs.
+// CleanupTest is the part of *testing.T that StartProcess and NewSlowFile need.
 type CleanupTest interface {
 	Test
 	Cleanup(func())
