--- a/internal/wal/append.go
+++ b/internal/wal/append.go
@@ -144,7 +144,7 @@
 		if err := l.makeSpace(len(record), 2*l.compactionReserve()); err != nil {
 			return err
 		}
-	case l.Used()+int64(len(record))+l.compactionReserve() > l.limit: // short-lived processes have left many small segments
+	case l.Used()+int64(len(record))+l.compactionReserve() > l.limit: // short-lived processes left many small segments
 		record = slices.Clone(record)
 		_ = l.makeSpace(len(record), l.compactionReserve()) // write returns ErrFull if there is no space
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -34,8 +34,8 @@
 	buf      []byte   // the record being written
 	lock     *os.File // nil where the folder cannot be locked
 
-	// unrecorded maps the sequence number of each entry that is done but whose end could not be recorded to the number of
-	// the segment that holds the entry's latest record. Freeing that segment removes the entry from the map.
+	// unrecorded has the entries that are done but whose end could not be recorded. It maps an entry's sequence number to
+	// the number of the segment that holds its latest record. Freeing that segment removes the entry from the map.
 	unrecorded map[uint64]int
 
 	// DroppedRecords is the number of unreadable records that Open skipped.
