--- a/lab/experiment/draw_wide.go
+++ b/lab/experiment/draw_wide.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxSize     = 300    // forwarders, and also endpoints
-	maxMessages = 5000.0 // per scenario, so that many scenarios can be simulated
-	maxGroups   = 5      // groups of destinations
+	maxSize     = 300    // maximum number of forwarders, and of endpoints
+	maxMessages = 5000.0 // per scenario; low enough to simulate many scenarios
+	maxGroups   = 5      // maximum number of groups of destinations
 	// minOutage is in seconds. The scheduler treats shorter outages as network losses, after which no endpoint enters
-	// slow start (docs/design.md). The operators' outages last five seconds or more.
+	// slow start (docs/design.md). The outages that operators see last five seconds or more.
 	minOutage = 3.5
 )
 
@@ -116,7 +116,8 @@
 		if w.chance(0.25) {
 			r.Batch = 2 + w.random.IntN(9)
 		}
-		limit := w.drawLimit(&r) // the load is proportional to the calls admitted, so that it goes to groups with capacity
+		limit := w.drawLimit(&r)
+		// The load is roughly proportional to the calls accepted, so that most of it goes to groups with capacity.
 		r.LoadWeight = float64(r.Count) * limit * w.between(0.5, 1.1)
 		destinations, capacity = destinations+r.Count, capacity+float64(r.Count)*limit
 		w.scenario.Receivers = append(w.scenario.Receivers, r)
@@ -151,7 +152,8 @@
 	return r
 }
 
-// drawLimit draws a rate limit for a group, or none, and returns how many calls per second one destination accepts.
+// drawLimit draws a rate limit for a group, or none. It returns the number of calls per second that one destination
+// accepts.
 func (w *wideDraw) drawLimit(r *scenario.Receiver) float64 {
 	capacity := float64(r.Endpoints*r.Concurrency) / float64(r.Mean)
 	limit := capacity
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -80,8 +80,8 @@
 		s.Mean += r.G / float64(len(results))
 		s.Worst = math.Min(s.Worst, r.G)
 		s.P99 += r.Latency.P99 / float64(len(results))
-		for _, b := range r.Violations {
-			s.Violations[string(b.Rule)]++
+		for _, v := range r.Violations {
+			s.Violations[string(v.Rule)]++
 		}
 	}
 	return s
@@ -146,7 +146,7 @@
 	return mean, means[resamples*25/1000], means[resamples*975/1000]
 }
 
-// Axes are the axes of a sweep, by name. Each function changes one figure of a scenario.
+// Axes are the axes of a sweep, by name. Each function sets or scales one property of a scenario.
 var Axes = map[string]func(s *scenario.Scenario, x float64){
 	"forwarders": func(s *scenario.Scenario, x float64) { s.Dispatch.Forwarders = max(1, int(x)) },
 	"slots":      func(s *scenario.Scenario, x float64) { s.Dispatch.ConcurrencyLimit = max(1, int(x)) },
@@ -162,11 +162,12 @@
 		for i := range s.Receivers {
 			s.Receivers[i].Count = max(1, int(float64(s.Receivers[i].Count)*x))
 		}
-		s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(t scenario.Fault) bool { return len(t.Destinations) > 0 && x < 1 })
+		s.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f scenario.Fault) bool { return len(f.Destinations) > 0 && x < 1 })
 	},
 }
 
-// Vary returns a copy of a scenario that is changed along an axis. An unknown axis or an invalid copy is an error.
+// Vary returns a copy of a scenario that is changed along an axis. It returns an error if the axis is unknown
+// or the copy is invalid.
 func Vary(s *scenario.Scenario, axis string, x float64) (*scenario.Scenario, error) {
 	set := Axes[axis]
 	if set == nil {
--- a/lab/experiment/experiment_test.go
+++ b/lab/experiment/experiment_test.go
@@ -48,7 +48,7 @@
 	require.ErrorContains(t, err, "unknown axis")
 }
 
-// rejectingPolicy is the scheduler, except that it rejects every message from 15 seconds after the start.
+// rejectingPolicy is the scheduler, except that it rejects all messages once 15 seconds have passed.
 type rejectingPolicy struct {
 	sim.Policy
 	now, began float64
@@ -76,14 +76,14 @@
 	f := found[0]
 	require.Greater(t, f.Loss(), 0.3)
 	require.NotZero(t, f.Steps)
-	require.Less(t, len(f.Scenario.Faults), 2, "the policy performs badly without any fault")
+	require.Less(t, len(f.Scenario.Faults), 2, "the policy performs badly even without faults")
 	text, err := f.Text()
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "f.toml")
 	require.NoError(t, os.WriteFile(path, text, 0o600))
 	s, err := scenario.Read(path)
 	require.NoError(t, err, string(text))
-	again := judge(s, f.Seed, bad)
+	again := evaluate(s, f.Seed, bad)
 	require.Equal(t, []any{f.G, f.Rules}, []any{again.G, again.Rules}, "the kept scenario still reproduces the finding")
 }
 
--- a/lab/experiment/search.go
+++ b/lab/experiment/search.go
@@ -39,8 +39,8 @@
 	return toml.Marshal(&s)
 }
 
-// judge simulates a scenario with a policy and with the baselines.
-func judge(s *scenario.Scenario, seed uint64, newPolicy sim.PolicyFactory) *Finding {
+// evaluate compares a policy with the baselines on a scenario.
+func evaluate(s *scenario.Scenario, seed uint64, newPolicy sim.PolicyFactory) *Finding {
 	r := sim.Play(s, seed, newPolicy)
 	f := &Finding{Scenario: s, Seed: seed, G: r.G}
 	for _, v := range r.Violations {
@@ -62,15 +62,15 @@
 const findingsBatch = 16 // scenarios simulated between two progress reports
 
 // Search generates scenarios until ctx is done or it has reached the limit, rounded up to whole batches. It returns the
-// worst findings, shrunk, at most keep of them. progress, which may be nil, is called with the number of scenarios so
-// far and the worst loss.
+// worst findings, shrunk, at most keep of them. progress is called after each batch with the number of
+// scenarios simulated so far and the worst loss; it may be nil.
 func Search(ctx context.Context, base *scenario.Scenario, newPolicy sim.PolicyFactory, from uint64, limit, keep int, progress func(n int, worst float64)) []*Finding {
 	var found []*Finding
 	for n := 0; n < limit && ctx.Err() == nil; n += findingsBatch {
 		batch := make([]*Finding, findingsBatch)
 		parallel(findingsBatch, func(i int) {
 			seed := from + uint64(n+i)
-			batch[i] = judge(Draw(base, seed), seed, newPolicy)
+			batch[i] = evaluate(Draw(base, seed), seed, newPolicy)
 		})
 		found = append(found, batch...)
 		sort.SliceStable(found, func(i, j int) bool { return found[i].Loss() > found[j].Loss() })
--- a/lab/experiment/shrink.go
+++ b/lab/experiment/shrink.go
@@ -15,17 +15,18 @@
 // Shrink simplifies a finding's scenario as long as it keeps three quarters of the loss.
 func Shrink(f *Finding, newPolicy sim.PolicyFactory) *Finding {
 	floor := f.Loss() * shrunkLoss
-	s, steps := shrink(f.Scenario, func(s *scenario.Scenario) bool { return judge(s, f.Seed, newPolicy).Loss() >= floor })
+	s, steps := shrink(f.Scenario, func(s *scenario.Scenario) bool { return evaluate(s, f.Seed, newPolicy).Loss() >= floor })
 	if steps == 0 {
 		return f
 	}
-	smallest := judge(s, f.Seed, newPolicy)
+	smallest := evaluate(s, f.Seed, newPolicy)
 	smallest.Steps = f.Steps + steps
 	return smallest
 }
 
-// shrink simplifies a scenario step by step as long as it still reproduces the finding. Each step takes the first
-// candidate in order that reproduces it, so that the result does not depend on which simulation ends first.
+// shrink simplifies a scenario step by step as long as it still reproduces the finding. Of the candidates that
+// reproduce it, each step takes the first in list order, so that the result does not depend on which simulation ends
+// first.
 func shrink(s *scenario.Scenario, reproduces func(*scenario.Scenario) bool) (smallest *scenario.Scenario, steps int) {
 	for ; steps < maxShrinkSteps; steps++ {
 		candidates := slices.DeleteFunc(simplerScenarios(s), func(c *scenario.Scenario) bool { return len(c.Check()) > 0 })
@@ -72,7 +73,7 @@
 	return m.all
 }
 
-// add adds a changed copy of the base. The lists that changes modify are copied too.
+// add appends a copy of the base with one change. It also copies the lists that changes modify.
 func (m *simplifier) add(change func(*scenario.Scenario)) {
 	c := *m.base
 	c.Faults, c.Receivers, c.Types = slices.Clone(c.Faults), slices.Clone(c.Receivers), slices.Clone(c.Types)
--- a/lab/experiment/violation_search.go
+++ b/lab/experiment/violation_search.go
@@ -40,7 +40,7 @@
 const (
 	searchVersion = 1
 	searchBatch   = 32  // scenarios between two saves
-	maxViolations = 100 // violations kept; a scheduler with more needs fixing before the search goes on
+	maxViolations = 100 // maximum number of violations kept; a scheduler with more must be fixed first
 	searchFile    = "hunt.toml"
 	scenarioFile  = ".toml"
 )
@@ -127,7 +127,7 @@
 	return from
 }
 
-// markTried adds a range of seeds and merges adjacent ranges.
+// markTried adds a range of seeds to those tried and merges adjacent ranges.
 func (v *ViolationSearch) markTried(first, last uint64) {
 	v.Tried = append(v.Tried, [2]uint64{first, last})
 	slices.SortFunc(v.Tried, func(a, b [2]uint64) int { return cmp.Compare(a[0], b[0]) })
@@ -211,9 +211,9 @@
 // counted.
 func (v *ViolationSearch) violationsOf(batch []simulatedScenario) []unshrunkViolation {
 	var found []unshrunkViolation
-	for _, p := range batch {
+	for _, s := range batch {
 		rules := map[string]bool{}
-		for _, violation := range p.result.Violations {
+		for _, violation := range s.result.Violations {
 			rule := string(violation.Rule)
 			if rules[rule] {
 				continue
@@ -223,7 +223,7 @@
 				v.Unshrunk++
 				continue
 			}
-			found = append(found, unshrunkViolation{FoundViolation{Seed: p.seed, Rule: rule}, p.scenario})
+			found = append(found, unshrunkViolation{FoundViolation{Seed: s.seed, Rule: rule}, s.scenario})
 		}
 	}
 	return found
@@ -251,7 +251,7 @@
 	return nil
 }
 
-// violationOf returns how a scenario breaks a rule, or "" if it keeps the rule.
+// violationOf returns the reason why a scenario breaks a rule, or "" if it keeps the rule.
 func violationOf(s *scenario.Scenario, seed uint64, rule string, newPolicy sim.PolicyFactory) string {
 	for _, violation := range sim.Play(s, seed, newPolicy).Violations {
 		if string(violation.Rule) == rule {
--- a/lab/experiment/violation_search_test.go
+++ b/lab/experiment/violation_search_test.go
@@ -15,17 +15,18 @@
 	"spanflow/scheduler"
 )
 
-// withoutSlowStart is the scheduler without slow start after an outage: it sends any load to a recovering destination.
+// withoutSlowStart is the scheduler without slow start after an outage: it does not limit the load on a recovering
+// destination.
 func withoutSlowStart(settings scheduler.Settings, seed uint64, now float64, h scheduler.Host) sim.Policy {
 	settings.OverloadMultiple, settings.SlowStartShare = 1e6, 1
 	return sim.SchedulerPolicy(settings, seed, now, h)
 }
 
 func searchViolations(t *testing.T, dir string, newPolicy sim.PolicyFactory, from uint64, limit int) *ViolationSearch {
-	h, err := OpenViolationSearch(dir)
+	search, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
-	require.NoError(t, h.Run(context.Background(), dir, newPolicy, from, limit, nil))
-	return h
+	require.NoError(t, search.Run(context.Background(), dir, newPolicy, from, limit, nil))
+	return search
 }
 
 // readFiles returns the contents of a folder's files by name.
@@ -43,20 +44,20 @@
 
 func TestViolationSearchFindsMissingSlowStart(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "when missing")
-	h := searchViolations(t, dir, withoutSlowStart, 1, 16)
-	require.NotEmpty(t, h.Violations)
-	b := h.Violations[0]
-	require.Contains(t, b.Rule, "returns not pushed over")
-	s, err := scenario.Read(filepath.Join(dir, b.File))
+	search := searchViolations(t, dir, withoutSlowStart, 1, 16)
+	require.NotEmpty(t, search.Violations)
+	violation := search.Violations[0]
+	require.Contains(t, violation.Rule, "returns not pushed over")
+	s, err := scenario.Read(filepath.Join(dir, violation.File))
 	require.NoError(t, err)
-	require.Equal(t, b.Reason, violationOf(s, s.Seed, b.Rule, withoutSlowStart), "the kept scenario still reproduces the violation")
-	require.NotZero(t, b.Steps)
+	require.Equal(t, violation.Reason, violationOf(s, s.Seed, violation.Rule, withoutSlowStart), "the kept scenario still reproduces the violation")
+	require.NotZero(t, violation.Steps)
 }
 
 func TestViolationSearchIsDeterministicAcrossRunsAndCores(t *testing.T) {
 	atOnce, inParts := t.TempDir(), t.TempDir()
-	h := searchViolations(t, atOnce, withoutSlowStart, 1, 12)
-	require.Equal(t, 12, h.Scenarios)
+	search := searchViolations(t, atOnce, withoutSlowStart, 1, 12)
+	require.Equal(t, 12, search.Scenarios)
 	previous := runtime.GOMAXPROCS(1)
 	defer runtime.GOMAXPROCS(previous)
 	searchViolations(t, inParts, withoutSlowStart, 5, 8) // later seeds first
@@ -66,13 +67,13 @@
 
 func TestInterruptedViolationSearchKeepsItsFindings(t *testing.T) {
 	dir := t.TempDir()
-	h, err := OpenViolationSearch(dir)
+	search, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
 	ctx, interrupt := context.WithCancel(context.Background())
-	require.NoError(t, h.Run(ctx, dir, withoutSlowStart, 1, 1000, func(*ViolationSearch) { interrupt() }))
+	require.NoError(t, search.Run(ctx, dir, withoutSlowStart, 1, 1000, func(*ViolationSearch) { interrupt() }))
 	again, err := OpenViolationSearch(dir)
 	require.NoError(t, err)
-	require.Equal(t, h, again)
+	require.Equal(t, search, again)
 	require.Equal(t, [][2]uint64{{1, searchBatch}}, again.Tried)
 }
 
@@ -117,8 +118,8 @@
 		s := DrawWide(seed)
 		require.Empty(t, s.Check(), "seed %d", seed)
 		endpoints := 0
-		for _, p := range s.Receivers {
-			endpoints += p.Count * p.Endpoints
+		for _, r := range s.Receivers {
+			endpoints += r.Count * r.Endpoints
 		}
 		require.True(t, endpoints >= 1 && endpoints <= maxSize && s.Dispatch.Forwarders <= maxSize, "seed %d: %d endpoints", seed, endpoints)
 	}
