--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -30,8 +30,8 @@
   idle     nothing happens
   change   the list changes several times
   restart  a third of the forwarders restart at the same time, and the list changes
-  outage   the list changes while discovery is down; times count from its return
-  zone     the list changes while a zone is cut off from discovery; times of that zone count from the end of the cut
+  outage   the list changes while discovery is down; times are measured from its return
+  zone     the list changes while a zone is cut off from discovery; times of that zone are measured from the end of the cut
   whole    all forwarders start at the same time without a list and receive the full list
 
 If the measured memory of one forwarder does not allow for all of them, fewer are started, and the note says so. When
@@ -69,7 +69,7 @@
 	f.IntVar(&config.Destinations, "destinations", config.Destinations, "number of destinations on the list, with one endpoint each")
 	f.IntVar(&config.Changes, "changes", config.Changes, "number of successive list changes in the scenario 'change'")
 	f.DurationVar(&config.Duration, "lasts", config.Duration, "duration of the idle period, the outage or the zone cut")
-	f.IntVar(&memoryMB, "memory", 0, "memory for all processes together, in MB, at most half of the machine's; 0 means a quarter of it")
+	f.IntVar(&memoryMB, "memory", 0, "memory limit for all processes together, in MB, at most half of the machine's memory; 0 means a quarter of the machine's memory")
 	f.IntVar(&listMB, "list-limit", 0, "largest object that a forwarder accepts on a watch, in MB; 0 means the built-in limit")
 	f.Uint64Var(&config.Seed, "seed", config.Seed, "random seed for the list changes and for each forwarder")
 	f.StringVar(&into, "into", "", "results file to store the trials in; replaces earlier trials of the same size")
--- a/lab/commands/capacity_page.go
+++ b/lab/commands/capacity_page.go
@@ -86,7 +86,7 @@
 	return os.Rename(temporary, path)
 }
 
-// printPage prints the report. If check is set, tables that are not current are an error that names them.
+// printPage prints the report. If check is set and tables are not current, it returns an error that names them.
 func printPage(c *cobra.Command, report *pageReport, check bool) error {
 	asJSON, _ := c.Flags().GetBool("json")
 	if asJSON {
--- a/lab/commands/capacity_page_test.go
+++ b/lab/commands/capacity_page_test.go
@@ -29,7 +29,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// outdatedPage writes a copy of the repository's page with a wrong figure in the table target.
+// outdatedPage writes a copy of the repository's page with a wrong figure in the table named target.
 func outdatedPage(t *testing.T) (file, modified, current string) {
 	t.Helper()
 	text, err := os.ReadFile(repositoryPage)
@@ -69,7 +69,7 @@
 	require.Equal(t, os.FileMode(0o640), info.Mode().Perm())
 	entries, err := os.ReadDir(filepath.Dir(file))
 	require.NoError(t, err)
-	require.Len(t, entries, 1, "a temporary file is left next to the page")
+	require.Len(t, entries, 1, "a temporary file was left next to the page")
 
 	code, out, _ = runPage(file)
 	require.Equal(t, cli.ExitOK, code)
--- a/lab/commands/compare.go
+++ b/lab/commands/compare.go
@@ -100,7 +100,7 @@
 			return t.Flush()
 		})})
 	c.Flags().StringVar(&axis, "axis", "load", strings.Join(slices.Sorted(maps.Keys(experiment.Axes)), ", "))
-	c.Flags().StringVar(&values, "values", "0.5,1,2", "comma-separated values of the axis; for load, trouble and destinations, factors of the scenario's own values")
+	c.Flags().StringVar(&values, "values", "0.5,1,2", "comma-separated values of the axis; for load, trouble and destinations, factors by which the scenario's values are multiplied")
 	return c
 }
 
--- a/lab/commands/real.go
+++ b/lab/commands/real.go
@@ -18,7 +18,8 @@
 		Short: "Run a scenario with forwarder processes and sockets, in real time",
 		Long: `Starts a forwarder process for each forwarder of the scenario, with destinations, discovery and clients on loopback, and
 runs the scenario in real time. Then it simulates the same seed for comparison. The faults reap and list are left out, as
-they cannot be reproduced on loopback without privileges; silent is a destination that accepts calls and never answers.`,
+they cannot be reproduced on loopback without privileges; silent is reproduced as a destination that accepts calls
+and never answers.`,
 		Example: "  spanflow-lab real forwarders-restart-in-a-wave --program bin/spanflow --logs logs",
 		RunE:    cli.Run(func(args []string) error { return s.runReal(r, args[0], html) })}
 	f := c.Flags()
@@ -31,7 +32,8 @@
 	return c
 }
 
-// runReal runs a scenario on real sockets, simulates it, and prints both results. A rule broken on sockets is an error.
+// runReal runs a scenario on real sockets, simulates it, and prints both results. It returns an error
+// if a rule was broken on sockets.
 func (s *session) runReal(r sim.Real, name, html string) error {
 	sc, err := scenario.Read(name)
 	if err != nil {
--- a/lab/commands/root.go
+++ b/lab/commands/root.go
@@ -67,8 +67,8 @@
 	if name == schedulerPolicy {
 		return sim.SchedulerPolicy, nil
 	}
-	if m := sim.Baselines[name]; m != nil {
-		return m, nil
+	if newPolicy := sim.Baselines[name]; newPolicy != nil {
+		return newPolicy, nil
 	}
 	return nil, fmt.Errorf("unknown policy %q", name)
 }
@@ -79,8 +79,8 @@
 	if err != nil {
 		return experiment.Arm{}, err
 	}
-	m, err := policy(s.policy)
-	return experiment.Arm{Name: sc.Name, Scenario: sc, NewPolicy: m}, err
+	newPolicy, err := policy(s.policy)
+	return experiment.Arm{Name: sc.Name, Scenario: sc, NewPolicy: newPolicy}, err
 }
 
 // seedsFor returns the seeds to simulate a scenario with, according to the flags.
@@ -92,8 +92,8 @@
 	return experiment.Seeds(from, max(1, s.seeds))
 }
 
-// progress returns a function to be called after each run, which prints the number of finished runs and the estimated
-// time left. It is nil if progress is not printed.
+// progress returns a function that prints the number of finished runs and the estimated time left. The caller calls
+// it after each run. It is nil if progress is not printed.
 func (s *session) progress(all int) func() {
 	if s.quiet || s.json {
 		return nil
--- a/lab/commands/run.go
+++ b/lab/commands/run.go
@@ -46,7 +46,7 @@
 	return c
 }
 
-// runSimulated simulates a scenario and prints the results. A broken rule is an error.
+// runSimulated simulates a scenario and prints the results. It returns an error if a rule was broken.
 func (s *session) runSimulated(name, html string) error {
 	arm, err := s.arm(name)
 	if err != nil {
--- a/lab/commands/search.go
+++ b/lab/commands/search.go
@@ -26,7 +26,7 @@
 func (s *session) search() *cobra.Command {
 	o := searchOptions{lasts: time.Minute, limit: unlimitedScenarios, keep: 3}
 	c := s.policyFlags(&cobra.Command{Use: "search [SCENARIO]", Args: cobra.MaximumNArgs(1),
-		Short: "Search random scenarios in which the policy performs badly, and shrink the worst",
+		Short: "Search for random scenarios in which the policy performs badly, and shrink the worst",
 		Long: `Generates scenarios with random sizes, load and faults from the destinations of a scenario (calm by default). The loss of
 a scenario counts broken rules most, then the value by which the best baseline that keeps the rules delivers more. The
 worst scenarios are shrunk as long as they keep three quarters of their loss.`,
--- a/lab/commands/violations.go
+++ b/lab/commands/violations.go
@@ -42,7 +42,8 @@
 	return c
 }
 
-// searchViolations starts or continues the search stored in a folder. Violations, including earlier ones, are an error.
+// searchViolations starts or continues the search stored in a folder. It returns an error if the search has
+// found violations, including those of earlier runs.
 func (s *session) searchViolations(o *huntOptions) error {
 	if o.folder == "" {
 		return errors.New("--out: a folder is required to save the state of the search")
@@ -113,7 +114,7 @@
 		Short:   "Check that kept findings break no rule and deliver at least their floor",
 		Example: "  spanflow-lab findings\n  spanflow-lab findings hunted/*.toml --seeds 8",
 		RunE:    cli.Run(func(names []string) error { return s.runFindings(names, seeds) })}
-	c.Flags().IntVar(&seeds, "seeds", seeds, "seeds per scenario, starting with its own; the floor was set for its own seed")
+	c.Flags().IntVar(&seeds, "seeds", seeds, "number of seeds per scenario, starting with the scenario's own seed, for which its floor was set")
 	c.Flags().StringVar(&s.policy, "policy", schedulerPolicy, "dispatch policy")
 	return c
 }
