--- a/lab/load/arrivals.go
+++ b/lab/load/arrivals.go
@@ -12,10 +12,10 @@
 // Point is a rate per second at a time in seconds. Between two points the rate is interpolated linearly.
 type Point struct{ At, Rate float64 }
 
-// Shape is a rate over time. Before the first point and after the last it is constant.
+// Shape is a rate over time. It is constant before the first point and after the last.
 type Shape []Point
 
-// Rate returns the rate at a time, 0 for an empty shape. Where two points have the same time, the later one counts.
+// Rate returns the rate at a time, or 0 for an empty shape. If two points have the same time, the later one counts.
 func (s Shape) Rate(at float64) float64 {
 	if len(s) == 0 {
 		return 0
@@ -39,7 +39,7 @@
 	return a.Rate + (b.Rate-a.Rate)*(at-a.At)/(b.At-a.At)
 }
 
-// Check returns an error that describes the first invalid point, nil if the shape is valid.
+// Check returns an error that describes the first invalid point, or nil if the shape is valid.
 func (s Shape) Check() error {
 	for i, p := range s {
 		switch {
--- a/lab/load/connection.go
+++ b/lab/load/connection.go
@@ -42,8 +42,8 @@
 	return answerNone
 }
 
-// exchange sends a request and reads its answer. retry is true if the forwarder had closed a connection that was used
-// before.
+// exchange sends a request and reads its answer. retry is true if the forwarder closed a connection that had been
+// used before.
 func (c *connection) exchange(request string) (answer string, retry bool) {
 	fresh := c.conn == nil
 	if fresh {
@@ -74,7 +74,7 @@
 	return answerError, false
 }
 
-// formatRequest returns a message as a RESP command; left is the rest of its time to live in seconds.
+// formatRequest returns a message as a RESP command; left is its remaining time to live in seconds.
 func formatRequest(j job, left float64, body string) string {
 	fields := fmt.Sprintf("c=%s,d=%d,dest=%d", j.message.Type, int(left*1000), j.message.Destination)
 	if j.message.IdempotencyKey != "" {
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// dialServer returns a function that connects to a server, which answers each command after a delay plus a stall; stall
-// gets the time since the first connection. It must be called in a synctest bubble, whose fake clock keeps other work
-// on the machine from counting as delay.
+// dialServer returns a function that connects to a server, which answers each command after a delay plus a stall. stall
+// receives the time since the first connection; it may be nil. dialServer must be called in a synctest bubble, whose
+// fake clock keeps other work on the machine from counting as delay.
 func dialServer(delay time.Duration, stall func(since time.Duration) time.Duration) func() (net.Conn, error) {
 	var once sync.Once
 	var began time.Time
@@ -137,7 +137,7 @@
 		}
 		return 0
 	})
-	run.Connections = 4 // like a real load tool: the stall blocks all of them, and new arrivals queue
+	run.Connections = 4 // as in a real load tool, so few that the stall blocks all and new arrivals are queued
 	r, err = run.Do(context.Background(), newGenerator(20, 4))
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"ok": r.Sent}, r.Answers)
@@ -159,7 +159,7 @@
 		}
 		return 0
 	})
-	// 300 messages take 0.1 s; the other 200 also wait for the rest of the two-second stall.
+	// 300 messages are answered after 0.1 s; the other 200 also wait for the rest of the two-second stall.
 	r, err := run.Do(context.Background(), newGenerator(100, 5))
 	require.NoError(t, err)
 	require.InDelta(t, 500, r.Sent, 1)
--- a/lab/load/picker.go
+++ b/lab/load/picker.go
@@ -9,7 +9,7 @@
 // Picker draws one of the numbers 0 to n-1 by weight.
 type Picker struct{ sums []float64 }
 
-// Zipf returns a picker of 0 to n-1 that gives i the weight 1/(i+1)^s. An s of 0 gives all the same weight.
+// Zipf returns a picker of 0 to n-1 that gives i the weight 1/(i+1)^s. If s is 0, all weights are equal.
 func Zipf(n int, s float64) Picker {
 	w := make([]float64, n)
 	for i := range w {
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -72,7 +72,7 @@
 const (
 	maxLatencyMicros  = 3_600_000_000 // highest value of the histograms
 	latencyDigits     = 3             // significant digits of the histograms
-	maxQueuedMessages = 1 << 20       // messages that wait for a connection
+	maxQueuedMessages = 1 << 20       // maximum number of messages queued for a connection
 	maxBodyBytes      = 64 << 10
 	progressEvery     = 100 // messages
 )
@@ -107,8 +107,8 @@
 	open            int // messages without an answer
 }
 
-// Do submits the messages of a source at their times, and returns when each one was answered or timed out. If ctx ends
-// early, Do returns the report together with the error of ctx.
+// Do submits the messages of a source at their times, and returns when each one has been answered or has timed out. If
+// ctx ends early, Do returns the report together with the error of ctx.
 func (r Run) Do(ctx context.Context, src Source) (*Report, error) {
 	if r.Connections < 1 || r.Timeout <= 0 || r.TimeToLive <= 0 {
 		return nil, errors.New("connections, timeout and life must be greater than 0")
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -46,7 +46,7 @@
 	return message, true
 }
 
-// Trace is a Source of recorded messages, which it reads from a file as they are needed. Times are divided by Speed.
+// Trace is a Source of recorded messages, which it reads from a file on demand. Times are divided by Speed.
 type Trace struct {
 	Speed float64
 	Err   error // the error that ended the trace, nil at the end of the file
@@ -59,8 +59,9 @@
 	file        io.Closer
 }
 
-// Open opens a trace with the fields of Message: CSV with a header (.csv), otherwise JSON lines. Times are in seconds,
-// in ascending order, from any start. speed is the factor by which the trace is sped up. The caller closes the trace.
+// Open opens a trace with the fields of Message: CSV with a header if the path ends in .csv, otherwise JSON lines. Times are in seconds
+// and ascending; the first one may have any value. speed is the factor by which the trace is sped up. The caller
+// closes the trace.
 func Open(path string, speed float64) (*Trace, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
 		return nil, fmt.Errorf("speed: %v must be finite and greater than 0", speed)
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -47,12 +47,12 @@
 		JSON  template.JS
 	}{Scene: s}
 	for _, r := range results {
-		d := reportedRun{s, r}
+		run := reportedRun{s, r}
 		one := runView{Result: r}
 		for _, p := range []struct {
 			into *template.HTML
 			draw func() (*plot.Plot, error)
-		}{{&one.Value, d.valuePlot}, {&one.Held, d.heldPlot}, {&one.Heat, d.heatPlot}} {
+		}{{&one.Value, run.valuePlot}, {&one.Held, run.heldPlot}, {&one.Heat, run.heatPlot}} {
 			pl, err := p.draw()
 			if err != nil {
 				return err
@@ -88,17 +88,17 @@
 	return template.HTML(text), nil
 }
 
-func (d *reportedRun) plot(title, y string) *plot.Plot {
+func (run *reportedRun) plot(title, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "seconds", y
 	p.Y.Min, p.Legend.Top = 0, true
 	return p
 }
 
-func (d *reportedRun) line(p *plot.Plot, name string, c color.Color, of func(s *sim.Second) float64) error {
+func (run *reportedRun) line(p *plot.Plot, name string, c color.Color, of func(s *sim.Second) float64) error {
 	var points plotter.XYs
-	for i := range d.Result.Seconds {
-		points = append(points, plotter.XY{X: float64(i) + 0.5, Y: of(&d.Result.Seconds[i])})
+	for i := range run.Result.Seconds {
+		points = append(points, plotter.XY{X: float64(i) + 0.5, Y: of(&run.Result.Seconds[i])})
 	}
 	l, err := plotter.NewLine(points)
 	if err != nil {
@@ -111,9 +111,9 @@
 }
 
 // markFaults draws dashed lines where faults begin (red) and end (grey).
-func (d *reportedRun) markFaults(p *plot.Plot, top float64) error {
-	for _, t := range d.Scenario.Faults {
-		for i, at := range []float64{float64(t.At), float64(t.At + t.For)} {
+func (run *reportedRun) markFaults(p *plot.Plot, top float64) error {
+	for _, f := range run.Scenario.Faults {
+		for i, at := range []float64{float64(f.At), float64(f.At + f.For)} {
 			l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
 			if err != nil {
 				return err
@@ -128,29 +128,30 @@
 	return nil
 }
 
-func (d *reportedRun) valuePlot() (*plot.Plot, error) {
-	p := d.plot("Value of the messages that arrived in each second", "value")
-	if err := d.line(p, "offered", grey, func(s *sim.Second) float64 { return s.Offered }); err != nil {
+func (run *reportedRun) valuePlot() (*plot.Plot, error) {
+	p := run.plot("Value of the messages that arrived in each second", "value")
+	if err := run.line(p, "offered", grey, func(s *sim.Second) float64 { return s.Offered }); err != nil {
 		return nil, err
 	}
-	if err := d.line(p, "delivered", blue, func(s *sim.Second) float64 { return s.Delivered }); err != nil {
+	if err := run.line(p, "delivered", blue, func(s *sim.Second) float64 { return s.Delivered }); err != nil {
 		return nil, err
 	}
-	return p, d.markFaults(p, p.Y.Max)
+	return p, run.markFaults(p, p.Y.Max)
 }
 
-func (d *reportedRun) heldPlot() (*plot.Plot, error) {
-	p := d.plot("Messages held and calls in flight", "messages, calls")
-	if err := d.line(p, "held", orange, func(s *sim.Second) float64 { return float64(s.Held) }); err != nil {
+func (run *reportedRun) heldPlot() (*plot.Plot, error) {
+	p := run.plot("Messages held and calls in flight", "messages, calls")
+	if err := run.line(p, "held", orange, func(s *sim.Second) float64 { return float64(s.Held) }); err != nil {
 		return nil, err
 	}
-	if err := d.line(p, "in flight", blue, func(s *sim.Second) float64 { return float64(s.OpenCalls) }); err != nil {
+	if err := run.line(p, "in flight", blue, func(s *sim.Second) float64 { return float64(s.OpenCalls) }); err != nil {
 		return nil, err
 	}
-	return p, d.markFaults(p, math.Max(1, p.Y.Max))
+	return p, run.markFaults(p, math.Max(1, p.Y.Max))
 }
 
-// heatGrid is the number of messages held by destination and second, as a plotter.GridXYZ.
+// heatGrid is the number of messages held by destination and second, as a plotter.GridXYZ. Its columns
+// are seconds and its rows are destinations.
 type heatGrid struct{ seconds []sim.Second }
 
 // Dims returns the number of seconds and the number of destinations.
@@ -162,15 +163,15 @@
 // X returns the middle of a second.
 func (h heatGrid) X(c int) float64 { return float64(c) + 0.5 }
 
-// Y returns the number of a destination.
+// Y returns the index of a destination.
 func (h heatGrid) Y(r int) float64 { return float64(r) }
 
-func (d *reportedRun) heatPlot() (*plot.Plot, error) {
-	if len(d.Result.Seconds) < 2 || len(d.Result.Seconds[0].HeldByDestination) < 2 {
+func (run *reportedRun) heatPlot() (*plot.Plot, error) {
+	if len(run.Result.Seconds) < 2 || len(run.Result.Seconds[0].HeldByDestination) < 2 {
 		return nil, nil
 	}
-	p := d.plot("Messages held by destination (logarithmic; darker means fewer)", "destination")
-	p.Add(plotter.NewHeatMap(heatGrid{d.Result.Seconds}, moreland.ExtendedBlackBody().Palette(64)))
+	p := run.plot("Messages held by destination (logarithmic; darker means fewer)", "destination")
+	p.Add(plotter.NewHeatMap(heatGrid{run.Result.Seconds}, moreland.ExtendedBlackBody().Palette(64)))
 	return p, nil
 }
 
