--- a/lab/capacity/fit.go
+++ b/lab/capacity/fit.go
@@ -11,7 +11,7 @@
 	minPoints = 4
 	// minSizeRatio is the minimum ratio of the largest size to the smallest for a curve to count as linear.
 	minSizeRatio = 10.0
-	// minPointsBeforeBend is the minimum number of sizes up to a bend.
+	// minPointsBeforeBend is the minimum number of sizes up to and including a bend.
 	minPointsBeforeBend = 3
 	// maxResidual is the largest residual (root mean square of the relative errors) at which a line fits.
 	maxResidual = 0.10
@@ -20,7 +20,7 @@
 	// maxResidualBeforeBend is the largest residual at which a line fits the part before a bend. It is stricter, as a
 	// line fits few points too easily.
 	maxResidualBeforeBend = maxResidual / 2
-	// zeroFraction limits the weights of small values: values below this share of the largest value are weighted as if
+	// zeroFraction limits the weights of small values. Values below this share of the largest value are weighted as if
 	// they had this share, so that a value of zero does not outweigh all others.
 	zeroFraction = 1e-4
 )
@@ -125,9 +125,9 @@
 	return all
 }
 
-// growthPower returns the slope of the line through the logarithms of sizes and values: the exponent with which the
-// value grows. It is 0 if any size or value is not positive. A power slightly over 1 may be an effect of the machine's
-// caches.
+// growthPower returns the exponent with which the value grows, which is the slope of the line fitted to the logarithms
+// of sizes and values. It is 0 if any size or value is not positive. A power slightly over 1 may be an effect of the
+// machine's caches.
 func growthPower(points []Point) float64 {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
--- a/lab/capacity/fit_test.go
+++ b/lab/capacity/fit_test.go
@@ -11,7 +11,8 @@
 
 var sizes = []float64{100, 300, 1000, 3000, 10_000}
 
-// pointsOf returns points of a function at the test's sizes. Each value is changed by up to the share noise of itself.
+// pointsOf returns points of a function at the test's sizes. Each value is increased or decreased by a random fraction
+// of at most noise.
 func pointsOf(noise float64, value func(x float64) float64) []Point {
 	random := rand.New(rand.NewPCG(1, 2))
 	var points []Point
--- a/lab/capacity/page/estimate.go
+++ b/lab/capacity/page/estimate.go
@@ -6,7 +6,7 @@
 	"spanflow/lab/capacity"
 )
 
-// Basis tells how a value at a size was obtained.
+// Basis states how a value at a size was obtained.
 type Basis uint8
 
 // The bases of estimates and limits.
@@ -24,7 +24,7 @@
 type Estimate struct {
 	Basis  Basis
 	Value  float64 // in the curve's unit
-	Beyond float64 // with Extrapolated: the ratio of the size to the largest measured size
+	Beyond float64 // ratio of the size to the largest measured size; only set if Basis is Extrapolated
 }
 
 // ValueAt estimates the value of a curve at a size. curve is nil if it was not measured.
@@ -56,14 +56,14 @@
 
 // Limit is the smallest known size at which a budget is exceeded.
 type Limit struct {
-	Basis         Basis   // how Size was obtained; with NotMeasured, NoSize and NotExtrapolated it is not known
+	Basis         Basis   // how Size was obtained; NotMeasured, NoSize and NotExtrapolated mean that it is not known
 	Never         bool    // the budget is kept at every size up to the requested one
-	Size          float64 // from which the budget is exceeded; with Measured, the first measured size that exceeds it
-	LargestWithin float64 // with Measured: the largest known size below Size that keeps the budget; 0 means none
+	Size          float64 // where the budget is first exceeded; if Basis is Measured, the smallest measured size that exceeds it
+	LargestWithin float64 // largest known size below Size that keeps the budget, if Basis is Measured; 0 means none
 }
 
-// ExceededAt returns the size at which a curve exceeds a budget, considering sizes up to upTo. curve is nil if it was
-// not measured.
+// ExceededAt returns the smallest size up to upTo at which a curve exceeds a budget. curve is nil if it was not
+// measured.
 func ExceededAt(curve *capacity.Curve, budget, upTo float64) Limit {
 	if curve == nil {
 		return Limit{}
@@ -110,8 +110,8 @@
 	return 0
 }
 
-// crossing returns the size at which a curve's fitted line reaches a value: infinity if it never does, 0 if it starts
-// above the value.
+// crossing returns the size at which a curve's fitted line reaches a value. It returns infinity if the line never
+// does, and 0 if it starts above the value.
 func crossing(curve *capacity.Curve, value float64) float64 {
 	fit := curve.Fit
 	switch {
--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -9,8 +9,8 @@
 	"spanflow/lab/capacity"
 )
 
-// figure is one row of a role's table: a quantity at the target size. At most one of target, curve and trial is set and
-// is its source. A figure without a source is not measured.
+// figure is one row of a role's table: a quantity at the target size. At most one of target, curve and trial is set,
+// and is the figure's source. A figure without a source is not measured.
 type figure struct {
 	name          string
 	unit          Unit
@@ -30,7 +30,7 @@
 // curveUse computes a figure as the value of a curve at the target size, times a factor.
 type curveUse struct {
 	ref        curveRef
-	unit       Unit                  // required unit of the curve, before the factor
+	unit       Unit                  // required unit of the curve, before it is multiplied by the factor
 	size       func(*Target) float64 // nil if the target does not state the size
 	sizeName   string
 	factor     func(*Target) float64 // nil means 1
@@ -46,7 +46,7 @@
 	accept   func(*capacity.FleetTrial) bool // selects trials; nil means all
 }
 
-// noneMissed selects trials in which no forwarder missed a change. The costs of other trials are not meaningful.
+// noneMissed selects trials in which no forwarder missed a change. Costs measured in other trials are not meaningful.
 func noneMissed(trial *capacity.FleetTrial) bool { return trial.Missed == 0 }
 
 // coverage is the size of a trial as shares of the target size: the smaller and the larger of its shares of forwarders
@@ -103,7 +103,7 @@
 	return estimate.Value, unit == b.curve.unit && estimate.Basis != NotExtrapolated
 }
 
-// compute computes a figure. A curve with another unit than the figure expects is an error.
+// compute computes a figure. It returns an error if the curve's unit is not the expected one.
 func (f *figure) compute(role string, target *Target, results *capacity.Results) (computedFigure, error) {
 	r := computedFigure{figure: f, role: role}
 	if f.budget != nil {
@@ -163,7 +163,7 @@
 	return nil
 }
 
-// describe describes the line or the growth from which a curve's values are computed.
+// describe returns a text about the fitted line of a curve, or about its growth if it is not linear.
 func describe(curve *capacity.Curve, unit Unit) string {
 	fit := curve.Fit
 	slope := unit.Format(fit.Slope) + " each of " + curve.SizeUnit
--- a/lab/capacity/page/files_test.go
+++ b/lab/capacity/page/files_test.go
@@ -104,7 +104,7 @@
 	require.False(t, finite(math.NaN()))
 }
 
-// exampleResults returns invented results with one curve and one trial.
+// exampleResults returns made-up results with one curve and one trial.
 func exampleResults() *capacity.Results {
 	return &capacity.Results{Machine: "an example machine", Date: "2026-01-02",
 		Curves: []capacity.Curve{*linearCurve()},
--- a/lab/capacity/page/format.go
+++ b/lab/capacity/page/format.go
@@ -104,7 +104,7 @@
 	return digits(seconds/60/60) + " h"
 }
 
-// cores formats a number of cores, as a percentage of a core if it is less than one.
+// cores formats a number of cores. Below one core, it gives a percentage of a core.
 func cores(value float64) string {
 	if math.Abs(value) < 1 {
 		return digits(value*100) + "% of a core"
@@ -144,7 +144,8 @@
 	return number
 }
 
-// percent formats a share as a percentage with two significant digits. Shares below a millionth of a percent are 0%.
+// percent formats a share as a percentage with two significant digits. It formats shares below a
+// millionth of a percent as 0%.
 func percent(value float64) string {
 	if math.Abs(value) < 1e-8 {
 		return "0%"
--- a/lab/capacity/page/page.go
+++ b/lab/capacity/page/page.go
@@ -23,8 +23,8 @@
 	Outdated []string // names of the tables that differed in the given text
 }
 
-// Update replaces the generated tables in a page's text. A table that is unknown, not closed, duplicate or missing is
-// an error that names it.
+// Update replaces the generated tables in a page's text. It returns an error that names the table if one is unknown,
+// not closed, duplicate or missing.
 func Update(text string, target *Target, results *capacity.Results) (*Page, error) {
 	rendered, err := tables(target, results)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// marker returns the table's name if a line is a marker with the given prefix. A marker without a name or without an
-// end is an error.
+// marker returns the table's name if a line is a marker with the given prefix. It returns an error if
+// the marker has no name or no end.
 func marker(text, prefix string) (name string, is bool, err error) {
 	text = strings.TrimSpace(text)
 	rest, is := strings.CutPrefix(text, prefix)
@@ -97,7 +97,7 @@
 	return name, true, nil
 }
 
-// endOf returns the index of the line that ends the table which begins at a line.
+// endOf returns the index of the line that ends the table that begins at a line.
 func endOf(lines []string, begin int, name string) (int, error) {
 	for at := begin + 1; at < len(lines); at++ {
 		ended, is, err := marker(lines[at], endPrefix)
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -27,7 +27,7 @@
 }
 
 // TestRepositoryPageIsCurrent checks that docs/CAPACITY.md matches the target size and the measured results. If it
-// fails, run bin/spanflow-lab capacity page.
+// fails, run 'bin/spanflow-lab capacity page' to update the tables.
 func TestRepositoryPageIsCurrent(t *testing.T) {
 	text, err := os.ReadFile(pageFile)
 	require.NoError(t, err)
@@ -75,9 +75,9 @@
 func TestQuotedLimitsMatchTheSource(t *testing.T) {
 	for _, quoted := range []struct{ folder, constant, value string }{
 		{"internal/discovery", "maxLineBytes", "4 << 20"},              // maxWatchLine
-		{"internal/discovery", "heartbeatInterval", "2 * time.Second"}, // a watch counts as silent after 1.5 intervals: 3 s
+		{"internal/discovery", "heartbeatInterval", "2 * time.Second"}, // a watch is considered silent after 1.5 intervals, 3 s
 		{"internal/statefile", "maxLatencyLines", "1 << 12"},           // 4,096 destinations
-		{"forwarder", "killAfter", "3700 * time.Millisecond"},          // minus killMargin: 3.2 s to end
+		{"forwarder", "killAfter", "3700 * time.Millisecond"},          // 3.2 s after subtracting killMargin
 		{"forwarder", "killMargin", "500 * time.Millisecond"},
 		{"scheduler", "sheddingThreshold", "0.97"},
 	} {
@@ -234,8 +234,8 @@
 	results.Curves = []capacity.Curve{
 		line("known-destination", "memory in the scheduler", "bytes", 1000),              // 32 MB at 32,000 of 170,000
 		line("held-message", "memory in the scheduler", "bytes", 192e6/54_000),           // 192 MB at 54,000 of 5,400,000
-		line("known-destination", "processor time of a list change", "ns", 1),            // never
-		line("message-path", "processor time in a second", "s", 1e-6),                    // never
+		line("known-destination", "processor time of a list change", "ns", 1),            // never exceeds its budget
+		line("message-path", "processor time in a second", "s", 1e-6),                    // never exceeds its budget
 		line("held-message", "processor time of a fresh message beside them", "s", 1e-9), // 1 / 1,300 s at 769,000
 	}
 	rendered, err := tables(readTarget(t), results)
@@ -264,7 +264,7 @@
 	require.Contains(t, row(t, rendered["control"], "a change in force everywhere"), "| 12 s (measured) |")
 	require.Contains(t, rendered["ranking"], "|  | kept | forwarder: control: bytes of changes |")
 	kept := trial
-	kept.Forwarders, kept.Destinations = 100, 170_000 // shows only that the budget is kept at a fifth of both
+	kept.Forwarders, kept.Destinations = 100, 170_000 // shows only that the budget is kept at 20% of both
 	results.Fleets = append(results.Fleets, kept)
 	again, err := tables(readTarget(t), results)
 	require.NoError(t, err)
@@ -277,11 +277,11 @@
 
 func TestTrialsWithMissesGiveNoCost(t *testing.T) {
 	results := exampleResults()
-	had, missed := results.Fleets[0], results.Fleets[0]
-	had.Scenario, had.Forwarders, had.Destinations, had.ForwarderMemory, had.ForwarderBytesPerChange = "whole list", 34, 170_000, 270e6, 30e6
-	missed = had
+	complete, missed := results.Fleets[0], results.Fleets[0]
+	complete.Scenario, complete.Forwarders, complete.Destinations, complete.ForwarderMemory, complete.ForwarderBytesPerChange = "whole list", 34, 170_000, 270e6, 30e6
+	missed = complete
 	missed.Forwarders, missed.Missed, missed.ForwarderMemory, missed.ForwarderBytesPerChange = 478, 478, 5e6, 60e6
-	results.Fleets = []capacity.FleetTrial{missed, had}
+	results.Fleets = []capacity.FleetTrial{missed, complete}
 	rendered, err := tables(readTarget(t), results)
 	require.NoError(t, err)
 	require.Contains(t, row(t, rendered["control"], "memory of a hollow forwarder that got a full list"), "| 270 MB (measured) |")
--- a/lab/capacity/page/roles.go
+++ b/lab/capacity/page/roles.go
@@ -39,7 +39,7 @@
 // maxWatchLine equals maxLineBytes of internal/discovery, in bytes. TestQuotedLimitsMatchTheSource compares them.
 const maxWatchLine = 4 << 20
 
-// restartCurve is the time until a restarted forwarder is ready, by the number of messages it holds.
+// restartCurve is the curve of the time until a restarted forwarder is ready, by the number of messages it holds.
 var restartCurve = curveRef{"restart", "time to the forwarder's readiness"}
 
 // The scenarios of fleet trials.
@@ -56,7 +56,7 @@
 var scenarioArgument = map[string]string{idleScenario: "idle", changeScenario: "change", fullListScenario: "whole",
 	thirdScenario: "restart", awayScenario: "outage", zoneScenario: "zone"}
 
-// The sizes at which curves are evaluated.
+// The functions below return the sizes at which curves are evaluated.
 func destinationsAtTarget(t *Target) float64 { return t.Load.Destinations }
 func heldAtTarget(t *Target) float64         { return t.Load.BacklogPerForwarder }
 func forwardersAtTarget(t *Target) float64   { return t.Fleet.Forwarders }
@@ -73,22 +73,24 @@
 )
 
 // targetFigure returns a figure that is computed from the target alone.
-func targetFigure(what string, unit Unit, value func(*Target) float64, from, carriedBy string) *figure {
-	return &figure{name: what, unit: unit, target: &targetUse{value, from}, implementedBy: carriedBy}
+func targetFigure(name string, unit Unit, value func(*Target) float64, source, implementedBy string) *figure {
+	return &figure{name: name, unit: unit, target: &targetUse{value, source}, implementedBy: implementedBy}
 }
 
 // curveFigure returns a figure that is computed from a curve at the target size.
-func curveFigure(what string, unit Unit, use curveUse, within *budget, carriedBy string) *figure {
-	return &figure{name: what, unit: unit, curve: &use, budget: within, implementedBy: carriedBy}
+func curveFigure(name string, unit Unit, use curveUse, limit *budget, implementedBy string) *figure {
+	return &figure{name: name, unit: unit, curve: &use, budget: limit, implementedBy: implementedBy}
 }
 
 // trialFigure returns a figure that is computed from the largest trial of a scenario.
-func trialFigure(what string, unit Unit, use trialUse, within *budget, carriedBy string) *figure {
-	return &figure{name: what, unit: unit, trial: &use, budget: within, implementedBy: carriedBy}
+func trialFigure(name string, unit Unit, use trialUse, limit *budget, implementedBy string) *figure {
+	return &figure{name: name, unit: unit, trial: &use, budget: limit, implementedBy: implementedBy}
 }
 
 // unmeasured returns a figure that is not measured.
-func unmeasured(what, carriedBy string) *figure { return &figure{name: what, implementedBy: carriedBy} }
+func unmeasured(name, implementedBy string) *figure {
+	return &figure{name: name, implementedBy: implementedBy}
+}
 
 func messagePath() []*figure {
 	held := func(quantity string, unit Unit) curveUse {
@@ -144,7 +146,7 @@
 // storedBy names the packages that implement a backlog in the store.
 const storedBy = "`internal/backlog`, `forwarder`, where `[backlog]` is set"
 
-// storedCurve uses a curve over the number of messages in the backlog store.
+// storedCurve evaluates a curve at the number of messages in the backlog store of one forwarder.
 func storedCurve(role, quantity string, unit Unit) curveUse {
 	return curveUse{ref: curveRef{role, quantity}, unit: unit, size: heldAtTarget, sizeName: allHeld}
 }
@@ -201,7 +203,7 @@
 // watch when one ends.
 const perForwarderWithAttempts = "of one forwarder, with all attempts"
 
-// never is the time in force if some forwarders missed a change.
+// never stands for the time until a change is in force if some forwarders missed it.
 const never = 1e9 // seconds
 
 func lastInForce(_ *Target, trial *capacity.FleetTrial) float64 {
@@ -265,7 +267,7 @@
 	}
 }
 
-// outageCurve uses a curve of a destination that is down, over the number of forwarders.
+// outageCurve evaluates a curve of the role down-destination at the number of forwarders.
 func outageCurve(quantity string) curveUse {
 	return curveUse{ref: curveRef{"down-destination", quantity}, unit: Calls, size: forwardersAtTarget, sizeName: allForwarders}
 }
--- a/lab/capacity/page/tables.go
+++ b/lab/capacity/page/tables.go
@@ -52,8 +52,8 @@
 	return table([]string{"figure", "at the target size", "worked out from", "budget", "measured by", "carried by"}, rows)
 }
 
-// rankingTable orders all figures with a budget by the share of the target size at which they exceed it. Figures with
-// an unknown share come next, then figures that keep their budget.
+// rankingTable lists all figures that have a budget, by the share of the target size at which they exceed it. Figures
+// with an unknown share follow, then figures that keep their budget.
 func rankingTable(figures []computedFigure) string {
 	var ranked []computedFigure
 	for _, r := range figures {
@@ -171,7 +171,7 @@
 	return unit.Format(at.Value)
 }
 
-// pointsOf lists the measured values by size.
+// pointsOf formats the measured points of a curve as a list.
 func pointsOf(curve *capacity.Curve, unit Unit) string {
 	var points []string
 	for _, point := range curve.Points {
@@ -232,8 +232,8 @@
 	return reached(trial.InForce50) + ", " + reached(trial.InForce99) + ", " + Seconds.Format(lastInForce(nil, trial))
 }
 
-// inTime returns whether a trial's changes were in force everywhere within the target's time: "yes", "no", or ""
-// without changes.
+// inTime returns "yes" if a trial's changes were in force everywhere within the target's time, "no" if they were not,
+// and "" if there were no changes.
 func inTime(t *Target, trial *capacity.FleetTrial) string {
 	if trial.Changes == 0 {
 		return ""
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -47,7 +47,7 @@
 	InForceWithin config.Duration `toml:"in_force_within"`
 }
 
-// Failures are the failures to expect.
+// Failures are the expected rates of failures, and how long regions may be cut off from each other.
 type Failures struct {
 	MachinesPerDay float64         `toml:"machines_per_day"`
 	RestartsPerDay float64         `toml:"restarts_per_day"`
@@ -69,7 +69,7 @@
 	BytesPerSecond config.Size `toml:"bytes_per_second"`
 }
 
-// ForwarderBudget is the budget for everything else at a forwarder.
+// ForwarderBudget is the part of a forwarder's resources for everything but control.
 type ForwarderBudget struct {
 	Cores       float64         `toml:"cores"`
 	Memory      config.Size     `toml:"memory"`
@@ -78,17 +78,18 @@
 	DrainPerSecond float64 `toml:"drain_per_second"` // messages of a backlog, while no new messages arrive
 }
 
-// OperatorEstimate is a figure that the operators measured once, with the curve that measures it again.
+// OperatorEstimate is a figure that the operators measured once. It names the curve to compare it with.
 type OperatorEstimate struct {
 	Name     string `toml:"what"`
 	Value    string `toml:"value"`
 	Role     string `toml:"role"`
 	Quantity string `toml:"quantity"`
 
-	Size float64 `toml:"size"` // at which the estimate holds; 0 means that it is a cost per piece, like the slope of the curve's line
+	Size float64 `toml:"size"` // at which the estimate holds; 0 means that it is a cost per unit of size, like the slope of the fitted line
 }
 
-// consistencyTolerance is the largest relative difference between a figure and its value derived from other figures.
+// consistencyTolerance is the largest relative difference allowed between a figure and its value derived from other
+// figures.
 const consistencyTolerance = 0.1
 
 // ReadTarget reads and checks the file of the target size. Errors name the file, the line and the field.
@@ -186,9 +187,9 @@
 		return
 	}
 	c.agrees("load.backlog_per_forwarder", t.Load.BacklogPerForwarder, t.Load.BacklogEvents/t.Fleet.Forwarders,
-		"load.backlog_events over fleet.forwarders")
+		"load.backlog_events divided by fleet.forwarders")
 	c.agrees("load.backlog_events", t.Load.BacklogEvents, t.eventsPerSecondDown()*float64(t.Load.BacklogFor),
-		"what the destinations that are down get in load.backlog_for")
+		"the number of events for destinations that are down during load.backlog_for")
 }
 
 func (t *Target) checkChangesAndFailures(c *targetChecker) {
@@ -238,7 +239,8 @@
 	return t.Load.EventsPerSecond / t.Load.Destinations * t.Load.DestinationSkew
 }
 
-// eventsPerSecondDown returns the events per second for destinations that are down, if all destinations get the same.
+// eventsPerSecondDown returns the events per second for destinations that are down, assuming the same rate
+// for all destinations.
 func (t *Target) eventsPerSecondDown() float64 { return t.Load.EventsPerSecond * t.Load.DownFraction }
 
 // destinationsDown returns the number of destinations that are down at any time.
--- a/lab/capacity/results.go
+++ b/lab/capacity/results.go
@@ -12,7 +12,7 @@
 
 // Curve is one quantity that was measured at several sizes.
 type Curve struct {
-	Role     string  `json:"role"`      // what was measured, such as "held-message"; also the argument of 'capacity measure'
+	Role     string  `json:"role"`      // the part that was measured, such as "held-message"; also the argument of 'capacity measure'
 	Quantity string  `json:"quantity"`  // such as "memory in the scheduler"
 	SizeUnit string  `json:"size_unit"` // of Point.Size
 	Unit     string  `json:"unit"`      // of Point.Value
@@ -65,5 +65,5 @@
 	ForwarderMemory         float64 `json:"forwarder_memory_bytes"`
 	ServerBytes             float64 `json:"server_bytes"` // sent and received by the discovery server over the whole trial
 	ServerCPU               float64 `json:"server_cpu_s"`
-	Note                    string  `json:"note,omitempty"` // what limited the trial or went wrong
+	Note                    string  `json:"note,omitempty"` // problems during the trial, and limits that it ran into
 }
