--- a/lab/capacity/page/failures.go
+++ b/lab/capacity/page/failures.go
@@ -2,7 +2,7 @@
 
 import "spanflow/lab/capacity"
 
-// failure is one row of the failures table: a kind of failure and its consequences with the current code.
+// failure is one row of the failures table: a kind of failure and its effects on the current system.
 type failure struct {
 	name, expected string
 	lost           string // what is lost or delayed
--- a/lab/capacity/page/page_test.go
+++ b/lab/capacity/page/page_test.go
@@ -232,11 +232,11 @@
 			Points: []capacity.Point{{Size: 1, Value: slope}, {Size: 100, Value: 100 * slope}}, Fit: capacity.Fit{Shape: capacity.Linear, Slope: slope}}
 	}
 	results.Curves = []capacity.Curve{
-		line("known-destination", "memory in the scheduler", "bytes", 1000),              // 32 MB at 32,000 of 170,000
-		line("held-message", "memory in the scheduler", "bytes", 192e6/54_000),           // 192 MB at 54,000 of 5,400,000
+		line("known-destination", "memory in the scheduler", "bytes", 1000),              // exceeds 32 MB at 32,000 of 170,000
+		line("held-message", "memory in the scheduler", "bytes", 192e6/54_000),           // exceeds 192 MB at 54,000 of 5,400,000
 		line("known-destination", "processor time of a list change", "ns", 1),            // never exceeds its budget
 		line("message-path", "processor time in a second", "s", 1e-6),                    // never exceeds its budget
-		line("held-message", "processor time of a fresh message beside them", "s", 1e-9), // 1 / 1,300 s at 769,000
+		line("held-message", "processor time of a fresh message beside them", "s", 1e-9), // exceeds 1/1,300 s at 769,000
 	}
 	rendered, err := tables(readTarget(t), results)
 	require.NoError(t, err)
--- a/lab/capacity/page/target.go
+++ b/lab/capacity/page/target.go
@@ -10,7 +10,7 @@
 	"spanflow/internal/config"
 )
 
-// Target is the size of the installation to build for, with its budgets.
+// Target describes the installation to build for: its size, its load and its budgets.
 type Target struct {
 	Fleet     Fleet              `toml:"fleet"`
 	Load      Load               `toml:"load"`
--- a/lab/commands/capacity_hollow.go
+++ b/lab/commands/capacity_hollow.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// hollowProcessCommand is the hidden command of the processes that 'spanflow-lab capacity hollow' starts.
+// hollowProcessCommand is a hidden command, which runs in the processes that 'spanflow-lab capacity hollow' starts.
 func (s *session) hollowProcessCommand() *cobra.Command {
 	return &cobra.Command{Use: hollowProcess + " ROLE", Hidden: true, Args: cobra.ExactArgs(1), Short: "Process started by 'capacity hollow'",
 		RunE: cli.Run(func(args []string) error {
--- a/lab/commands/root.go
+++ b/lab/commands/root.go
@@ -83,7 +83,7 @@
 	return experiment.Arm{Name: sc.Name, Scenario: sc, NewPolicy: newPolicy}, err
 }
 
-// seedsFor returns the seeds to simulate a scenario with, according to the flags.
+// seedsFor returns the seeds that the flags select for simulating a scenario.
 func (s *session) seedsFor(sc *scenario.Scenario) []uint64 {
 	from := s.seed
 	if from == 0 {
--- a/lab/experiment/draw_wide.go
+++ b/lab/experiment/draw_wide.go
@@ -210,7 +210,7 @@
 // drawAffected draws the destinations and the zone that a fault affects.
 func (w *wideDraw) drawAffected(f *scenario.Fault, destinations int) {
 	switch w.random.IntN(4) {
-	case 0: // all
+	case 0: // all destinations
 	case 1:
 		f.Receiver = w.scenario.Receivers[w.random.IntN(len(w.scenario.Receivers))].Name
 	default:
--- a/lab/experiment/experiment.go
+++ b/lab/experiment/experiment.go
@@ -35,7 +35,7 @@
 	return all
 }
 
-// parallel calls do for each of 0 to n-1, on one goroutine per core.
+// parallel calls do with each number from 0 to n-1, on one goroutine per core.
 func parallel(n int, do func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -137,7 +137,7 @@
 		}
 		return 0
 	})
-	run.Connections = 4 // as in a real load tool, so few that the stall blocks all and new arrivals are queued
+	run.Connections = 4 // few, as in real load tools, so that the stall blocks all and new arrivals are queued
 	r, err = run.Do(context.Background(), newGenerator(20, 4))
 	require.NoError(t, err)
 	require.Equal(t, map[string]int{"ok": r.Sent}, r.Answers)
--- a/lab/load/trace.go
+++ b/lab/load/trace.go
@@ -59,9 +59,9 @@
 	file        io.Closer
 }
 
-// Open opens a trace with the fields of Message: CSV with a header if the path ends in .csv, otherwise JSON lines. Times are in seconds
-// and ascending; the first one may have any value. speed is the factor by which the trace is sped up. The caller
-// closes the trace.
+// Open opens a trace with the fields of Message. The format is CSV with a header if the path ends in .csv, otherwise
+// JSON lines. Times are in seconds and ascending; the first one may have any value. speed is the factor by which the
+// trace is sped up. The caller closes the trace.
 func Open(path string, speed float64) (*Trace, error) {
 	if !(speed > 0) || math.IsInf(speed, 0) {
 		return nil, fmt.Errorf("speed: %v must be finite and greater than 0", speed)
--- a/lab/report/report.go
+++ b/lab/report/report.go
@@ -160,7 +160,7 @@
 // Z returns the colour value of a cell: the logarithm of one plus the messages held.
 func (h heatGrid) Z(c, r int) float64 { return math.Log1p(float64(h.seconds[c].HeldByDestination[r])) }
 
-// X returns the middle of a second.
+// X returns the time in the middle of a second.
 func (h heatGrid) X(c int) float64 { return float64(c) + 0.5 }
 
 // Y returns the index of a destination.
