--- a/lab/capacity/page/figure.go
+++ b/lab/capacity/page/figure.go
@@ -283,7 +283,7 @@
 	return ""
 }
 
-// exceededAtMeasured states between which measured sizes a curve that is not linear exceeds its budget.
+// exceededAtMeasured names the two measured sizes between which a curve that is not linear exceeds its budget.
 func (r *computedFigure) exceededAtMeasured() string {
 	left := "left at the measured size " + digits(r.limit.Size)
 	if r.limit.LargestWithin == 0 {
--- a/lab/capacity/page/results.go
+++ b/lab/capacity/page/results.go
@@ -112,7 +112,7 @@
 
 func finite(value float64) bool { return !math.IsNaN(value) && !math.IsInf(value, 0) }
 
-// curveRef identifies a curve.
+// curveRef is the key of a curve, which is unique in a results file.
 type curveRef struct{ role, quantity string }
 
 // curveOf returns a measured curve, or nil if it was not measured.
--- a/lab/commands/load.go
+++ b/lab/commands/load.go
@@ -40,8 +40,8 @@
 	l := &loadCommand{session: s, run: load.Run{Prefix: fmt.Sprintf("%x-", time.Now().UnixNano())}}
 	c := &cobra.Command{Use: "load ADDRESS", Short: "Send open-loop load to a real forwarder's RESP frontend", Args: cobra.ExactArgs(1),
 		Long: `Submits each message at its intended time, regardless of the answers to earlier ones. Latencies are measured from the
-intended time, so that a stall of the forwarder shows in the latency of every message that arrives during it. The latencies that a
-closed loop would have reported are printed for comparison.
+intended time, so that a stall of the forwarder shows in the latency of every message that arrives during it. The
+latencies that a closed loop would have reported are printed for comparison.
 
 A shape is a list of SECOND:SHARE points of --rate, joined by straight lines, such as 0:1,10:1,20:4. A trace is a file of
 JSON lines (.jsonl) or CSV with a header (.csv) with the fields at (seconds), dest, type, and optionally tenant, key,
--- a/lab/experiment/violation_search.go
+++ b/lab/experiment/violation_search.go
@@ -40,7 +40,7 @@
 const (
 	searchVersion = 1
 	searchBatch   = 32  // scenarios between two saves
-	maxViolations = 100 // maximum number of violations kept; a scheduler with more must be fixed first
+	maxViolations = 100 // violations kept; a scheduler with more must be fixed before the search continues
 	searchFile    = "hunt.toml"
 	scenarioFile  = ".toml"
 )
--- a/lab/load/connection.go
+++ b/lab/load/connection.go
@@ -91,7 +91,7 @@
 	return b.String()
 }
 
-// orDefault returns a value, or the fallback if it is the zero value.
+// orDefault returns value, or fallback if value is the zero value.
 func orDefault[T comparable](value, fallback T) T {
 	if value == *new(T) {
 		return fallback
--- a/lab/load/run.go
+++ b/lab/load/run.go
@@ -36,8 +36,8 @@
 	Addr        string
 	Connections int                      // maximum number
 	Timeout     time.Duration            // from sending; a message without an answer by then counts as unanswered
-	TimeToLive  float64                  // seconds; default for messages without one
-	Bytes       int                      // default body size for messages without one
+	TimeToLive  float64                  // seconds; default for messages that set none
+	Bytes       int                      // default body size, for messages that set none
 	Prefix      string                   // prefix of message ids
 	Progress    func(sent, open int)     // called every progressEvery messages; may be nil
 	Dial        func() (net.Conn, error) // nil means TCP to Addr
