--- a/forwarder/log.go
+++ b/forwarder/log.go
@@ -19,12 +19,16 @@
 // SetLevel does nothing, as only errors are logged.
 func (n networkLog) SetLevel(int) {}
 
+// Debug discards the line.
 func (n networkLog) Debug(string, ...any) {}
 
+// Info discards the line.
 func (n networkLog) Info(string, ...any) {}
 
+// Warn discards the line.
 func (n networkLog) Warn(string, ...any) {}
 
+// Error logs the line.
 func (n networkLog) Error(format string, v ...any) {
 	n.log.Error().Str("reason", fmt.Sprintf(format, v...)).Msg("network library error")
 }
--- a/forwarder/static_endpoints.go
+++ b/forwarder/static_endpoints.go
@@ -14,4 +14,5 @@
 	s.listener.EndpointsUpdated(&list)
 }
 
+// Stop does nothing.
 func (s *staticEndpoints) Stop() {}
--- a/forwarder/telemetry.go
+++ b/forwarder/telemetry.go
@@ -83,17 +83,23 @@
 	return append(gauges, loop.backlogGauges()...)
 }
 
-// noRecorder is the recorder if no metrics are served. Its methods do nothing.
+// noRecorder is the recorder if no metrics are served.
 type noRecorder struct{}
 
+// SubmissionAnswered does nothing.
 func (noRecorder) SubmissionAnswered(string, transport.Status) {}
 
+// AttemptEnded does nothing.
 func (noRecorder) AttemptEnded(transport.ResultCode, time.Duration) {}
 
+// FinalAnswered does nothing.
 func (noRecorder) FinalAnswered(transport.Outcome, time.Duration) {}
 
+// LoopTurn does nothing.
 func (noRecorder) LoopTurn(int, time.Duration) {}
 
+// Addr returns "", as no metrics are served.
 func (noRecorder) Addr() string { return "" }
 
+// Stop does nothing.
 func (noRecorder) Stop() {}
